--- /dev/null
+++ b/fleet/disk/format_test.go
@@ -0,0 +1,141 @@
+package disk
+
+import (
+	"bytes"
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"go.etcd.io/bbolt"
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"dapplerouter/fleet"
+	"dapplerouter/fleet/audit"
+	"dapplerouter/front"
+)
+
+// The files in testdata were written by version 0.3.0, and are never written again: programs of two versions read each other's files.
+
+// sameAsFile compares bytes with a file of testdata.
+func sameAsFile(t *testing.T, name string, got []byte) {
+	t.Helper()
+	want, err := os.ReadFile(filepath.Join("testdata", name))
+	require.NoError(t, err)
+	assert.Equal(t, string(want), string(got), name)
+}
+
+// copyOf copies a file of testdata, since opening it writes to it.
+func copyOf(t *testing.T, name string) (path string) {
+	t.Helper()
+	b, err := os.ReadFile(filepath.Join("testdata", name))
+	require.NoError(t, err)
+	path = filepath.Join(t.TempDir(), name)
+	require.NoError(t, os.WriteFile(path, b, 0o600))
+	return path
+}
+
+// voterWrites are the writes of the voter k1 of fleet x, each with all kinds of data, that made testdata/voter.db.
+func voterWrites() []*fleet.DiskWrite {
+	return []*fleet.DiskWrite{
+		{Snapshot: &pb.Snapshot{Data: []byte("state"), Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(300), Term: proto.Uint64(4),
+			ConfState: &pb.ConfState{Voters: []uint64{11, 12, 13}}}}},
+		{Hard: &pb.HardState{Term: proto.Uint64(5), Vote: proto.Uint64(11), Commit: proto.Uint64(301)},
+			Entries: []*pb.Entry{entry(301, 4, "first"), entry(302, 5, "second"), {Index: proto.Uint64(303), Term: proto.Uint64(5), Type: pb.EntryConfChangeV2.Enum(), Data: []byte{0}}},
+			Floors:  map[string]fleet.Floor{"k2": {Term: 5, Vote: 12, Commit: 300, Opened: 3}}},
+	}
+}
+
+func TestVoterFileOfVersion030IsRead(t *testing.T) {
+	f, s, err := Open(copyOf(t, "voter.db"), "x", "k1")
+	require.NoError(t, err)
+	defer f.Close()
+	writes := voterWrites()
+	assert.EqualValues(t, 2, s.Opened)
+	assert.True(t, proto.Equal(writes[0].Snapshot, s.Snapshot), s.Snapshot)
+	assert.True(t, proto.Equal(writes[1].Hard, s.Hard), s.Hard)
+	assert.Equal(t, writes[1].Floors, s.Floors)
+	require.Len(t, s.Entries, 3)
+	for i, e := range writes[1].Entries {
+		assert.True(t, proto.Equal(e, s.Entries[i]), s.Entries[i])
+	}
+}
+
+func TestVoterFileIsWrittenAsByVersion030(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "voter.db")
+	f, _, err := Open(path, "x", "k1")
+	require.NoError(t, err)
+	for _, w := range voterWrites() {
+		require.NoError(t, f.Save(w))
+	}
+	require.NoError(t, f.Close())
+	got, want := dumped(t, path), dumped(t, copyOf(t, "voter.db"))
+	assert.Equal(t, want, got)
+	sameAsFile(t, "voter.txt", []byte(got))
+}
+
+// dumped is a voter's file as text: a line for each key of each bucket.
+func dumped(t *testing.T, path string) string {
+	t.Helper()
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true})
+	require.NoError(t, err)
+	defer db.Close()
+	var out bytes.Buffer
+	require.NoError(t, db.View(func(tx *bbolt.Tx) error {
+		return tx.ForEach(func(bucket []byte, b *bbolt.Bucket) error {
+			return b.ForEach(func(k, v []byte) error {
+				_, err := fmt.Fprintf(&out, "%s %q %x\n", bucket, k, v)
+				return err
+			})
+		})
+	}))
+	return out.String()
+}
+
+func TestAuditSegmentIsWrittenAsByVersion030(t *testing.T) {
+	dir := t.TempDir()
+	s, err := OpenSegments(dir, "n1", 1<<20, 1<<24)
+	require.NoError(t, err)
+	s.Told = func(l *audit.Line) { l.Front, l.Incarnation, l.Index = "n1", 7, 12 }
+	s.Missed(2, "no room")
+	ids := &audit.Span{Number: 1, IDs: []uint64{audit.Hash([]byte("order-1")), audit.Hash([]byte("order-2"))}, Ended: make([][front.Words]uint32, 1)}
+	index, hash := audit.Index(ids)
+	for _, l := range []*audit.Line{
+		{What: audit.Opened, Program: "0.3.0", Kinds: []string{"order", "news"}, Clock: 50_000, Version: 3, Meaning: "abc"},
+		{What: audit.Held, Lease: "list", Term: 4},
+		{What: audit.Adopted, Version: 4, Meaning: "def"},
+		{What: audit.InSpan, Span: 1, From: 1_000_000, Until: 2_000_000, Right: 3_000_000, Standby: true, Version: 4, List: []int64{10, 11}, Requests: 2,
+			Ended: [][]uint32{{1, 0, 1, 0, 0}, {0, 0, 0, 0, 0}}, IDsHash: hash},
+		{What: audit.Let, Lease: "list", Term: 4, Acts: 17, Why: "released"},
+		{What: audit.Refused, Version: 5, Why: "unknown zone"},
+		{What: audit.Right}, {What: audit.Lapsed}, {What: audit.Turned, Version: 5, Why: "rolling of 4 to 5: w"}, {What: audit.Closed},
+	} {
+		l.Front, l.Incarnation, l.Index, l.At = "n1", 7, 12, 1_700_000_000_000_000
+		var b []byte
+		if l.What == audit.InSpan {
+			b = index
+		}
+		require.NoError(t, s.Write(l, b))
+	}
+	require.NoError(t, s.Close())
+	for _, end := range []string{audit.LinesEnd, audit.IDsEnd} {
+		got, err := os.ReadFile(filepath.Join(dir, "n1.00000001"+end))
+		require.NoError(t, err)
+		sameAsFile(t, "n1.00000001"+end, got)
+	}
+}
+
+func TestAuditSegmentOfVersion030IsRead(t *testing.T) {
+	l, err := OpenLogs("testdata")
+	require.NoError(t, err)
+	assert.Equal(t, []string{"n1.00000001"}, l.Names())
+	all, _ := audit.Read(l)
+	require.Len(t, all, 1)
+	assert.Len(t, all[0].Lines, 11)
+	hits, err := l.Find("order-2")
+	require.NoError(t, err)
+	assert.Equal(t, []Hit{{Segment: "n1.00000001", Span: 1}}, hits)
+}
