--- a/front/front_test.go
+++ b/front/front_test.go
@@ -69,7 +69,7 @@
 
 var born = time.UnixMilli(1_000_000)
 
-func newFront(t *testing.T) (*Core, *module, *wires) {
+func newFront(testing.TB) (*Core, *module, *wires) {
 	w, m := &wires{}, &module{}
 	s := &site.Site{Types: []string{"browse", "order"}, Zones: []string{"a"}, Customers: []string{"acme"},
 		RequestTypes: []port.RequestType{{Level: port.Session, Deadline: time.Second}, {Level: port.Write, Deadline: time.Second}},
