--- /dev/null
+++ b/cmd/dapplerouter/operator_file_fixture_test.go
@@ -0,0 +1,79 @@
+package main
+
+import (
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// TestOperatorFilesReadAsBefore reads files as operators have them (of deploy/dapplerouter.sexp and docs/operate, by the names that
+// version 0.3.0 reads) and compares all that they say with what that version read.
+func TestOperatorFilesReadAsBefore(t *testing.T) {
+	files, err := filepath.Glob("testdata/forms/*.sexp")
+	require.NoError(t, err)
+	require.Len(t, files, 6)
+	for _, file := range files {
+		t.Run(strings.TrimSuffix(filepath.Base(file), ".sexp"), func(t *testing.T) {
+			o, err := readFile(file)
+			require.NoError(t, err)
+			want, err := os.ReadFile(strings.TrimSuffix(file, ".sexp") + ".json")
+			require.NoError(t, err)
+			assert.Equal(t, string(want), operatorAsJSON(t, o))
+		})
+	}
+}
+
+// operatorAsJSON shows what a file says, by keys that are no names of the program.
+func operatorAsJSON(t *testing.T, o *operator) string {
+	t.Helper()
+	all := map[string]any{}
+	if c := o.classing; c != nil {
+		var rules []map[string]any
+		for i, r := range c.Rules {
+			rules = append(rules, map[string]any{"type": r.Type, "class": r.Class.String(), "verbs": r.Verbs, "tables": r.Tables, "below": r.Below.String(),
+				"above": r.Above.String(), "place": c.Places[i].String()})
+		}
+		statements := "SELECT seat_name(1)\nSELECT geo.distance(1)\nSELECT next_seat(1)\nSELECT * FROM busy_view\nSELECT a.house FROM slots a\nSELECT unknown_one(1)\n"
+		by := &classifier{c.New()}
+		var classes []string
+		_, err := by.each(strings.NewReader(statements), true, func(r record) { classes = append(classes, r.Class+" "+r.Type+" "+r.Why) })
+		require.NoError(t, err)
+		all["classing"] = map[string]any{"bytes": c.Bytes, "undeclared": int(c.Undeclared), "rules": rules, "place": o.place.String(), "classes": classes}
+	}
+	if g := o.gateway; g != nil {
+		s := g.Settings
+		all["gateway"] = map[string]any{"here": g.Here, "peer": g.Peer, "address": g.Address, "listen": g.Listen, "groups": g.Groups,
+			"keys": []string{g.Key, g.Certificate, g.Trust}, "place": g.Place.String(),
+			"times": []string{s.Heartbeat.String(), s.Silence.String(), s.Recover.String(), s.Retain.String()},
+			"sizes": []int64{int64(s.Crossings), s.Credit, s.Kept}}
+	}
+	if f := o.fleet; f != nil {
+		var voters []string
+		for _, v := range f.Voters {
+			voters = append(voters, v.Name+" "+v.Address)
+		}
+		all["fleet"] = map[string]any{"id": f.ID, "listen": f.Listen, "address": f.Address, "voters": voters, "voter_file": f.VoterFile, "joins": f.Joins,
+			"lease_duration": f.LeaseDuration.String(), "accepts_leases": f.AcceptsLeases, "keys": []string{f.Key, f.Certificate, f.Trust},
+			"control": f.Control, "history": f.History, "reach": f.Reach, "place": f.Place.String()}
+	}
+	if r := o.roll; r != nil {
+		lease, err := r.ConfigLeaseFor(o.fleet.LeaseDuration)
+		require.NoError(t, err)
+		all["roll"] = map[string]any{"lease": lease.String(), "stop": r.StopWhenIsolated, "within": r.InForceWithin.String(), "dir": r.Dir, "place": r.Place.String()}
+	}
+	if a := o.audit; a != nil {
+		all["audit"] = map[string]any{"folders": []string{a.Dir, a.Export, a.Collect}, "sizes": []int64{a.Budget, a.Segment, a.Rate},
+			"clock_error": a.ClockError.String(), "place": a.Place.String()}
+	}
+	if r := o.rules; r != nil {
+		all["rules"] = map[string]any{"bounds": r.Bounds, "windows": r.Windows, "given_up": r.GivenUp}
+	}
+	text, err := json.MarshalIndent(all, "", " ")
+	require.NoError(t, err)
+	return string(text) + "\n"
+}
--- /dev/null
+++ b/cmd/dapplerouter/testdata/forms/rolling.sexp
@@ -0,0 +1,11 @@
+(fleet
+  (id "57f4fae48e0bb236") (listen "127.0.0.1:7500") (address "10.0.0.4:7500") (plain loopback)
+  (keepers (n1 "10.0.0.1:7500"))
+  (keeper "/var/lib/dapplerouter/fleet.db") (joins)
+  (span 2s) (duties none)
+  (history "/var/log/dapplerouter/n4.jsonl")
+  (reach (n2 "127.0.0.1:9002") (n3 "127.0.0.1:9003")))
+(roll (right 12s) (when-alone stop) (in-force-within 20s) (dir "/var/lib/dapplerouter/roll"))
+(audit (dir "/var/lib/dapplerouter/audit") (budget 64MiB) (segment 512KiB) (clock-error 500ms)
+  (export "/mnt/audit") (collect "/var/lib/dapplerouter/all") (rate 256KiB))
+(rules (bound slot-browse 2s) (window book-table 1s) (given-up 7))
--- /dev/null
+++ b/cmd/dapplerouter/testdata/json/faults.sexp
@@ -0,0 +1,5 @@
+(classing (cache 8)
+  (types (a (class read))
+         (b (class read) (tables t))))
+(clasing)
+(gateway (here a) (peer a (address "x") (listen "y") (silence 3)))
