--- /dev/null
+++ b/shape/pinned_test.go
@@ -0,0 +1,59 @@
+package shape
+
+import (
+	"bufio"
+	"encoding/json"
+	"os"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// pinnedStatement is what testdata/classified.jsonl says of a line of the corpus.
+type pinnedStatement struct {
+	Form        string   `json:"form,omitempty"`
+	Fingerprint uint64   `json:"fingerprint,omitempty"`
+	Class       string   `json:"class,omitempty"`
+	Bound       bool     `json:"bound,omitempty"`
+	Several     bool     `json:"several,omitempty"`
+	Empty       bool     `json:"empty,omitempty"`
+	Why         string   `json:"why,omitempty"`
+	At          int      `json:"at,omitempty"`
+	Verb        string   `json:"verb,omitempty"`
+	Tables      []string `json:"tables,omitempty"`
+	Rows        float64  `json:"rows,omitempty"`
+	Items       int      `json:"items,omitempty"`
+	Limit       int      `json:"limit"`
+	Key         string   `json:"key,omitempty"`
+	Block       [2]int   `json:"block"`
+	Code        string   `json:"code,omitempty"` // of the fault, with Why and At
+}
+
+func pin(c *Classing, text string) pinnedStatement {
+	s, f, fault := c.Take([]byte(text))
+	if fault != nil {
+		return pinnedStatement{Code: fault.Code, Why: fault.What, At: fault.At}
+	}
+	v := c.Explain([]byte(text))
+	return pinnedStatement{Form: string(s.Form()), Fingerprint: s.Fingerprint(), Class: s.Class.String(), Bound: s.Bound,
+		Several: s.Several, Empty: s.Empty, Why: v.Why, At: v.At, Verb: s.Verb, Tables: s.Tables, Rows: s.Guess(&f),
+		Items: f.Items, Limit: f.Limit, Key: string(f.Key), Block: f.Block}
+}
+
+// Normal form, fingerprint, class and all else that is read off a statement stay what they are, for the whole corpus.
+func TestTheCorpusKeepsItsFormsFingerprintsAndClasses(t *testing.T) {
+	f, err := os.Open("testdata/classified.jsonl")
+	require.NoError(t, err)
+	defer f.Close()
+	c := New(Options{Bytes: 8 << 20, Lists: corpusLists()})
+	in := bufio.NewScanner(f)
+	in.Buffer(nil, 1<<20)
+	for _, l := range corpus(t) {
+		require.True(t, in.Scan())
+		got, err := json.Marshal(pin(c, l.SQL))
+		require.NoError(t, err)
+		assert.Equal(t, in.Text(), string(got), l.SQL)
+	}
+	assert.False(t, in.Scan())
+}
