--- /dev/null
+++ b/site/instance_file_test.go
@@ -0,0 +1,148 @@
+package site
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"os"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// described lists the value of each setting under its key in the file.
+func described(s *Start) string {
+	var b strings.Builder
+	line := func(key string, values ...any) { fmt.Fprintf(&b, "%s\t%s", key, fmt.Sprintln(values...)) }
+	line("name", s.Name)
+	line("listen", s.Listen)
+	line("discovery", s.Discovery)
+	line("seed", s.Seed)
+	line("limits.cores", s.Cores)
+	line("limits.memory_mb", s.Memory)
+	line("limits.sockets", s.Sockets)
+	line("known", s.Known.Index, s.Known.Whole, len(s.Known.Entries))
+	for i, e := range s.Known.Entries {
+		line(fmt.Sprint("known.", i), strconv.Quote(e.Name), e.Address, strconv.Quote(e.Zone), e.Kind, e.Group, int(e.State), e.Weight, e.Primary, e.Since)
+	}
+	for i, err := range s.Passed {
+		line(fmt.Sprint("known passed over ", i), err)
+	}
+	x := s.Site
+	line("FamilyInfo.Zero", x.Zero)
+	for i, ty := range x.RequestTypes {
+		line(fmt.Sprint("Classes.", i), x.Types[i], int64(ty.TargetLatency), int64(ty.Deadline), ty.Stretch, ty.Value, ty.Late,
+			int(ty.Effect), int(ty.Scope), int64(ty.Window), int(ty.Level), int64(ty.Bound))
+	}
+	for i, c := range x.Shares {
+		line(fmt.Sprint("Tenants.", i), x.Customers[i], c.PerSecond, c.Share)
+	}
+	t := x.Topology
+	line("Zones", fmt.Sprintf("%q", x.Zones), t.Zones)
+	line("Locality", t.Zone)
+	line("FleetSize", t.Fronts)
+	line("Ordinal", t.Front)
+	line("Discovery", t.Ask)
+	line("Tick", int64(t.Tick))
+	line("Clients.MarksRetry", t.RetriesMarked)
+	line("FamilyInfo.RoleListed", int(t.Roles))
+	r := x.Replication
+	line("FamilyInfo.Checks", int(r.Check))
+	line("FamilyInfo.HoldsFor", int64(r.Hold))
+	line("FamilyInfo.WriteMarks", r.Carried)
+	line("FamilyInfo.TellsPosition", r.AnswersTell)
+	line("FamilyInfo.Synchronous", r.WritesWaited)
+	line("Stats.Source", r.PiggybackLoad)
+	g := x.Guardrails
+	line("Rules", int64(g.AnswerSlack), int64(g.DrainGrace), int64(g.AskWithin), g.ColdShare, g.FallMultiple, int64(g.Cold), int64(g.Fall))
+	a := x.Allowance
+	line("Limits", a.Attempts, a.Probes, a.Peers, a.Cancels, a.Twice, int64(a.ComeBackMax), int64(a.DialTimeout), int64(a.LinkIdle))
+	f := x.Tariff
+	line("Deductions", f.CrossZone, f.Waste, f.Probe, f.LateEnd, f.Peer)
+	line("OverShareWorth", f.OverShare)
+	return b.String()
+}
+
+// leaves calls each with the path of every value that is no object, and with a function that sets or, for nil, removes it.
+func leaves(path []string, v any, set func(any), each func(path []string, set func(any))) {
+	switch v := v.(type) {
+	case map[string]any:
+		keys := make([]string, 0, len(v))
+		for k := range v {
+			keys = append(keys, k)
+		}
+		slices.Sort(keys)
+		for _, k := range keys {
+			old := v[k]
+			leaves(append(slices.Clip(path), k), old, func(now any) {
+				if now == nil {
+					delete(v, k)
+				} else {
+					v[k] = now
+				}
+			}, each)
+			v[k] = old
+		}
+		if len(path) > 0 {
+			each(path, set)
+		}
+	case []any:
+		for i := range v {
+			if _, object := v[i].(map[string]any); !object {
+				break
+			}
+			old := v[i]
+			leaves(append(slices.Clip(path), strconv.Itoa(i)), old, func(now any) { v[i] = now }, each)
+			v[i] = old
+		}
+		each(path, set)
+	default:
+		each(path, set)
+	}
+}
+
+// TestInstanceFile compares what is read from a file that has every key, and what is read, or which error comes, where one key is
+// missing, is a word without meaning, or is a number below 0.
+func TestInstanceFile(t *testing.T) {
+	text, err := os.ReadFile("testdata/instance.json")
+	require.NoError(t, err)
+	s, err := load(string(text), nil)
+	require.NoError(t, err)
+	full := described(s)
+	var b strings.Builder
+	b.WriteString(full)
+	d := json.NewDecoder(bytes.NewReader(text))
+	d.UseNumber()
+	var tree any
+	require.NoError(t, d.Decode(&tree))
+	leaves(nil, tree, nil, func(path []string, set func(any)) {
+		for _, changed := range []struct {
+			how string
+			to  any
+		}{{"removed", nil}, {"a word", "nonsense"}, {"-1", json.Number("-1")}} {
+			set(changed.to)
+			file, err := json.Marshal(tree)
+			require.NoError(t, err)
+			result := ""
+			if s, err := load(string(file), nil); err != nil {
+				text, _, _ := strings.Cut(err.Error(), " json: ") // what follows names Go's types
+				result = " error: " + text
+			} else {
+				before := strings.Split(full, "\n")
+				for _, line := range strings.Split(described(s), "\n") {
+					if !slices.Contains(before, line) {
+						result += " | " + line
+					}
+				}
+			}
+			fmt.Fprintf(&b, "%s %s:%s\n", strings.Join(path, "."), changed.how, result)
+		}
+	})
+	want, err := os.ReadFile("testdata/instance.txt")
+	require.NoError(t, err)
+	assert.Equal(t, string(want), b.String())
+}
--- /dev/null
+++ b/sockets/server_bytes_test.go
@@ -0,0 +1,66 @@
+package sockets
+
+import (
+	"bytes"
+	"encoding/binary"
+	"fmt"
+	"io"
+	"regexp"
+	"strconv"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"dapplerouter/front"
+	"dapplerouter/pgwire"
+)
+
+// rawMessage reads one message as it came, with its head, whose last four bytes are the message's length.
+func rawMessage(t *testing.T, from io.Reader, head int) []byte {
+	t.Helper()
+	b := make([]byte, head)
+	_, err := io.ReadFull(from, b)
+	require.NoError(t, err)
+	b = append(b, make([]byte, binary.BigEndian.Uint32(b[head-4:])-4)...)
+	_, err = io.ReadFull(from, b[head:])
+	require.NoError(t, err)
+	return b
+}
+
+// TestBytesSentToServers compares what a server's connection carries: the startup message, statements with their comment, whose
+// deadline is the only part that differs from run to run, and a probe.
+func TestBytesSentToServers(t *testing.T) {
+	const file = "testdata/server_messages.txt"
+	g := newRig(t, 40)
+	g.events()
+	c := g.client()
+	c.say(pgwire.Query(nil, "SELECT data FROM facts WHERE code = 'k' /* id=r1,c=read,d=60000,cluster=2 */")...)
+	conn, err := g.member.Accept()
+	require.NoError(t, err)
+	m := newPeer(t, conn)
+	assertRecorded(t, file, "startup", string(rawMessage(t, m, 4)))
+	m.say(pgwire.Welcome(nil)...)
+	deadline := regexp.MustCompile(`\bd=(\d+)`)
+	for i, statement := range []string{"",
+		`SELECT data  FROM facts WHERE code = 'it''s' /* id=r2,c=read,t=acme,d=60000,k=5c,cluster=2,after=17,new=1 */ ; `,
+		`INSERT INTO facts (code, data) VALUES ('k', '\x00ff') RETURNING data /* id=w1,c=write,d=60000,cluster=2 */`,
+	} {
+		if i > 0 {
+			c.say(pgwire.Query(nil, statement)...)
+		}
+		sent := rawMessage(t, m, 5)
+		d := deadline.FindSubmatchIndex(sent)
+		require.NotNil(t, d, "%q", sent)
+		ms, err := strconv.Atoi(string(sent[d[2]:d[3]]))
+		require.NoError(t, err)
+		assert.True(t, ms >= 10000 && ms <= 59980, "%d ms: 20 ms less than the client's, and what passed meanwhile", ms)
+		copy(sent[d[2]:d[3]], bytes.Repeat([]byte{'#'}, d[3]-d[2]))
+		assertRecorded(t, file, fmt.Sprint("statement ", i), string(sent))
+		m.say(whole("v")...)
+		c.hear("TDCZ")
+		g.settled(1)
+	}
+	g.links.Send(0, front.NewProbe(pgwire.Query(nil, "SHOW load")))
+	assertRecorded(t, file, "probe", string(rawMessage(t, m, 5)))
+}
