--- a/adapter/adapter.go
+++ b/adapter/adapter.go
@@ -127,21 +127,21 @@
 	id      int
 	start   int64
 	zero    time.Duration
-	decider port.Decider
+	decider port.Router
 	awake   bool
 
 	types, customers, zones, kinds *front.Index[string]
 	requestTypes                   []port.RequestType
 	stores, groups                 *front.Index[int64]
-	requests                       map[string]port.Ref
+	requests                       map[string]port.RequestRef
 	slab                           front.Slab[string]
-	entries                        []port.Entry
+	entries                        []port.Endpoint
 }
 
 func newInstance(a *adapter, id int, s *site.Site) *instance {
 	return &instance{a: a, id: id, start: a.clock, zero: time.Duration(s.Zero - a.clock),
 		kinds: front.NewIndex[string](), stores: front.NewIndex[int64](), groups: front.NewIndex[int64](),
-		requests: map[string]port.Ref{}, types: front.NewIndex(s.Types...), requestTypes: s.RequestTypes,
+		requests: map[string]port.RequestRef{}, types: front.NewIndex(s.Types...), requestTypes: s.RequestTypes,
 		customers: front.NewIndex(s.Customers...), zones: front.NewIndex(s.Zones...)}
 }
 
@@ -155,7 +155,7 @@
 	return m, nil
 }
 
-func (f *instance) load(l port.Load, x0 float64) port.Load {
+func (f *instance) load(l port.LoadReport, x0 float64) port.LoadReport {
 	if l.HasPosition {
 		l.Position = f.zero + time.Duration(x0*float64(time.Second))
 	}
@@ -179,43 +179,43 @@
 			return err
 		}
 		d := f.slab.Must(ref)
-		if e.Outcome.Hop < 0 || e.Outcome.Hop >= d.Hops {
-			return fmt.Errorf("field Hop: %d of %s was never submitted", e.Outcome.Hop, e.Rid)
+		if e.Outcome.AttemptNumber < 0 || e.Outcome.AttemptNumber >= d.Hops {
+			return fmt.Errorf("field Hop: %d of %s was never submitted", e.Outcome.AttemptNumber, e.Rid)
 		}
 		o := e.Outcome
-		o.Ref, o.Member = ref, m
+		o.Ref, o.Server = ref, m
 		o.Load = f.load(e.Load, e.X0)
 		if e.Stamp != 0 {
 			o.Position, o.HasPosition = f.zero+time.Duration(e.Stamp)*time.Millisecond, true
 		}
 		d.Out--
-		d.Closed = d.Closed || o.Closed
-		f.decider.Ended(now, o)
+		d.Closed = d.Closed || o.RequestFinished
+		f.decider.AttemptFinished(now, o)
 		f.release(ref)
 	case wire.Aborted:
 		ref, ok := f.requests[string(e.Rid)]
 		if d := f.slab.At(ref); ok && d != nil && !d.Closed {
 			d.Closed = true
-			f.decider.Left(now, ref)
+			f.decider.ClientGone(now, ref)
 			f.release(ref)
 		}
 	case wire.Alarm:
-		f.decider.Woken(now)
+		f.decider.TimerFired(now)
 	case wire.PingResult:
 		m, err := f.member(e.Store)
 		if err != nil {
 			return err
 		}
-		f.decider.Probed(now, m, e.Outcome.Ending, e.Outcome.Latency, f.load(e.Load, e.X0))
+		f.decider.HealthCheckFinished(now, m, e.Outcome.Result, e.Outcome.Latency, f.load(e.Load, e.X0))
 	case wire.NeighbourSays:
-		f.decider.Heard(now, e.Peer, e.Contents)
+		f.decider.GossipReceived(now, e.Peer, e.Contents)
 	}
 	return nil
 }
 
 func (f *instance) targets(now time.Duration, e *wire.Event) error {
 	f.entries = f.entries[:0]
-	if e.ListKind != port.Failed {
+	if e.ListKind != port.UpdateFailed {
 		if e.Page < 0 || e.Page >= len(f.a.pages) || f.a.pages[e.Page] == nil {
 			return fmt.Errorf("field Page: no catalog %d", e.Page)
 		}
@@ -224,13 +224,13 @@
 			if !ok {
 				return fmt.Errorf("field RegionPart: %q is none of Zones", en.Zone)
 			}
-			f.entries = append(f.entries, port.Entry{Member: f.stores.Number(en.Store), Zone: zone,
+			f.entries = append(f.entries, port.Endpoint{Server: f.stores.Number(en.Store), Zone: zone,
 				Kind: f.kinds.Number(en.Model), Group: f.groups.Number(en.Db),
 				State: en.State, Weight: en.Weight, Primary: en.Primary,
-				Started: time.Duration(en.Born - f.start), HasStarted: en.Born != 0})
+				StartedAt: time.Duration(en.Born - f.start), HasStartTime: en.Born != 0})
 		}
 	}
-	f.decider.List(now, e.ListKind, e.Epoch, f.entries)
+	f.decider.EndpointsChanged(now, e.ListKind, e.Epoch, f.entries)
 	return nil
 }
 
@@ -250,19 +250,19 @@
 		t.Session = front.Session(e.User)
 	}
 	t.Group = f.groups.Number(e.Group)
-	t.Bound, t.Window = f.requestTypes[t.Type].Bound, f.requestTypes[t.Type].Window
+	t.MaxStaleness, t.DedupWindow = f.requestTypes[t.Type].MaxStaleness, f.requestTypes[t.Type].DedupWindow
 	if _, held := f.requests[string(e.Rid)]; held {
 		return fmt.Errorf("field Rid: %s came twice", e.Rid)
 	}
 	rid := string(e.Rid)
 	t.Ref = f.slab.Open(rid)
 	f.requests[rid] = t.Ref
-	f.decider.Begin(now, t)
+	f.decider.RequestReceived(now, t)
 	return nil
 }
 
 // release gives a place back once its request is answered and every attempt has ended.
-func (f *instance) release(r port.Ref) {
+func (f *instance) release(r port.RequestRef) {
 	if d := f.slab.At(r); d != nil {
 		if rid := d.What; f.slab.Release(r) {
 			delete(f.requests, rid)
@@ -270,34 +270,36 @@
 	}
 }
 
-// Submit and the rest carry the module's wishes to the wire.
-func (f *instance) Submit(r port.Ref, member int, giveUpAfter time.Duration) {
+// StartAttempt and the rest carry the module's wishes to the wire.
+func (f *instance) StartAttempt(r port.RequestRef, member int, giveUpAfter time.Duration) {
 	d := f.slab.Must(r)
 	d.Out++
 	d.Hops++
 	f.a.w.HandOff(f.id, d.What, f.stores.Key(member), int64(giveUpAfter))
 }
 
-func (f *instance) Cancel(r port.Ref, hop int) { f.a.w.Cancel(f.id, f.slab.Must(r).What, hop) }
+func (f *instance) CancelAttempt(r port.RequestRef, hop int) {
+	f.a.w.Cancel(f.id, f.slab.Must(r).What, hop)
+}
 
-func (f *instance) Reject(r port.Ref, comeBackIn time.Duration) {
+func (f *instance) Reject(r port.RequestRef, comeBackIn time.Duration) {
 	d := f.slab.Must(r)
 	f.a.w.Reject(f.id, d.What, int64(comeBackIn))
 	d.Closed = true
 	f.release(r)
 }
 
-func (f *instance) Fail(r port.Ref) {
+func (f *instance) Fail(r port.RequestRef) {
 	d := f.slab.Must(r)
 	f.a.w.Lose(f.id, d.What)
 	d.Closed = true
 	f.release(r)
 }
 
-func (f *instance) Probe(member int)              { f.a.w.SoundOut(f.id, f.stores.Key(member)) }
-func (f *instance) Forget(member int)             { f.stores.Free(member) }
-func (f *instance) Watch(on bool)                 { f.a.w.Track(f.id, on) }
-func (f *instance) Fetch()                        { f.a.w.QueryAll(f.id) }
-func (f *instance) Tell(peer int, message []byte) { f.a.w.WritePeer(f.id, peer, message) }
-func (f *instance) Wake(after time.Duration)      { f.a.w.Timer(f.id, int64(after), "wake") }
-func (f *instance) Log(message string)            { f.a.w.NoteDown(f.id, message) }
+func (f *instance) StartHealthCheck(member int)         { f.a.w.SoundOut(f.id, f.stores.Key(member)) }
+func (f *instance) ReleaseServer(member int)            { f.stores.Free(member) }
+func (f *instance) WatchEndpoints(on bool)              { f.a.w.Track(f.id, on) }
+func (f *instance) FetchEndpoints()                     { f.a.w.QueryAll(f.id) }
+func (f *instance) SendGossip(peer int, message []byte) { f.a.w.WritePeer(f.id, peer, message) }
+func (f *instance) SetTimer(after time.Duration)        { f.a.w.Timer(f.id, int64(after), "wake") }
+func (f *instance) Log(message string)                  { f.a.w.NoteDown(f.id, message) }
--- a/adapter/adapter_test.go
+++ b/adapter/adapter_test.go
@@ -17,20 +17,22 @@
 	entries int
 }
 
-func (e *echo) Target(port.Ref) (time.Duration, bool)                          { return 0, false }
-func (e *echo) List(_ time.Duration, _ port.ListKind, _ int64, l []port.Entry) { e.entries = len(l) }
-func (e *echo) Begin(_ time.Duration, t port.Request)                          { e.Submit(t.Ref, 0, 0) }
-func (e *echo) Ended(time.Duration, port.Outcome)                              {}
-func (e *echo) Left(time.Duration, port.Ref)                                   {}
-func (e *echo) Redate(time.Duration, time.Duration)                            {}
-func (e *echo) Heard(time.Duration, int, []byte)                               {}
-func (e *echo) Woken(time.Duration)                                            { panic("woken") }
-func (e *echo) Reconcile(time.Duration)                                        {}
-func (e *echo) Probed(time.Duration, int, port.Ending, time.Duration, port.Load) {
+func (e *echo) RequiredPosition(port.RequestRef) (time.Duration, bool) { return 0, false }
+func (e *echo) EndpointsChanged(_ time.Duration, _ port.UpdateKind, _ int64, l []port.Endpoint) {
+	e.entries = len(l)
+}
+func (e *echo) RequestReceived(_ time.Duration, t port.Request)    { e.StartAttempt(t.Ref, 0, 0) }
+func (e *echo) AttemptFinished(time.Duration, port.AttemptOutcome) {}
+func (e *echo) ClientGone(time.Duration, port.RequestRef)          {}
+func (e *echo) ClockCorrected(time.Duration, time.Duration)        {}
+func (e *echo) GossipReceived(time.Duration, int, []byte)          {}
+func (e *echo) TimerFired(time.Duration)                           { panic("woken") }
+func (e *echo) Reconcile(time.Duration)                            {}
+func (e *echo) HealthCheckFinished(time.Duration, int, port.AttemptResult, time.Duration, port.LoadReport) {
 }
 
 func made(h port.Host, _ uint64, _ port.Topology, _ []port.RequestType, _ []port.Customer, _ port.Replication,
-	_ port.Guardrails, _ port.Allowance, _ port.Tariff) port.Decider {
+	_ port.Guardrails, _ port.Limits, _ port.CostWeights) port.Router {
 	return &echo{Host: h}
 }
 
--- a/adapter/answers_test.go
+++ b/adapter/answers_test.go
@@ -23,8 +23,8 @@
 	require.NoError(t, err)
 	var answers strings.Builder
 	require.NoError(t, Run(batches, &answers, func(h port.Host, seed uint64, at port.Topology, types []port.RequestType, customers []port.Customer,
-		_ port.Replication, _ port.Guardrails, allowed port.Allowance, _ port.Tariff) port.Decider {
-		h.Log(fmt.Sprint("new ", seed, at.Zone, at.Zones, len(types), len(customers), allowed.Attempts))
+		_ port.Replication, _ port.Guardrails, allowed port.Limits, _ port.CostWeights) port.Router {
+		h.Log(fmt.Sprint("new ", seed, at.Zone, at.ZoneCount, len(types), len(customers), allowed.MaxAttempts))
 		return &transcript{host: h}
 	}))
 	assert.Equal(t, string(recorded), answers.String())
@@ -39,70 +39,72 @@
 	s.host.Log(strings.TrimSuffix(fmt.Sprintln(append([]any{now, event}, values...)...), "\n"))
 }
 
-func report(l port.Load) []any {
-	return []any{l.Held, l.Waiting, l.Position, l.HasPosition, int(l.Role), l.Busy, l.Service, l.Rate, l.ErrsRate}
+func report(l port.LoadReport) []any {
+	return []any{l.InFlight, l.Queued, l.Position, l.HasPosition, int(l.Role), l.Utilization, l.LatencyMillis, l.RequestRate, l.ErrorRate}
 }
 
-func (s *transcript) List(now time.Duration, kind port.ListKind, version int64, entries []port.Entry) {
+func (s *transcript) EndpointsChanged(now time.Duration, kind port.UpdateKind, version int64, entries []port.Endpoint) {
 	s.log(now, "list", int(kind), version, len(entries))
 	for _, e := range entries {
-		s.log(now, "entry", e.Member, e.Zone, e.Kind, e.Group, int(e.State), e.Weight, e.Primary, e.Started, e.HasStarted)
+		s.log(now, "entry", e.Server, e.Zone, e.Kind, e.Group, int(e.State), e.Weight, e.Primary, e.StartedAt, e.HasStartTime)
 	}
 }
 
-// Begin sends a request out, and one of type 1 also a second time, of which the first attempt is cancelled.
-func (s *transcript) Begin(now time.Duration, t port.Request) {
-	s.log(now, "request", t.Ref.Place, t.Ref.Turn, t.Type, t.Customer, t.Session, t.Group, t.Budget, t.Hint, t.TokenAge, t.Bound, t.Window, t.Retry, t.Write)
-	s.host.Submit(t.Ref, 0, t.Budget/4)
+// RequestReceived sends a request out, and one of type 1 also a second time, of which the first attempt is cancelled.
+func (s *transcript) RequestReceived(now time.Duration, t port.Request) {
+	s.log(now, "request", t.Ref.Slot, t.Ref.Generation, t.Type, t.Customer, t.Session, t.Group, t.Timeout, t.ExpectedWork, t.TokenAge, t.MaxStaleness, t.DedupWindow, t.Retry, t.Write)
+	s.host.StartAttempt(t.Ref, 0, t.Timeout/4)
 	if t.Type == 1 {
-		s.host.Submit(t.Ref, 1, 0)
-		s.host.Cancel(t.Ref, 0)
+		s.host.StartAttempt(t.Ref, 1, 0)
+		s.host.CancelAttempt(t.Ref, 0)
 	}
 }
 
-func (s *transcript) Ended(now time.Duration, o port.Outcome) {
-	s.log(now, "ended", append([]any{o.Ref.Place, o.Ref.Turn, o.Hop, o.Member, int(o.Ending), o.Closed, o.Latency, o.Position, o.HasPosition, int(o.Role)},
+func (s *transcript) AttemptFinished(now time.Duration, o port.AttemptOutcome) {
+	s.log(now, "ended", append([]any{o.Ref.Slot, o.Ref.Generation, o.AttemptNumber, o.Server, int(o.Result), o.RequestFinished, o.Latency, o.Position, o.HasPosition, int(o.Role)},
 		report(o.Load)...)...)
 	switch {
-	case o.Closed:
-	case o.Ending == port.Errored:
+	case o.RequestFinished:
+	case o.Result == port.ServerError:
 		s.host.Reject(o.Ref, 5*time.Millisecond)
-	case o.Ending == port.Full:
+	case o.Result == port.Overloaded:
 		s.host.Reject(o.Ref, 0)
-	case o.Ending == port.TimedOut:
+	case o.Result == port.TimedOut:
 		s.host.Fail(o.Ref)
-	case o.Ending == port.Missed:
-		s.host.Submit(o.Ref, 1, 0)
+	case o.Result == port.Misrouted:
+		s.host.StartAttempt(o.Ref, 1, 0)
 	}
 }
 
-func (s *transcript) Left(now time.Duration, r port.Ref) { s.log(now, "left", r.Place, r.Turn) }
+func (s *transcript) ClientGone(now time.Duration, r port.RequestRef) {
+	s.log(now, "left", r.Slot, r.Generation)
+}
 
-func (s *transcript) Probed(now time.Duration, member int, e port.Ending, latency time.Duration, l port.Load) {
+func (s *transcript) HealthCheckFinished(now time.Duration, member int, e port.AttemptResult, latency time.Duration, l port.LoadReport) {
 	s.log(now, "probed", append([]any{member, int(e), latency}, report(l)...)...)
 	if e == port.Unreachable {
-		s.host.Forget(member)
+		s.host.ReleaseServer(member)
 	}
 }
 
-func (s *transcript) Heard(now time.Duration, peer int, message []byte) {
+func (s *transcript) GossipReceived(now time.Duration, peer int, message []byte) {
 	s.log(now, "heard", peer, message)
-	s.host.Tell(peer, message)
-	s.host.Tell(port.None, nil)
+	s.host.SendGossip(peer, message)
+	s.host.SendGossip(port.None, nil)
 }
 
-func (s *transcript) Woken(now time.Duration) {
+func (s *transcript) TimerFired(now time.Duration) {
 	s.log(now, "woken\twith a tab\nand a line")
-	s.host.Probe(0)
-	s.host.Watch(true)
-	s.host.Watch(false)
-	s.host.Fetch()
-	s.host.Wake(7 * time.Millisecond)
+	s.host.StartHealthCheck(0)
+	s.host.WatchEndpoints(true)
+	s.host.WatchEndpoints(false)
+	s.host.FetchEndpoints()
+	s.host.SetTimer(7 * time.Millisecond)
 	if now > time.Second {
 		panic("more than\na second")
 	}
 }
 
-func (s *transcript) Reconcile(now time.Duration)                { s.log(now, "reconcile") }
-func (s *transcript) Redate(now, by time.Duration)               { s.log(now, "redate", by) }
-func (s *transcript) Target(port.Ref) (_ time.Duration, ok bool) { return 0, false }
+func (s *transcript) Reconcile(now time.Duration)                                 { s.log(now, "reconcile") }
+func (s *transcript) ClockCorrected(now, by time.Duration)                        { s.log(now, "redate", by) }
+func (s *transcript) RequiredPosition(port.RequestRef) (_ time.Duration, ok bool) { return 0, false }
--- a/cmd/dapplerouter/gateway.go
+++ b/cmd/dapplerouter/gateway.go
@@ -38,7 +38,7 @@
 	}
 	if !slices.Contains(told.Site.Zones, c.Peer) {
 		told.Site.Zones = append(slices.Clone(told.Site.Zones), c.Peer)
-		told.Site.Topology.Zones++
+		told.Site.Topology.ZoneCount++
 	}
 	o := link.Options{Here: c.Here, Peer: c.Peer, Address: c.Address, Listen: c.Listen, Settings: c.Settings, Clock: clock,
 		Groups: c.Groups, Post: post, Parse: parse}
--- a/cmd/dapplerouter/serve.go
+++ b/cmd/dapplerouter/serve.go
@@ -107,7 +107,7 @@
 	if operator.fleet != nil {
 		seen = func(e front.Event) { fellows.Prober.Event(e) }
 	}
-	links := sockets.NewPools(seen, room, user, database, allowed.DialTimeout, allowed.LinkIdle,
+	links := sockets.NewPools(seen, room, user, database, allowed.DialTimeout, allowed.IdleConnTimeout,
 		told.Memory)
 	directory := sockets.NewDirectory(ctx, discovery.New(told.Discovery, told.Known.Index), seen,
 		sockets.Spread(told.Seed))
@@ -147,7 +147,7 @@
 	for _, why := range told.Passed {
 		slog.Warn("an entry of the known list is passed over", "why", why)
 	}
-	seen(front.Listed{Kind: port.Cached, List: told.Known})
+	seen(front.Listed{Kind: port.CachedSnapshot, List: told.Known})
 	longest := time.Duration(0)
 	for _, ty := range told.Site.RequestTypes {
 		longest = max(longest, ty.Deadline)
@@ -161,7 +161,7 @@
 		return err
 	}
 	defer all.close()
-	if !told.Site.Topology.Ask {
+	if !told.Site.Topology.PullEndpoints {
 		directory.Follow()
 	}
 
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -75,7 +75,7 @@
 	for _, want := range []struct {
 		index int64
 		whole bool
-		state port.State
+		state port.ServerState
 	}{{41, true, port.Serving}, {42, false, port.Draining}, {43, false, port.Removed}, {44, true, port.Serving}} {
 		l := <-lists
 		assert.Equal(t, want.index, l.Index)
--- a/discovery/list.go
+++ b/discovery/list.go
@@ -12,7 +12,7 @@
 type Entry struct {
 	Name, Address, Zone, Kind string
 	Group                     int64
-	State                     port.State
+	State                     port.ServerState
 	Weight                    float64
 	Primary                   bool
 	Since                     int64 // Unix milliseconds of the last start, 0 for long ago
@@ -25,7 +25,7 @@
 	Entries []Entry
 }
 
-var states = map[string]port.State{"up": port.Serving, "draining": port.Draining, "removed": port.Removed}
+var states = map[string]port.ServerState{"up": port.Serving, "draining": port.Draining, "removed": port.Removed}
 
 // Decode reads one object. Entries that say nothing usable are left out and returned as faults; err means
 // that the object as a whole is none.
--- a/fleet/endpoint_list.go
+++ b/fleet/endpoint_list.go
@@ -103,12 +103,12 @@
 	}
 	l.known, l.index = true, a.Index
 	for _, e := range a.Endpoints {
-		if port.State(e.State) == port.Removed {
+		if port.ServerState(e.State) == port.Removed {
 			delete(l.endpoints, e.Name)
 			continue
 		}
 		l.endpoints[e.Name] = discovery.Entry{Name: e.Name, Address: e.Address, Zone: e.Zone, Kind: e.Kind, Group: e.Group,
-			State: port.State(e.State), Weight: e.Weight, Primary: e.Primary, Since: e.Since}
+			State: port.ServerState(e.State), Weight: e.Weight, Primary: e.Primary, Since: e.Since}
 	}
 	return data, false
 }
@@ -136,7 +136,7 @@
 	said.Index, said.Whole = a.Index, a.Whole
 	for _, e := range a.Endpoints {
 		said.Entries = append(said.Entries, discovery.Entry{Name: e.Name, Address: e.Address, Zone: e.Zone, Kind: e.Kind, Group: e.Group,
-			State: port.State(e.State), Weight: e.Weight, Primary: e.Primary, Since: e.Since})
+			State: port.ServerState(e.State), Weight: e.Weight, Primary: e.Primary, Since: e.Since})
 	}
 	return said, a.Whole || len(a.Endpoints) > 0
 }
--- a/front/admit.go
+++ b/front/admit.go
@@ -13,7 +13,7 @@
 	}
 	c.ids[string(a.Statement.ID)] = struct{}{}
 	c.unanswered++
-	t.Ref, t.Budget = a.ref, a.expiry-c.now
+	t.Ref, t.Timeout = a.ref, a.expiry-c.now
 	c.metrics.taken++
-	c.decider.Begin(c.now, t)
+	c.decider.RequestReceived(c.now, t)
 }
--- a/front/classing.go
+++ b/front/classing.go
@@ -25,7 +25,7 @@
 // Classing is what the operator's settings made.
 type Classing struct {
 	*shape.Classing
-	Undeclared port.Effect // of a write whose request type reads
+	Undeclared port.Idempotency // of a write whose request type reads
 }
 
 // CheckClassing finds what the settings say against a site's request types. The error is conf.Faults.
@@ -37,7 +37,7 @@
 		case t < 0:
 			faults = append(faults, conf.Fault{Place: s.Places[i], What: r.Type + " is no request type of this site",
 				Remedy: fmt.Sprint("its types are ", at.Types)})
-		case r.Class == shape.Write && at.RequestTypes[t].Level != port.Write:
+		case r.Class == shape.Write && at.RequestTypes[t].Consistency != port.Write:
 			faults = append(faults, conf.Fault{Place: s.Places[i], What: r.Type + " reads, and the rule is for writes",
 				Remedy: "name a type that writes, or take (class write) away"})
 		}
@@ -51,17 +51,17 @@
 // withUndeclared adds to the types, for each that reads, one like it that writes with the effect that the operator
 // gave to writes that their type does not tell of. So the module decides these as it does all others: to the
 // primary only, and again only as far as the effect allows.
-func (k *classes) withUndeclared(types []port.RequestType, effect port.Effect) []port.RequestType {
+func (k *classes) withUndeclared(types []port.RequestType, effect port.Idempotency) []port.RequestType {
 	all := slices.Clone(types)
 	for i, ty := range types {
 		k.undeclared = append(k.undeclared, i)
-		if ty.Level == port.Write {
+		if ty.Consistency == port.Write {
 			continue
 		}
 		k.undeclared[i] = len(all)
-		ty.Level, ty.Effect, ty.Bound = port.Write, effect, 0
-		if effect == port.Referenced && ty.Window == 0 {
-			ty.Effect = port.OnceOnly // nothing says for how long a mark is remembered
+		ty.Consistency, ty.Idempotency, ty.MaxStaleness = port.Write, effect, 0
+		if effect == port.IdempotencyKey && ty.DedupWindow == 0 {
+			ty.Idempotency = port.NonIdempotent // nothing says for how long a mark is remembered
 		}
 		all = append(all, ty)
 	}
@@ -72,14 +72,14 @@
 func (a *Arrival) class(c *Core, t *port.Request) (refusal string) {
 	s, k := &a.Statement, c.classes
 	k.found++
-	t.Hint = k.by.Estimate(s.Shape, &s.Facts)
+	t.ExpectedWork = k.by.Estimate(s.Shape, &s.Facts)
 	if len(s.Type) > 0 {
 		var ok bool
 		if t.Type, ok = c.typeIDs.Find(string(s.Type)); !ok {
 			return "c names no request type of this site"
 		}
 	} else {
-		rule := k.by.Rule(s.Shape, t.Hint)
+		rule := k.by.Rule(s.Shape, t.ExpectedWork)
 		if rule < 0 {
 			k.noRule++
 			return "the comment names no request type, and no rule of the operator's file fits the statement"
@@ -87,15 +87,15 @@
 		k.byRule++
 		t.Type = k.types[rule]
 	}
-	if s.Write && c.types[t.Type].Level != port.Write {
+	if s.Write && c.types[t.Type].Consistency != port.Write {
 		slog.Debug("undeclared write", "id", string(s.ID), "type", c.typeIDs.Key(t.Type), "class", s.Shape.Class,
 			"why", s.Shape.Why, "fingerprint", s.Shape.Fingerprint())
 		k.undeclaredWrites++
 		t.Type = k.undeclared[t.Type]
 	}
 	ty := &c.types[t.Type]
-	t.Write = ty.Level == port.Write // a read under a writing type runs where its type says
-	if ty.Level == port.Session && len(s.Key) == 0 {
+	t.Write = ty.Consistency == port.Write // a read under a writing type runs where its type says
+	if ty.Consistency == port.ReadYourWrites && len(s.Key) == 0 {
 		return "a read of this request type belongs to a session: s=NAME in the comment, or a quoted key"
 	}
 	return ""
--- a/front/core.go
+++ b/front/core.go
@@ -18,7 +18,7 @@
 
 // New makes the Decider of an instance.
 type New func(h port.Host, seed uint64, at port.Topology, types []port.RequestType, customers []port.Customer,
-	copies port.Replication, rules port.Guardrails, allowed port.Allowance, costs port.Tariff) port.Decider
+	copies port.Replication, rules port.Guardrails, allowed port.Limits, costs port.CostWeights) port.Router
 
 // Event is something that came in; the types stand with the stages that take them.
 type Event interface {
@@ -52,7 +52,7 @@
 
 // Core owns the module.
 type Core struct {
-	decider port.Decider
+	decider port.Router
 	pools   Pools
 	ask     Directory
 	events  chan Event
@@ -89,14 +89,14 @@
 	lapsed     bool     // the right has run out, and what was in hand is ended
 	shut       bool     // no request is taken any more
 	comeBack   time.Duration
-	entries    []port.Entry
+	entries    []port.Endpoint
 }
 
 // NewCore makes a Core; born is the moment from which its clock counts. Where classing is nil, statements are served in
 // the one form that the users' protocol has.
 func NewCore(born time.Time, seed uint64, s *site.Site, decide New, links Pools, ask Directory, classing *Classing) *Core {
 	c := &Core{pools: links, ask: ask, events: make(chan Event, queued), timeline: timeline{zero: born.Round(0)}, types: s.RequestTypes,
-		most: s.Allowance.Attempts, patience: s.Allowance.DialTimeout,
+		most: s.Allowance.MaxAttempts, patience: s.Allowance.DialTimeout,
 		typeIDs: NewIndex(s.Types...), customers: NewIndex(s.Customers...), zones: NewIndex(s.Zones...),
 		kinds: NewIndex[string](), members: NewIndex[string](), groups: NewIndex[int64](), ids: map[string]struct{}{}, far: map[int]bool{}, turns: map[int]uint32{}}
 	if classing != nil {
@@ -106,7 +106,7 @@
 		}
 		c.types = c.classes.withUndeclared(c.types, classing.Undeclared)
 	}
-	c.comeBack = s.Allowance.ComeBackMax
+	c.comeBack = s.Allowance.MaxRetryAfter
 	c.terms = &terms{types: c.types}
 	c.decider = decide(c, seed, s.Topology, c.types, s.Shares, s.Replication, s.Guardrails, s.Allowance, s.Tariff)
 	return c
@@ -183,7 +183,7 @@
 		case a.right:
 			c.lapse(now)
 		case a.s == nil:
-			c.decider.Woken(now)
+			c.decider.TimerFired(now)
 		case a.unbegun:
 			c.cancelUnsent(a.s)
 		default:
@@ -217,17 +217,17 @@
 
 // Listed brings what the list says; Failed and Cached lists too.
 type Listed struct {
-	Kind port.ListKind
+	Kind port.UpdateKind
 	List discovery.List
 }
 
 func (l Listed) take(c *Core, now time.Duration) {
 	c.entries = c.entries[:0]
 	all := l.List.Entries
-	if l.Kind == port.Whole || l.Kind == port.Cached {
+	if l.Kind == port.Snapshot || l.Kind == port.CachedSnapshot {
 		all = slices.Concat(all, c.standing)
 	}
-	if l.Kind == port.Whole || l.Kind == port.Cached {
+	if l.Kind == port.Snapshot || l.Kind == port.CachedSnapshot {
 		clear(c.serving)
 	}
 	for _, e := range all { // a start lies in the past
@@ -249,10 +249,10 @@
 			c.place(m, place{e.Address, e.Since})
 		}
 		c.serves(m, e.State == port.Serving)
-		c.entries = append(c.entries, port.Entry{Member: m, Zone: zone, Kind: c.kinds.Number(e.Kind),
+		c.entries = append(c.entries, port.Endpoint{Server: m, Zone: zone, Kind: c.kinds.Number(e.Kind),
 			Group: c.groups.Number(e.Group), State: e.State, Weight: e.Weight, Primary: e.Primary,
-			Started: c.since(e.Since), HasStarted: e.Since != 0})
-		if l.Kind == port.Changes {
+			StartedAt: c.since(e.Since), HasStartTime: e.Since != 0})
+		if l.Kind == port.Delta {
 			for i := range c.standing { // as the next whole list will have it
 				if c.standing[i].Name == e.Name {
 					c.standing[i] = e
@@ -262,14 +262,14 @@
 				"index", l.List.Index)
 		}
 	}
-	if l.Kind == port.Whole {
+	if l.Kind == port.Snapshot {
 		slog.Info("listed whole", "members", len(c.entries), "index", l.List.Index)
 	}
-	if c.bound.Audit != nil && l.Kind != port.Failed {
+	if c.bound.Audit != nil && l.Kind != port.UpdateFailed {
 		c.bound.Audit.Listed(now, l.List.Index)
 	}
-	c.decider.List(now, l.Kind, l.List.Index, c.entries)
-	if l.Kind != port.Failed {
+	c.decider.EndpointsChanged(now, l.Kind, l.List.Index, c.entries)
+	if l.Kind != port.UpdateFailed {
 		c.cancelDrained()
 	}
 }
--- a/front/core_bench_test.go
+++ b/front/core_bench_test.go
@@ -27,7 +27,7 @@
 			require.NoError(b, err)
 			answer := row()
 			cut := func() {}
-			submit := func(m *module) { m.Submit(m.begun[0].Ref, 0, 0) }
+			submit := func(m *module) { m.StartAttempt(m.begun[0].Ref, 0, 0) }
 			b.ReportAllocs()
 			for b.Loop() {
 				now += ms
@@ -39,7 +39,7 @@
 				s.Message()
 				c.Post(&Ended{S: s, Answer: answer})
 				c.batch(now)
-				if len(w.final) != 1 || w.final[0].Status != Served || m.ended[0].Ending != port.Succeeded {
+				if len(w.final) != 1 || w.final[0].Status != Served || m.ended[0].Result != port.Succeeded {
 					b.Fatal(w.final)
 				}
 				m.begun, m.ended, w.sent, w.final = m.begun[:0], m.ended[:0], w.sent[:0], w.final[:0]
--- a/front/endings_test.go
+++ b/front/endings_test.go
@@ -19,13 +19,13 @@
 // repeated brings a referenced request to where its repeat waits for a connection: the first was out from 10 ms on and may have run.
 func repeated(t *testing.T) (*Core, *module, *wires) {
 	c, m, w := newFront(t)
-	c.types[1].Effect, c.types[1].Window = port.Referenced, 300*ms
+	c.types[1].Idempotency, c.types[1].DedupWindow = port.IdempotencyKey, 300*ms
 	arrive(t, c, w, order)
-	m.wish = func(m *module) { m.Submit(m.begun[0].Ref, 0, 0) }
+	m.wish = func(m *module) { m.StartAttempt(m.begun[0].Ref, 0, 0) }
 	c.batch(10 * ms)
 	w.begin(t, 0)
 	c.Post(&Ended{S: w.sent[0], Failure: &Failure{Reach: Written}})
-	m.wish = func(m *module) { m.Submit(m.begun[0].Ref, 0, 0) }
+	m.wish = func(m *module) { m.StartAttempt(m.begun[0].Ref, 0, 0) }
 	c.batch(290 * ms)
 	require.Len(t, w.sent, 2)
 	return c, m, w
@@ -39,7 +39,7 @@
 	require.Len(t, m.ended, 1)
 	c.batch(310 * ms)
 	assert.False(t, w.sent[1].Begin(func() {}))
-	assert.Equal(t, port.Void, m.ended[1].Ending, "nothing of it went out")
+	assert.Equal(t, port.NotSent, m.ended[1].Result, "nothing of it went out")
 	c, m, w = repeated(t)
 	c.batch(309 * ms)
 	w.begin(t, 1)
@@ -60,8 +60,8 @@
 	assert.False(t, w.sent[0].Begin(func() {}), "before the core has heard of it")
 	c.Post(gone)
 	c.batch(20 * ms)
-	assert.Equal(t, port.Void, m.ended[0].Ending)
-	assert.True(t, m.ended[0].Closed)
+	assert.Equal(t, port.NotSent, m.ended[0].Result)
+	assert.True(t, m.ended[0].RequestFinished)
 	assert.Zero(t, c.slab.Held())
 	assert.Empty(t, w.final)
 }
@@ -72,24 +72,24 @@
 	a := out(t, c, m, w)
 	w.begin(t, 0)
 	c.Post(&Ended{S: w.sent[0], Failure: &Failure{Written, errors.New("reset")}})
-	m.wish = func(m *module) { m.Submit(m.begun[0].Ref, 0, 0) }
+	m.wish = func(m *module) { m.StartAttempt(m.begun[0].Ref, 0, 0) }
 	c.batch(20 * ms)
 	require.Len(t, w.sent, 2)
 	gone := a.Leave()
 	assert.False(t, w.sent[1].Begin(func() {}), "before the core has heard of it")
 	c.Post(gone)
 	c.batch(30 * ms)
-	assert.Equal(t, []port.Ending{port.Broken, port.Void}, []port.Ending{m.ended[0].Ending, m.ended[1].Ending})
+	assert.Equal(t, []port.AttemptResult{port.ConnectionLost, port.NotSent}, []port.AttemptResult{m.ended[0].Result, m.ended[1].Result})
 	assert.Zero(t, c.slab.Held())
 	assert.Empty(t, w.final)
 }
 
 func TestAShutdownGivesEachTxnWhatIsTrueOfIt(t *testing.T) {
 	c, m, w := newFront(t)
-	c.types[1].Effect = port.OnceOnly
+	c.types[1].Idempotency = port.NonIdempotent
 	for i, text := range []string{browse, strings.Replace(order, "id=1", "id=2", 1), strings.Replace(order, "id=1", "id=3", 1)} {
 		arrive(t, c, w, text)
-		m.wish = func(m *module) { m.Submit(m.begun[i].Ref, 0, 0) }
+		m.wish = func(m *module) { m.StartAttempt(m.begun[i].Ref, 0, 0) }
 		c.batch(10 * ms)
 	}
 	w.begin(t, 0)
@@ -122,7 +122,7 @@
 	s, err := pgwire.ParseStatement([]byte(browse + "\x00"))
 	require.NoError(t, err)
 	c.Post(NewArrival(&absent{}, s, c.now))
-	m.wish = func(m *module) { m.Submit(m.begun[0].Ref, 0, 0) }
+	m.wish = func(m *module) { m.StartAttempt(m.begun[0].Ref, 0, 0) }
 	c.batch(10 * ms)
 	require.Len(t, w.sent, 1)
 	assert.False(t, w.sent[0].Begin(func() {}))
--- a/front/far_test.go
+++ b/front/far_test.go
@@ -15,7 +15,7 @@
 func far(t *testing.T, most int) (*Core, *module, *wires) {
 	c, m, w := newFront(t)
 	c.most = most
-	c.Post(Listed{Kind: port.Changes, List: discovery.List{Entries: []discovery.Entry{
+	c.Post(Listed{Kind: port.Delta, List: discovery.List{Entries: []discovery.Entry{
 		{Name: "s-1", Address: FarAddress + "b/9", Zone: "a", Group: 9}}}})
 	c.batch(ms)
 	return c, m, w
@@ -29,7 +29,7 @@
 		var grants []int
 		for range 8 {
 			before := len(w.sent)
-			m.wish = func(m *module) { m.Submit(m.begun[0].Ref, 0, 0) }
+			m.wish = func(m *module) { m.StartAttempt(m.begun[0].Ref, 0, 0) }
 			c.batch(10 * ms)
 			c.batch(10 * ms)
 			if len(w.sent) == before {
@@ -51,7 +51,7 @@
 	a := arrive(t, c, w, browse)
 	a.Most = 2
 	for range 4 {
-		m.wish = func(m *module) { m.Submit(m.begun[0].Ref, 0, 0) }
+		m.wish = func(m *module) { m.StartAttempt(m.begun[0].Ref, 0, 0) }
 		c.batch(10 * ms)
 		c.batch(10 * ms)
 		if n := len(w.sent); n > 0 {
@@ -62,7 +62,7 @@
 	assert.Len(t, w.sent, 2)
 	void := 0
 	for _, o := range m.ended {
-		if o.Ending == port.Void {
+		if o.Result == port.NotSent {
 			void++
 		}
 	}
@@ -77,7 +77,7 @@
 		final int
 	}{{200 * ms, true, 1}, {301 * ms, true, 0}, {0, false, 0}} {
 		c, m, w := far(t, 9)
-		c.types[0].Level, c.types[0].Bound = port.Bounded, 300*ms
+		c.types[0].Consistency, c.types[0].MaxStaleness = port.BoundedStaleness, 300*ms
 		out(t, c, m, w)
 		w.begin(t, 0)
 		c.Post(&Ended{S: w.sent[0], Answer: pgwire.Answer{Whole: true, Rows: []byte("r")}, Crossed: true,
@@ -85,7 +85,7 @@
 		c.batch(20 * ms)
 		assert.Len(t, w.final, story.final)
 		if story.final == 0 {
-			assert.Equal(t, port.Missed, m.ended[0].Ending)
+			assert.Equal(t, port.Misrouted, m.ended[0].Result)
 		}
 	}
 }
--- a/front/front_test.go
+++ b/front/front_test.go
@@ -21,28 +21,30 @@
 type module struct {
 	port.Host
 	begun   []port.Request
-	ended   []port.Outcome
-	probed  []port.Load
-	left    []port.Ref
-	listed  []port.Entry
+	ended   []port.AttemptOutcome
+	probed  []port.LoadReport
+	left    []port.RequestRef
+	listed  []port.Endpoint
 	settled int
 	redated time.Duration
 	wish    func(m *module) // at the next settling
 }
 
-func (m *module) List(_ time.Duration, _ port.ListKind, _ int64, e []port.Entry) {
+func (m *module) EndpointsChanged(_ time.Duration, _ port.UpdateKind, _ int64, e []port.Endpoint) {
 	m.listed = append(m.listed, e...)
 }
-func (m *module) Begin(_ time.Duration, t port.Request) { m.begun = append(m.begun, t) }
-func (m *module) Ended(_ time.Duration, o port.Outcome) { m.ended = append(m.ended, o) }
-func (m *module) Left(_ time.Duration, r port.Ref)      { m.left = append(m.left, r) }
-func (m *module) Redate(_, by time.Duration)            { m.redated += by }
-func (m *module) Heard(time.Duration, int, []byte)      {}
-func (m *module) Woken(time.Duration)                   {}
-func (m *module) Probed(_ time.Duration, _ int, _ port.Ending, _ time.Duration, l port.Load) {
+func (m *module) RequestReceived(_ time.Duration, t port.Request) { m.begun = append(m.begun, t) }
+func (m *module) AttemptFinished(_ time.Duration, o port.AttemptOutcome) {
+	m.ended = append(m.ended, o)
+}
+func (m *module) ClientGone(_ time.Duration, r port.RequestRef) { m.left = append(m.left, r) }
+func (m *module) ClockCorrected(_, by time.Duration)            { m.redated += by }
+func (m *module) GossipReceived(time.Duration, int, []byte)     {}
+func (m *module) TimerFired(time.Duration)                      {}
+func (m *module) HealthCheckFinished(_ time.Duration, _ int, _ port.AttemptResult, _ time.Duration, l port.LoadReport) {
 	m.probed = append(m.probed, l)
 }
-func (m *module) Target(port.Ref) (time.Duration, bool) { return 0, false }
+func (m *module) RequiredPosition(port.RequestRef) (time.Duration, bool) { return 0, false }
 func (m *module) Reconcile(time.Duration) {
 	m.settled++
 	if w := m.wish; w != nil {
@@ -72,15 +74,15 @@
 func newFront(testing.TB) (*Core, *module, *wires) {
 	w, m := &wires{}, &module{}
 	s := &site.Site{Types: []string{"browse", "order"}, Zones: []string{"a"}, Customers: []string{"acme"},
-		RequestTypes: []port.RequestType{{Level: port.Session, Deadline: time.Second}, {Level: port.Write, Deadline: time.Second}},
-		Allowance:    port.Allowance{Attempts: 2, DialTimeout: 250 * ms}}
+		RequestTypes: []port.RequestType{{Consistency: port.ReadYourWrites, Deadline: time.Second}, {Consistency: port.Write, Deadline: time.Second}},
+		Allowance:    port.Limits{MaxAttempts: 2, DialTimeout: 250 * ms}}
 	c := NewCore(born, 1, s, func(h port.Host, _ uint64, _ port.Topology, _ []port.RequestType, _ []port.Customer,
-		_ port.Replication, _ port.Guardrails, _ port.Allowance, _ port.Tariff) port.Decider {
+		_ port.Replication, _ port.Guardrails, _ port.Limits, _ port.CostWeights) port.Router {
 		m.Host = h
 		return m
 	}, w, w, nil)
 	c.confirmed = true // as by a primary's answer; timeline_test.go has what comes before
-	c.Post(Listed{Kind: port.Cached, List: discovery.List{Entries: []discovery.Entry{
+	c.Post(Listed{Kind: port.CachedSnapshot, List: discovery.List{Entries: []discovery.Entry{
 		{Name: "s-1", Address: "x", Zone: "a", Group: 9, Since: 999_500},
 		{Name: "s-2", Address: "x", Zone: "nowhere", Group: 9}}}})
 	c.batch(0)
@@ -100,7 +102,7 @@
 // out brings a request to where its first attempt is out.
 func out(t *testing.T, c *Core, m *module, w *wires) *Arrival {
 	a := arrive(t, c, w, browse)
-	m.wish = func(m *module) { m.Submit(m.begun[0].Ref, 0, 0) }
+	m.wish = func(m *module) { m.StartAttempt(m.begun[0].Ref, 0, 0) }
 	c.batch(10 * ms)
 	require.Len(t, w.sent, 1)
 	return a
@@ -112,9 +114,9 @@
 
 func TestATxnIsServedByWhatItsMemberMade(t *testing.T) {
 	c, m, w := newFront(t)
-	assert.Equal(t, []port.Entry{{Group: 0, Started: -500 * ms, HasStarted: true}}, m.listed, "a zone that is none is passed over")
+	assert.Equal(t, []port.Endpoint{{Group: 0, StartedAt: -500 * ms, HasStartTime: true}}, m.listed, "a zone that is none is passed over")
 	out(t, c, m, w)
-	assert.Equal(t, 90*ms, m.begun[0].Budget, "what it waited since its last byte is off")
+	assert.Equal(t, 90*ms, m.begun[0].Timeout, "what it waited since its last byte is off")
 	assert.NotZero(t, m.begun[0].Session)
 	assert.Contains(t, string(w.sent[0].Message()), "d=90,")
 	w.begin(t, 0)
@@ -122,8 +124,8 @@
 	c.batch(30 * ms)
 	assert.Equal(t, []Response{{Status: Served, Rows: []byte("rows"), Place: 1_000_030, Age: 20 * ms, Aged: true}}, w.final)
 	o := m.ended[0]
-	assert.Equal(t, port.Succeeded, o.Ending)
-	assert.True(t, o.Closed && o.HasPosition && o.Role == port.Replica)
+	assert.Equal(t, port.Succeeded, o.Result)
+	assert.True(t, o.RequestFinished && o.HasPosition && o.Role == port.Replica)
 	assert.Equal(t, 30*ms, o.Position, "Unix milliseconds become a span since the start")
 	assert.Equal(t, 20*ms, o.Latency)
 	assert.Zero(t, c.slab.Held())
@@ -133,24 +135,24 @@
 	for _, x := range []struct {
 		answer  pgwire.Answer
 		failure *Failure
-		want    port.Ending
+		want    port.AttemptResult
 	}{
 		{row(), nil, port.Succeeded},
-		{pgwire.Answer{Code: "25006"}, nil, port.Missed},
-		{pgwire.Answer{Code: "72000"}, nil, port.Missed},
-		{pgwire.Answer{Code: "53300"}, nil, port.Full},
-		{pgwire.Answer{Code: "XX000"}, nil, port.Errored},
-		{pgwire.Answer{}, nil, port.Errored},
+		{pgwire.Answer{Code: "25006"}, nil, port.Misrouted},
+		{pgwire.Answer{Code: "72000"}, nil, port.Misrouted},
+		{pgwire.Answer{Code: "53300"}, nil, port.Overloaded},
+		{pgwire.Answer{Code: "XX000"}, nil, port.ServerError},
+		{pgwire.Answer{}, nil, port.ServerError},
 		{row(), &Failure{Unconnected, errors.New("refused")}, port.Unreachable},
 		{row(), &Failure{Unwritten, errors.New("reset")}, port.Unreachable},
-		{row(), &Failure{Written, errors.New("reset")}, port.Broken},
+		{row(), &Failure{Written, errors.New("reset")}, port.ConnectionLost},
 	} {
 		c, m, w := newFront(t)
 		out(t, c, m, w)
 		w.begin(t, 0)
 		c.Post(&Ended{S: w.sent[0], Answer: x.answer, Failure: x.failure})
 		c.batch(20 * ms)
-		assert.Equal(t, x.want, m.ended[0].Ending)
+		assert.Equal(t, x.want, m.ended[0].Result)
 		assert.Equal(t, x.want == port.Succeeded, len(w.final) == 1)
 	}
 }
@@ -164,8 +166,8 @@
 	m.wish = func(m *module) { m.Fail(m.begun[0].Ref) }
 	c.batch(100 * ms)
 	assert.Equal(t, 1, w.cuts)
-	assert.Equal(t, port.TimedOut, m.ended[0].Ending)
-	assert.False(t, m.ended[0].Closed, "the module still owes the answer")
+	assert.Equal(t, port.TimedOut, m.ended[0].Result)
+	assert.False(t, m.ended[0].RequestFinished, "the module still owes the answer")
 	assert.Equal(t, []Response{{Status: Failed}}, w.final)
 	c.Post(&Ended{S: w.sent[0], Answer: row()})
 	c.batch(101 * ms)
@@ -176,23 +178,23 @@
 func TestARevokeWhileStillDiallingEndsAsNeverSent(t *testing.T) {
 	c, m, w := newFront(t)
 	out(t, c, m, w)
-	m.wish = func(m *module) { m.Cancel(m.begun[0].Ref, 0) }
+	m.wish = func(m *module) { m.CancelAttempt(m.begun[0].Ref, 0) }
 	c.batch(20 * ms)
 	assert.False(t, w.sent[0].Begin(func() {}), "nothing may go out any more")
-	m.wish = func(m *module) { m.Submit(m.begun[0].Ref, 0, 30*ms) }
+	m.wish = func(m *module) { m.StartAttempt(m.begun[0].Ref, 0, 30*ms) }
 	c.batch(20 * ms)
-	assert.Equal(t, port.Void, m.ended[0].Ending)
+	assert.Equal(t, port.NotSent, m.ended[0].Result)
 	w.begin(t, 1)
-	m.wish = func(m *module) { m.Cancel(m.begun[0].Ref, 1) }
+	m.wish = func(m *module) { m.CancelAttempt(m.begun[0].Ref, 1) }
 	c.batch(30 * ms)
 	c.batch(30 * ms)
-	assert.Equal(t, port.Cancelled, m.ended[1].Ending, "that one was on its way")
+	assert.Equal(t, port.Cancelled, m.ended[1].Result, "that one was on its way")
 	assert.Equal(t, 1, w.cuts)
-	m.wish = func(m *module) { m.Submit(m.begun[0].Ref, 0, 0) }
+	m.wish = func(m *module) { m.StartAttempt(m.begun[0].Ref, 0, 0) }
 	c.batch(40 * ms)
 	c.batch(40 * ms)
 	assert.Len(t, w.sent, 2, "the site allows two")
-	assert.Equal(t, port.Void, m.ended[2].Ending)
+	assert.Equal(t, port.NotSent, m.ended[2].Result)
 }
 
 func TestAClientThatLeavesIsOwedNothing(t *testing.T) {
@@ -200,11 +202,11 @@
 	a := out(t, c, m, w)
 	w.begin(t, 0)
 	c.Post(Gone{a})
-	m.wish = func(m *module) { m.Cancel(m.begun[0].Ref, 0) }
+	m.wish = func(m *module) { m.CancelAttempt(m.begun[0].Ref, 0) }
 	c.batch(20 * ms)
-	assert.Equal(t, []port.Ref{m.begun[0].Ref}, m.left)
+	assert.Equal(t, []port.RequestRef{m.begun[0].Ref}, m.left)
 	c.batch(20 * ms)
-	assert.True(t, m.ended[0].Closed)
+	assert.True(t, m.ended[0].RequestFinished)
 	assert.Empty(t, w.final)
 	assert.Zero(t, c.slab.Held())
 }
@@ -218,12 +220,12 @@
 	assert.Equal(t, []Response{{Status: Rejected, Come: 40 * ms}}, w.final)
 	arrive(t, c, w, strings.Replace(browse, "id=1", "id=2", 1))
 	c.batch(30 * ms)
-	assert.NotEqual(t, m.begun[0].Ref.Place, m.begun[1].Ref.Place)
+	assert.NotEqual(t, m.begun[0].Ref.Slot, m.begun[1].Ref.Slot)
 	c.Post(&Ended{S: w.sent[0], Answer: row()})
 	arrive(t, c, w, browse)
 	c.batch(40 * ms)
-	assert.Equal(t, m.begun[0].Ref.Place, m.begun[2].Ref.Place)
-	assert.NotEqual(t, m.begun[0].Ref.Turn, m.begun[2].Ref.Turn)
+	assert.Equal(t, m.begun[0].Ref.Slot, m.begun[2].Ref.Slot)
+	assert.NotEqual(t, m.begun[0].Ref.Generation, m.begun[2].Ref.Generation)
 	assert.Len(t, w.final, 1, "the answer came too late for its request and is not the new one's")
 }
 
@@ -245,7 +247,7 @@
 
 func TestAProbeBringsItsReport(t *testing.T) {
 	c, m, w := newFront(t)
-	m.wish = func(m *module) { m.Probe(0) }
+	m.wish = func(m *module) { m.StartHealthCheck(0) }
 	c.batch(ms)
 	w.begin(t, 0)
 	var a pgwire.Answer
@@ -257,9 +259,9 @@
 		require.NoError(t, err)
 	}
 	c.Post(&Ended{S: w.sent[0], Answer: a})
-	m.wish = func(m *module) { m.Probe(0) }
+	m.wish = func(m *module) { m.StartHealthCheck(0) }
 	c.batch(2 * ms)
-	assert.Equal(t, port.Load{Held: 2, Waiting: -1, Busy: -1, Service: -1, Rate: -1, ErrsRate: -1, Role: port.Primary,
+	assert.Equal(t, port.LoadReport{InFlight: 2, Queued: -1, Utilization: -1, LatencyMillis: -1, RequestRate: -1, ErrorRate: -1, Role: port.Primary,
 		HasPosition: true, Position: 62500 * time.Microsecond}, m.probed[0])
 	c.batch(252 * ms)
 	assert.Len(t, m.probed, 2, "a silent member's probe ends with the limit for dialling")
@@ -286,7 +288,7 @@
 		c.batch(20 * ms)
 		assert.Equal(t, Senseless, w.final[0].Status)
 		assert.Equal(t, code, w.final[0].Code)
-		assert.True(t, m.ended[0].Closed && m.ended[0].Ending == port.Missed, "the member is well")
+		assert.True(t, m.ended[0].RequestFinished && m.ended[0].Result == port.Misrouted, "the member is well")
 	}
 }
 
@@ -311,9 +313,9 @@
 	c.Post(Look{Member: "s-1"})
 	c.batch(ms)
 	w.begin(t, 0)
-	m.wish = func(m *module) { m.Forget(0) }
+	m.wish = func(m *module) { m.ReleaseServer(0) }
 	c.batch(2 * ms)
-	c.Post(Listed{Kind: port.Changes, List: discovery.List{Entries: []discovery.Entry{{Name: "s-3", Address: "y", Zone: "a", Group: 9}}}})
+	c.Post(Listed{Kind: port.Delta, List: discovery.List{Entries: []discovery.Entry{{Name: "s-3", Address: "y", Zone: "a", Group: 9}}}})
 	c.batch(3 * ms)
 	c.Post(&Ended{S: w.sent[0], Failure: &Failure{Reach: Unconnected}})
 	c.batch(4 * ms)
@@ -328,10 +330,10 @@
 func TestAForgottenMembersPlaceIsAnothers(t *testing.T) {
 	c, m, w := newFront(t)
 	change := func(name string) {
-		c.Post(Listed{Kind: port.Changes, List: discovery.List{Entries: []discovery.Entry{
+		c.Post(Listed{Kind: port.Delta, List: discovery.List{Entries: []discovery.Entry{
 			{Name: name, Address: "y", Zone: "a", Group: 9}}}})
 	}
-	m.wish = func(m *module) { m.Forget(0) }
+	m.wish = func(m *module) { m.ReleaseServer(0) }
 	c.batch(ms)
 	assert.Equal(t, []int{0}, w.forgot)
 	change("s-3")
@@ -340,7 +342,7 @@
 	c.batch(2 * ms)
 	var places []int
 	for _, e := range m.listed[1:] {
-		places = append(places, e.Member)
+		places = append(places, e.Server)
 	}
 	assert.Equal(t, []int{0, 1, 2}, places)
 	assert.Equal(t, "s-3", c.members.Key(0))
--- a/front/ids.go
+++ b/front/ids.go
@@ -82,7 +82,7 @@
 }
 
 // Open takes a place for a request.
-func (d *Slab[T]) Open(what T) port.Ref {
+func (d *Slab[T]) Open(what T) port.RequestRef {
 	var place uint32
 	if n := len(d.free); n > 0 {
 		place, d.free = d.free[n-1], d.free[:n-1]
@@ -93,47 +93,47 @@
 	turn := d.slots[place].turn + 1
 	d.slots[place] = Slot[T]{What: what, held: true, turn: turn}
 	d.held++
-	return port.Ref{Place: place, Turn: turn}
+	return port.RequestRef{Slot: place, Generation: turn}
 }
 
 // At finds the slot of a request in hand, or nil; the zero Ref is never in hand.
-func (d *Slab[T]) At(r port.Ref) *Slot[T] {
-	if int(r.Place) >= len(d.slots) {
+func (d *Slab[T]) At(r port.RequestRef) *Slot[T] {
+	if int(r.Slot) >= len(d.slots) {
 		return nil
 	}
-	if o := &d.slots[r.Place]; o.held && o.turn == r.Turn {
+	if o := &d.slots[r.Slot]; o.held && o.turn == r.Generation {
 		return o
 	}
 	return nil
 }
 
 // Each calls with every slot in hand; the call may release its own.
-func (d *Slab[T]) Each(call func(port.Ref, *Slot[T])) {
+func (d *Slab[T]) Each(call func(port.RequestRef, *Slot[T])) {
 	for i := range d.slots {
 		if o := &d.slots[i]; o.held {
-			call(port.Ref{Place: uint32(i), Turn: o.turn}, o)
+			call(port.RequestRef{Slot: uint32(i), Generation: o.turn}, o)
 		}
 	}
 }
 
 // Must finds the slot of a request that the module names.
-func (d *Slab[T]) Must(r port.Ref) *Slot[T] {
+func (d *Slab[T]) Must(r port.RequestRef) *Slot[T] {
 	o := d.At(r)
 	if o == nil {
-		panic(fmt.Sprintf("request %d.%d is not in hand", r.Place, r.Turn))
+		panic(fmt.Sprintf("request %d.%d is not in hand", r.Slot, r.Generation))
 	}
 	return o
 }
 
 // Release gives a place back once its request is answered and every attempt has ended, and says whether it did.
-func (d *Slab[T]) Release(r port.Ref) bool {
+func (d *Slab[T]) Release(r port.RequestRef) bool {
 	o := d.At(r)
 	if o == nil || !o.Closed || o.Out > 0 {
 		return false
 	}
 	turn := o.turn
 	*o = Slot[T]{turn: turn}
-	d.free = append(d.free, r.Place)
+	d.free = append(d.free, r.Slot)
 	d.held--
 	return true
 }
--- a/front/metrics.go
+++ b/front/metrics.go
@@ -12,22 +12,22 @@
 type Metrics struct {
 	taken, served, rejected, failed, left, senseless int
 	attempts, probes, spoilt                         int
-	endings                                          [port.Missed + 1]int
+	endings                                          [port.Misrouted + 1]int
 	lateMost, tookMost                               time.Duration
 	failing                                          []bool // by member: what was last heard of it
 }
 
 // heard tells the log when a member begins to fail and when it answers again.
-func (c *Core) heard(member int, e port.Ending, why error) {
+func (c *Core) heard(member int, e port.AttemptResult, why error) {
 	b := &c.metrics
 	for len(b.failing) <= member {
 		b.failing = append(b.failing, false)
 	}
 	var bad bool
 	switch e {
-	case port.Unreachable, port.Broken, port.TimedOut:
+	case port.Unreachable, port.ConnectionLost, port.TimedOut:
 		bad = true
-	case port.Cancelled, port.Void:
+	case port.Cancelled, port.NotSent:
 		return
 	}
 	if b.failing[member] == bad {
@@ -45,30 +45,30 @@
 func (b *Metrics) took(d time.Duration)  { b.tookMost = max(b.tookMost, d) }
 
 // ended tells the module an ending and gives the place back if it was the last.
-func (c *Core) ended(s *Attempt, o port.Outcome, why error) {
+func (c *Core) ended(s *Attempt, o port.AttemptOutcome, why error) {
 	if s.probe && s.turn != c.turns[s.member] { // sent on the fleet's word: the module did not wait for it with the place
 		return
 	}
-	c.heard(s.member, o.Ending, why)
+	c.heard(s.member, o.Result, why)
 	if s.probe {
-		c.decider.Probed(c.now, s.member, o.Ending, c.now-s.sent, o.Load)
+		c.decider.HealthCheckFinished(c.now, s.member, o.Result, c.now-s.sent, o.Load)
 		return
 	}
-	c.metrics.endings[o.Ending]++
+	c.metrics.endings[o.Result]++
 	d := c.slab.Must(s.ref) // a place with something out is never given back
 	d.Out--
 	a := d.What
-	if !a.mayRun && !o.Ending.NeverRan() {
+	if !a.mayRun && !o.Result.NeverRan() {
 		a.mayRun, a.ranSince = true, s.sent
 	}
 	a.out = slices.DeleteFunc(a.out, func(o *Attempt) bool { return o == s })
-	o.Ref, o.Hop, o.Member, o.Closed, o.Latency = s.ref, s.hop, s.member, d.Closed, c.now-s.sent
-	c.decider.Ended(c.now, o)
+	o.Ref, o.AttemptNumber, o.Server, o.RequestFinished, o.Latency = s.ref, s.hop, s.member, d.Closed, c.now-s.sent
+	c.decider.AttemptFinished(c.now, o)
 	c.slab.Release(s.ref)
 }
 
 // conclude gives the final answer on the module's word.
-func (c *Core) conclude(r port.Ref, f Response) {
+func (c *Core) conclude(r port.RequestRef, f Response) {
 	c.answer(c.slab.Must(r), f)
 	c.slab.Release(r)
 }
@@ -121,7 +121,7 @@
 		c.audited(a, Abandoned)
 		slog.Debug("left", "type", string(a.Statement.Type), "after", now-a.At, "of", a.Statement.Wait,
 			"submissions", d.Hops)
-		c.decider.Left(now, a.ref)
+		c.decider.ClientGone(now, a.ref)
 		for _, s := range slices.Clone(a.out) { // where the site lets nothing be taken back, what was not sent is left unsent
 			c.cancelUnsent(s)
 		}
@@ -137,9 +137,9 @@
 	e := &b.endings
 	slog.Info("totals", append([]any{"taken", b.taken, "committed", b.served, "declined", b.rejected,
 		"rolled_back", b.failed, "left", b.left, "senseless", b.senseless, "in_hand", c.slab.Held(),
-		"submissions", b.attempts, "probes", b.probes, "errored", e[port.Errored], "spoilt", b.spoilt,
-		"full", e[port.Full], "timed_out", e[port.TimedOut], "unreachable", e[port.Unreachable], "broken", e[port.Broken],
-		"withdrawn", e[port.Cancelled], "missed", e[port.Missed], "alarm_late", b.lateMost,
+		"submissions", b.attempts, "probes", b.probes, "errored", e[port.ServerError], "spoilt", b.spoilt,
+		"full", e[port.Overloaded], "timed_out", e[port.TimedOut], "unreachable", e[port.Unreachable], "broken", e[port.ConnectionLost],
+		"withdrawn", e[port.Cancelled], "missed", e[port.Misrouted], "alarm_late", b.lateMost,
 		"batch_took", b.tookMost}, append(c.classReport(), r.Extra...)...)...)
 	b.lateMost, b.tookMost = 0, 0
 }
--- a/front/relay.go
+++ b/front/relay.go
@@ -55,14 +55,14 @@
 		return // given up before; that ending was told
 	}
 	e.S.done = true
-	o := port.Outcome{Ending: ending(&e.Answer, e.Failure), Load: site.NoReport}
+	o := port.AttemptOutcome{Result: ending(&e.Answer, e.Failure), Load: site.NoReport}
 	if a := &e.Answer; e.Failure == nil {
 		o.Role = roles[a.Role]
 		if a.HasApplied && o.Role == port.Primary && a.Code == "" && !e.Crossed {
 			c.moved(c.timeline.present(a.Applied, e.S.sent, c.now))
 		}
 		report := a.Load
-		if e.S.probe && o.Ending == port.Succeeded {
+		if e.S.probe && o.Result == port.Succeeded {
 			report = a.Value()
 		}
 		o.Load = c.report(report, e.S.sent)
@@ -72,11 +72,11 @@
 	}
 	if d := c.slab.At(e.S.ref); d != nil {
 		ty := &d.What.terms.types[d.What.typ]
-		if o.Ending == port.Succeeded && e.Crossed && ty.Level == port.Bounded && (!e.Aged || e.Age > ty.Bound) {
-			o.Ending, o.HasPosition = port.Missed, false // a read that is older than its bound by now is nobody's answer
+		if o.Result == port.Succeeded && e.Crossed && ty.Consistency == port.BoundedStaleness && (!e.Aged || e.Age > ty.MaxStaleness) {
+			o.Result, o.HasPosition = port.Misrouted, false // a read that is older than its bound by now is nobody's answer
 		}
 		switch {
-		case o.Ending == port.Succeeded:
+		case o.Result == port.Succeeded:
 			c.learns(e.S)
 			c.answer(d, c.served(e, &o))
 		case e.Answer.Senseless(): // as it would be anywhere: other members are spared it
@@ -92,14 +92,14 @@
 			c.metrics.spoilt++
 		}
 	}
-	slog.Debug("ended", "member", c.members.Key(e.S.member), "probe", e.S.probe, "ending", o.Ending,
+	slog.Debug("ended", "member", c.members.Key(e.S.member), "probe", e.S.probe, "ending", o.Result,
 		"why", why, "report", o.Load)
 	c.ended(e.S, o, why)
 }
 
 // served is the final answer of what a member committed, with how old its data may be for a further site: since the
 // attempt went out, and what the member was behind when it answered. Only clocks of one site are compared.
-func (c *Core) served(e *Ended, o *port.Outcome) Response {
+func (c *Core) served(e *Ended, o *port.AttemptOutcome) Response {
 	f := Response{Status: Served, Rows: e.Answer.Rows, Primary: o.Role == port.Primary}
 	if e.Answer.HasApplied {
 		f.Place = e.Answer.Applied
@@ -118,32 +118,32 @@
 var roles = map[string]port.Role{"primary": port.Primary, "replica": port.Replica}
 
 // ending is the protocol's table.
-func ending(a *pgwire.Answer, f *Failure) port.Ending {
+func ending(a *pgwire.Answer, f *Failure) port.AttemptResult {
 	switch {
 	case f != nil && f.Reach == Spoilt:
-		return port.Errored // the member is there, and it may have run
+		return port.ServerError // the member is there, and it may have run
 	case f != nil && f.Reach == Written:
-		return port.Broken
+		return port.ConnectionLost
 	case f != nil && f.Reach == Local:
-		return port.Void // never sent, and nobody's fault
+		return port.NotSent // never sent, and nobody's fault
 	case f != nil:
 		return port.Unreachable
 	case a.TooLong:
-		return port.Errored
+		return port.ServerError
 	case a.Code == pgwire.ReadOnly || a.Code == pgwire.TooFarBehind || a.Senseless():
-		return port.Missed // the member is well, and nothing ran
+		return port.Misrouted // the member is well, and nothing ran
 	case a.Code == pgwire.TooManyConnections:
-		return port.Full
+		return port.Overloaded
 	case a.Code != "":
-		return port.Errored
+		return port.ServerError
 	case a.Whole:
 		return port.Succeeded
 	}
-	return port.Errored // an answer without a row: it may have run
+	return port.ServerError // an answer without a row: it may have run
 }
 
 // report reads a member's report of its load. Where a primary's is the first that tells of the present, times move by it.
-func (c *Core) report(pairs []byte, sent time.Duration) port.Load {
+func (c *Core) report(pairs []byte, sent time.Duration) port.LoadReport {
 	l := site.NoReport
 	zero := c.since(0)
 	if !pgwire.Pairs(pairs, func(name string, v float64) { site.Report(&l, name, v, zero) }) {
--- a/front/route.go
+++ b/front/route.go
@@ -8,8 +8,8 @@
 	"dapplerouter/port"
 )
 
-// Submit and the rest are the module's wishes; each is carried out as it stands.
-func (c *Core) Submit(r port.Ref, member int, giveUpAfter time.Duration) {
+// StartAttempt and the rest are the module's wishes; each is carried out as it stands.
+func (c *Core) StartAttempt(r port.RequestRef, member int, giveUpAfter time.Duration) {
 	d := c.slab.Must(r)
 	s := &Attempt{ref: r, member: member, hop: d.Hops, sent: c.now}
 	d.Out++
@@ -28,14 +28,14 @@
 	}
 	a.spent += grant
 	if d.Closed || until <= c.now || a.spent > most {
-		c.later = append(c.later, settled{s, port.Void})
+		c.later = append(c.later, settled{s, port.NotSent})
 		return
 	}
 	s.query = a.Statement.Timed(until - c.now)
 	if far {
-		s.way = Way{ID: uint64(r.Place)<<32 | uint64(r.Turn), Try: s.hop, Group: a.Statement.Group, Until: until, Grant: grant,
+		s.way = Way{ID: uint64(r.Slot)<<32 | uint64(r.Generation), Try: s.hop, Group: a.Statement.Group, Until: until, Grant: grant,
 			Write: a.Statement.Write, After: a.Statement.After}
-		if pos, ok := c.decider.Target(r); ok {
+		if pos, ok := c.decider.RequiredPosition(r); ok {
 			at := c.zero.Add(pos + time.Millisecond - 1) // rounded up: never too low
 			s.way.After = max(s.way.After, at.UnixMilli())
 		}
@@ -43,11 +43,11 @@
 	c.send(s, until)
 }
 
-// Cancel takes one attempt back.
-func (c *Core) Cancel(r port.Ref, hop int) {
+// CancelAttempt takes one attempt back.
+func (c *Core) CancelAttempt(r port.RequestRef, hop int) {
 	for _, s := range c.slab.Must(r).What.out {
 		if s.hop == hop && !s.done {
-			ending := port.Void
+			ending := port.NotSent
 			if s.cancel() {
 				ending = port.Cancelled
 			}
@@ -57,15 +57,15 @@
 }
 
 // Reject and Fail are final answers.
-func (c *Core) Reject(r port.Ref, comeBackIn time.Duration) {
+func (c *Core) Reject(r port.RequestRef, comeBackIn time.Duration) {
 	a := c.slab.Must(r).What
-	c.conclude(r, Response{Status: Rejected, Come: comeBackIn, MayRun: a.mayRun && c.types[a.typ].Effect != port.Repeatable})
+	c.conclude(r, Response{Status: Rejected, Come: comeBackIn, MayRun: a.mayRun && c.types[a.typ].Idempotency != port.Idempotent})
 }
 
-func (c *Core) Fail(r port.Ref) { c.conclude(r, Response{Status: Failed}) }
+func (c *Core) Fail(r port.RequestRef) { c.conclude(r, Response{Status: Failed}) }
 
-// Probe asks a member for its report.
-func (c *Core) Probe(member int) {
+// StartHealthCheck asks a member for its report.
+func (c *Core) StartHealthCheck(member int) {
 	s := NewProbe(probeMessage)
 	s.member, s.sent, s.turn = member, c.now, c.turns[member]
 	c.metrics.probes++
@@ -77,12 +77,12 @@
 
 func (l Look) take(c *Core, _ time.Duration) {
 	if m, ok := c.members.Find(l.Member); ok {
-		c.Probe(m)
+		c.StartHealthCheck(m)
 	}
 }
 
-// Forget gives a member's place back: its index, its links and what the log says of it.
-func (c *Core) Forget(member int) {
+// ReleaseServer gives a member's place back: its index, its links and what the log says of it.
+func (c *Core) ReleaseServer(member int) {
 	slog.Info("forgotten", "member", c.members.Key(member))
 	c.members.Free(member)
 	c.turns[member]++
@@ -95,13 +95,13 @@
 	}
 }
 
-func (c *Core) Watch(on bool) { c.ask.Watch(on) }
-func (c *Core) Fetch()        { c.ask.Fetch() }
+func (c *Core) WatchEndpoints(on bool) { c.ask.Watch(on) }
+func (c *Core) FetchEndpoints()        { c.ask.Fetch() }
 
-// Tell has nowhere to go: the protocol gives fronts no way to speak to each other.
-func (c *Core) Tell(int, []byte) {}
+// SendGossip has nowhere to go: the protocol gives fronts no way to speak to each other.
+func (c *Core) SendGossip(int, []byte) {}
 
-// Wake sets the module's alarm.
-func (c *Core) Wake(after time.Duration) { heap.Push(&c.alarms, alarm{at: c.now + after}) }
+// SetTimer sets the module's alarm.
+func (c *Core) SetTimer(after time.Duration) { heap.Push(&c.alarms, alarm{at: c.now + after}) }
 
 func (c *Core) Log(message string) { slog.Info("module", "says", message) }
--- a/front/script_test.go
+++ b/front/script_test.go
@@ -26,7 +26,7 @@
 	core *Core
 	host port.Host
 	do   func() // what the router asks for at the next reconciling
-	refs []port.Ref
+	refs []port.RequestRef
 	sent []*Attempt
 	now  time.Duration
 	out  strings.Builder
@@ -43,12 +43,12 @@
 	s := &script{t: t}
 	st := &site.Site{Types: []string{"browse", "order", "cart"}, Zones: []string{"a", "b"}, Customers: []string{"acme"},
 		RequestTypes: []port.RequestType{
-			{Level: port.Bounded, Bound: 300 * ms, Deadline: time.Second},
-			{Level: port.Write, Effect: port.Referenced, Window: 400 * ms, Deadline: 2 * time.Second},
-			{Level: port.Session, Deadline: time.Second}},
-		Allowance: port.Allowance{Attempts: 5, DialTimeout: 250 * ms, ComeBackMax: 700 * ms}}
+			{Consistency: port.BoundedStaleness, MaxStaleness: 300 * ms, Deadline: time.Second},
+			{Consistency: port.Write, Idempotency: port.IdempotencyKey, DedupWindow: 400 * ms, Deadline: 2 * time.Second},
+			{Consistency: port.ReadYourWrites, Deadline: time.Second}},
+		Allowance: port.Limits{MaxAttempts: 5, DialTimeout: 250 * ms, MaxRetryAfter: 700 * ms}}
 	s.core = NewCore(born, 1, st, func(h port.Host, _ uint64, _ port.Topology, _ []port.RequestType, _ []port.Customer,
-		_ port.Replication, _ port.Guardrails, _ port.Allowance, _ port.Tariff) port.Decider {
+		_ port.Replication, _ port.Guardrails, _ port.Limits, _ port.CostWeights) port.Router {
 		s.host = h
 		return scriptRouter{s}
 	}, scriptPools{s}, scriptPools{s}, classing)
@@ -56,7 +56,7 @@
 	s.core.clock = func() time.Duration { return s.now }
 	s.core.Stand([]discovery.Entry{{Name: "remote", Address: FarAddress + "west/9", Zone: "b", Kind: "site", Group: 9}})
 	s.core.Post(Renew{Until: 10 * time.Second})
-	s.core.Post(Listed{Kind: port.Whole, List: discovery.List{Index: 7, Entries: []discovery.Entry{
+	s.core.Post(Listed{Kind: port.Snapshot, List: discovery.List{Index: 7, Entries: []discovery.Entry{
 		{Name: "s-1", Address: "10.0.0.1:5432", Zone: "a", Kind: "large", Group: 9, Since: 999_500, Primary: true, Weight: 1},
 		{Name: "s-2", Address: "10.0.0.2:5432", Zone: "b", Kind: "large", Group: 9, Since: 998_000, Weight: 0.5}}}})
 	s.step(ms, nil)
@@ -80,7 +80,7 @@
 
 // submit has the router start an attempt of the newest request.
 func (s *script) submit(server int, within time.Duration) func() {
-	return func() { s.host.Submit(s.refs[len(s.refs)-1], server, within) }
+	return func() { s.host.StartAttempt(s.refs[len(s.refs)-1], server, within) }
 }
 
 // reject has the router reject the newest request, unless it is answered.
@@ -118,27 +118,31 @@
 
 type scriptRouter struct{ s *script }
 
-func (m scriptRouter) List(_ time.Duration, k port.ListKind, index int64, entries []port.Entry) {
+func (m scriptRouter) EndpointsChanged(_ time.Duration, k port.UpdateKind, index int64, entries []port.Endpoint) {
 	m.s.line("list %d %d", k, index)
 	for _, e := range entries {
-		m.s.line("  entry %d %d %d %d %d %v %v %v %v", e.Member, e.Zone, e.Kind, e.Group, e.State, e.Weight, e.Primary, e.Started, e.HasStarted)
+		m.s.line("  entry %d %d %d %d %d %v %v %v %v", e.Server, e.Zone, e.Kind, e.Group, e.State, e.Weight, e.Primary, e.StartedAt, e.HasStartTime)
 	}
 }
-func (m scriptRouter) Begin(_ time.Duration, t port.Request) {
+func (m scriptRouter) RequestReceived(_ time.Duration, t port.Request) {
 	m.s.refs = append(m.s.refs, t.Ref)
-	m.s.line("request %d.%d type %d customer %d session %x group %d budget %v hint %v token %v bound %v window %v retry %v write %v", t.Ref.Place, t.Ref.Turn,
-		t.Type, t.Customer, t.Session, t.Group, t.Budget, t.Hint.Round(ms), t.TokenAge, t.Bound, t.Window, t.Retry, t.Write)
+	m.s.line("request %d.%d type %d customer %d session %x group %d budget %v hint %v token %v bound %v window %v retry %v write %v", t.Ref.Slot, t.Ref.Generation,
+		t.Type, t.Customer, t.Session, t.Group, t.Timeout, t.ExpectedWork.Round(ms), t.TokenAge, t.MaxStaleness, t.DedupWindow, t.Retry, t.Write)
 }
-func (m scriptRouter) Ended(_ time.Duration, o port.Outcome) {
-	m.s.line("ended %d.%d attempt %d server %d ending %d closed %v latency %v position %v %v role %d load %s", o.Ref.Place, o.Ref.Turn, o.Hop, o.Member, o.Ending,
-		o.Closed, o.Latency, o.Position, o.HasPosition, o.Role, loadText(o.Load))
+func (m scriptRouter) AttemptFinished(_ time.Duration, o port.AttemptOutcome) {
+	m.s.line("ended %d.%d attempt %d server %d ending %d closed %v latency %v position %v %v role %d load %s", o.Ref.Slot, o.Ref.Generation, o.AttemptNumber, o.Server, o.Result,
+		o.RequestFinished, o.Latency, o.Position, o.HasPosition, o.Role, loadText(o.Load))
 }
-func (m scriptRouter) Left(_ time.Duration, r port.Ref)      { m.s.line("left %d.%d", r.Place, r.Turn) }
-func (m scriptRouter) Redate(_, by time.Duration)            { m.s.line("redated by %v", by) }
-func (m scriptRouter) Heard(time.Duration, int, []byte)      { m.s.line("heard") }
-func (m scriptRouter) Woken(time.Duration)                   { m.s.line("woken") }
-func (m scriptRouter) Target(port.Ref) (time.Duration, bool) { return 2500 * time.Microsecond, true }
-func (m scriptRouter) Probed(_ time.Duration, server int, e port.Ending, d time.Duration, l port.Load) {
+func (m scriptRouter) ClientGone(_ time.Duration, r port.RequestRef) {
+	m.s.line("left %d.%d", r.Slot, r.Generation)
+}
+func (m scriptRouter) ClockCorrected(_, by time.Duration)        { m.s.line("redated by %v", by) }
+func (m scriptRouter) GossipReceived(time.Duration, int, []byte) { m.s.line("heard") }
+func (m scriptRouter) TimerFired(time.Duration)                  { m.s.line("woken") }
+func (m scriptRouter) RequiredPosition(port.RequestRef) (time.Duration, bool) {
+	return 2500 * time.Microsecond, true
+}
+func (m scriptRouter) HealthCheckFinished(_ time.Duration, server int, e port.AttemptResult, d time.Duration, l port.LoadReport) {
 	m.s.line("probed %d ending %d latency %v load %s", server, e, d, loadText(l))
 }
 func (m scriptRouter) Reconcile(time.Duration) {
@@ -148,8 +152,8 @@
 	}
 }
 
-func loadText(l port.Load) string {
-	return fmt.Sprint(l.Held, l.Waiting, l.Position, l.HasPosition, l.Role, l.Busy, l.Service, l.Rate, l.ErrsRate)
+func loadText(l port.LoadReport) string {
+	return fmt.Sprint(l.InFlight, l.Queued, l.Position, l.HasPosition, l.Role, l.Utilization, l.LatencyMillis, l.RequestRate, l.ErrorRate)
 }
 
 type scriptPools struct{ s *script }
@@ -234,7 +238,7 @@
 	s.finish(Ended{Failure: &Failure{Written, errors.New("reset")}})
 	s.step(150*ms, s.submit(0, 0))
 	s.begin()
-	s.step(160*ms, func() { s.host.Cancel(s.refs[len(s.refs)-1], 1) })
+	s.step(160*ms, func() { s.host.CancelAttempt(s.refs[len(s.refs)-1], 1) })
 	s.step(161*ms, s.submit(0, 0))
 	s.step(520*ms, nil) // the window ends before the connection is there
 	s.begin()
@@ -284,11 +288,11 @@
 	s.core.Post(a.Leave())
 	s.core.Post(Look{Member: "s-2"})
 	s.step(5310*ms, func() {
-		s.host.Probe(0)
-		s.host.Wake(20 * ms)
-		s.host.Watch(true)
-		s.host.Fetch()
-		s.host.Tell(0, nil)
+		s.host.StartHealthCheck(0)
+		s.host.SetTimer(20 * ms)
+		s.host.WatchEndpoints(true)
+		s.host.FetchEndpoints()
+		s.host.SendGossip(0, nil)
 		s.host.Log("said")
 	})
 	s.begin()
@@ -296,11 +300,11 @@
 	s.step(5330*ms, nil)
 	s.request(fmt.Sprintf(scriptRead, 31))
 	s.step(5400*ms, s.submit(1, 0))
-	s.core.Post(Listed{Kind: port.Changes, List: discovery.List{Index: 8, Entries: []discovery.Entry{
+	s.core.Post(Listed{Kind: port.Delta, List: discovery.List{Index: 8, Entries: []discovery.Entry{
 		{Name: "s-2", Address: "10.0.0.2:5432", Zone: "b", Kind: "large", Group: 9, Since: 998_000, State: port.Draining},
 		{Name: "s-3", Address: "10.0.0.3:5432", Zone: "nowhere", Group: 9}}}})
 	s.step(5410*ms, func() { s.host.Reject(s.refs[len(s.refs)-1], 10*ms) })
-	s.step(5600*ms, func() { s.host.Forget(1) })
+	s.step(5600*ms, func() { s.host.ReleaseServer(1) })
 
 	s.line("# a version is adopted; the lease of the one before runs out; the front shuts down")
 	s.request(fmt.Sprintf(scriptWrite, 40))
@@ -338,7 +342,7 @@
 	settings := &shape.Settings{Bytes: 1 << 20, Rules: []shape.Rule{{Type: "order", Class: shape.Write, Tables: []string{"facts"}},
 		{Type: "browse", Class: shape.Read, Tables: []string{"facts"}}}}
 	classing := settings.New()
-	s := newScript(t, &Classing{Classing: classing, Undeclared: port.Referenced})
+	s := newScript(t, &Classing{Classing: classing, Undeclared: port.IdempotencyKey})
 	for i, text := range []string{
 		"SELECT data FROM facts /* id=1,d=300,cluster=9 */",
 		"UPDATE facts SET data = 'x' WHERE code = 'k' /* id=2,d=300,cluster=9,k=1 */",
--- a/front/send.go
+++ b/front/send.go
@@ -15,7 +15,7 @@
 	query pgwire.TimedQuery
 	until time.Duration // when it is given up
 
-	ref    port.Ref
+	ref    port.RequestRef
 	member int
 	hop    int
 	sent   time.Duration
@@ -111,8 +111,8 @@
 		if client, ok := a.Client.(Attended); ok {
 			s.client = client.Presence()
 		}
-		if ty := &a.terms.types[a.typ]; a.mayRun && ty.Effect == port.Referenced {
-			s.begin = a.ranSince + ty.Window
+		if ty := &a.terms.types[a.typ]; a.mayRun && ty.Idempotency == port.IdempotencyKey {
+			s.begin = a.ranSince + ty.DedupWindow
 			if s.begin < until {
 				heap.Push(&c.alarms, alarm{at: s.begin, s: s, unbegun: true})
 			}
@@ -140,7 +140,7 @@
 func (c *Core) cancelUnsent(s *Attempt) {
 	if !s.done && s.stage.CompareAndSwap(waiting, dropped) {
 		s.done = true
-		c.ended(s, port.Outcome{Ending: port.Void, Load: site.NoReport}, nil)
+		c.ended(s, port.AttemptOutcome{Result: port.NotSent, Load: site.NoReport}, nil)
 	}
 }
 
@@ -148,16 +148,16 @@
 func (c *Core) expire(s *Attempt) {
 	if !s.done {
 		s.cancel()
-		c.ended(s, port.Outcome{Ending: port.TimedOut, Load: site.NoReport}, nil)
+		c.ended(s, port.AttemptOutcome{Result: port.TimedOut, Load: site.NoReport}, nil)
 	}
 }
 
 // settled is an ending that comes of the module's own wish; it is told in the next batch.
 type settled struct {
 	s      *Attempt
-	ending port.Ending
+	ending port.AttemptResult
 }
 
 func (e settled) take(c *Core, _ time.Duration) {
-	c.ended(e.s, port.Outcome{Ending: e.ending, Load: site.NoReport}, nil)
+	c.ended(e.s, port.AttemptOutcome{Result: e.ending, Load: site.NoReport}, nil)
 }
--- a/front/takein.go
+++ b/front/takein.go
@@ -51,7 +51,7 @@
 	Statement pgwire.Statement
 	At        time.Duration
 	Most      int // attempts, where fewer than the site allows; 0: as the site does
-	ref       port.Ref
+	ref       port.RequestRef
 	expiry    time.Duration
 	out       []*Attempt    // without an ending
 	spent     int           // attempts made and granted to another site
@@ -98,7 +98,7 @@
 		return
 	}
 	ty := &c.types[t.Type]
-	if s.Shape == nil && s.Write != (ty.Level == port.Write) {
+	if s.Shape == nil && s.Write != (ty.Consistency == port.Write) {
 		a.refuse(c, "the statement does not fit its request type")
 		return
 	}
@@ -120,8 +120,8 @@
 		a.refuse(c, "cluster names a group that is given up")
 		return
 	}
-	t.Bound, t.Window = a.terms.types[t.Type].Bound, a.terms.types[t.Type].Window
-	if (ty.Level == port.Write || ty.Level == port.Session) && (s.Shape == nil || len(s.Key) > 0) {
+	t.MaxStaleness, t.DedupWindow = a.terms.types[t.Type].MaxStaleness, a.terms.types[t.Type].DedupWindow
+	if (ty.Consistency == port.Write || ty.Consistency == port.ReadYourWrites) && (s.Shape == nil || len(s.Key) > 0) {
 		t.Session = Session(s.Key)
 	}
 	if s.After > 0 {
--- a/front/terms.go
+++ b/front/terms.go
@@ -94,10 +94,10 @@
 			}
 		}
 		for name, d := range r.Bounds {
-			put(name, func(ty *port.RequestType) { ty.Bound = min(ty.Bound, d) })
+			put(name, func(ty *port.RequestType) { ty.MaxStaleness = min(ty.MaxStaleness, d) })
 		}
 		for name, d := range r.Windows {
-			put(name, func(ty *port.RequestType) { ty.Window = min(ty.Window, d) })
+			put(name, func(ty *port.RequestType) { ty.DedupWindow = min(ty.DedupWindow, d) })
 		}
 		for _, g := range r.GivenUp {
 			t.givenUp[g] = struct{}{}
@@ -266,33 +266,33 @@
 
 // endAll gives each request in hand on some terms its final answer, and takes back what is out for it.
 func (c *Core) endAll(now time.Duration, on func(*terms) bool) {
-	c.slab.Each(func(ref port.Ref, d *Slot[*Arrival]) {
+	c.slab.Each(func(ref port.RequestRef, d *Slot[*Arrival]) {
 		if d.Closed || !on(d.What.terms) {
 			return
 		}
 		a := d.What
 		outs := append([]*Attempt{}, a.out...)
-		endings := make([]port.Ending, len(outs))
+		endings := make([]port.AttemptResult, len(outs))
 		for i, s := range outs {
 			if !s.done {
-				endings[i] = port.Void
+				endings[i] = port.NotSent
 				if s.cancel() {
 					endings[i], a.mayRun = port.Cancelled, true
 				}
 			}
 		}
 		f := Response{Status: Rejected, Come: c.comeBack, MayRun: a.mayRun}
-		if a.mayRun && c.types[a.typ].Effect != port.Repeatable {
+		if a.mayRun && c.types[a.typ].Idempotency != port.Idempotent {
 			f = Response{Status: Failed}
 		}
 		c.answer(d, f)
 		if len(outs) == 0 {
-			c.decider.Left(now, ref)
+			c.decider.ClientGone(now, ref)
 			c.slab.Release(ref)
 		}
 		for i, s := range outs {
 			if endings[i] != port.Succeeded { // it was out until now
-				c.ended(s, port.Outcome{Ending: endings[i], Load: site.NoReport}, nil)
+				c.ended(s, port.AttemptOutcome{Result: endings[i], Load: site.NoReport}, nil)
 			}
 		}
 	})
--- a/front/terms_test.go
+++ b/front/terms_test.go
@@ -42,7 +42,7 @@
 
 func TestATxnKeepsTheTermsItWasTakenOn(t *testing.T) {
 	c, m, w := newFront(t)
-	c.types[0].Level, c.types[0].Bound = port.Bounded, 3*time.Second
+	c.types[0].Consistency, c.types[0].MaxStaleness = port.BoundedStaleness, 3*time.Second
 	c.terms = &terms{types: c.types}
 	arrive(t, c, w, browse)
 	c.batch(10 * ms)
@@ -54,10 +54,10 @@
 	arrive(t, c, w, "SELECT data FROM facts WHERE code = 'k' /* id=2,c=browse,t=acme,d=100,cluster=9 */")
 	c.batch(30 * ms)
 	require.Len(t, m.begun, 2)
-	assert.Equal(t, []time.Duration{3 * time.Second, time.Second}, []time.Duration{m.begun[0].Bound, m.begun[1].Bound})
+	assert.Equal(t, []time.Duration{3 * time.Second, time.Second}, []time.Duration{m.begun[0].MaxStaleness, m.begun[1].MaxStaleness})
 	old := c.slab.Must(m.begun[0].Ref).What
 	assert.EqualValues(t, 0, old.terms.version)
-	assert.Equal(t, 3*time.Second, old.terms.types[0].Bound, "those in hand keep theirs")
+	assert.Equal(t, 3*time.Second, old.terms.types[0].MaxStaleness, "those in hand keep theirs")
 
 	alone := 0
 	c.Post(Adopt{Version: 2, Alone: func() { alone++ }})
@@ -89,8 +89,8 @@
 	require.Len(t, w.final, 1, "at once")
 	assert.Equal(t, Rejected, w.final[0].Status, "a read may be asked again")
 	assert.Equal(t, 1, w.cuts)
-	assert.Equal(t, port.Cancelled, m.ended[0].Ending)
-	assert.True(t, m.ended[0].Closed)
+	assert.Equal(t, port.Cancelled, m.ended[0].Result)
+	assert.True(t, m.ended[0].RequestFinished)
 	assert.Zero(t, c.slab.Held())
 	arrive(t, c, w, browse)
 	c.batch(110 * ms)
@@ -109,9 +109,9 @@
 func TestAWriteThatMayHaveRunIsRolledBackAndOneThatDidNotIsDeclined(t *testing.T) {
 	for _, begun := range []bool{true, false} {
 		c, m, w, _, _ := righted(t)
-		c.types[1].Effect = port.Referenced
+		c.types[1].Idempotency = port.IdempotencyKey
 		arrive(t, c, w, "INSERT INTO facts (id) VALUES ('k') /* id=1,c=order,k=9,d=500,cluster=9 */")
-		m.wish = func(m *module) { m.Submit(m.begun[0].Ref, 0, 0) }
+		m.wish = func(m *module) { m.StartAttempt(m.begun[0].Ref, 0, 0) }
 		c.batch(10 * ms)
 		if begun {
 			w.begin(t, 0)
@@ -119,7 +119,7 @@
 		c.batch(150 * ms)
 		require.Len(t, w.final, 1)
 		assert.Equal(t, map[bool]Status{true: Failed, false: Rejected}[begun], w.final[0].Status)
-		assert.Equal(t, map[bool]port.Ending{true: port.Cancelled, false: port.Void}[begun], m.ended[0].Ending)
+		assert.Equal(t, map[bool]port.AttemptResult{true: port.Cancelled, false: port.NotSent}[begun], m.ended[0].Result)
 		assert.False(t, !begun && w.sent[0].Begin(func() {}), "nothing goes out afterwards")
 	}
 }
@@ -135,7 +135,7 @@
 	c.batch(60 * time.Second)
 	require.Len(t, w.final, 1)
 	assert.Equal(t, Rejected, w.final[0].Status)
-	assert.Equal(t, port.Void, m.ended[0].Ending)
+	assert.Equal(t, port.NotSent, m.ended[0].Result)
 	assert.False(t, w.sent[0].Begin(func() {}), "not under the new right either")
 	arrive(t, c, w, browse)
 	c.batch(60*time.Second + ms)
@@ -167,7 +167,7 @@
 	c.batch(50 * ms)
 	assert.Equal(t, []uint64{0, 2}, c.Acting())
 	arrive(t, c, w, "SELECT data FROM facts WHERE code = 'k' /* id=2,c=browse,t=acme,d=300,cluster=9 */")
-	m.wish = func(m *module) { m.Submit(m.begun[1].Ref, 0, 0) }
+	m.wish = func(m *module) { m.StartAttempt(m.begun[1].Ref, 0, 0) }
 	c.batch(60 * ms)
 	w.begin(t, 1)
 	c.Post(Renew{Version: 2, Until: 500 * ms})
--- a/front/timeline.go
+++ b/front/timeline.go
@@ -108,7 +108,7 @@
 	if shift == 0 {
 		return
 	}
-	c.decider.Redate(c.now, shift)
+	c.decider.ClockCorrected(c.now, shift)
 	for member, p := range c.places {
 		if p.since != 0 && p.address != "" {
 			c.pools.Place(member, p.address, c.age(p.since))
--- a/front/timeline_test.go
+++ b/front/timeline_test.go
@@ -85,7 +85,7 @@
 	assert.False(t, m.ended[0].HasPosition, "a replica's says nothing until the present is known")
 	m.begun = nil
 	out := arrive(t, c, w, "SELECT data FROM facts WHERE code = 'k' /* id=2,c=browse,t=acme,d=100,cluster=9 */")
-	m.wish = func(m *module) { m.Submit(out.ref, 0, 0) }
+	m.wish = func(m *module) { m.StartAttempt(out.ref, 0, 0) }
 	c.batch(40 * ms)
 	w.begin(t, 1)
 	a := row()
@@ -96,9 +96,9 @@
 	assert.Equal(t, 40*ms, m.ended[1].Position)
 	assert.Equal(t, time.Duration(0), c.age(1_000_055+time.Hour.Milliseconds()))
 	assert.Equal(t, time.Hour+555*ms, c.age(999_500))
-	c.Post(Listed{Kind: port.Changes, List: discovery.List{Entries: []discovery.Entry{{Name: "s-1", Address: "x", Zone: "a", Group: 9, Since: 1_000_000 + time.Hour.Milliseconds()}}}})
+	c.Post(Listed{Kind: port.Delta, List: discovery.List{Entries: []discovery.Entry{{Name: "s-1", Address: "x", Zone: "a", Group: 9, Since: 1_000_000 + time.Hour.Milliseconds()}}}})
 	c.batch(60 * ms)
-	assert.Equal(t, -5*ms, m.listed[len(m.listed)-1].Started)
+	assert.Equal(t, -5*ms, m.listed[len(m.listed)-1].StartedAt)
 }
 
 func TestAReplicasPositionAheadOfThePresentTellsNothing(t *testing.T) {
--- a/gateway/link/links.go
+++ b/gateway/link/links.go
@@ -48,7 +48,7 @@
 // Members are those that stand for a far site: one for each of its groups, in a zone of its name, their primary; away
 // while the link is not up.
 func Members(site string, groups []int64, link gateway.State) (entries []discovery.Entry) {
-	state := port.Away
+	state := port.Partitioned
 	if link == gateway.Up {
 		state = port.Serving
 	}
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -65,7 +65,7 @@
 	var core *front.Core
 	post := func(e front.Event) { core.Post(h.noted(e)) }
 	seen := func(e front.Event) { h.agent.Prober.Event(e) }
-	links := sockets.NewPools(seen, room, databaseUser, databaseName, allowed.DialTimeout, allowed.LinkIdle, told.Memory)
+	links := sockets.NewPools(seen, room, databaseUser, databaseName, allowed.DialTimeout, allowed.IdleConnTimeout, told.Memory)
 	directory := sockets.NewDirectory(ctx, discovery.New(told.Discovery, told.Known.Index), seen, sockets.Spread(told.Seed))
 	if h.agent, err = agent.New(agent.Forms{Fleet: of, Roll: ro}, told, directory, "hollow"); err != nil {
 		return err
@@ -74,7 +74,7 @@
 	h.agent.Prober.Pools, h.agent.Prober.Post = links, post
 	core = front.NewCore(clock.Born, told.Seed, told.Site, router.New, h.agent.Prober, directory, nil)
 	core.Bind(h.agent.Bound())
-	seen(front.Listed{Kind: port.Cached, List: told.Known})
+	seen(front.Listed{Kind: port.CachedSnapshot, List: told.Known})
 	go core.Run(clock, ctx.Done())
 	if err := h.agent.Start(); err != nil {
 		return err
@@ -87,7 +87,7 @@
 func (h *hollow) noted(e front.Event) front.Event {
 	switch e := e.(type) {
 	case front.Listed:
-		if e.Kind == port.Whole || e.Kind == port.Changes {
+		if e.Kind == port.Snapshot || e.Kind == port.Delta {
 			h.mu.Lock()
 			if _, ok := h.lists[e.List.Index]; !ok {
 				h.lists[e.List.Index] = time.Now().UnixMicro()
--- a/port/port.go
+++ b/port/port.go
@@ -13,246 +13,248 @@
 // None stands for an index that is not known or not given.
 const None = -1
 
-// Ref names a request in hand: a place in the slab, reused, and the turn that tells its uses apart.
-type Ref struct {
-	Place, Turn uint32
+// RequestRef names a request in hand: a place in the slab, reused, and the turn that tells its uses apart.
+type RequestRef struct {
+	Slot, Generation uint32
 }
 
-// ReadLevel says how recent the data of a request type must be.
-type ReadLevel uint8
+// Consistency says how recent the data of a request type must be.
+type Consistency uint8
 
 const (
-	AnyData ReadLevel = iota // every member will do
-	Bounded                  // no older than the type's Bound when submitted
-	Session                  // all that its session has written
-	Current                  // all that was written before the request came in
-	Write                    // only the primary takes it
+	Eventual         Consistency = iota // every member will do
+	BoundedStaleness                    // no older than the type's Bound when submitted
+	ReadYourWrites                      // all that its session has written
+	Strong                              // all that was written before the request came in
+	Write                               // only the primary takes it
 )
 
-// Effect says whether a request may run again.
-type Effect uint8
+// Idempotency says whether a request may run again.
+type Idempotency uint8
 
 const (
-	Repeatable Effect = iota // may run again
-	Referenced               // carries a mark by which Scope knows a repeat, for Window
-	OnceOnly                 // must never run twice
+	Idempotent     Idempotency = iota // may run again
+	IdempotencyKey                    // carries a mark by which Scope knows a repeat, for Window
+	NonIdempotent                     // must never run twice
 )
 
-// Scope is the set of members that drops the repeats of a referenced request.
-type Scope uint8
+// DedupScope is the set of members that drops the repeats of a referenced request.
+type DedupScope uint8
 
 const (
-	ScopeGroup Scope = iota
+	ScopeGroup DedupScope = iota
 	ScopeZone
 	ScopeAll
 )
 
-// Check is what a member does with a read for which it lags too far.
-type Check uint8
+// StalenessCheck is what a member does with a read for which it lags too far.
+type StalenessCheck uint8
 
 const (
-	Unchecked Check = iota // answers from what it has
-	Refuses                // turns it away at once
-	Holds                  // waits for a while, then turns it away
+	NoStalenessCheck StalenessCheck = iota // answers from what it has
+	RejectIfStale                          // turns it away at once
+	WaitUntilFresh                         // waits for a while, then turns it away
 )
 
-// Listed says what the list tells of roles.
-type Listed uint8
+// RoleListing says what the list tells of roles.
+type RoleListing uint8
 
 const (
-	RoleNever   Listed = iota
-	RoleAtStart        // as the day began
-	RoleLate           // some seconds late
+	RolesNotListed RoleListing = iota
+	RolesAtStart               // as the day began
+	RolesDelayed               // some seconds late
 )
 
 // Role is a member's part in its group.
 type Role uint8
 
 const (
-	Unknown Role = iota
+	UnknownRole Role = iota
 	Primary
 	Replica
 )
 
-// Ending is how an attempt or a probe ended.
-type Ending uint8
+// AttemptResult is how an attempt or a probe ended.
+type AttemptResult uint8
 
 const (
-	Succeeded   Ending = iota
-	Errored            // answered with an error, or lost its role while holding a write: may have run
-	Full               // turned away unseen
-	TimedOut           // may have run, may still run
-	Unreachable        // no connection
-	Broken             // the connection failed: may have run
-	Cancelled          // revoked: may have run
-	Void               // never sent
-	Missed             // not the primary for a write, too far behind for a read: nothing ran
+	Succeeded      AttemptResult = iota
+	ServerError                  // answered with an error, or lost its role while holding a write: may have run
+	Overloaded                   // turned away unseen
+	TimedOut                     // may have run, may still run
+	Unreachable                  // no connection
+	ConnectionLost               // the connection failed: may have run
+	Cancelled                    // revoked: may have run
+	NotSent                      // never sent
+	Misrouted                    // not the primary for a write, too far behind for a read: nothing ran
 )
 
 var endingNames = [...]string{"committed", "errored", "full", "timed out", "unreachable", "broken", "withdrawn",
 	"void", "missed"}
 
-func (e Ending) String() string { return endingNames[e] }
+func (e AttemptResult) String() string { return endingNames[e] }
 
 // NeverRan tells whether the ending proves that nothing ran.
-func (e Ending) NeverRan() bool { return e == Full || e == Unreachable || e == Void || e == Missed }
+func (e AttemptResult) NeverRan() bool {
+	return e == Overloaded || e == Unreachable || e == NotSent || e == Misrouted
+}
 
 // Request is a request as it comes in.
 type Request struct {
-	Ref      Ref
-	Type     int
-	Customer int    // None where there are none
-	Session  uint64 // fingerprint of the session's name, 0 for none
-	Group    int
-	Budget   time.Duration // until the client gives this try up
-	Hint     time.Duration // rough work, 0 where not told
-	TokenAge time.Duration // since the session's last write committed, where tokens are carried; 0 for none
-	Bound    time.Duration // its type's, or a tighter one that was in force when it came
-	Window   time.Duration // its type's, or a shorter one
-	Retry    bool          // marked by the client as a repetition
-	Write    bool
+	Ref          RequestRef
+	Type         int
+	Customer     int    // None where there are none
+	Session      uint64 // fingerprint of the session's name, 0 for none
+	Group        int
+	Timeout      time.Duration // until the client gives this try up
+	ExpectedWork time.Duration // rough work, 0 where not told
+	TokenAge     time.Duration // since the session's last write committed, where tokens are carried; 0 for none
+	MaxStaleness time.Duration // its type's, or a tighter one that was in force when it came
+	DedupWindow  time.Duration // its type's, or a shorter one
+	Retry        bool          // marked by the client as a repetition
+	Write        bool
 }
 
-// Load is what a member reports of itself; None (-1) in a field that it did not report.
-type Load struct {
-	Held, Waiting  float64
-	Position       time.Duration
-	HasPosition    bool
-	Role           Role // Unknown where not reported
-	Busy, Service  float64
-	Rate, ErrsRate float64
+// LoadReport is what a member reports of itself; None (-1) in a field that it did not report.
+type LoadReport struct {
+	InFlight, Queued           float64
+	Position                   time.Duration
+	HasPosition                bool
+	Role                       Role // Unknown where not reported
+	Utilization, LatencyMillis float64
+	RequestRate, ErrorRate     float64
 }
 
-// Outcome is the ending of one attempt.
-type Outcome struct {
-	Ref         Ref
-	Hop         int // which attempt of the request, from 0
-	Member      int
-	Ending      Ending
-	Closed      bool // the request is concluded, by this or before
-	Latency     time.Duration
-	Position    time.Duration
-	HasPosition bool
-	Role        Role
-	Load        Load
+// AttemptOutcome is the ending of one attempt.
+type AttemptOutcome struct {
+	Ref             RequestRef
+	AttemptNumber   int // which attempt of the request, from 0
+	Server          int
+	Result          AttemptResult
+	RequestFinished bool // the request is concluded, by this or before
+	Latency         time.Duration
+	Position        time.Duration
+	HasPosition     bool
+	Role            Role
+	Load            LoadReport
 }
 
-// State is what the list says of a member.
-type State uint8
+// ServerState is what the list says of a member.
+type ServerState uint8
 
 const (
-	Serving State = iota
+	Serving ServerState = iota
 	Draining
 	Removed
-	Away // well as far as is known, but the way there is cut: nothing can go there until it is Serving again
+	Partitioned // well as far as is known, but the way there is cut: nothing can go there until it is Serving again
 )
 
 var stateNames = [...]string{"serving", "draining", "removed", "away"}
 
-func (s State) String() string { return stateNames[s] }
+func (s ServerState) String() string { return stateNames[s] }
 
-// Entry is a line of the list.
-type Entry struct {
-	Member, Zone, Kind, Group int
-	State                     State
+// Endpoint is a line of the list.
+type Endpoint struct {
+	Server, Zone, Kind, Group int
+	State                     ServerState
 	Weight                    float64
 	Primary                   bool
-	Started                   time.Duration
-	HasStarted                bool // false: in a distant past
+	StartedAt                 time.Duration
+	HasStartTime              bool // false: in a distant past
 }
 
-// ListKind is how a list relates to the one before.
-type ListKind uint8
+// UpdateKind is how a list relates to the one before.
+type UpdateKind uint8
 
 const (
-	Changes ListKind = iota
-	Whole
-	Cached // whole, perhaps out of date
-	Failed // no entries: a call failed or the subscription broke
+	Delta UpdateKind = iota
+	Snapshot
+	CachedSnapshot // whole, perhaps out of date
+	UpdateFailed   // no entries: a call failed or the subscription broke
 )
 
 // Topology is where the instance stands.
 type Topology struct {
-	Zone, Zones   int
-	Fronts, Front int
-	Ask           bool // the list answers only when asked
-	RetriesMarked bool // clients mark their retries
-	Roles         Listed
-	Tick          time.Duration
+	Zone, ZoneCount    int
+	FleetSize, Ordinal int
+	PullEndpoints      bool // the list answers only when asked
+	RetriesMarked      bool // clients mark their retries
+	RoleListing        RoleListing
+	TickInterval       time.Duration
 }
 
 // RequestType is one request type.
 type RequestType struct {
-	TargetLatency, Deadline time.Duration
-	Stretch                 float64 // the target latency grows by this multiple of the request's own work
-	Value, Late             float64 // value in time, and the fraction of it that a late answer is worth
-	Effect                  Effect
-	Scope                   Scope
-	Window                  time.Duration // how long the scope remembers a referenced request
-	Level                   ReadLevel
-	Bound                   time.Duration
+	LatencyObjective, Deadline   time.Duration
+	WorkMultiple                 float64 // the target latency grows by this multiple of the request's own work
+	PriorityWeight, LateFraction float64 // value in time, and the fraction of it that a late answer is worth
+	Idempotency                  Idempotency
+	DedupScope                   DedupScope
+	DedupWindow                  time.Duration // how long the scope remembers a referenced request
+	Consistency                  Consistency
+	MaxStaleness                 time.Duration
 }
 
 // Customer is one customer and its share of the service.
 type Customer struct {
-	PerSecond, Share float64
+	RequestsPerSecond, Quota float64
 }
 
 // Replication is how the copies follow and what they check.
 type Replication struct {
-	Check         Check
-	Hold          time.Duration
-	Carried       bool // the request brings the age of its session's last write; else the router remembers
-	AnswersTell   bool // every answer bears a position
-	WritesWaited  bool // a write is answered once a replica holds it
-	PiggybackLoad bool // answers carry load reports; else probes alone do, if any
+	StalenessCheck      StalenessCheck
+	FreshnessWait       time.Duration
+	ClientCarriesToken  bool // the request brings the age of its session's last write; else the router remembers
+	PositionInResponses bool // every answer bears a position
+	SemiSyncWrites      bool // a write is answered once a replica holds it
+	LoadInResponses     bool // answers carry load reports; else probes alone do, if any
 }
 
 // Guardrails are the figures of the rules.
 type Guardrails struct {
-	AnswerSlack, DrainGrace, AskWithin time.Duration
-	ColdShare, FallMultiple            float64
-	Cold, Fall                         time.Duration
+	AnswerSlack, DrainGrace, MaxPollInterval time.Duration
+	InitialCapacity, OverloadMultiple        float64
+	SlowStartDuration, OverloadWindow        time.Duration
 }
 
-// Allowance is what the site permits.
-type Allowance struct {
-	Attempts                      int
-	Probes, Peers, Cancels, Twice bool
-	ComeBackMax                   time.Duration // 0 where no time to come back may be named
-	DialTimeout, LinkIdle         time.Duration
+// Limits is what the site permits.
+type Limits struct {
+	MaxAttempts                                        int
+	HealthChecks, Gossip, Cancellation, HedgedRequests bool
+	MaxRetryAfter                                      time.Duration // 0 where no time to come back may be named
+	DialTimeout, IdleConnTimeout                       time.Duration
 }
 
-// Tariff is what things cost, as a fraction of all the value, and what a customer's excess is worth.
-type Tariff struct {
-	CrossZone, Waste, Probe, LateEnd, Peer, OverShare float64
+// CostWeights is what things cost, as a fraction of all the value, and what a customer's excess is worth.
+type CostWeights struct {
+	CrossZone, WastedWork, HealthCheck, LateFailure, Gossip, OverQuota float64
 }
 
-// Decider takes what comes in. Reconcile follows the last event of each batch.
-type Decider interface {
-	List(now time.Duration, kind ListKind, version int64, entries []Entry)
-	Begin(now time.Duration, t Request)
-	Ended(now time.Duration, o Outcome)
-	Left(now time.Duration, r Ref) // the client is gone, or the answer overdue
-	Probed(now time.Duration, member int, e Ending, latency time.Duration, l Load)
-	Heard(now time.Duration, peer int, message []byte)
-	Woken(now time.Duration)
+// Router takes what comes in. Reconcile follows the last event of each batch.
+type Router interface {
+	EndpointsChanged(now time.Duration, kind UpdateKind, version int64, entries []Endpoint)
+	RequestReceived(now time.Duration, t Request)
+	AttemptFinished(now time.Duration, o AttemptOutcome)
+	ClientGone(now time.Duration, r RequestRef) // the client is gone, or the answer overdue
+	HealthCheckFinished(now time.Duration, member int, e AttemptResult, latency time.Duration, l LoadReport)
+	GossipReceived(now time.Duration, peer int, message []byte)
+	TimerFired(now time.Duration)
 	Reconcile(now time.Duration)
-	Redate(now, by time.Duration)                   // log positions and listed starts told until now lie later by so much, or earlier
-	Target(r Ref) (position time.Duration, ok bool) // that a read in hand must see; not ok for none
+	ClockCorrected(now, by time.Duration)                            // log positions and listed starts told until now lie later by so much, or earlier
+	RequiredPosition(r RequestRef) (position time.Duration, ok bool) // that a read in hand must see; not ok for none
 }
 
 // Host is what a Decider may ask for.
 type Host interface {
-	Submit(r Ref, member int, giveUpAfter time.Duration)
-	Cancel(r Ref, hop int)
-	Reject(r Ref, comeBackIn time.Duration) // final: trying again is harmless
-	Fail(r Ref)                             // final: promises nothing
-	Probe(member int)
-	Forget(member int) // its index may stand for another from now on
-	Watch(on bool)
-	Fetch()
-	Tell(peer int, message []byte) // None: every peer
-	Wake(after time.Duration)
+	StartAttempt(r RequestRef, member int, giveUpAfter time.Duration)
+	CancelAttempt(r RequestRef, hop int)
+	Reject(r RequestRef, comeBackIn time.Duration) // final: trying again is harmless
+	Fail(r RequestRef)                             // final: promises nothing
+	StartHealthCheck(member int)
+	ReleaseServer(member int) // its index may stand for another from now on
+	WatchEndpoints(on bool)
+	FetchEndpoints()
+	SendGossip(peer int, message []byte) // None: every peer
+	SetTimer(after time.Duration)
 	Log(message string)
 }
--- a/router/admission.go
+++ b/router/admission.go
@@ -20,8 +20,8 @@
 	budgetsSeen   []int // of each type
 }
 
-func newAdmission(types []port.RequestType, at port.Topology, allowed port.Allowance) admission {
-	return admission{retryAfter: allowed.ComeBackMax / 2, retriesMarked: at.RetriesMarked,
+func newAdmission(types []port.RequestType, at port.Topology, allowed port.Limits) admission {
+	return admission{retryAfter: allowed.MaxRetryAfter / 2, retriesMarked: at.RetriesMarked,
 		usualBudgets: make([]time.Duration, len(types)), budgetsSeen: make([]int, len(types))}
 }
 
@@ -66,7 +66,7 @@
 // which came while this front stood still. A few tries have to be seen first.
 func (r *Router) budgetDeviation(in *port.Request) time.Duration {
 	most, seen := &r.usualBudgets[in.Type], &r.budgetsSeen[in.Type]
-	off := in.Budget - *most
+	off := in.Timeout - *most
 	*seen++
 	step := r.types[in.Type].Deadline / time.Duration(min(*seen+1, budgetSteps))
 	if *most += max(min(off, step), -step); *seen < 2*priorWeight {
@@ -82,7 +82,7 @@
 	if retry || !r.retriesMarked || r.stalled(now) {
 		t.targetAt += min(off, 0)
 	}
-	if retry || !r.retriesMarked && !r.stalled(now) && max(off, -off) > t.Budget/20 {
+	if retry || !r.retriesMarked && !r.stalled(now) && max(off, -off) > t.Timeout/20 {
 		t.value /= retryDiscount
 	}
 }
--- a/router/concurrency.go
+++ b/router/concurrency.go
@@ -66,7 +66,7 @@
 
 // loadOf is a latency as load: one for the type's least usual latency, rising evenly to its target latency.
 func (r *Router) loadOf(ty int, latency time.Duration) float64 {
-	least, sla := r.least[ty], r.types[ty].TargetLatency
+	least, sla := r.least[ty], r.types[ty].LatencyObjective
 	return 1 + (targetLoad-1)*float64(latency-least)/float64(max(sla-least, sla/4))
 }
 
--- a/router/endpoints.go
+++ b/router/endpoints.go
@@ -24,11 +24,11 @@
 	subscribing bool
 	subscribeAt time.Duration
 	askWithin   time.Duration
-	roles       port.Listed
+	roles       port.RoleListing
 }
 
 func newEndpointList(at port.Topology, rules port.Guardrails) endpointList {
-	return endpointList{asks: at.Ask, subscribing: at.Ask, askWithin: rules.AskWithin, roles: at.Roles}
+	return endpointList{asks: at.PullEndpoints, subscribing: at.PullEndpoints, askWithin: rules.MaxPollInterval, roles: at.RoleListing}
 }
 
 // subscriptionDue tells, once, that the list is to be asked for.
@@ -38,15 +38,15 @@
 	return due
 }
 
-// List takes what the list says; facts from answers beat it. After a failure, which may mean that the
+// EndpointsChanged takes what the list says; facts from answers beat it. After a failure, which may mean that the
 // subscription broke, it is asked for anew, spread out.
-func (r *Router) List(now time.Duration, kind port.ListKind, _ int64, entries []port.Entry) {
-	if kind == port.Failed {
+func (r *Router) EndpointsChanged(now time.Duration, kind port.UpdateKind, _ int64, entries []port.Endpoint) {
+	if kind == port.UpdateFailed {
 		r.subscribing = r.asks
 		r.subscribeAt = now + time.Duration(float64(r.askWithin)*(1+4*r.draw())/50)
 		return
 	}
-	if kind != port.Changes {
+	if kind != port.Delta {
 		for i := range r.members {
 			r.members[i].listed, r.members[i].listedAt = false, now
 		}
@@ -65,30 +65,30 @@
 }
 
 // listEntry takes one entry.
-func (r *Router) listEntry(now time.Duration, e *port.Entry) {
-	for len(r.members) <= e.Member {
+func (r *Router) listEntry(now time.Duration, e *port.Endpoint) {
+	for len(r.members) <= e.Server {
 		r.members = append(r.members, unknownMember)
 	}
-	m := &r.members[e.Member]
+	m := &r.members[e.Server]
 	g := r.group(e.Group)
 	if m.group == none {
 		m.group = e.Group
-		g.members = append(g.members, e.Member)
+		g.members = append(g.members, e.Server)
 	}
 	m.listed, m.listedAt, m.zone = e.State != port.Removed, now, e.Zone
 	m.draining = e.State != port.Serving
-	if away := e.State == port.Away; away != m.away {
+	if away := e.State == port.Partitioned; away != m.away {
 		m.away, g.away = away, away
-		if !away && g.restore(e.Member) {
+		if !away && g.restore(e.Server) {
 			m.recovered()
 		}
 	}
-	if e.HasStarted {
+	if e.HasStartTime {
 		r.startsTold = true
-		r.listStart(now, m, e.Started)
+		r.listStart(now, m, e.StartedAt)
 	}
-	if e.Primary && r.roles != port.RoleNever && !m.draining {
-		g.listed(e.Member)
+	if e.Primary && r.roles != port.RolesNotListed && !m.draining {
+		g.listed(e.Server)
 	}
 }
 
@@ -104,5 +104,5 @@
 	g.forget(i)
 	*m = unknownMember
 	m.draining = true // until it is a member's again
-	r.host.Forget(i)
+	r.host.ReleaseServer(i)
 }
--- a/router/freshness.go
+++ b/router/freshness.go
@@ -44,7 +44,7 @@
 }
 
 // observePosition takes the position of an outcome, or of the report that rode on it.
-func (r *Router) observePosition(now time.Duration, m *member, o *port.Outcome) {
+func (r *Router) observePosition(now time.Duration, m *member, o *port.AttemptOutcome) {
 	switch l := &o.Load; {
 	case o.HasPosition:
 		m.observe(now, o.Position, 0)
--- a/router/health.go
+++ b/router/health.go
@@ -80,7 +80,7 @@
 
 // looksLost tells of an attempt that may be sent elsewhere: its member is silent, or loses some and has answered later ones.
 func (r *Router) looksLost(now time.Duration, t *request) bool {
-	if t.end != open || t.at == none || r.types[t.Type].Effect == port.OnceOnly {
+	if t.end != open || t.at == none || r.types[t.Type].Idempotency == port.NonIdempotent {
 		return false
 	}
 	m := &r.members[t.at]
@@ -89,32 +89,32 @@
 }
 
 // observeOutcome draws on an ending for the member's limit and health; ty is none for one that no longer counts for its request.
-func (r *Router) observeOutcome(now time.Duration, o port.Outcome, ty int) {
-	m := &r.members[o.Member]
-	switch o.Ending {
-	case port.Succeeded, port.Missed:
+func (r *Router) observeOutcome(now time.Duration, o port.AttemptOutcome, ty int) {
+	m := &r.members[o.Server]
+	switch o.Result {
+	case port.Succeeded, port.Misrouted:
 		r.observeAnswer(now, m, &o, ty)
-	case port.Errored: // quick, but no reason to send more
+	case port.ServerError: // quick, but no reason to send more
 		r.observeError(now, m)
-	case port.Full:
+	case port.Overloaded:
 		m.answeredAt = now
 		m.failures++
 		r.reduceLimit(m, failureReduction)
 		r.observeLoad(now, m, jamLoad)
-	case port.Unreachable, port.Broken:
+	case port.Unreachable, port.ConnectionLost:
 		r.observeConnectionFailure(now, m, &o)
 	case port.TimedOut:
 		r.observeTimeout(now, m, &o)
 	}
 }
 
-func (r *Router) observeAnswer(now time.Duration, m *member, o *port.Outcome, ty int) {
+func (r *Router) observeAnswer(now time.Duration, m *member, o *port.AttemptOutcome, ty int) {
 	m.answeredAt = now
 	if m.ejected && m.unreachableAt > m.started { // what could not be reached may have started meanwhile
 		r.beginSlowStart(now, m, now)
 	}
 	m.recovered()
-	if o.Ending == port.Missed || ty == none || r.stalled(now) {
+	if o.Result == port.Misrouted || ty == none || r.stalled(now) {
 		return
 	}
 	by := r.loadOf(ty, o.Latency)
@@ -138,23 +138,23 @@
 	}
 }
 
-func (r *Router) observeConnectionFailure(now time.Duration, m *member, o *port.Outcome) {
+func (r *Router) observeConnectionFailure(now time.Duration, m *member, o *port.AttemptOutcome) {
 	m.dialAt = now + time.Duration(r.draw()*float64(2*r.tick))
 	if m.answeredAt > now-max(o.Latency, r.shortest) { // it answers: the connection failed, or it takes no more of them
 		r.observeFaults(m, 0, 1)
 		return
 	}
-	r.probe(now, o.Member)
+	r.probe(now, o.Server)
 	if !r.mayProbe { // else the probe tells whether it was down
 		m.unreachableAt = now
 	}
 	refusedAtOnce := m.probeOut && o.Latency < r.tick
 	if m.failures++; m.failures > 1 && !refusedAtOnce { // one connection may break, or be refused
-		r.eject(now, o.Member)
+		r.eject(now, o.Server)
 	}
 }
 
-func (r *Router) observeTimeout(now time.Duration, m *member, o *port.Outcome) {
+func (r *Router) observeTimeout(now time.Duration, m *member, o *port.AttemptOutcome) {
 	if r.stalled(now) {
 		return
 	}
@@ -168,9 +168,9 @@
 		return
 	}
 	if m.failures++; m.failures > 1 { // one may be lost or long
-		r.eject(now, o.Member)
+		r.eject(now, o.Server)
 	} else {
-		r.probe(now, o.Member)
+		r.probe(now, o.Server)
 	}
 }
 
--- a/router/host_test.go
+++ b/router/host_test.go
@@ -26,27 +26,27 @@
 	types   []port.RequestType
 	copies  port.Replication
 	rules   port.Guardrails
-	allowed port.Allowance
+	allowed port.Limits
 }
 
 func littleSite() site {
-	read := port.RequestType{TargetLatency: 200 * ms, Deadline: 800 * ms, Value: 1, Effect: port.Repeatable}
+	read := port.RequestType{LatencyObjective: 200 * ms, Deadline: 800 * ms, PriorityWeight: 1, Idempotency: port.Idempotent}
 	s := site{
-		at:     port.Topology{Zones: 2, Fronts: 1, Tick: 5 * ms, Roles: port.RoleLate},
-		copies: port.Replication{Check: port.Holds, Hold: 50 * ms, AnswersTell: true},
-		rules: port.Guardrails{AnswerSlack: 20 * ms, DrainGrace: time.Second, AskWithin: 10 * time.Second,
-			ColdShare: 0.2, FallMultiple: 2.5, Cold: 10 * time.Second, Fall: 2 * time.Second},
-		allowed: port.Allowance{Attempts: 6, Probes: true, Cancels: true,
-			ComeBackMax: 400 * ms},
+		at:     port.Topology{ZoneCount: 2, FleetSize: 1, TickInterval: 5 * ms, RoleListing: port.RolesDelayed},
+		copies: port.Replication{StalenessCheck: port.WaitUntilFresh, FreshnessWait: 50 * ms, PositionInResponses: true},
+		rules: port.Guardrails{AnswerSlack: 20 * ms, DrainGrace: time.Second, MaxPollInterval: 10 * time.Second,
+			InitialCapacity: 0.2, OverloadMultiple: 2.5, SlowStartDuration: 10 * time.Second, OverloadWindow: 2 * time.Second},
+		allowed: port.Limits{MaxAttempts: 6, HealthChecks: true, Cancellation: true,
+			MaxRetryAfter: 400 * ms},
 	}
-	for _, level := range []port.ReadLevel{port.AnyData, port.Bounded, port.Session, port.Current} {
-		read.Level, read.Bound = level, 300*ms
+	for _, level := range []port.Consistency{port.Eventual, port.BoundedStaleness, port.ReadYourWrites, port.Strong} {
+		read.Consistency, read.MaxStaleness = level, 300*ms
 		s.types = append(s.types, read)
 	}
-	w := port.RequestType{TargetLatency: 600 * ms, Deadline: 2 * time.Second, Value: 6, Late: 0.3, Level: port.Write,
-		Effect: port.Referenced, Scope: port.ScopeGroup, Window: 2 * time.Second}
+	w := port.RequestType{LatencyObjective: 600 * ms, Deadline: 2 * time.Second, PriorityWeight: 6, LateFraction: 0.3, Consistency: port.Write,
+		Idempotency: port.IdempotencyKey, DedupScope: port.ScopeGroup, DedupWindow: 2 * time.Second}
 	once := w
-	once.Effect = port.OnceOnly
+	once.Idempotency = port.NonIdempotent
 	s.types = append(s.types, w, once)
 	return s
 }
@@ -57,28 +57,28 @@
 	now   time.Duration
 	asked []string
 	turns uint32
-	subs  map[port.Ref]int
-	where map[port.Ref]int
+	subs  map[port.RequestRef]int
+	where map[port.RequestRef]int
 }
 
 func tell(_ *testing.T, s site) *story {
-	y := &story{subs: map[port.Ref]int{}, where: map[port.Ref]int{}}
-	y.Router = New(y, 7, s.at, s.types, nil, s.copies, s.rules, s.allowed, port.Tariff{}).(*Router)
+	y := &story{subs: map[port.RequestRef]int{}, where: map[port.RequestRef]int{}}
+	y.Router = New(y, 7, s.at, s.types, nil, s.copies, s.rules, s.allowed, port.CostWeights{}).(*Router)
 	return y
 }
 
 // group lists members 0..n-1 of group 0, member 0 as primary; odd ones stand in the other zone.
 func (y *story) group(n int) *story {
-	var list []port.Entry
+	var list []port.Endpoint
 	for i := range n {
-		list = append(list, port.Entry{Member: i, Zone: i % 2, Primary: i == 0})
+		list = append(list, port.Endpoint{Server: i, Zone: i % 2, Primary: i == 0})
 	}
-	y.list(port.Cached, list...)
+	y.list(port.CachedSnapshot, list...)
 	return y
 }
 
-func (y *story) list(kind port.ListKind, entries ...port.Entry) {
-	y.List(y.now, kind, 1, entries)
+func (y *story) list(kind port.UpdateKind, entries ...port.Endpoint) {
+	y.EndpointsChanged(y.now, kind, 1, entries)
 	y.settle()
 }
 
@@ -88,44 +88,44 @@
 func (y *story) pass(d time.Duration) {
 	for end := y.now + d; y.now < end; {
 		y.now = min(end, y.now+y.tick)
-		y.Woken(y.now)
+		y.TimerFired(y.now)
 		y.settle()
 	}
 }
 
-func (y *story) begin(ty int, change ...func(*port.Request)) port.Ref {
+func (y *story) begin(ty int, change ...func(*port.Request)) port.RequestRef {
 	y.turns++
-	t := port.Request{Ref: port.Ref{Place: y.turns, Turn: y.turns}, Type: ty, Customer: port.None, Session: 9,
-		Budget: y.types[ty].Deadline, Bound: y.types[ty].Bound, Window: y.types[ty].Window}
+	t := port.Request{Ref: port.RequestRef{Slot: y.turns, Generation: y.turns}, Type: ty, Customer: port.None, Session: 9,
+		Timeout: y.types[ty].Deadline, MaxStaleness: y.types[ty].MaxStaleness, DedupWindow: y.types[ty].DedupWindow}
 	for _, c := range change {
 		c(&t)
 	}
-	y.Begin(y.now, t)
+	y.RequestReceived(y.now, t)
 	y.settle()
 	return t.Ref
 }
 
 // ends gives the last attempt of a request an ending; pos 0 leaves the position out.
-func (y *story) ends(r port.Ref, e port.Ending, role port.Role, pos time.Duration) {
-	y.Ended(y.now, port.Outcome{Ref: r, Hop: y.subs[r] - 1, Member: y.where[r], Ending: e, Role: role,
-		Closed: e == port.Succeeded, Latency: 30 * ms, Position: pos, HasPosition: pos != 0})
+func (y *story) ends(r port.RequestRef, e port.AttemptResult, role port.Role, pos time.Duration) {
+	y.AttemptFinished(y.now, port.AttemptOutcome{Ref: r, AttemptNumber: y.subs[r] - 1, Server: y.where[r], Result: e, Role: role,
+		RequestFinished: e == port.Succeeded, Latency: 30 * ms, Position: pos, HasPosition: pos != 0})
 	y.settle()
 }
 
 // dies ends an attempt by a failure, and the next one of its request at the same member by being refused.
-func (y *story) dies(r port.Ref, e port.Ending) {
+func (y *story) dies(r port.RequestRef, e port.AttemptResult) {
 	member := y.where[r]
 	n := y.subs[r]
-	y.ends(r, e, port.Unknown, 0)
+	y.ends(r, e, port.UnknownRole, 0)
 	y.pass(2 * y.tick) // a new link is not tried at once
 	if y.subs[r] > n && y.where[r] == member {
-		y.ends(r, port.Unreachable, port.Unknown, 0)
+		y.ends(r, port.Unreachable, port.UnknownRole, 0)
 	}
 }
 
 // knows tells the instance what a member says of itself, as a probe would.
 func (y *story) knows(i int, role port.Role, pos time.Duration) {
-	y.Probed(y.now, i, port.Succeeded, ms, port.Load{Held: 0, Role: role, Position: pos, HasPosition: true})
+	y.HealthCheckFinished(y.now, i, port.Succeeded, ms, port.LoadReport{InFlight: 0, Role: role, Position: pos, HasPosition: true})
 	y.settle()
 }
 
@@ -152,20 +152,20 @@
 	y.asked = append(y.asked, fmt.Sprintf(format, args...))
 }
 
-func (y *story) Submit(r port.Ref, m int, _ time.Duration) {
+func (y *story) StartAttempt(r port.RequestRef, m int, _ time.Duration) {
 	y.subs[r]++
 	y.where[r] = m
-	y.ask("submit %d to %d", r.Place, m)
-}
-func (y *story) Cancel(r port.Ref, hop int) { y.ask("revoke %d.%d", r.Place, hop) }
-func (y *story) Reject(r port.Ref, back time.Duration) {
-	y.ask("decline %d, back in %v", r.Place, back)
-}
-func (y *story) Fail(r port.Ref)         { y.ask("roll back %d", r.Place) }
-func (y *story) Probe(m int)             { y.ask("probe %d", m) }
-func (y *story) Forget(m int)            { y.ask("forget %d", m) }
-func (y *story) Watch(on bool)           { y.ask("watch %v", on) }
-func (y *story) Fetch()                  { y.ask("fetch") }
-func (y *story) Tell(peer int, _ []byte) { y.ask("tell %d", peer) }
-func (y *story) Wake(time.Duration)      {}
-func (y *story) Log(message string)      { y.ask("log %s", message) }
+	y.ask("submit %d to %d", r.Slot, m)
+}
+func (y *story) CancelAttempt(r port.RequestRef, hop int) { y.ask("revoke %d.%d", r.Slot, hop) }
+func (y *story) Reject(r port.RequestRef, back time.Duration) {
+	y.ask("decline %d, back in %v", r.Slot, back)
+}
+func (y *story) Fail(r port.RequestRef)        { y.ask("roll back %d", r.Slot) }
+func (y *story) StartHealthCheck(m int)        { y.ask("probe %d", m) }
+func (y *story) ReleaseServer(m int)           { y.ask("forget %d", m) }
+func (y *story) WatchEndpoints(on bool)        { y.ask("watch %v", on) }
+func (y *story) FetchEndpoints()               { y.ask("fetch") }
+func (y *story) SendGossip(peer int, _ []byte) { y.ask("tell %d", peer) }
+func (y *story) SetTimer(time.Duration)        {}
+func (y *story) Log(message string)            { y.ask("log %s", message) }
--- a/router/identity_test.go
+++ b/router/identity_test.go
@@ -49,7 +49,7 @@
 
 // day is the host of one instance, and the servers and clients around it.
 type day struct {
-	router  port.Decider
+	router  port.Router
 	random  *rand.Rand
 	now     time.Duration
 	wakeAt  time.Duration
@@ -66,7 +66,7 @@
 type server struct {
 	group   int
 	primary bool
-	state   port.State
+	state   port.ServerState
 	faulty  bool // fails and drops half of what comes
 	lag     time.Duration
 }
@@ -85,12 +85,12 @@
 
 // attempt is an attempt on its way.
 type attempt struct {
-	ref    port.Ref
+	ref    port.RequestRef
 	hop    int
 	member int
 	sent   time.Duration
 	due    time.Duration
-	ending port.Ending
+	ending port.AttemptResult
 }
 
 type probe struct {
@@ -109,19 +109,19 @@
 func playDay(seed uint64) *day {
 	random := rand.New(rand.NewPCG(seed, 1))
 	d := &day{random: random, places: make([]place, daysPlaces), counts: map[string]int{}, types: dayTypes()}
-	at := port.Topology{Zones: 2, Zone: int(seed % 2), Fronts: 1 + random.IntN(20), Tick: 5 * time.Millisecond, Ask: d.chance(0.3),
-		RetriesMarked: d.chance(0.5), Roles: port.Listed(random.IntN(3))}
-	copies := port.Replication{Check: port.Check(seed % 3), Hold: 50 * time.Millisecond, Carried: d.chance(0.3), AnswersTell: d.chance(0.7)}
-	copies.PiggybackLoad = !copies.AnswersTell
-	rules := port.Guardrails{AnswerSlack: 20 * time.Millisecond, DrainGrace: time.Second, AskWithin: 10 * time.Second,
-		ColdShare: 0.2, FallMultiple: 2.5, Cold: 4 * time.Second, Fall: time.Second}
-	allowed := port.Allowance{Attempts: 2 + random.IntN(6), Probes: d.chance(0.7), Cancels: d.chance(0.7), ComeBackMax: 400 * time.Millisecond,
-		LinkIdle: time.Second}
-	d.router = router.New(d, seed, at, d.types, nil, copies, rules, allowed, port.Tariff{})
+	at := port.Topology{ZoneCount: 2, Zone: int(seed % 2), FleetSize: 1 + random.IntN(20), TickInterval: 5 * time.Millisecond, PullEndpoints: d.chance(0.3),
+		RetriesMarked: d.chance(0.5), RoleListing: port.RoleListing(random.IntN(3))}
+	copies := port.Replication{StalenessCheck: port.StalenessCheck(seed % 3), FreshnessWait: 50 * time.Millisecond, ClientCarriesToken: d.chance(0.3), PositionInResponses: d.chance(0.7)}
+	copies.LoadInResponses = !copies.PositionInResponses
+	rules := port.Guardrails{AnswerSlack: 20 * time.Millisecond, DrainGrace: time.Second, MaxPollInterval: 10 * time.Second,
+		InitialCapacity: 0.2, OverloadMultiple: 2.5, SlowStartDuration: 4 * time.Second, OverloadWindow: time.Second}
+	allowed := port.Limits{MaxAttempts: 2 + random.IntN(6), HealthChecks: d.chance(0.7), Cancellation: d.chance(0.7), MaxRetryAfter: 400 * time.Millisecond,
+		IdleConnTimeout: time.Second}
+	d.router = router.New(d, seed, at, d.types, nil, copies, rules, allowed, port.CostWeights{})
 	for i := range daysGroups * daysGroupSize {
 		d.members = append(d.members, server{group: i / daysGroupSize, primary: i%daysGroupSize == 0, lag: time.Duration(random.IntN(200)) * time.Millisecond})
 	}
-	d.list(port.Cached)
+	d.list(port.CachedSnapshot)
 	for range recordedSteps {
 		d.step()
 	}
@@ -130,13 +130,13 @@
 
 // dayTypes has a type of each level, and writes of each effect.
 func dayTypes() (all []port.RequestType) {
-	for _, level := range []port.ReadLevel{port.AnyData, port.Bounded, port.Session, port.Current} {
-		all = append(all, port.RequestType{TargetLatency: 200 * time.Millisecond, Deadline: 800 * time.Millisecond, Value: 1, Level: level, Bound: 300 * time.Millisecond,
-			Late: float64(level%2) / 2})
+	for _, level := range []port.Consistency{port.Eventual, port.BoundedStaleness, port.ReadYourWrites, port.Strong} {
+		all = append(all, port.RequestType{LatencyObjective: 200 * time.Millisecond, Deadline: 800 * time.Millisecond, PriorityWeight: 1, Consistency: level, MaxStaleness: 300 * time.Millisecond,
+			LateFraction: float64(level%2) / 2})
 	}
-	for _, effect := range []port.Effect{port.Repeatable, port.Referenced, port.OnceOnly} {
-		all = append(all, port.RequestType{TargetLatency: 600 * time.Millisecond, Deadline: 2 * time.Second, Value: 6, Late: 0.3, Level: port.Write, Effect: effect,
-			Scope: port.Scope(effect % 3), Window: 2 * time.Second})
+	for _, effect := range []port.Idempotency{port.Idempotent, port.IdempotencyKey, port.NonIdempotent} {
+		all = append(all, port.RequestType{LatencyObjective: 600 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 6, LateFraction: 0.3, Consistency: port.Write, Idempotency: effect,
+			DedupScope: port.DedupScope(effect % 3), DedupWindow: 2 * time.Second})
 	}
 	return all
 }
@@ -150,7 +150,7 @@
 		d.now += time.Duration(d.random.IntN(1_000_000_000)) // the front stands still
 	}
 	if d.now >= d.wakeAt {
-		d.router.Woken(d.now)
+		d.router.TimerFired(d.now)
 	}
 	d.endings()
 	d.departures()
@@ -170,15 +170,15 @@
 			d.out = append(d.out, a)
 			continue
 		}
-		p := &d.places[a.ref.Place]
+		p := &d.places[a.ref.Slot]
 		p.out--
 		p.ended = p.ended || a.ending == port.Succeeded
 		m := &d.members[a.member]
-		o := port.Outcome{Ref: a.ref, Hop: a.hop, Member: a.member, Ending: a.ending, Closed: p.ended, Latency: d.now - a.sent, Load: d.report(m)}
-		if answered := a.ending == port.Succeeded || a.ending == port.Missed; answered && d.chance(0.8) {
+		o := port.AttemptOutcome{Ref: a.ref, AttemptNumber: a.hop, Server: a.member, Result: a.ending, RequestFinished: p.ended, Latency: d.now - a.sent, Load: d.report(m)}
+		if answered := a.ending == port.Succeeded || a.ending == port.Misrouted; answered && d.chance(0.8) {
 			o.Role, o.Position, o.HasPosition = o.Load.Role, o.Load.Position, true
 		}
-		d.router.Ended(d.now, o)
+		d.router.AttemptFinished(d.now, o)
 		d.free(p)
 	}
 	asked := d.probes
@@ -193,16 +193,16 @@
 		if m.faulty && d.chance(0.5) {
 			ending = port.Unreachable
 		}
-		d.router.Probed(d.now, q.member, ending, d.now-q.sent, d.report(m))
+		d.router.HealthCheckFinished(d.now, q.member, ending, d.now-q.sent, d.report(m))
 	}
 }
 
 // report is what a server tells of itself.
-func (d *day) report(m *server) port.Load {
+func (d *day) report(m *server) port.LoadReport {
 	if m.primary {
-		return port.Load{Held: float64(d.random.IntN(3)), Role: port.Primary, Position: d.now, HasPosition: true}
+		return port.LoadReport{InFlight: float64(d.random.IntN(3)), Role: port.Primary, Position: d.now, HasPosition: true}
 	}
-	return port.Load{Held: float64(d.random.IntN(3)), Role: port.Replica, Position: d.now - m.lag, HasPosition: true}
+	return port.LoadReport{InFlight: float64(d.random.IntN(3)), Role: port.Replica, Position: d.now - m.lag, HasPosition: true}
 }
 
 // departures tells of clients that leave, and of answers that are overdue.
@@ -211,7 +211,7 @@
 		p := &d.places[i]
 		if p.taken && !p.ended && (d.now > p.begun+p.budget || d.chance(0.0005)) {
 			p.ended = true
-			d.router.Left(d.now, port.Ref{Place: uint32(i), Turn: p.turn})
+			d.router.ClientGone(d.now, port.RequestRef{Slot: uint32(i), Generation: p.turn})
 			d.free(p)
 		}
 	}
@@ -228,14 +228,14 @@
 	if d.chance(0.1) {
 		budget /= 2
 	}
-	*p = place{turn: p.turn + 1, write: d.types[ty].Level == port.Write, taken: true, begun: d.now, budget: budget}
-	t := port.Request{Ref: port.Ref{Place: uint32(i), Turn: p.turn}, Type: ty, Customer: port.None, Session: uint64(d.random.IntN(6)),
-		Group: d.random.IntN(daysGroups), Budget: budget, Bound: d.types[ty].Bound, Window: d.types[ty].Window, Retry: d.chance(0.1),
-		Write: d.types[ty].Level == port.Write}
+	*p = place{turn: p.turn + 1, write: d.types[ty].Consistency == port.Write, taken: true, begun: d.now, budget: budget}
+	t := port.Request{Ref: port.RequestRef{Slot: uint32(i), Generation: p.turn}, Type: ty, Customer: port.None, Session: uint64(d.random.IntN(6)),
+		Group: d.random.IntN(daysGroups), Timeout: budget, MaxStaleness: d.types[ty].MaxStaleness, DedupWindow: d.types[ty].DedupWindow, Retry: d.chance(0.1),
+		Write: d.types[ty].Consistency == port.Write}
 	if d.chance(0.1) {
 		t.TokenAge = time.Duration(d.random.IntN(300)) * time.Millisecond
 	}
-	d.router.Begin(d.now, t)
+	d.router.RequestReceived(d.now, t)
 }
 
 // changes are of servers, of primaries, of the list and of clocks.
@@ -253,39 +253,39 @@
 		}
 	}
 	if d.chance(0.02) {
-		m.state = port.State(d.random.IntN(4))
-		d.list(port.Changes, i)
+		m.state = port.ServerState(d.random.IntN(4))
+		d.list(port.Delta, i)
 	}
 	if d.chance(0.01) {
 		m.state = port.Serving
-		d.list(port.Changes, i)
+		d.list(port.Delta, i)
 	}
 	if d.chance(0.004) {
-		d.list(port.Whole)
+		d.list(port.Snapshot)
 	}
 	if d.chance(0.004) {
-		d.router.List(d.now, port.Failed, 1, nil)
+		d.router.EndpointsChanged(d.now, port.UpdateFailed, 1, nil)
 	}
 	if d.chance(0.002) {
-		d.router.Redate(d.now, time.Duration(d.random.IntN(4000)-2000)*time.Millisecond)
+		d.router.ClockCorrected(d.now, time.Duration(d.random.IntN(4000)-2000)*time.Millisecond)
 	}
 }
 
 // list tells of these members, or of all.
-func (d *day) list(kind port.ListKind, which ...int) {
-	var entries []port.Entry
+func (d *day) list(kind port.UpdateKind, which ...int) {
+	var entries []port.Endpoint
 	for i, m := range d.members {
 		told := len(which) == 0 || which[0] == i
-		if !told || kind != port.Changes && m.state == port.Removed {
+		if !told || kind != port.Delta && m.state == port.Removed {
 			continue
 		}
-		e := port.Entry{Member: i, Zone: i % 2, Group: m.group, State: m.state, Weight: 1, Primary: m.primary}
+		e := port.Endpoint{Server: i, Zone: i % 2, Group: m.group, State: m.state, Weight: 1, Primary: m.primary}
 		if d.chance(0.2) {
-			e.Started, e.HasStarted = d.now-time.Duration(d.random.IntN(5000))*time.Millisecond, true
+			e.StartedAt, e.HasStartTime = d.now-time.Duration(d.random.IntN(5000))*time.Millisecond, true
 		}
 		entries = append(entries, e)
 	}
-	d.router.List(d.now, kind, 1, entries)
+	d.router.EndpointsChanged(d.now, kind, 1, entries)
 }
 
 // free gives a place back once its request has ended and nothing of it is out.
@@ -296,20 +296,20 @@
 	fmt.Fprintf(&d.actions, "%v %s "+format+"\n", append([]any{d.now, what}, args...)...)
 }
 
-// Submit implements port.Host, as do the methods below it.
-func (d *day) Submit(ref port.Ref, member int, giveUpAfter time.Duration) {
+// StartAttempt implements port.Host, as do the methods below it.
+func (d *day) StartAttempt(ref port.RequestRef, member int, giveUpAfter time.Duration) {
 	d.acted("submit", "%v to %d within %v", ref, member, giveUpAfter)
-	p, m := &d.places[ref.Place], &d.members[member]
+	p, m := &d.places[ref.Slot], &d.members[member]
 	latency := time.Duration(d.random.ExpFloat64() * 40 * float64(time.Millisecond))
 	ending := port.Succeeded
 	write := p.write
 	switch chance := d.random.Float64(); {
 	case m.faulty && chance < 0.5:
-		ending = []port.Ending{port.Errored, port.Full, port.TimedOut, port.Unreachable, port.Broken, port.Void}[d.random.IntN(6)]
+		ending = []port.AttemptResult{port.ServerError, port.Overloaded, port.TimedOut, port.Unreachable, port.ConnectionLost, port.NotSent}[d.random.IntN(6)]
 	case chance < 0.03 || write && !m.primary:
-		ending = port.Missed
+		ending = port.Misrouted
 	case chance < 0.05:
-		ending = []port.Ending{port.Errored, port.Full, port.TimedOut, port.Unreachable, port.Broken, port.Void}[d.random.IntN(6)]
+		ending = []port.AttemptResult{port.ServerError, port.Overloaded, port.TimedOut, port.Unreachable, port.ConnectionLost, port.NotSent}[d.random.IntN(6)]
 	}
 	if ending == port.TimedOut {
 		latency += 500 * time.Millisecond
@@ -319,7 +319,7 @@
 	p.out++
 }
 
-func (d *day) Cancel(ref port.Ref, hop int) {
+func (d *day) CancelAttempt(ref port.RequestRef, hop int) {
 	d.acted("revoke", "%v %d", ref, hop)
 	for i := range d.out {
 		if a := &d.out[i]; a.ref == ref && a.hop == hop {
@@ -328,34 +328,34 @@
 	}
 }
 
-func (d *day) Reject(ref port.Ref, comeBackIn time.Duration) {
+func (d *day) Reject(ref port.RequestRef, comeBackIn time.Duration) {
 	d.acted("decline", "%v back in %v", ref, comeBackIn)
 	d.conclude(ref)
 }
 
-func (d *day) Fail(ref port.Ref) {
+func (d *day) Fail(ref port.RequestRef) {
 	d.acted("roll-back", "%v", ref)
 	d.conclude(ref)
 }
 
-func (d *day) conclude(ref port.Ref) {
-	p := &d.places[ref.Place]
+func (d *day) conclude(ref port.RequestRef) {
+	p := &d.places[ref.Slot]
 	p.ended = true
 	d.free(p)
 }
 
-func (d *day) Probe(member int) {
+func (d *day) StartHealthCheck(member int) {
 	d.acted("probe", "%d", member)
 	d.probes = append(d.probes, probe{member: member, sent: d.now, due: d.now + time.Duration(d.random.IntN(20))*time.Millisecond})
 }
 
-func (d *day) Wake(after time.Duration) {
+func (d *day) SetTimer(after time.Duration) {
 	d.acted("wake", "in %v", after)
 	d.wakeAt = d.now + after
 }
 
-func (d *day) Forget(member int)       { d.acted("forget", "%d", member) }
-func (d *day) Watch(on bool)           { d.acted("watch", "%v", on) }
-func (d *day) Fetch()                  { d.acted("fetch", "") }
-func (d *day) Tell(peer int, _ []byte) { d.acted("tell", "%d", peer) }
-func (d *day) Log(message string)      { d.acted("log", "%s", message) }
+func (d *day) ReleaseServer(member int)      { d.acted("forget", "%d", member) }
+func (d *day) WatchEndpoints(on bool)        { d.acted("watch", "%v", on) }
+func (d *day) FetchEndpoints()               { d.acted("fetch", "") }
+func (d *day) SendGossip(peer int, _ []byte) { d.acted("tell", "%d", peer) }
+func (d *day) Log(message string)            { d.acted("log", "%s", message) }
--- a/router/latency.go
+++ b/router/latency.go
@@ -30,8 +30,8 @@
 func newLatencies(types []port.RequestType, tick time.Duration) latencies {
 	p := latencies{shortest: time.Hour}
 	for _, ty := range types {
-		p.shortest = min(p.shortest, ty.TargetLatency)
-		p.usual, p.least = append(p.usual, ty.TargetLatency/4), append(p.least, ty.TargetLatency/4)
+		p.shortest = min(p.shortest, ty.LatencyObjective)
+		p.usual, p.least = append(p.usual, ty.LatencyObjective/4), append(p.least, ty.LatencyObjective/4)
 		p.seen, p.many = append(p.seen, 0), append(p.many, 0)
 	}
 	p.tick = max(tick, p.shortest/10)
--- a/router/probing.go
+++ b/router/probing.go
@@ -35,21 +35,21 @@
 // shortQueue is below two that a member holds: one at most, so no queue is there.
 const shortQueue = 1.5
 
-// Probed takes what a probe brought.
-func (r *Router) Probed(now time.Duration, i int, e port.Ending, _ time.Duration, l port.Load) {
+// HealthCheckFinished takes what a probe brought.
+func (r *Router) HealthCheckFinished(now time.Duration, i int, e port.AttemptResult, _ time.Duration, l port.LoadReport) {
 	m := &r.members[i]
 	m.probeOut = false
 	if e != port.Succeeded {
 		r.probeFailed(now, i, e)
 		return
 	}
-	if l.Held >= 0 && l.Held < shortQueue { // what does not come back is lost, not queued
+	if l.InFlight >= 0 && l.InFlight < shortQueue { // what does not come back is lost, not queued
 		m.quickAt = now
 	}
 	if l.HasPosition {
 		m.observe(now, l.Position, 0)
 	}
-	if l.Role != port.Unknown {
+	if l.Role != port.UnknownRole {
 		r.claims(now, i, l.Role, l.Position, l.HasPosition)
 	}
 	m.retryAt, m.answeredAt = min(m.retryAt, now), now
@@ -59,8 +59,8 @@
 }
 
 // probeFailed ejects a member that cannot be reached; one that is full, or was not asked, is none.
-func (r *Router) probeFailed(now time.Duration, i int, e port.Ending) {
-	if e == port.Full || e == port.Void {
+func (r *Router) probeFailed(now time.Duration, i int, e port.AttemptResult) {
+	if e == port.Overloaded || e == port.NotSent {
 		return
 	}
 	m := &r.members[i]
@@ -92,6 +92,6 @@
 func (r *Router) probe(now time.Duration, i int) {
 	if m := &r.members[i]; r.mayProbe && !m.draining && !m.probeOut {
 		m.probeOut, m.probedAt = true, now
-		r.host.Probe(i)
+		r.host.StartHealthCheck(i)
 	}
 }
--- a/router/redate.go
+++ b/router/redate.go
@@ -5,10 +5,10 @@
 // What becomes of times by others' clocks when these turn out to stand elsewhere? Input: by how much (front/timeline.go). Invariant:
 // what members have is never taken to be newer, what a read needs never to be older (TERMS, a wall clock may be stepped).
 
-// Redate moves what is known by others' clocks, once it turns out where these stand: log positions, and starts that the list told.
+// ClockCorrected moves what is known by others' clocks, once it turns out where these stand: log positions, and starts that the list told.
 // What was measured by this instance's own clock stays. Whether the clock of the start was wrong or another's was stepped since is
 // not known, so positions move only to where they ask for more. No position lies in the future, so a primary's next claim still counts.
-func (r *Router) Redate(now, by time.Duration) {
+func (r *Router) ClockCorrected(now, by time.Duration) {
 	s := shift{now: now, by: by}
 	for i := range r.members {
 		m := &r.members[i]
--- a/router/request.go
+++ b/router/request.go
@@ -49,17 +49,17 @@
 	cancelled []uint32 // to be emitted
 }
 
-// Begin takes a request.
-func (r *Router) Begin(now time.Duration, in port.Request) {
-	for len(r.slab) <= int(in.Ref.Place) {
+// RequestReceived takes a request.
+func (r *Router) RequestReceived(now time.Duration, in port.Request) {
+	for len(r.slab) <= int(in.Ref.Slot) {
 		r.slab = append(r.slab, request{end: closed, at: none, want: none})
 	}
 	ty := &r.types[in.Type]
-	t := &r.slab[in.Ref.Place]
-	*t = request{Request: in, begun: now, deadline: now + in.Budget, value: ty.Value, needs: never, at: none, want: none,
+	t := &r.slab[in.Ref.Slot]
+	*t = request{Request: in, begun: now, deadline: now + in.Timeout, value: ty.PriorityWeight, needs: never, at: none, want: none,
 		lastMember: none, held: t.held,
-		targetAt: now + min(ty.TargetLatency+time.Duration(ty.Stretch*float64(in.Hint)), ty.Deadline)}
-	if ty.Level == port.Session {
+		targetAt: now + min(ty.LatencyObjective+time.Duration(ty.WorkMultiple*float64(in.ExpectedWork)), ty.Deadline)}
+	if ty.Consistency == port.ReadYourWrites {
 		t.needs = r.needs(now, &in, r.group(in.Group))
 	}
 	r.discountRetry(now, t)
@@ -72,13 +72,13 @@
 func (r *requestTable) enqueue(t *request) {
 	if !t.held {
 		t.held = true
-		r.held = append(r.held, t.Ref.Place)
+		r.held = append(r.held, t.Ref.Slot)
 	}
 }
 
 func (r *requestTable) cancel(t *request) {
 	if t.want = none; t.at != none && !t.cancelling && r.mayCancel {
-		r.cancelled = append(r.cancelled, t.Ref.Place)
+		r.cancelled = append(r.cancelled, t.Ref.Slot)
 	}
 }
 
@@ -88,9 +88,9 @@
 	t.attempts++
 }
 
-// Left ends a request whose client is gone. One that was out then is a sign of a queue, and came to nothing.
-func (r *Router) Left(now time.Duration, ref port.Ref) {
-	t := &r.slab[ref.Place]
+// ClientGone ends a request whose client is gone. One that was out then is a sign of a queue, and came to nothing.
+func (r *Router) ClientGone(now time.Duration, ref port.RequestRef) {
+	t := &r.slab[ref.Slot]
 	if t.Ref != ref || t.end == closed {
 		return
 	}
@@ -103,32 +103,32 @@
 	r.cancel(t)
 }
 
-// Ended takes the ending of an attempt, also of one whose place in the slab has a new request by now.
-func (r *Router) Ended(now time.Duration, o port.Outcome) {
-	m := &r.members[o.Member]
+// AttemptFinished takes the ending of an attempt, also of one whose place in the slab has a new request by now.
+func (r *Router) AttemptFinished(now time.Duration, o port.AttemptOutcome) {
+	m := &r.members[o.Server]
 	m.ended(now)
-	t := &r.slab[o.Ref.Place]
-	mine, ty := t.Ref == o.Ref && t.at != none && o.Hop == t.attempts-1, none
+	t := &r.slab[o.Ref.Slot]
+	mine, ty := t.Ref == o.Ref && t.at != none && o.AttemptNumber == t.attempts-1, none
 	if mine {
 		ty = t.Type
 	}
 	r.observeOutcome(now, o, ty)
-	if o.Role != port.Unknown {
-		r.claims(now, o.Member, o.Role, o.Position, o.HasPosition)
+	if o.Role != port.UnknownRole {
+		r.claims(now, o.Server, o.Role, o.Position, o.HasPosition)
 	}
 	r.observePosition(now, m, &o)
 	if !mine {
 		return
 	}
 	t.attemptEnded(&o)
-	if o.Ending == port.Succeeded && r.types[ty].Level == port.Write && t.Session != 0 && o.HasPosition {
+	if o.Result == port.Succeeded && r.types[ty].Consistency == port.Write && t.Session != 0 && o.HasPosition {
 		r.recordWrite(sessionKey(&t.Request), r.group(t.Group), o.Position)
 	}
-	if o.Ending == port.Unreachable || o.Ending == port.Void {
+	if o.Result == port.Unreachable || o.Result == port.NotSent {
 		r.refundRetry()
 	}
 	switch {
-	case o.Closed:
+	case o.RequestFinished:
 		t.end = closed
 	case t.end == open:
 		r.enqueue(t)
@@ -136,13 +136,13 @@
 }
 
 // attemptEnded takes the ending of the attempt that is out.
-func (t *request) attemptEnded(o *port.Outcome) {
-	t.at, t.want, t.lastMember, t.cancelling = none, none, o.Member, false
-	if !o.Ending.NeverRan() && !t.mayRun {
+func (t *request) attemptEnded(o *port.AttemptOutcome) {
+	t.at, t.want, t.lastMember, t.cancelling = none, none, o.Server, false
+	if !o.Result.NeverRan() && !t.mayRun {
 		t.mayRun, t.ranSince = true, t.sentAt
 	}
-	t.missed = t.missed || o.Ending == port.Missed
-	if o.Ending == port.Errored {
+	t.missed = t.missed || o.Result == port.Misrouted
+	if o.Result == port.ServerError {
 		t.errors++
 	}
 }
--- a/router/retry.go
+++ b/router/retry.go
@@ -40,24 +40,24 @@
 // its target latency where late is worth nothing. What is out is never cut short: clients would come back at once.
 // A write or a retry of which nothing went out leaves half of its time to its client, who may find more room.
 func (r *Router) pastHope(now time.Duration, t *request, ty *port.RequestType) bool {
-	kept := (ty.Level == port.Write || t.value < ty.Value) && !t.mayRun && !t.missed &&
-		now > t.begun+t.Budget/2-2*r.tick
+	kept := (ty.Consistency == port.Write || t.value < ty.PriorityWeight) && !t.mayRun && !t.missed &&
+		now > t.begun+t.Timeout/2-2*r.tick
 	senseless := t.errors > 1 || t.errors > 0 && r.errorRate > 1.0/4 // where errors are common, at the first
 	// A usual latency over the target must not shut a type out: what is never sent is never learnt of.
-	tooLate := ty.Late == 0 && now > t.targetAt-min(r.usual[t.Type], ty.TargetLatency/2)
+	tooLate := ty.LateFraction == 0 && now > t.targetAt-min(r.usual[t.Type], ty.LatencyObjective/2)
 	return kept || t.unrepeatable(now, ty) || senseless || t.attempts >= r.maxAttempts || now > t.deadline-2*r.tick || tooLate
 }
 
 // unrepeatable tells of a request that may have run, where nothing would drop the repeat.
 func (t *request) unrepeatable(now time.Duration, ty *port.RequestType) bool {
-	return t.mayRun && (ty.Effect == port.OnceOnly ||
-		ty.Effect == port.Referenced && (now-t.ranSince > t.Window*9/10 || ty.Scope == port.ScopeZone))
+	return t.mayRun && (ty.Idempotency == port.NonIdempotent ||
+		ty.Idempotency == port.IdempotencyKey && (now-t.ranSince > t.DedupWindow*9/10 || ty.DedupScope == port.ScopeZone))
 }
 
 // giveUp ends a request at once, as well as its type allows.
 func (t *request) giveUp(ty *port.RequestType) {
 	t.end = rejected
-	if t.mayRun && (ty.Effect == port.OnceOnly || ty.Effect == port.Referenced && ty.Scope != port.ScopeAll) {
+	if t.mayRun && (ty.Idempotency == port.NonIdempotent || ty.Idempotency == port.IdempotencyKey && ty.DedupScope != port.ScopeAll) {
 		t.end = failed
 	}
 }
--- a/router/router.go
+++ b/router/router.go
@@ -65,30 +65,30 @@
 
 // New makes an instance that knows nothing yet.
 func New(h port.Host, seed uint64, at port.Topology, types []port.RequestType, _ []port.Customer,
-	copies port.Replication, rules port.Guardrails, allowed port.Allowance, _ port.Tariff) port.Decider {
+	copies port.Replication, rules port.Guardrails, allowed port.Limits, _ port.CostWeights) port.Router {
 	return &Router{
 		host:           h,
 		chance:         chance{seed: seed},
-		latencies:      newLatencies(types, at.Tick),
-		sessions:       newSessions(copies.Carried),
-		loads:          loads{growth: 1 / float64(max(1, at.Fronts))},
+		latencies:      newLatencies(types, at.TickInterval),
+		sessions:       newSessions(copies.ClientCarriesToken),
+		loads:          loads{growth: 1 / float64(max(1, at.FleetSize))},
 		slowStartRules: newSlowStartRules(rules),
 		selection:      newSelection(seed, at, copies, allowed),
-		requestTable:   requestTable{types: types, mayCancel: allowed.Cancels},
+		requestTable:   requestTable{types: types, mayCancel: allowed.Cancellation},
 		admission:      newAdmission(types, at, allowed),
-		retries:        retries{maxAttempts: allowed.Attempts, retryBudget: retryReserve},
+		retries:        retries{maxAttempts: allowed.MaxAttempts, retryBudget: retryReserve},
 		endpointList:   newEndpointList(at, rules),
-		reports:        reports{positionsByReport: copies.PiggybackLoad && !copies.AnswersTell, mayProbe: allowed.Probes},
+		reports:        reports{positionsByReport: copies.LoadInResponses && !copies.PositionInResponses, mayProbe: allowed.HealthChecks},
 		clock:          clock{wakeAt: never, resumedAt: never},
 	}
 }
 
-// Heard takes a message from a peer; fronts say nothing to each other yet.
-func (r *Router) Heard(time.Duration, int, []byte) {}
+// GossipReceived takes a message from a peer; fronts say nothing to each other yet.
+func (r *Router) GossipReceived(time.Duration, int, []byte) {}
 
-// Woken is the tick: what is out at a member that fell silent is taken back and goes elsewhere; so is,
+// TimerFired is the tick: what is out at a member that fell silent is taken back and goes elsewhere; so is,
 // once, what looks lost at a member that loses some and answers the rest.
-func (r *Router) Woken(now time.Duration) {
+func (r *Router) TimerFired(now time.Duration) {
 	for p := range r.slab {
 		if t := &r.slab[p]; r.looksLost(now, t) {
 			r.cancel(t)
@@ -130,11 +130,11 @@
 	r.cancelled = r.cancelled[:0]
 	r.sendProbes(now)
 	if r.subscriptionDue(now) {
-		r.host.Watch(true)
+		r.host.WatchEndpoints(true)
 	}
 	if r.wakeAt <= now {
 		r.wakeAt = now + r.tick
-		r.host.Wake(r.tick)
+		r.host.SetTimer(r.tick)
 	}
 }
 
@@ -142,7 +142,7 @@
 func (r *Router) emit(now time.Duration, t *request) {
 	if t.at != none && t.want != t.at && !t.cancelling {
 		t.cancelling = true
-		r.host.Cancel(t.Ref, t.attempts-1)
+		r.host.CancelAttempt(t.Ref, t.attempts-1)
 	}
 	switch {
 	case t.end == rejected:
@@ -159,6 +159,6 @@
 			m.retryAt = now + r.ejectionTime(m)
 		}
 		t.sentTo(now, t.want)
-		r.host.Submit(t.Ref, t.at, 0)
+		r.host.StartAttempt(t.Ref, t.at, 0)
 	}
 }
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -36,7 +36,7 @@
 	y.knows(2, port.Replica, y.now-30*ms)
 	r := y.begin(session)
 	assert.Equal(t, "submit 2 to 2", y.last("submit"))
-	y.ends(r, port.Missed, port.Replica, y.now-20*ms)
+	y.ends(r, port.Misrouted, port.Replica, y.now-20*ms)
 	assert.Equal(t, "submit 2 to 0", y.last("submit"), "after the miss the primary")
 }
 
@@ -83,7 +83,7 @@
 
 func TestWhereNothingIsCheckedOnlyAProofWillDo(t *testing.T) {
 	p := littleSite()
-	p.copies.Check = port.Unchecked
+	p.copies.StalenessCheck = port.NoStalenessCheck
 	y := tell(t, p).group(3)
 	y.now = time.Second
 	y.ends(y.begin(write), port.Succeeded, port.Primary, y.now)
@@ -107,7 +107,7 @@
 
 func TestWritesWaitForAPrimaryAndGoOutWhenOneShows(t *testing.T) {
 	p := littleSite()
-	p.at.Roles = port.RoleNever
+	p.at.RoleListing = port.RolesNotListed
 	y := tell(t, p).group(3)
 	y.begin(write)
 	assert.Empty(t, y.last("submit"), "none is sent blindly")
@@ -118,11 +118,11 @@
 
 func TestWithoutProbesAWriteAsksForThePrimaryItself(t *testing.T) {
 	p := littleSite()
-	p.at.Roles, p.allowed.Probes = port.RoleNever, false
+	p.at.RoleListing, p.allowed.HealthChecks = port.RolesNotListed, false
 	y := tell(t, p).group(2)
 	w := y.begin(write)
 	first := y.where[w]
-	y.ends(w, port.Missed, port.Replica, y.now+ms)
+	y.ends(w, port.Misrouted, port.Replica, y.now+ms)
 	assert.Equal(t, 2, y.subs[w])
 	assert.NotEqual(t, first, y.where[w])
 	y.ends(w, port.Succeeded, port.Primary, y.now+ms)
@@ -139,7 +139,7 @@
 	y.knows(1, port.Replica, 8*time.Second) // older than its own claim
 	y.begin(write)
 	assert.Equal(t, "submit 2 to 1", y.last("submit"))
-	y.list(port.Changes, port.Entry{Member: 2, Primary: true}) // the list is late
+	y.list(port.Delta, port.Endpoint{Server: 2, Primary: true}) // the list is late
 	y.begin(write)
 	assert.Equal(t, "submit 3 to 1", y.last("submit"))
 }
@@ -148,7 +148,7 @@
 	y := tell(t, littleSite()).group(3)
 	y.now = time.Second
 	w := y.begin(write)
-	y.ends(w, port.Missed, port.Replica, 900*ms)
+	y.ends(w, port.Misrouted, port.Replica, 900*ms)
 	assert.Equal(t, 1, y.count("submit"))
 	y.knows(2, port.Primary, y.now)
 	assert.Equal(t, "submit 1 to 2", y.last("submit"))
@@ -158,7 +158,7 @@
 	y := tell(t, littleSite()).group(3)
 	y.pass(time.Second)
 	n := y.count("probe")
-	y.list(port.Changes, port.Entry{Member: 0, State: port.Draining, Primary: true})
+	y.list(port.Delta, port.Endpoint{Server: 0, State: port.Draining, Primary: true})
 	y.begin(write)
 	assert.Empty(t, y.last("submit"))
 	assert.Equal(t, n+2, y.count("probe"), "the others are asked for the new one")
@@ -175,7 +175,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := littleSite()
-			p.at.Roles = port.RoleNever
+			p.at.RoleListing = port.RolesNotListed
 			y := tell(t, p).group(3)
 			why(y)
 			n := y.count("decline")
@@ -192,10 +192,10 @@
 
 func TestARetryThatIsKeptIsDeclinedAtHalfOfWhatIsLeftToIt(t *testing.T) {
 	p := littleSite()
-	p.at.RetriesMarked, p.types[anyRead].Late = true, 0.5
+	p.at.RetriesMarked, p.types[anyRead].LateFraction = true, 0.5
 	y := tell(t, p).group(1)
 	y.members[0].out = 9
-	y.begin(anyRead, func(in *port.Request) { in.Retry, in.Budget = true, 120*ms })
+	y.begin(anyRead, func(in *port.Request) { in.Retry, in.Timeout = true, 120*ms })
 	y.pass(15 * ms)
 	assert.Zero(t, y.count("decline"))
 	y.pass(25 * ms)
@@ -208,7 +208,7 @@
 		y.ends(y.begin(anyRead), port.Succeeded, port.Replica, 0)
 	}
 	n := y.count("submit")
-	y.begin(anyRead, func(in *port.Request) { in.Budget = 560 * ms })
+	y.begin(anyRead, func(in *port.Request) { in.Timeout = 560 * ms })
 	assert.Equal(t, n, y.count("submit"), "240 ms of its budget are gone, and its SLA time is 200")
 	assert.Equal(t, 1, y.count("decline"))
 }
@@ -216,7 +216,7 @@
 func TestFewFrontsDoNotLeaveASlowMembersCoresIdle(t *testing.T) {
 	for fronts, want := range map[int]int{1: 4, 2: 2, 3: 2, 4: 1, 9: 1} {
 		p := littleSite()
-		p.at.Fronts = fronts
+		p.at.FleetSize = fronts
 		y := tell(t, p).group(1)
 		y.members[0].limit = 0.1
 		for range 9 {
@@ -228,15 +228,15 @@
 
 func TestAReferencedTxnThatMayHaveRunStaysWithinItsWindowAndIsRolledBack(t *testing.T) {
 	p := littleSite()
-	p.types[write].Window = time.Second
+	p.types[write].DedupWindow = time.Second
 	y := tell(t, p).group(3)
 	w := y.begin(write)
-	y.dies(w, port.Broken)
+	y.dies(w, port.ConnectionLost)
 	y.pass(500 * ms)
 	y.knows(1, port.Primary, y.now)
 	assert.Equal(t, "submit 1 to 1", y.last("submit"), "within the window it goes on")
 	y.pass(210 * ms)
-	y.dies(w, port.Broken)
+	y.dies(w, port.ConnectionLost)
 	y.pass(600 * ms)
 	y.knows(2, port.Primary, y.now)
 	assert.Equal(t, 4, y.count("submit"), "past it no more")
@@ -246,9 +246,9 @@
 
 func TestATxnThatOnlyItsZoneKnowsIsNotRepeated(t *testing.T) {
 	p := littleSite()
-	p.types[write].Scope = port.ScopeZone
+	p.types[write].DedupScope = port.ScopeZone
 	y := tell(t, p).group(3)
-	y.ends(y.begin(write), port.Broken, port.Unknown, 0)
+	y.ends(y.begin(write), port.ConnectionLost, port.UnknownRole, 0)
 	y.pass(100 * ms)
 	assert.Equal(t, 1, y.count("submit"))
 	assert.Equal(t, "roll back 1", y.last("roll back"))
@@ -260,7 +260,7 @@
 	y.dies(a, port.Unreachable)
 	y.knows(1, port.Primary, y.now)
 	assert.Equal(t, "submit 1 to 1", y.last("submit"))
-	y.ends(a, port.Errored, port.Primary, y.now)
+	y.ends(a, port.ServerError, port.Primary, y.now)
 	assert.Equal(t, "roll back 1", y.last("roll back"))
 	assert.Zero(t, y.count("decline"))
 }
@@ -268,16 +268,16 @@
 func TestALateEndingDoesNotHitTheNewTxnOfItsPlace(t *testing.T) {
 	y := tell(t, littleSite()).group(3)
 	old := y.begin(anyRead)
-	y.Left(y.now, old)
+	y.ClientGone(y.now, old)
 	y.settle()
 	assert.Equal(t, "revoke 1.0", y.last("revoke"))
 	assert.Equal(t, 2.0, y.members[y.where[old]].limit, "it left too early to be served: a sign of a queue")
-	ref := port.Ref{Place: old.Place, Turn: old.Turn + 1}
-	y.Begin(y.now, port.Request{Ref: ref, Type: anyRead, Customer: port.None, Budget: time.Second})
-	y.slab[ref.Place].rank = 0
+	ref := port.RequestRef{Slot: old.Slot, Generation: old.Generation + 1}
+	y.RequestReceived(y.now, port.Request{Ref: ref, Type: anyRead, Customer: port.None, Timeout: time.Second})
+	y.slab[ref.Slot].rank = 0
 	y.settle()
-	y.ends(old, port.Cancelled, port.Unknown, 0)
-	assert.Equal(t, open, y.slab[ref.Place].end)
+	y.ends(old, port.Cancelled, port.UnknownRole, 0)
+	assert.Equal(t, open, y.slab[ref.Slot].end)
 	assert.Equal(t, 2, y.count("submit"), "and brings it no further submission")
 }
 
@@ -299,7 +299,7 @@
 
 func TestAMissedReadDoesNotCircleAmongReplicas(t *testing.T) {
 	p := littleSite()
-	p.at.Roles = port.RoleNever
+	p.at.RoleListing = port.RolesNotListed
 	y := tell(t, p).group(4)
 	y.now = time.Second
 	for i := range 4 {
@@ -307,8 +307,8 @@
 	}
 	r := y.begin(bounded)
 	for range 5 {
-		if y.slab[r.Place].at != none {
-			y.ends(r, port.Missed, port.Replica, 200*ms)
+		if y.slab[r.Slot].at != none {
+			y.ends(r, port.Misrouted, port.Replica, 200*ms)
 		}
 	}
 	assert.Equal(t, 1, y.subs[r])
@@ -318,8 +318,8 @@
 
 func TestNothingNewGoesToADrainingOrMissingMember(t *testing.T) {
 	y := tell(t, littleSite()).group(2)
-	y.list(port.Changes, port.Entry{Member: 1, Zone: 1, State: port.Draining})
-	y.list(port.Whole, port.Entry{Member: 1, Zone: 1, State: port.Draining})
+	y.list(port.Delta, port.Endpoint{Server: 1, Zone: 1, State: port.Draining})
+	y.list(port.Snapshot, port.Endpoint{Server: 1, Zone: 1, State: port.Draining})
 	y.begin(anyRead)
 	assert.Zero(t, y.count("submit"))
 }
@@ -328,7 +328,7 @@
 func TestAMembersPlaceIsGivenBackOnceItIsGoneAndNothingIsOut(t *testing.T) {
 	y := tell(t, littleSite()).group(2)
 	r := y.begin(write)
-	y.list(port.Changes, port.Entry{Member: 0, State: port.Removed})
+	y.list(port.Delta, port.Endpoint{Server: 0, State: port.Removed})
 	y.pass(11 * time.Second)
 	assert.Zero(t, y.count("forget"), "its submission is out")
 	y.ends(r, port.Succeeded, port.Primary, time.Second)
@@ -339,12 +339,12 @@
 	assert.Equal(t, []int{1}, y.groups[0].members)
 	y.pass(time.Minute)
 	assert.Equal(t, 1, y.count("forget"))
-	y.list(port.Changes, port.Entry{Member: 0, Group: 1, Primary: true})
+	y.list(port.Delta, port.Endpoint{Server: 0, Group: 1, Primary: true})
 	y.knows(1, port.Primary, 2*time.Second)
 	assert.Equal(t, 0, y.groups[1].primary, "another's by now")
 	assert.Equal(t, 1, y.groups[0].primary, "the claim of the one that is gone does not stand against it")
 	assert.Equal(t, unknownMember.limit, y.members[0].limit)
-	y.list(port.Whole, port.Entry{Member: 0, Group: 1})
+	y.list(port.Snapshot, port.Endpoint{Server: 0, Group: 1})
 	y.pass(11 * time.Second)
 	assert.Equal(t, "forget 1", y.last("forget"), "missing from a whole list")
 }
@@ -354,7 +354,7 @@
 		y := tell(t, littleSite()).group(3)
 		y.now = 20 * time.Second
 		if cold {
-			y.list(port.Changes, port.Entry{Member: 2, HasStarted: true, Started: y.now})
+			y.list(port.Delta, port.Endpoint{Server: 2, HasStartTime: true, StartedAt: y.now})
 		}
 		for range 400 {
 			y.now += 5 * ms
@@ -374,18 +374,18 @@
 
 func TestAColdMemberThatTurnsReadsAwayIsNotFloodedWithThem(t *testing.T) {
 	p := littleSite()
-	p.at.Roles = port.RoleNever
+	p.at.RoleListing = port.RolesNotListed
 	y := tell(t, p).group(2)
 	y.now = 20 * time.Second
-	y.list(port.Changes, port.Entry{Member: 1, HasStarted: true, Started: y.now})
+	y.list(port.Delta, port.Endpoint{Server: 1, HasStartTime: true, StartedAt: y.now})
 	y.members[0].ejected, y.members[0].retryAt = true, time.Hour
 	n := 0
 	for range 200 { // a second in which the group has no primary and the member is behind
 		y.now += 5 * ms
 		r := y.begin(session, func(t *port.Request) { t.Session = 0 })
-		for y.subs[r] > 0 && y.slab[r.Place].at != none {
+		for y.subs[r] > 0 && y.slab[r.Slot].at != none {
 			n++
-			y.ends(r, port.Missed, port.Replica, 10*time.Second)
+			y.ends(r, port.Misrouted, port.Replica, 10*time.Second)
 		}
 		y.pass(5 * ms)
 	}
@@ -395,8 +395,8 @@
 func TestAMemberThatCouldNotBeReachedCountsAsStarted(t *testing.T) {
 	y := tell(t, littleSite()).group(2)
 	y.now = time.Minute
-	y.ends(y.begin(write), port.Unreachable, port.Unknown, 0)
-	y.Probed(y.now, 0, port.Unreachable, ms, port.Load{})
+	y.ends(y.begin(write), port.Unreachable, port.UnknownRole, 0)
+	y.HealthCheckFinished(y.now, 0, port.Unreachable, ms, port.LoadReport{})
 	y.now += time.Second
 	y.knows(0, port.Primary, y.now)
 	y.ends(y.begin(write), port.Succeeded, port.Primary, y.now)
@@ -405,10 +405,10 @@
 
 func TestTheListIsSubscribedToFromTheStartAndAgainAfterAFailure(t *testing.T) {
 	p := littleSite()
-	p.at.Ask = true
+	p.at.PullEndpoints = true
 	y := tell(t, p).group(2)
 	assert.Equal(t, 1, y.count("watch"))
-	y.list(port.Failed)
+	y.list(port.UpdateFailed)
 	assert.Equal(t, 1, y.count("watch"), "spread out, not at once")
 	y.pass(time.Second)
 	assert.Equal(t, 2, y.count("watch"))
@@ -426,7 +426,7 @@
 	y.pass(900 * ms)
 	assert.Equal(t, 3, y.count("revoke"))
 	assert.Equal(t, 3, y.count("submit"), "no second one while the first is out")
-	y.ends(w, port.Cancelled, port.Unknown, 0)
+	y.ends(w, port.Cancelled, port.UnknownRole, 0)
 	y.knows(1, port.Primary, y.now)
 	assert.Equal(t, "submit 1 to 1", y.last("submit"))
 }
@@ -444,16 +444,16 @@
 }
 
 func TestAMemberThatFailsAtGreatSpeedDrawsNoTraffic(t *testing.T) {
-	for _, e := range []port.Ending{port.Full, port.Errored, port.Unreachable} {
+	for _, e := range []port.AttemptResult{port.Overloaded, port.ServerError, port.Unreachable} {
 		y := tell(t, littleSite()).group(3)
 		n := 0
 		for range 200 {
 			y.now += 5 * ms
 			r := y.begin(anyRead)
-			for y.subs[r] > 0 && y.slab[r.Place].at != none {
+			for y.subs[r] > 0 && y.slab[r.Slot].at != none {
 				if y.where[r] == 2 {
 					n++
-					y.ends(r, e, port.Unknown, 0)
+					y.ends(r, e, port.UnknownRole, 0)
 				} else {
 					y.ends(r, port.Succeeded, port.Replica, 0)
 				}
@@ -465,13 +465,13 @@
 
 func TestLateAnswersNarrowTheWindowAndTheRestWaitsHere(t *testing.T) {
 	p := littleSite()
-	p.at.Fronts = 4
+	p.at.FleetSize = 4
 	y := tell(t, p).group(1)
 	for range 20 {
 		y.pass(100 * ms)
 		r := y.begin(write)
 		if y.subs[r] > 0 {
-			y.Ended(y.now, port.Outcome{Ref: r, Ending: port.Succeeded, Closed: true, Latency: 500 * ms})
+			y.AttemptFinished(y.now, port.AttemptOutcome{Ref: r, Result: port.Succeeded, RequestFinished: true, Latency: 500 * ms})
 			y.settle()
 		}
 	}
@@ -519,9 +519,9 @@
 
 func TestAClientThatLeavesAndATimeOutAreTheWorstStrain(t *testing.T) {
 	y := tell(t, littleSite()).group(1)
-	y.Left(y.now, y.begin(write))
+	y.ClientGone(y.now, y.begin(write))
 	assert.Equal(t, maxLoad, y.members[0].load.sum)
-	y.observeOutcome(y.now, port.Outcome{Ending: port.TimedOut, Latency: ms}, write)
+	y.observeOutcome(y.now, port.AttemptOutcome{Result: port.TimedOut, Latency: ms}, write)
 	assert.Equal(t, 2*maxLoad, y.members[0].load.sum)
 }
 
@@ -531,9 +531,9 @@
 		for k := range 400 {
 			e := port.Succeeded
 			if faulty == none && k/4%2 == 0 || k%4 == faulty {
-				e = port.Errored
+				e = port.ServerError
 			}
-			y.observeOutcome(y.now, port.Outcome{Member: k % 4, Ending: e, Latency: 10 * ms}, anyRead)
+			y.observeOutcome(y.now, port.AttemptOutcome{Server: k % 4, Result: e, Latency: 10 * ms}, anyRead)
 		}
 		assert.Equal(t, faulty == 2, y.members[2].limit < 1)
 		if faulty == 2 {
@@ -545,27 +545,27 @@
 }
 
 func TestAFailedConnectionToAMemberThatAnswersOthersIsNoDeath(t *testing.T) {
-	for _, e := range []port.Ending{port.Broken, port.Unreachable} {
+	for _, e := range []port.AttemptResult{port.ConnectionLost, port.Unreachable} {
 		y := tell(t, littleSite()).group(2)
 		y.now = time.Minute
-		y.observeOutcome(y.now, port.Outcome{Ending: port.Succeeded, Latency: 20 * ms}, write)
-		y.observeOutcome(y.now+100*ms, port.Outcome{Ending: e, Latency: 250 * ms}, write)
+		y.observeOutcome(y.now, port.AttemptOutcome{Result: port.Succeeded, Latency: 20 * ms}, write)
+		y.observeOutcome(y.now+100*ms, port.AttemptOutcome{Result: e, Latency: 250 * ms}, write)
 		assert.False(t, y.members[0].ejected, "it answered while this one was tried")
 		y.now += time.Second
-		y.observeOutcome(y.now, port.Outcome{Ending: e, Latency: 250 * ms}, write)
+		y.observeOutcome(y.now, port.AttemptOutcome{Result: e, Latency: 250 * ms}, write)
 		assert.False(t, y.members[0].ejected, "one link may break where the member is well")
 		assert.Equal(t, "probe 0", y.last("probe"))
-		y.observeOutcome(y.now, port.Outcome{Ending: e, Latency: 250 * ms}, write)
+		y.observeOutcome(y.now, port.AttemptOutcome{Result: e, Latency: 250 * ms}, write)
 		assert.True(t, y.members[0].ejected, "the second in a row")
 		y.knows(0, port.Primary, y.now)
-		y.observeOutcome(y.now, port.Outcome{Ending: port.Succeeded, Latency: 20 * ms}, write)
+		y.observeOutcome(y.now, port.AttemptOutcome{Result: port.Succeeded, Latency: 20 * ms}, write)
 		assert.False(t, y.members[0].cold, "the probe found it running: it did not start anew")
 	}
 }
 
 func TestOneTimeOutTakesNoMemberDownAndTwoInARowDo(t *testing.T) {
 	y := tell(t, littleSite()).group(1)
-	out := port.Outcome{Ending: port.TimedOut, Latency: 800 * ms}
+	out := port.AttemptOutcome{Result: port.TimedOut, Latency: 800 * ms}
 	y.pass(time.Second)
 	y.observeOutcome(y.now, out, anyRead)
 	assert.False(t, y.members[0].ejected)
@@ -577,12 +577,12 @@
 
 func TestManyQuietFrontsTogetherDoNotPushAColdMemberOver(t *testing.T) {
 	p := littleSite()
-	p.at.Fronts = 100
+	p.at.FleetSize = 100
 	y := tell(t, p).group(2)
 	y.now = 20 * time.Second
-	y.list(port.Changes, port.Entry{Member: 1, HasStarted: true, Started: y.now})
+	y.list(port.Delta, port.Endpoint{Server: 1, HasStartTime: true, StartedAt: y.now})
 	assert.True(t, y.members[1].cold)
-	y.now += p.rules.Fall
+	y.now += p.rules.OverloadWindow
 	assert.False(t, y.slowStartAdmits(y.now, &y.members[1], 0.05), "a front that sent nothing has a hundredth of one")
 }
 
@@ -595,7 +595,7 @@
 		}
 		y.beginSlowStart(y.now, &y.members[4], y.now)
 		y.members[4].budget = 0
-		y.Woken(y.now)
+		y.TimerFired(y.now)
 		y.slowStartAdmits(y.now+100*ms, &y.members[4], 1)
 		return y.members[4].budget
 	}
@@ -619,17 +619,17 @@
 func TestALostAnswerIsNoSignOfAQueue(t *testing.T) {
 	y := tell(t, littleSite()).group(1)
 	y.pass(time.Second)
-	y.observeOutcome(y.now, port.Outcome{Ending: port.Succeeded, Latency: 20 * ms}, anyRead)
+	y.observeOutcome(y.now, port.AttemptOutcome{Result: port.Succeeded, Latency: 20 * ms}, anyRead)
 	room := y.members[0].limit
-	y.observeOutcome(y.now, port.Outcome{Ending: port.TimedOut, Latency: 800 * ms}, anyRead)
+	y.observeOutcome(y.now, port.AttemptOutcome{Result: port.TimedOut, Latency: 800 * ms}, anyRead)
 	assert.Equal(t, room, y.members[0].limit, "one that was sent later came back quickly")
 	y.pass(time.Second)
-	y.observeOutcome(y.now, port.Outcome{Ending: port.TimedOut, Latency: 800 * ms}, anyRead)
+	y.observeOutcome(y.now, port.AttemptOutcome{Result: port.TimedOut, Latency: 800 * ms}, anyRead)
 	assert.Less(t, y.members[0].limit, room)
 	room = y.members[0].limit
 	y.pass(10 * time.Second)
 	y.knows(0, port.Primary, y.now)
-	y.observeOutcome(y.now+100*ms, port.Outcome{Ending: port.TimedOut, Latency: 800 * ms}, anyRead)
+	y.observeOutcome(y.now+100*ms, port.AttemptOutcome{Result: port.TimedOut, Latency: 800 * ms}, anyRead)
 	assert.Equal(t, room, y.members[0].limit, "by its own report it holds nothing")
 }
 
@@ -645,7 +645,7 @@
 			continue
 		}
 		assert.Equal(t, "revoke 1.0", y.last("revoke"))
-		y.ends(w, port.Cancelled, port.Unknown, 0)
+		y.ends(w, port.Cancelled, port.UnknownRole, 0)
 		assert.Equal(t, 2, y.count("submit"))
 		y.members[0].waitingSince, y.members[0].quickAt = time.Hour, time.Hour
 		y.pass(700 * ms)
@@ -662,30 +662,30 @@
 	cheap := y.begin(anyRead)
 	retry := y.begin(write, func(t *port.Request) { t.Retry = true })
 	dear := y.begin(write)
-	for _, next := range []port.Ref{dear, cheap, retry} {
+	for _, next := range []port.RequestRef{dear, cheap, retry} {
 		y.ends(first, port.Succeeded, port.Primary, 0)
 		assert.Equal(t, 1, y.subs[next])
 		first = next
 	}
-	assert.Equal(t, 1.5, y.slab[retry.Place].value)
+	assert.Equal(t, 1.5, y.slab[retry.Slot].value)
 }
 
 func TestAnUnmarkedRetryIsToldByItsBudget(t *testing.T) {
 	y := tell(t, littleSite()).group(1)
 	for range 50 {
-		y.begin(anyRead, func(in *port.Request) { in.Budget = 400 * ms })
+		y.begin(anyRead, func(in *port.Request) { in.Timeout = 400 * ms })
 	}
-	last := y.begin(anyRead, func(in *port.Request) { in.Budget = 300 * ms })
-	assert.Equal(t, 1.0/4, y.slab[last.Place].value)
-	first := y.begin(anyRead, func(in *port.Request) { in.Budget = 400 * ms })
-	assert.Equal(t, 1.0, y.slab[first.Place].value)
+	last := y.begin(anyRead, func(in *port.Request) { in.Timeout = 300 * ms })
+	assert.Equal(t, 1.0/4, y.slab[last.Slot].value)
+	first := y.begin(anyRead, func(in *port.Request) { in.Timeout = 400 * ms })
+	assert.Equal(t, 1.0, y.slab[first.Slot].value)
 	for range 20 {
 		y.begin(write)
 	}
-	assert.Equal(t, 6.0, y.slab[y.begin(write).Place].value, "another type's tries come with another part of its expiry")
+	assert.Equal(t, 6.0, y.slab[y.begin(write).Slot].value, "another type's tries come with another part of its expiry")
 	y.retriesMarked = true
-	last = y.begin(anyRead, func(in *port.Request) { in.Budget = 300 * ms })
-	assert.Equal(t, 1.0, y.slab[last.Place].value, "where clients mark them, the mark is what counts")
+	last = y.begin(anyRead, func(in *port.Request) { in.Timeout = 300 * ms })
+	assert.Equal(t, 1.0, y.slab[last.Slot].value, "where clients mark them, the mark is what counts")
 }
 
 func TestFurtherSubmissionsStayAShareOfFirstOnes(t *testing.T) {
@@ -695,8 +695,8 @@
 		y.now += 50 * ms
 		r := y.begin(write)
 		y.members[0].ejected = false
-		for y.subs[r] > 0 && y.slab[r.Place].end == open && y.slab[r.Place].at != none {
-			y.ends(r, port.Errored, port.Primary, y.now)
+		for y.subs[r] > 0 && y.slab[r.Slot].end == open && y.slab[r.Slot].at != none {
+			y.ends(r, port.ServerError, port.Primary, y.now)
 			y.members[0].limit = 4
 		}
 		n += max(0, y.subs[r]-1)
@@ -715,7 +715,7 @@
 	for range 500 {
 		y.pass(20 * ms)
 		if y.members[3].probeOut {
-			y.Probed(y.now, 3, port.TimedOut, ms, port.Load{})
+			y.HealthCheckFinished(y.now, 3, port.TimedOut, ms, port.LoadReport{})
 		}
 	}
 	assert.LessOrEqual(t, y.count("probe"), 8, "and one that is down is asked ever more rarely")
@@ -742,20 +742,20 @@
 func ordinaryPath() (round func()) {
 	q := quiet{}
 	p := littleSite()
-	r := New(&q, 7, p.at, p.types, nil, p.copies, p.rules, p.allowed, port.Tariff{})
-	var entries []port.Entry
+	r := New(&q, 7, p.at, p.types, nil, p.copies, p.rules, p.allowed, port.CostWeights{})
+	var entries []port.Endpoint
 	for i := range 4 {
-		entries = append(entries, port.Entry{Member: i, Primary: i == 0})
+		entries = append(entries, port.Endpoint{Server: i, Primary: i == 0})
 	}
-	r.List(0, port.Cached, 1, entries)
+	r.EndpointsChanged(0, port.CachedSnapshot, 1, entries)
 	now, turn := time.Duration(0), uint32(0)
 	return func() {
 		for _, ty := range []int{write, session, anyRead, bounded} {
 			now, turn = now+5*ms, turn+1
-			ref := port.Ref{Place: turn % 8, Turn: turn}
-			r.Begin(now, port.Request{Ref: ref, Type: ty, Customer: port.None, Session: uint64(turn), Budget: time.Second})
+			ref := port.RequestRef{Slot: turn % 8, Generation: turn}
+			r.RequestReceived(now, port.Request{Ref: ref, Type: ty, Customer: port.None, Session: uint64(turn), Timeout: time.Second})
 			r.Reconcile(now)
-			r.Ended(now, port.Outcome{Ref: ref, Member: q.to, Ending: port.Succeeded, Closed: true, Latency: 20 * ms,
+			r.AttemptFinished(now, port.AttemptOutcome{Ref: ref, Server: q.to, Result: port.Succeeded, RequestFinished: true, Latency: 20 * ms,
 				Role: port.Replica, Position: now, HasPosition: true})
 			r.Reconcile(now)
 		}
@@ -768,8 +768,8 @@
 	to int
 }
 
-func (q *quiet) Submit(_ port.Ref, m int, _ time.Duration) { q.to = m }
-func (q *quiet) Probe(int)                                 {}
+func (q *quiet) StartAttempt(_ port.RequestRef, m int, _ time.Duration) { q.to = m }
+func (q *quiet) StartHealthCheck(int)                                   {}
 
 // The group's only primary is at another site, and the way there is cut: waiting would bring nothing. What a copy here may
 // answer goes on; when the way is open again, all does.
@@ -778,12 +778,12 @@
 	y.now = time.Second
 	y.ends(y.begin(write), port.Succeeded, port.Primary, y.now)
 	y.knows(2, port.Replica, y.now)
-	y.list(port.Changes, port.Entry{Member: 0, State: port.Away, Primary: true})
+	y.list(port.Delta, port.Endpoint{Server: 0, State: port.Partitioned, Primary: true})
 	y.begin(onceOnly)
 	assert.Equal(t, "decline 2, back in 200ms", y.last("decline"), "at once")
 	y.begin(anyRead)
 	assert.Equal(t, "submit 3 to 2", y.last("submit"))
-	y.list(port.Changes, port.Entry{Member: 0, Primary: true})
+	y.list(port.Delta, port.Endpoint{Server: 0, Primary: true})
 	y.begin(onceOnly)
 	assert.Equal(t, "submit 4 to 0", y.last("submit"))
 }
@@ -792,13 +792,13 @@
 
 func TestWhereOnlyReportsTellPositionsTheirAgeIsTakenOff(t *testing.T) {
 	p := littleSite()
-	p.copies = port.Replication{Check: port.Refuses, PiggybackLoad: true}
+	p.copies = port.Replication{StalenessCheck: port.RejectIfStale, LoadInResponses: true}
 	y := tell(t, p).group(3)
 	y.begin(anyRead)
 	answers := func(member int, role port.Role, reported time.Duration) {
 		y.members[member].out++
-		y.Ended(y.now, port.Outcome{Ref: port.Ref{}, Member: member, Ending: port.Succeeded, Role: role, Latency: 30 * ms,
-			Load: port.Load{Role: role, Position: reported, HasPosition: true}})
+		y.AttemptFinished(y.now, port.AttemptOutcome{Ref: port.RequestRef{}, Server: member, Result: port.Succeeded, Role: role, Latency: 30 * ms,
+			Load: port.LoadReport{Role: role, Position: reported, HasPosition: true}})
 	}
 	for range 20 { // reports are three seconds late, all of them
 		y.pass(100 * ms)
@@ -815,24 +815,24 @@
 
 func TestATxnThatFailsAtTwoMembersIsAnsweredAtOnceWithNoTimeToComeBackWhereNoneMayBeNamed(t *testing.T) {
 	p := littleSite()
-	p.allowed.ComeBackMax = 0
+	p.allowed.MaxRetryAfter = 0
 	y := tell(t, p).group(4)
 	r := y.begin(anyRead)
-	y.ends(r, port.Errored, port.Replica, 0)
+	y.ends(r, port.ServerError, port.Replica, 0)
 	assert.Equal(t, 2, y.subs[r], "one error may be a member's")
-	y.ends(r, port.Errored, port.Replica, 0)
+	y.ends(r, port.ServerError, port.Replica, 0)
 	assert.Equal(t, 2, y.subs[r])
 	assert.Equal(t, "decline 1, back in 0s", y.last("decline"))
 	y.errorRate = 0.3
 	r = y.begin(anyRead)
-	y.ends(r, port.Errored, port.Replica, 0)
+	y.ends(r, port.ServerError, port.Replica, 0)
 	assert.Equal(t, 1, y.subs[r], "where errors are common the first is enough")
 }
 
 func TestErrorsAreNoLostAnswers(t *testing.T) {
 	y := tell(t, littleSite()).group(1)
 	for range 50 {
-		y.observeOutcome(y.now, port.Outcome{Ending: port.Errored, Latency: ms}, anyRead)
+		y.observeOutcome(y.now, port.AttemptOutcome{Result: port.ServerError, Latency: ms}, anyRead)
 	}
 	assert.Zero(t, y.members[0].lossRate, "else what takes four least latencies would be taken back")
 }
@@ -841,32 +841,32 @@
 	y := tell(t, littleSite()).group(1)
 	for range 3 {
 		y.pass(100 * ms)
-		y.observeOutcome(y.now, port.Outcome{Ending: port.Succeeded, Latency: 20 * ms}, anyRead)
+		y.observeOutcome(y.now, port.AttemptOutcome{Result: port.Succeeded, Latency: 20 * ms}, anyRead)
 	}
 	a, b := y.begin(anyRead), y.begin(anyRead)
 	room, strain := y.members[0].limit, y.members[0].load.n
 	y.now += 5 * time.Second // no beat came
-	y.Woken(y.now)           // the alarm stands before the endings in what came meanwhile
+	y.TimerFired(y.now)      // the alarm stands before the endings in what came meanwhile
 	assert.False(t, y.members[0].ejected, "it is not the member that was silent")
-	y.ends(a, port.TimedOut, port.Unknown, 0)
-	y.Left(y.now, b)
-	y.observeOutcome(y.now, port.Outcome{Ending: port.Succeeded, Latency: 5 * time.Second}, anyRead)
+	y.ends(a, port.TimedOut, port.UnknownRole, 0)
+	y.ClientGone(y.now, b)
+	y.observeOutcome(y.now, port.AttemptOutcome{Result: port.Succeeded, Latency: 5 * time.Second}, anyRead)
 	assert.Equal(t, room, y.members[0].limit)
 	assert.Equal(t, strain, y.members[0].load.n)
 	y.pass(100 * ms)
-	y.observeOutcome(y.now, port.Outcome{Ending: port.Succeeded, Latency: 600 * ms}, anyRead)
+	y.observeOutcome(y.now, port.AttemptOutcome{Result: port.Succeeded, Latency: 600 * ms}, anyRead)
 	assert.Less(t, y.members[0].limit, room, "what comes later counts again")
 }
 
 func TestAMemberThatAnswersProbesButTakesNoLinksIsNotDown(t *testing.T) {
 	p := littleSite()
-	p.at.Tick = 50 * ms
+	p.at.TickInterval = 50 * ms
 	y := tell(t, p).group(1)
 	y.pass(time.Second)
 	again := y.retryBudget
 	for range 20 {
 		w := y.begin(write)
-		y.Ended(y.now, port.Outcome{Ref: w, Hop: y.subs[w] - 1, Ending: port.Unreachable, Latency: 2 * ms})
+		y.AttemptFinished(y.now, port.AttemptOutcome{Ref: w, AttemptNumber: y.subs[w] - 1, Result: port.Unreachable, Latency: 2 * ms})
 		y.settle()
 		y.knows(0, port.Primary, y.now)
 		y.pass(2 * y.tick)
@@ -883,7 +883,7 @@
 		sent := 0
 		for seed := range fronts {
 			p := littleSite()
-			p.at.Fronts = fronts
+			p.at.FleetSize = fronts
 			y := tell(t, p).group(6)
 			y.seed = uint64(seed)
 			y.now, y.warmMembers = 20*time.Second, 5
@@ -907,16 +907,16 @@
 // The first seconds after a switch: an instance that starts afresh at the new deployment believes nothing of the old.
 func TestTheFirstSecondsAfterASwitchAreSafe(t *testing.T) {
 	p := littleSite()
-	p.at.Fronts = 250
-	p.copies = port.Replication{Check: port.Refuses, PiggybackLoad: true}
+	p.at.FleetSize = 250
+	p.copies = port.Replication{StalenessCheck: port.RejectIfStale, LoadInResponses: true}
 	y := tell(t, p)
-	list := []port.Entry{{Member: 0, Primary: true}, {Member: 1}, {Member: 2, HasStarted: true, Started: -time.Second},
-		{Member: 3, Group: 1, Primary: true}, {Member: 4, Group: 1}}
-	y.list(port.Cached, list...)
+	list := []port.Endpoint{{Server: 0, Primary: true}, {Server: 1}, {Server: 2, HasStartTime: true, StartedAt: -time.Second},
+		{Server: 3, Group: 1, Primary: true}, {Server: 4, Group: 1}}
+	y.list(port.CachedSnapshot, list...)
 	y.pass(100 * ms)
 	r := y.begin(session)
 	assert.Equal(t, 1, y.where[r], "a replica, whose own check decides")
-	y.ends(r, port.Missed, port.Replica, 0)
+	y.ends(r, port.Misrouted, port.Replica, 0)
 	assert.Equal(t, 0, y.where[r], "and after a miss the primary")
 	y.ends(r, port.Succeeded, port.Primary, 0)
 	for range 40 {
@@ -933,11 +933,11 @@
 		}
 	}
 	assert.LessOrEqual(t, cold, 2, "a starting member gets its part of what 250 fronts send")
-	y.Ended(y.now, port.Outcome{Ref: port.Ref{Place: 1}, Member: 4, Ending: port.Succeeded, Role: port.Primary,
+	y.AttemptFinished(y.now, port.AttemptOutcome{Ref: port.RequestRef{Slot: 1}, Server: 4, Result: port.Succeeded, Role: port.Primary,
 		Position: y.now, HasPosition: true}) // a claim in the other group
 	assert.Equal(t, 0, y.groups[0].primary, "what another group's member says is not believed here")
 	assert.Equal(t, 4, y.groups[1].primary)
-	y.Ended(y.now, port.Outcome{Ref: port.Ref{Place: 1}, Member: 3, Ending: port.Succeeded, Role: port.Primary,
+	y.AttemptFinished(y.now, port.AttemptOutcome{Ref: port.RequestRef{Slot: 1}, Server: 3, Result: port.Succeeded, Role: port.Primary,
 		Position: y.now - time.Second, HasPosition: true})
 	assert.Equal(t, 4, y.groups[1].primary, "nor what is of an older term")
 }
@@ -948,7 +948,7 @@
 		y.pass(100 * ms)
 		y.ends(y.begin(anyRead), port.Succeeded, port.Replica, 0)
 		for range failing { // worthless, the same everywhere
-			y.ends(y.begin(anyRead), port.Errored, port.Replica, 0)
+			y.ends(y.begin(anyRead), port.ServerError, port.Replica, 0)
 		}
 		return y.served.sum
 	}
@@ -958,9 +958,9 @@
 // A request whose client leaves in the batch in which it came goes nowhere: its place is free again at once.
 func TestARequestThatLeavesInTheBatchOfItsArrivalGoesNowhere(t *testing.T) {
 	y := tell(t, littleSite()).group(3)
-	r := port.Ref{Place: 1, Turn: 1}
-	y.Begin(y.now, port.Request{Ref: r, Type: anyRead, Customer: port.None, Budget: time.Second})
-	y.Left(y.now, r)
+	r := port.RequestRef{Slot: 1, Generation: 1}
+	y.RequestReceived(y.now, port.Request{Ref: r, Type: anyRead, Customer: port.None, Timeout: time.Second})
+	y.ClientGone(y.now, r)
 	y.settle()
 	y.pass(time.Second)
 	assert.Empty(t, y.asked)
--- a/router/scale_bench_test.go
+++ b/router/scale_bench_test.go
@@ -12,15 +12,15 @@
 	for _, members := range []int{200, 3200} {
 		b.Run(fmt.Sprint(members), func(b *testing.B) {
 			y := tell(nil, littleSite())
-			var list []port.Entry
+			var list []port.Endpoint
 			for i := range members {
-				list = append(list, port.Entry{Member: i, Group: i / 5, Zone: i % 2, Primary: i%5 == 0})
+				list = append(list, port.Endpoint{Server: i, Group: i / 5, Zone: i % 2, Primary: i%5 == 0})
 			}
-			y.List(0, port.Cached, 1, list)
+			y.EndpointsChanged(0, port.CachedSnapshot, 1, list)
 			for b.Loop() {
 				for range 50 { // beats
 					y.now += 20 * ms
-					y.Woken(y.now)
+					y.TimerFired(y.now)
 					y.Reconcile(y.now)
 				}
 				for range 60 { // what comes in of 20 requests
--- a/router/selection.go
+++ b/router/selection.go
@@ -14,7 +14,7 @@
 type selection struct {
 	zone     int
 	linkIdle time.Duration // after which an idle connection is closed
-	check    port.Check
+	check    port.StalenessCheck
 	hold     time.Duration
 	turn     int // rotates among equals
 }
@@ -28,8 +28,8 @@
 	firstTurns   = 1 << 16
 )
 
-func newSelection(seed uint64, at port.Topology, copies port.Replication, allowed port.Allowance) selection {
-	return selection{zone: at.Zone, turn: firstTurn(seed), linkIdle: allowed.LinkIdle, check: copies.Check, hold: copies.Hold}
+func newSelection(seed uint64, at port.Topology, copies port.Replication, allowed port.Limits) selection {
+	return selection{zone: at.Zone, turn: firstTurn(seed), linkIdle: allowed.IdleConnTimeout, check: copies.StalenessCheck, hold: copies.FreshnessWait}
 }
 
 // firstTurn lets each front begin with another member; the instance's own draws stay as they are.
@@ -72,13 +72,13 @@
 func (r *Router) pick(now time.Duration, t *request, ty *port.RequestType) int {
 	g := r.group(t.Group)
 	needs := t.needs
-	if ty.Level == port.Bounded {
-		needs = now - t.Bound
+	if ty.Consistency == port.BoundedStaleness {
+		needs = now - t.MaxStaleness
 	}
 	c := r.candidates(now, t, g, needs)
 	best, least := c.fresh, c.cost
-	g.probeWanted = g.probeWanted || best == none && r.check == port.Unchecked
-	if best == none && c.behind != none && r.check != port.Unchecked {
+	g.probeWanted = g.probeWanted || best == none && r.check == port.NoStalenessCheck
+	if best == none && c.behind != none && r.check != port.NoStalenessCheck {
 		m := &r.members[c.behind]
 		if m.lagAt == never || r.estimate(m, now)+r.hold+r.reportAge >= needs || g.primary == none && !t.missed {
 			best, least = c.behind, r.cost(now, m)
@@ -120,7 +120,7 @@
 
 // provenPosition is what may be relied on: where members check nothing, nothing but a proof will do.
 func (r *Router) provenPosition(now time.Duration, m *member) time.Duration {
-	if r.check == port.Unchecked {
+	if r.check == port.NoStalenessCheck {
 		return m.pos
 	}
 	return r.estimate(m, now)
--- a/router/sessions.go
+++ b/router/sessions.go
@@ -92,8 +92,8 @@
 // sessionKey names a session in a group.
 func sessionKey(in *port.Request) uint64 { return in.Session + uint64(in.Group) }
 
-// Target tells the position that a read in hand must see, for an instance of another site.
-func (r *Router) Target(ref port.Ref) (time.Duration, bool) {
-	t := &r.slab[ref.Place]
+// RequiredPosition tells the position that a read in hand must see, for an instance of another site.
+func (r *Router) RequiredPosition(ref port.RequestRef) (time.Duration, bool) {
+	t := &r.slab[ref.Slot]
 	return t.needs, t.Ref == ref && t.needs != never
 }
--- a/router/slow_start.go
+++ b/router/slow_start.go
@@ -24,8 +24,8 @@
 const safeShare = 0.6 // of the multiple of its part at which a cold member falls
 
 func newSlowStartRules(rules port.Guardrails) slowStartRules {
-	return slowStartRules{initialShare: rules.ColdShare, shareMultiple: safeShare * rules.FallMultiple, warmUp: rules.Cold,
-		fallTime: rules.Fall}
+	return slowStartRules{initialShare: rules.InitialCapacity, shareMultiple: safeShare * rules.OverloadMultiple, warmUp: rules.SlowStartDuration,
+		fallTime: rules.OverloadWindow}
 }
 
 // slowStart is a member's.
--- a/shape/settings.go
+++ b/shape/settings.go
@@ -28,8 +28,8 @@
 	Bytes      int64
 	Lists      *Lists
 	Rules      []Rule
-	Undeclared port.Effect  // of a write whose request type reads
-	Places     []conf.Place // of the rules
+	Undeclared port.Idempotency // of a write whose request type reads
+	Places     []conf.Place     // of the rules
 }
 
 const (
@@ -39,7 +39,7 @@
 
 // ReadSettings reads the form; what is wrong with it is noted with its reading.
 func ReadSettings(f *conf.Form) *Settings {
-	s := &Settings{Bytes: usualBytes, Undeclared: port.OnceOnly}
+	s := &Settings{Bytes: usualBytes, Undeclared: port.NonIdempotent}
 	forms := f.Forms("cache", "functions", "columns", "undeclared-writes", "types")
 	if c := forms["cache"]; c != nil {
 		s.Bytes = c.Size(LeastBytes, mostBytes)
@@ -84,9 +84,9 @@
 	if u := forms["undeclared-writes"]; u != nil {
 		switch u.Choice("once-only", "referenced", "repeatable") {
 		case "referenced":
-			s.Undeclared = port.Referenced
+			s.Undeclared = port.IdempotencyKey
 		case "repeatable":
-			s.Undeclared = port.Repeatable
+			s.Undeclared = port.Idempotent
 		}
 	}
 	if ts := forms["types"]; ts != nil {
--- a/site/instance_file_test.go
+++ b/site/instance_file_test.go
@@ -35,35 +35,35 @@
 	x := s.Site
 	line("FamilyInfo.Zero", x.Zero)
 	for i, ty := range x.RequestTypes {
-		line(fmt.Sprint("Classes.", i), x.Types[i], int64(ty.TargetLatency), int64(ty.Deadline), ty.Stretch, ty.Value, ty.Late,
-			int(ty.Effect), int(ty.Scope), int64(ty.Window), int(ty.Level), int64(ty.Bound))
+		line(fmt.Sprint("Classes.", i), x.Types[i], int64(ty.LatencyObjective), int64(ty.Deadline), ty.WorkMultiple, ty.PriorityWeight, ty.LateFraction,
+			int(ty.Idempotency), int(ty.DedupScope), int64(ty.DedupWindow), int(ty.Consistency), int64(ty.MaxStaleness))
 	}
 	for i, c := range x.Shares {
-		line(fmt.Sprint("Tenants.", i), x.Customers[i], c.PerSecond, c.Share)
+		line(fmt.Sprint("Tenants.", i), x.Customers[i], c.RequestsPerSecond, c.Quota)
 	}
 	t := x.Topology
-	line("Zones", fmt.Sprintf("%q", x.Zones), t.Zones)
+	line("Zones", fmt.Sprintf("%q", x.Zones), t.ZoneCount)
 	line("Locality", t.Zone)
-	line("FleetSize", t.Fronts)
-	line("Ordinal", t.Front)
-	line("Discovery", t.Ask)
-	line("Tick", int64(t.Tick))
+	line("FleetSize", t.FleetSize)
+	line("Ordinal", t.Ordinal)
+	line("Discovery", t.PullEndpoints)
+	line("Tick", int64(t.TickInterval))
 	line("Clients.MarksRetry", t.RetriesMarked)
-	line("FamilyInfo.RoleListed", int(t.Roles))
+	line("FamilyInfo.RoleListed", int(t.RoleListing))
 	r := x.Replication
-	line("FamilyInfo.Checks", int(r.Check))
-	line("FamilyInfo.HoldsFor", int64(r.Hold))
-	line("FamilyInfo.WriteMarks", r.Carried)
-	line("FamilyInfo.TellsPosition", r.AnswersTell)
-	line("FamilyInfo.Synchronous", r.WritesWaited)
-	line("Stats.Source", r.PiggybackLoad)
+	line("FamilyInfo.Checks", int(r.StalenessCheck))
+	line("FamilyInfo.HoldsFor", int64(r.FreshnessWait))
+	line("FamilyInfo.WriteMarks", r.ClientCarriesToken)
+	line("FamilyInfo.TellsPosition", r.PositionInResponses)
+	line("FamilyInfo.Synchronous", r.SemiSyncWrites)
+	line("Stats.Source", r.LoadInResponses)
 	g := x.Guardrails
-	line("Rules", int64(g.AnswerSlack), int64(g.DrainGrace), int64(g.AskWithin), g.ColdShare, g.FallMultiple, int64(g.Cold), int64(g.Fall))
+	line("Rules", int64(g.AnswerSlack), int64(g.DrainGrace), int64(g.MaxPollInterval), g.InitialCapacity, g.OverloadMultiple, int64(g.SlowStartDuration), int64(g.OverloadWindow))
 	a := x.Allowance
-	line("Limits", a.Attempts, a.Probes, a.Peers, a.Cancels, a.Twice, int64(a.ComeBackMax), int64(a.DialTimeout), int64(a.LinkIdle))
+	line("Limits", a.MaxAttempts, a.HealthChecks, a.Gossip, a.Cancellation, a.HedgedRequests, int64(a.MaxRetryAfter), int64(a.DialTimeout), int64(a.IdleConnTimeout))
 	f := x.Tariff
-	line("Deductions", f.CrossZone, f.Waste, f.Probe, f.LateEnd, f.Peer)
-	line("OverShareWorth", f.OverShare)
+	line("Deductions", f.CrossZone, f.WastedWork, f.HealthCheck, f.LateFailure, f.Gossip)
+	line("OverShareWorth", f.OverQuota)
 	return b.String()
 }
 
--- a/site/rules.go
+++ b/site/rules.go
@@ -93,8 +93,12 @@
 			}
 		}
 	}
-	look("bound", r.Bounds, func(t port.RequestType) (time.Duration, bool) { return t.Bound, t.Level == port.Bounded }, "reads within a bound")
-	look("window", r.Windows, func(t port.RequestType) (time.Duration, bool) { return t.Window, t.Effect == port.Referenced }, "carries a mark")
+	look("bound", r.Bounds, func(t port.RequestType) (time.Duration, bool) {
+		return t.MaxStaleness, t.Consistency == port.BoundedStaleness
+	}, "reads within a bound")
+	look("window", r.Windows, func(t port.RequestType) (time.Duration, bool) {
+		return t.DedupWindow, t.Idempotency == port.IdempotencyKey
+	}, "carries a mark")
 	if faults == nil {
 		return nil
 	}
--- a/site/rules_test.go
+++ b/site/rules_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestRulesOnlyTightenAndWhatIsWrongIsToldAtItsPlace(t *testing.T) {
-	s := &Site{Types: []string{"browse", "book"}, RequestTypes: []port.RequestType{{Level: port.Bounded, Bound: 3 * time.Second}, {Level: port.Write, Effect: port.Referenced, Window: 2 * time.Second}}}
+	s := &Site{Types: []string{"browse", "book"}, RequestTypes: []port.RequestType{{Consistency: port.BoundedStaleness, MaxStaleness: 3 * time.Second}, {Consistency: port.Write, Idempotency: port.IdempotencyKey, DedupWindow: 2 * time.Second}}}
 	for text, want := range map[string]string{
 		"(rules (bound browse 2s) (window book 1s) (given-up 7 3))": "",
 		"(rules (bound browse 5s))":                                 "x:1:8: 5s is looser than the site's bound of 3s for browse",
--- a/site/site.go
+++ b/site/site.go
@@ -33,25 +33,25 @@
 	Shares                  []port.Customer
 	Replication             port.Replication
 	Guardrails              port.Guardrails
-	Allowance               port.Allowance
-	Tariff                  port.Tariff
+	Allowance               port.Limits
+	Tariff                  port.CostWeights
 }
 
-var effects = map[string]port.Effect{
-	"read_like": port.Repeatable, "idempotency_key": port.Referenced, "non_idempotent": port.OnceOnly,
+var effects = map[string]port.Idempotency{
+	"read_like": port.Idempotent, "idempotency_key": port.IdempotencyKey, "non_idempotent": port.NonIdempotent,
 }
 
-var scopes = map[string]port.Scope{"all": port.ScopeAll, "zone": port.ScopeZone, "cell": port.ScopeGroup}
+var scopes = map[string]port.DedupScope{"all": port.ScopeAll, "zone": port.ScopeZone, "cell": port.ScopeGroup}
 
-var checks = map[string]port.Check{"silent": port.Unchecked, "bounce": port.Refuses, "await": port.Holds}
+var checks = map[string]port.StalenessCheck{"silent": port.NoStalenessCheck, "bounce": port.RejectIfStale, "await": port.WaitUntilFresh}
 
-var levels = map[string]port.ReadLevel{
-	"eventual": port.AnyData, "lag_bound": port.Bounded, "causal": port.Session, "strong": port.Current,
+var levels = map[string]port.Consistency{
+	"eventual": port.Eventual, "lag_bound": port.BoundedStaleness, "causal": port.ReadYourWrites, "strong": port.Strong,
 	"mutate": port.Write,
 }
 
-var listedRoles = map[string]port.Listed{
-	"silent": port.RoleNever, "static": port.RoleAtStart, "trailing": port.RoleLate,
+var listedRoles = map[string]port.RoleListing{
+	"silent": port.RolesNotListed, "static": port.RolesAtStart, "trailing": port.RolesDelayed,
 }
 
 var asked = map[string]bool{"push": false, "ask": true}
@@ -76,13 +76,13 @@
 		p := "Classes." + strconv.Itoa(i) + "."
 		s.Types = append(s.Types, r.need(p+"Name"))
 		s.RequestTypes = append(s.RequestTypes, port.RequestType{
-			TargetLatency: r.span(p + "Aim"), Deadline: r.span(p + "Deadline"), Stretch: r.decimal(p+"AimStretch", 0),
-			Value: r.decimal(p+"Worth", 1), Late: r.decimal(p+"LateWorth", 0),
-			Effect: choice(r, p+"Effect", effects),
-			Scope:  choice(r, p+"Group", scopes),
-			Window: time.Duration(r.optional(p + "Window")),
-			Level:  word(r, "FamilyInfo.ReadLevel", levelsOf[i], levels),
-			Bound:  time.Duration(r.parse("FamilyInfo.StalenessBound", boundsOf[i])),
+			LatencyObjective: r.span(p + "Aim"), Deadline: r.span(p + "Deadline"), WorkMultiple: r.decimal(p+"AimStretch", 0),
+			PriorityWeight: r.decimal(p+"Worth", 1), LateFraction: r.decimal(p+"LateWorth", 0),
+			Idempotency:  choice(r, p+"Effect", effects),
+			DedupScope:   choice(r, p+"Group", scopes),
+			DedupWindow:  time.Duration(r.optional(p + "Window")),
+			Consistency:  word(r, "FamilyInfo.ReadLevel", levelsOf[i], levels),
+			MaxStaleness: time.Duration(r.parse("FamilyInfo.StalenessBound", boundsOf[i])),
 		})
 	}
 	n = int(r.optional("Tenants.count"))
@@ -90,14 +90,14 @@
 		p := "Tenants." + strconv.Itoa(i) + "."
 		s.Customers = append(s.Customers, r.need(p+"Name"))
 		s.Shares = append(s.Shares, port.Customer{
-			PerSecond: r.decimal(p+"QuotaPerS", 0), Share: r.decimal(p+"Share", 0)})
+			RequestsPerSecond: r.decimal(p+"QuotaPerS", 0), Quota: r.decimal(p+"Share", 0)})
 	}
 	home := r.need("Locality")
 	s.Topology = port.Topology{
-		Zone: port.None, Zones: len(s.Zones), Fronts: int(r.integer("FleetSize")), Front: int(r.integer("Ordinal")),
-		Ask: choice(r, "Discovery", asked), Tick: r.span("Tick"),
+		Zone: port.None, ZoneCount: len(s.Zones), FleetSize: int(r.integer("FleetSize")), Ordinal: int(r.integer("Ordinal")),
+		PullEndpoints: choice(r, "Discovery", asked), TickInterval: r.span("Tick"),
 		RetriesMarked: r.yes("Clients.MarksRetry"),
-		Roles:         choice(r, "FamilyInfo.RoleListed", listedRoles),
+		RoleListing:   choice(r, "FamilyInfo.RoleListed", listedRoles),
 	}
 	for i, z := range s.Zones {
 		if z == home {
@@ -108,32 +108,32 @@
 		r.fail("Locality", fmt.Sprintf("is none of Zones: %q", home))
 	}
 	s.Replication = port.Replication{
-		Check:         choice(r, "FamilyInfo.Checks", checks),
-		Hold:          time.Duration(r.optional("FamilyInfo.HoldsFor")),
-		Carried:       r.need("FamilyInfo.WriteMarks") == "brought",
-		AnswersTell:   r.yes("FamilyInfo.TellsPosition"),
-		WritesWaited:  r.yes("FamilyInfo.Synchronous"),
-		PiggybackLoad: word(r, "Stats.Source", r.get("Stats.Source"), piggyback),
+		StalenessCheck:      choice(r, "FamilyInfo.Checks", checks),
+		FreshnessWait:       time.Duration(r.optional("FamilyInfo.HoldsFor")),
+		ClientCarriesToken:  r.need("FamilyInfo.WriteMarks") == "brought",
+		PositionInResponses: r.yes("FamilyInfo.TellsPosition"),
+		SemiSyncWrites:      r.yes("FamilyInfo.Synchronous"),
+		LoadInResponses:     word(r, "Stats.Source", r.get("Stats.Source"), piggyback),
 	}
 	s.Guardrails = port.Guardrails{
 		AnswerSlack: r.span("Rules.AnswerSlack"), DrainGrace: r.span("Rules.StopSendingWithin"),
-		AskWithin: time.Duration(r.optional("Rules.AskEvery")), ColdShare: r.decimal("Rules.StartCapacity", 1),
-		FallMultiple: r.decimal("Rules.FallMultiple", 1), Cold: r.span("Rules.Cold"), Fall: r.span("Rules.Fall"),
+		MaxPollInterval: time.Duration(r.optional("Rules.AskEvery")), InitialCapacity: r.decimal("Rules.StartCapacity", 1),
+		OverloadMultiple: r.decimal("Rules.FallMultiple", 1), SlowStartDuration: r.span("Rules.Cold"), OverloadWindow: r.span("Rules.Fall"),
 	}
-	s.Allowance = port.Allowance{
-		Attempts: int(r.integer("Limits.AttemptsCap")), Probes: r.yes("Limits.MayProbe"),
-		Peers: r.yes("Limits.Peers"), Cancels: r.yes("Limits.Cancel"), Twice: r.yes("Limits.MayDuplicate"),
-		ComeBackMax: time.Duration(r.optional("Limits.MaxRetryAfter")),
-		DialTimeout: time.Duration(r.optional("Limits.DialTimeout")),
-		LinkIdle:    time.Duration(r.optional("Limits.ConnIdle")),
+	s.Allowance = port.Limits{
+		MaxAttempts: int(r.integer("Limits.AttemptsCap")), HealthChecks: r.yes("Limits.MayProbe"),
+		Gossip: r.yes("Limits.Peers"), Cancellation: r.yes("Limits.Cancel"), HedgedRequests: r.yes("Limits.MayDuplicate"),
+		MaxRetryAfter:   time.Duration(r.optional("Limits.MaxRetryAfter")),
+		DialTimeout:     time.Duration(r.optional("Limits.DialTimeout")),
+		IdleConnTimeout: time.Duration(r.optional("Limits.ConnIdle")),
 	}
 	if !r.yes("Limits.RetryAfter") {
-		s.Allowance.ComeBackMax = 0
+		s.Allowance.MaxRetryAfter = 0
 	}
-	s.Tariff = port.Tariff{
-		CrossZone: r.decimal("Deductions.CrossZone", 0), Waste: r.decimal("Deductions.Waste", 0),
-		Probe: r.decimal("Deductions.Probe", 0), LateEnd: r.decimal("Deductions.LateFail", 0),
-		Peer: r.decimal("Deductions.Peer", 0), OverShare: r.decimal("OverShareWorth", 1),
+	s.Tariff = port.CostWeights{
+		CrossZone: r.decimal("Deductions.CrossZone", 0), WastedWork: r.decimal("Deductions.Waste", 0),
+		HealthCheck: r.decimal("Deductions.Probe", 0), LateFailure: r.decimal("Deductions.LateFail", 0),
+		Gossip: r.decimal("Deductions.Peer", 0), OverQuota: r.decimal("OverShareWorth", 1),
 	}
 	r.once("Classes", s.Types)
 	r.once("Tenants", s.Customers)
@@ -243,20 +243,20 @@
 
 // Report puts a value of a load report into its field, by the names that sites give them. Positions are in
 // seconds, counted from zero; names that say nothing here are passed over.
-func Report(l *port.Load, name string, v float64, zero time.Duration) {
+func Report(l *port.LoadReport, name string, v float64, zero time.Duration) {
 	switch name {
 	case "active", "inflight":
-		l.Held = v
+		l.InFlight = v
 	case "waiting", "queue":
-		l.Waiting = v
+		l.Queued = v
 	case "cpu", "util":
-		l.Busy = v
+		l.Utilization = v
 	case "avg_ms", "latency_ms":
-		l.Service = v
+		l.LatencyMillis = v
 	case "rps", "qps":
-		l.Rate = v
+		l.RequestRate = v
 	case "err_rps", "eps":
-		l.ErrsRate = v
+		l.ErrorRate = v
 	case "x0":
 		l.Position, l.HasPosition = zero+time.Duration(v*float64(time.Second)), true
 	case "x1":
@@ -268,5 +268,5 @@
 }
 
 // NoReport is a load report that says nothing.
-var NoReport = port.Load{Held: port.None, Waiting: port.None, Busy: port.None, Service: port.None,
-	Rate: port.None, ErrsRate: port.None}
+var NoReport = port.LoadReport{InFlight: port.None, Queued: port.None, Utilization: port.None, LatencyMillis: port.None,
+	RequestRate: port.None, ErrorRate: port.None}
--- a/site/site_test.go
+++ b/site/site_test.go
@@ -44,11 +44,11 @@
 	assert.Len(t, s.Known.Entries, 1)
 	assert.Len(t, s.Passed, 1, "a member without an address")
 	assert.Equal(t, []string{"browse", "order"}, s.Site.Types)
-	assert.Equal(t, port.Bounded, s.Site.RequestTypes[0].Level)
-	assert.Equal(t, 3*time.Second, s.Site.RequestTypes[0].Bound)
-	assert.Equal(t, port.Referenced, s.Site.RequestTypes[1].Effect)
+	assert.Equal(t, port.BoundedStaleness, s.Site.RequestTypes[0].Consistency)
+	assert.Equal(t, 3*time.Second, s.Site.RequestTypes[0].MaxStaleness)
+	assert.Equal(t, port.IdempotencyKey, s.Site.RequestTypes[1].Idempotency)
 	assert.Equal(t, 1, s.Site.Topology.Zone)
-	assert.Equal(t, 184.5, s.Site.Shares[0].PerSecond)
+	assert.Equal(t, 184.5, s.Site.Shares[0].RequestsPerSecond)
 	assert.Equal(t, 250*time.Millisecond, s.Site.Allowance.DialTimeout)
 }
 
@@ -102,14 +102,14 @@
 func TestReportsAndTimesToComeBackAreAsTheSettingsSay(t *testing.T) {
 	s, err := load(told, nil)
 	require.NoError(t, err)
-	assert.False(t, s.Site.Replication.PiggybackLoad)
-	assert.Zero(t, s.Site.Allowance.ComeBackMax, "nothing allows one")
+	assert.False(t, s.Site.Replication.LoadInResponses)
+	assert.Zero(t, s.Site.Allowance.MaxRetryAfter, "nothing allows one")
 	for said, want := range map[string]time.Duration{"true": time.Second, "false": 0} {
 		s, err = load(strings.NewReplacer(`"New":{`, `"Stats":{"Source":"piggyback"},"New":{`, `"MayProbe":true`,
 			`"MayProbe":true,"MaxRetryAfter":1000000000,"RetryAfter":`+said).Replace(told), nil)
 		require.NoError(t, err)
-		assert.True(t, s.Site.Replication.PiggybackLoad)
-		assert.Equal(t, want, s.Site.Allowance.ComeBackMax)
+		assert.True(t, s.Site.Replication.LoadInResponses)
+		assert.Equal(t, want, s.Site.Allowance.MaxRetryAfter)
 	}
 }
 
@@ -119,7 +119,7 @@
 	Report(&l, "x1", 0, 0)
 	Report(&l, "inflight", 3, 0)
 	Report(&l, "unheard_of", 9, 0)
-	assert.Equal(t, port.Load{Held: 3, Waiting: -1, Busy: -1, Service: -1, Rate: -1, ErrsRate: -1,
+	assert.Equal(t, port.LoadReport{InFlight: 3, Queued: -1, Utilization: -1, LatencyMillis: -1, RequestRate: -1, ErrorRate: -1,
 		Position: 2500 * time.Millisecond, HasPosition: true, Role: port.Replica}, l)
 }
 
--- a/site/start.go
+++ b/site/start.go
@@ -106,7 +106,7 @@
 	if err == nil && s.Site.Allowance.DialTimeout <= 0 {
 		return nil, &Fault{Key: "settings.Limits.DialTimeout", What: "is missing"}
 	}
-	if err == nil && s.Site.Allowance.LinkIdle <= 0 {
+	if err == nil && s.Site.Allowance.IdleConnTimeout <= 0 {
 		return nil, &Fault{Key: "settings.Limits.ConnIdle", What: "is missing"}
 	}
 	return s, err
--- a/sockets/directory.go
+++ b/sockets/directory.go
@@ -210,13 +210,13 @@
 }
 
 // failed is what the core hears where the list did not come.
-var failed = front.Listed{Kind: port.Failed}
+var failed = front.Listed{Kind: port.UpdateFailed}
 
 func listed(l discovery.List) front.Listed {
 	if l.Whole {
-		return front.Listed{Kind: port.Whole, List: l}
+		return front.Listed{Kind: port.Snapshot, List: l}
 	}
-	return front.Listed{Kind: port.Changes, List: l}
+	return front.Listed{Kind: port.Delta, List: l}
 }
 
 func (d *Directory) from(client *discovery.Client) func(discovery.List) {
@@ -228,14 +228,14 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.client == client {
-		if e.Kind != port.Failed {
+		if e.Kind != port.UpdateFailed {
 			d.told = true
 			d.endEarlier(len(d.earlier))
 		}
 		d.pass(e)
 		return
 	}
-	if e.Kind == port.Failed { // of an address of before
+	if e.Kind == port.UpdateFailed { // of an address of before
 		return
 	}
 	if i := slices.IndexFunc(d.earlier, func(f followed) bool { return f.client == client }); i >= 0 {
--- a/sockets/endings_test.go
+++ b/sockets/endings_test.go
@@ -238,7 +238,7 @@
 	c.Close()
 	<-g.d.left // which takes nothing back
 	m.say(pgwire.Welcome(nil)...)
-	assert.Equal(t, port.Void, (<-g.d.ended).Ending)
+	assert.Equal(t, port.NotSent, (<-g.d.ended).Result)
 	g.settled(1) // the connection is kept for others
 	c = g.client()
 	c.say(read("4000")...)
@@ -437,7 +437,7 @@
 	n := g.memberUp()
 	n.hear("Q")
 	n.Write(long) // it may be cut off midway
-	assert.Equal(t, port.Errored, (<-g.d.ended).Ending)
+	assert.Equal(t, port.ServerError, (<-g.d.ended).Result)
 	assert.Contains(t, string(second.hear("EZ")), pgwire.RolledBack)
 	m.say(long[len(long)-20:]...)
 	first.hear("TDCZ")
--- a/sockets/sockets_test.go
+++ b/sockets/sockets_test.go
@@ -26,37 +26,38 @@
 type direct struct {
 	port.Host
 	begun chan port.Request
-	ended chan port.Outcome
-	left  chan port.Ref
-	out   []port.Ref
+	ended chan port.AttemptOutcome
+	left  chan port.RequestRef
+	out   []port.RequestRef
 }
 
-func (d *direct) Target(port.Ref) (time.Duration, bool)                  { return 0, false }
-func (d *direct) List(time.Duration, port.ListKind, int64, []port.Entry) {}
-func (d *direct) Begin(_ time.Duration, t port.Request) {
+func (d *direct) RequiredPosition(port.RequestRef) (time.Duration, bool)                  { return 0, false }
+func (d *direct) EndpointsChanged(time.Duration, port.UpdateKind, int64, []port.Endpoint) {}
+func (d *direct) RequestReceived(_ time.Duration, t port.Request) {
 	d.out = append(d.out, t.Ref)
 	d.begun <- t
 }
-func (d *direct) Ended(_ time.Duration, o port.Outcome) {
-	if !o.Closed {
+func (d *direct) AttemptFinished(_ time.Duration, o port.AttemptOutcome) {
+	if !o.RequestFinished {
 		d.Fail(o.Ref)
 	}
 	d.ended <- o
 }
-func (d *direct) Left(_ time.Duration, r port.Ref) { // as the module does: what left in the batch in which it came goes nowhere
-	d.out = slices.DeleteFunc(d.out, func(begun port.Ref) bool { return begun == r })
+func (d *direct) ClientGone(_ time.Duration, r port.RequestRef) { // as the module does: what left in the batch in which it came goes nowhere
+	d.out = slices.DeleteFunc(d.out, func(begun port.RequestRef) bool { return begun == r })
 	d.left <- r
 }
-func (d *direct) Redate(time.Duration, time.Duration) {}
-func (d *direct) Heard(time.Duration, int, []byte)    {}
-func (d *direct) Woken(time.Duration)                 {}
+func (d *direct) ClockCorrected(time.Duration, time.Duration) {}
+func (d *direct) GossipReceived(time.Duration, int, []byte)   {}
+func (d *direct) TimerFired(time.Duration)                    {}
 func (d *direct) Reconcile(time.Duration) {
 	for _, r := range d.out {
-		d.Submit(r, 0, 0)
+		d.StartAttempt(r, 0, 0)
 	}
 	d.out = d.out[:0]
 }
-func (d *direct) Probed(time.Duration, int, port.Ending, time.Duration, port.Load) {}
+func (d *direct) HealthCheckFinished(time.Duration, int, port.AttemptResult, time.Duration, port.LoadReport) {
+}
 
 type nobody struct{}
 
@@ -77,17 +78,17 @@
 }
 
 func newRig(t *testing.T, descriptors int) *rig {
-	g := &rig{t: t, d: &direct{begun: make(chan port.Request, 100), ended: make(chan port.Outcome, 100),
-		left: make(chan port.Ref, 100)}, room: NewConnLimiter(descriptors, 0), served: make(chan error, 1)}
+	g := &rig{t: t, d: &direct{begun: make(chan port.Request, 100), ended: make(chan port.AttemptOutcome, 100),
+		left: make(chan port.RequestRef, 100)}, room: NewConnLimiter(descriptors, 0), served: make(chan error, 1)}
 	g.listen, g.member = listen(t), listen(t)
 	clock := NewClock()
 	post := func(e front.Event) { g.core.Post(e) }
 	g.links = NewPools(post, g.room, "portal", "crm", 5*time.Second, time.Minute, 32<<20)
 	s := &site.Site{Types: []string{"read", "write"}, Zones: []string{"a"},
-		RequestTypes: []port.RequestType{{Deadline: time.Minute}, {Deadline: time.Minute, Level: port.Write}},
-		Allowance:    port.Allowance{Attempts: 9, DialTimeout: 5 * time.Second}}
+		RequestTypes: []port.RequestType{{Deadline: time.Minute}, {Deadline: time.Minute, Consistency: port.Write}},
+		Allowance:    port.Limits{MaxAttempts: 9, DialTimeout: 5 * time.Second}}
 	g.core = front.NewCore(clock.Born, 1, s, func(h port.Host, _ uint64, _ port.Topology, _ []port.RequestType,
-		_ []port.Customer, _ port.Replication, _ port.Guardrails, _ port.Allowance, _ port.Tariff) port.Decider {
+		_ []port.Customer, _ port.Replication, _ port.Guardrails, _ port.Limits, _ port.CostWeights) port.Router {
 		g.d.Host = h
 		return g.d
 	}, g.links, nobody{}, nil)
@@ -114,7 +115,7 @@
 }
 
 func (g *rig) list(address string, since int64) {
-	g.core.Post(front.Listed{Kind: port.Whole, List: discovery.List{Entries: []discovery.Entry{
+	g.core.Post(front.Listed{Kind: port.Snapshot, List: discovery.List{Entries: []discovery.Entry{
 		{Name: "s-1", Address: address, Zone: "a", Group: 2, Since: since}}}})
 }
 
@@ -214,7 +215,7 @@
 	assert.Equal(t, value, string(c.hear("D")[6:]))
 	c.hear("CZ")
 	o := <-g.d.ended
-	assert.True(t, o.Ending == port.Succeeded && o.Closed && o.Role == port.Replica)
+	assert.True(t, o.Result == port.Succeeded && o.RequestFinished && o.Role == port.Replica)
 	c.say(read("4000")...)
 	m.hear("Q") // over the same connection
 	m.say(whole("v")...)
@@ -268,7 +269,7 @@
 	m := g.memberUp()
 	m.hear("Q")
 	m.ends()
-	assert.Equal(t, port.TimedOut, (<-g.d.ended).Ending)
+	assert.Equal(t, port.TimedOut, (<-g.d.ended).Result)
 	assert.Contains(t, string(c.hear("EZ")), pgwire.RolledBack)
 	c.say(read("4000")...)
 	m = g.memberUp()
@@ -280,7 +281,7 @@
 func TestHowFarASubmissionHadCome(t *testing.T) {
 	for name, x := range map[string]struct {
 		act  func(g *rig)
-		want port.Ending
+		want port.AttemptResult
 	}{
 		"refused":                      {func(g *rig) { g.member.Close() }, port.Unreachable},
 		"closed before welcome":        {func(g *rig) { g.accept().Close() }, port.Unreachable},
@@ -296,24 +297,24 @@
 			m.say(pgwire.Welcome(nil)...)
 			m.Close()
 		}, port.Unreachable},
-		"turned away at welcome": {func(g *rig) { g.accept().say(pgwire.Error(nil, "FATAL", "53300", "full", "")...) }, port.Full},
-		"closed after the query": {func(g *rig) { m := g.memberUp(); m.hear("Q"); m.Close() }, port.Broken},
-		"closed within the row":  {func(g *rig) { m := g.memberUp(); m.hear("Q"); m.say(row("v")[:40]...); m.Close() }, port.Broken},
-		"two rows":               {func(g *rig) { m := g.memberUp(); m.hear("Q"); m.say(append(row("v"), whole("w")...)...) }, port.Errored},
+		"turned away at welcome": {func(g *rig) { g.accept().say(pgwire.Error(nil, "FATAL", "53300", "full", "")...) }, port.Overloaded},
+		"closed after the query": {func(g *rig) { m := g.memberUp(); m.hear("Q"); m.Close() }, port.ConnectionLost},
+		"closed within the row":  {func(g *rig) { m := g.memberUp(); m.hear("Q"); m.say(row("v")[:40]...); m.Close() }, port.ConnectionLost},
+		"two rows":               {func(g *rig) { m := g.memberUp(); m.hear("Q"); m.say(append(row("v"), whole("w")...)...) }, port.ServerError},
 		"a row's wrong length, the rest never sent": {func(g *rig) {
 			m := g.memberUp()
 			m.hear("Q")
 			m.say(row("v")[:len(row(""))-25]...)
 			m.say('D', 0, 0, 9, 0, 0, 1, 0, 0, 0, 1)
-		}, port.Errored},
-		"noise":     {func(g *rig) { m := g.memberUp(); m.hear("Q"); m.say([]byte("zzzz\x00")...) }, port.Errored},
-		"oversized": {func(g *rig) { m := g.memberUp(); m.hear("Q"); m.say('D', 127, 0, 0, 0) }, port.Errored},
+		}, port.ServerError},
+		"noise":     {func(g *rig) { m := g.memberUp(); m.hear("Q"); m.say([]byte("zzzz\x00")...) }, port.ServerError},
+		"oversized": {func(g *rig) { m := g.memberUp(); m.hear("Q"); m.say('D', 127, 0, 0, 0) }, port.ServerError},
 		"a fatal error": {func(g *rig) {
 			m := g.memberUp()
 			m.hear("Q")
 			m.say(pgwire.Error(nil, "FATAL", "72000", "behind", "")...)
 			m.Close()
-		}, port.Missed},
+		}, port.Misrouted},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 40)
@@ -325,7 +326,7 @@
 				c.say(read("4000")...)
 				x.act(g)
 			}
-			assert.Equal(t, x.want, (<-g.d.ended).Ending)
+			assert.Equal(t, x.want, (<-g.d.ended).Result)
 			assert.Contains(t, string(c.hear("EZ")), pgwire.RolledBack, "no part of a value reaches the client")
 		})
 	}
@@ -387,7 +388,7 @@
 	m.hear("Q")
 	m.say(whole("v")...)
 	c.hear("TDCZ")
-	assert.Equal(t, port.Succeeded, (<-g.d.ended).Ending)
+	assert.Equal(t, port.Succeeded, (<-g.d.ended).Result)
 }
 
 // The day of bad members: what came unasked answered the next attempt of the link, and so on, 416 times.
@@ -460,7 +461,7 @@
 	up.say(message('?', "")...)
 	m <- up
 	assert.ErrorIs(t, <-seen, io.EOF)
-	assert.Equal(t, port.Errored, (<-g.d.ended).Ending, "the member is there")
+	assert.Equal(t, port.ServerError, (<-g.d.ended).Result, "the member is there")
 }
 
 func TestConnectionsFromBeforeAMembersStartAreClosed(t *testing.T) {
