--- a/wire/reader.go
+++ b/wire/reader.go
@@ -46,7 +46,7 @@
 	Store, Db   int64
 	Zone, Model string
 	Primary     bool
-	State       port.State
+	State       port.ServerState
 	Weight      float64
 	Born        int64
 }
@@ -60,14 +60,14 @@
 	Rid                 []byte
 	Qos, Customer, User []byte
 	Group, Store        int64
-	Request             port.Request // spans and flags only
-	Outcome             port.Outcome // all but ids, position and load
-	Stamp               int64        // role is in Outcome; this is the position in milliseconds
-	Load                port.Load    // Position in X0, seconds
+	Request             port.Request        // spans and flags only
+	Outcome             port.AttemptOutcome // all but ids, position and load
+	Stamp               int64               // role is in Outcome; this is the position in milliseconds
+	Load                port.LoadReport     // Position in X0, seconds
 	X0                  float64
 	Page                int
 	Entries             []Entry
-	ListKind            port.ListKind
+	ListKind            port.UpdateKind
 	Epoch               int64
 	Token, Contents     []byte
 	Peer                int
@@ -124,24 +124,24 @@
 	case Targets:
 		e.ListKind = choice(r, "Kind", r.need("Kind"), listKinds)
 		e.Page = -1
-		if e.ListKind != port.Failed {
+		if e.ListKind != port.UpdateFailed {
 			e.Page, e.Epoch = int(r.integer("Page")), r.integer("Epoch")
 		}
 	case Order:
 		e.Rid, e.Qos, e.Customer, e.User = r.need("Rid"), r.need("Qos"), r.get("Customer"), r.get("User")
 		e.Group = r.integer("PartitionNo")
-		e.Request = port.Request{Budget: r.span("Budget"), Hint: time.Duration(r.optional("Hint")),
+		e.Request = port.Request{Timeout: r.span("Budget"), ExpectedWork: time.Duration(r.optional("Hint")),
 			Retry: r.flag("IsRetry"), Write: r.flag("Write")}
 		if v := r.get("TokenAgeMs"); v != nil {
 			e.Request.TokenAge = time.Duration(math.Ceil(r.number("TokenAgeMs", v) * float64(time.Millisecond)))
 		}
 	case Opened:
 		e.Rid, e.Store = r.need("Rid"), r.integer("Store")
-		e.Outcome = port.Outcome{Hop: int(r.integer("Hop")), Latency: r.span("Latency")}
+		e.Outcome = port.AttemptOutcome{AttemptNumber: int(r.integer("Hop")), Latency: r.span("Latency")}
 	case Resolved:
 		e.Rid, e.Store = r.need("Rid"), r.integer("Store")
-		e.Outcome = port.Outcome{Ending: choice(r, "Ending", r.need("Ending"), endings), Closed: r.flag("Closed"),
-			Hop: int(r.integer("Hop")), Latency: time.Duration(r.optional("Latency"))}
+		e.Outcome = port.AttemptOutcome{Result: choice(r, "Ending", r.need("Ending"), endings), RequestFinished: r.flag("Closed"),
+			AttemptNumber: int(r.integer("Hop")), Latency: time.Duration(r.optional("Latency"))}
 		stamp := r.optional("Stamp")
 		e.Stamp, e.Outcome.Role = stamp>>2, port.Role(stamp&3)
 		if e.Outcome.Role > port.Replica {
@@ -154,7 +154,7 @@
 		e.Token = r.need("Token")
 	case PingResult:
 		e.Store = r.integer("Store")
-		e.Outcome = port.Outcome{Ending: choice(r, "Ending", r.need("Ending"), endings),
+		e.Outcome = port.AttemptOutcome{Result: choice(r, "Ending", r.need("Ending"), endings),
 			Latency: time.Duration(r.optional("Latency"))}
 		r.load(e)
 	case NeighbourSays:
@@ -375,16 +375,16 @@
 	return err
 }
 
-var listKinds = map[string]port.ListKind{
-	"delta": port.Changes, "full": port.Whole, "cached": port.Cached, "failed": port.Failed,
+var listKinds = map[string]port.UpdateKind{
+	"delta": port.Delta, "full": port.Snapshot, "cached": port.CachedSnapshot, "failed": port.UpdateFailed,
 }
 
-var states = map[string]port.State{
+var states = map[string]port.ServerState{
 	"SERVING": port.Serving, "DRAINING": port.Draining, "DELETED": port.Removed,
 }
 
-var endings = map[string]port.Ending{
-	"success": port.Succeeded, "failure": port.Errored, "overloaded": port.Full, "timed_out": port.TimedOut,
-	"unreachable": port.Unreachable, "broken": port.Broken, "withdrawn": port.Cancelled, "void": port.Void,
-	"absent": port.Missed,
+var endings = map[string]port.AttemptResult{
+	"success": port.Succeeded, "failure": port.ServerError, "overloaded": port.Overloaded, "timed_out": port.TimedOut,
+	"unreachable": port.Unreachable, "broken": port.ConnectionLost, "withdrawn": port.Cancelled, "void": port.NotSent,
+	"absent": port.Misrouted,
 }
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -26,8 +26,8 @@
 	assert.Equal(t, int64(6371), e.Stamp)
 	assert.Equal(t, port.Replica, e.Outcome.Role)
 	assert.Equal(t, 18500*time.Microsecond, e.Outcome.Latency)
-	assert.True(t, e.Outcome.Closed)
-	assert.Equal(t, 7.0, e.Load.Held)
+	assert.True(t, e.Outcome.RequestFinished)
+	assert.Equal(t, 7.0, e.Load.InFlight)
 	assert.Equal(t, 6.204, e.X0)
 }
 
