--- a/adapter/adapter.go
+++ b/adapter/adapter.go
@@ -14,7 +14,7 @@
 )
 
 // Run answers the batches of in on out until in ends.
-func Run(in io.Reader, out io.Writer, make front.New) error {
+func Run(in io.Reader, out io.Writer, make front.RouterFactory) error {
 	a := &adapter{w: wire.NewWriter(out), make: make, fronts: map[int]*instance{}}
 	r := wire.NewReader(in)
 	var e wire.Event
@@ -53,7 +53,7 @@
 
 type adapter struct {
 	w      *wire.Writer
-	make   front.New
+	make   front.RouterFactory
 	clock  int64
 	batch  string
 	pages  [16][]wire.Entry
@@ -134,7 +134,7 @@
 	requestTypes                   []port.RequestType
 	stores, groups                 *front.Index[int64]
 	requests                       map[string]port.RequestRef
-	slab                           front.Slab[string]
+	slab                           front.RequestTable[string]
 	entries                        []port.Endpoint
 }
 
@@ -148,7 +148,7 @@
 func (f *instance) now() time.Duration { return time.Duration(f.a.clock - f.start) }
 
 func (f *instance) member(store int64) (int, error) {
-	m, ok := f.stores.Find(store)
+	m, ok := f.stores.Lookup(store)
 	if !ok {
 		return 0, fmt.Errorf("field Store: %d is on no list of this instance", store)
 	}
@@ -178,8 +178,8 @@
 		if err != nil {
 			return err
 		}
-		d := f.slab.Must(ref)
-		if e.Outcome.AttemptNumber < 0 || e.Outcome.AttemptNumber >= d.Hops {
+		d := f.slab.MustGet(ref)
+		if e.Outcome.AttemptNumber < 0 || e.Outcome.AttemptNumber >= d.Attempts {
 			return fmt.Errorf("field Hop: %d of %s was never submitted", e.Outcome.AttemptNumber, e.Rid)
 		}
 		o := e.Outcome
@@ -188,14 +188,14 @@
 		if e.Stamp != 0 {
 			o.Position, o.HasPosition = f.zero+time.Duration(e.Stamp)*time.Millisecond, true
 		}
-		d.Out--
-		d.Closed = d.Closed || o.RequestFinished
+		d.InFlight--
+		d.Finished = d.Finished || o.RequestFinished
 		f.decider.AttemptFinished(now, o)
 		f.release(ref)
 	case wire.Aborted:
 		ref, ok := f.requests[string(e.Rid)]
-		if d := f.slab.At(ref); ok && d != nil && !d.Closed {
-			d.Closed = true
+		if d := f.slab.Get(ref); ok && d != nil && !d.Finished {
+			d.Finished = true
 			f.decider.ClientGone(now, ref)
 			f.release(ref)
 		}
@@ -220,12 +220,12 @@
 			return fmt.Errorf("field Page: no catalog %d", e.Page)
 		}
 		for _, en := range f.a.pages[e.Page] {
-			zone, ok := f.zones.Find(en.Zone)
+			zone, ok := f.zones.Lookup(en.Zone)
 			if !ok {
 				return fmt.Errorf("field RegionPart: %q is none of Zones", en.Zone)
 			}
-			f.entries = append(f.entries, port.Endpoint{Server: f.stores.Number(en.Store), Zone: zone,
-				Kind: f.kinds.Number(en.Model), Group: f.groups.Number(en.Db),
+			f.entries = append(f.entries, port.Endpoint{Server: f.stores.Intern(en.Store), Zone: zone,
+				Kind: f.kinds.Intern(en.Model), Group: f.groups.Intern(en.Db),
 				State: en.State, Weight: en.Weight, Primary: en.Primary,
 				StartedAt: time.Duration(en.Born - f.start), HasStartTime: en.Born != 0})
 		}
@@ -237,25 +237,25 @@
 func (f *instance) order(now time.Duration, e *wire.Event) error {
 	t := e.Request
 	var ok bool
-	if t.Type, ok = f.types.Find(string(e.Qos)); !ok {
+	if t.Type, ok = f.types.Lookup(string(e.Qos)); !ok {
 		return fmt.Errorf("field Qos: %q is no class", e.Qos)
 	}
 	t.Customer = port.None
 	if len(e.Customer) > 0 && string(e.Customer) != "0" && f.customers.Len() > 0 {
-		if t.Customer, ok = f.customers.Find(string(e.Customer)); !ok {
+		if t.Customer, ok = f.customers.Lookup(string(e.Customer)); !ok {
 			return fmt.Errorf("field Customer: %q is no tenant", e.Customer)
 		}
 	}
 	if len(e.User) > 0 {
-		t.Session = front.Session(e.User)
+		t.Session = front.SessionHash(e.User)
 	}
-	t.Group = f.groups.Number(e.Group)
+	t.Group = f.groups.Intern(e.Group)
 	t.MaxStaleness, t.DedupWindow = f.requestTypes[t.Type].MaxStaleness, f.requestTypes[t.Type].DedupWindow
 	if _, held := f.requests[string(e.Rid)]; held {
 		return fmt.Errorf("field Rid: %s came twice", e.Rid)
 	}
 	rid := string(e.Rid)
-	t.Ref = f.slab.Open(rid)
+	t.Ref = f.slab.Add(rid)
 	f.requests[rid] = t.Ref
 	f.decider.RequestReceived(now, t)
 	return nil
@@ -263,8 +263,8 @@
 
 // release gives a place back once its request is answered and every attempt has ended.
 func (f *instance) release(r port.RequestRef) {
-	if d := f.slab.At(r); d != nil {
-		if rid := d.What; f.slab.Release(r) {
+	if d := f.slab.Get(r); d != nil {
+		if rid := d.Value; f.slab.Release(r) {
 			delete(f.requests, rid)
 		}
 	}
@@ -272,32 +272,32 @@
 
 // StartAttempt and the rest carry the module's wishes to the wire.
 func (f *instance) StartAttempt(r port.RequestRef, member int, giveUpAfter time.Duration) {
-	d := f.slab.Must(r)
-	d.Out++
-	d.Hops++
-	f.a.w.HandOff(f.id, d.What, f.stores.Key(member), int64(giveUpAfter))
+	d := f.slab.MustGet(r)
+	d.InFlight++
+	d.Attempts++
+	f.a.w.HandOff(f.id, d.Value, f.stores.Key(member), int64(giveUpAfter))
 }
 
 func (f *instance) CancelAttempt(r port.RequestRef, hop int) {
-	f.a.w.Cancel(f.id, f.slab.Must(r).What, hop)
+	f.a.w.Cancel(f.id, f.slab.MustGet(r).Value, hop)
 }
 
 func (f *instance) Reject(r port.RequestRef, comeBackIn time.Duration) {
-	d := f.slab.Must(r)
-	f.a.w.Reject(f.id, d.What, int64(comeBackIn))
-	d.Closed = true
+	d := f.slab.MustGet(r)
+	f.a.w.Reject(f.id, d.Value, int64(comeBackIn))
+	d.Finished = true
 	f.release(r)
 }
 
 func (f *instance) Fail(r port.RequestRef) {
-	d := f.slab.Must(r)
-	f.a.w.Lose(f.id, d.What)
-	d.Closed = true
+	d := f.slab.MustGet(r)
+	f.a.w.Lose(f.id, d.Value)
+	d.Finished = true
 	f.release(r)
 }
 
 func (f *instance) StartHealthCheck(member int)         { f.a.w.SoundOut(f.id, f.stores.Key(member)) }
-func (f *instance) ReleaseServer(member int)            { f.stores.Free(member) }
+func (f *instance) ReleaseServer(member int)            { f.stores.Release(member) }
 func (f *instance) WatchEndpoints(on bool)              { f.a.w.Track(f.id, on) }
 func (f *instance) FetchEndpoints()                     { f.a.w.QueryAll(f.id) }
 func (f *instance) SendGossip(peer int, message []byte) { f.a.w.WritePeer(f.id, peer, message) }
--- a/cmd/dapplerouter/auditcalls.go
+++ b/cmd/dapplerouter/auditcalls.go
@@ -66,12 +66,12 @@
 	return time.UnixMicro(micros).UTC().Format("2006-01-02T15:04:05.000Z")
 }
 
-func served(w [front.Words]uint32) string {
+func served(w [front.StatusCount]uint32) string {
 	total := uint32(0)
 	for _, n := range w {
 		total += n
 	}
-	return fmt.Sprintf("%d\t%d\t%d\t%d", total, w[front.Served], w[front.Rejected], w[front.Failed]+w[front.Senseless]+w[front.Abandoned])
+	return fmt.Sprintf("%d\t%d\t%d\t%d", total, w[front.StatusSucceeded], w[front.StatusRejected], w[front.StatusFailed]+w[front.StatusInvalid]+w[front.StatusAbandoned])
 }
 
 // uses prints times of use.
--- a/cmd/dapplerouter/file.go
+++ b/cmd/dapplerouter/file.go
@@ -94,7 +94,7 @@
 		return conf.Faults{{Place: o.place, What: fmt.Sprintf("a cache of %d bytes is more than a quarter of the %d told",
 			o.classing.Bytes, told.Memory), Remedy: "make the cache smaller"}}
 	}
-	return front.CheckClassing(o.classing, told.Site)
+	return front.ValidateClassification(o.classing, told.Site)
 }
 
 // operatorOf reads the file and checks it against what a front is told; where there is no file, nothing is on.
@@ -110,11 +110,11 @@
 }
 
 // classes makes what the classing form turns on, nil for nothing.
-func (o *operator) classes() *front.Classing {
+func (o *operator) classes() *front.Classifier {
 	if o.classing == nil {
 		return nil
 	}
-	return &front.Classing{Classing: o.classing.New(), Undeclared: o.classing.Undeclared}
+	return &front.Classifier{Classing: o.classing.New(), UndeclaredWriteEffect: o.classing.Undeclared}
 }
 
 // faultsOf takes an error apart.
--- a/cmd/dapplerouter/permute_test.go
+++ b/cmd/dapplerouter/permute_test.go
@@ -29,12 +29,12 @@
 	said []string
 }
 
-func (s *stage) Place(int, string, time.Duration) {}
-func (s *stage) Forget(int)                       {}
-func (s *stage) Watch(bool)                       {}
-func (s *stage) Fetch()                           {}
-func (s *stage) Answer(f front.Response) {
-	s.said = append(s.said, fmt.Sprintf("%v answer %v %q %v", s.now, f.Status, f.Code, f.Come))
+func (s *stage) SetAddress(int, string, time.Duration) {}
+func (s *stage) Remove(int)                            {}
+func (s *stage) Watch(bool)                            {}
+func (s *stage) Fetch()                                {}
+func (s *stage) Respond(f front.Response) {
+	s.said = append(s.said, fmt.Sprintf("%v answer %v %q %v", s.now, f.Status, f.Code, f.RetryAfter))
 }
 
 func (s *stage) Send(member int, sub *front.Attempt) {
@@ -43,7 +43,7 @@
 	}
 	s.said = append(s.said, fmt.Sprintf("%v to %d %q", s.now, member, sub.Message()))
 	sum := crc32.ChecksumIEEE(append([]byte{byte(member)}, sub.Message()...))
-	e := &front.Ended{S: sub, Answer: pgwire.Answer{Whole: true, Role: "replica", Applied: 1_000_000 + s.now.Milliseconds(), HasApplied: true}}
+	e := &front.AttemptFinished{Attempt: sub, Answer: pgwire.Answer{Whole: true, Role: "replica", Applied: 1_000_000 + s.now.Milliseconds(), HasApplied: true}}
 	if member == 0 {
 		e.Answer.Role = "primary"
 	}
@@ -55,7 +55,7 @@
 	case 2:
 		e.Answer = pgwire.Answer{Code: "XX000"}
 	case 3:
-		e.Failure = &front.Failure{Reach: front.Written, Err: os.ErrClosed}
+		e.Err = &front.ConnectionError{Stage: front.StageRead, Err: os.ErrClosed}
 	}
 	at := s.now + time.Duration(5+sum%40)*time.Millisecond
 	s.due[at] = append(s.due[at], e)
@@ -94,7 +94,7 @@
 	for i := range 3 {
 		members = append(members, discovery.Entry{Name: fmt.Sprint("s", i), Address: "x", Zone: "a", Weight: 1, Primary: i == 0})
 	}
-	s.core.Post(front.Listed{Kind: port.Snapshot, List: discovery.List{Index: 1, Whole: true, Entries: members}})
+	s.core.Post(front.EndpointsChanged{Kind: port.Snapshot, List: discovery.List{Index: 1, Whole: true, Entries: members}})
 	r := rand.New(rand.NewPCG(3, 4))
 	names, gone := []string{"browse", "mine", "book", "slots", "pay"}, 0
 	for n := 0; s.now < 4*time.Second; s.now += time.Millisecond {
@@ -109,11 +109,11 @@
 			}
 			st, err := pgwire.ParseStatement(fmt.Appendf(nil, sql, r.IntN(9), n, names[typ], string("abc"[r.IntN(3)]), 100+r.IntN(900)))
 			require.NoError(t, err)
-			a := front.NewArrival(s, st, s.now)
+			a := front.NewRequest(s, st, s.now)
 			s.core.Post(a)
 			if n++; r.IntN(20) == 0 {
 				gone++
-				s.core.Post(a.Leave())
+				s.core.Post(a.MarkClientGone())
 			}
 		}
 		s.core.Step(s.now)
--- a/cmd/dapplerouter/serve.go
+++ b/cmd/dapplerouter/serve.go
@@ -137,17 +137,17 @@
 	}
 	core = front.NewCore(clock.Born, told.Seed, told.Site, router.New, ways, directory, classing)
 	if fellows != nil {
-		core.Bind(fellows.Bound())
+		core.JoinFleet(fellows.Bound())
 	} else if operator.rules != nil {
-		post(front.Adopt{Rules: operator.rules})
+		post(front.AdoptConfig{Rules: operator.rules})
 	}
 	if across != nil {
-		core.Stand(link.Members(operator.gateway.Peer, operator.gateway.Groups, gateway.Joining))
+		core.SetStaticEndpoints(link.Members(operator.gateway.Peer, operator.gateway.Groups, gateway.Joining))
 	}
 	for _, why := range told.Passed {
 		slog.Warn("an entry of the known list is passed over", "why", why)
 	}
-	seen(front.Listed{Kind: port.CachedSnapshot, List: told.Known})
+	seen(front.EndpointsChanged{Kind: port.CachedSnapshot, List: told.Known})
 	longest := time.Duration(0)
 	for _, ty := range told.Site.RequestTypes {
 		longest = max(longest, ty.Deadline)
@@ -204,7 +204,7 @@
 		server.Close()
 		whole = server.Wait(2 * time.Second)
 	}
-	core.Post(front.Report{Extra: usage(room)})
+	core.Post(front.LogTotals{Extra: usage(room)})
 	slog.Info("drained", "all", whole, "refused", server.Refused())
 	return failed
 }
@@ -252,7 +252,7 @@
 
 // totals writes what passed and what is held to the log at intervals.
 func totals(ctx context.Context, core *front.Core, room *sockets.ConnLimiter) {
-	reports(ctx, func() { core.Post(front.Report{Extra: usage(room)}) })
+	reports(ctx, func() { core.Post(front.LogTotals{Extra: usage(room)}) })
 }
 
 // reports calls for a report at intervals, until ctx ends.
--- a/fleet/agent/agent.go
+++ b/fleet/agent/agent.go
@@ -49,7 +49,7 @@
 	ownRules    *site.Rules // of the operator's file
 	program     string
 	incarnation uint64
-	initial     front.Adopt
+	initial     front.AdoptConfig
 	rollout     *rolloutHost    // nil without its form
 	audit       *auditor        // nil without its form
 	auditLog    *audit.Recorder // nil without either form
@@ -189,7 +189,7 @@
 
 // makeParts makes the parts of the forms roll and audit.
 func (a *Agent) makeParts(forms Forms, o *fleet.Options) (err error) {
-	a.initial = front.Adopt{Rules: forms.Rules}
+	a.initial = front.AdoptConfig{Rules: forms.Rules}
 	if forms.Roll == nil && forms.Audit == nil {
 		return nil
 	}
@@ -281,7 +281,7 @@
 	}
 	if a.audit != nil { // what the core has counted, before it ends
 		closed := make(chan struct{})
-		a.Post(front.Closing{Done: func() { close(closed) }})
+		a.Post(front.CloseAudit{OnClosed: func() { close(closed) }})
 		select {
 		case <-closed:
 			a.writeAudit(&audit.Line{What: audit.Closed})
--- a/fleet/agent/auditor.go
+++ b/fleet/agent/auditor.go
@@ -238,13 +238,13 @@
 func (a *Agent) wallMicros(at time.Duration) int64 { return a.StartedAt.Add(at).UnixMicro() }
 
 // Bound is what the front's core needs of this agent: call it once, before the core runs. It is zero where no form needs it.
-func (a *Agent) Bound() (b front.Bound) {
+func (a *Agent) Bound() (b front.FleetOptions) {
 	if a.auditLog == nil {
 		return b
 	}
-	b.Audit = a.auditLog
+	b.Auditor = a.auditLog
 	if a.rollout != nil {
-		b.Clock, b.Stands = a.Clock, a.onStandby
+		b.Clock, b.OnStandby = a.Clock, a.onStandby
 	}
 	return b
 }
@@ -268,7 +268,7 @@
 			for {
 				select {
 				case <-t.C:
-					a.Post(front.Tick{})
+					a.Post(front.AuditTick{})
 				case <-a.ctx.Done():
 					return
 				}
--- a/fleet/agent/auditor_test.go
+++ b/fleet/agent/auditor_test.go
@@ -30,7 +30,7 @@
 		writers.Go(func() {
 			for n := range 100 {
 				if n%10 == 0 {
-					w.enqueue(queueEntry{span: &audit.Span{Number: 1, Ended: make([][front.Words]uint32, 1)}})
+					w.enqueue(queueEntry{span: &audit.Span{Number: 1, Ended: make([][front.StatusCount]uint32, 1)}})
 				}
 				a.writeAudit(&audit.Line{What: audit.Held, Lease: "list"})
 			}
--- a/fleet/agent/prober.go
+++ b/fleet/agent/prober.go
@@ -49,20 +49,20 @@
 		ownLeases: map[string]bool{}, leaseholders: map[string]string{}, isolated: true, pendingProbes: map[*front.Attempt]probedServer{}}
 }
 
-// Place implements front.Links.
-func (s *Prober) Place(server int, address string, age time.Duration) {
+// SetAddress implements front.Links.
+func (s *Prober) SetAddress(server int, address string, age time.Duration) {
 	s.mu.Lock()
 	for len(s.addresses) <= server {
 		s.addresses = append(s.addresses, "")
 	}
 	s.addresses[server] = address
 	s.mu.Unlock()
-	s.Pools.Place(server, address, age)
+	s.Pools.SetAddress(server, address, age)
 }
 
 // Send implements front.Links.
 func (s *Prober) Send(server int, sub *front.Attempt) {
-	if _, probe := sub.Way(); !probe {
+	if _, probe := sub.Forwarded(); !probe {
 		s.Pools.Send(server, sub)
 		return
 	}
@@ -104,14 +104,14 @@
 // Event sees what is posted to the core: the list, and how own probes end.
 func (s *Prober) Event(e front.Event) {
 	switch e := e.(type) {
-	case front.Listed:
+	case front.EndpointsChanged:
 		s.onList(e.List)
-	case *front.Ended:
-		if _, probe := e.S.Way(); probe {
-			l := fleet.ProbeResult{Healthy: e.Failure == nil && e.Answer.Code == "" && e.Answer.Whole, Code: e.Answer.Code}
-			l.ConnectionLost = e.Failure != nil && e.Failure.Reach == front.Written
+	case *front.AttemptFinished:
+		if _, probe := e.Attempt.Forwarded(); probe {
+			l := fleet.ProbeResult{Healthy: e.Err == nil && e.Answer.Code == "" && e.Answer.Whole, Code: e.Answer.Code}
+			l.ConnectionLost = e.Err != nil && e.Err.Stage == front.StageRead
 			s.Post(e)
-			s.publishResult(e.S, l)
+			s.publishResult(e.Attempt, l)
 			return
 		}
 	}
@@ -181,7 +181,7 @@
 	ask = ask && s.cache.AcceptRequest(s.Now(), server)
 	s.mu.Unlock()
 	if ask {
-		s.Post(front.Look{Member: server})
+		s.Post(front.HealthCheckRequested{Server: server})
 	}
 }
 
@@ -207,14 +207,14 @@
 }
 
 // endOf is a result as the end of a probe: without position, role or load, whatever the prober received.
-func endOf(sub *front.Attempt, l fleet.ProbeResult) *front.Ended {
+func endOf(sub *front.Attempt, l fleet.ProbeResult) *front.AttemptFinished {
 	switch {
 	case l.Healthy:
-		return &front.Ended{S: sub, Answer: pgwire.OneValue(nil)}
+		return &front.AttemptFinished{Attempt: sub, Answer: pgwire.OneValue(nil)}
 	case l.Code != "":
-		return &front.Ended{S: sub, Answer: pgwire.Answer{Code: l.Code}}
+		return &front.AttemptFinished{Attempt: sub, Answer: pgwire.Answer{Code: l.Code}}
 	case l.ConnectionLost:
-		return &front.Ended{S: sub, Failure: &front.Failure{Reach: front.Written, Err: errProbeResult}}
+		return &front.AttemptFinished{Attempt: sub, Err: &front.ConnectionError{Stage: front.StageRead, Err: errProbeResult}}
 	}
-	return &front.Ended{S: sub, Failure: &front.Failure{Reach: front.Unconnected, Err: errProbeResult}}
+	return &front.AttemptFinished{Attempt: sub, Err: &front.ConnectionError{Stage: front.StageDial, Err: errProbeResult}}
 }
--- a/fleet/agent/prober_test.go
+++ b/fleet/agent/prober_test.go
@@ -23,8 +23,8 @@
 		assert.Empty(t, e.Answer.Role)
 		assert.False(t, e.Answer.HasApplied)
 		assert.Empty(t, e.Answer.Value())
-		assert.Equal(t, l.Healthy, e.Failure == nil && e.Answer.Whole && e.Answer.Code == "")
-		assert.Equal(t, l.Code != "" || l.Healthy, e.Failure == nil)
+		assert.Equal(t, l.Healthy, e.Err == nil && e.Answer.Whole && e.Answer.Code == "")
+		assert.Equal(t, l.Code != "" || l.Healthy, e.Err == nil)
 	}
 }
 
@@ -33,8 +33,8 @@
 	s := NewProber(time.Second, time.Second)
 	s.DeclareLease, s.Post = func(d string) { wanted = append(wanted, d) }, func(front.Event) {}
 	entries := []discovery.Entry{{Name: "a", Address: "x:1", Group: 3}, {Name: "b", Address: "x:2", Group: 3}, {Name: "c", Address: "x:3", Group: 4}}
-	s.Event(front.Listed{Kind: port.Snapshot, List: discovery.List{Entries: entries}})
-	s.Event(front.Listed{Kind: port.Delta, List: discovery.List{Entries: entries[:1]}})
+	s.Event(front.EndpointsChanged{Kind: port.Snapshot, List: discovery.List{Entries: entries}})
+	s.Event(front.EndpointsChanged{Kind: port.Delta, List: discovery.List{Entries: entries[:1]}})
 	assert.Equal(t, []string{"scout/3", "scout/4"}, wanted)
 	s.OnFleetEvent(fleet.FleetReached{}, "n1")
 	s.OnFleetEvent(fleet.LeaseGranted{Lease: "scout/3", Leaseholder: "n2"}, "n1")
--- a/fleet/agent/rollout.go
+++ b/fleet/agent/rollout.go
@@ -82,14 +82,14 @@
 }
 
 // newRolloutHost makes the host; initial is the version that the front used last.
-func newRolloutHost(a *Agent, c *rollout.Config, configLease time.Duration) (h *rolloutHost, begins front.Adopt, err error) {
+func newRolloutHost(a *Agent, c *rollout.Config, configLease time.Duration) (h *rolloutHost, begins front.AdoptConfig, err error) {
 	h = &rolloutHost{agent: a, config: c, renewals: make(chan configLeaseRenewal, 1), kinds: crc32.ChecksumIEEE([]byte(strings.Join(a.site.Types, ",")))}
 	k, err := h.load()
 	if err != nil {
 		return nil, begins, err
 	}
 	h.current = storedVersion{Version: k.Version, Text: k.Text}
-	begins = front.Adopt{Version: k.Version, Rules: a.ownRules}
+	begins = front.AdoptConfig{Version: k.Version, Rules: a.ownRules}
 	if k.Version != 0 {
 		rules, err := site.ParseRules(h.path(), []byte(k.Text))
 		if err == nil {
@@ -160,9 +160,9 @@
 			})
 		case x := <-h.renewals:
 			if until, left := h.coreTime(x.until); left {
-				h.agent.Post(front.Renew{Version: x.version, Until: until})
+				h.agent.Post(front.RenewLease{Version: x.version, Expiry: until})
 			} else {
-				h.agent.Post(front.Lapse{Version: x.version})
+				h.agent.Post(front.ExpireLease{Version: x.version})
 			}
 		}
 	}
@@ -212,7 +212,7 @@
 	h.mu.Unlock()
 	until, _ := h.coreTime(adoption.Until)
 	adopted := make(chan struct{})
-	a.Post(front.Adopt{Version: adoption.Version, Rules: rules, Until: until, Done: func(at time.Duration) {
+	a.Post(front.AdoptConfig{Version: adoption.Version, Rules: rules, LeaseExpiry: until, OnAdopted: func(at time.Duration) {
 		a.writeAudit(&audit.Line{What: audit.Adopted, At: a.wallMicros(at), Version: adoption.Version, Meaning: rules.Meaning()})
 		go func() { // the core must not wait; the audit line comes before any span of the version
 			a.syncAudit()
@@ -228,7 +228,7 @@
 			case <-a.ctx.Done():
 			}
 		}()
-	}, Alone: func() { // acknowledged once no request goes on under another version
+	}, OnOlderFinished: func() { // acknowledged once no request goes on under another version
 		go func() {
 			<-adopted
 			a.mesh.Do(func(n *fleet.Node, now time.Duration) {
--- a/fleet/audit/ask.go
+++ b/fleet/audit/ask.go
@@ -9,16 +9,16 @@
 
 // Use is a time in which a front acted on a version, put together of its spans.
 type Use struct {
-	Front       string              `json:"front"`
-	Incarnation uint64              `json:"incarnation"`
-	Version     uint64              `json:"version"`
-	From        int64               `json:"from"` // Unix microseconds of the front's clock
-	Until       int64               `json:"until"`
-	Clock       int64               `json:"clock"` // by how much it may be wrong
-	Ended       [front.Words]uint32 `json:"ended"`
-	List        [2]int64            `json:"list"`
-	Lapses      int                 `json:"lapses,omitempty"`
-	Open        bool                `json:"open,omitempty"` // nothing says that it ended: the front runs, or died
+	Front       string                    `json:"front"`
+	Incarnation uint64                    `json:"incarnation"`
+	Version     uint64                    `json:"version"`
+	From        int64                     `json:"from"` // Unix microseconds of the front's clock
+	Until       int64                     `json:"until"`
+	Clock       int64                     `json:"clock"` // by how much it may be wrong
+	Ended       [front.StatusCount]uint32 `json:"ended"`
+	List        [2]int64                  `json:"list"`
+	Lapses      int                       `json:"lapses,omitempty"`
+	Open        bool                      `json:"open,omitempty"` // nothing says that it ended: the front runs, or died
 }
 
 // Uses are the times of all fronts, by front and time.
@@ -92,12 +92,12 @@
 
 // Sum is what was done on a version by all fronts.
 type Sum struct {
-	Version uint64              `json:"version"`
-	Meaning string              `json:"meaning"`
-	First   int64               `json:"first"` // its first adoption, and the end of its last use
-	Last    int64               `json:"last"`
-	Fronts  int                 `json:"fronts"`
-	Ended   [front.Words]uint32 `json:"ended"`
+	Version uint64                    `json:"version"`
+	Meaning string                    `json:"meaning"`
+	First   int64                     `json:"first"` // its first adoption, and the end of its last use
+	Last    int64                     `json:"last"`
+	Fronts  int                       `json:"fronts"`
+	Ended   [front.StatusCount]uint32 `json:"ended"`
 }
 
 // Versions sums uses up by version.
--- a/fleet/audit/audit_test.go
+++ b/fleet/audit/audit_test.go
@@ -54,7 +54,7 @@
 	chain.Segment()
 	put(&Line{What: Opened, Kinds: []string{"browse"}, Clock: 50_000}, nil)
 	for i := range spans {
-		s := Span{Number: uint32(i + 1), Ended: make([][front.Words]uint32, 1)}
+		s := Span{Number: uint32(i + 1), Ended: make([][front.StatusCount]uint32, 1)}
 		for k := range 4 {
 			s.IDs = append(s.IDs, Hash(fmt.Appendf(nil, "%s-%d-%d", name, i, k)))
 		}
@@ -90,7 +90,7 @@
 	require.Len(t, vs, 2)
 	assert.Equal(t, 2, vs[1].Fronts)
 	assert.Equal(t, "m1", vs[1].Meaning)
-	assert.EqualValues(t, 2*4*3, vs[0].Ended[front.Served]+vs[0].Ended[front.Rejected])
+	assert.EqualValues(t, 2*4*3, vs[0].Ended[front.StatusSucceeded]+vs[0].Ended[front.StatusRejected])
 }
 
 // Wrongs of twelve kinds and more, planted one at a time: each is named at its place.
@@ -260,23 +260,23 @@
 func TestATxnCountsInTheSpanInWhichItWasTaken(t *testing.T) {
 	var out []Span
 	b := NewRecorder(2, true, 0, func(s Span) { out = append(out, s) })
-	b.Listed(1*ms, 10)
-	b.Right(10*ms, 100*ms, false)
-	one := b.Taken(11*ms, []byte("a"), 0)
-	b.Adopted(20*ms, 2)
-	two := b.Taken(21*ms, []byte("b"), 1)
-	b.Ended(30*ms, two, 1, front.Rejected)
+	b.EndpointsChanged(1*ms, 10)
+	b.LeaseChanged(10*ms, 100*ms, false)
+	one := b.RequestAccepted(11*ms, []byte("a"), 0)
+	b.ConfigAdopted(20*ms, 2)
+	two := b.RequestAccepted(21*ms, []byte("b"), 1)
+	b.RequestFinished(30*ms, two, 1, front.StatusRejected)
 	assert.Len(t, out, 1, "the span of version 0 waits for its request")
 	assert.True(t, out[0].Standby)
-	b.Ended(40*ms, one, 0, front.Served)
+	b.RequestFinished(40*ms, one, 0, front.StatusSucceeded)
 	require.Len(t, out, 2)
 	assert.Equal(t, Span{Number: 2, From: 10 * ms, Until: 20 * ms, List: [2]int64{10, 10}, Right: 100 * ms,
-		Ended: [][front.Words]uint32{{1}, {}}, IDs: []uint64{Hash([]byte("a"))}, closed: true}, out[1])
-	b.Right(400*ms, 100*ms, true) // found late: it had ended at its right's end
+		Ended: [][front.StatusCount]uint32{{1}, {}}, IDs: []uint64{Hash([]byte("a"))}, closed: true}, out[1])
+	b.LeaseChanged(400*ms, 100*ms, true) // found late: it had ended at its right's end
 	require.Len(t, out, 3)
 	assert.Equal(t, 100*ms, out[2].Until)
 	assert.EqualValues(t, 2, out[2].Version)
-	assert.EqualValues(t, 1, out[2].Ended[1][front.Rejected])
+	assert.EqualValues(t, 1, out[2].Ended[1][front.StatusRejected])
 	b.Close(500 * ms)
 	require.Len(t, out, 4)
 	assert.True(t, out[3].Standby)
@@ -308,14 +308,14 @@
 // BenchmarkTxn tells what the audit costs a request in the core.
 func BenchmarkTxn(b *testing.B) {
 	book := NewRecorder(6, true, 0, func(Span) {})
-	book.Right(0, time.Hour, false)
+	book.LeaseChanged(0, time.Hour, false)
 	id := []byte("a-request-id-of-24-characters")
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() {
 		i++
-		s := book.Taken(time.Duration(i)*100*time.Microsecond, id, i%6)
-		book.Ended(time.Duration(i)*100*time.Microsecond, s, i%6, front.Served)
+		s := book.RequestAccepted(time.Duration(i)*100*time.Microsecond, id, i%6)
+		book.RequestFinished(time.Duration(i)*100*time.Microsecond, s, i%6, front.StatusSucceeded)
 	}
 }
 
--- a/fleet/audit/format_test.go
+++ b/fleet/audit/format_test.go
@@ -92,7 +92,7 @@
 	uses := Uses(all)
 	require.Len(t, uses, 2)
 	assert.Equal(t, Use{Front: "n1", Incarnation: 7, Version: 4, From: 1_700_000_000_002_000, Until: 1_700_000_000_018_000, Clock: 50_000,
-		Ended: [front.Words]uint32{1, 1, 1}, List: [2]int64{11, 11}, Lapses: 1}, uses[1])
+		Ended: [front.StatusCount]uint32{1, 1, 1}, List: [2]int64{11, 11}, Lapses: 1}, uses[1])
 	b := m.ids["n1.00000001"]
 	number, ids, ok := Head(b)
 	assert.True(t, ok)
--- a/fleet/audit/recorder.go
+++ b/fleet/audit/recorder.go
@@ -25,11 +25,11 @@
 	Number      uint32
 	From, Until time.Duration
 	Version     uint64
-	List        [2]int64              // the list's versions, first and last
-	Standby     bool                  // the front had no right to act, and took nothing
-	Right       time.Duration         // until when it might act, as of the span's end; 0 where it needs none
-	Ended       [][front.Words]uint32 // by request type
-	IDs         []uint64              // of the requests taken, as Hash gives them, in the order in which they came
+	List        [2]int64                    // the list's versions, first and last
+	Standby     bool                        // the front had no right to act, and took nothing
+	Right       time.Duration               // until when it might act, as of the span's end; 0 where it needs none
+	Ended       [][front.StatusCount]uint32 // by request type
+	IDs         []uint64                    // of the requests taken, as Hash gives them, in the order in which they came
 	open        int
 	closed      bool
 }
@@ -69,7 +69,7 @@
 
 // turn closes the span in hand and opens the next.
 func (b *Recorder) turn(at time.Duration) *Span {
-	next := &Span{From: at, Number: 1, Standby: b.first.Standby, Version: b.first.Version, Ended: make([][front.Words]uint32, b.types)}
+	next := &Span{From: at, Number: 1, Standby: b.first.Standby, Version: b.first.Version, Ended: make([][front.StatusCount]uint32, b.types)}
 	if n := len(b.spans); n > 0 {
 		old := b.spans[n-1]
 		old.Until, old.closed = at, true
@@ -95,8 +95,8 @@
 	}
 }
 
-// Taken notes a request that was taken, and gives its span.
-func (b *Recorder) Taken(at time.Duration, id []byte, _ int) uint32 {
+// RequestAccepted notes a request that was taken, and gives its span.
+func (b *Recorder) RequestAccepted(at time.Duration, id []byte, _ int) uint32 {
 	s := b.now(at)
 	if b.sink != nil {
 		if len(s.IDs) >= mostIDs || at-s.From > Longest {
@@ -108,11 +108,11 @@
 	return s.Number
 }
 
-// Ended notes a request's end.
-func (b *Recorder) Ended(_ time.Duration, span uint32, typ int, w front.Status) {
+// RequestFinished notes a request's end.
+func (b *Recorder) RequestFinished(_ time.Duration, span uint32, typ int, w front.Status) {
 	if typ < len(b.sums) {
 		b.sums[typ].ended.Add(1)
-		if w == front.Served {
+		if w == front.StatusSucceeded {
 			b.sums[typ].served.Add(1)
 		}
 	}
@@ -129,8 +129,8 @@
 	}
 }
 
-// Listed notes that the list has another version.
-func (b *Recorder) Listed(at time.Duration, index int64) {
+// EndpointsChanged notes that the list has another version.
+func (b *Recorder) EndpointsChanged(at time.Duration, index int64) {
 	s := b.now(at)
 	if s.List[1] == index {
 		return
@@ -145,8 +145,8 @@
 	b.turn(at).List = [2]int64{index, index}
 }
 
-// Adopted notes that other rules are in force.
-func (b *Recorder) Adopted(at time.Duration, version uint64) {
+// ConfigAdopted notes that other rules are in force.
+func (b *Recorder) ConfigAdopted(at time.Duration, version uint64) {
 	if s := b.now(at); s.Version != version {
 		b.turn(at).Version = version
 	}
@@ -156,8 +156,8 @@
 	}
 }
 
-// Right notes until when the front may act, or that it may no more: then it did until its right's end, whenever it finds out.
-func (b *Recorder) Right(at, until time.Duration, standby bool) {
+// LeaseChanged notes until when the front may act, or that it may no more: then it did until its right's end, whenever it finds out.
+func (b *Recorder) LeaseChanged(at, until time.Duration, standby bool) {
 	s := b.now(at)
 	switch {
 	case standby && !s.Standby:
--- a/fleet/audit/size_bench_test.go
+++ b/fleet/audit/size_bench_test.go
@@ -30,8 +30,8 @@
 				n := 0
 				for at := time.Duration(0); at < long; at += gap {
 					n++
-					span := book.Taken(at, fmt.Appendf(nil, "t%d", n), n%2)
-					book.Ended(at, span, n%2, front.Served)
+					span := book.RequestAccepted(at, fmt.Appendf(nil, "t%d", n), n%2)
+					book.RequestFinished(at, span, n%2, front.StatusSucceeded)
 					book.Tick(at)
 				}
 				book.Close(long)
--- a/fleet/disk/format_test.go
+++ b/fleet/disk/format_test.go
@@ -101,7 +101,7 @@
 	require.NoError(t, err)
 	s.Told = func(l *audit.Line) { l.Front, l.Incarnation, l.Index = "n1", 7, 12 }
 	s.Missed(2, "no room")
-	ids := &audit.Span{Number: 1, IDs: []uint64{audit.Hash([]byte("order-1")), audit.Hash([]byte("order-2"))}, Ended: make([][front.Words]uint32, 1)}
+	ids := &audit.Span{Number: 1, IDs: []uint64{audit.Hash([]byte("order-1")), audit.Hash([]byte("order-2"))}, Ended: make([][front.StatusCount]uint32, 1)}
 	index, hash := audit.Index(ids)
 	for _, l := range []*audit.Line{
 		{What: audit.Opened, Program: "0.3.0", Kinds: []string{"order", "news"}, Clock: 50_000, Version: 3, Meaning: "abc"},
--- a/fleet/disk/segments_test.go
+++ b/fleet/disk/segments_test.go
@@ -14,7 +14,7 @@
 )
 
 func span(i int) (*audit.Line, []byte) {
-	s := audit.Span{Number: uint32(i), Ended: make([][front.Words]uint32, 1)}
+	s := audit.Span{Number: uint32(i), Ended: make([][front.StatusCount]uint32, 1)}
 	for k := range 5 {
 		s.IDs = append(s.IDs, audit.Hash(fmt.Appendf(nil, "t%d-%d", i, k)))
 	}
--- a/front/admit.go
+++ b/front/admit.go
@@ -4,12 +4,12 @@
 
 // admit gives a request its place and tells the module. Its time runs from its last byte, so what it has
 // waited since is off its budget.
-func (c *Core) admit(a *Arrival, t port.Request) {
-	a.expiry = a.At + min(a.Statement.Wait, c.types[t.Type].Deadline) // nobody holds a place for longer than its type may
-	a.ref = c.slab.Open(a)
+func (c *Core) admit(a *Request, t port.Request) {
+	a.expiry = a.ReceivedAt + min(a.Statement.Wait, c.types[t.Type].Deadline) // nobody holds a place for longer than its type may
+	a.ref = c.slab.Add(a)
 	a.typ = t.Type
-	if c.bound.Audit != nil {
-		a.span = c.bound.Audit.Taken(c.now, a.Statement.ID, a.typ)
+	if c.bound.Auditor != nil {
+		a.span = c.bound.Auditor.RequestAccepted(c.now, a.Statement.ID, a.typ)
 	}
 	c.ids[string(a.Statement.ID)] = struct{}{}
 	c.unanswered++
--- a/front/classing.go
+++ b/front/classing.go
@@ -22,14 +22,14 @@
 	undeclaredWrites      int // under a type that reads
 }
 
-// Classing is what the operator's settings made.
-type Classing struct {
+// Classifier is what the operator's settings made.
+type Classifier struct {
 	*shape.Classing
-	Undeclared port.Idempotency // of a write whose request type reads
+	UndeclaredWriteEffect port.Idempotency // of a write whose request type reads
 }
 
-// CheckClassing finds what the settings say against a site's request types. The error is conf.Faults.
-func CheckClassing(s *shape.Settings, at *site.Site) error {
+// ValidateClassification finds what the settings say against a site's request types. The error is conf.Faults.
+func ValidateClassification(s *shape.Settings, at *site.Site) error {
 	var faults conf.Faults
 	for i, r := range s.Rules {
 		t := slices.Index(at.Types, r.Type)
@@ -69,13 +69,13 @@
 }
 
 // class gives an arrival that was classed its request type, or says why it has none.
-func (a *Arrival) class(c *Core, t *port.Request) (refusal string) {
+func (a *Request) class(c *Core, t *port.Request) (refusal string) {
 	s, k := &a.Statement, c.classes
 	k.found++
 	t.ExpectedWork = k.by.Estimate(s.Shape, &s.Facts)
 	if len(s.Type) > 0 {
 		var ok bool
-		if t.Type, ok = c.typeIDs.Find(string(s.Type)); !ok {
+		if t.Type, ok = c.typeIDs.Lookup(string(s.Type)); !ok {
 			return "c names no request type of this site"
 		}
 	} else {
@@ -103,8 +103,8 @@
 
 // learns tells what a statement took at a member.
 func (c *Core) learns(s *Attempt) {
-	if d := c.slab.At(s.ref); c.classes != nil && d != nil && d.What.Statement.Shape != nil {
-		st := &d.What.Statement
+	if d := c.slab.Get(s.ref); c.classes != nil && d != nil && d.Value.Statement.Shape != nil {
+		st := &d.Value.Statement
 		c.classes.by.Learn(st.Shape, &st.Facts, c.now-s.sent)
 	}
 }
--- a/front/core.go
+++ b/front/core.go
@@ -16,8 +16,8 @@
 	"dapplerouter/site"
 )
 
-// New makes the Decider of an instance.
-type New func(h port.Host, seed uint64, at port.Topology, types []port.RequestType, customers []port.Customer,
+// RouterFactory makes the Decider of an instance.
+type RouterFactory func(h port.Host, seed uint64, at port.Topology, types []port.RequestType, customers []port.Customer,
 	copies port.Replication, rules port.Guardrails, allowed port.Limits, costs port.CostWeights) port.Router
 
 // Event is something that came in; the types stand with the stages that take them.
@@ -27,13 +27,13 @@
 
 // Pools carries attempts to members. No call blocks.
 type Pools interface {
-	Place(member int, address string, age time.Duration) // since its last start
+	SetAddress(member int, address string, age time.Duration) // since its last start
 	Send(member int, s *Attempt)
-	Forget(member int)
+	Remove(member int)
 }
 
-// Directory is asked for the list where it answers only when asked. No call blocks.
-type Directory interface {
+// EndpointSource is asked for the list where it answers only when asked. No call blocks.
+type EndpointSource interface {
 	Watch(on bool)
 	Fetch()
 }
@@ -41,8 +41,8 @@
 // Clock is the time since the start, and an alarm that is set anew each time.
 type Clock interface {
 	Now() time.Duration
-	Set(at time.Duration)
-	Rings() <-chan time.Time
+	SetTimer(at time.Duration)
+	TimerC() <-chan time.Time
 }
 
 const (
@@ -54,7 +54,7 @@
 type Core struct {
 	decider port.Router
 	pools   Pools
-	ask     Directory
+	ask     EndpointSource
 	events  chan Event
 	now     time.Duration // of the batch in hand
 	timeline
@@ -71,7 +71,7 @@
 	kinds      *Index[string]
 	members    *Index[string]
 	groups     *Index[int64]
-	slab       Slab[*Arrival]
+	slab       RequestTable[*Request]
 	ids        map[string]struct{} // of the requests in hand
 	alarms     alarms
 	later      []Event // came of the batch in hand; they open the next one
@@ -80,7 +80,7 @@
 	turns      map[int]uint32    // by member: how often its place was given back
 	standing   []discovery.Entry // members that no list tells of
 	classes    *classes          // nil where statements are not classed
-	bound      Bound
+	bound      FleetOptions
 	terms      *terms   // in force
 	past       []*terms // of which requests are in hand still
 	unanswered int      // requests in hand without their final answer
@@ -94,7 +94,7 @@
 
 // NewCore makes a Core; born is the moment from which its clock counts. Where classing is nil, statements are served in
 // the one form that the users' protocol has.
-func NewCore(born time.Time, seed uint64, s *site.Site, decide New, links Pools, ask Directory, classing *Classing) *Core {
+func NewCore(born time.Time, seed uint64, s *site.Site, decide RouterFactory, links Pools, ask EndpointSource, classing *Classifier) *Core {
 	c := &Core{pools: links, ask: ask, events: make(chan Event, queued), timeline: timeline{zero: born.Round(0)}, types: s.RequestTypes,
 		most: s.Allowance.MaxAttempts, patience: s.Allowance.DialTimeout,
 		typeIDs: NewIndex(s.Types...), customers: NewIndex(s.Customers...), zones: NewIndex(s.Zones...),
@@ -102,9 +102,9 @@
 	if classing != nil {
 		c.classes = &classes{by: classing.Classing}
 		for _, r := range classing.Rules() {
-			c.classes.types = append(c.classes.types, c.typeIDs.Number(r.Type)) // checked before: CheckClassing
+			c.classes.types = append(c.classes.types, c.typeIDs.Intern(r.Type)) // checked before: CheckClassing
 		}
-		c.types = c.classes.withUndeclared(c.types, classing.Undeclared)
+		c.types = c.classes.withUndeclared(c.types, classing.UndeclaredWriteEffect)
 	}
 	c.comeBack = s.Allowance.MaxRetryAfter
 	c.terms = &terms{types: c.types}
@@ -112,11 +112,11 @@
 	return c
 }
 
-// FarAddress begins the address of a member that stands for another site's part of a group.
-const FarAddress = "site:"
+// RemoteSitePrefix begins the address of a member that stands for another site's part of a group.
+const RemoteSitePrefix = "site:"
 
-// Stand adds members that every whole list has beside its own. It is called before Run.
-func (c *Core) Stand(entries []discovery.Entry) { c.standing = entries }
+// SetStaticEndpoints adds members that every whole list has beside its own. It is called before Run.
+func (c *Core) SetStaticEndpoints(entries []discovery.Entry) { c.standing = entries }
 
 // Post brings an event; it blocks while too many wait.
 func (c *Core) Post(e Event) { c.events <- e }
@@ -133,12 +133,12 @@
 	c.clock = clock.Now
 	for {
 		if at, ok := c.next(); ok {
-			clock.Set(at)
+			clock.SetTimer(at)
 		}
 		select {
 		case e := <-c.events:
 			c.later = append(c.later, e)
-		case <-clock.Rings():
+		case <-clock.TimerC():
 		case <-stop:
 			return
 		}
@@ -215,13 +215,13 @@
 	return x
 }
 
-// Listed brings what the list says; Failed and Cached lists too.
-type Listed struct {
+// EndpointsChanged brings what the list says; Failed and Cached lists too.
+type EndpointsChanged struct {
 	Kind port.UpdateKind
 	List discovery.List
 }
 
-func (l Listed) take(c *Core, now time.Duration) {
+func (l EndpointsChanged) take(c *Core, now time.Duration) {
 	c.entries = c.entries[:0]
 	all := l.List.Entries
 	if l.Kind == port.Snapshot || l.Kind == port.CachedSnapshot {
@@ -234,13 +234,13 @@
 		c.moved(c.timeline.past(e.Since, now))
 	}
 	for _, e := range all {
-		zone, ok := c.zones.Find(e.Zone)
+		zone, ok := c.zones.Lookup(e.Zone)
 		if !ok {
 			slog.Warn("an entry is passed over: its zone is none of the site's", "member", e.Name, "zone", e.Zone)
 			continue
 		}
-		m := c.members.Number(e.Name)
-		if strings.HasPrefix(e.Address, FarAddress) {
+		m := c.members.Intern(e.Name)
+		if strings.HasPrefix(e.Address, RemoteSitePrefix) {
 			c.far[m] = true
 		} else {
 			delete(c.far, m) // the place may have been another's
@@ -249,8 +249,8 @@
 			c.place(m, place{e.Address, e.Since})
 		}
 		c.serves(m, e.State == port.Serving)
-		c.entries = append(c.entries, port.Endpoint{Server: m, Zone: zone, Kind: c.kinds.Number(e.Kind),
-			Group: c.groups.Number(e.Group), State: e.State, Weight: e.Weight, Primary: e.Primary,
+		c.entries = append(c.entries, port.Endpoint{Server: m, Zone: zone, Kind: c.kinds.Intern(e.Kind),
+			Group: c.groups.Intern(e.Group), State: e.State, Weight: e.Weight, Primary: e.Primary,
 			StartedAt: c.since(e.Since), HasStartTime: e.Since != 0})
 		if l.Kind == port.Delta {
 			for i := range c.standing { // as the next whole list will have it
@@ -265,8 +265,8 @@
 	if l.Kind == port.Snapshot {
 		slog.Info("listed whole", "members", len(c.entries), "index", l.List.Index)
 	}
-	if c.bound.Audit != nil && l.Kind != port.UpdateFailed {
-		c.bound.Audit.Listed(now, l.List.Index)
+	if c.bound.Auditor != nil && l.Kind != port.UpdateFailed {
+		c.bound.Auditor.EndpointsChanged(now, l.List.Index)
 	}
 	c.decider.EndpointsChanged(now, l.Kind, l.List.Index, c.entries)
 	if l.Kind != port.UpdateFailed {
--- a/front/core_bench_test.go
+++ b/front/core_bench_test.go
@@ -18,9 +18,9 @@
 			c, m, w := newFront(b)
 			now := time.Duration(0)
 			if fleet {
-				c.Bind(Bound{Clock: func() time.Duration { return now }, Audit: &ledger{}})
+				c.JoinFleet(FleetOptions{Clock: func() time.Duration { return now }, Auditor: &ledger{}})
 				c.clock = func() time.Duration { return now }
-				c.Post(Renew{Until: 1 << 60})
+				c.Post(RenewLease{Expiry: 1 << 60})
 				c.batch(0)
 			}
 			statement, err := pgwire.ParseStatement([]byte(browse + "\x00"))
@@ -31,15 +31,15 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				now += ms
-				c.Post(NewArrival(w, statement, now))
+				c.Post(NewRequest(w, statement, now))
 				m.wish = submit
 				c.batch(now)
 				s := w.sent[0]
 				s.Begin(cut)
 				s.Message()
-				c.Post(&Ended{S: s, Answer: answer})
+				c.Post(&AttemptFinished{Attempt: s, Answer: answer})
 				c.batch(now)
-				if len(w.final) != 1 || w.final[0].Status != Served || m.ended[0].Result != port.Succeeded {
+				if len(w.final) != 1 || w.final[0].Status != StatusSucceeded || m.ended[0].Result != port.Succeeded {
 					b.Fatal(w.final)
 				}
 				m.begun, m.ended, w.sent, w.final = m.begun[:0], m.ended[:0], w.sent[:0], w.final[:0]
--- a/front/drains.go
+++ b/front/drains.go
@@ -26,6 +26,6 @@
 
 // unsent are the attempts of which nothing has gone out.
 func (c *Core) unsent() (all []*Attempt) {
-	c.slab.Each(func(_ port.RequestRef, slot *Slot[*Arrival]) { all = append(all, slot.What.out...) })
+	c.slab.Each(func(_ port.RequestRef, slot *RequestEntry[*Request]) { all = append(all, slot.Value.out...) })
 	return slices.DeleteFunc(all, func(s *Attempt) bool { return s.done || s.stage.Load() != waiting })
 }
--- a/front/endings_test.go
+++ b/front/endings_test.go
@@ -24,7 +24,7 @@
 	m.wish = func(m *module) { m.StartAttempt(m.begun[0].Ref, 0, 0) }
 	c.batch(10 * ms)
 	w.begin(t, 0)
-	c.Post(&Ended{S: w.sent[0], Failure: &Failure{Reach: Written}})
+	c.Post(&AttemptFinished{Attempt: w.sent[0], Err: &ConnectionError{Stage: StageRead}})
 	m.wish = func(m *module) { m.StartAttempt(m.begun[0].Ref, 0, 0) }
 	c.batch(290 * ms)
 	require.Len(t, w.sent, 2)
@@ -56,13 +56,13 @@
 func TestWhatNeverBeganGoesNowhereOnceItsClientHasLeft(t *testing.T) {
 	c, m, w := newFront(t)
 	a := out(t, c, m, w)
-	gone := a.Leave()
+	gone := a.MarkClientGone()
 	assert.False(t, w.sent[0].Begin(func() {}), "before the core has heard of it")
 	c.Post(gone)
 	c.batch(20 * ms)
 	assert.Equal(t, port.NotSent, m.ended[0].Result)
 	assert.True(t, m.ended[0].RequestFinished)
-	assert.Zero(t, c.slab.Held())
+	assert.Zero(t, c.slab.Len())
 	assert.Empty(t, w.final)
 }
 
@@ -71,16 +71,16 @@
 	c, m, w := newFront(t)
 	a := out(t, c, m, w)
 	w.begin(t, 0)
-	c.Post(&Ended{S: w.sent[0], Failure: &Failure{Written, errors.New("reset")}})
+	c.Post(&AttemptFinished{Attempt: w.sent[0], Err: &ConnectionError{StageRead, errors.New("reset")}})
 	m.wish = func(m *module) { m.StartAttempt(m.begun[0].Ref, 0, 0) }
 	c.batch(20 * ms)
 	require.Len(t, w.sent, 2)
-	gone := a.Leave()
+	gone := a.MarkClientGone()
 	assert.False(t, w.sent[1].Begin(func() {}), "before the core has heard of it")
 	c.Post(gone)
 	c.batch(30 * ms)
 	assert.Equal(t, []port.AttemptResult{port.ConnectionLost, port.NotSent}, []port.AttemptResult{m.ended[0].Result, m.ended[1].Result})
-	assert.Zero(t, c.slab.Held())
+	assert.Zero(t, c.slab.Len())
 	assert.Empty(t, w.final)
 }
 
@@ -101,12 +101,12 @@
 	for _, f := range w.final {
 		words = append(words, f.Status)
 	}
-	assert.Equal(t, []Status{Rejected, Failed, Rejected, Rejected}, words,
+	assert.Equal(t, []Status{StatusRejected, StatusFailed, StatusRejected, StatusRejected}, words,
 		"a read; a write that may have run; one that cannot have; one that came behind")
 	assert.Equal(t, 2, w.cuts)
 	assert.Len(t, m.begun, 3)
-	assert.Zero(t, c.slab.Held())
-	c.Post(&Ended{S: w.sent[1], Answer: pgwire.Answer{Whole: true}})
+	assert.Zero(t, c.slab.Len())
+	c.Post(&AttemptFinished{Attempt: w.sent[1], Answer: pgwire.Answer{Whole: true}})
 	c.batch(30 * ms)
 	assert.Len(t, w.final, 4, "and only once")
 }
@@ -114,14 +114,14 @@
 // absent is a client that has left, which nobody has noticed.
 type absent struct{ wires }
 
-func (a absent) Presence() Presence { return a }
-func (absent) Departed() bool       { return true }
+func (a absent) Connection() ClientConnection { return a }
+func (absent) Disconnected() bool             { return true }
 
 func TestNothingBeginsForAClientThatHasLeftUnnoticed(t *testing.T) {
 	c, m, w := newFront(t)
 	s, err := pgwire.ParseStatement([]byte(browse + "\x00"))
 	require.NoError(t, err)
-	c.Post(NewArrival(&absent{}, s, c.now))
+	c.Post(NewRequest(&absent{}, s, c.now))
 	m.wish = func(m *module) { m.StartAttempt(m.begun[0].Ref, 0, 0) }
 	c.batch(10 * ms)
 	require.Len(t, w.sent, 1)
--- a/front/far_test.go
+++ b/front/far_test.go
@@ -15,8 +15,8 @@
 func far(t *testing.T, most int) (*Core, *module, *wires) {
 	c, m, w := newFront(t)
 	c.most = most
-	c.Post(Listed{Kind: port.Delta, List: discovery.List{Entries: []discovery.Entry{
-		{Name: "s-1", Address: FarAddress + "b/9", Zone: "a", Group: 9}}}})
+	c.Post(EndpointsChanged{Kind: port.Delta, List: discovery.List{Entries: []discovery.Entry{
+		{Name: "s-1", Address: RemoteSitePrefix + "b/9", Zone: "a", Group: 9}}}})
 	c.batch(ms)
 	return c, m, w
 }
@@ -36,10 +36,10 @@
 				break
 			}
 			s := w.sent[len(w.sent)-1]
-			way, probe := s.Way()
+			way, probe := s.Forwarded()
 			assert.False(t, probe)
-			grants = append(grants, way.Grant)
-			c.Post(&Ended{S: s, Failure: &Failure{Reach: Unwritten, Err: assert.AnError}})
+			grants = append(grants, way.MaxAttempts)
+			c.Post(&AttemptFinished{Attempt: s, Err: &ConnectionError{Stage: StageWrite, Err: assert.AnError}})
 			c.batch(10 * ms)
 		}
 		assert.Equal(t, want, grants)
@@ -49,13 +49,13 @@
 func TestARunForAnotherSiteStaysWithinItsGrant(t *testing.T) {
 	c, m, w := newFront(t)
 	a := arrive(t, c, w, browse)
-	a.Most = 2
+	a.MaxAttempts = 2
 	for range 4 {
 		m.wish = func(m *module) { m.StartAttempt(m.begun[0].Ref, 0, 0) }
 		c.batch(10 * ms)
 		c.batch(10 * ms)
 		if n := len(w.sent); n > 0 {
-			c.Post(&Ended{S: w.sent[n-1], Failure: &Failure{Reach: Unwritten, Err: assert.AnError}})
+			c.Post(&AttemptFinished{Attempt: w.sent[n-1], Err: &ConnectionError{Stage: StageWrite, Err: assert.AnError}})
 		}
 		c.batch(10 * ms)
 	}
@@ -80,8 +80,8 @@
 		c.types[0].Consistency, c.types[0].MaxStaleness = port.BoundedStaleness, 300*ms
 		out(t, c, m, w)
 		w.begin(t, 0)
-		c.Post(&Ended{S: w.sent[0], Answer: pgwire.Answer{Whole: true, Rows: []byte("r")}, Crossed: true,
-			Age: story.age, Aged: story.aged})
+		c.Post(&AttemptFinished{Attempt: w.sent[0], Answer: pgwire.Answer{Whole: true, Rows: []byte("r")}, Remote: true,
+			DataAge: story.age, DataAgeKnown: story.aged})
 		c.batch(20 * ms)
 		assert.Len(t, w.final, story.final)
 		if story.final == 0 {
--- a/front/front_test.go
+++ b/front/front_test.go
@@ -61,13 +61,13 @@
 	final  []Response
 }
 
-func (w *wires) Place(int, string, time.Duration) {}
-func (w *wires) Send(_ int, s *Attempt)           { w.sent = append(w.sent, s) }
-func (w *wires) Forget(i int)                     { w.forgot = append(w.forgot, i) }
-func (w *wires) Answer(f Response)                { w.final = append(w.final, f) }
-func (w *wires) Watch(bool)                       {}
-func (w *wires) Fetch()                           {}
-func (w *wires) begin(t *testing.T, i int)        { require.True(t, w.sent[i].Begin(func() { w.cuts++ })) }
+func (w *wires) SetAddress(int, string, time.Duration) {}
+func (w *wires) Send(_ int, s *Attempt)                { w.sent = append(w.sent, s) }
+func (w *wires) Remove(i int)                          { w.forgot = append(w.forgot, i) }
+func (w *wires) Respond(f Response)                    { w.final = append(w.final, f) }
+func (w *wires) Watch(bool)                            {}
+func (w *wires) Fetch()                                {}
+func (w *wires) begin(t *testing.T, i int)             { require.True(t, w.sent[i].Begin(func() { w.cuts++ })) }
 
 var born = time.UnixMilli(1_000_000)
 
@@ -82,17 +82,17 @@
 		return m
 	}, w, w, nil)
 	c.confirmed = true // as by a primary's answer; timeline_test.go has what comes before
-	c.Post(Listed{Kind: port.CachedSnapshot, List: discovery.List{Entries: []discovery.Entry{
+	c.Post(EndpointsChanged{Kind: port.CachedSnapshot, List: discovery.List{Entries: []discovery.Entry{
 		{Name: "s-1", Address: "x", Zone: "a", Group: 9, Since: 999_500},
 		{Name: "s-2", Address: "x", Zone: "nowhere", Group: 9}}}})
 	c.batch(0)
 	return c, m, w
 }
 
-func arrive(t *testing.T, c *Core, w *wires, text string) *Arrival {
+func arrive(t *testing.T, c *Core, w *wires, text string) *Request {
 	s, err := pgwire.ParseStatement([]byte(text + "\x00"))
 	require.NoError(t, err)
-	a := NewArrival(w, s, c.now)
+	a := NewRequest(w, s, c.now)
 	c.Post(a)
 	return a
 }
@@ -100,7 +100,7 @@
 const browse = "SELECT data FROM facts WHERE code = 'k' /* id=1,c=browse,t=acme,d=100,cluster=9 */"
 
 // out brings a request to where its first attempt is out.
-func out(t *testing.T, c *Core, m *module, w *wires) *Arrival {
+func out(t *testing.T, c *Core, m *module, w *wires) *Request {
 	a := arrive(t, c, w, browse)
 	m.wish = func(m *module) { m.StartAttempt(m.begun[0].Ref, 0, 0) }
 	c.batch(10 * ms)
@@ -120,21 +120,21 @@
 	assert.NotZero(t, m.begun[0].Session)
 	assert.Contains(t, string(w.sent[0].Message()), "d=90,")
 	w.begin(t, 0)
-	c.Post(&Ended{S: w.sent[0], Answer: row()})
+	c.Post(&AttemptFinished{Attempt: w.sent[0], Answer: row()})
 	c.batch(30 * ms)
-	assert.Equal(t, []Response{{Status: Served, Rows: []byte("rows"), Place: 1_000_030, Age: 20 * ms, Aged: true}}, w.final)
+	assert.Equal(t, []Response{{Status: StatusSucceeded, Rows: []byte("rows"), Position: 1_000_030, DataAge: 20 * ms, DataAgeKnown: true}}, w.final)
 	o := m.ended[0]
 	assert.Equal(t, port.Succeeded, o.Result)
 	assert.True(t, o.RequestFinished && o.HasPosition && o.Role == port.Replica)
 	assert.Equal(t, 30*ms, o.Position, "Unix milliseconds become a span since the start")
 	assert.Equal(t, 20*ms, o.Latency)
-	assert.Zero(t, c.slab.Held())
+	assert.Zero(t, c.slab.Len())
 }
 
 func TestTheLineBetweenNeverRanAndMayHaveRun(t *testing.T) {
 	for _, x := range []struct {
 		answer  pgwire.Answer
-		failure *Failure
+		failure *ConnectionError
 		want    port.AttemptResult
 	}{
 		{row(), nil, port.Succeeded},
@@ -143,14 +143,14 @@
 		{pgwire.Answer{Code: "53300"}, nil, port.Overloaded},
 		{pgwire.Answer{Code: "XX000"}, nil, port.ServerError},
 		{pgwire.Answer{}, nil, port.ServerError},
-		{row(), &Failure{Unconnected, errors.New("refused")}, port.Unreachable},
-		{row(), &Failure{Unwritten, errors.New("reset")}, port.Unreachable},
-		{row(), &Failure{Written, errors.New("reset")}, port.ConnectionLost},
+		{row(), &ConnectionError{StageDial, errors.New("refused")}, port.Unreachable},
+		{row(), &ConnectionError{StageWrite, errors.New("reset")}, port.Unreachable},
+		{row(), &ConnectionError{StageRead, errors.New("reset")}, port.ConnectionLost},
 	} {
 		c, m, w := newFront(t)
 		out(t, c, m, w)
 		w.begin(t, 0)
-		c.Post(&Ended{S: w.sent[0], Answer: x.answer, Failure: x.failure})
+		c.Post(&AttemptFinished{Attempt: w.sent[0], Answer: x.answer, Err: x.failure})
 		c.batch(20 * ms)
 		assert.Equal(t, x.want, m.ended[0].Result)
 		assert.Equal(t, x.want == port.Succeeded, len(w.final) == 1)
@@ -168,8 +168,8 @@
 	assert.Equal(t, 1, w.cuts)
 	assert.Equal(t, port.TimedOut, m.ended[0].Result)
 	assert.False(t, m.ended[0].RequestFinished, "the module still owes the answer")
-	assert.Equal(t, []Response{{Status: Failed}}, w.final)
-	c.Post(&Ended{S: w.sent[0], Answer: row()})
+	assert.Equal(t, []Response{{Status: StatusFailed}}, w.final)
+	c.Post(&AttemptFinished{Attempt: w.sent[0], Answer: row()})
 	c.batch(101 * ms)
 	assert.Len(t, m.ended, 1, "an answer that crosses the cut is nobody's")
 	assert.Len(t, w.final, 1)
@@ -201,14 +201,14 @@
 	c, m, w := newFront(t)
 	a := out(t, c, m, w)
 	w.begin(t, 0)
-	c.Post(Gone{a})
+	c.Post(ClientGone{a})
 	m.wish = func(m *module) { m.CancelAttempt(m.begun[0].Ref, 0) }
 	c.batch(20 * ms)
 	assert.Equal(t, []port.RequestRef{m.begun[0].Ref}, m.left)
 	c.batch(20 * ms)
 	assert.True(t, m.ended[0].RequestFinished)
 	assert.Empty(t, w.final)
-	assert.Zero(t, c.slab.Held())
+	assert.Zero(t, c.slab.Len())
 }
 
 func TestAPlaceIsNotReusedWhileSomethingIsOut(t *testing.T) {
@@ -217,11 +217,11 @@
 	w.begin(t, 0)
 	m.wish = func(m *module) { m.Reject(m.begun[0].Ref, 40*ms) }
 	c.batch(20 * ms)
-	assert.Equal(t, []Response{{Status: Rejected, Come: 40 * ms}}, w.final)
+	assert.Equal(t, []Response{{Status: StatusRejected, RetryAfter: 40 * ms}}, w.final)
 	arrive(t, c, w, strings.Replace(browse, "id=1", "id=2", 1))
 	c.batch(30 * ms)
 	assert.NotEqual(t, m.begun[0].Ref.Slot, m.begun[1].Ref.Slot)
-	c.Post(&Ended{S: w.sent[0], Answer: row()})
+	c.Post(&AttemptFinished{Attempt: w.sent[0], Answer: row()})
 	arrive(t, c, w, browse)
 	c.batch(40 * ms)
 	assert.Equal(t, m.begun[0].Ref.Slot, m.begun[2].Ref.Slot)
@@ -237,9 +237,9 @@
 	} {
 		c, m, w := newFront(t)
 		a := arrive(t, c, w, text)
-		c.Post(Gone{a})
+		c.Post(ClientGone{a})
 		c.batch(ms)
-		assert.Equal(t, Senseless, w.final[0].Status, text)
+		assert.Equal(t, StatusInvalid, w.final[0].Status, text)
 		assert.Empty(t, m.begun)
 		assert.Empty(t, m.left)
 	}
@@ -258,7 +258,7 @@
 		_, err := a.Take(part.typ, []byte(part.body))
 		require.NoError(t, err)
 	}
-	c.Post(&Ended{S: w.sent[0], Answer: a})
+	c.Post(&AttemptFinished{Attempt: w.sent[0], Answer: a})
 	m.wish = func(m *module) { m.StartHealthCheck(0) }
 	c.batch(2 * ms)
 	assert.Equal(t, port.LoadReport{InFlight: 2, Queued: -1, Utilization: -1, LatencyMillis: -1, RequestRate: -1, ErrorRate: -1, Role: port.Primary,
@@ -284,9 +284,9 @@
 		c, m, w := newFront(t)
 		out(t, c, m, w)
 		w.begin(t, 0)
-		c.Post(&Ended{S: w.sent[0], Answer: pgwire.Answer{Code: code}})
+		c.Post(&AttemptFinished{Attempt: w.sent[0], Answer: pgwire.Answer{Code: code}})
 		c.batch(20 * ms)
-		assert.Equal(t, Senseless, w.final[0].Status)
+		assert.Equal(t, StatusInvalid, w.final[0].Status)
 		assert.Equal(t, code, w.final[0].Code)
 		assert.True(t, m.ended[0].RequestFinished && m.ended[0].Result == port.Misrouted, "the member is well")
 	}
@@ -299,8 +299,8 @@
 	thief := &wires{}
 	arrive(t, c, thief, browse)
 	c.batch(20 * ms)
-	assert.Equal(t, Senseless, thief.final[0].Status)
-	c.Post(&Ended{S: w.sent[0], Answer: row()})
+	assert.Equal(t, StatusInvalid, thief.final[0].Status)
+	c.Post(&AttemptFinished{Attempt: w.sent[0], Answer: row()})
 	arrive(t, c, w, browse)
 	c.batch(30 * ms)
 	assert.Len(t, m.begun, 2, "free again once it is answered")
@@ -310,17 +310,17 @@
 // A probe sent on the fleet's word is none that the module waits for, so it may give the member's place back meanwhile.
 func TestAProbeOfAMemberThatIsForgottenSaysNothingOfTheNext(t *testing.T) {
 	c, m, w := newFront(t)
-	c.Post(Look{Member: "s-1"})
+	c.Post(HealthCheckRequested{Server: "s-1"})
 	c.batch(ms)
 	w.begin(t, 0)
 	m.wish = func(m *module) { m.ReleaseServer(0) }
 	c.batch(2 * ms)
-	c.Post(Listed{Kind: port.Delta, List: discovery.List{Entries: []discovery.Entry{{Name: "s-3", Address: "y", Zone: "a", Group: 9}}}})
+	c.Post(EndpointsChanged{Kind: port.Delta, List: discovery.List{Entries: []discovery.Entry{{Name: "s-3", Address: "y", Zone: "a", Group: 9}}}})
 	c.batch(3 * ms)
-	c.Post(&Ended{S: w.sent[0], Failure: &Failure{Reach: Unconnected}})
+	c.Post(&AttemptFinished{Attempt: w.sent[0], Err: &ConnectionError{Stage: StageDial}})
 	c.batch(4 * ms)
 	assert.Empty(t, m.probed)
-	c.Post(Look{Member: "s-3"})
+	c.Post(HealthCheckRequested{Server: "s-3"})
 	c.batch(5 * ms)
 	w.begin(t, 1)
 	c.batch(time.Second)
@@ -330,7 +330,7 @@
 func TestAForgottenMembersPlaceIsAnothers(t *testing.T) {
 	c, m, w := newFront(t)
 	change := func(name string) {
-		c.Post(Listed{Kind: port.Delta, List: discovery.List{Entries: []discovery.Entry{
+		c.Post(EndpointsChanged{Kind: port.Delta, List: discovery.List{Entries: []discovery.Entry{
 			{Name: name, Address: "y", Zone: "a", Group: 9}}}})
 	}
 	m.wish = func(m *module) { m.ReleaseServer(0) }
--- a/front/metrics.go
+++ b/front/metrics.go
@@ -55,72 +55,72 @@
 		return
 	}
 	c.metrics.endings[o.Result]++
-	d := c.slab.Must(s.ref) // a place with something out is never given back
-	d.Out--
-	a := d.What
+	d := c.slab.MustGet(s.ref) // a place with something out is never given back
+	d.InFlight--
+	a := d.Value
 	if !a.mayRun && !o.Result.NeverRan() {
 		a.mayRun, a.ranSince = true, s.sent
 	}
 	a.out = slices.DeleteFunc(a.out, func(o *Attempt) bool { return o == s })
-	o.Ref, o.AttemptNumber, o.Server, o.RequestFinished, o.Latency = s.ref, s.hop, s.member, d.Closed, c.now-s.sent
+	o.Ref, o.AttemptNumber, o.Server, o.RequestFinished, o.Latency = s.ref, s.hop, s.member, d.Finished, c.now-s.sent
 	c.decider.AttemptFinished(c.now, o)
 	c.slab.Release(s.ref)
 }
 
 // conclude gives the final answer on the module's word.
 func (c *Core) conclude(r port.RequestRef, f Response) {
-	c.answer(c.slab.Must(r), f)
+	c.answer(c.slab.MustGet(r), f)
 	c.slab.Release(r)
 }
 
 // answer passes the one answer on; the slot is closed from then on.
-func (c *Core) answer(d *Slot[*Arrival], f Response) {
-	if d.Closed {
+func (c *Core) answer(d *RequestEntry[*Request], f Response) {
+	if d.Finished {
 		return
 	}
 	c.close(d)
 	switch f.Status {
-	case Served:
+	case StatusSucceeded:
 		c.metrics.served++
-	case Rejected:
+	case StatusRejected:
 		c.metrics.rejected++
-	case Failed:
+	case StatusFailed:
 		c.metrics.failed++
-	case Senseless:
+	case StatusInvalid:
 		c.metrics.senseless++
 	}
-	a := d.What
+	a := d.Value
 	c.audited(a, f.Status)
-	slog.Debug("answered", "type", string(a.Statement.Type), "word", f.Status, "after", c.now-a.At,
-		"of", a.Statement.Wait, "submissions", d.Hops)
-	a.Client.Answer(f)
+	slog.Debug("answered", "type", string(a.Statement.Type), "word", f.Status, "after", c.now-a.ReceivedAt,
+		"of", a.Statement.Wait, "submissions", d.Attempts)
+	a.Client.Respond(f)
 }
 
-func (c *Core) audited(a *Arrival, w Status) {
-	if c.bound.Audit != nil {
-		c.bound.Audit.Ended(c.now, a.span, a.typ, w)
+func (c *Core) audited(a *Request, w Status) {
+	if c.bound.Auditor != nil {
+		c.bound.Auditor.RequestFinished(c.now, a.span, a.typ, w)
 	}
 }
 
 // close ends a slot's request for its client; its id may come again.
-func (c *Core) close(d *Slot[*Arrival]) {
-	d.Closed = true
-	delete(c.ids, string(d.What.Statement.ID))
+func (c *Core) close(d *RequestEntry[*Request]) {
+	d.Finished = true
+	delete(c.ids, string(d.Value.Statement.ID))
 	c.unanswered--
-	if d.What.terms != c.terms {
+	if d.Value.terms != c.terms {
 		c.older--
 		c.onlyNewest()
 	}
 }
 
-func (g Gone) take(c *Core, now time.Duration) {
-	a := g.Arrival
-	if d := c.slab.At(a.ref); d != nil && !d.Closed {
+func (g ClientGone) take(c *Core, now time.Duration) {
+	a := g.Request
+	if d := c.slab.Get(a.ref); d != nil && !d.Finished {
 		c.close(d)
 		c.metrics.left++
-		c.audited(a, Abandoned)
-		slog.Debug("left", "type", string(a.Statement.Type), "after", now-a.At, "of", a.Statement.Wait,
-			"submissions", d.Hops)
+		c.audited(a, StatusAbandoned)
+		slog.Debug("left", "type", string(a.Statement.Type), "after", now-a.ReceivedAt, "of", a.Statement.Wait,
+			"submissions", d.Attempts)
 		c.decider.ClientGone(now, a.ref)
 		for _, s := range slices.Clone(a.out) { // where the site lets nothing be taken back, what was not sent is left unsent
 			c.cancelUnsent(s)
@@ -129,14 +129,14 @@
 	}
 }
 
-// Report is an event that writes the totals to the log.
-type Report struct{ Extra []any }
+// LogTotals is an event that writes the totals to the log.
+type LogTotals struct{ Extra []any }
 
-func (r Report) take(c *Core, _ time.Duration) {
+func (r LogTotals) take(c *Core, _ time.Duration) {
 	b := &c.metrics
 	e := &b.endings
 	slog.Info("totals", append([]any{"taken", b.taken, "committed", b.served, "declined", b.rejected,
-		"rolled_back", b.failed, "left", b.left, "senseless", b.senseless, "in_hand", c.slab.Held(),
+		"rolled_back", b.failed, "left", b.left, "senseless", b.senseless, "in_hand", c.slab.Len(),
 		"submissions", b.attempts, "probes", b.probes, "errored", e[port.ServerError], "spoilt", b.spoilt,
 		"full", e[port.Overloaded], "timed_out", e[port.TimedOut], "unreachable", e[port.Unreachable], "broken", e[port.ConnectionLost],
 		"withdrawn", e[port.Cancelled], "missed", e[port.Misrouted], "alarm_late", b.lateMost,
--- a/front/pipeline.go
+++ b/front/pipeline.go
@@ -15,11 +15,11 @@
 // A request begins at most once, and never before all earlier ones on which it depends are answered. It does no I/O and
 // is for one goroutine.
 type Pipeline[T any] struct {
-	queue []*Pipelined[T]
+	queue []*PipelineEntry[T]
 }
 
-// Pipelined is one request in a Pipeline.
-type Pipelined[T any] struct {
+// PipelineEntry is one request in a Pipeline.
+type PipelineEntry[T any] struct {
 	Request   T
 	statement *pgwire.Statement // nil for a request that is answered without the core
 	state     pipelinedState
@@ -37,8 +37,8 @@
 func (p *Pipeline[T]) Len() int { return len(p.queue) }
 
 // Add puts a request behind all others. statement is nil where its answer is known already.
-func (p *Pipeline[T]) Add(request T, statement *pgwire.Statement) *Pipelined[T] {
-	entry := &Pipelined[T]{Request: request, statement: statement}
+func (p *Pipeline[T]) Add(request T, statement *pgwire.Statement) *PipelineEntry[T] {
+	entry := &PipelineEntry[T]{Request: request, statement: statement}
 	if statement == nil {
 		entry.state = pipelinedAnswered
 	}
@@ -46,8 +46,8 @@
 	return entry
 }
 
-// Begin gives the first request that may run now and has not begun, and marks it as running; ok is false where there is none.
-func (p *Pipeline[T]) Begin() (request T, ok bool) {
+// StartNext gives the first request that may run now and has not begun, and marks it as running; ok is false where there is none.
+func (p *Pipeline[T]) StartNext() (request T, ok bool) {
 	for i, entry := range p.queue {
 		if entry.state == pipelinedQueued && !p.mustWait(i) {
 			entry.state = pipelinedRunning
@@ -80,11 +80,11 @@
 	return earlier.Group == later.Group && bytes.Equal(earlier.Key, later.Key)
 }
 
-// Answered notes that a request's answer is known.
-func (e *Pipelined[T]) Answered() { e.state = pipelinedAnswered }
+// MarkAnswered notes that a request's answer is known.
+func (e *PipelineEntry[T]) MarkAnswered() { e.state = pipelinedAnswered }
 
-// Next takes the first request off, if its answer is known.
-func (p *Pipeline[T]) Next() (request T, ok bool) {
+// PopAnswered takes the first request off, if its answer is known.
+func (p *Pipeline[T]) PopAnswered() (request T, ok bool) {
 	if len(p.queue) == 0 || p.queue[0].state != pipelinedAnswered {
 		return request, false
 	}
--- a/front/pipeline_test.go
+++ b/front/pipeline_test.go
@@ -37,7 +37,7 @@
 func TestAPipelineKeepsItsOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var p Pipeline[int]
-		var entries []*Pipelined[int]
+		var entries []*PipelineEntry[int]
 		var running, written []int
 		began := map[int]bool{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -46,7 +46,7 @@
 				s := &pgwire.Statement{Write: rapid.Bool().Draw(t, "write"), Key: []byte{rapid.Byte().Draw(t, "key") % 3}}
 				entries = append(entries, p.Add(len(entries), s))
 			case 1:
-				for n, ok := p.Begin(); ok; n, ok = p.Begin() {
+				for n, ok := p.StartNext(); ok; n, ok = p.StartNext() {
 					assert.False(t, began[n], "it begins once")
 					began[n] = true
 					running = append(running, n)
@@ -59,11 +59,11 @@
 			case 2:
 				if len(running) > 0 {
 					i := rapid.IntRange(0, len(running)-1).Draw(t, "answered")
-					entries[running[i]].Answered()
+					entries[running[i]].MarkAnswered()
 					running = slices.Delete(running, i, i+1)
 				}
 			case 3:
-				for n, ok := p.Next(); ok; n, ok = p.Next() {
+				for n, ok := p.PopAnswered(); ok; n, ok = p.PopAnswered() {
 					assert.Equal(t, len(written), n, "in the order in which they came")
 					written = append(written, n)
 				}
@@ -71,17 +71,17 @@
 		}
 		assert.Equal(t, len(entries)-len(written), p.Len())
 		for p.Len() > 0 { // nothing is stuck
-			for n, ok := p.Begin(); ok; n, ok = p.Begin() {
+			for n, ok := p.StartNext(); ok; n, ok = p.StartNext() {
 				running = append(running, n)
 			}
 			for _, n := range running {
-				entries[n].Answered()
+				entries[n].MarkAnswered()
 			}
 			running = nil
-			_, ok := p.Next()
+			_, ok := p.PopAnswered()
 			assert.True(t, ok)
 			for ok {
-				_, ok = p.Next()
+				_, ok = p.PopAnswered()
 			}
 		}
 	})
@@ -93,10 +93,10 @@
 	p.Add("runs", write())
 	p.Add("waits", write())
 	p.Add("is answered", nil)
-	p.Begin()
+	p.StartNext()
 	running, rest := p.Abandon()
 	assert.Equal(t, []string{"runs"}, running)
 	assert.Equal(t, []string{"waits", "is answered"}, rest)
-	_, ok := p.Begin()
+	_, ok := p.StartNext()
 	assert.False(t, ok)
 }
--- a/front/relay.go
+++ b/front/relay.go
@@ -11,106 +11,106 @@
 	"dapplerouter/site"
 )
 
-// Reach says how far an attempt had come when its connection failed.
-type Reach uint8
+// FailureStage says how far an attempt had come when its connection failed.
+type FailureStage uint8
 
 const (
-	Local       Reach = iota // this machine could open no connection, for want of something of its own
-	Unconnected              // no connection came up
-	Unwritten                // its last byte was not written
-	Written                  // all of it was: the member may have run it
-	Spoilt                   // and the member answered, but what came cannot be read
+	StageLocal  FailureStage = iota // this machine could open no connection, for want of something of its own
+	StageDial                       // no connection came up
+	StageWrite                      // its last byte was not written
+	StageRead                       // all of it was: the member may have run it
+	StageDecode                     // and the member answered, but what came cannot be read
 )
 
-// Failure is a connection's failure under an attempt.
-type Failure struct {
-	Reach Reach
+// ConnectionError is a connection's failure under an attempt.
+type ConnectionError struct {
+	Stage FailureStage
 	Err   error
 }
 
-func (f *Failure) Error() string {
-	return fmt.Sprintf("%s: %v", [...]string{"no connection could be opened here", "not connected", "not fully written", "written", "answer spoilt"}[f.Reach], f.Err)
+func (f *ConnectionError) Error() string {
+	return fmt.Sprintf("%s: %v", [...]string{"no connection could be opened here", "not connected", "not fully written", "written", "answer spoilt"}[f.Stage], f.Err)
 }
 
-func (f *Failure) Unwrap() error { return f.Err }
+func (f *ConnectionError) Unwrap() error { return f.Err }
 
-// Ended brings what came of an attempt: a member's answer, or the failure of the connection.
-type Ended struct {
-	S       *Attempt
+// AttemptFinished brings what came of an attempt: a member's answer, or the failure of the connection.
+type AttemptFinished struct {
+	Attempt *Attempt
 	Answer  pgwire.Answer
-	Failure *Failure
+	Err     *ConnectionError
 
-	Crossed bool          // it comes from another site
-	Age     time.Duration // how old its data may be, by that site's word and our own clock
-	Aged    bool          // Age is known
+	Remote       bool          // it comes from another site
+	DataAge      time.Duration // how old its data may be, by that site's word and our own clock
+	DataAgeKnown bool          // Age is known
 
 	Release func() // where set, is called once the answer has been passed on or dropped; it must not block
 }
 
-func (e *Ended) take(c *Core, _ time.Duration) {
+func (e *AttemptFinished) take(c *Core, _ time.Duration) {
 	if e.Release != nil {
 		defer e.Release()
 	}
-	if e.S.done {
+	if e.Attempt.done {
 		return // given up before; that ending was told
 	}
-	e.S.done = true
-	o := port.AttemptOutcome{Result: ending(&e.Answer, e.Failure), Load: site.NoReport}
-	if a := &e.Answer; e.Failure == nil {
+	e.Attempt.done = true
+	o := port.AttemptOutcome{Result: ending(&e.Answer, e.Err), Load: site.NoReport}
+	if a := &e.Answer; e.Err == nil {
 		o.Role = roles[a.Role]
-		if a.HasApplied && o.Role == port.Primary && a.Code == "" && !e.Crossed {
-			c.moved(c.timeline.present(a.Applied, e.S.sent, c.now))
+		if a.HasApplied && o.Role == port.Primary && a.Code == "" && !e.Remote {
+			c.moved(c.timeline.present(a.Applied, e.Attempt.sent, c.now))
 		}
 		report := a.Load
-		if e.S.probe && o.Result == port.Succeeded {
+		if e.Attempt.probe && o.Result == port.Succeeded {
 			report = a.Value()
 		}
-		o.Load = c.report(report, e.S.sent)
+		o.Load = c.report(report, e.Attempt.sent)
 		if a.HasApplied && c.believes(o.Role, c.since(a.Applied)) {
 			o.Position, o.HasPosition = c.since(a.Applied), true
 		}
 	}
-	if d := c.slab.At(e.S.ref); d != nil {
-		ty := &d.What.terms.types[d.What.typ]
-		if o.Result == port.Succeeded && e.Crossed && ty.Consistency == port.BoundedStaleness && (!e.Aged || e.Age > ty.MaxStaleness) {
+	if d := c.slab.Get(e.Attempt.ref); d != nil {
+		ty := &d.Value.terms.types[d.Value.typ]
+		if o.Result == port.Succeeded && e.Remote && ty.Consistency == port.BoundedStaleness && (!e.DataAgeKnown || e.DataAge > ty.MaxStaleness) {
 			o.Result, o.HasPosition = port.Misrouted, false // a read that is older than its bound by now is nobody's answer
 		}
 		switch {
 		case o.Result == port.Succeeded:
-			c.learns(e.S)
+			c.learns(e.Attempt)
 			c.answer(d, c.served(e, &o))
 		case e.Answer.Senseless(): // as it would be anywhere: other members are spared it
-			c.answer(d, Response{Status: Senseless, Code: e.Answer.Code, Reason: cmp.Or(e.Answer.Message, "the statement cannot be served")})
+			c.answer(d, Response{Status: StatusInvalid, Code: e.Answer.Code, Reason: cmp.Or(e.Answer.Message, "the statement cannot be served")})
 		case e.Answer.TooLong: // it ran; another member would answer as much
-			c.answer(d, Response{Status: Senseless, Code: pgwire.TooLarge, Reason: e.Answer.Message})
+			c.answer(d, Response{Status: StatusInvalid, Code: pgwire.TooLarge, Reason: e.Answer.Message})
 		}
 	}
 	var why error
-	if e.Failure != nil {
-		why = e.Failure
-		if e.Failure.Reach == Spoilt {
+	if e.Err != nil {
+		why = e.Err
+		if e.Err.Stage == StageDecode {
 			c.metrics.spoilt++
 		}
 	}
-	slog.Debug("ended", "member", c.members.Key(e.S.member), "probe", e.S.probe, "ending", o.Result,
+	slog.Debug("ended", "member", c.members.Key(e.Attempt.member), "probe", e.Attempt.probe, "ending", o.Result,
 		"why", why, "report", o.Load)
-	c.ended(e.S, o, why)
+	c.ended(e.Attempt, o, why)
 }
 
 // served is the final answer of what a member committed, with how old its data may be for a further site: since the
 // attempt went out, and what the member was behind when it answered. Only clocks of one site are compared.
-func (c *Core) served(e *Ended, o *port.AttemptOutcome) Response {
-	f := Response{Status: Served, Rows: e.Answer.Rows, Primary: o.Role == port.Primary}
+func (c *Core) served(e *AttemptFinished, o *port.AttemptOutcome) Response {
+	f := Response{Status: StatusSucceeded, Rows: e.Answer.Rows, FromPrimary: o.Role == port.Primary}
 	if e.Answer.HasApplied {
-		f.Place = e.Answer.Applied
+		f.Position = e.Answer.Applied
 	}
 	switch {
-	case e.Crossed:
-		f.Age, f.Aged = e.Age, e.Aged
-	case f.Primary:
-		f.Age, f.Aged = c.now-e.S.sent, true
+	case e.Remote:
+		f.DataAge, f.DataAgeKnown = e.DataAge, e.DataAgeKnown
+	case f.FromPrimary:
+		f.DataAge, f.DataAgeKnown = c.now-e.Attempt.sent, true
 	case o.HasPosition:
-		f.Age, f.Aged = c.now-e.S.sent+max(0, c.now-o.Position), true
+		f.DataAge, f.DataAgeKnown = c.now-e.Attempt.sent+max(0, c.now-o.Position), true
 	}
 	return f
 }
@@ -118,13 +118,13 @@
 var roles = map[string]port.Role{"primary": port.Primary, "replica": port.Replica}
 
 // ending is the protocol's table.
-func ending(a *pgwire.Answer, f *Failure) port.AttemptResult {
+func ending(a *pgwire.Answer, f *ConnectionError) port.AttemptResult {
 	switch {
-	case f != nil && f.Reach == Spoilt:
+	case f != nil && f.Stage == StageDecode:
 		return port.ServerError // the member is there, and it may have run
-	case f != nil && f.Reach == Written:
+	case f != nil && f.Stage == StageRead:
 		return port.ConnectionLost
-	case f != nil && f.Reach == Local:
+	case f != nil && f.Stage == StageLocal:
 		return port.NotSent // never sent, and nobody's fault
 	case f != nil:
 		return port.Unreachable
--- a/front/route.go
+++ b/front/route.go
@@ -10,34 +10,34 @@
 
 // StartAttempt and the rest are the module's wishes; each is carried out as it stands.
 func (c *Core) StartAttempt(r port.RequestRef, member int, giveUpAfter time.Duration) {
-	d := c.slab.Must(r)
-	s := &Attempt{ref: r, member: member, hop: d.Hops, sent: c.now}
-	d.Out++
-	d.Hops++
-	until := d.What.expiry
+	d := c.slab.MustGet(r)
+	s := &Attempt{ref: r, member: member, hop: d.Attempts, sent: c.now}
+	d.InFlight++
+	d.Attempts++
+	until := d.Value.expiry
 	if giveUpAfter != 0 {
 		until = min(until, c.now+giveUpAfter)
 	}
-	a := d.What
+	a := d.Value
 	most, grant, far := c.most, 1, c.far[member]
-	if a.Most > 0 {
-		most = min(most, a.Most)
+	if a.MaxAttempts > 0 {
+		most = min(most, a.MaxAttempts)
 	}
 	if far { // it may make several attempts there: half of what is left, so that a further try has some too
 		grant = max(1, (most-a.spent)/2)
 	}
 	a.spent += grant
-	if d.Closed || until <= c.now || a.spent > most {
+	if d.Finished || until <= c.now || a.spent > most {
 		c.later = append(c.later, settled{s, port.NotSent})
 		return
 	}
 	s.query = a.Statement.Timed(until - c.now)
 	if far {
-		s.way = Way{ID: uint64(r.Slot)<<32 | uint64(r.Generation), Try: s.hop, Group: a.Statement.Group, Until: until, Grant: grant,
-			Write: a.Statement.Write, After: a.Statement.After}
+		s.way = ForwardedAttempt{RequestID: uint64(r.Slot)<<32 | uint64(r.Generation), AttemptNumber: s.hop, Group: a.Statement.Group, Deadline: until, MaxAttempts: grant,
+			Write: a.Statement.Write, MinPosition: a.Statement.After}
 		if pos, ok := c.decider.RequiredPosition(r); ok {
 			at := c.zero.Add(pos + time.Millisecond - 1) // rounded up: never too low
-			s.way.After = max(s.way.After, at.UnixMilli())
+			s.way.MinPosition = max(s.way.MinPosition, at.UnixMilli())
 		}
 	}
 	c.send(s, until)
@@ -45,7 +45,7 @@
 
 // CancelAttempt takes one attempt back.
 func (c *Core) CancelAttempt(r port.RequestRef, hop int) {
-	for _, s := range c.slab.Must(r).What.out {
+	for _, s := range c.slab.MustGet(r).Value.out {
 		if s.hop == hop && !s.done {
 			ending := port.NotSent
 			if s.cancel() {
@@ -58,25 +58,25 @@
 
 // Reject and Fail are final answers.
 func (c *Core) Reject(r port.RequestRef, comeBackIn time.Duration) {
-	a := c.slab.Must(r).What
-	c.conclude(r, Response{Status: Rejected, Come: comeBackIn, MayRun: a.mayRun && c.types[a.typ].Idempotency != port.Idempotent})
+	a := c.slab.MustGet(r).Value
+	c.conclude(r, Response{Status: StatusRejected, RetryAfter: comeBackIn, MayHaveRun: a.mayRun && c.types[a.typ].Idempotency != port.Idempotent})
 }
 
-func (c *Core) Fail(r port.RequestRef) { c.conclude(r, Response{Status: Failed}) }
+func (c *Core) Fail(r port.RequestRef) { c.conclude(r, Response{Status: StatusFailed}) }
 
 // StartHealthCheck asks a member for its report.
 func (c *Core) StartHealthCheck(member int) {
-	s := NewProbe(probeMessage)
+	s := NewHealthCheck(probeMessage)
 	s.member, s.sent, s.turn = member, c.now, c.turns[member]
 	c.metrics.probes++
 	c.send(s, c.now+c.patience)
 }
 
-// Look is an event that has a member asked after, since the module of another front in the fleet wanted to know.
-type Look struct{ Member string }
+// HealthCheckRequested is an event that has a member asked after, since the module of another front in the fleet wanted to know.
+type HealthCheckRequested struct{ Server string }
 
-func (l Look) take(c *Core, _ time.Duration) {
-	if m, ok := c.members.Find(l.Member); ok {
+func (l HealthCheckRequested) take(c *Core, _ time.Duration) {
+	if m, ok := c.members.Lookup(l.Server); ok {
 		c.StartHealthCheck(m)
 	}
 }
@@ -84,9 +84,9 @@
 // ReleaseServer gives a member's place back: its index, its links and what the log says of it.
 func (c *Core) ReleaseServer(member int) {
 	slog.Info("forgotten", "member", c.members.Key(member))
-	c.members.Free(member)
+	c.members.Release(member)
 	c.turns[member]++
-	c.pools.Forget(member)
+	c.pools.Remove(member)
 	if member < len(c.places) {
 		c.places[member] = place{}
 	}
--- a/front/script_test.go
+++ b/front/script_test.go
@@ -39,7 +39,7 @@
 }
 
 // newScript makes a core of two request types, with a lease until 10 s.
-func newScript(t *testing.T, classing *Classing) *script {
+func newScript(t *testing.T, classing *Classifier) *script {
 	s := &script{t: t}
 	st := &site.Site{Types: []string{"browse", "order", "cart"}, Zones: []string{"a", "b"}, Customers: []string{"acme"},
 		RequestTypes: []port.RequestType{
@@ -52,11 +52,11 @@
 		s.host = h
 		return scriptRouter{s}
 	}, scriptPools{s}, scriptPools{s}, classing)
-	s.core.Bind(Bound{Clock: func() time.Duration { return s.now }, Audit: scriptAudit{s}, Stands: func(on bool) { s.line("standby %v", on) }})
+	s.core.JoinFleet(FleetOptions{Clock: func() time.Duration { return s.now }, Auditor: scriptAudit{s}, OnStandby: func(on bool) { s.line("standby %v", on) }})
 	s.core.clock = func() time.Duration { return s.now }
-	s.core.Stand([]discovery.Entry{{Name: "remote", Address: FarAddress + "west/9", Zone: "b", Kind: "site", Group: 9}})
-	s.core.Post(Renew{Until: 10 * time.Second})
-	s.core.Post(Listed{Kind: port.Snapshot, List: discovery.List{Index: 7, Entries: []discovery.Entry{
+	s.core.SetStaticEndpoints([]discovery.Entry{{Name: "remote", Address: RemoteSitePrefix + "west/9", Zone: "b", Kind: "site", Group: 9}})
+	s.core.Post(RenewLease{Expiry: 10 * time.Second})
+	s.core.Post(EndpointsChanged{Kind: port.Snapshot, List: discovery.List{Index: 7, Entries: []discovery.Entry{
 		{Name: "s-1", Address: "10.0.0.1:5432", Zone: "a", Kind: "large", Group: 9, Since: 999_500, Primary: true, Weight: 1},
 		{Name: "s-2", Address: "10.0.0.2:5432", Zone: "b", Kind: "large", Group: 9, Since: 998_000, Weight: 0.5}}}})
 	s.step(ms, nil)
@@ -70,10 +70,10 @@
 }
 
 // request posts a statement.
-func (s *script) request(text string) *Arrival {
+func (s *script) request(text string) *Request {
 	st, err := pgwire.ParseStatement([]byte(text + "\x00"))
 	require.NoError(s.t, err)
-	a := NewArrival(scriptPools{s}, st, s.now)
+	a := NewRequest(scriptPools{s}, st, s.now)
 	s.core.Post(a)
 	return a
 }
@@ -86,7 +86,7 @@
 // reject has the router reject the newest request, unless it is answered.
 func (s *script) reject() func() {
 	return func() {
-		if ref := s.refs[len(s.refs)-1]; s.core.slab.At(ref) != nil {
+		if ref := s.refs[len(s.refs)-1]; s.core.slab.Get(ref) != nil {
 			s.host.Reject(ref, 0)
 		}
 	}
@@ -105,8 +105,8 @@
 }
 
 // finish brings what came of the last attempt.
-func (s *script) finish(e Ended) {
-	e.S = s.sent[len(s.sent)-1]
+func (s *script) finish(e AttemptFinished) {
+	e.Attempt = s.sent[len(s.sent)-1]
 	s.core.Post(&e)
 }
 
@@ -158,40 +158,44 @@
 
 type scriptPools struct{ s *script }
 
-func (w scriptPools) Place(server int, address string, age time.Duration) {
+func (w scriptPools) SetAddress(server int, address string, age time.Duration) {
 	w.s.line("address %d %s age %v", server, address, age)
 }
 func (w scriptPools) Send(server int, a *Attempt) {
 	w.s.line("send %d to %d until %v", len(w.s.sent), server, a.until)
-	if way, probe := a.Way(); way.ID != 0 || probe {
-		w.s.line("  forwarded %x try %d group %d until %v grant %d write %v after %d probe %v", way.ID, way.Try, way.Group, way.Until, way.Grant, way.Write, way.After, probe)
+	if way, probe := a.Forwarded(); way.RequestID != 0 || probe {
+		w.s.line("  forwarded %x try %d group %d until %v grant %d write %v after %d probe %v", way.RequestID, way.AttemptNumber, way.Group, way.Deadline, way.MaxAttempts, way.Write, way.MinPosition, probe)
 	}
 	w.s.sent = append(w.s.sent, a)
 }
-func (w scriptPools) Forget(server int) { w.s.line("forget %d", server) }
+func (w scriptPools) Remove(server int) { w.s.line("forget %d", server) }
 func (w scriptPools) Watch(on bool)     { w.s.line("watch %v", on) }
 func (w scriptPools) Fetch()            { w.s.line("fetch") }
-func (w scriptPools) Answer(f Response) {
-	w.s.line("answer status %d rows %q come %v code %q reason %q mayrun %v primary %v place %d age %v %v", f.Status, f.Rows, f.Come, f.Code, f.Reason,
-		f.MayRun, f.Primary, f.Place, f.Age, f.Aged)
+func (w scriptPools) Respond(f Response) {
+	w.s.line("answer status %d rows %q come %v code %q reason %q mayrun %v primary %v place %d age %v %v", f.Status, f.Rows, f.RetryAfter, f.Code, f.Reason,
+		f.MayHaveRun, f.FromPrimary, f.Position, f.DataAge, f.DataAgeKnown)
 }
 
 type scriptAudit struct{ s *script }
 
-func (l scriptAudit) Taken(_ time.Duration, id []byte, typ int) uint32 {
+func (l scriptAudit) RequestAccepted(_ time.Duration, id []byte, typ int) uint32 {
 	l.s.line("audit taken %s %d", id, typ)
 	return 40 + uint32(len(l.s.refs))
 }
-func (l scriptAudit) Ended(_ time.Duration, span uint32, typ int, w Status) {
+func (l scriptAudit) RequestFinished(_ time.Duration, span uint32, typ int, w Status) {
 	l.s.line("audit ended %d %d %d", span, typ, w)
 }
-func (l scriptAudit) Listed(_ time.Duration, index int64) { l.s.line("audit listed %d", index) }
-func (l scriptAudit) Tick(time.Duration)                  { l.s.line("audit tick") }
-func (l scriptAudit) Close(time.Duration)                 { l.s.line("audit close") }
-func (l scriptAudit) Right(_, until time.Duration, standby bool) {
+func (l scriptAudit) EndpointsChanged(_ time.Duration, index int64) {
+	l.s.line("audit listed %d", index)
+}
+func (l scriptAudit) Tick(time.Duration)  { l.s.line("audit tick") }
+func (l scriptAudit) Close(time.Duration) { l.s.line("audit close") }
+func (l scriptAudit) LeaseChanged(_, until time.Duration, standby bool) {
 	l.s.line("audit right %v %v", until, standby)
 }
-func (l scriptAudit) Adopted(_ time.Duration, version uint64) { l.s.line("audit adopted %d", version) }
+func (l scriptAudit) ConfigAdopted(_ time.Duration, version uint64) {
+	l.s.line("audit adopted %d", version)
+}
 
 const (
 	scriptRead  = "SELECT data FROM facts WHERE code = 'k' /* id=r%d,c=browse,t=acme,d=200,cluster=9 */"
@@ -208,34 +212,34 @@
 	s.step(5*ms, s.submit(1, 0))
 	s.now = 30 * ms // the connection comes up late
 	s.begin()
-	s.finish(Ended{Answer: pgwire.Answer{Code: pgwire.TooManyConnections}})
+	s.finish(AttemptFinished{Answer: pgwire.Answer{Code: pgwire.TooManyConnections}})
 	s.step(35*ms, s.submit(2, 90*ms))
-	s.finish(Ended{Failure: &Failure{Unwritten, errors.New("link down")}})
+	s.finish(AttemptFinished{Err: &ConnectionError{StageWrite, errors.New("link down")}})
 	s.step(40*ms, s.submit(0, 0))
 	s.begin()
-	s.finish(Ended{Answer: s.answer("primary", 1_000_043)})
+	s.finish(AttemptFinished{Answer: s.answer("primary", 1_000_043)})
 	s.step(50*ms, nil)
 
 	s.line("# a replica's read, and one of too old data from another site")
 	s.request(fmt.Sprintf(scriptRead, 2))
 	s.step(60*ms, s.submit(1, 0))
 	s.begin()
-	s.finish(Ended{Answer: s.answer("replica", 1_000_020)})
+	s.finish(AttemptFinished{Answer: s.answer("replica", 1_000_020)})
 	s.step(64*ms, nil)
 	s.request(fmt.Sprintf(scriptRead, 3))
 	s.step(70*ms, s.submit(2, 0))
 	s.begin()
-	s.finish(Ended{Answer: s.answer("replica", 1_000_020), Crossed: true, Age: 400 * ms, Aged: true})
+	s.finish(AttemptFinished{Answer: s.answer("replica", 1_000_020), Remote: true, DataAge: 400 * ms, DataAgeKnown: true})
 	s.step(75*ms, s.submit(2, 0))
 	s.begin()
-	s.finish(Ended{Answer: s.answer("replica", 1_000_020), Crossed: true, Age: 100 * ms, Aged: true})
+	s.finish(AttemptFinished{Answer: s.answer("replica", 1_000_020), Remote: true, DataAge: 100 * ms, DataAgeKnown: true})
 	s.step(80*ms, nil)
 
 	s.line("# a write whose connection breaks, is repeated within its window, and rejected")
 	s.request(fmt.Sprintf(scriptWrite, 1))
 	s.step(100*ms, s.submit(0, 0))
 	s.begin()
-	s.finish(Ended{Failure: &Failure{Written, errors.New("reset")}})
+	s.finish(AttemptFinished{Err: &ConnectionError{StageRead, errors.New("reset")}})
 	s.step(150*ms, s.submit(0, 0))
 	s.begin()
 	s.step(160*ms, func() { s.host.CancelAttempt(s.refs[len(s.refs)-1], 1) })
@@ -257,14 +261,14 @@
 		s.request(fmt.Sprintf(scriptCart, i))
 		s.step(s.now, s.submit(1, 0))
 		s.begin()
-		s.finish(Ended{Answer: a})
+		s.finish(AttemptFinished{Answer: a})
 		s.step(s.now+20*ms, s.reject())
 	}
-	for i, r := range []Reach{Local, Unconnected, Spoilt} {
+	for i, r := range []FailureStage{StageLocal, StageDial, StageDecode} {
 		s.now = 4*time.Second + time.Duration(i)*100*ms
 		s.request(fmt.Sprintf(scriptWrite, 10+i))
 		s.step(s.now, s.submit(0, 0))
-		s.finish(Ended{Failure: &Failure{r, errors.New("cause")}, Release: func() { s.line("released") }})
+		s.finish(AttemptFinished{Err: &ConnectionError{r, errors.New("cause")}, Release: func() { s.line("released") }})
 		s.step(s.now+20*ms, s.reject())
 	}
 
@@ -285,8 +289,8 @@
 	s.line("# a client that leaves, health checks, a server that drains and one that is released")
 	a := s.request(fmt.Sprintf(scriptWrite, 30))
 	s.step(5300*ms, s.submit(1, 0))
-	s.core.Post(a.Leave())
-	s.core.Post(Look{Member: "s-2"})
+	s.core.Post(a.MarkClientGone())
+	s.core.Post(HealthCheckRequested{Server: "s-2"})
 	s.step(5310*ms, func() {
 		s.host.StartHealthCheck(0)
 		s.host.SetTimer(20 * ms)
@@ -296,11 +300,11 @@
 		s.host.Log("said")
 	})
 	s.begin()
-	s.finish(Ended{Answer: pgwire.OneValue([]byte("x0=1000.5,x1=1,inflight=2"))})
+	s.finish(AttemptFinished{Answer: pgwire.OneValue([]byte("x0=1000.5,x1=1,inflight=2"))})
 	s.step(5330*ms, nil)
 	s.request(fmt.Sprintf(scriptRead, 31))
 	s.step(5400*ms, s.submit(1, 0))
-	s.core.Post(Listed{Kind: port.Delta, List: discovery.List{Index: 8, Entries: []discovery.Entry{
+	s.core.Post(EndpointsChanged{Kind: port.Delta, List: discovery.List{Index: 8, Entries: []discovery.Entry{
 		{Name: "s-2", Address: "10.0.0.2:5432", Zone: "b", Kind: "large", Group: 9, Since: 998_000, State: port.Draining},
 		{Name: "s-3", Address: "10.0.0.3:5432", Zone: "nowhere", Group: 9}}}})
 	s.step(5410*ms, func() { s.host.Reject(s.refs[len(s.refs)-1], 10*ms) })
@@ -310,28 +314,28 @@
 	s.request(fmt.Sprintf(scriptWrite, 40))
 	s.step(5700*ms, s.submit(0, 0))
 	s.begin()
-	s.core.Post(Adopt{Version: 2, Rules: &site.Rules{Bounds: map[string]time.Duration{"browse": 100 * ms}, Windows: map[string]time.Duration{"order": 200 * ms},
-		GivenUp: []int64{11}}, Until: 6500 * ms, Done: func(at time.Duration) { s.line("adopted at %v", at) }, Alone: func() { s.line("alone") }})
+	s.core.Post(AdoptConfig{Version: 2, Rules: &site.Rules{Bounds: map[string]time.Duration{"browse": 100 * ms}, Windows: map[string]time.Duration{"order": 200 * ms},
+		GivenUp: []int64{11}}, LeaseExpiry: 6500 * ms, OnAdopted: func(at time.Duration) { s.line("adopted at %v", at) }, OnOlderFinished: func() { s.line("alone") }})
 	s.request(fmt.Sprintf(scriptRead, 41))
 	s.request(fmt.Sprintf(scriptWrite, 41))
 	s.step(5800*ms, nil)
-	s.line("acting on %v", s.core.Acting())
-	s.core.Post(Lapse{Version: 0})
+	s.line("acting on %v", s.core.ActiveVersions())
+	s.core.Post(ExpireLease{Version: 0})
 	s.step(5900*ms, nil)
-	s.line("acting on %v, version %d, lapsed %v", s.core.Acting(), s.core.Version(), s.core.Lapsed())
+	s.line("acting on %v, version %d, lapsed %v", s.core.ActiveVersions(), s.core.ConfigVersion(), s.core.Standby())
 	s.step(6500*ms, nil)
 	s.request(fmt.Sprintf(scriptRead, 42))
 	s.step(6600*ms, nil)
-	s.core.Post(Renew{Version: 2, Until: 20 * time.Second})
+	s.core.Post(RenewLease{Version: 2, Expiry: 20 * time.Second})
 	s.step(6700*ms, nil)
 	s.request(fmt.Sprintf(scriptRead, 43))
 	s.request(fmt.Sprintf(scriptWrite, 43))
 	s.step(6800*ms, s.submit(0, 0))
 	s.begin()
-	s.core.Post(Tick{})
+	s.core.Post(AuditTick{})
 	s.core.Post(Shutdown{})
 	s.request(fmt.Sprintf(scriptRead, 44))
-	s.core.Post(Closing{Done: func() { s.line("closed") }})
+	s.core.Post(CloseAudit{OnClosed: func() { s.line("closed") }})
 	s.step(6900*ms, nil)
 
 	assertScript(t, s, "testdata/scripted_run.txt")
@@ -342,7 +346,7 @@
 	settings := &shape.Settings{Bytes: 1 << 20, Rules: []shape.Rule{{Type: "order", Class: shape.Write, Tables: []string{"facts"}},
 		{Type: "browse", Class: shape.Read, Tables: []string{"facts"}}}}
 	classing := settings.New()
-	s := newScript(t, &Classing{Classing: classing, Undeclared: port.IdempotencyKey})
+	s := newScript(t, &Classifier{Classing: classing, UndeclaredWriteEffect: port.IdempotencyKey})
 	for i, text := range []string{
 		"SELECT data FROM facts /* id=1,d=300,cluster=9 */",
 		"UPDATE facts SET data = 'x' WHERE code = 'k' /* id=2,d=300,cluster=9,k=1 */",
@@ -358,7 +362,7 @@
 		s.now = time.Duration(10+i) * ms
 		st, err := pgwire.ParseClassed([]byte(text+"\x00"), classing)
 		require.NoError(t, err)
-		s.core.Post(NewArrival(scriptPools{s}, st, s.now))
+		s.core.Post(NewRequest(scriptPools{s}, st, s.now))
 		s.step(s.now, func() {
 			if len(s.refs) > 0 {
 				s.submit(0, 0)()
@@ -366,7 +370,7 @@
 		})
 	}
 	s.begin()
-	s.finish(Ended{Answer: pgwire.Answer{TooLong: true, Message: "executed, but its answer is too long"}})
+	s.finish(AttemptFinished{Answer: pgwire.Answer{TooLong: true, Message: "executed, but its answer is too long"}})
 	s.step(30*ms, nil)
 	assertScript(t, s, "testdata/scripted_run_classed.txt")
 }
--- a/front/send.go
+++ b/front/send.go
@@ -21,10 +21,10 @@
 	sent   time.Duration
 	probe  bool
 	turn   uint32 // of a probe: of its member's place
-	way    Way
-	right  *Right               // to what its request was taken on; nil where none is needed
+	way    ForwardedAttempt
+	right  *ConfigLease         // to what its request was taken on; nil where none is needed
 	left   *atomic.Bool         // of its request: the client has left; nil for a probe
-	client Presence             // who can tell so before that was noticed; nil where nobody can
+	client ClientConnection     // who can tell so before that was noticed; nil where nobody can
 	begin  time.Duration        // from then on nothing of it may go out; 0 for no limit
 	clock  func() time.Duration // by which that is; nil where the core is stepped
 	done   bool                 // the core's: its ending is told, or about to be
@@ -32,19 +32,19 @@
 	stage  atomic.Int32
 }
 
-// Way is what another site has to know of an attempt.
-type Way struct {
-	ID    uint64 // of the request, here
-	Try   int
-	Group int64
-	Until time.Duration // when it is given up
-	Grant int           // attempts that it may make there
-	Write bool
-	After int64 // position that a read must see there, Unix milliseconds; 0 for none
+// ForwardedAttempt is what another site has to know of an attempt.
+type ForwardedAttempt struct {
+	RequestID     uint64 // of the request, here
+	AttemptNumber int
+	Group         int64
+	Deadline      time.Duration // when it is given up
+	MaxAttempts   int           // attempts that it may make there
+	Write         bool
+	MinPosition   int64 // position that a read must see there, Unix milliseconds; 0 for none
 }
 
-// Way tells it; a probe has none.
-func (s *Attempt) Way() (w Way, probe bool) { return s.way, s.probe }
+// Forwarded tells it; a probe has none.
+func (s *Attempt) Forwarded() (w ForwardedAttempt, probe bool) { return s.way, s.probe }
 
 const (
 	waiting int32 = iota
@@ -56,10 +56,10 @@
 // nothing may be sent; afterwards the core ends it by cut, which must close the connection to the member's
 // eyes before it returns, without blocking.
 func (s *Attempt) Begin(cut func()) bool {
-	if s.right != nil && !s.right.Lasts() { // the core ends it as soon as it looks
+	if s.right != nil && !s.right.Valid() { // the core ends it as soon as it looks
 		return false
 	}
-	if s.client != nil && s.client.Departed() {
+	if s.client != nil && s.client.Disconnected() {
 		return false
 	}
 	if s.left != nil && s.left.Load() || s.clock != nil && s.clock() >= s.mustBeginBy() { // so does it here
@@ -69,8 +69,8 @@
 	return s.stage.CompareAndSwap(waiting, going)
 }
 
-// NewProbe is an attempt of a message that asks a member about itself and tells no deadline.
-func NewProbe(message []byte) *Attempt {
+// NewHealthCheck is an attempt of a message that asks a member about itself and tells no deadline.
+func NewHealthCheck(message []byte) *Attempt {
 	return &Attempt{probe: true, query: pgwire.TimedQuery{Message: message}}
 }
 
@@ -103,13 +103,13 @@
 
 // send hands an attempt to the links and sets the time at which it is given up.
 func (c *Core) send(s *Attempt, until time.Duration) {
-	if d := c.slab.At(s.ref); d != nil {
-		a := d.What
+	if d := c.slab.Get(s.ref); d != nil {
+		a := d.Value
 		a.out = append(a.out, s)
 		s.right, s.clock = a.terms.right, c.clock
 		s.left = a.gone
-		if client, ok := a.Client.(Attended); ok {
-			s.client = client.Presence()
+		if client, ok := a.Client.(ConnectedClient); ok {
+			s.client = client.Connection()
 		}
 		if ty := &a.terms.types[a.typ]; a.mayRun && ty.Idempotency == port.IdempotencyKey {
 			s.begin = a.ranSince + ty.DedupWindow
--- a/front/takein.go
+++ b/front/takein.go
@@ -9,79 +9,79 @@
 )
 
 // Client is where a final answer goes. Answer never blocks.
-type Client interface{ Answer(Response) }
+type Client interface{ Respond(Response) }
 
-// Attended is a Client of which can be told whether it has left, though nobody has noticed so far: a front that was held up finds
+// ConnectedClient is a Client of which can be told whether it has left, though nobody has noticed so far: a front that was held up finds
 // what came meanwhile in some order.
-type Attended interface{ Presence() Presence }
+type ConnectedClient interface{ Connection() ClientConnection }
 
-// Presence tells so. Departed may be called from any goroutine and does not block. Attempts keep it and outlive their request.
-type Presence interface{ Departed() bool }
+// ClientConnection tells so. Departed may be called from any goroutine and does not block. Attempts keep it and outlive their request.
+type ClientConnection interface{ Disconnected() bool }
 
 // Status is the sort of a final answer.
 type Status uint8
 
 const (
-	Served Status = iota
-	Rejected
-	Failed
-	Senseless // the statement cannot be served: nothing was sent anywhere
-	Abandoned // no answer: the client left before. For the audit only
-	Words     // how many there are
+	StatusSucceeded Status = iota
+	StatusRejected
+	StatusFailed
+	StatusInvalid   // the statement cannot be served: nothing was sent anywhere
+	StatusAbandoned // no answer: the client left before. For the audit only
+	StatusCount     // how many there are
 )
 
 // Response is the one answer of a request.
 type Response struct {
-	Status Status
-	Rows   []byte        // Served: messages as the member gave them
-	Come   time.Duration // Rejected: when to come again, 0 for not named
-	Code   string        // Senseless
-	Reason string
+	Status     Status
+	Rows       []byte        // Served: messages as the member gave them
+	RetryAfter time.Duration // Rejected: when to come again, 0 for not named
+	Code       string        // Senseless
+	Reason     string
 
-	MayRun  bool          // Rejected: trying again is harmless, but something of it may have run
-	Primary bool          // Served: by a primary
-	Place   int64         // Served: the position told, Unix milliseconds, 0 for none
-	Age     time.Duration // Served: how old the data may have been when the answer came
-	Aged    bool          // Age is known
+	MayHaveRun   bool          // Rejected: trying again is harmless, but something of it may have run
+	FromPrimary  bool          // Served: by a primary
+	Position     int64         // Served: the position told, Unix milliseconds, 0 for none
+	DataAge      time.Duration // Served: how old the data may have been when the answer came
+	DataAgeKnown bool          // Age is known
 }
 
-// Arrival is a statement in the core. NewArrival makes it.
-type Arrival struct {
-	Client    Client
-	Statement pgwire.Statement
-	At        time.Duration
-	Most      int // attempts, where fewer than the site allows; 0: as the site does
-	ref       port.RequestRef
-	expiry    time.Duration
-	out       []*Attempt    // without an ending
-	spent     int           // attempts made and granted to another site
-	mayRun    bool          // something of it may have run:
-	ranSince  time.Duration // what went out then
-	gone      *atomic.Bool  // the client has left; by itself, since attempts keep it and outlive their request
-	typ       int
-	terms     *terms // that were in force when it was taken
-	span      uint32 // the audit's
+// Request is a statement in the core. NewArrival makes it.
+type Request struct {
+	Client      Client
+	Statement   pgwire.Statement
+	ReceivedAt  time.Duration
+	MaxAttempts int // attempts, where fewer than the site allows; 0: as the site does
+	ref         port.RequestRef
+	expiry      time.Duration
+	out         []*Attempt    // without an ending
+	spent       int           // attempts made and granted to another site
+	mayRun      bool          // something of it may have run:
+	ranSince    time.Duration // what went out then
+	gone        *atomic.Bool  // the client has left; by itself, since attempts keep it and outlive their request
+	typ         int
+	terms       *terms // that were in force when it was taken
+	span        uint32 // the audit's
 }
 
-// NewArrival makes an Arrival of a statement that came in whole at a moment of the core's clock.
-func NewArrival(client Client, statement pgwire.Statement, at time.Duration) *Arrival {
-	return &Arrival{Client: client, Statement: statement, At: at, gone: new(atomic.Bool)}
+// NewRequest makes an Arrival of a statement that came in whole at a moment of the core's clock.
+func NewRequest(client Client, statement pgwire.Statement, at time.Duration) *Request {
+	return &Request{Client: client, Statement: statement, ReceivedAt: at, gone: new(atomic.Bool)}
 }
 
-// Gone tells that the client of an arrival went away.
-type Gone struct{ Arrival *Arrival }
+// ClientGone tells that the client of an arrival went away.
+type ClientGone struct{ Request *Request }
 
-// Leave is what tells it: from here on nothing of the request begins to go out, however busy the core is.
-func (a *Arrival) Leave() Gone {
+// MarkClientGone is what tells it: from here on nothing of the request begins to go out, however busy the core is.
+func (a *Request) MarkClientGone() ClientGone {
 	a.gone.Store(true)
-	return Gone{a}
+	return ClientGone{a}
 }
 
 // take turns names into indices; what names nothing known is answered at once.
-func (a *Arrival) take(c *Core, now time.Duration) {
+func (a *Request) take(c *Core, now time.Duration) {
 	if c.lapsed || c.shut {
 		c.metrics.rejected++
-		a.Client.Answer(Response{Status: Rejected, Come: c.comeBack})
+		a.Client.Respond(Response{Status: StatusRejected, RetryAfter: c.comeBack})
 		return
 	}
 	a.terms = c.terms
@@ -93,7 +93,7 @@
 			a.refuse(c, why)
 			return
 		}
-	} else if t.Type, ok = c.typeIDs.Find(string(s.Type)); !ok {
+	} else if t.Type, ok = c.typeIDs.Lookup(string(s.Type)); !ok {
 		a.refuse(c, "c names no request type of this site")
 		return
 	}
@@ -103,7 +103,7 @@
 		return
 	}
 	if len(s.Customer) > 0 && c.customers.Len() > 0 {
-		if t.Customer, ok = c.customers.Find(string(s.Customer)); !ok {
+		if t.Customer, ok = c.customers.Lookup(string(s.Customer)); !ok {
 			a.refuse(c, "t names no customer of this site")
 			return
 		}
@@ -112,7 +112,7 @@
 		a.refuse(c, "id names a request in hand")
 		return
 	}
-	if t.Group, ok = c.groups.Find(s.Group); !ok {
+	if t.Group, ok = c.groups.Lookup(s.Group); !ok {
 		a.refuse(c, "cluster names no group on the list")
 		return
 	}
@@ -122,20 +122,20 @@
 	}
 	t.MaxStaleness, t.DedupWindow = a.terms.types[t.Type].MaxStaleness, a.terms.types[t.Type].DedupWindow
 	if (ty.Consistency == port.Write || ty.Consistency == port.ReadYourWrites) && (s.Shape == nil || len(s.Key) > 0) {
-		t.Session = Session(s.Key)
+		t.Session = SessionHash(s.Key)
 	}
 	if s.After > 0 {
 		t.TokenAge = max(1, now-c.since(s.After))
 	}
-	if now >= a.At+s.Wait { // it waited for so long behind others of its connection, or for the core
+	if now >= a.ReceivedAt+s.Wait { // it waited for so long behind others of its connection, or for the core
 		c.metrics.rejected++
-		a.Client.Answer(Response{Status: Rejected})
+		a.Client.Respond(Response{Status: StatusRejected})
 		return
 	}
 	c.admit(a, t)
 }
 
-func (a *Arrival) refuse(c *Core, why string) {
+func (a *Request) refuse(c *Core, why string) {
 	c.metrics.senseless++
-	a.Client.Answer(Response{Status: Senseless, Code: pgwire.BadValue, Reason: why})
+	a.Client.Respond(Response{Status: StatusInvalid, Code: pgwire.BadValue, Reason: why})
 }
--- a/front/terms.go
+++ b/front/terms.go
@@ -10,46 +10,46 @@
 	"dapplerouter/site"
 )
 
-// Bound is what a core stands on where its front is one of a fleet that publishes versions and audits; the zero value is a
+// FleetOptions is what a core stands on where its front is one of a fleet that publishes versions and audits; the zero value is a
 // front by itself, which pays nothing for it.
-type Bound struct {
-	Clock  func() time.Duration // the core's, for whoever is about to write; nil where no right is needed
-	Audit  Auditor
-	Stands func(standing bool) // the front takes no requests from now on, or takes them again; it must not block
+type FleetOptions struct {
+	Clock     func() time.Duration // the core's, for whoever is about to write; nil where no right is needed
+	Auditor   Auditor
+	OnStandby func(standing bool) // the front takes no requests from now on, or takes them again; it must not block
 }
 
 // Auditor hears of each request, from the core's goroutine: it must neither block nor allocate. Ended comes once for each Taken.
 type Auditor interface {
-	Taken(now time.Duration, id []byte, typ int) (span uint32)
-	Ended(now time.Duration, span uint32, typ int, w Status)
-	Listed(now time.Duration, index int64)     // the list's version is another
-	Adopted(now time.Duration, version uint64) // the terms are
-	Right(now, until time.Duration, standby bool)
+	RequestAccepted(now time.Duration, id []byte, typ int) (span uint32)
+	RequestFinished(now time.Duration, span uint32, typ int, w Status)
+	EndpointsChanged(now time.Duration, index int64) // the list's version is another
+	ConfigAdopted(now time.Duration, version uint64) // the terms are
+	LeaseChanged(now, until time.Duration, standby bool)
 	Tick(now time.Duration)  // now and then, though nothing comes
 	Close(now time.Duration) // the front ends
 }
 
-// Tick is an event that gives the audit its time.
-type Tick struct{}
+// AuditTick is an event that gives the audit its time.
+type AuditTick struct{}
 
-func (Tick) take(c *Core, now time.Duration) {
-	if c.bound.Audit != nil {
-		c.bound.Audit.Tick(now)
+func (AuditTick) take(c *Core, now time.Duration) {
+	if c.bound.Auditor != nil {
+		c.bound.Auditor.Tick(now)
 	}
 }
 
-// Closing is an event that ends the audit's book, behind all that was posted before. Done is called then.
-type Closing struct{ Done func() }
+// CloseAudit is an event that ends the audit's book, behind all that was posted before. Done is called then.
+type CloseAudit struct{ OnClosed func() }
 
-func (e Closing) take(c *Core, now time.Duration) {
-	if c.bound.Audit != nil {
-		c.bound.Audit.Close(now)
+func (e CloseAudit) take(c *Core, now time.Duration) {
+	if c.bound.Auditor != nil {
+		c.bound.Auditor.Close(now)
 	}
-	e.Done()
+	e.OnClosed()
 }
 
-// Bind sets what a core stands on. It is called before Run.
-func (c *Core) Bind(b Bound) {
+// JoinFleet sets what a core stands on. It is called before Run.
+func (c *Core) JoinFleet(b FleetOptions) {
 	c.bound = b
 	c.lapsed = b.Clock != nil // until the first right comes
 	c.terms.right = c.newRight()
@@ -61,32 +61,32 @@
 	version uint64
 	types   []port.RequestType
 	givenUp map[int64]struct{}
-	right   *Right // to act on it; nil where none is needed
+	right   *ConfigLease // to act on it; nil where none is needed
 }
 
-// Version is that of the rules in force. For hosts that step the core themselves; elsewhere Adopt's Done tells it.
-func (c *Core) Version() uint64 { return c.terms.version }
+// ConfigVersion is that of the rules in force. For hosts that step the core themselves; elsewhere Adopt's Done tells it.
+func (c *Core) ConfigVersion() uint64 { return c.terms.version }
 
-// Lapsed tells the same way whether the core stands by without a right.
-func (c *Core) Lapsed() bool { return c.lapsed }
+// Standby tells the same way whether the core stands by without a right.
+func (c *Core) Standby() bool { return c.lapsed }
 
-// Adopt is an event that puts a version's rules in force for all requests that come from now on; those in hand keep theirs.
+// AdoptConfig is an event that puts a version's rules in force for all requests that come from now on; those in hand keep theirs.
 // Done hears the moment, from the core's goroutine; Alone hears, at that moment or later, that no request is in hand any more
 // that was taken on another version: from then on the front acts on this one alone.
-type Adopt struct {
-	Version uint64
-	Rules   *site.Rules   // checked against the site before
-	Until   time.Duration // the right to act on it, where one is needed
-	Done    func(at time.Duration)
-	Alone   func()
+type AdoptConfig struct {
+	Version         uint64
+	Rules           *site.Rules   // checked against the site before
+	LeaseExpiry     time.Duration // the right to act on it, where one is needed
+	OnAdopted       func(at time.Duration)
+	OnOlderFinished func()
 }
 
-func (e Adopt) take(c *Core, now time.Duration) {
+func (e AdoptConfig) take(c *Core, now time.Duration) {
 	t := &terms{version: e.Version, types: c.types, givenUp: map[int64]struct{}{}, right: c.newRight()}
 	if r := e.Rules; r != nil {
 		t.types = append([]port.RequestType{}, c.types...)
 		put := func(name string, set func(*port.RequestType)) {
-			if i, ok := c.typeIDs.Find(name); ok {
+			if i, ok := c.typeIDs.Lookup(name); ok {
 				set(&t.types[i])
 				if c.classes != nil && c.classes.undeclared[i] != i { // a write of a reading type, by another index
 					set(&t.types[c.classes.undeclared[i]])
@@ -107,17 +107,17 @@
 		c.past = append(c.past, c.terms)
 	}
 	c.terms = t
-	c.older, c.alone = c.unanswered, e.Alone
-	if c.bound.Audit != nil {
-		c.bound.Audit.Adopted(now, e.Version)
+	c.older, c.alone = c.unanswered, e.OnOlderFinished
+	if c.bound.Auditor != nil {
+		c.bound.Auditor.ConfigAdopted(now, e.Version)
 	}
 	slog.Info("version in force", "version", e.Version, "given_up", len(t.givenUp))
-	if e.Done != nil {
-		e.Done(now)
+	if e.OnAdopted != nil {
+		e.OnAdopted(now)
 	}
 	if t.right != nil {
-		c.renew(now, t, e.Until)
-		if e.Until <= now && !c.lapsed {
+		c.renew(now, t, e.LeaseExpiry)
+		if e.LeaseExpiry <= now && !c.lapsed {
 			c.lapse(now)
 		}
 	}
@@ -136,19 +136,19 @@
 	}
 }
 
-// Right is until when a front may act on what it has. Behind it no attempt begins, whoever is about to write it: the
+// ConfigLease is until when a front may act on what it has. Behind it no attempt begins, whoever is about to write it: the
 // front may have stood still since the core looked. The core alone renews it.
-type Right struct {
+type ConfigLease struct {
 	now   func() time.Duration
 	until atomic.Int64
 	ended atomic.Bool // it was found to have run out
 }
 
-// NewRight makes one that has run out; now is the core's clock.
-func NewRight(now func() time.Duration) *Right { return &Right{now: now} }
+// NewConfigLease makes one that has run out; now is the core's clock.
+func NewConfigLease(now func() time.Duration) *ConfigLease { return &ConfigLease{now: now} }
 
-// Lasts tells whether it does, and notes where it does not.
-func (r *Right) Lasts() bool {
+// Valid tells whether it does, and notes where it does not.
+func (r *ConfigLease) Valid() bool {
 	if int64(r.now()) < r.until.Load() {
 		return true
 	}
@@ -156,28 +156,30 @@
 	return false
 }
 
-func (c *Core) newRight() *Right {
+func (c *Core) newRight() *ConfigLease {
 	if c.bound.Clock == nil {
 		return nil
 	}
-	return NewRight(c.bound.Clock)
+	return NewConfigLease(c.bound.Clock)
 }
 
 // over tells whether it has run out, or an attempt found it so.
-func (r *Right) over(now time.Duration) bool { return int64(now) >= r.until.Load() || r.ended.Load() }
+func (r *ConfigLease) over(now time.Duration) bool {
+	return int64(now) >= r.until.Load() || r.ended.Load()
+}
 
-// Renew is an event that lets the core act on a version until a moment of its clock. One that comes behind the end of the last
+// RenewLease is an event that lets the core act on a version until a moment of its clock. One that comes behind the end of the last
 // ends all that is in hand on it first: nothing of it is answered by what was begun under another right.
-type Renew struct {
+type RenewLease struct {
 	Version uint64
-	Until   time.Duration
+	Expiry  time.Duration
 }
 
-func (e Renew) take(c *Core, now time.Duration) {
+func (e RenewLease) take(c *Core, now time.Duration) {
 	c.lapse(now)
 	for _, t := range append(c.past, c.terms) {
 		if t.version == e.Version && t.right != nil {
-			c.renew(now, t, e.Until)
+			c.renew(now, t, e.Expiry)
 		}
 	}
 }
@@ -193,8 +195,8 @@
 	if t != c.terms {
 		return
 	}
-	if c.bound.Audit != nil {
-		c.bound.Audit.Right(now, until, false)
+	if c.bound.Auditor != nil {
+		c.bound.Auditor.LeaseChanged(now, until, false)
 	}
 	if c.lapsed {
 		c.lapsed = false
@@ -202,10 +204,10 @@
 	}
 }
 
-// Lapse is an event that ends the right to a version now.
-type Lapse struct{ Version uint64 }
+// ExpireLease is an event that ends the right to a version now.
+type ExpireLease struct{ Version uint64 }
 
-func (e Lapse) take(c *Core, now time.Duration) {
+func (e ExpireLease) take(c *Core, now time.Duration) {
 	for _, t := range append(c.past, c.terms) {
 		if t.version == e.Version && t.right != nil {
 			t.right.until.Store(min(t.right.until.Load(), int64(now)))
@@ -214,8 +216,8 @@
 	c.lapse(now)
 }
 
-// Acting are the versions on which the core may begin something at this moment. For hosts that step the core themselves.
-func (c *Core) Acting() (all []uint64) {
+// ActiveVersions are the versions on which the core may begin something at this moment. For hosts that step the core themselves.
+func (c *Core) ActiveVersions() (all []uint64) {
 	for _, t := range append(c.past, c.terms) {
 		if t.right == nil || int64(t.right.now()) < t.right.until.Load() {
 			all = append(all, t.version)
@@ -230,8 +232,8 @@
 	} else {
 		slog.Info("requests are taken: there is a right to act")
 	}
-	if c.bound.Stands != nil {
-		c.bound.Stands(on)
+	if c.bound.OnStandby != nil {
+		c.bound.OnStandby(on)
 	}
 }
 
@@ -244,8 +246,8 @@
 	}
 	if t := c.terms; t.right != nil && !c.lapsed && t.right.over(now) {
 		gone, c.lapsed = true, true
-		if c.bound.Audit != nil {
-			c.bound.Audit.Right(now, time.Duration(t.right.until.Load()), true)
+		if c.bound.Auditor != nil {
+			c.bound.Auditor.LeaseChanged(now, time.Duration(t.right.until.Load()), true)
 		}
 		t.right.until.Store(0)
 		c.stands(true)
@@ -266,11 +268,11 @@
 
 // endAll gives each request in hand on some terms its final answer, and takes back what is out for it.
 func (c *Core) endAll(now time.Duration, on func(*terms) bool) {
-	c.slab.Each(func(ref port.RequestRef, d *Slot[*Arrival]) {
-		if d.Closed || !on(d.What.terms) {
+	c.slab.Each(func(ref port.RequestRef, d *RequestEntry[*Request]) {
+		if d.Finished || !on(d.Value.terms) {
 			return
 		}
-		a := d.What
+		a := d.Value
 		outs := append([]*Attempt{}, a.out...)
 		endings := make([]port.AttemptResult, len(outs))
 		for i, s := range outs {
@@ -281,9 +283,9 @@
 				}
 			}
 		}
-		f := Response{Status: Rejected, Come: c.comeBack, MayRun: a.mayRun}
+		f := Response{Status: StatusRejected, RetryAfter: c.comeBack, MayHaveRun: a.mayRun}
 		if a.mayRun && c.types[a.typ].Idempotency != port.Idempotent {
-			f = Response{Status: Failed}
+			f = Response{Status: StatusFailed}
 		}
 		c.answer(d, f)
 		if len(outs) == 0 {
--- a/front/terms_test.go
+++ b/front/terms_test.go
@@ -14,28 +14,31 @@
 // ledger is an Auditor that writes down what it hears.
 type ledger struct {
 	taken, ended int
-	words        [Words]int
+	words        [StatusCount]int
 	version      uint64
 	index        int64
 }
 
-func (l *ledger) Taken(time.Duration, []byte, int) uint32 { l.taken++; return uint32(l.version) }
-func (l *ledger) Ended(_ time.Duration, span uint32, _ int, w Status) {
+func (l *ledger) RequestAccepted(time.Duration, []byte, int) uint32 {
+	l.taken++
+	return uint32(l.version)
+}
+func (l *ledger) RequestFinished(_ time.Duration, span uint32, _ int, w Status) {
 	l.ended++
 	l.words[w]++
 }
-func (l *ledger) Listed(_ time.Duration, index int64)     { l.index = index }
-func (l *ledger) Tick(time.Duration)                      {}
-func (l *ledger) Close(time.Duration)                     {}
-func (l *ledger) Right(_, _ time.Duration, _ bool)        {}
-func (l *ledger) Adopted(_ time.Duration, version uint64) { l.version = version }
+func (l *ledger) EndpointsChanged(_ time.Duration, index int64) { l.index = index }
+func (l *ledger) Tick(time.Duration)                            {}
+func (l *ledger) Close(time.Duration)                           {}
+func (l *ledger) LeaseChanged(_, _ time.Duration, _ bool)       {}
+func (l *ledger) ConfigAdopted(_ time.Duration, version uint64) { l.version = version }
 
 // righted is a front with a right until 100 ms.
 func righted(t *testing.T) (c *Core, m *module, w *wires, l *ledger, now *time.Duration) {
 	c, m, w = newFront(t)
 	l, now = &ledger{}, new(time.Duration)
-	c.Bind(Bound{Clock: func() time.Duration { return *now }, Audit: l})
-	c.Post(Renew{Until: 100 * ms})
+	c.JoinFleet(FleetOptions{Clock: func() time.Duration { return *now }, Auditor: l})
+	c.Post(RenewLease{Expiry: 100 * ms})
 	c.batch(0)
 	return c, m, w, l, now
 }
@@ -47,20 +50,20 @@
 	arrive(t, c, w, browse)
 	c.batch(10 * ms)
 	at := time.Duration(-1)
-	c.Post(Adopt{Version: 2, Rules: &site.Rules{Bounds: map[string]time.Duration{"browse": time.Second}, GivenUp: []int64{4}},
-		Done: func(d time.Duration) { at = d }})
+	c.Post(AdoptConfig{Version: 2, Rules: &site.Rules{Bounds: map[string]time.Duration{"browse": time.Second}, GivenUp: []int64{4}},
+		OnAdopted: func(d time.Duration) { at = d }})
 	c.batch(20 * ms)
 	assert.Equal(t, 20*ms, at, "the moment of adoption")
 	arrive(t, c, w, "SELECT data FROM facts WHERE code = 'k' /* id=2,c=browse,t=acme,d=100,cluster=9 */")
 	c.batch(30 * ms)
 	require.Len(t, m.begun, 2)
 	assert.Equal(t, []time.Duration{3 * time.Second, time.Second}, []time.Duration{m.begun[0].MaxStaleness, m.begun[1].MaxStaleness})
-	old := c.slab.Must(m.begun[0].Ref).What
+	old := c.slab.MustGet(m.begun[0].Ref).Value
 	assert.EqualValues(t, 0, old.terms.version)
 	assert.Equal(t, 3*time.Second, old.terms.types[0].MaxStaleness, "those in hand keep theirs")
 
 	alone := 0
-	c.Post(Adopt{Version: 2, Alone: func() { alone++ }})
+	c.Post(AdoptConfig{Version: 2, OnOlderFinished: func() { alone++ }})
 	c.batch(35 * ms)
 	assert.Zero(t, alone, "requests of before are in hand")
 	m.wish = func(m *module) { m.Fail(m.begun[0].Ref); m.Reject(m.begun[1].Ref, 0) }
@@ -68,36 +71,36 @@
 	assert.Equal(t, 1, alone)
 	w.final = nil
 
-	c.Post(Adopt{Version: 3, Rules: &site.Rules{GivenUp: []int64{9}}})
+	c.Post(AdoptConfig{Version: 3, Rules: &site.Rules{GivenUp: []int64{9}}})
 	c.batch(40 * ms)
 	arrive(t, c, w, "SELECT data FROM facts WHERE code = 'k' /* id=3,c=browse,t=acme,d=100,cluster=9 */")
 	c.batch(50 * ms)
 	assert.Len(t, m.begun, 2)
 	require.Len(t, w.final, 1)
-	assert.Equal(t, Senseless, w.final[0].Status)
+	assert.Equal(t, StatusInvalid, w.final[0].Status)
 	assert.Contains(t, w.final[0].Reason, "given up")
 }
 
 func TestBehindTheEndOfItsRightAFrontTakesNothingAndOwesNothing(t *testing.T) {
 	c, m, w, l, now := righted(t)
 	stood := []bool{}
-	c.bound.Stands = func(on bool) { stood = append(stood, on) }
+	c.bound.OnStandby = func(on bool) { stood = append(stood, on) }
 	out(t, c, m, w)
 	w.begin(t, 0)
 	*now = 100 * ms
 	c.batch(100 * ms)
 	require.Len(t, w.final, 1, "at once")
-	assert.Equal(t, Rejected, w.final[0].Status, "a read may be asked again")
+	assert.Equal(t, StatusRejected, w.final[0].Status, "a read may be asked again")
 	assert.Equal(t, 1, w.cuts)
 	assert.Equal(t, port.Cancelled, m.ended[0].Result)
 	assert.True(t, m.ended[0].RequestFinished)
-	assert.Zero(t, c.slab.Held())
+	assert.Zero(t, c.slab.Len())
 	arrive(t, c, w, browse)
 	c.batch(110 * ms)
 	assert.Len(t, m.begun, 1, "no new request is taken")
 	require.Len(t, w.final, 2)
-	assert.Equal(t, Rejected, w.final[1].Status)
-	c.Post(Renew{Until: 300 * ms})
+	assert.Equal(t, StatusRejected, w.final[1].Status)
+	c.Post(RenewLease{Expiry: 300 * ms})
 	c.batch(120 * ms)
 	arrive(t, c, w, browse)
 	c.batch(130 * ms)
@@ -118,7 +121,7 @@
 		}
 		c.batch(150 * ms)
 		require.Len(t, w.final, 1)
-		assert.Equal(t, map[bool]Status{true: Failed, false: Rejected}[begun], w.final[0].Status)
+		assert.Equal(t, map[bool]Status{true: StatusFailed, false: StatusRejected}[begun], w.final[0].Status)
 		assert.Equal(t, map[bool]port.AttemptResult{true: port.Cancelled, false: port.NotSent}[begun], m.ended[0].Result)
 		assert.False(t, !begun && w.sent[0].Begin(func() {}), "nothing goes out afterwards")
 	}
@@ -131,10 +134,10 @@
 	out(t, c, m, w)
 	*now = 60 * time.Second
 	assert.False(t, w.sent[0].Begin(func() {}))
-	c.Post(Renew{Until: 70 * time.Second})
+	c.Post(RenewLease{Expiry: 70 * time.Second})
 	c.batch(60 * time.Second)
 	require.Len(t, w.final, 1)
-	assert.Equal(t, Rejected, w.final[0].Status)
+	assert.Equal(t, StatusRejected, w.final[0].Status)
 	assert.Equal(t, port.NotSent, m.ended[0].Result)
 	assert.False(t, w.sent[0].Begin(func() {}), "not under the new right either")
 	arrive(t, c, w, browse)
@@ -146,7 +149,7 @@
 	c, m, w, l, _ := righted(t)
 	a := out(t, c, m, w)
 	w.begin(t, 0)
-	c.Post(Gone{a})
+	c.Post(ClientGone{a})
 	c.batch(20 * ms)
 	arrive(t, c, w, "SELECT data FROM facts WHERE code = 'k' /* id=2,c=browse,t=acme,d=100,cluster=9 */")
 	m.wish = func(m *module) { m.Fail(m.begun[1].Ref) }
@@ -154,8 +157,8 @@
 	c.batch(200 * ms)
 	assert.Equal(t, 2, l.taken)
 	assert.Equal(t, 2, l.ended)
-	assert.Equal(t, 1, l.words[Abandoned])
-	assert.Equal(t, 1, l.words[Failed])
+	assert.Equal(t, 1, l.words[StatusAbandoned])
+	assert.Equal(t, 1, l.words[StatusFailed])
 }
 
 // What was taken on the version before goes on under that version's right, and ends with it, though the front serves on.
@@ -163,18 +166,18 @@
 	c, m, w, _, _ := righted(t)
 	out(t, c, m, w)
 	w.begin(t, 0)
-	c.Post(Adopt{Version: 2, Until: 400 * ms})
+	c.Post(AdoptConfig{Version: 2, LeaseExpiry: 400 * ms})
 	c.batch(50 * ms)
-	assert.Equal(t, []uint64{0, 2}, c.Acting())
+	assert.Equal(t, []uint64{0, 2}, c.ActiveVersions())
 	arrive(t, c, w, "SELECT data FROM facts WHERE code = 'k' /* id=2,c=browse,t=acme,d=300,cluster=9 */")
 	m.wish = func(m *module) { m.StartAttempt(m.begun[1].Ref, 0, 0) }
 	c.batch(60 * ms)
 	w.begin(t, 1)
-	c.Post(Renew{Version: 2, Until: 500 * ms})
+	c.Post(RenewLease{Version: 2, Expiry: 500 * ms})
 	c.batch(90 * ms)
 	assert.Empty(t, w.final)
 	c.batch(100 * ms)
 	require.Len(t, w.final, 1, "the right to version 0 is over")
-	assert.False(t, c.Lapsed())
-	assert.Equal(t, 1, c.slab.Held(), "the other goes on")
+	assert.False(t, c.Standby())
+	assert.Equal(t, 1, c.slab.Len(), "the other goes on")
 }
--- a/front/timeline.go
+++ b/front/timeline.go
@@ -89,7 +89,7 @@
 		c.places = append(c.places, place{})
 	}
 	c.places[member] = p
-	c.pools.Place(member, p.address, c.age(p.since))
+	c.pools.SetAddress(member, p.address, c.age(p.since))
 }
 
 // age is how long ago a member started.
@@ -111,7 +111,7 @@
 	c.decider.ClockCorrected(c.now, shift)
 	for member, p := range c.places {
 		if p.since != 0 && p.address != "" {
-			c.pools.Place(member, p.address, c.age(p.since))
+			c.pools.SetAddress(member, p.address, c.age(p.since))
 		}
 	}
 }
--- a/front/timeline_test.go
+++ b/front/timeline_test.go
@@ -80,7 +80,7 @@
 	c.confirmed = false
 	out(t, c, m, w)
 	w.begin(t, 0)
-	c.Post(&Ended{S: w.sent[0], Answer: row()})
+	c.Post(&AttemptFinished{Attempt: w.sent[0], Answer: row()})
 	c.batch(30 * ms)
 	assert.False(t, m.ended[0].HasPosition, "a replica's says nothing until the present is known")
 	m.begun = nil
@@ -90,13 +90,13 @@
 	w.begin(t, 1)
 	a := row()
 	a.Role, a.Applied = "primary", 1_000_045+time.Hour.Milliseconds()
-	c.Post(&Ended{S: w.sent[1], Answer: a})
+	c.Post(&AttemptFinished{Attempt: w.sent[1], Answer: a})
 	c.batch(50 * ms)
 	assert.Equal(t, -time.Hour-5*ms, m.redated)
 	assert.Equal(t, 40*ms, m.ended[1].Position)
 	assert.Equal(t, time.Duration(0), c.age(1_000_055+time.Hour.Milliseconds()))
 	assert.Equal(t, time.Hour+555*ms, c.age(999_500))
-	c.Post(Listed{Kind: port.Delta, List: discovery.List{Entries: []discovery.Entry{{Name: "s-1", Address: "x", Zone: "a", Group: 9, Since: 1_000_000 + time.Hour.Milliseconds()}}}})
+	c.Post(EndpointsChanged{Kind: port.Delta, List: discovery.List{Entries: []discovery.Entry{{Name: "s-1", Address: "x", Zone: "a", Group: 9, Since: 1_000_000 + time.Hour.Milliseconds()}}}})
 	c.batch(60 * ms)
 	assert.Equal(t, -5*ms, m.listed[len(m.listed)-1].StartedAt)
 }
@@ -107,7 +107,7 @@
 	w.begin(t, 0)
 	a := row()
 	a.Applied += 3_600_000
-	c.Post(&Ended{S: w.sent[0], Answer: a})
+	c.Post(&AttemptFinished{Attempt: w.sent[0], Answer: a})
 	c.batch(30 * ms)
 	assert.False(t, m.ended[0].HasPosition)
 }
--- a/gateway/link/crossings.go
+++ b/gateway/link/crossings.go
@@ -16,7 +16,7 @@
 
 // Send takes an attempt to the far site. It never blocks.
 func (l *Link) Send(s *front.Attempt) {
-	w, probe := s.Way()
+	w, probe := s.Forwarded()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if probe {
@@ -24,8 +24,8 @@
 		l.work.Broadcast()
 		return
 	}
-	x := gateway.Crossing{ID: w.ID, Try: uint32(w.Try), Group: w.Group, Until: w.Until, Grant: uint32(w.Grant),
-		Write: w.Write, After: w.After, Message: s.Message()[headed:]}
+	x := gateway.Crossing{ID: w.RequestID, Try: uint32(w.AttemptNumber), Group: w.Group, Until: w.Deadline, Grant: uint32(w.MaxAttempts),
+		Write: w.Write, After: w.MinPosition, Message: s.Message()[headed:]}
 	l.subs[x.ID] = s
 	l.side.Cross(l.o.Clock.Now(), x)
 	l.carryOut()
@@ -33,11 +33,11 @@
 }
 
 // probed answers a probe of the far site by how the link stands: for its groups the site is their primary.
-func (l *Link) probed(s *front.Attempt) *front.Ended {
+func (l *Link) probed(s *front.Attempt) *front.AttemptFinished {
 	if l.side.State() != gateway.Up {
-		return &front.Ended{S: s, Failure: &front.Failure{Reach: front.Unconnected, Err: errDown}}
+		return &front.AttemptFinished{Attempt: s, Err: &front.ConnectionError{Stage: front.StageDial, Err: errDown}}
 	}
-	return &front.Ended{S: s, Answer: pgwire.OneValue([]byte("x1=1"))}
+	return &front.AttemptFinished{Attempt: s, Answer: pgwire.OneValue([]byte("x1=1"))}
 }
 
 var errDown = errors.New("the link is down")
@@ -57,26 +57,26 @@
 }
 
 // ending puts the end of a crossing into a front's words.
-func ending(s *front.Attempt, e *gateway.End) *front.Ended {
+func ending(s *front.Attempt, e *gateway.End) *front.AttemptFinished {
 	switch f := e.Result; {
 	case f == nil && e.Full:
-		return &front.Ended{S: s, Answer: pgwire.Answer{Code: pgwire.TooManyConnections}}
+		return &front.AttemptFinished{Attempt: s, Answer: pgwire.Answer{Code: pgwire.TooManyConnections}}
 	case f == nil && e.Never:
-		return &front.Ended{S: s, Failure: &front.Failure{Reach: front.Unwritten, Err: errDown}}
+		return &front.AttemptFinished{Attempt: s, Err: &front.ConnectionError{Stage: front.StageWrite, Err: errDown}}
 	case f == nil:
-		return &front.Ended{S: s, Failure: &front.Failure{Reach: front.Written, Err: errors.New("the link broke, and what became of it is not known")}}
+		return &front.AttemptFinished{Attempt: s, Err: &front.ConnectionError{Stage: front.StageRead, Err: errors.New("the link broke, and what became of it is not known")}}
 	case f.Word == gateway.Served:
 		a := pgwire.Answer{Rows: f.Data, Whole: true, Applied: f.Place, HasApplied: f.Place != 0}
 		if f.Role == 1 {
 			a.Role = "primary"
 		}
-		return &front.Ended{S: s, Answer: a, Crossed: true, Age: f.Age + e.Took, Aged: f.Aged}
+		return &front.AttemptFinished{Attempt: s, Answer: a, Remote: true, DataAge: f.Age + e.Took, DataAgeKnown: f.Aged}
 	case f.Word == gateway.Rejected:
-		return &front.Ended{S: s, Answer: pgwire.Answer{Code: pgwire.TooManyConnections}}
+		return &front.AttemptFinished{Attempt: s, Answer: pgwire.Answer{Code: pgwire.TooManyConnections}}
 	case f.Word == gateway.Senseless:
-		return &front.Ended{S: s, Answer: pgwire.Answer{Code: f.Code, Message: f.Reason, Any: true}}
+		return &front.AttemptFinished{Attempt: s, Answer: pgwire.Answer{Code: f.Code, Message: f.Reason, Any: true}}
 	}
-	return &front.Ended{S: s, Answer: pgwire.Answer{Code: "XX000"}}
+	return &front.AttemptFinished{Attempt: s, Answer: pgwire.Answer{Code: "XX000"}}
 }
 
 // tell passes endings to the front; it alone may block there.
@@ -97,7 +97,7 @@
 		l.told = state
 		l.mu.Unlock()
 		if turned {
-			l.o.Post(front.Listed{Kind: port.Delta, List: discovery.List{Entries: Members(l.o.Peer, l.o.Groups, state)}})
+			l.o.Post(front.EndpointsChanged{Kind: port.Delta, List: discovery.List{Entries: Members(l.o.Peer, l.o.Groups, state)}})
 		}
 		for _, e := range all {
 			l.o.Post(e)
@@ -112,7 +112,7 @@
 }
 
 // runs notes the arrival of a run, nil for none any more, and gives what was noted; with the lock held.
-func (l *Link) runs(run uint64, a *front.Arrival) (before *front.Arrival) {
+func (l *Link) runs(run uint64, a *front.Request) (before *front.Request) {
 	before = l.here[run]
 	if a == nil {
 		delete(l.here, run)
@@ -129,7 +129,7 @@
 		a := l.runs(s.Run, nil)
 		l.mu.Unlock()
 		if a != nil {
-			l.o.Post(a.Leave())
+			l.o.Post(a.MarkClientGone())
 		}
 		return
 	}
@@ -143,20 +143,20 @@
 		} else if err != nil {
 			what = err.Error()
 		}
-		r.Answer(front.Response{Status: front.Senseless, Code: code, Reason: what})
+		r.Respond(front.Response{Status: front.StatusInvalid, Code: code, Reason: what})
 		return
 	}
 	st.Wait, st.After = min(st.Wait, s.Wait), max(st.After, s.After)
-	a := front.NewArrival(r, st, l.o.Clock.Now())
-	a.Most = int(s.Grant)
+	a := front.NewRequest(r, st, l.o.Clock.Now())
+	a.MaxAttempts = int(s.Grant)
 	l.mu.Lock()
 	l.runs(s.Run, a)
 	l.mu.Unlock()
 	l.o.Post(a)
 }
 
-// Answer takes our front's final answer on the core's goroutine; it never blocks.
-func (r *runner) Answer(f front.Response) {
+// Respond takes our front's final answer on the core's goroutine; it never blocks.
+func (r *runner) Respond(f front.Response) {
 	l := r.l
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -168,21 +168,21 @@
 // frame puts a final answer into a frame.
 func frame(f *front.Response) gateway.Frame {
 	switch f.Status {
-	case front.Served:
-		g := gateway.Frame{Word: gateway.Served, Data: f.Rows, Place: f.Place, Age: f.Age, Aged: f.Aged}
-		if f.Primary {
+	case front.StatusSucceeded:
+		g := gateway.Frame{Word: gateway.Served, Data: f.Rows, Place: f.Position, Age: f.DataAge, Aged: f.DataAgeKnown}
+		if f.FromPrimary {
 			g.Role = 1
 		}
 		if len(g.Data) > gateway.LongestData { // it ran; the value does not fit the link
 			return gateway.Frame{Word: gateway.MayHaveRun, Code: pgwire.TooLarge}
 		}
 		return g
-	case front.Rejected:
-		if f.MayRun {
+	case front.StatusRejected:
+		if f.MayHaveRun {
 			return gateway.Frame{Word: gateway.MayHaveRun, Code: pgwire.TooManyConnections}
 		}
-		return gateway.Frame{Word: gateway.Rejected, Come: f.Come}
-	case front.Senseless:
+		return gateway.Frame{Word: gateway.Rejected, Come: f.RetryAfter}
+	case front.StatusInvalid:
 		return gateway.Frame{Word: gateway.Senseless, Code: f.Code, Reason: f.Reason}
 	}
 	return gateway.Frame{Word: gateway.MayHaveRun, Code: pgwire.RolledBack}
--- a/gateway/link/link.go
+++ b/gateway/link/link.go
@@ -37,8 +37,8 @@
 	conn   net.Conn // the one that was greeted last
 	number uint64
 	subs   map[uint64]*front.Attempt // by request
-	ended  []*front.Ended            // to be told
-	here   map[uint64]*front.Arrival // the peer's crossings that run here
+	ended  []*front.AttemptFinished  // to be told
+	here   map[uint64]*front.Request // the peer's crossings that run here
 	told   gateway.State             // that the front was told
 	work   *sync.Cond                // for the writer and the teller
 
@@ -50,7 +50,7 @@
 // New makes a Link and, where it listens, begins to.
 func New(o Options) (*Link, error) {
 	l := &Link{o: o, side: gateway.New(o.Settings, o.Epoch), subs: map[uint64]*front.Attempt{},
-		here: map[uint64]*front.Arrival{}}
+		here: map[uint64]*front.Request{}}
 	l.work = sync.NewCond(&l.mu)
 	l.ctx, l.stop = context.WithCancel(context.Background())
 	if o.Listen != "" {
--- a/gateway/link/links.go
+++ b/gateway/link/links.go
@@ -19,13 +19,13 @@
 	far   []bool // by member
 }
 
-// Place, Send and Forget are those of front.Links.
-func (ls *Links) Place(member int, address string, age time.Duration) {
+// SetAddress, Send and Forget are those of front.Links.
+func (ls *Links) SetAddress(member int, address string, age time.Duration) {
 	for len(ls.far) <= member {
 		ls.far = append(ls.far, false)
 	}
-	if ls.far[member] = strings.HasPrefix(address, front.FarAddress); !ls.far[member] {
-		ls.Local.Place(member, address, age)
+	if ls.far[member] = strings.HasPrefix(address, front.RemoteSitePrefix); !ls.far[member] {
+		ls.Local.SetAddress(member, address, age)
 	}
 }
 
@@ -37,12 +37,12 @@
 	ls.Local.Send(member, s)
 }
 
-func (ls *Links) Forget(member int) {
+func (ls *Links) Remove(member int) {
 	if member < len(ls.far) && ls.far[member] {
 		ls.far[member] = false
 		return
 	}
-	ls.Local.Forget(member)
+	ls.Local.Remove(member)
 }
 
 // Members are those that stand for a far site: one for each of its groups, in a zone of its name, their primary; away
@@ -54,7 +54,7 @@
 	}
 	for _, g := range groups {
 		name := site + "/" + strconv.FormatInt(g, 10)
-		entries = append(entries, discovery.Entry{Name: name, Address: front.FarAddress + name, Zone: site, Kind: "site", Group: g,
+		entries = append(entries, discovery.Entry{Name: name, Address: front.RemoteSitePrefix + name, Zone: site, Kind: "site", Group: g,
 			Weight: 1, Primary: true, State: state})
 	}
 	return entries
--- a/gateway/link/peer_test.go
+++ b/gateway/link/peer_test.go
@@ -16,9 +16,9 @@
 
 type steady struct{ born time.Time }
 
-func (s steady) Now() time.Duration      { return time.Since(s.born) }
-func (s steady) Set(time.Duration)       {}
-func (s steady) Rings() <-chan time.Time { return nil }
+func (s steady) Now() time.Duration       { return time.Since(s.born) }
+func (s steady) SetTimer(time.Duration)   {}
+func (s steady) TimerC() <-chan time.Time { return nil }
 
 // listening makes a link that a scripted peer dials; what it passes to its front is kept.
 func listening(t *testing.T) (l *Link, posted func() []front.Event) {
@@ -82,7 +82,7 @@
 	}
 	assert.EqualValues(t, 79, h.ID)
 	for _, e := range posted() {
-		_, arrival := e.(*front.Arrival)
+		_, arrival := e.(*front.Request)
 		assert.False(t, arrival, "nothing of it reached the front")
 	}
 }
--- a/lab/model/changes_bench_test.go
+++ b/lab/model/changes_bench_test.go
@@ -75,7 +75,7 @@
 	if c.restart != nil {
 		w.After(c.after, func() {
 			for _, f := range w.Fronts[w.O.Voters:] {
-				if f.Core.Version() == w.State().Next {
+				if f.Core.ConfigVersion() == w.State().Next {
 					c.restart(w, f)
 					return
 				}
@@ -186,7 +186,7 @@
 // on counts the fronts that act on a version.
 func (t *Town) on(version uint64) (n int) {
 	for _, f := range t.Fronts {
-		if f.Core.Version() == version {
+		if f.Core.ConfigVersion() == version {
 			n++
 		}
 	}
--- a/lab/model/chaos.go
+++ b/lab/model/chaos.go
@@ -66,7 +66,7 @@
 			return false
 		}
 		for _, f := range t.Fronts {
-			if f.Core.Lapsed() || !s.Paused && f.Core.Version() != s.Base {
+			if f.Core.Standby() || !s.Paused && f.Core.ConfigVersion() != s.Base {
 				return false
 			}
 		}
@@ -85,7 +85,7 @@
 		s := t.State()
 		t.Wrong = append(t.Wrong, fmt.Sprintf("it does not come to rest: %v of %d to %d, %s", s.Phase, s.Base, s.Next, s.Why))
 		for _, f := range t.Fronts {
-			t.Wrong = append(t.Wrong, fmt.Sprintf("%s acts on %d, lapsed %v, alone %v", f.Name, f.Core.Version(), f.Core.Lapsed(), f.host.Node.Isolated()))
+			t.Wrong = append(t.Wrong, fmt.Sprintf("%s acts on %d, lapsed %v, alone %v", f.Name, f.Core.ConfigVersion(), f.Core.Standby(), f.host.Node.Isolated()))
 		}
 	}
 	for _, x := range t.Requests {
--- a/lab/model/deadline_test.go
+++ b/lab/model/deadline_test.go
@@ -52,7 +52,7 @@
 		}
 		w.Heal()
 		w.Run(10 * time.Second)
-		assert.EqualValues(t, 1, w.Fronts[19].Core.Version(), "it is brought up")
+		assert.EqualValues(t, 1, w.Fronts[19].Core.ConfigVersion(), "it is brought up")
 		require.Empty(t, w.Wrong)
 	}
 }
--- a/lab/model/member.go
+++ b/lab/model/member.go
@@ -128,24 +128,24 @@
 	at []string // addresses, by the core's index of members
 }
 
-func (l *links) Place(member int, address string, _ time.Duration) {
+func (l *links) SetAddress(member int, address string, _ time.Duration) {
 	for len(l.at) <= member {
 		l.at = append(l.at, "")
 	}
 	l.at[member] = address
 }
 
-func (l *links) Forget(member int) { l.at[member] = "" }
+func (l *links) Remove(member int) { l.at[member] = "" }
 
 func (l *links) Send(member int, s *front.Attempt) {
 	f, t := l.f, l.f.t
 	m := t.byName[l.at[member]]
-	failed := func(reach front.Reach, why string) {
-		f.post(&front.Ended{S: s, Failure: &front.Failure{Reach: reach, Err: fmt.Errorf("%s", why)}})
+	failed := func(reach front.FailureStage, why string) {
+		f.post(&front.AttemptFinished{Attempt: s, Err: &front.ConnectionError{Stage: reach, Err: fmt.Errorf("%s", why)}})
 	}
 	f.host.After(t.way(), func(time.Duration) { // a connection that rests, or a new one
 		if m == nil || m.Down {
-			failed(front.Unconnected, "refused")
+			failed(front.StageDial, "refused")
 			return
 		}
 		cut := new(bool)
@@ -157,7 +157,7 @@
 			m.came(f.Name, message, cut, func(a pgwire.Answer) {
 				t.After(t.way(), func() {
 					if !*cut {
-						f.host.After(0, func(time.Duration) { f.post(&front.Ended{S: s, Answer: a}) })
+						f.host.After(0, func(time.Duration) { f.post(&front.AttemptFinished{Attempt: s, Answer: a}) })
 					}
 				})
 			})
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -210,7 +210,7 @@
 	if t.O.Right > 0 && f.host.Node != nil {
 		f.participate(s)
 	}
-	f.seen(front.Listed{Kind: port.CachedSnapshot, List: t.whole()})
+	f.seen(front.EndpointsChanged{Kind: port.CachedSnapshot, List: t.whole()})
 	if !t.O.Ask {
 		f.dir.follows = true
 		f.dir.open()
@@ -315,7 +315,7 @@
 	}
 	d.opened = true
 	d.f.t.Lists.Open++
-	d.call(func(l discovery.List) { d.f.seen(front.Listed{Kind: port.Snapshot, List: l}) })
+	d.call(func(l discovery.List) { d.f.seen(front.EndpointsChanged{Kind: port.Snapshot, List: l}) })
 }
 
 func (d *directory) shut() {
@@ -330,7 +330,7 @@
 	t := d.f.t
 	t.Lists.Calls++
 	if t.Lists.Away {
-		d.f.host.After(t.way(), func(time.Duration) { d.f.seen(front.Listed{Kind: port.UpdateFailed}) })
+		d.f.host.After(t.way(), func(time.Duration) { d.f.seen(front.EndpointsChanged{Kind: port.UpdateFailed}) })
 		return
 	}
 	d.f.host.After(2*t.way(), func(time.Duration) { then(t.whole()) })
@@ -340,7 +340,7 @@
 	d.watches = on
 	switch {
 	case on && d.leaning:
-		d.f.host.After(0, func(time.Duration) { d.f.seen(front.Listed{Kind: port.Snapshot, List: d.f.list.List()}) })
+		d.f.host.After(0, func(time.Duration) { d.f.seen(front.EndpointsChanged{Kind: port.Snapshot, List: d.f.list.List()}) })
 	case on:
 		d.open()
 	case !d.follows:
@@ -350,10 +350,10 @@
 
 func (d *directory) Fetch() {
 	if d.leaning {
-		d.f.host.After(0, func(time.Duration) { d.f.seen(front.Listed{Kind: port.Snapshot, List: d.f.list.List()}) })
+		d.f.host.After(0, func(time.Duration) { d.f.seen(front.EndpointsChanged{Kind: port.Snapshot, List: d.f.list.List()}) })
 		return
 	}
-	d.call(func(l discovery.List) { d.f.seen(front.Listed{Kind: port.Snapshot, List: l}) })
+	d.call(func(l discovery.List) { d.f.seen(front.EndpointsChanged{Kind: port.Snapshot, List: l}) })
 }
 
 // followAll is the duty's work: a watch for all, and the service's beat handed on.
@@ -388,14 +388,14 @@
 	if d.leaning {
 		_, changed := fleet.DecodeEndpointUpdate(data)
 		if changed {
-			d.f.seen(front.Listed{Kind: port.Snapshot, List: d.f.list.List()})
+			d.f.seen(front.EndpointsChanged{Kind: port.Snapshot, List: d.f.list.List()})
 		}
 		return
 	}
 	d.leaning = true
 	d.shut()
 	if d.follows || d.watches {
-		d.f.seen(front.Listed{Kind: port.Snapshot, List: d.f.list.List()})
+		d.f.seen(front.EndpointsChanged{Kind: port.Snapshot, List: d.f.list.List()})
 	}
 }
 
@@ -417,7 +417,7 @@
 	t.ids++
 	x := &Request{ID: fmt.Sprint("t", t.ids), Front: f.Name, At: t.Now, Type: Browse, Write: write}
 	wait := t.O.Deadline.Milliseconds()
-	if f.Spoils != nil && t.Rnd.Float64() < f.Spoils(f.Core.Version()) {
+	if f.Spoils != nil && t.Rnd.Float64() < f.Spoils(f.Core.ConfigVersion()) {
 		wait = 1
 	}
 	sql := fmt.Sprintf("SELECT 'x' /* id=%s,c=%s,d=%d,cluster=%d */", x.ID, Browse, wait, group)
@@ -433,7 +433,7 @@
 		t.Requests = append(t.Requests, x)
 	}
 	f.Asked[x.Type]++
-	f.post(front.NewArrival(&client{f, x}, s, f.host.Clock()))
+	f.post(front.NewRequest(&client{f, x}, s, f.host.Clock()))
 	return x
 }
 
@@ -442,10 +442,10 @@
 	x *Request
 }
 
-func (c *client) Answer(f front.Response) {
+func (c *client) Respond(f front.Response) {
 	c.x.Answers++
 	c.x.Word, c.x.Ended = f.Status, c.f.t.Now
-	if f.Status == front.Served {
+	if f.Status == front.StatusSucceeded {
 		c.f.Served[c.x.Type]++
 	}
 }
--- a/lab/model/model_test.go
+++ b/lab/model/model_test.go
@@ -34,7 +34,7 @@
 			served := 0
 			for _, x := range w.Requests {
 				assert.LessOrEqual(t, x.Answers, 1, x.ID)
-				if x.Answers == 1 && x.Word == front.Served {
+				if x.Answers == 1 && x.Word == front.StatusSucceeded {
 					served++
 				}
 				said[i] += fmt.Sprintln(x.ID, x.Front, x.Ended, x.Word)
--- a/lab/model/regions_bench_test.go
+++ b/lab/model/regions_bench_test.go
@@ -71,7 +71,7 @@
 		if f.host.Node.Isolated() {
 			s[k].alone++
 		}
-		if f.Core.Lapsed() {
+		if f.Core.Standby() {
 			s[k].lapsed++
 		}
 		for _, d := range []string{fleet.EndpointListLease, rollout.Lease} {
--- a/lab/model/rolls.go
+++ b/lab/model/rolls.go
@@ -14,7 +14,7 @@
 // seat gives a front that starts its part in rolls, as fleet/agent does.
 func (f *Front) participate(s *site.Site) {
 	t := f.t
-	f.Core.Bind(front.Bound{Clock: f.host.Clock, Audit: (*tally)(f)})
+	f.Core.JoinFleet(front.FleetOptions{Clock: f.host.Clock, Auditor: (*tally)(f)})
 	f.sums = make([]rollout.Counts, 2)
 	o := rollout.Options{Name: f.Name, Timing: t.Pace, ConfigLease: t.O.Right, StopWhenIsolated: t.O.Stop, InForceWithin: t.O.Within, Rules: site.RulesText{}, Active: f.disk.version, Tried: f.disk.tried}
 	f.version = o.Active
@@ -26,9 +26,9 @@
 		Renew: func(version uint64, until time.Duration) {
 			f.host.After(0, func(now time.Duration) {
 				if until > now {
-					f.post(front.Renew{Version: version, Until: until})
+					f.post(front.RenewLease{Version: version, Expiry: until})
 				} else {
-					f.post(front.Lapse{Version: version})
+					f.post(front.ExpireLease{Version: version})
 				}
 			})
 		},
@@ -37,7 +37,7 @@
 	})
 	if f.disk.version != 0 {
 		if r, err := site.ParseRules("saved", f.disk.text); err == nil {
-			f.post(front.Adopt{Version: f.disk.version, Rules: r})
+			f.post(front.AdoptConfig{Version: f.disk.version, Rules: r})
 		}
 	}
 	f.Participant.DeclareLeases(f.host.Node)
@@ -84,7 +84,7 @@
 			})
 		})
 	}
-	f.post(front.Adopt{Version: a.Version, Rules: rules, Until: a.Until, Done: func(time.Duration) {
+	f.post(front.AdoptConfig{Version: a.Version, Rules: rules, LeaseExpiry: a.Until, OnAdopted: func(time.Duration) {
 		f.host.After(0, func(time.Duration) {
 			f.version, f.sums = a.Version, make([]rollout.Counts, 2)
 			f.Participant.Adopted(a.Version)
@@ -94,7 +94,7 @@
 				}
 			})
 		})
-	}, Alone: func() {
+	}, OnOlderFinished: func() {
 		f.host.After(0, func(time.Duration) {
 			do(func(n *fleet.Node, now time.Duration) { f.Participant.Settled(now, n, a.Version) })
 		})
@@ -104,15 +104,15 @@
 // tally counts a front's requests, as the audit does in service.
 type tally Front
 
-func (f *tally) Taken(time.Duration, []byte, int) uint32  { return 0 }
-func (f *tally) Listed(time.Duration, int64)              {}
-func (f *tally) Adopted(time.Duration, uint64)            {}
-func (f *tally) Tick(time.Duration)                       {}
-func (f *tally) Close(time.Duration)                      {}
-func (f *tally) Right(time.Duration, time.Duration, bool) {}
-func (f *tally) Ended(_ time.Duration, _ uint32, typ int, w front.Status) {
+func (f *tally) RequestAccepted(time.Duration, []byte, int) uint32 { return 0 }
+func (f *tally) EndpointsChanged(time.Duration, int64)             {}
+func (f *tally) ConfigAdopted(time.Duration, uint64)               {}
+func (f *tally) Tick(time.Duration)                                {}
+func (f *tally) Close(time.Duration)                               {}
+func (f *tally) LeaseChanged(time.Duration, time.Duration, bool)   {}
+func (f *tally) RequestFinished(_ time.Duration, _ uint32, typ int, w front.Status) {
 	f.sums[typ].Ended++
-	if w == front.Served {
+	if w == front.StatusSucceeded {
 		f.sums[typ].Served++
 	}
 }
@@ -172,7 +172,7 @@
 	if f.host.Node.Isolated() || f.host.Stopped() {
 		f.aloneAt = t.Now
 	}
-	for _, v := range f.Core.Acting() {
+	for _, v := range f.Core.ActiveVersions() {
 		t.checkVersion(f, s, v)
 	}
 }
--- a/lab/model/rolls_bench_test.go
+++ b/lab/model/rolls_bench_test.go
@@ -40,7 +40,7 @@
 						w.Run(10 * time.Millisecond)
 						on := 0
 						for _, f := range w.Fronts {
-							if f.Core.Version() == 1 {
+							if f.Core.ConfigVersion() == 1 {
 								on++
 							}
 						}
@@ -88,7 +88,7 @@
 					}
 					bad := 0
 					for _, x := range w.Requests {
-						if x.At > began && x.Answers == 1 && x.Word != front.Served {
+						if x.At > began && x.Answers == 1 && x.Word != front.StatusSucceeded {
 							bad++
 						}
 					}
--- a/lab/model/rolls_test.go
+++ b/lab/model/rolls_test.go
@@ -55,7 +55,7 @@
 
 func acting(w *Town) (all []uint64) {
 	for _, f := range w.Fronts {
-		all = append(all, f.Core.Version())
+		all = append(all, f.Core.ConfigVersion())
 	}
 	return all
 }
@@ -134,7 +134,7 @@
 	require.Empty(t, publish(t, w, x))
 	w.Run(12 * time.Second)
 	for _, f := range w.Fronts {
-		if f.Core.Version() == 1 {
+		if f.Core.ConfigVersion() == 1 {
 			f.host.Crash()
 			w.After(time.Second, f.host.Start)
 		}
@@ -207,7 +207,7 @@
 	assert.Contains(t, s.Why, "serves worse")
 	bad := 0
 	for _, x := range w.Requests {
-		if x.At > from && x.Answers == 1 && (x.Word == front.Rejected || x.Word == front.Failed) {
+		if x.At > from && x.Answers == 1 && (x.Word == front.StatusRejected || x.Word == front.StatusFailed) {
 			bad++
 		}
 	}
@@ -267,8 +267,8 @@
 			assert.LessOrEqual(t, x.Answers, 1)
 			assert.False(t, x.Answers == 0 && x.At < w.Now-10*time.Second, "%s of %s has its one answer", x.ID, x.Front)
 		}
-		assert.EqualValues(t, 1, f.Core.Version(), "it is brought up")
-		assert.False(t, f.Core.Lapsed(), "and serves again")
+		assert.EqualValues(t, 1, f.Core.ConfigVersion(), "it is brought up")
+		assert.False(t, f.Core.Standby(), "and serves again")
 	}
 }
 
@@ -280,13 +280,13 @@
 		w.Run(15 * time.Second)
 		require.Empty(t, w.Wrong)
 		for _, f := range w.Fronts[2:] {
-			assert.Equal(t, stop, f.Core.Lapsed(), "%s, stop %v", f.Name, stop)
+			assert.Equal(t, stop, f.Core.Standby(), "%s, stop %v", f.Name, stop)
 		}
 		w.Hosts[0].Start()
 		w.Hosts[1].Start()
 		w.Run(15 * time.Second)
 		for _, f := range w.Fronts {
-			assert.False(t, f.Core.Lapsed(), f.Name)
+			assert.False(t, f.Core.Standby(), f.Name)
 		}
 		require.Empty(t, publish(t, w, wish("(rules (given-up 2))", 1000)))
 		settled(t, w, time.Minute)
@@ -304,7 +304,7 @@
 	assert.Equal(t, rollout.PhaseRolling, w.State().Phase)
 	on := 0
 	for _, f := range w.Fronts {
-		if f.host.Up() && f.Core.Version() == 1 {
+		if f.host.Up() && f.Core.ConfigVersion() == 1 {
 			on++
 		}
 	}
@@ -326,12 +326,12 @@
 	require.Empty(t, publish(t, w, wish("(rules (given-up 2))", 1000)))
 	s := settled(t, w, 2*time.Minute)
 	assert.EqualValues(t, 1, s.Base)
-	assert.True(t, out.Core.Lapsed())
-	assert.EqualValues(t, 0, out.Core.Version())
+	assert.True(t, out.Core.Standby())
+	assert.EqualValues(t, 0, out.Core.ConfigVersion())
 	w.Heal()
 	w.Run(15 * time.Second)
-	assert.EqualValues(t, 1, out.Core.Version())
-	assert.False(t, out.Core.Lapsed())
+	assert.EqualValues(t, 1, out.Core.ConfigVersion())
+	assert.False(t, out.Core.Standby())
 	assert.Empty(t, w.Wrong)
 }
 
--- a/lab/report/audit.go
+++ b/lab/report/audit.go
@@ -123,7 +123,7 @@
 					total += n
 				}
 				r.Bars = append(r.Bars, bar{X: x(u.From), W: max(1, x(u.Until)-x(u.From)), Colour: colour(u.Version), Version: u.Version, Open: u.Open,
-					Tip: fmt.Sprintf("%s on version %d, %s to %s: %d requests, %d committed", u.Front, u.Version, stamp(u.From), stamp(u.Until), total, u.Ended[front.Served])})
+					Tip: fmt.Sprintf("%s on version %d, %s to %s: %d requests, %d committed", u.Front, u.Version, stamp(u.From), stamp(u.Until), total, u.Ended[front.StatusSucceeded])})
 			}
 		}
 		for _, l := range j.Lines {
@@ -144,7 +144,7 @@
 	}
 	for _, v := range audit.Versions(all, uses) {
 		x := version{Version: v.Version, Colour: colour(v.Version), Meaning: v.Meaning, First: stamp(v.First), Last: stamp(v.Last), Fronts: v.Fronts,
-			Succeeded: v.Ended[front.Served], Rejected: v.Ended[front.Rejected], Other: v.Ended[front.Failed] + v.Ended[front.Senseless] + v.Ended[front.Abandoned]}
+			Succeeded: v.Ended[front.StatusSucceeded], Rejected: v.Ended[front.StatusRejected], Other: v.Ended[front.StatusFailed] + v.Ended[front.StatusInvalid] + v.Ended[front.StatusAbandoned]}
 		if at, ok := first[v.Version]; ok {
 			x.Spread = (time.Duration(latest[v.Version]-at) * time.Microsecond).Round(time.Millisecond).String()
 			x.LastFront = lastOf[v.Version]
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -73,8 +73,8 @@
 	h.agent.Clock, h.agent.StartedAt, h.agent.Post = clock.Now, clock.Born, post
 	h.agent.Prober.Pools, h.agent.Prober.Post = links, post
 	core = front.NewCore(clock.Born, told.Seed, told.Site, router.New, h.agent.Prober, directory, nil)
-	core.Bind(h.agent.Bound())
-	seen(front.Listed{Kind: port.CachedSnapshot, List: told.Known})
+	core.JoinFleet(h.agent.Bound())
+	seen(front.EndpointsChanged{Kind: port.CachedSnapshot, List: told.Known})
 	go core.Run(clock, ctx.Done())
 	if err := h.agent.Start(); err != nil {
 		return err
@@ -86,7 +86,7 @@
 // noted takes down when a list or a configuration reaches the core, on its way there.
 func (h *hollow) noted(e front.Event) front.Event {
 	switch e := e.(type) {
-	case front.Listed:
+	case front.EndpointsChanged:
 		if e.Kind == port.Snapshot || e.Kind == port.Delta {
 			h.mu.Lock()
 			if _, ok := h.lists[e.List.Index]; !ok {
@@ -94,9 +94,9 @@
 			}
 			h.mu.Unlock()
 		}
-	case front.Adopt:
-		done := e.Done
-		e.Done = func(at time.Duration) {
+	case front.AdoptConfig:
+		done := e.OnAdopted
+		e.OnAdopted = func(at time.Duration) {
 			h.mu.Lock()
 			h.versions[e.Version] = time.Now().UnixMicro()
 			h.mu.Unlock()
--- a/sockets/client_bytes_test.go
+++ b/sockets/client_bytes_test.go
@@ -109,14 +109,14 @@
 // TestBytesOfAResponse compares each kind of the core's responses as a client gets it.
 func TestBytesOfAResponse(t *testing.T) {
 	for name, r := range map[string]front.Response{
-		"response served":                   {Status: front.Served, Rows: row("v")},
-		"response rejected":                 {Status: front.Rejected},
-		"response rejected with a wait":     {Status: front.Rejected, Come: 1500*time.Millisecond + 1},
-		"response rejected, may run":        {Status: front.Rejected, MayRun: true},
-		"response failed":                   {Status: front.Failed},
-		"response senseless":                {Status: front.Senseless, Code: pgwire.BadValue, Reason: "a reason"},
-		"response without room for a read":  withoutRows(front.Response{Status: front.Served, Rows: row("v")}, false),
-		"response without room for a write": withoutRows(front.Response{Status: front.Served, Rows: row("v")}, true),
+		"response served":                   {Status: front.StatusSucceeded, Rows: row("v")},
+		"response rejected":                 {Status: front.StatusRejected},
+		"response rejected with a wait":     {Status: front.StatusRejected, RetryAfter: 1500*time.Millisecond + 1},
+		"response rejected, may run":        {Status: front.StatusRejected, MayHaveRun: true},
+		"response failed":                   {Status: front.StatusFailed},
+		"response senseless":                {Status: front.StatusInvalid, Code: pgwire.BadValue, Reason: "a reason"},
+		"response without room for a read":  withoutRows(front.Response{Status: front.StatusSucceeded, Rows: row("v")}, false),
+		"response without room for a write": withoutRows(front.Response{Status: front.StatusSucceeded, Rows: row("v")}, true),
 	} {
 		assertRecorded(t, "testdata/client_sessions.txt", name, string(encode(&r)))
 	}
--- a/sockets/clock.go
+++ b/sockets/clock.go
@@ -21,10 +21,10 @@
 
 func (c *Clock) Now() time.Duration { return time.Since(c.Born) }
 
-// Set makes the clock ring once, at a moment.
-func (c *Clock) Set(at time.Duration) { c.timer.Reset(at - c.Now()) }
+// SetTimer makes the clock ring once, at a moment.
+func (c *Clock) SetTimer(at time.Duration) { c.timer.Reset(at - c.Now()) }
 
-func (c *Clock) Rings() <-chan time.Time { return c.timer.C }
+func (c *Clock) TimerC() <-chan time.Time { return c.timer.C }
 
 // Spread gives even numbers between 0 and 1 that differ from front to front.
 func Spread(seed uint64) func() float64 {
--- a/sockets/dial.go
+++ b/sockets/dial.go
@@ -112,12 +112,12 @@
 
 func (ls *Pools) connectFailed(s *front.Attempt, err error) {
 	if t, ok := err.(*rejectedConn); ok && t.answer.Code == pgwire.TooManyConnections {
-		ls.post(&front.Ended{S: s, Answer: t.answer})
+		ls.post(&front.AttemptFinished{Attempt: s, Answer: t.answer})
 		return
 	}
 	if localFailure(err) {
-		ls.failed(s, front.Local, err)
+		ls.failed(s, front.StageLocal, err)
 		return
 	}
-	ls.failed(s, front.Unconnected, err)
+	ls.failed(s, front.StageDial, err)
 }
--- a/sockets/directory.go
+++ b/sockets/directory.go
@@ -27,7 +27,7 @@
 	earlier []followed            // addresses of before, oldest first, until a later one has brought its list
 	lean    func() discovery.List // what others who follow the list know; nil where this front follows by itself
 	turn    int
-	passing []front.Listed // to the core, in order
+	passing []front.EndpointsChanged // to the core, in order
 }
 
 // followed is an address at which the list is followed.
@@ -210,13 +210,13 @@
 }
 
 // failed is what the core hears where the list did not come.
-var failed = front.Listed{Kind: port.UpdateFailed}
+var failed = front.EndpointsChanged{Kind: port.UpdateFailed}
 
-func listed(l discovery.List) front.Listed {
+func listed(l discovery.List) front.EndpointsChanged {
 	if l.Whole {
-		return front.Listed{Kind: port.Snapshot, List: l}
+		return front.EndpointsChanged{Kind: port.Snapshot, List: l}
 	}
-	return front.Listed{Kind: port.Delta, List: l}
+	return front.EndpointsChanged{Kind: port.Delta, List: l}
 }
 
 func (d *Directory) from(client *discovery.Client) func(discovery.List) {
@@ -224,7 +224,7 @@
 }
 
 // passFrom passes on what came from an address, unless a later one has brought its list: that says all.
-func (d *Directory) passFrom(client *discovery.Client, e front.Listed) {
+func (d *Directory) passFrom(client *discovery.Client, e front.EndpointsChanged) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.client == client {
@@ -246,7 +246,7 @@
 
 // pass tells the core in the order of the calls, without waiting for it: who calls may be the core itself, or hold the lock
 // that it wants.
-func (d *Directory) pass(e front.Listed) {
+func (d *Directory) pass(e front.EndpointsChanged) {
 	d.passing = append(d.passing, e)
 	if len(d.passing) > 1 {
 		return // somebody is at it
--- a/sockets/directory_test.go
+++ b/sockets/directory_test.go
@@ -42,9 +42,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			ctx, end := context.WithCancel(context.Background())
-			asked, left, told := make(chan string, 9), make(chan string, 9), make(chan front.Listed, 9)
+			asked, left, told := make(chan string, 9), make(chan string, 9), make(chan front.EndpointsChanged, 9)
 			old := listing(t, `{"index":4,"snapshot":true,"endpoints":[]}`, asked, left)
-			d := NewDirectory(ctx, discovery.New(old, 4), func(e front.Event) { told <- e.(front.Listed) },
+			d := NewDirectory(ctx, discovery.New(old, 4), func(e front.Event) { told <- e.(front.EndpointsChanged) },
 				func() float64 { return 0 })
 			defer end() // before the services are closed, which wait for the watch that is left
 			start(d)
@@ -71,7 +71,7 @@
 // old list came after the new one and took back what that told.
 func TestNoListOfTheOldAddressComesAfterTheNewOnes(t *testing.T) {
 	asked, left, late := make(chan string, 9), make(chan string, 9), make(chan struct{})
-	hung, seen, told := make(chan struct{}), make(chan front.Listed, 9), make(chan front.Listed, 9)
+	hung, seen, told := make(chan struct{}), make(chan front.EndpointsChanged, 9), make(chan front.EndpointsChanged, 9)
 	var calls atomic.Int32
 	old := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if calls.Add(1) == 2 {
@@ -85,9 +85,9 @@
 	t.Cleanup(free)
 	release := make(chan struct{})
 	d := NewDirectory(t.Context(), discovery.New(strings.TrimPrefix(old.URL, "http://"), 4), func(e front.Event) {
-		seen <- e.(front.Listed)
+		seen <- e.(front.EndpointsChanged)
 		<-release
-		told <- e.(front.Listed)
+		told <- e.(front.EndpointsChanged)
 	}, func() float64 { return 0 })
 	d.Fetch()
 	assert.Equal(t, int64(4), (<-seen).List.Index) // not in force yet
@@ -111,9 +111,9 @@
 // A front leans on the list that another follows, and goes back to its own watch; what is older never comes after what is newer.
 func TestAFrontLeansOnTheListThatAnotherFollowsAndGoesBackToItsOwn(t *testing.T) {
 	ctx, end := context.WithCancel(context.Background())
-	asked, left, told := make(chan string, 9), make(chan string, 9), make(chan front.Listed, 9)
+	asked, left, told := make(chan string, 9), make(chan string, 9), make(chan front.EndpointsChanged, 9)
 	address := listing(t, `{"index":4,"snapshot":true,"endpoints":[]}`, asked, left)
-	d := NewDirectory(ctx, discovery.New(address, 4), func(e front.Event) { told <- e.(front.Listed) }, func() float64 { return 0 })
+	d := NewDirectory(ctx, discovery.New(address, 4), func(e front.Event) { told <- e.(front.EndpointsChanged) }, func() float64 { return 0 })
 	t.Cleanup(end)
 	d.Follow()
 	assert.Equal(t, int64(4), (<-told).List.Index)
--- a/sockets/look.go
+++ b/sockets/look.go
@@ -44,8 +44,8 @@
 // presence tells whether the other side of a connection has closed it, whatever it sent before and nobody has read.
 type presence struct{ raw syscall.RawConn }
 
-// Departed implements front.Presence.
-func (p *presence) Departed() bool {
+// Disconnected implements front.Presence.
+func (p *presence) Disconnected() bool {
 	gone := true // where the descriptor is closed already
 	p.raw.Control(func(fd uintptr) { gone = hungUp(fd) })
 	return gone
--- a/sockets/pools.go
+++ b/sockets/pools.go
@@ -73,16 +73,16 @@
 	canceled atomic.Bool         // cut
 }
 
-// Place says where a member is reached and how long ago it started last. What was opened to where or what it was
+// SetAddress says where a member is reached and how long ago it started last. What was opened to where or what it was
 // before leads nowhere: a machine that vanished and came back says nothing of its old connections.
-func (ls *Pools) Place(member int, address string, age time.Duration) {
+func (ls *Pools) SetAddress(member int, address string, age time.Duration) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	ls.pool(member).place(address, time.Now().Add(-age))
 }
 
-// Forget ends the idle connections of a member; its place may be another's from now on.
-func (ls *Pools) Forget(member int) {
+// Remove ends the idle connections of a member; its place may be another's from now on.
+func (ls *Pools) Remove(member int) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	ls.pool(member).place("", time.Time{})
@@ -152,7 +152,7 @@
 // serve is the goroutine of a connection, from its first attempt to its end.
 func (ls *Pools) serve(l *memberConn, s *front.Attempt) {
 	if !ls.awaitDescriptor() {
-		ls.failed(s, front.Local, errors.New("no descriptor is free"))
+		ls.failed(s, front.StageLocal, errors.New("no descriptor is free"))
 		return
 	}
 	defer ls.limiter.releaseMember()
@@ -160,7 +160,7 @@
 		if p := recover(); p != nil {
 			slog.Error("panic in a member's connection", "member", l.address, "panic", p, "trace", string(debug.Stack()))
 			if s != nil {
-				ls.failed(s, front.Written, fmt.Errorf("panic: %v", p))
+				ls.failed(s, front.StageRead, fmt.Errorf("panic: %v", p))
 			}
 		}
 		if l.conn != nil {
@@ -204,8 +204,8 @@
 	return false, err
 }
 
-func (ls *Pools) failed(s *front.Attempt, reach front.Reach, err error) {
-	ls.post(&front.Ended{S: s, Failure: &front.Failure{Reach: reach, Err: err}})
+func (ls *Pools) failed(s *front.Attempt, reach front.FailureStage, err error) {
+	ls.post(&front.AttemptFinished{Attempt: s, Err: &front.ConnectionError{Stage: reach, Err: err}})
 }
 
 // cancel ends the attempt on its way without waiting: the member sees the end at once, the goroutine wakes
@@ -224,15 +224,15 @@
 	}
 	message := s.Message()
 	if n, err := l.conn.Write(message); err != nil {
-		reach := front.Unwritten
+		reach := front.StageWrite
 		if n == len(message) {
-			reach = front.Written
+			reach = front.StageRead
 		}
 		l.conn.Close()
 		l.ls.failed(s, reach, err)
 		return false
 	}
-	e := &front.Ended{S: s}
+	e := &front.AttemptFinished{Attempt: s}
 	e.Answer.Any, e.Answer.Most = l.ls.any, l.ls.longest
 	l.r.Check = e.Answer.Early
 	for {
@@ -252,9 +252,9 @@
 		case tooMuch(err):
 			e.Answer = pgwire.Answer{Any: true, TooLong: true, Message: err.Error()}
 		case pgwire.IsViolation(err) || errors.Is(err, pgwire.ErrNoRoom):
-			e.Failure, e.Answer = &front.Failure{Reach: front.Spoilt, Err: err}, pgwire.Answer{}
+			e.Err, e.Answer = &front.ConnectionError{Stage: front.StageDecode, Err: err}, pgwire.Answer{}
 		case e.Answer.Code == "":
-			e.Failure, e.Answer = &front.Failure{Reach: front.Written, Err: err}, pgwire.Answer{}
+			e.Err, e.Answer = &front.ConnectionError{Stage: front.StageRead, Err: err}, pgwire.Answer{}
 		}
 		l.conn.Close() // before it is told: what takes a failed one's place must find this one ended
 		l.ls.post(e)   // a fatal error ends its connection without more
--- a/sockets/requests.go
+++ b/sockets/requests.go
@@ -25,11 +25,11 @@
 // request is one message of a client that is owed an answer.
 type request struct {
 	client   *client
-	arrival  *front.Arrival // nil where it is answered without the core
+	arrival  *front.Request // nil where it is answered without the core
 	body     []byte         // the message, in which the arrival's statement lies
 	reserved int            // bytes of the long messages' room that the body takes
 	behind   bool           // it was read while earlier ones had no answer
-	entry    *front.Pipelined[*request]
+	entry    *front.PipelineEntry[*request]
 
 	reply    []byte // the whole answer, once known
 	held     int    // bytes of the answers' room that the reply takes
@@ -44,12 +44,12 @@
 	held int // bytes of the answers' room that it takes
 }
 
-// Presence tells whether the request's client has closed its connection. It outlives the request, and keeps nothing of it.
-func (q *request) Presence() front.Presence { return q.client.presence }
+// Connection tells whether the request's client has closed its connection. It outlives the request, and keeps nothing of it.
+func (q *request) Connection() front.ClientConnection { return q.client.presence }
 
-// Answer passes the core's answer to the connection's goroutine and wakes it. Answers share a part of the memory until they are
+// Respond passes the core's answer to the connection's goroutine and wakes it. Answers share a part of the memory until they are
 // written: a client may not read, or wait for an earlier one. One that finds no room loses its rows.
-func (q *request) Answer(f front.Response) {
+func (q *request) Respond(f front.Response) {
 	c := q.client
 	c.mu.Lock()
 	if c.closed {
@@ -72,9 +72,9 @@
 // withoutRows is what a client is told in place of rows that find no room: a read may be tried again, a write has run.
 func withoutRows(f front.Response, write bool) front.Response {
 	if write {
-		return front.Response{Status: front.Senseless, Code: pgwire.TooLarge, Reason: "executed, but there is no room for its answer"}
+		return front.Response{Status: front.StatusInvalid, Code: pgwire.TooLarge, Reason: "executed, but there is no room for its answer"}
 	}
-	return front.Response{Status: front.Rejected}
+	return front.Response{Status: front.StatusRejected}
 }
 
 // step writes the answers that are due, begins the requests that may run, and takes in what comes next. It returns false
@@ -111,14 +111,14 @@
 	for _, r := range responses {
 		r.request.reply = encode(&r.Response)
 		r.request.held = r.held
-		r.request.entry.Answered()
+		r.request.entry.MarkAnswered()
 	}
 }
 
 // deliver writes the answers of the first requests, as far as they are known; false where the connection ends.
 func (c *client) deliver() bool {
 	for {
-		q, ok := c.pipeline.Next()
+		q, ok := c.pipeline.PopAnswered()
 		if !ok {
 			return true
 		}
@@ -145,7 +145,7 @@
 // begin passes the requests that may run to the core.
 func (c *client) begin() {
 	for {
-		q, ok := c.pipeline.Begin()
+		q, ok := c.pipeline.StartNext()
 		if !ok {
 			return
 		}
@@ -277,7 +277,7 @@
 		c.reply(encodeError(pgwire.CannotConnectNow, "shutting down: try again elsewhere", ""))
 	default:
 		q := &request{client: c, behind: c.pipeline.Len() > 0}
-		q.arrival = front.NewArrival(q, statement, at)
+		q.arrival = front.NewRequest(q, statement, at)
 		q.body, q.reserved = c.r.Take()
 		c.readAhead += len(q.body)
 		q.entry = c.pipeline.Add(q, &q.arrival.Statement)
@@ -308,12 +308,12 @@
 	c.mu.Unlock()
 	for _, r := range responses {
 		r.request.held = r.held
-		r.request.entry.Answered()
+		r.request.entry.MarkAnswered()
 	}
 	running, rest := c.pipeline.Abandon()
-	departures := make([]front.Gone, 0, len(running))
+	departures := make([]front.ClientGone, 0, len(running))
 	for _, q := range running {
-		departures = append(departures, q.arrival.Leave())
+		departures = append(departures, q.arrival.MarkClientGone())
 	}
 	for _, gone := range departures {
 		c.sv.post(gone)
@@ -327,15 +327,15 @@
 // encode is a response as the client gets it.
 func encode(f *front.Response) []byte {
 	switch f.Status {
-	case front.Served:
+	case front.StatusSucceeded:
 		return pgwire.Ready(f.Rows) // which have room for it
-	case front.Rejected:
+	case front.StatusRejected:
 		detail := ""
-		if f.Come > 0 {
-			detail = strconv.FormatInt(int64((f.Come+time.Millisecond-1)/time.Millisecond), 10)
+		if f.RetryAfter > 0 {
+			detail = strconv.FormatInt(int64((f.RetryAfter+time.Millisecond-1)/time.Millisecond), 10)
 		}
 		return encodeError(pgwire.TooManyConnections, "declined: try again", detail)
-	case front.Failed:
+	case front.StatusFailed:
 		return encodeError(pgwire.RolledBack, "rolled back", "")
 	}
 	return encodeError(f.Code, f.Reason, "")
--- a/sockets/server_bytes_test.go
+++ b/sockets/server_bytes_test.go
@@ -61,6 +61,6 @@
 		c.hear("TDCZ")
 		g.settled(1)
 	}
-	g.links.Send(0, front.NewProbe(pgwire.Query(nil, "SHOW load")))
+	g.links.Send(0, front.NewHealthCheck(pgwire.Query(nil, "SHOW load")))
 	assertRecorded(t, file, "probe", string(rawMessage(t, m, 5)))
 }
--- a/sockets/sockets_test.go
+++ b/sockets/sockets_test.go
@@ -115,7 +115,7 @@
 }
 
 func (g *rig) list(address string, since int64) {
-	g.core.Post(front.Listed{Kind: port.Snapshot, List: discovery.List{Entries: []discovery.Entry{
+	g.core.Post(front.EndpointsChanged{Kind: port.Snapshot, List: discovery.List{Entries: []discovery.Entry{
 		{Name: "s-1", Address: address, Zone: "a", Group: 2, Since: since}}}})
 }
 
@@ -435,13 +435,13 @@
 			require.NoError(t, err)
 			spoil(newPeer(t, c))
 			g.eventually(func() bool { return peek(l.conn) >= 0 })
-			s := front.NewProbe(pgwire.Query(nil, "SELECT 2"))
+			s := front.NewHealthCheck(pgwire.Query(nil, "SELECT 2"))
 			l.job <- s
 			assert.Nil(t, l.awaitJob())
 			m := g.memberUp()
 			m.hear("Q")
 			m.say(whole("w")...)
-			assert.Nil(t, (<-ended).(*front.Ended).Failure)
+			assert.Nil(t, (<-ended).(*front.AttemptFinished).Err)
 		})
 	}
 }
@@ -481,9 +481,9 @@
 	g.links.mu.Lock()
 	l := g.links.pools[0].idle[0]
 	g.links.mu.Unlock()
-	g.links.Forget(0)
+	g.links.Remove(0)
 	idle.ends()
-	g.links.Place(0, g.member.Addr().String(), 0)
+	g.links.SetAddress(0, g.member.Addr().String(), 0)
 	l.release() // one that was at work meanwhile
 	assert.Zero(t, g.idle(), "it is the old member's")
 }
