--- a/adapter/adapter.go
+++ b/adapter/adapter.go
@@ -101,8 +101,8 @@
 		a.fronts[e.Front] = f
 		a.guard(f.id, func() {
 			s := e.Site
-			f.decider = a.make(f, e.Seed, s.Topology, s.RequestTypes, s.Shares, s.Replication, s.Guardrails,
-				s.Allowance, s.Tariff)
+			f.decider = a.make(f, e.Seed, s.Topology, s.RequestTypes, s.CustomerQuotas, s.Replication, s.Guardrails,
+				s.Limits, s.CostWeights)
 		})
 	}
 	f := a.fronts[e.Front]
@@ -138,11 +138,11 @@
 	entries                        []port.Endpoint
 }
 
-func newInstance(a *adapter, id int, s *site.Site) *instance {
-	return &instance{a: a, id: id, start: a.clock, zero: time.Duration(s.Zero - a.clock),
+func newInstance(a *adapter, id int, s *site.Settings) *instance {
+	return &instance{a: a, id: id, start: a.clock, zero: time.Duration(s.PositionOrigin - a.clock),
 		kinds: front.NewIndex[string](), stores: front.NewIndex[int64](), groups: front.NewIndex[int64](),
-		requests: map[string]port.RequestRef{}, types: front.NewIndex(s.Types...), requestTypes: s.RequestTypes,
-		customers: front.NewIndex(s.Customers...), zones: front.NewIndex(s.Zones...)}
+		requests: map[string]port.RequestRef{}, types: front.NewIndex(s.TypeNames...), requestTypes: s.RequestTypes,
+		customers: front.NewIndex(s.CustomerNames...), zones: front.NewIndex(s.ZoneNames...)}
 }
 
 func (f *instance) now() time.Duration { return time.Duration(f.a.clock - f.start) }
--- a/cmd/dapplerouter/classing_test.go
+++ b/cmd/dapplerouter/classing_test.go
@@ -112,7 +112,7 @@
 }
 
 // serve starts the instance and returns once it serves, or why it does not.
-func (i *instance) serve(start *site.Start, operator *operator) error {
+func (i *instance) serve(start *site.Instance, operator *operator) error {
 	ready := make(chan struct{})
 	go func() {
 		i.ended <- serve(start, operator, i.stop, nil, func(a net.Addr, b *bridge) {
@@ -364,7 +364,7 @@
 		if err != nil {
 			return notSo, strings.ReplaceAll(err.Error(), path, "f")
 		}
-		start := &site.Start{Memory: 32 << 20, Site: &site.Site{}}
+		start := &site.Instance{MemoryBytes: 32 << 20, Settings: &site.Settings{}}
 		if err := o.checkAt(start); err != nil {
 			return notSo, strings.ReplaceAll(err.Error(), path, "f")
 		}
--- a/cmd/dapplerouter/file.go
+++ b/cmd/dapplerouter/file.go
@@ -74,31 +74,31 @@
 }
 
 // checkAt finds what the file says against what a front is told.
-func (o *operator) checkAt(told *site.Start) error {
-	if g := o.gateway; g != nil && 2*(g.Settings.Credit+g.Settings.Kept) > told.Memory/2 {
+func (o *operator) checkAt(told *site.Instance) error {
+	if g := o.gateway; g != nil && 2*(g.Settings.Credit+g.Settings.Kept) > told.MemoryBytes/2 {
 		return conf.Faults{{Place: g.Place, What: fmt.Sprintf("credit and kept of %d and %d bytes are too much for the %d told",
-			g.Settings.Credit, g.Settings.Kept, told.Memory), Remedy: "make them smaller: twice both may be half of the memory"}}
+			g.Settings.Credit, g.Settings.Kept, told.MemoryBytes), Remedy: "make them smaller: twice both may be half of the memory"}}
 	}
 	if o.fleet != nil {
 		if err := o.fleet.CheckName(told.Name); err != nil {
 			return err
 		}
 	}
-	if err := o.rules.Against(told.Site); err != nil {
+	if err := o.rules.Validate(told.Settings); err != nil {
 		return err
 	}
 	if o.classing == nil {
 		return nil
 	}
-	if o.classing.Bytes > told.Memory/4 {
+	if o.classing.Bytes > told.MemoryBytes/4 {
 		return conf.Faults{{Place: o.place, What: fmt.Sprintf("a cache of %d bytes is more than a quarter of the %d told",
-			o.classing.Bytes, told.Memory), Remedy: "make the cache smaller"}}
+			o.classing.Bytes, told.MemoryBytes), Remedy: "make the cache smaller"}}
 	}
-	return front.ValidateClassification(o.classing, told.Site)
+	return front.ValidateClassification(o.classing, told.Settings)
 }
 
 // operatorOf reads the file and checks it against what a front is told; where there is no file, nothing is on.
-func operatorOf(path string, told *site.Start) (*operator, error) {
+func operatorOf(path string, told *site.Instance) (*operator, error) {
 	if path == "" {
 		return &operator{}, nil
 	}
--- a/cmd/dapplerouter/gateway.go
+++ b/cmd/dapplerouter/gateway.go
@@ -31,14 +31,14 @@
 }
 
 // bridgeOf makes the link that a gateway form tells of, nil for none, and gives the site the peer's zone.
-func bridgeOf(c *gateway.Config, told *site.Start, clock *sockets.Clock, post func(front.Event), local front.Pools,
+func bridgeOf(c *gateway.Config, told *site.Instance, clock *sockets.Clock, post func(front.Event), local front.Pools,
 	parse func([]byte) (pgwire.Statement, error)) (*bridge, error) {
 	if c == nil {
 		return nil, nil
 	}
-	if !slices.Contains(told.Site.Zones, c.Peer) {
-		told.Site.Zones = append(slices.Clone(told.Site.Zones), c.Peer)
-		told.Site.Topology.ZoneCount++
+	if !slices.Contains(told.Settings.ZoneNames, c.Peer) {
+		told.Settings.ZoneNames = append(slices.Clone(told.Settings.ZoneNames), c.Peer)
+		told.Settings.Topology.ZoneCount++
 	}
 	o := link.Options{Here: c.Here, Peer: c.Peer, Address: c.Address, Listen: c.Listen, Settings: c.Settings, Clock: clock,
 		Groups: c.Groups, Post: post, Parse: parse}
--- a/cmd/dapplerouter/operator_file_fixture_test.go
+++ b/cmd/dapplerouter/operator_file_fixture_test.go
@@ -71,7 +71,7 @@
 			"clock_error": a.ClockError.String(), "place": a.Place.String()}
 	}
 	if r := o.rules; r != nil {
-		all["rules"] = map[string]any{"bounds": r.Bounds, "windows": r.Windows, "given_up": r.GivenUp}
+		all["rules"] = map[string]any{"bounds": r.MaxStaleness, "windows": r.DedupWindows, "given_up": r.RejectedGroups}
 	}
 	text, err := json.MarshalIndent(all, "", " ")
 	require.NoError(t, err)
--- a/cmd/dapplerouter/permute_test.go
+++ b/cmd/dapplerouter/permute_test.go
@@ -89,12 +89,12 @@
 	start, err := site.Load(func(name string) string { return map[string]string{site.FileVariable: "x"}[name] }, func(string) ([]byte, error) { return data, nil })
 	require.NoError(t, err)
 	s := &stage{due: map[time.Duration][]front.Event{}}
-	s.core = front.NewCore(time.UnixMilli(1_000_000), 5, start.Site, router.New, s, s, nil)
-	var members []discovery.Entry
+	s.core = front.NewCore(time.UnixMilli(1_000_000), 5, start.Settings, router.New, s, s, nil)
+	var members []discovery.Endpoint
 	for i := range 3 {
-		members = append(members, discovery.Entry{Name: fmt.Sprint("s", i), Address: "x", Zone: "a", Weight: 1, Primary: i == 0})
+		members = append(members, discovery.Endpoint{Name: fmt.Sprint("s", i), Address: "x", Zone: "a", Weight: 1, Primary: i == 0})
 	}
-	s.core.Post(front.EndpointsChanged{Kind: port.Snapshot, List: discovery.List{Index: 1, Whole: true, Entries: members}})
+	s.core.Post(front.EndpointsChanged{Kind: port.Snapshot, List: discovery.List{Index: 1, Snapshot: true, Endpoints: members}})
 	r := rand.New(rand.NewPCG(3, 4))
 	names, gone := []string{"browse", "mine", "book", "slots", "pay"}, 0
 	for n := 0; s.now < 4*time.Second; s.now += time.Millisecond {
--- a/cmd/dapplerouter/retry.go
+++ b/cmd/dapplerouter/retry.go
@@ -42,22 +42,22 @@
 }
 
 // loadStart reads what the front is told at its start.
-func loadStart(ctx context.Context) (*site.Start, error) {
-	return retry(ctx, "reading the configuration", startPatience, lastingFault, func() (*site.Start, error) {
+func loadStart(ctx context.Context) (*site.Instance, error) {
+	return retry(ctx, "reading the configuration", startPatience, lastingFault, func() (*site.Instance, error) {
 		return site.Load(os.Getenv, os.ReadFile)
 	})
 }
 
 // reload reads the configuration again.
-func reload(ctx context.Context) (*site.Start, error) {
-	return retry(ctx, "reading the new configuration", reloadPatience, lastingFault, func() (*site.Start, error) {
+func reload(ctx context.Context) (*site.Instance, error) {
+	return retry(ctx, "reading the new configuration", reloadPatience, lastingFault, func() (*site.Instance, error) {
 		return site.Reload(os.Getenv, os.ReadFile)
 	})
 }
 
 // lastingFault tells whether another reading of the configuration would find it as it is.
 func lastingFault(err error) bool {
-	var fault *site.Fault
+	var fault *site.KeyError
 	return !errors.As(err, &fault) || !fault.Transient
 }
 
--- a/cmd/dapplerouter/serve.go
+++ b/cmd/dapplerouter/serve.go
@@ -38,7 +38,7 @@
 	longestCounted = 3 * time.Second
 	killAfter      = 700 * time.Millisecond
 	longestHoldUp  = 150 * time.Millisecond
-	drainMargin    = 2*longestHoldUp + sockets.ClosingLinger
+	drainMargin    = 2*longestHoldUp + sockets.MaxCloseLinger
 )
 
 // drainFor is how long after SIGTERM requests may stay out, for a longest deadline.
@@ -82,7 +82,7 @@
 		return 2
 	}
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(told.Cores))))
-	debug.SetMemoryLimit(collectorLimit(told.Memory))
+	debug.SetMemoryLimit(collectorLimit(told.MemoryBytes))
 	if !asked {
 		operator.gateway = nil
 	}
@@ -94,12 +94,12 @@
 }
 
 // serve is a front until a stop is asked for; ready hears where it listens.
-func serve(told *site.Start, operator *operator, stopAsked, rereadAsked <-chan os.Signal, ready func(net.Addr, *bridge)) error {
+func serve(told *site.Instance, operator *operator, stopAsked, rereadAsked <-chan os.Signal, ready func(net.Addr, *bridge)) error {
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
 	clock := sockets.NewClock()
-	room := sockets.NewConnLimiter(told.Sockets, site.Aside)
-	allowed := told.Site.Allowance
+	room := sockets.NewDescriptors(told.MaxDescriptors, site.ReservedDescriptors)
+	allowed := told.Settings.Limits
 	var core *front.Core
 	post := func(e front.Event) { core.Post(e) }
 	var fellows *agent.Agent
@@ -108,9 +108,9 @@
 		seen = func(e front.Event) { fellows.Prober.Event(e) }
 	}
 	links := sockets.NewPools(seen, room, user, database, allowed.DialTimeout, allowed.IdleConnTimeout,
-		told.Memory)
-	directory := sockets.NewDirectory(ctx, discovery.New(told.Discovery, told.Known.Index), seen,
-		sockets.Spread(told.Seed))
+		told.MemoryBytes)
+	directory := sockets.NewWatcher(ctx, discovery.NewClient(told.Discovery, told.CachedList.Index), seen,
+		sockets.NewJitter(told.Seed))
 	classing, parse := operator.classes(), pgwire.ParseStatement
 	if classing != nil {
 		parse = func(body []byte) (pgwire.Statement, error) { return pgwire.ParseClassed(body, classing.Classing) }
@@ -130,12 +130,12 @@
 		if fellows, err = agent.New(forms, told, directory, version); err != nil {
 			return err
 		}
-		fellows.Clock, fellows.StartedAt, fellows.Post = clock.Now, clock.Born, post
+		fellows.Clock, fellows.StartedAt, fellows.Post = clock.Now, clock.StartedAt, post
 		fellows.Prober.Pools, fellows.Prober.Post = ways, post
 		ways = fellows.Prober
 		all = append(all, fellows)
 	}
-	core = front.NewCore(clock.Born, told.Seed, told.Site, router.New, ways, directory, classing)
+	core = front.NewCore(clock.StartedAt, told.Seed, told.Settings, router.New, ways, directory, classing)
 	if fellows != nil {
 		core.JoinFleet(fellows.Bound())
 	} else if operator.rules != nil {
@@ -144,24 +144,24 @@
 	if across != nil {
 		core.SetStaticEndpoints(link.Members(operator.gateway.Peer, operator.gateway.Groups, gateway.Joining))
 	}
-	for _, why := range told.Passed {
+	for _, why := range told.SkippedEndpoints {
 		slog.Warn("an entry of the known list is passed over", "why", why)
 	}
-	seen(front.EndpointsChanged{Kind: port.CachedSnapshot, List: told.Known})
+	seen(front.EndpointsChanged{Kind: port.CachedSnapshot, List: told.CachedList})
 	longest := time.Duration(0)
-	for _, ty := range told.Site.RequestTypes {
+	for _, ty := range told.Settings.RequestTypes {
 		longest = max(longest, ty.Deadline)
 	}
-	server := sockets.NewServer(post, room, clock, longest, told.Memory)
+	server := sockets.NewServer(post, room, clock, longest, told.MemoryBytes)
 	if fellows != nil {
-		fellows.OnStandby = func(on bool) { server.Standby(on, operator.fleet.LeaseDuration) }
+		fellows.OnStandby = func(on bool) { server.SetStandby(on, operator.fleet.LeaseDuration) }
 	}
 	go core.Run(clock, ctx.Done())
 	if err := all.start(); err != nil {
 		return err
 	}
 	defer all.close()
-	if !told.Site.Topology.PullEndpoints {
+	if !told.Settings.Topology.PullEndpoints {
 		directory.Follow()
 	}
 
@@ -170,18 +170,18 @@
 		return err
 	}
 	if classing != nil {
-		links.Any()
-		server.Parse(parse)
+		links.AllowAnyResult()
+		server.SetParser(parse)
 		slog.Info("statements are classed", "cache", operator.classing.Bytes, "rules", len(classing.Rules()))
 	}
 	ready(listener.Addr(), across)
-	slog.Info("serving", "name", told.Name, "listen", told.Listen, "cores", told.Cores, "memory", told.Memory,
-		"sockets", told.Sockets, "members", len(told.Known.Entries))
+	slog.Info("serving", "name", told.Name, "listen", told.Listen, "cores", told.Cores, "memory", told.MemoryBytes,
+		"sockets", told.MaxDescriptors, "members", len(told.CachedList.Endpoints))
 	go totals(ctx, core, room)
 	if len(all) > 0 {
 		go reports(ctx, all.report)
 	}
-	go reread(ctx, rereadAsked, told, func(address string) { directory.Move(address); all.moved(address) })
+	go reread(ctx, rereadAsked, told, func(address string) { directory.SetAddress(address); all.moved(address) })
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(listener) }()
 	var failed error
@@ -193,7 +193,7 @@
 	}
 	until := time.Now().Add(drainFor(longest))
 	slog.Info("draining")
-	server.Stop(listener)
+	server.Drain(listener)
 	all.drain(time.Second)
 	if err := <-served; err != nil && failed == nil {
 		failed = err
@@ -205,15 +205,15 @@
 		whole = server.Wait(2 * time.Second)
 	}
 	core.Post(front.LogTotals{Extra: usage(room)})
-	slog.Info("drained", "all", whole, "refused", server.Refused())
+	slog.Info("drained", "all", whole, "refused", server.RejectedWhileDraining())
 	return failed
 }
 
 // reread takes the file in again each time that it is asked for. One that cannot be opened or is not whole is tried again, until the
 // next signal asks anew. What cannot be used is logged and changes nothing; what takes a restart is logged too. It goes on while the
 // front drains.
-func reread(ctx context.Context, asked <-chan os.Signal, told *site.Start, move func(address string)) {
-	read := make(chan *site.Start)
+func reread(ctx context.Context, asked <-chan os.Signal, told *site.Instance, move func(address string)) {
+	read := make(chan *site.Instance)
 	giveUp := func() {}
 	for {
 		select {
@@ -224,7 +224,7 @@
 			go rereadOnce(attempt, read)
 		case next := <-read:
 			slog.Info("the file is read again", "discovery", next.Discovery)
-			for _, key := range told.Fixed(next) {
+			for _, key := range told.RestartKeys(next) {
 				slog.Warn("a change takes a restart", "key", key)
 			}
 			move(next.Discovery)
@@ -236,7 +236,7 @@
 }
 
 // rereadOnce brings the file as it is now, unless it is given up before.
-func rereadOnce(ctx context.Context, read chan<- *site.Start) {
+func rereadOnce(ctx context.Context, read chan<- *site.Instance) {
 	next, err := reload(ctx)
 	switch {
 	case ctx.Err() != nil:
@@ -251,7 +251,7 @@
 }
 
 // totals writes what passed and what is held to the log at intervals.
-func totals(ctx context.Context, core *front.Core, room *sockets.ConnLimiter) {
+func totals(ctx context.Context, core *front.Core, room *sockets.Descriptors) {
 	reports(ctx, func() { core.Post(front.LogTotals{Extra: usage(room)}) })
 }
 
@@ -269,7 +269,7 @@
 	}
 }
 
-func usage(room *sockets.ConnLimiter) []any {
+func usage(room *sockets.Descriptors) []any {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	clients, links, peak := room.InUse()
--- a/discovery/client.go
+++ b/discovery/client.go
@@ -34,17 +34,17 @@
 
 // Client speaks to the list's service. It holds two connections at most.
 type Client struct {
-	address   string
-	base      string
-	http      *http.Client
-	heartbeat time.Duration
-	index     atomic.Int64 // version last heard
-	gap       atomic.Bool  // something may have been missed that the next change would pass over: the whole list comes first
-	Heard     func()       // called for each word of the service, be it that nothing changed; nil for nobody
+	address    string
+	base       string
+	http       *http.Client
+	heartbeat  time.Duration
+	index      atomic.Int64 // version last heard
+	gap        atomic.Bool  // something may have been missed that the next change would pass over: the whole list comes first
+	OnResponse func()       // called for each word of the service, be it that nothing changed; nil for nobody
 }
 
-// New makes a client of the service at an address, which knows the list up to a version.
-func New(address string, index int64) *Client {
+// NewClient makes a client of the service at an address, which knows the list up to a version.
+func NewClient(address string, index int64) *Client {
 	c := &Client{address: address, base: "http://" + address + "/v1/endpoints", heartbeat: heartbeat}
 	c.index.Store(index)
 	c.http = &http.Client{Transport: &http.Transport{
@@ -55,10 +55,10 @@
 	return c
 }
 
-// Moved makes a client of the service at another address, which knows what this one does, and asks for the whole list first.
-func (c *Client) Moved(address string) *Client {
-	m := New(address, c.index.Load())
-	m.heartbeat, m.Heard = c.heartbeat, c.Heard
+// WithAddress makes a client of the service at another address, which knows what this one does, and asks for the whole list first.
+func (c *Client) WithAddress(address string) *Client {
+	m := NewClient(address, c.index.Load())
+	m.heartbeat, m.OnResponse = c.heartbeat, c.OnResponse
 	m.gap.Store(true)
 	return m
 }
@@ -69,20 +69,20 @@
 // Index is the version last heard.
 func (c *Client) Index() int64 { return c.index.Load() }
 
-// Seen notes that a version was heard by another way.
-func (c *Client) Seen(index int64) { c.index.Store(max(index, c.index.Load())) }
+// AdvanceIndex notes that a version was heard by another way.
+func (c *Client) AdvanceIndex(index int64) { c.index.Store(max(index, c.index.Load())) }
 
 func (c *Client) heard() {
-	if c.Heard != nil {
-		c.Heard()
+	if c.OnResponse != nil {
+		c.OnResponse()
 	}
 }
 
-// Rest closes the connections that nobody uses.
-func (c *Client) Rest() { c.http.CloseIdleConnections() }
+// CloseIdleConnections closes the connections that nobody uses.
+func (c *Client) CloseIdleConnections() { c.http.CloseIdleConnections() }
 
-// Whole asks for the whole list. One that a watch overtook while it came would take back what that told: it is asked for again.
-func (c *Client) Whole(ctx context.Context) (List, error) {
+// FetchSnapshot asks for the whole list. One that a watch overtook while it came would take back what that told: it is asked for again.
+func (c *Client) FetchSnapshot(ctx context.Context) (List, error) {
 	for {
 		before := c.index.Load()
 		l, err := c.whole(ctx)
@@ -125,7 +125,7 @@
 // pass over what was lost. The whole list comes first then when the watch is opened again.
 func (c *Client) Watch(ctx context.Context, each func(List)) error {
 	if c.gap.Load() {
-		l, err := c.Whole(ctx)
+		l, err := c.FetchSnapshot(ctx)
 		if err != nil {
 			return fmt.Errorf("the whole list did not come: %w", err)
 		}
@@ -156,7 +156,7 @@
 		}
 		l, faults, err := Decode(line)
 		c.logFaults(faults)
-		if err == nil && !l.Whole && l.Index < c.index.Load() {
+		if err == nil && !l.Snapshot && l.Index < c.index.Load() {
 			err = fmt.Errorf("index %d comes after %d", l.Index, c.index.Load())
 		}
 		if err != nil {
@@ -165,7 +165,7 @@
 		}
 		c.index.Store(l.Index)
 		each(l)
-		if len(faults) > 0 && !l.Whole {
+		if len(faults) > 0 && !l.Snapshot {
 			c.gap.Store(true)
 			return fmt.Errorf("a change with %d entries that cannot be used", len(faults))
 		}
--- a/discovery/deadline_test.go
+++ b/discovery/deadline_test.go
@@ -89,7 +89,7 @@
 			if l.Index == 8 {
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				assert.Equal(t, port.Draining, l.Entries[0].State)
+				assert.Equal(t, port.Draining, l.Endpoints[0].State)
 				assert.Empty(t, s.calls, "all went wrong that was to")
 				return time.Since(s.since)
 			}
@@ -132,7 +132,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := &changing{calls: calls}
-			c := New(serveOn(t, "127.0.0.1:0", s), 0)
+			c := NewClient(serveOn(t, "127.0.0.1:0", s), 0)
 			c.heartbeat = time.Second
 			took := s.took(t, followLate(t, c))
 			t.Logf("%.2f heartbeats", took.Seconds()/c.heartbeat.Seconds())
@@ -153,9 +153,9 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := &changing{calls: calls, since: time.Now()}
-			old := New("127.0.0.1:1", 7)
+			old := NewClient("127.0.0.1:1", 7)
 			old.heartbeat = time.Second
-			c := old.Moved(serveOn(t, "127.0.0.1:0", s))
+			c := old.WithAddress(serveOn(t, "127.0.0.1:0", s))
 			took := s.took(t, followLate(t, c))
 			assert.Less(t, took, toldMoved*c.heartbeat)
 		})
@@ -170,7 +170,7 @@
 	require.NoError(t, err)
 	t.Cleanup(reserved.Release)
 	address := reserved.Address
-	c := New(address, 0)
+	c := NewClient(address, 0)
 	c.heartbeat = 400 * time.Millisecond
 	ctx, end := context.WithCancel(t.Context())
 	lists, failed, done := make(chan List, 100), make(chan struct{}, 1000), make(chan struct{})
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -41,7 +41,7 @@
 		}
 	}))
 	t.Cleanup(srv.Close)
-	c := New(strings.TrimPrefix(srv.URL, "http://"), 7)
+	c := NewClient(strings.TrimPrefix(srv.URL, "http://"), 7)
 	return c, asked
 }
 
@@ -79,8 +79,8 @@
 	}{{41, true, port.Serving}, {42, false, port.Draining}, {43, false, port.Removed}, {44, true, port.Serving}} {
 		l := <-lists
 		assert.Equal(t, want.index, l.Index)
-		assert.Equal(t, want.whole, l.Whole)
-		assert.Equal(t, want.state, l.Entries[0].State)
+		assert.Equal(t, want.whole, l.Snapshot)
+		assert.Equal(t, want.state, l.Endpoints[0].State)
 	}
 	assert.True(t, <-failed, "an end of the watch is told")
 	for _, want := range []string{"/v1/endpoints", "/v1/endpoints?watch=1&after=41", "/v1/endpoints?watch=1&after=43"} {
@@ -100,7 +100,7 @@
 func TestARefusedCallAndACutLineAreErrorsOnly(t *testing.T) {
 	c, _ := service(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) },
 		says(`{"index":9,"endpoints":[]}`+"\n", `{"index":10`))
-	_, err := c.Whole(context.Background())
+	_, err := c.FetchSnapshot(context.Background())
 	assert.ErrorContains(t, err, "503")
 	var got []List
 	assert.Error(t, c.Watch(context.Background(), func(l List) { got = append(got, l) }))
@@ -126,8 +126,8 @@
 			for last.Index != 11 {
 				last = <-lists
 				if last.Index == 10 {
-					assert.True(t, last.Whole, "nothing is taken behind what was lost")
-					assert.Equal(t, port.Draining, last.Entries[0].State)
+					assert.True(t, last.Snapshot, "nothing is taken behind what was lost")
+					assert.Equal(t, port.Draining, last.Endpoints[0].State)
 				}
 			}
 			assert.True(t, <-failed)
@@ -141,7 +141,7 @@
 // A service that began again with a lower index is believed when it gives the whole list.
 func TestAWholeListMayHaveALowerIndex(t *testing.T) {
 	c, _ := service(t, says(object(3, true, "up")))
-	l, err := c.Whole(context.Background())
+	l, err := c.FetchSnapshot(context.Background())
 	require.NoError(t, err)
 	assert.Equal(t, int64(3), l.Index)
 	assert.Equal(t, int64(3), c.Index())
@@ -151,12 +151,12 @@
 func TestAWholeListThatAWatchOvertookIsAskedForAgain(t *testing.T) {
 	var c *Client
 	c, asked := service(t, func(w http.ResponseWriter, r *http.Request) {
-		c.Seen(9) // as a watch beside it does
+		c.AdvanceIndex(9) // as a watch beside it does
 		says(object(8, true, "up"))(w, r)
 	}, says(object(9, true, "draining")))
-	l, err := c.Whole(context.Background())
+	l, err := c.FetchSnapshot(context.Background())
 	require.NoError(t, err)
-	assert.Equal(t, port.Draining, l.Entries[0].State)
+	assert.Equal(t, port.Draining, l.Endpoints[0].State)
 	assert.Len(t, asked, 2)
 }
 
@@ -203,7 +203,7 @@
 		{"address":"a:1","group":1,"status":"up"},{"name":"s-4","group":1,"status":"removed"}]}`))
 	require.NoError(t, err)
 	assert.Len(t, faults, 4)
-	assert.Len(t, l.Entries, 2, "one that is removed needs no address")
+	assert.Len(t, l.Endpoints, 2, "one that is removed needs no address")
 	for _, bad := range []string{"", "[]", `{"endpoints":[]}`, `{"index":"x"}`} {
 		_, _, err := Decode([]byte(bad))
 		assert.Error(t, err, bad)
@@ -229,14 +229,14 @@
 				c.(*net.TCPConn).SetLinger(0)
 			}
 		}()
-		return New(l.Addr().String(), 3)
+		return NewClient(l.Addr().String(), 3)
 	}
-	l, err := answer(object(9, true, "up"), false).Whole(context.Background())
+	l, err := answer(object(9, true, "up"), false).FetchSnapshot(context.Background())
 	require.NoError(t, err)
 	assert.Equal(t, int64(9), l.Index)
 	for _, text := range []string{object(9, true, "up"), object(9, true, "up")[:20]} {
 		c := answer(text, true)
-		_, err = c.Whole(context.Background())
+		_, err = c.FetchSnapshot(context.Background())
 		assert.Error(t, err, "%q", text)
 		assert.Equal(t, int64(3), c.Index())
 	}
--- a/discovery/list.go
+++ b/discovery/list.go
@@ -8,21 +8,21 @@
 	"dapplerouter/port"
 )
 
-// Entry is a line of the list, in the list's own names.
-type Entry struct {
-	Name, Address, Zone, Kind string
-	Group                     int64
-	State                     port.ServerState
-	Weight                    float64
-	Primary                   bool
-	Since                     int64 // Unix milliseconds of the last start, 0 for long ago
+// Endpoint is a line of the list, in the list's own names.
+type Endpoint struct {
+	Name, Address, Zone, ServerType string
+	Group                           int64
+	State                           port.ServerState
+	Weight                          float64
+	Primary                         bool
+	StartedAtMillis                 int64 // Unix milliseconds of the last start, 0 for long ago
 }
 
 // List is one object of the list's service.
 type List struct {
-	Index   int64
-	Whole   bool
-	Entries []Entry
+	Index     int64
+	Snapshot  bool
+	Endpoints []Endpoint
 }
 
 var states = map[string]port.ServerState{"up": port.Serving, "draining": port.Draining, "removed": port.Removed}
@@ -46,7 +46,7 @@
 	if raw.Index == nil {
 		return l, nil, fmt.Errorf("a list without index")
 	}
-	l.Index, l.Whole = *raw.Index, raw.Snapshot
+	l.Index, l.Snapshot = *raw.Index, raw.Snapshot
 	for _, e := range raw.Endpoints {
 		state, ok := states[e.Status]
 		switch {
@@ -63,8 +63,8 @@
 			if e.Weight != nil {
 				weight = *e.Weight
 			}
-			l.Entries = append(l.Entries, Entry{Name: e.Name, Address: e.Address, Zone: e.Zone, Kind: e.Type,
-				Group: *e.Group, State: state, Weight: weight, Primary: e.Role == "primary", Since: e.Since})
+			l.Endpoints = append(l.Endpoints, Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, ServerType: e.Type,
+				Group: *e.Group, State: state, Weight: weight, Primary: e.Role == "primary", StartedAtMillis: e.Since})
 		}
 	}
 	return l, faults, nil
--- a/fleet/agent/admin_test.go
+++ b/fleet/agent/admin_test.go
@@ -29,8 +29,8 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { os.RemoveAll(dir) })
 	post := func(front.Event) {}
-	directory := sockets.NewDirectory(t.Context(), discovery.New("127.0.0.1:1", 0), post, sockets.Spread(1))
-	start := &site.Start{Name: "n1", Discovery: "127.0.0.1:1", Site: &site.Site{}}
+	directory := sockets.NewWatcher(t.Context(), discovery.NewClient("127.0.0.1:1", 0), post, sockets.NewJitter(1))
+	start := &site.Instance{Name: "n1", Discovery: "127.0.0.1:1", Settings: &site.Settings{}}
 	config := &fleet.Config{ID: "f", Listen: "127.0.0.1:0", Address: "127.0.0.1:1", Voters: []fleet.Voter{{Name: "n1", Address: "127.0.0.1:1"}},
 		VoterFile: filepath.Join(dir, "fleet.db"), LeaseDuration: 600 * time.Millisecond, AcceptsLeases: true, Control: filepath.Join(dir, "s")}
 	a, err := New(Forms{Fleet: config}, start, directory, "0.3.0")
--- a/fleet/agent/agent.go
+++ b/fleet/agent/agent.go
@@ -33,7 +33,7 @@
 	mesh      *mesh.Mesh
 	disk      *disk.File
 	endpoints *fleet.EndpointList
-	directory *sockets.Directory
+	directory *sockets.Watcher
 	control   *control.Server
 	history   *history
 	Prober    *Prober
@@ -45,7 +45,7 @@
 	Post      func(front.Event)    // hands an event to the front's core
 	OnStandby func(standby bool)   // the front begins or ends its standby; nil to ignore it
 
-	site        *site.Site
+	site        *site.Settings
 	ownRules    *site.Rules // of the operator's file
 	program     string
 	incarnation uint64
@@ -77,11 +77,11 @@
 
 // New makes the agent that the forms describe; version is the program's. Set Clock, StartedAt and Post before Start. The error is a
 // file, a socket or an address that can't be used.
-func New(forms Forms, start *site.Start, directory *sockets.Directory, version string) (*Agent, error) {
+func New(forms Forms, start *site.Instance, directory *sockets.Watcher, version string) (*Agent, error) {
 	c := forms.Fleet
 	a := &Agent{
 		config:           c,
-		site:             start.Site,
+		site:             start.Settings,
 		ownRules:         forms.Rules,
 		program:          version,
 		incarnation:      newIncarnation(),
@@ -93,7 +93,7 @@
 		pendingRequests:  map[uint64]chan fleet.RequestDone{},
 	}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
-	a.Prober = a.newProber(start.Site.Allowance.DialTimeout)
+	a.Prober = a.newProber(start.Settings.Limits.DialTimeout)
 	options := a.nodeOptions()
 	if err := a.makeParts(forms, &options); err != nil {
 		return nil, err
@@ -148,8 +148,8 @@
 		Seed:          a.seed,
 		AcceptsLeases: c.AcceptsLeases,
 	}
-	if z := a.site.Topology.Zone; z >= 0 && z < len(a.site.Zones) {
-		o.Zone = a.site.Zones[z]
+	if z := a.site.Topology.Zone; z >= 0 && z < len(a.site.ZoneNames) {
+		o.Zone = a.site.ZoneNames[z]
 	}
 	return o
 }
@@ -208,7 +208,7 @@
 			return err
 		}
 	}
-	a.auditLog = audit.NewRecorder(len(a.site.Types), forms.Roll != nil, a.initial.Version, sink)
+	a.auditLog = audit.NewRecorder(len(a.site.TypeNames), forms.Roll != nil, a.initial.Version, sink)
 	return nil
 }
 
@@ -237,7 +237,7 @@
 func (a *Agent) Totals() []any {
 	t := a.mesh.Totals()
 	out := []any{"links", t.Links, "sent", t.Sent, "received", t.Received, "sent_bytes", t.SentBytes, "received_bytes", t.GotBytes,
-		"shed", t.Shed, "refused", t.Refused, "dials", t.Dials, "leans", a.directory.Leaning(),
+		"shed", t.Shed, "refused", t.Refused, "dials", t.Dials, "leans", a.directory.UsesSharedList(),
 		"probes_saved", a.Prober.Avoided()}
 	if a.audit != nil {
 		out = append(out, "audited", a.audit.written.Load(), "unaudited", a.audit.missed.Load(), "exported", a.audit.exported.Load())
--- a/fleet/agent/auditor.go
+++ b/fleet/agent/auditor.go
@@ -256,7 +256,7 @@
 	}
 	if a.audit != nil {
 		go a.audit.run()
-		a.writeAudit(&audit.Line{What: audit.Opened, Program: a.program, Kinds: a.site.Types, Clock: a.audit.config.ClockError.Microseconds(), Version: a.initial.Version, Meaning: a.initial.Rules.Meaning()})
+		a.writeAudit(&audit.Line{What: audit.Opened, Program: a.program, Kinds: a.site.TypeNames, Clock: a.audit.config.ClockError.Microseconds(), Version: a.initial.Version, Meaning: a.initial.Rules.Digest()})
 		go a.audit.export()
 		a.goroutines.Go(a.audit.collector.serve)
 		if a.audit.collector.gatherer != nil {
--- a/fleet/agent/control.go
+++ b/fleet/agent/control.go
@@ -121,7 +121,7 @@
 
 // status returns the admin API's view of the fleet, sorted by name.
 func (a *Agent) status() (s Status) {
-	s.FollowsFleet = a.directory.Leaning()
+	s.FollowsFleet = a.directory.UsesSharedList()
 	a.mesh.Do(func(n *fleet.Node, now time.Duration) {
 		r := n.State()
 		by, ago := n.LastHeartbeat(now)
--- a/fleet/agent/counters.go
+++ b/fleet/agent/counters.go
@@ -31,7 +31,7 @@
 func (a *Agent) Counters() Counters {
 	t := a.mesh.Totals()
 	c := Counters{Links: t.Links, Sent: t.Sent, Received: t.Received, SentBytes: t.SentBytes, ReceivedBytes: t.GotBytes, Shed: t.Shed,
-		Dials: t.Dials, Leans: a.directory.Leaning(), Kinds: t.Kinds}
+		Dials: t.Dials, Leans: a.directory.UsesSharedList(), Kinds: t.Kinds}
 	a.mesh.Do(func(n *fleet.Node, _ time.Duration) { c.ListIndex, c.Index = a.endpoints.Index(), n.State().Index })
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) == nil {
--- a/fleet/agent/endpoints.go
+++ b/fleet/agent/endpoints.go
@@ -37,9 +37,9 @@
 func (a *Agent) followEndpoints() {
 	ctx, end := context.WithCancel(a.ctx)
 	a.stopFollowing = end
-	client := discovery.New(a.discoveryAddress, 0)
+	client := discovery.NewClient(a.discoveryAddress, 0)
 	last := int64(0)
-	client.Heard = func() {
+	client.OnResponse = func() {
 		a.mesh.Do(func(n *fleet.Node, now time.Duration) {
 			if a.endpoints.Known() {
 				n.ReportProgress(fleet.EndpointListLease)
@@ -59,8 +59,8 @@
 				n.ReportProgress(fleet.EndpointListLease)
 				n.Broadcast(now, fleet.EndpointListLease, act)
 			})
-		}, func() {}, sockets.Spread(a.seed))
-		client.Rest()
+		}, func() {}, sockets.NewJitter(a.seed))
+		client.CloseIdleConnections()
 	})
 }
 
@@ -70,13 +70,13 @@
 	a.mu.Lock()
 	a.endpointsHeardAt = time.Now()
 	a.mu.Unlock()
-	if a.directory.Leaning() {
+	if a.directory.UsesSharedList() {
 		if changed {
-			a.directory.Handed(said)
+			a.directory.SharedListChanged(said)
 		}
 		return
 	}
-	if a.directory.Lean(a.knownEndpoints) {
+	if a.directory.UseSharedList(a.knownEndpoints) {
 		slog.Info("fleet: leans on the list that another follows", "index", said.Index)
 	}
 }
@@ -101,8 +101,8 @@
 		a.mu.Lock()
 		silent := time.Since(a.endpointsHeardAt) > endpointListBound
 		a.mu.Unlock()
-		if silent && a.directory.Leaning() {
-			a.directory.Alone(a.config.LeaseDuration)
+		if silent && a.directory.UsesSharedList() {
+			a.directory.WatchDirectly(a.config.LeaseDuration)
 		}
 	}
 }
--- a/fleet/agent/prober.go
+++ b/fleet/agent/prober.go
@@ -141,7 +141,7 @@
 func (s *Prober) onList(l discovery.List) {
 	var fresh []int64
 	s.mu.Lock()
-	for _, e := range l.Entries {
+	for _, e := range l.Endpoints {
 		if e.Address == "" {
 			continue
 		}
--- a/fleet/agent/rollout.go
+++ b/fleet/agent/rollout.go
@@ -83,7 +83,7 @@
 
 // newRolloutHost makes the host; initial is the version that the front used last.
 func newRolloutHost(a *Agent, c *rollout.Config, configLease time.Duration) (h *rolloutHost, begins front.AdoptConfig, err error) {
-	h = &rolloutHost{agent: a, config: c, renewals: make(chan configLeaseRenewal, 1), kinds: crc32.ChecksumIEEE([]byte(strings.Join(a.site.Types, ",")))}
+	h = &rolloutHost{agent: a, config: c, renewals: make(chan configLeaseRenewal, 1), kinds: crc32.ChecksumIEEE([]byte(strings.Join(a.site.TypeNames, ",")))}
 	k, err := h.load()
 	if err != nil {
 		return nil, begins, err
@@ -93,7 +93,7 @@
 	if k.Version != 0 {
 		rules, err := site.ParseRules(h.path(), []byte(k.Text))
 		if err == nil {
-			err = rules.Against(a.site)
+			err = rules.Validate(a.site)
 		}
 		if err != nil { // the site's own settings have changed
 			slog.Warn("fleet: the version that was kept does not fit; this front begins with its own file", "version", k.Version, "why", err)
@@ -197,7 +197,7 @@
 	if adoption.Text != nil {
 		var err error
 		if rules, err = site.ParseRules("published", adoption.Text); err == nil {
-			err = rules.Against(a.site)
+			err = rules.Validate(a.site)
 		}
 		if err != nil {
 			slog.Error("fleet: a published version can't be used here", "version", adoption.Version, "why", err)
@@ -213,7 +213,7 @@
 	until, _ := h.coreTime(adoption.Until)
 	adopted := make(chan struct{})
 	a.Post(front.AdoptConfig{Version: adoption.Version, Rules: rules, LeaseExpiry: until, OnAdopted: func(at time.Duration) {
-		a.writeAudit(&audit.Line{What: audit.Adopted, At: a.wallMicros(at), Version: adoption.Version, Meaning: rules.Meaning()})
+		a.writeAudit(&audit.Line{What: audit.Adopted, At: a.wallMicros(at), Version: adoption.Version, Meaning: rules.Digest()})
 		go func() { // the core must not wait; the audit line comes before any span of the version
 			a.syncAudit()
 			h.mu.Lock()
--- a/fleet/agent/rollout_control.go
+++ b/fleet/agent/rollout_control.go
@@ -144,13 +144,13 @@
 	if err != nil {
 		return control.Fault(err.Error())
 	}
-	if err := rules.Against(a.site); err != nil {
+	if err := rules.Validate(a.site); err != nil {
 		return control.Fault(err.Error())
 	}
 	if len(action.Text) > rollout.MaxTextBytes {
 		return control.Fault(fmt.Sprintf("the file has %d bytes, and %d are the most", len(action.Text), rollout.MaxTextBytes))
 	}
-	action.Meaning = rules.Meaning()
+	action.Meaning = rules.Digest()
 	for _, p := range strings.Split(q.Get("waves"), ",") {
 		permille, err := strconv.ParseUint(p, 10, 16)
 		if err != nil {
--- a/fleet/config_test.go
+++ b/fleet/config_test.go
@@ -70,7 +70,7 @@
 	assert.True(t, behind, "one is missing: a neighbour brings the whole")
 	news, behind = other.Apply(1, holder.Snapshot())
 	assert.True(t, news != nil && !behind)
-	assert.Len(t, other.List().Entries, 4)
+	assert.Len(t, other.List().Endpoints, 4)
 	for _, old := range [][]byte{first, second} {
 		news, _ = other.Apply(9, old)
 		assert.Nil(t, news, "whatever its term")
@@ -87,9 +87,9 @@
 }
 
 func list(index int64, whole bool, names ...string) (l discovery.List) {
-	l.Index, l.Whole = index, whole
+	l.Index, l.Snapshot = index, whole
 	for _, n := range names {
-		l.Entries = append(l.Entries, discovery.Entry{Name: n, Address: n + ":1", Zone: "a", State: port.Serving})
+		l.Endpoints = append(l.Endpoints, discovery.Endpoint{Name: n, Address: n + ":1", Zone: "a", State: port.Serving})
 	}
 	return l
 }
--- a/fleet/endpoint_list.go
+++ b/fleet/endpoint_list.go
@@ -45,12 +45,14 @@
 	term      uint64
 	index     int64
 	known     bool // a whole list was received
-	endpoints map[string]discovery.Entry
+	endpoints map[string]discovery.Endpoint
 	Stale     int // updates that were older than the list here
 }
 
 // NewEndpointList returns an empty list.
-func NewEndpointList() *EndpointList { return &EndpointList{endpoints: map[string]discovery.Entry{}} }
+func NewEndpointList() *EndpointList {
+	return &EndpointList{endpoints: map[string]discovery.Endpoint{}}
+}
 
 // Position implements Mirror.
 func (l *EndpointList) Position() (term, index uint64) {
@@ -65,14 +67,14 @@
 	if !l.known {
 		return nil
 	}
-	return encodeEndpointUpdate(discovery.List{Index: l.index, Whole: true, Entries: l.List().Entries}, 0)
+	return encodeEndpointUpdate(discovery.List{Index: l.index, Snapshot: true, Endpoints: l.List().Endpoints}, 0)
 }
 
 // List returns all endpoints, by name.
 func (l *EndpointList) List() discovery.List {
-	all := discovery.List{Index: l.index, Whole: true}
+	all := discovery.List{Index: l.index, Snapshot: true}
 	for _, name := range slices.Sorted(maps.Keys(l.endpoints)) {
-		all.Entries = append(all.Entries, l.endpoints[name])
+		all.Endpoints = append(all.Endpoints, l.endpoints[name])
 	}
 	return all
 }
@@ -92,7 +94,7 @@
 	l.term = max(l.term, term)
 	switch {
 	case a.Whole && (!l.known || a.Index > l.index):
-		l.endpoints = map[string]discovery.Entry{}
+		l.endpoints = map[string]discovery.Endpoint{}
 	case l.known && a.Index < l.index:
 		l.Stale++
 		return nil, false
@@ -107,8 +109,8 @@
 			delete(l.endpoints, e.Name)
 			continue
 		}
-		l.endpoints[e.Name] = discovery.Entry{Name: e.Name, Address: e.Address, Zone: e.Zone, Kind: e.Kind, Group: e.Group,
-			State: port.ServerState(e.State), Weight: e.Weight, Primary: e.Primary, Since: e.Since}
+		l.endpoints[e.Name] = discovery.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, ServerType: e.Kind, Group: e.Group,
+			State: port.ServerState(e.State), Weight: e.Weight, Primary: e.Primary, StartedAtMillis: e.Since}
 	}
 	return data, false
 }
@@ -133,19 +135,19 @@
 	if err := msgpack.Unmarshal(data, &a); err != nil {
 		return said, false
 	}
-	said.Index, said.Whole = a.Index, a.Whole
+	said.Index, said.Snapshot = a.Index, a.Whole
 	for _, e := range a.Endpoints {
-		said.Entries = append(said.Entries, discovery.Entry{Name: e.Name, Address: e.Address, Zone: e.Zone, Kind: e.Kind, Group: e.Group,
-			State: port.ServerState(e.State), Weight: e.Weight, Primary: e.Primary, Since: e.Since})
+		said.Endpoints = append(said.Endpoints, discovery.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, ServerType: e.Kind, Group: e.Group,
+			State: port.ServerState(e.State), Weight: e.Weight, Primary: e.Primary, StartedAtMillis: e.Since})
 	}
 	return said, a.Whole || len(a.Endpoints) > 0
 }
 
 func encodeEndpointUpdate(said discovery.List, after int64) []byte {
-	a := endpointUpdate{Whole: said.Whole, After: after, Index: said.Index}
-	for _, e := range said.Entries {
-		a.Endpoints = append(a.Endpoints, encodedEndpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Kind: e.Kind, Group: e.Group,
-			State: uint8(e.State), Weight: e.Weight, Primary: e.Primary, Since: e.Since})
+	a := endpointUpdate{Whole: said.Snapshot, After: after, Index: said.Index}
+	for _, e := range said.Endpoints {
+		a.Endpoints = append(a.Endpoints, encodedEndpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Kind: e.ServerType, Group: e.Group,
+			State: uint8(e.State), Weight: e.Weight, Primary: e.Primary, Since: e.StartedAtMillis})
 	}
 	b, err := msgpack.Marshal(&a)
 	if err != nil {
--- a/front/core.go
+++ b/front/core.go
@@ -76,10 +76,10 @@
 	alarms     alarms
 	later      []Event // came of the batch in hand; they open the next one
 	metrics    Metrics
-	far        map[int]bool      // members that stand for another site
-	turns      map[int]uint32    // by member: how often its place was given back
-	standing   []discovery.Entry // members that no list tells of
-	classes    *classes          // nil where statements are not classed
+	far        map[int]bool         // members that stand for another site
+	turns      map[int]uint32       // by member: how often its place was given back
+	standing   []discovery.Endpoint // members that no list tells of
+	classes    *classes             // nil where statements are not classed
 	bound      FleetOptions
 	terms      *terms   // in force
 	past       []*terms // of which requests are in hand still
@@ -94,10 +94,10 @@
 
 // NewCore makes a Core; born is the moment from which its clock counts. Where classing is nil, statements are served in
 // the one form that the users' protocol has.
-func NewCore(born time.Time, seed uint64, s *site.Site, decide RouterFactory, links Pools, ask EndpointSource, classing *Classifier) *Core {
+func NewCore(born time.Time, seed uint64, s *site.Settings, decide RouterFactory, links Pools, ask EndpointSource, classing *Classifier) *Core {
 	c := &Core{pools: links, ask: ask, events: make(chan Event, queued), timeline: timeline{zero: born.Round(0)}, types: s.RequestTypes,
-		most: s.Allowance.MaxAttempts, patience: s.Allowance.DialTimeout,
-		typeIDs: NewIndex(s.Types...), customers: NewIndex(s.Customers...), zones: NewIndex(s.Zones...),
+		most: s.Limits.MaxAttempts, patience: s.Limits.DialTimeout,
+		typeIDs: NewIndex(s.TypeNames...), customers: NewIndex(s.CustomerNames...), zones: NewIndex(s.ZoneNames...),
 		kinds: NewIndex[string](), members: NewIndex[string](), groups: NewIndex[int64](), ids: map[string]struct{}{}, far: map[int]bool{}, turns: map[int]uint32{}}
 	if classing != nil {
 		c.classes = &classes{by: classing.Classing}
@@ -106,9 +106,9 @@
 		}
 		c.types = c.classes.withUndeclared(c.types, classing.UndeclaredWriteEffect)
 	}
-	c.comeBack = s.Allowance.MaxRetryAfter
+	c.comeBack = s.Limits.MaxRetryAfter
 	c.terms = &terms{types: c.types}
-	c.decider = decide(c, seed, s.Topology, c.types, s.Shares, s.Replication, s.Guardrails, s.Allowance, s.Tariff)
+	c.decider = decide(c, seed, s.Topology, c.types, s.CustomerQuotas, s.Replication, s.Guardrails, s.Limits, s.CostWeights)
 	return c
 }
 
@@ -116,7 +116,7 @@
 const RemoteSitePrefix = "site:"
 
 // SetStaticEndpoints adds members that every whole list has beside its own. It is called before Run.
-func (c *Core) SetStaticEndpoints(entries []discovery.Entry) { c.standing = entries }
+func (c *Core) SetStaticEndpoints(entries []discovery.Endpoint) { c.standing = entries }
 
 // Post brings an event; it blocks while too many wait.
 func (c *Core) Post(e Event) { c.events <- e }
@@ -223,7 +223,7 @@
 
 func (l EndpointsChanged) take(c *Core, now time.Duration) {
 	c.entries = c.entries[:0]
-	all := l.List.Entries
+	all := l.List.Endpoints
 	if l.Kind == port.Snapshot || l.Kind == port.CachedSnapshot {
 		all = slices.Concat(all, c.standing)
 	}
@@ -231,7 +231,7 @@
 		clear(c.serving)
 	}
 	for _, e := range all { // a start lies in the past
-		c.moved(c.timeline.past(e.Since, now))
+		c.moved(c.timeline.past(e.StartedAtMillis, now))
 	}
 	for _, e := range all {
 		zone, ok := c.zones.Lookup(e.Zone)
@@ -246,12 +246,12 @@
 			delete(c.far, m) // the place may have been another's
 		}
 		if e.Address != "" {
-			c.place(m, place{e.Address, e.Since})
+			c.place(m, place{e.Address, e.StartedAtMillis})
 		}
 		c.serves(m, e.State == port.Serving)
-		c.entries = append(c.entries, port.Endpoint{Server: m, Zone: zone, Kind: c.kinds.Intern(e.Kind),
+		c.entries = append(c.entries, port.Endpoint{Server: m, Zone: zone, Kind: c.kinds.Intern(e.ServerType),
 			Group: c.groups.Intern(e.Group), State: e.State, Weight: e.Weight, Primary: e.Primary,
-			StartedAt: c.since(e.Since), HasStartTime: e.Since != 0})
+			StartedAt: c.since(e.StartedAtMillis), HasStartTime: e.StartedAtMillis != 0})
 		if l.Kind == port.Delta {
 			for i := range c.standing { // as the next whole list will have it
 				if c.standing[i].Name == e.Name {
--- a/front/far_test.go
+++ b/front/far_test.go
@@ -15,7 +15,7 @@
 func far(t *testing.T, most int) (*Core, *module, *wires) {
 	c, m, w := newFront(t)
 	c.most = most
-	c.Post(EndpointsChanged{Kind: port.Delta, List: discovery.List{Entries: []discovery.Entry{
+	c.Post(EndpointsChanged{Kind: port.Delta, List: discovery.List{Endpoints: []discovery.Endpoint{
 		{Name: "s-1", Address: RemoteSitePrefix + "b/9", Zone: "a", Group: 9}}}})
 	c.batch(ms)
 	return c, m, w
--- a/front/front_test.go
+++ b/front/front_test.go
@@ -73,17 +73,17 @@
 
 func newFront(testing.TB) (*Core, *module, *wires) {
 	w, m := &wires{}, &module{}
-	s := &site.Site{Types: []string{"browse", "order"}, Zones: []string{"a"}, Customers: []string{"acme"},
+	s := &site.Settings{TypeNames: []string{"browse", "order"}, ZoneNames: []string{"a"}, CustomerNames: []string{"acme"},
 		RequestTypes: []port.RequestType{{Consistency: port.ReadYourWrites, Deadline: time.Second}, {Consistency: port.Write, Deadline: time.Second}},
-		Allowance:    port.Limits{MaxAttempts: 2, DialTimeout: 250 * ms}}
+		Limits:       port.Limits{MaxAttempts: 2, DialTimeout: 250 * ms}}
 	c := NewCore(born, 1, s, func(h port.Host, _ uint64, _ port.Topology, _ []port.RequestType, _ []port.Customer,
 		_ port.Replication, _ port.Guardrails, _ port.Limits, _ port.CostWeights) port.Router {
 		m.Host = h
 		return m
 	}, w, w, nil)
 	c.confirmed = true // as by a primary's answer; timeline_test.go has what comes before
-	c.Post(EndpointsChanged{Kind: port.CachedSnapshot, List: discovery.List{Entries: []discovery.Entry{
-		{Name: "s-1", Address: "x", Zone: "a", Group: 9, Since: 999_500},
+	c.Post(EndpointsChanged{Kind: port.CachedSnapshot, List: discovery.List{Endpoints: []discovery.Endpoint{
+		{Name: "s-1", Address: "x", Zone: "a", Group: 9, StartedAtMillis: 999_500},
 		{Name: "s-2", Address: "x", Zone: "nowhere", Group: 9}}}})
 	c.batch(0)
 	return c, m, w
@@ -315,7 +315,7 @@
 	w.begin(t, 0)
 	m.wish = func(m *module) { m.ReleaseServer(0) }
 	c.batch(2 * ms)
-	c.Post(EndpointsChanged{Kind: port.Delta, List: discovery.List{Entries: []discovery.Entry{{Name: "s-3", Address: "y", Zone: "a", Group: 9}}}})
+	c.Post(EndpointsChanged{Kind: port.Delta, List: discovery.List{Endpoints: []discovery.Endpoint{{Name: "s-3", Address: "y", Zone: "a", Group: 9}}}})
 	c.batch(3 * ms)
 	c.Post(&AttemptFinished{Attempt: w.sent[0], Err: &ConnectionError{Stage: StageDial}})
 	c.batch(4 * ms)
@@ -330,7 +330,7 @@
 func TestAForgottenMembersPlaceIsAnothers(t *testing.T) {
 	c, m, w := newFront(t)
 	change := func(name string) {
-		c.Post(EndpointsChanged{Kind: port.Delta, List: discovery.List{Entries: []discovery.Entry{
+		c.Post(EndpointsChanged{Kind: port.Delta, List: discovery.List{Endpoints: []discovery.Endpoint{
 			{Name: name, Address: "y", Zone: "a", Group: 9}}}})
 	}
 	m.wish = func(m *module) { m.ReleaseServer(0) }
--- a/front/relay.go
+++ b/front/relay.go
@@ -55,7 +55,7 @@
 		return // given up before; that ending was told
 	}
 	e.Attempt.done = true
-	o := port.AttemptOutcome{Result: ending(&e.Answer, e.Err), Load: site.NoReport}
+	o := port.AttemptOutcome{Result: ending(&e.Answer, e.Err), Load: site.EmptyLoad}
 	if a := &e.Answer; e.Err == nil {
 		o.Role = roles[a.Role]
 		if a.HasApplied && o.Role == port.Primary && a.Code == "" && !e.Remote {
@@ -144,10 +144,10 @@
 
 // report reads a member's report of its load. Where a primary's is the first that tells of the present, times move by it.
 func (c *Core) report(pairs []byte, sent time.Duration) port.LoadReport {
-	l := site.NoReport
+	l := site.EmptyLoad
 	zero := c.since(0)
-	if !pgwire.Pairs(pairs, func(name string, v float64) { site.Report(&l, name, v, zero) }) {
-		return site.NoReport
+	if !pgwire.Pairs(pairs, func(name string, v float64) { site.SetLoadField(&l, name, v, zero) }) {
+		return site.EmptyLoad
 	}
 	if l.HasPosition && l.Role == port.Primary && !c.confirmed {
 		told := (l.Position - zero).Milliseconds()
--- a/front/script_test.go
+++ b/front/script_test.go
@@ -41,12 +41,12 @@
 // newScript makes a core of two request types, with a lease until 10 s.
 func newScript(t *testing.T, classing *Classifier) *script {
 	s := &script{t: t}
-	st := &site.Site{Types: []string{"browse", "order", "cart"}, Zones: []string{"a", "b"}, Customers: []string{"acme"},
+	st := &site.Settings{TypeNames: []string{"browse", "order", "cart"}, ZoneNames: []string{"a", "b"}, CustomerNames: []string{"acme"},
 		RequestTypes: []port.RequestType{
 			{Consistency: port.BoundedStaleness, MaxStaleness: 300 * ms, Deadline: time.Second},
 			{Consistency: port.Write, Idempotency: port.IdempotencyKey, DedupWindow: 400 * ms, Deadline: 2 * time.Second},
 			{Consistency: port.ReadYourWrites, Deadline: time.Second}},
-		Allowance: port.Limits{MaxAttempts: 5, DialTimeout: 250 * ms, MaxRetryAfter: 700 * ms}}
+		Limits: port.Limits{MaxAttempts: 5, DialTimeout: 250 * ms, MaxRetryAfter: 700 * ms}}
 	s.core = NewCore(born, 1, st, func(h port.Host, _ uint64, _ port.Topology, _ []port.RequestType, _ []port.Customer,
 		_ port.Replication, _ port.Guardrails, _ port.Limits, _ port.CostWeights) port.Router {
 		s.host = h
@@ -54,11 +54,11 @@
 	}, scriptPools{s}, scriptPools{s}, classing)
 	s.core.JoinFleet(FleetOptions{Clock: func() time.Duration { return s.now }, Auditor: scriptAudit{s}, OnStandby: func(on bool) { s.line("standby %v", on) }})
 	s.core.clock = func() time.Duration { return s.now }
-	s.core.SetStaticEndpoints([]discovery.Entry{{Name: "remote", Address: RemoteSitePrefix + "west/9", Zone: "b", Kind: "site", Group: 9}})
+	s.core.SetStaticEndpoints([]discovery.Endpoint{{Name: "remote", Address: RemoteSitePrefix + "west/9", Zone: "b", ServerType: "site", Group: 9}})
 	s.core.Post(RenewLease{Expiry: 10 * time.Second})
-	s.core.Post(EndpointsChanged{Kind: port.Snapshot, List: discovery.List{Index: 7, Entries: []discovery.Entry{
-		{Name: "s-1", Address: "10.0.0.1:5432", Zone: "a", Kind: "large", Group: 9, Since: 999_500, Primary: true, Weight: 1},
-		{Name: "s-2", Address: "10.0.0.2:5432", Zone: "b", Kind: "large", Group: 9, Since: 998_000, Weight: 0.5}}}})
+	s.core.Post(EndpointsChanged{Kind: port.Snapshot, List: discovery.List{Index: 7, Endpoints: []discovery.Endpoint{
+		{Name: "s-1", Address: "10.0.0.1:5432", Zone: "a", ServerType: "large", Group: 9, StartedAtMillis: 999_500, Primary: true, Weight: 1},
+		{Name: "s-2", Address: "10.0.0.2:5432", Zone: "b", ServerType: "large", Group: 9, StartedAtMillis: 998_000, Weight: 0.5}}}})
 	s.step(ms, nil)
 	return s
 }
@@ -304,8 +304,8 @@
 	s.step(5330*ms, nil)
 	s.request(fmt.Sprintf(scriptRead, 31))
 	s.step(5400*ms, s.submit(1, 0))
-	s.core.Post(EndpointsChanged{Kind: port.Delta, List: discovery.List{Index: 8, Entries: []discovery.Entry{
-		{Name: "s-2", Address: "10.0.0.2:5432", Zone: "b", Kind: "large", Group: 9, Since: 998_000, State: port.Draining},
+	s.core.Post(EndpointsChanged{Kind: port.Delta, List: discovery.List{Index: 8, Endpoints: []discovery.Endpoint{
+		{Name: "s-2", Address: "10.0.0.2:5432", Zone: "b", ServerType: "large", Group: 9, StartedAtMillis: 998_000, State: port.Draining},
 		{Name: "s-3", Address: "10.0.0.3:5432", Zone: "nowhere", Group: 9}}}})
 	s.step(5410*ms, func() { s.host.Reject(s.refs[len(s.refs)-1], 10*ms) })
 	s.step(5600*ms, func() { s.host.ReleaseServer(1) })
@@ -314,8 +314,8 @@
 	s.request(fmt.Sprintf(scriptWrite, 40))
 	s.step(5700*ms, s.submit(0, 0))
 	s.begin()
-	s.core.Post(AdoptConfig{Version: 2, Rules: &site.Rules{Bounds: map[string]time.Duration{"browse": 100 * ms}, Windows: map[string]time.Duration{"order": 200 * ms},
-		GivenUp: []int64{11}}, LeaseExpiry: 6500 * ms, OnAdopted: func(at time.Duration) { s.line("adopted at %v", at) }, OnOlderFinished: func() { s.line("alone") }})
+	s.core.Post(AdoptConfig{Version: 2, Rules: &site.Rules{MaxStaleness: map[string]time.Duration{"browse": 100 * ms}, DedupWindows: map[string]time.Duration{"order": 200 * ms},
+		RejectedGroups: []int64{11}}, LeaseExpiry: 6500 * ms, OnAdopted: func(at time.Duration) { s.line("adopted at %v", at) }, OnOlderFinished: func() { s.line("alone") }})
 	s.request(fmt.Sprintf(scriptRead, 41))
 	s.request(fmt.Sprintf(scriptWrite, 41))
 	s.step(5800*ms, nil)
--- a/front/send.go
+++ b/front/send.go
@@ -140,7 +140,7 @@
 func (c *Core) cancelUnsent(s *Attempt) {
 	if !s.done && s.stage.CompareAndSwap(waiting, dropped) {
 		s.done = true
-		c.ended(s, port.AttemptOutcome{Result: port.NotSent, Load: site.NoReport}, nil)
+		c.ended(s, port.AttemptOutcome{Result: port.NotSent, Load: site.EmptyLoad}, nil)
 	}
 }
 
@@ -148,7 +148,7 @@
 func (c *Core) expire(s *Attempt) {
 	if !s.done {
 		s.cancel()
-		c.ended(s, port.AttemptOutcome{Result: port.TimedOut, Load: site.NoReport}, nil)
+		c.ended(s, port.AttemptOutcome{Result: port.TimedOut, Load: site.EmptyLoad}, nil)
 	}
 }
 
@@ -159,5 +159,5 @@
 }
 
 func (e settled) take(c *Core, _ time.Duration) {
-	c.ended(e.s, port.AttemptOutcome{Result: e.ending, Load: site.NoReport}, nil)
+	c.ended(e.s, port.AttemptOutcome{Result: e.ending, Load: site.EmptyLoad}, nil)
 }
--- a/front/terms.go
+++ b/front/terms.go
@@ -93,13 +93,13 @@
 				}
 			}
 		}
-		for name, d := range r.Bounds {
+		for name, d := range r.MaxStaleness {
 			put(name, func(ty *port.RequestType) { ty.MaxStaleness = min(ty.MaxStaleness, d) })
 		}
-		for name, d := range r.Windows {
+		for name, d := range r.DedupWindows {
 			put(name, func(ty *port.RequestType) { ty.DedupWindow = min(ty.DedupWindow, d) })
 		}
-		for _, g := range r.GivenUp {
+		for _, g := range r.RejectedGroups {
 			t.givenUp[g] = struct{}{}
 		}
 	}
@@ -294,7 +294,7 @@
 		}
 		for i, s := range outs {
 			if endings[i] != port.Succeeded { // it was out until now
-				c.ended(s, port.AttemptOutcome{Result: endings[i], Load: site.NoReport}, nil)
+				c.ended(s, port.AttemptOutcome{Result: endings[i], Load: site.EmptyLoad}, nil)
 			}
 		}
 	})
--- a/gateway/link/crossings.go
+++ b/gateway/link/crossings.go
@@ -97,7 +97,7 @@
 		l.told = state
 		l.mu.Unlock()
 		if turned {
-			l.o.Post(front.EndpointsChanged{Kind: port.Delta, List: discovery.List{Entries: Members(l.o.Peer, l.o.Groups, state)}})
+			l.o.Post(front.EndpointsChanged{Kind: port.Delta, List: discovery.List{Endpoints: Members(l.o.Peer, l.o.Groups, state)}})
 		}
 		for _, e := range all {
 			l.o.Post(e)
--- a/gateway/link/links.go
+++ b/gateway/link/links.go
@@ -47,14 +47,14 @@
 
 // Members are those that stand for a far site: one for each of its groups, in a zone of its name, their primary; away
 // while the link is not up.
-func Members(site string, groups []int64, link gateway.State) (entries []discovery.Entry) {
+func Members(site string, groups []int64, link gateway.State) (entries []discovery.Endpoint) {
 	state := port.Partitioned
 	if link == gateway.Up {
 		state = port.Serving
 	}
 	for _, g := range groups {
 		name := site + "/" + strconv.FormatInt(g, 10)
-		entries = append(entries, discovery.Entry{Name: name, Address: front.RemoteSitePrefix + name, Zone: site, Kind: "site", Group: g,
+		entries = append(entries, discovery.Endpoint{Name: name, Address: front.RemoteSitePrefix + name, Zone: site, ServerType: "site", Group: g,
 			Weight: 1, Primary: true, State: state})
 	}
 	return entries
--- a/lab/model/member.go
+++ b/lab/model/member.go
@@ -47,8 +47,8 @@
 
 func (m *Member) address() string { return m.Name }
 
-func (m *Member) entry() discovery.Entry {
-	return discovery.Entry{Name: m.Name, Address: m.address(), Zone: m.Zone, Kind: "std", Group: m.Group, Weight: 1, Primary: m.Primary, Since: m.Since}
+func (m *Member) entry() discovery.Endpoint {
+	return discovery.Endpoint{Name: m.Name, Address: m.address(), Zone: m.Zone, ServerType: "std", Group: m.Group, Weight: 1, Primary: m.Primary, StartedAtMillis: m.Since}
 }
 
 // came takes an attempt that has arrived; answer carries what it says back.
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -158,23 +158,23 @@
 	Book   = "book"   // writes under a mark
 )
 
-func (t *Town) site(i int) *site.Site {
+func (t *Town) site(i int) *site.Settings {
 	o := t.O
-	s := &site.Site{Types: []string{Browse, Book}, Zones: zones,
+	s := &site.Settings{TypeNames: []string{Browse, Book}, ZoneNames: zones,
 		RequestTypes: []port.RequestType{
 			{LatencyObjective: o.TargetLatency, Deadline: o.Deadline, PriorityWeight: 1, Idempotency: port.Idempotent, DedupScope: port.ScopeAll, Consistency: port.Eventual},
 			{LatencyObjective: o.TargetLatency, Deadline: o.Deadline, PriorityWeight: 5, Idempotency: port.IdempotencyKey, DedupScope: port.ScopeGroup, DedupWindow: 2 * time.Second, Consistency: port.Write}},
 		Topology:    port.Topology{Zone: i % 3, ZoneCount: 3, FleetSize: len(t.Hosts), Ordinal: i, PullEndpoints: o.Ask, RoleListing: port.RolesDelayed, TickInterval: 5 * time.Millisecond},
 		Replication: port.Replication{StalenessCheck: port.RejectIfStale, PositionInResponses: true},
 		Guardrails:  port.Guardrails{AnswerSlack: 20 * time.Millisecond, DrainGrace: 2 * time.Second, InitialCapacity: 1, OverloadMultiple: 1, MaxPollInterval: 2 * time.Second, SlowStartDuration: time.Second, OverloadWindow: 2 * time.Second},
-		Allowance:   port.Limits{MaxAttempts: 10, HealthChecks: true, Cancellation: true, MaxRetryAfter: time.Second, DialTimeout: 500 * time.Millisecond, IdleConnTimeout: 30 * time.Second}}
+		Limits:      port.Limits{MaxAttempts: 10, HealthChecks: true, Cancellation: true, MaxRetryAfter: time.Second, DialTimeout: 500 * time.Millisecond, IdleConnTimeout: 30 * time.Second}}
 	return s
 }
 
 func (t *Town) whole() discovery.List {
-	l := discovery.List{Index: t.Lists.Index, Whole: true}
+	l := discovery.List{Index: t.Lists.Index, Snapshot: true}
 	for _, m := range t.Members {
-		l.Entries = append(l.Entries, m.entry())
+		l.Endpoints = append(l.Endpoints, m.entry())
 	}
 	return l
 }
@@ -191,7 +191,7 @@
 	if f.host.Node != nil {
 		f.list = fleet.NewEndpointList()
 		f.host.Node.SetMirror(fleet.EndpointListLease, f.list)
-		f.prober = agent.NewProber(t.Pace.LeaseDuration, s.Allowance.DialTimeout)
+		f.prober = agent.NewProber(t.Pace.LeaseDuration, s.Limits.DialTimeout)
 		f.prober.Pools, f.prober.Post = ways, func(e front.Event) { f.post(e) }
 		f.prober.Now = f.host.Clock
 		f.prober.RequestProbe = func(to, member string) {
--- a/lab/model/rolls.go
+++ b/lab/model/rolls.go
@@ -12,7 +12,7 @@
 )
 
 // seat gives a front that starts its part in rolls, as fleet/agent does.
-func (f *Front) participate(s *site.Site) {
+func (f *Front) participate(s *site.Settings) {
 	t := f.t
 	f.Core.JoinFleet(front.FleetOptions{Clock: f.host.Clock, Auditor: (*tally)(f)})
 	f.sums = make([]rollout.Counts, 2)
@@ -56,13 +56,13 @@
 	f.host.After(t.Pace.TickInterval(), tick)
 }
 
-func (f *Front) adopt(a rollout.Adoption, s *site.Site) {
+func (f *Front) adopt(a rollout.Adoption, s *site.Settings) {
 	do := func(call func(n *fleet.Node, now time.Duration)) { f.host.Do(call) }
 	var rules *site.Rules
 	if a.Text != nil {
 		var err error
 		if rules, err = site.ParseRules("published", a.Text); err == nil {
-			err = rules.Against(s)
+			err = rules.Validate(s)
 		}
 		if err == nil && f.Bad != nil && f.Bad(a.Version) {
 			err = fmt.Errorf("its limits are others")
@@ -190,7 +190,7 @@
 // Publish lets an operator publish a text at a front, and gives the wish's outcome when it is there.
 func (t *Town) Publish(f *Front, w rollout.Action, outcome func(fault string)) {
 	if r, err := site.ParseRules("x", w.Text); err == nil {
-		w.Meaning = r.Meaning()
+		w.Meaning = r.Digest()
 	}
 	w.ID = t.Rnd.Uint64() | 1
 	f.host.Do(func(n *fleet.Node, now time.Duration) { f.Participant.Submit(now, w, 10*t.Pace.LeaseDuration, outcome) })
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -60,21 +60,21 @@
 	ctx, stop := context.WithCancel(context.Background())
 	h.stop = stop
 	clock := sockets.NewClock()
-	room := sockets.NewConnLimiter(told.Sockets, site.Aside)
-	allowed := told.Site.Allowance
+	room := sockets.NewDescriptors(told.MaxDescriptors, site.ReservedDescriptors)
+	allowed := told.Settings.Limits
 	var core *front.Core
 	post := func(e front.Event) { core.Post(h.noted(e)) }
 	seen := func(e front.Event) { h.agent.Prober.Event(e) }
-	links := sockets.NewPools(seen, room, databaseUser, databaseName, allowed.DialTimeout, allowed.IdleConnTimeout, told.Memory)
-	directory := sockets.NewDirectory(ctx, discovery.New(told.Discovery, told.Known.Index), seen, sockets.Spread(told.Seed))
+	links := sockets.NewPools(seen, room, databaseUser, databaseName, allowed.DialTimeout, allowed.IdleConnTimeout, told.MemoryBytes)
+	directory := sockets.NewWatcher(ctx, discovery.NewClient(told.Discovery, told.CachedList.Index), seen, sockets.NewJitter(told.Seed))
 	if h.agent, err = agent.New(agent.Forms{Fleet: of, Roll: ro}, told, directory, "hollow"); err != nil {
 		return err
 	}
-	h.agent.Clock, h.agent.StartedAt, h.agent.Post = clock.Now, clock.Born, post
+	h.agent.Clock, h.agent.StartedAt, h.agent.Post = clock.Now, clock.StartedAt, post
 	h.agent.Prober.Pools, h.agent.Prober.Post = links, post
-	core = front.NewCore(clock.Born, told.Seed, told.Site, router.New, h.agent.Prober, directory, nil)
+	core = front.NewCore(clock.StartedAt, told.Seed, told.Settings, router.New, h.agent.Prober, directory, nil)
 	core.JoinFleet(h.agent.Bound())
-	seen(front.EndpointsChanged{Kind: port.CachedSnapshot, List: told.Known})
+	seen(front.EndpointsChanged{Kind: port.CachedSnapshot, List: told.CachedList})
 	go core.Run(clock, ctx.Done())
 	if err := h.agent.Start(); err != nil {
 		return err
--- a/site/instance_file_test.go
+++ b/site/instance_file_test.go
@@ -15,7 +15,7 @@
 )
 
 // described lists the value of each setting under its key in the file.
-func described(s *Start) string {
+func described(s *Instance) string {
 	var b strings.Builder
 	line := func(key string, values ...any) { fmt.Fprintf(&b, "%s\t%s", key, fmt.Sprintln(values...)) }
 	line("name", s.Name)
@@ -23,26 +23,26 @@
 	line("discovery", s.Discovery)
 	line("seed", s.Seed)
 	line("limits.cores", s.Cores)
-	line("limits.memory_mb", s.Memory)
-	line("limits.sockets", s.Sockets)
-	line("known", s.Known.Index, s.Known.Whole, len(s.Known.Entries))
-	for i, e := range s.Known.Entries {
-		line(fmt.Sprint("known.", i), strconv.Quote(e.Name), e.Address, strconv.Quote(e.Zone), e.Kind, e.Group, int(e.State), e.Weight, e.Primary, e.Since)
+	line("limits.memory_mb", s.MemoryBytes)
+	line("limits.sockets", s.MaxDescriptors)
+	line("known", s.CachedList.Index, s.CachedList.Snapshot, len(s.CachedList.Endpoints))
+	for i, e := range s.CachedList.Endpoints {
+		line(fmt.Sprint("known.", i), strconv.Quote(e.Name), e.Address, strconv.Quote(e.Zone), e.ServerType, e.Group, int(e.State), e.Weight, e.Primary, e.StartedAtMillis)
 	}
-	for i, err := range s.Passed {
+	for i, err := range s.SkippedEndpoints {
 		line(fmt.Sprint("known passed over ", i), err)
 	}
-	x := s.Site
-	line("FamilyInfo.Zero", x.Zero)
+	x := s.Settings
+	line("FamilyInfo.Zero", x.PositionOrigin)
 	for i, ty := range x.RequestTypes {
-		line(fmt.Sprint("Classes.", i), x.Types[i], int64(ty.LatencyObjective), int64(ty.Deadline), ty.WorkMultiple, ty.PriorityWeight, ty.LateFraction,
+		line(fmt.Sprint("Classes.", i), x.TypeNames[i], int64(ty.LatencyObjective), int64(ty.Deadline), ty.WorkMultiple, ty.PriorityWeight, ty.LateFraction,
 			int(ty.Idempotency), int(ty.DedupScope), int64(ty.DedupWindow), int(ty.Consistency), int64(ty.MaxStaleness))
 	}
-	for i, c := range x.Shares {
-		line(fmt.Sprint("Tenants.", i), x.Customers[i], c.RequestsPerSecond, c.Quota)
+	for i, c := range x.CustomerQuotas {
+		line(fmt.Sprint("Tenants.", i), x.CustomerNames[i], c.RequestsPerSecond, c.Quota)
 	}
 	t := x.Topology
-	line("Zones", fmt.Sprintf("%q", x.Zones), t.ZoneCount)
+	line("Zones", fmt.Sprintf("%q", x.ZoneNames), t.ZoneCount)
 	line("Locality", t.Zone)
 	line("FleetSize", t.FleetSize)
 	line("Ordinal", t.Ordinal)
@@ -59,9 +59,9 @@
 	line("Stats.Source", r.LoadInResponses)
 	g := x.Guardrails
 	line("Rules", int64(g.AnswerSlack), int64(g.DrainGrace), int64(g.MaxPollInterval), g.InitialCapacity, g.OverloadMultiple, int64(g.SlowStartDuration), int64(g.OverloadWindow))
-	a := x.Allowance
+	a := x.Limits
 	line("Limits", a.MaxAttempts, a.HealthChecks, a.Gossip, a.Cancellation, a.HedgedRequests, int64(a.MaxRetryAfter), int64(a.DialTimeout), int64(a.IdleConnTimeout))
-	f := x.Tariff
+	f := x.CostWeights
 	line("Deductions", f.CrossZone, f.WastedWork, f.HealthCheck, f.LateFailure, f.Gossip)
 	line("OverShareWorth", f.OverQuota)
 	return b.String()
--- a/site/rules.go
+++ b/site/rules.go
@@ -24,15 +24,15 @@
 
 // Rules are what the form says. Nil and the zero value change nothing.
 type Rules struct {
-	Bounds, Windows map[string]time.Duration // by request type
-	GivenUp         []int64                  // groups, sorted
-	places          map[string]conf.Place
-	place           conf.Place
+	MaxStaleness, DedupWindows map[string]time.Duration // by request type
+	RejectedGroups             []int64                  // groups, sorted
+	places                     map[string]conf.Place
+	place                      conf.Place
 }
 
 // ReadRules reads the form; what is wrong with it is noted with its reading.
 func ReadRules(f *conf.Form) *Rules {
-	r := &Rules{Bounds: map[string]time.Duration{}, Windows: map[string]time.Duration{}, places: map[string]conf.Place{}, place: f.Place}
+	r := &Rules{MaxStaleness: map[string]time.Duration{}, DedupWindows: map[string]time.Duration{}, places: map[string]conf.Place{}, place: f.Place}
 	for _, g := range f.Each() {
 		switch g.Name {
 		case "bound", "window":
@@ -40,9 +40,9 @@
 			if !ok {
 				continue
 			}
-			to := r.Bounds
+			to := r.MaxStaleness
 			if g.Name == "window" {
-				to = r.Windows
+				to = r.DedupWindows
 			}
 			if _, twice := to[w.Name]; twice {
 				g.Fault(w.Place, "keep one of the two", "%s of %s is named twice", g.Name, w.Name)
@@ -58,20 +58,20 @@
 				if err != nil {
 					g.Fault(w.Place, "(given-up 7): groups as the list numbers them", "%s is no group", w.Name)
 				}
-				r.GivenUp = append(r.GivenUp, n)
+				r.RejectedGroups = append(r.RejectedGroups, n)
 			}
 		default:
 			g.Fault(g.Place, "known are bound, window, given-up", "rules have no %s", g.Name)
 		}
 	}
-	slices.Sort(r.GivenUp)
-	r.GivenUp = slices.Compact(r.GivenUp)
+	slices.Sort(r.RejectedGroups)
+	r.RejectedGroups = slices.Compact(r.RejectedGroups)
 	return r
 }
 
-// Against finds what rules say against a site. The error is conf.Faults: a type that is none, a bound or a window that would
+// Validate finds what rules say against a site. The error is conf.Faults: a type that is none, a bound or a window that would
 // loosen what the site promises.
-func (r *Rules) Against(s *Site) error {
+func (r *Rules) Validate(s *Settings) error {
 	if r == nil {
 		return nil
 	}
@@ -79,9 +79,9 @@
 	look := func(what string, of map[string]time.Duration, most func(port.RequestType) (time.Duration, bool), kind string) {
 		for _, name := range slices.Sorted(maps.Keys(of)) {
 			place := r.places[what+" "+name]
-			i := slices.Index(s.Types, name)
+			i := slices.Index(s.TypeNames, name)
 			if i < 0 {
-				faults = append(faults, conf.Fault{Place: place, What: name + " is no request type of this site", Remedy: fmt.Sprint("its types are ", s.Types)})
+				faults = append(faults, conf.Fault{Place: place, What: name + " is no request type of this site", Remedy: fmt.Sprint("its types are ", s.TypeNames)})
 				continue
 			}
 			switch limit, ok := most(s.RequestTypes[i]); {
@@ -93,10 +93,10 @@
 			}
 		}
 	}
-	look("bound", r.Bounds, func(t port.RequestType) (time.Duration, bool) {
+	look("bound", r.MaxStaleness, func(t port.RequestType) (time.Duration, bool) {
 		return t.MaxStaleness, t.Consistency == port.BoundedStaleness
 	}, "reads within a bound")
-	look("window", r.Windows, func(t port.RequestType) (time.Duration, bool) {
+	look("window", r.DedupWindows, func(t port.RequestType) (time.Duration, bool) {
 		return t.DedupWindow, t.Idempotency == port.IdempotencyKey
 	}, "carries a mark")
 	if faults == nil {
@@ -105,17 +105,17 @@
 	return faults
 }
 
-// Meaning is a digest of what rules say, whatever the order and spelling of the text: 16 hexadecimal digits.
-func (r *Rules) Meaning() string {
+// Digest is a digest of what rules say, whatever the order and spelling of the text: 16 hexadecimal digits.
+func (r *Rules) Digest() string {
 	var b strings.Builder
 	if r != nil {
-		for _, name := range slices.Sorted(maps.Keys(r.Bounds)) {
-			fmt.Fprintf(&b, "bound %q %d\n", name, r.Bounds[name])
+		for _, name := range slices.Sorted(maps.Keys(r.MaxStaleness)) {
+			fmt.Fprintf(&b, "bound %q %d\n", name, r.MaxStaleness[name])
 		}
-		for _, name := range slices.Sorted(maps.Keys(r.Windows)) {
-			fmt.Fprintf(&b, "window %q %d\n", name, r.Windows[name])
+		for _, name := range slices.Sorted(maps.Keys(r.DedupWindows)) {
+			fmt.Fprintf(&b, "window %q %d\n", name, r.DedupWindows[name])
 		}
-		for _, g := range r.GivenUp {
+		for _, g := range r.RejectedGroups {
 			fmt.Fprintf(&b, "given-up %d\n", g)
 		}
 	}
--- a/site/rules_merge.go
+++ b/site/rules_merge.go
@@ -21,13 +21,13 @@
 	if err != nil {
 		return nil, err
 	}
-	for name, d := range r.Bounds {
+	for name, d := range r.MaxStaleness {
 		rules["bound "+name] = fmt.Sprintf("(bound %q %v)", name, d)
 	}
-	for name, d := range r.Windows {
+	for name, d := range r.DedupWindows {
 		rules["window "+name] = fmt.Sprintf("(window %q %v)", name, d)
 	}
-	for _, group := range r.GivenUp {
+	for _, group := range r.RejectedGroups {
 		rules[fmt.Sprint("given-up ", group)] = fmt.Sprintf("(given-up %d)", group)
 	}
 	return rules, nil
@@ -50,5 +50,5 @@
 	if err != nil {
 		return ""
 	}
-	return r.Meaning()
+	return r.Digest()
 }
--- a/site/rules_test.go
+++ b/site/rules_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestRulesOnlyTightenAndWhatIsWrongIsToldAtItsPlace(t *testing.T) {
-	s := &Site{Types: []string{"browse", "book"}, RequestTypes: []port.RequestType{{Consistency: port.BoundedStaleness, MaxStaleness: 3 * time.Second}, {Consistency: port.Write, Idempotency: port.IdempotencyKey, DedupWindow: 2 * time.Second}}}
+	s := &Settings{TypeNames: []string{"browse", "book"}, RequestTypes: []port.RequestType{{Consistency: port.BoundedStaleness, MaxStaleness: 3 * time.Second}, {Consistency: port.Write, Idempotency: port.IdempotencyKey, DedupWindow: 2 * time.Second}}}
 	for text, want := range map[string]string{
 		"(rules (bound browse 2s) (window book 1s) (given-up 7 3))": "",
 		"(rules (bound browse 5s))":                                 "x:1:8: 5s is looser than the site's bound of 3s for browse",
@@ -25,11 +25,11 @@
 	} {
 		r, err := ParseRules("x", []byte(text))
 		if err == nil {
-			err = r.Against(s)
+			err = r.Validate(s)
 		}
 		if want == "" {
 			require.NoError(t, err, text)
-			assert.Equal(t, []int64{3, 7}, r.GivenUp)
+			assert.Equal(t, []int64{3, 7}, r.RejectedGroups)
 		} else {
 			assert.ErrorContains(t, err, want, text)
 		}
@@ -43,9 +43,9 @@
 	require.NoError(t, err)
 	c, err := ParseRules("c", []byte("(rules (bound browse 2001ms) (given-up 3 7))"))
 	require.NoError(t, err)
-	assert.Equal(t, a.Meaning(), b.Meaning())
-	assert.NotEqual(t, a.Meaning(), c.Meaning())
-	assert.Len(t, a.Meaning(), 16)
+	assert.Equal(t, a.Digest(), b.Digest())
+	assert.NotEqual(t, a.Digest(), c.Digest())
+	assert.Len(t, a.Digest(), 16)
 	var none *Rules
-	assert.Equal(t, none.Meaning(), (&Rules{}).Meaning())
+	assert.Equal(t, none.Digest(), (&Rules{}).Digest())
 }
--- a/site/site.go
+++ b/site/site.go
@@ -16,25 +16,25 @@
 // are joined by commas; a list of objects has its length under .count and its items under .0, .1 and so on.
 type Source func(path string) string
 
-// Fault is what is wrong with the text under a key.
-type Fault struct {
-	Key, What string
-	Transient bool // the file could not be opened or is not whole, as while it is written: another reading may find it well
+// KeyError is what is wrong with the text under a key.
+type KeyError struct {
+	Key, Problem string
+	Transient    bool // the file could not be opened or is not whole, as while it is written: another reading may find it well
 }
 
-func (f *Fault) Error() string { return f.Key + " " + f.What }
+func (f *KeyError) Error() string { return f.Key + " " + f.Problem }
 
-// Site is where an instance stands, in records of package port, with the names that ids refer to.
-type Site struct {
-	Zero                    int64 // clock time from which positions are measured
-	Types, Customers, Zones []string
-	Topology                port.Topology
-	RequestTypes            []port.RequestType
-	Shares                  []port.Customer
-	Replication             port.Replication
-	Guardrails              port.Guardrails
-	Allowance               port.Limits
-	Tariff                  port.CostWeights
+// Settings is where an instance stands, in records of package port, with the names that ids refer to.
+type Settings struct {
+	PositionOrigin                      int64 // clock time from which positions are measured
+	TypeNames, CustomerNames, ZoneNames []string
+	Topology                            port.Topology
+	RequestTypes                        []port.RequestType
+	CustomerQuotas                      []port.Customer
+	Replication                         port.Replication
+	Guardrails                          port.Guardrails
+	Limits                              port.Limits
+	CostWeights                         port.CostWeights
 }
 
 var effects = map[string]port.Idempotency{
@@ -59,12 +59,12 @@
 // piggyback tells whether load reports ride on answers; where nothing is said of reports, there are none.
 var piggyback = map[string]bool{"": false, "silent": false, "pull": false, "piggyback": true}
 
-// Read makes the records; keys that it does not know are passed over. The fault is the first one met.
-func Read(from Source) (*Site, error) {
+// ReadSettings makes the records; keys that it does not know are passed over. The fault is the first one met.
+func ReadSettings(from Source) (*Settings, error) {
 	r := &reading{get: from}
-	s := &Site{
-		Zero:  r.optional("FamilyInfo.Zero"),
-		Zones: strings.Split(r.need("Zones"), ","),
+	s := &Settings{
+		PositionOrigin: r.optional("FamilyInfo.Zero"),
+		ZoneNames:      strings.Split(r.need("Zones"), ","),
 	}
 	levelsOf := strings.Split(r.need("FamilyInfo.ReadLevel"), ",")
 	boundsOf := strings.Split(r.need("FamilyInfo.StalenessBound"), ",")
@@ -74,7 +74,7 @@
 	}
 	for i := 0; i < n && r.err == nil; i++ {
 		p := "Classes." + strconv.Itoa(i) + "."
-		s.Types = append(s.Types, r.need(p+"Name"))
+		s.TypeNames = append(s.TypeNames, r.need(p+"Name"))
 		s.RequestTypes = append(s.RequestTypes, port.RequestType{
 			LatencyObjective: r.span(p + "Aim"), Deadline: r.span(p + "Deadline"), WorkMultiple: r.decimal(p+"AimStretch", 0),
 			PriorityWeight: r.decimal(p+"Worth", 1), LateFraction: r.decimal(p+"LateWorth", 0),
@@ -88,18 +88,18 @@
 	n = int(r.optional("Tenants.count"))
 	for i := 0; i < n && r.err == nil; i++ {
 		p := "Tenants." + strconv.Itoa(i) + "."
-		s.Customers = append(s.Customers, r.need(p+"Name"))
-		s.Shares = append(s.Shares, port.Customer{
+		s.CustomerNames = append(s.CustomerNames, r.need(p+"Name"))
+		s.CustomerQuotas = append(s.CustomerQuotas, port.Customer{
 			RequestsPerSecond: r.decimal(p+"QuotaPerS", 0), Quota: r.decimal(p+"Share", 0)})
 	}
 	home := r.need("Locality")
 	s.Topology = port.Topology{
-		Zone: port.None, ZoneCount: len(s.Zones), FleetSize: int(r.integer("FleetSize")), Ordinal: int(r.integer("Ordinal")),
+		Zone: port.None, ZoneCount: len(s.ZoneNames), FleetSize: int(r.integer("FleetSize")), Ordinal: int(r.integer("Ordinal")),
 		PullEndpoints: choice(r, "Discovery", asked), TickInterval: r.span("Tick"),
 		RetriesMarked: r.yes("Clients.MarksRetry"),
 		RoleListing:   choice(r, "FamilyInfo.RoleListed", listedRoles),
 	}
-	for i, z := range s.Zones {
+	for i, z := range s.ZoneNames {
 		if z == home {
 			s.Topology.Zone = i
 		}
@@ -120,7 +120,7 @@
 		MaxPollInterval: time.Duration(r.optional("Rules.AskEvery")), InitialCapacity: r.decimal("Rules.StartCapacity", 1),
 		OverloadMultiple: r.decimal("Rules.FallMultiple", 1), SlowStartDuration: r.span("Rules.Cold"), OverloadWindow: r.span("Rules.Fall"),
 	}
-	s.Allowance = port.Limits{
+	s.Limits = port.Limits{
 		MaxAttempts: int(r.integer("Limits.AttemptsCap")), HealthChecks: r.yes("Limits.MayProbe"),
 		Gossip: r.yes("Limits.Peers"), Cancellation: r.yes("Limits.Cancel"), HedgedRequests: r.yes("Limits.MayDuplicate"),
 		MaxRetryAfter:   time.Duration(r.optional("Limits.MaxRetryAfter")),
@@ -128,16 +128,16 @@
 		IdleConnTimeout: time.Duration(r.optional("Limits.ConnIdle")),
 	}
 	if !r.yes("Limits.RetryAfter") {
-		s.Allowance.MaxRetryAfter = 0
+		s.Limits.MaxRetryAfter = 0
 	}
-	s.Tariff = port.CostWeights{
+	s.CostWeights = port.CostWeights{
 		CrossZone: r.decimal("Deductions.CrossZone", 0), WastedWork: r.decimal("Deductions.Waste", 0),
 		HealthCheck: r.decimal("Deductions.Probe", 0), LateFailure: r.decimal("Deductions.LateFail", 0),
 		Gossip: r.decimal("Deductions.Peer", 0), OverQuota: r.decimal("OverShareWorth", 1),
 	}
-	r.once("Classes", s.Types)
-	r.once("Tenants", s.Customers)
-	r.once("Zones", s.Zones)
+	r.once("Classes", s.TypeNames)
+	r.once("Tenants", s.CustomerNames)
+	r.once("Zones", s.ZoneNames)
 	if r.err != nil {
 		return nil, r.err
 	}
@@ -163,7 +163,7 @@
 
 func (r *reading) fail(key, what string) {
 	if r.err == nil {
-		r.err = &Fault{Key: key, What: what}
+		r.err = &KeyError{Key: key, Problem: what}
 	}
 }
 
@@ -241,9 +241,9 @@
 	return t
 }
 
-// Report puts a value of a load report into its field, by the names that sites give them. Positions are in
+// SetLoadField puts a value of a load report into its field, by the names that sites give them. Positions are in
 // seconds, counted from zero; names that say nothing here are passed over.
-func Report(l *port.LoadReport, name string, v float64, zero time.Duration) {
+func SetLoadField(l *port.LoadReport, name string, v float64, zero time.Duration) {
 	switch name {
 	case "active", "inflight":
 		l.InFlight = v
@@ -267,6 +267,6 @@
 	}
 }
 
-// NoReport is a load report that says nothing.
-var NoReport = port.LoadReport{InFlight: port.None, Queued: port.None, Utilization: port.None, LatencyMillis: port.None,
+// EmptyLoad is a load report that says nothing.
+var EmptyLoad = port.LoadReport{InFlight: port.None, Queued: port.None, Utilization: port.None, LatencyMillis: port.None,
 	RequestRate: port.None, ErrorRate: port.None}
--- a/site/site_test.go
+++ b/site/site_test.go
@@ -26,7 +26,7 @@
   "Rules":{"AnswerSlack":20000000,"StopSendingWithin":2000000000,"Cold":1,"Fall":2},
   "Limits":{"AttemptsCap":10,"MayProbe":true,"DialTimeout":250000000,"ConnIdle":30000000000},"New":{"Key":[[1]]}}}`
 
-func load(text string, variables map[string]string) (*Start, error) {
+func load(text string, variables map[string]string) (*Instance, error) {
 	return Load(func(k string) string {
 		if k == FileVariable && variables[k] == "" {
 			return "file"
@@ -40,16 +40,16 @@
 	require.NoError(t, err)
 	assert.Equal(t, "127.0.0.9:1", s.Listen, "the variable stands above the file")
 	assert.Equal(t, uint64(0x8c1f30d27a5be964), s.Seed)
-	assert.Equal(t, int64(192<<20), s.Memory)
-	assert.Len(t, s.Known.Entries, 1)
-	assert.Len(t, s.Passed, 1, "a member without an address")
-	assert.Equal(t, []string{"browse", "order"}, s.Site.Types)
-	assert.Equal(t, port.BoundedStaleness, s.Site.RequestTypes[0].Consistency)
-	assert.Equal(t, 3*time.Second, s.Site.RequestTypes[0].MaxStaleness)
-	assert.Equal(t, port.IdempotencyKey, s.Site.RequestTypes[1].Idempotency)
-	assert.Equal(t, 1, s.Site.Topology.Zone)
-	assert.Equal(t, 184.5, s.Site.Shares[0].RequestsPerSecond)
-	assert.Equal(t, 250*time.Millisecond, s.Site.Allowance.DialTimeout)
+	assert.Equal(t, int64(192<<20), s.MemoryBytes)
+	assert.Len(t, s.CachedList.Endpoints, 1)
+	assert.Len(t, s.SkippedEndpoints, 1, "a member without an address")
+	assert.Equal(t, []string{"browse", "order"}, s.Settings.TypeNames)
+	assert.Equal(t, port.BoundedStaleness, s.Settings.RequestTypes[0].Consistency)
+	assert.Equal(t, 3*time.Second, s.Settings.RequestTypes[0].MaxStaleness)
+	assert.Equal(t, port.IdempotencyKey, s.Settings.RequestTypes[1].Idempotency)
+	assert.Equal(t, 1, s.Settings.Topology.Zone)
+	assert.Equal(t, 184.5, s.Settings.CustomerQuotas[0].RequestsPerSecond)
+	assert.Equal(t, 250*time.Millisecond, s.Settings.Limits.DialTimeout)
 }
 
 func TestAFaultNamesItsKey(t *testing.T) {
@@ -88,7 +88,7 @@
 		from, to, _ := strings.Cut(change, "=>")
 		require.Contains(t, told, from)
 		_, err := load(strings.Replace(told, from, to, 1), nil)
-		var f *Fault
+		var f *KeyError
 		require.ErrorAs(t, err, &f, change)
 		assert.Equal(t, key, f.Key, change)
 	}
@@ -102,23 +102,23 @@
 func TestReportsAndTimesToComeBackAreAsTheSettingsSay(t *testing.T) {
 	s, err := load(told, nil)
 	require.NoError(t, err)
-	assert.False(t, s.Site.Replication.LoadInResponses)
-	assert.Zero(t, s.Site.Allowance.MaxRetryAfter, "nothing allows one")
+	assert.False(t, s.Settings.Replication.LoadInResponses)
+	assert.Zero(t, s.Settings.Limits.MaxRetryAfter, "nothing allows one")
 	for said, want := range map[string]time.Duration{"true": time.Second, "false": 0} {
 		s, err = load(strings.NewReplacer(`"New":{`, `"Stats":{"Source":"piggyback"},"New":{`, `"MayProbe":true`,
 			`"MayProbe":true,"MaxRetryAfter":1000000000,"RetryAfter":`+said).Replace(told), nil)
 		require.NoError(t, err)
-		assert.True(t, s.Site.Replication.LoadInResponses)
-		assert.Equal(t, want, s.Site.Allowance.MaxRetryAfter)
+		assert.True(t, s.Settings.Replication.LoadInResponses)
+		assert.Equal(t, want, s.Settings.Limits.MaxRetryAfter)
 	}
 }
 
 func TestAReportIsReadUnderEitherName(t *testing.T) {
-	l := NoReport
-	Report(&l, "x0", 12.5, -10*time.Second)
-	Report(&l, "x1", 0, 0)
-	Report(&l, "inflight", 3, 0)
-	Report(&l, "unheard_of", 9, 0)
+	l := EmptyLoad
+	SetLoadField(&l, "x0", 12.5, -10*time.Second)
+	SetLoadField(&l, "x1", 0, 0)
+	SetLoadField(&l, "inflight", 3, 0)
+	SetLoadField(&l, "unheard_of", 9, 0)
 	assert.Equal(t, port.LoadReport{InFlight: 3, Queued: -1, Utilization: -1, LatencyMillis: -1, RequestRate: -1, ErrorRate: -1,
 		Position: 2500 * time.Millisecond, HasPosition: true, Role: port.Replica}, l)
 }
@@ -134,6 +134,6 @@
 	}, func(string) ([]byte, error) { return []byte(changed), nil })
 	require.NoError(t, err)
 	assert.Equal(t, "127.0.0.7:8500", next.Discovery, "the variable is as old as the program")
-	assert.Equal(t, []string{"limits.sockets", "settings"}, old.Fixed(next))
-	assert.Empty(t, old.Fixed(old))
+	assert.Equal(t, []string{"limits.sockets", "settings"}, old.RestartKeys(next))
+	assert.Empty(t, old.RestartKeys(old))
 }
--- a/site/start.go
+++ b/site/start.go
@@ -22,40 +22,40 @@
 	FileVariable      = "EDGE_CONFIG"
 )
 
-// Aside is how many descriptors are needed beside those of clients and members: the standard ones, the
+// ReservedDescriptors is how many descriptors are needed beside those of clients and members: the standard ones, the
 // listener, discovery, the runtime's own, and a few that are about to close.
-const Aside = 32
+const ReservedDescriptors = 32
 
 const (
-	leastSockets = Aside + 32
+	leastSockets = ReservedDescriptors + 32
 	leastMemory  = 24 // MB
 )
 
-// Start is what a front is told when it starts.
-type Start struct {
+// Instance is what a front is told when it starts.
+type Instance struct {
 	Name, Listen, Discovery string
 	Seed                    uint64
 	Cores                   float64
-	Memory                  int64 // bytes
-	Sockets                 int
-	Known                   discovery.List // may be old
-	Passed                  []error        // entries of it that say nothing usable
-	Site                    *Site
+	MemoryBytes             int64 // bytes
+	MaxDescriptors          int
+	CachedList              discovery.List // may be old
+	SkippedEndpoints        []error        // entries of it that say nothing usable
+	Settings                *Settings
 }
 
 // Load reads the variables and the file that they name. The fault names the variable, or the file's key.
-func Load(variable func(string) string, read func(string) ([]byte, error)) (*Start, error) {
+func Load(variable func(string) string, read func(string) ([]byte, error)) (*Instance, error) {
 	path := variable(FileVariable)
 	if path == "" {
-		return nil, &Fault{Key: FileVariable, What: "is missing"}
+		return nil, &KeyError{Key: FileVariable, Problem: "is missing"}
 	}
 	data, err := read(path)
 	if err != nil {
-		return nil, &Fault{FileVariable, fmt.Sprintf("cannot be read: %v", err), true}
+		return nil, &KeyError{FileVariable, fmt.Sprintf("cannot be read: %v", err), true}
 	}
 	keys, raw, err := flatten(data)
 	if err != nil {
-		return nil, &Fault{FileVariable, fmt.Sprintf("is no JSON object: %v", err), true}
+		return nil, &KeyError{FileVariable, fmt.Sprintf("is no JSON object: %v", err), true}
 	}
 	r := &reading{get: func(k string) string { return keys[k] }}
 	told := func(name, key string) string { // the variable stands above the file
@@ -64,11 +64,11 @@
 		}
 		return r.need(key)
 	}
-	s := &Start{
+	s := &Instance{
 		Name: told(NameVariable, "name"), Listen: told(ListenVariable, "listen"),
 		Discovery: told(DiscoveryVariable, "discovery"),
-		Cores:     r.decimal("limits.cores", 1), Sockets: int(r.integer("limits.sockets")),
-		Memory: int64(r.decimal("limits.memory_mb", 0) * (1 << 20)),
+		Cores:     r.decimal("limits.cores", 1), MaxDescriptors: int(r.integer("limits.sockets")),
+		MemoryBytes: int64(r.decimal("limits.memory_mb", 0) * (1 << 20)),
 	}
 	r.need("limits.memory_mb")
 	seed, err := strconv.ParseUint(r.need("seed"), 16, 64)
@@ -81,15 +81,15 @@
 	if s.Cores <= 0 {
 		r.fail("limits.cores", "is not above 0")
 	}
-	if s.Sockets < leastSockets {
+	if s.MaxDescriptors < leastSockets {
 		r.fail("limits.sockets", fmt.Sprintf("is too small to work in: below %d", leastSockets))
 	}
-	if s.Memory < leastMemory<<20 {
+	if s.MemoryBytes < leastMemory<<20 {
 		r.fail("limits.memory_mb", fmt.Sprintf("is too small to work in: below %d", leastMemory))
 	}
 	if known := raw[knownKey]; known == nil {
 		r.fail(knownKey, "is missing")
-	} else if s.Known, s.Passed, err = discovery.Decode(known); err != nil {
+	} else if s.CachedList, s.SkippedEndpoints, err = discovery.Decode(known); err != nil {
 		r.fail(knownKey, "is "+err.Error())
 	}
 	if raw["settings"] == nil {
@@ -98,23 +98,23 @@
 	if r.err != nil {
 		return nil, r.err
 	}
-	s.Site, err = Read(func(k string) string { return keys["settings."+k] })
-	var f *Fault
+	s.Settings, err = ReadSettings(func(k string) string { return keys["settings."+k] })
+	var f *KeyError
 	if errors.As(err, &f) {
-		return nil, &Fault{Key: "settings." + f.Key, What: f.What}
+		return nil, &KeyError{Key: "settings." + f.Key, Problem: f.Problem}
 	}
-	if err == nil && s.Site.Allowance.DialTimeout <= 0 {
-		return nil, &Fault{Key: "settings.Limits.DialTimeout", What: "is missing"}
+	if err == nil && s.Settings.Limits.DialTimeout <= 0 {
+		return nil, &KeyError{Key: "settings.Limits.DialTimeout", Problem: "is missing"}
 	}
-	if err == nil && s.Site.Allowance.IdleConnTimeout <= 0 {
-		return nil, &Fault{Key: "settings.Limits.ConnIdle", What: "is missing"}
+	if err == nil && s.Settings.Limits.IdleConnTimeout <= 0 {
+		return nil, &KeyError{Key: "settings.Limits.ConnIdle", Problem: "is missing"}
 	}
 	return s, err
 }
 
 // Reload reads the file again. Variables do not change while a program runs, so the address of the list's
 // service is the file's there.
-func Reload(variable func(string) string, read func(string) ([]byte, error)) (*Start, error) {
+func Reload(variable func(string) string, read func(string) ([]byte, error)) (*Instance, error) {
 	return Load(func(name string) string {
 		if name == DiscoveryVariable {
 			return ""
@@ -123,12 +123,12 @@
 	}, read)
 }
 
-// Fixed names the keys of a newer file that differ and that a running front cannot follow.
-func (s *Start) Fixed(newer *Start) (keys []string) {
+// RestartKeys names the keys of a newer file that differ and that a running front cannot follow.
+func (s *Instance) RestartKeys(newer *Instance) (keys []string) {
 	for key, same := range map[string]bool{
 		"name": s.Name == newer.Name, "listen": s.Listen == newer.Listen, "seed": s.Seed == newer.Seed,
-		"limits.cores": s.Cores == newer.Cores, "limits.memory_mb": s.Memory == newer.Memory,
-		"limits.sockets": s.Sockets == newer.Sockets, "settings": reflect.DeepEqual(s.Site, newer.Site),
+		"limits.cores": s.Cores == newer.Cores, "limits.memory_mb": s.MemoryBytes == newer.MemoryBytes,
+		"limits.sockets": s.MaxDescriptors == newer.MaxDescriptors, "settings": reflect.DeepEqual(s.Settings, newer.Settings),
 	} {
 		if !same {
 			keys = append(keys, key)
--- a/sockets/client.go
+++ b/sockets/client.go
@@ -48,7 +48,7 @@
 	}
 	wait := sv.linger
 	if sv.stage.Load() == closing {
-		wait = min(wait, ClosingLinger)
+		wait = min(wait, MaxCloseLinger)
 	}
 	conn.SetReadDeadline(time.Now().Add(wait))
 	var waste [1 << 10]byte
@@ -196,7 +196,7 @@
 		c.conn.SetReadDeadline(until)
 		if !closed && c.sv.stage.Load() == closing { // looked at after the setting
 			closed = true // of what has begun to come in, the rest may be on its way
-			if soon := time.Now().Add(min(c.sv.linger, ClosingLinger)); soon.Before(until) {
+			if soon := time.Now().Add(min(c.sv.linger, MaxCloseLinger)); soon.Before(until) {
 				until = soon
 			}
 			c.conn.SetReadDeadline(until)
--- a/sockets/client_bytes_test.go
+++ b/sockets/client_bytes_test.go
@@ -69,14 +69,14 @@
 		"newcomer behind a stop": func(g *rig) *peer {
 			c := sends(hello)(g)
 			g.eventually(func() bool { clients, _, _ := g.room.InUse(); return clients == 1 })
-			g.server.Stop(g.listen)
+			g.server.Drain(g.listen)
 			require.NoError(t, <-g.served)
 			g.served <- nil
 			c.say(read("60000")...)
 			return c
 		},
 		"no room for a client": func(g *rig) *peer {
-			g.server.Standby(true, 0)
+			g.server.SetStandby(true, 0)
 			return sends(hello, read("60000"))(g)
 		},
 		"evicted before its first request": func(g *rig) *peer {
@@ -90,7 +90,7 @@
 			return sends(hello, query(strings.Repeat(" ", 200<<10)))(g)
 		},
 		"internal fault": func(g *rig) *peer {
-			g.server.Parse(func([]byte) (pgwire.Statement, error) { panic("a fault") })
+			g.server.SetParser(func([]byte) (pgwire.Statement, error) { panic("a fault") })
 			return sends(hello, read("60000"))(g)
 		},
 	} {
--- a/sockets/clock.go
+++ b/sockets/clock.go
@@ -8,26 +8,26 @@
 
 // Clock counts from when it was made, on the machine's monotonic clock.
 type Clock struct {
-	Born  time.Time
-	timer *time.Timer
+	StartedAt time.Time
+	timer     *time.Timer
 }
 
 // NewClock starts a clock.
 func NewClock() *Clock {
 	t := time.NewTimer(time.Hour)
 	t.Stop()
-	return &Clock{Born: time.Now(), timer: t}
+	return &Clock{StartedAt: time.Now(), timer: t}
 }
 
-func (c *Clock) Now() time.Duration { return time.Since(c.Born) }
+func (c *Clock) Now() time.Duration { return time.Since(c.StartedAt) }
 
 // SetTimer makes the clock ring once, at a moment.
 func (c *Clock) SetTimer(at time.Duration) { c.timer.Reset(at - c.Now()) }
 
 func (c *Clock) TimerC() <-chan time.Time { return c.timer.C }
 
-// Spread gives even numbers between 0 and 1 that differ from front to front.
-func Spread(seed uint64) func() float64 {
+// NewJitter gives even numbers between 0 and 1 that differ from front to front.
+func NewJitter(seed uint64) func() float64 {
 	n := uint64(0)
 	return func() float64 {
 		n++
--- a/sockets/directory.go
+++ b/sockets/directory.go
@@ -12,8 +12,8 @@
 	"dapplerouter/port"
 )
 
-// Directory brings the list to the core: unasked, or on the module's word where the site wants to be asked.
-type Directory struct {
+// Watcher brings the list to the core: unasked, or on the module's word where the site wants to be asked.
+type Watcher struct {
 	post   func(front.Event)
 	ctx    context.Context
 	spread func() float64
@@ -39,13 +39,13 @@
 // maxEarlier bounds how many addresses of before are followed; each takes two descriptors at most.
 const maxEarlier = 4
 
-// NewDirectory makes a Directory that lasts as long as ctx; spread keeps fronts from asking all at once.
-func NewDirectory(ctx context.Context, client *discovery.Client, post func(front.Event), spread func() float64) *Directory {
-	return &Directory{client: client, post: post, ctx: ctx, spread: spread, end: func() {}}
+// NewWatcher makes a Directory that lasts as long as ctx; spread keeps fronts from asking all at once.
+func NewWatcher(ctx context.Context, client *discovery.Client, post func(front.Event), spread func() float64) *Watcher {
+	return &Watcher{client: client, post: post, ctx: ctx, spread: spread, end: func() {}}
 }
 
 // Follow brings the whole list and then every change, for a site that does not wait to be asked.
-func (d *Directory) Follow() {
+func (d *Watcher) Follow() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.follows = true
@@ -53,7 +53,7 @@
 }
 
 // Watch opens a watch or ends it.
-func (d *Directory) Watch(on bool) {
+func (d *Watcher) Watch(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.watches = on
@@ -63,11 +63,11 @@
 	d.begin()
 }
 
-// Move goes on with the list at another address. What has changed since the last word of the old one is in the whole list, which
+// SetAddress goes on with the list at another address. What has changed since the last word of the old one is in the whole list, which
 // comes first; until then the old one is followed, and nothing of it comes afterwards. Configurations may come faster than the
 // service answers: the same address is not asked anew before it has answered, and of too many the one last begun makes way, so that
 // the others come to an end.
-func (d *Directory) Move(address string) {
+func (d *Watcher) SetAddress(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if address == d.client.Address() && !d.told && d.lean == nil && (d.follows || d.watches) {
@@ -79,12 +79,12 @@
 		go d.end()
 	}
 	d.end = func() {}
-	d.client, d.told = d.client.Moved(address), false
+	d.client, d.told = d.client.WithAddress(address), false
 	d.begin()
 }
 
 // endEarlier ends the first addresses of before.
-func (d *Directory) endEarlier(many int) {
+func (d *Watcher) endEarlier(many int) {
 	for _, f := range d.earlier[:many] {
 		go f.end()
 	}
@@ -92,7 +92,7 @@
 }
 
 // begin ends what runs and starts what is wanted; it does not wait for either.
-func (d *Directory) begin() {
+func (d *Watcher) begin() {
 	end, client := d.end, d.client
 	d.end = func() {}
 	var run func(ctx context.Context)
@@ -124,12 +124,12 @@
 		defer close(done)
 		end()
 		run(ctx)
-		client.Rest()
+		client.CloseIdleConnections()
 	}()
 }
 
 // Fetch asks for the whole list once.
-func (d *Directory) Fetch() {
+func (d *Watcher) Fetch() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.lean != nil {
@@ -139,9 +139,9 @@
 	d.fetch(d.client)
 }
 
-// Lean ends this front's own watch: others follow the list, and from gives all that they know. What they know must not be
+// UseSharedList ends this front's own watch: others follow the list, and from gives all that they know. What they know must not be
 // older than what this front has heard; ok is false then.
-func (d *Directory) Lean(from func() discovery.List) (ok bool) {
+func (d *Watcher) UseSharedList(from func() discovery.List) (ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.turn++
@@ -160,15 +160,15 @@
 	return true
 }
 
-// Leaning tells whether others follow the list for this front.
-func (d *Directory) Leaning() bool {
+// UsesSharedList tells whether others follow the list for this front.
+func (d *Watcher) UsesSharedList() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.lean != nil
 }
 
-// Handed passes on what others heard of the list.
-func (d *Directory) Handed(l discovery.List) {
+// SharedListChanged passes on what others heard of the list.
+func (d *Watcher) SharedListChanged(l discovery.List) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.lean != nil && (d.follows || d.watches) {
@@ -176,8 +176,8 @@
 	}
 }
 
-// Alone goes back to this front's own watch, in a moment that differs from front to front.
-func (d *Directory) Alone(within time.Duration) {
+// WatchDirectly goes back to this front's own watch, in a moment that differs from front to front.
+func (d *Watcher) WatchDirectly(within time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.lean == nil {
@@ -191,15 +191,15 @@
 		if d.lean == nil || d.turn != turn || d.ctx.Err() != nil {
 			return
 		}
-		d.client.Seen(d.lean().Index)
+		d.client.AdvanceIndex(d.lean().Index)
 		d.lean = nil
 		d.begin()
 	})
 }
 
-func (d *Directory) fetch(client *discovery.Client) {
+func (d *Watcher) fetch(client *discovery.Client) {
 	go func() {
-		l, err := client.Whole(d.ctx)
+		l, err := client.FetchSnapshot(d.ctx)
 		if err != nil {
 			slog.Warn("discovery: the whole list did not come", "why", err)
 			d.passFrom(client, failed)
@@ -213,18 +213,18 @@
 var failed = front.EndpointsChanged{Kind: port.UpdateFailed}
 
 func listed(l discovery.List) front.EndpointsChanged {
-	if l.Whole {
+	if l.Snapshot {
 		return front.EndpointsChanged{Kind: port.Snapshot, List: l}
 	}
 	return front.EndpointsChanged{Kind: port.Delta, List: l}
 }
 
-func (d *Directory) from(client *discovery.Client) func(discovery.List) {
+func (d *Watcher) from(client *discovery.Client) func(discovery.List) {
 	return func(l discovery.List) { d.passFrom(client, listed(l)) }
 }
 
 // passFrom passes on what came from an address, unless a later one has brought its list: that says all.
-func (d *Directory) passFrom(client *discovery.Client, e front.EndpointsChanged) {
+func (d *Watcher) passFrom(client *discovery.Client, e front.EndpointsChanged) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.client == client {
@@ -246,7 +246,7 @@
 
 // pass tells the core in the order of the calls, without waiting for it: who calls may be the core itself, or hold the lock
 // that it wants.
-func (d *Directory) pass(e front.EndpointsChanged) {
+func (d *Watcher) pass(e front.EndpointsChanged) {
 	d.passing = append(d.passing, e)
 	if len(d.passing) > 1 {
 		return // somebody is at it
--- a/sockets/directory_test.go
+++ b/sockets/directory_test.go
@@ -36,22 +36,22 @@
 }
 
 func TestTheListIsFollowedToAnotherAddress(t *testing.T) {
-	for name, start := range map[string]func(*Directory){
-		"unasked": (*Directory).Follow,
-		"asked":   func(d *Directory) { d.Fetch(); d.Watch(true) },
+	for name, start := range map[string]func(*Watcher){
+		"unasked": (*Watcher).Follow,
+		"asked":   func(d *Watcher) { d.Fetch(); d.Watch(true) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			ctx, end := context.WithCancel(context.Background())
 			asked, left, told := make(chan string, 9), make(chan string, 9), make(chan front.EndpointsChanged, 9)
 			old := listing(t, `{"index":4,"snapshot":true,"endpoints":[]}`, asked, left)
-			d := NewDirectory(ctx, discovery.New(old, 4), func(e front.Event) { told <- e.(front.EndpointsChanged) },
+			d := NewWatcher(ctx, discovery.NewClient(old, 4), func(e front.Event) { told <- e.(front.EndpointsChanged) },
 				func() float64 { return 0 })
 			defer end() // before the services are closed, which wait for the watch that is left
 			start(d)
 			assert.Equal(t, int64(4), (<-told).List.Index)
 			assert.ElementsMatch(t, []string{"", "watch=1&after=4"}, []string{<-asked, <-asked})
-			d.Move(listing(t, `{"index":9,"snapshot":true,"endpoints":[]}`, asked, left))
-			d.Move(listing(t, `{"index":9,"snapshot":true,"endpoints":[]}`, asked, left)) // twice at once
+			d.SetAddress(listing(t, `{"index":9,"snapshot":true,"endpoints":[]}`, asked, left))
+			d.SetAddress(listing(t, `{"index":9,"snapshot":true,"endpoints":[]}`, asked, left)) // twice at once
 			first := <-left
 			if first == "watch=1&after=9" { // the second one had told its list before the third: its watch ends in the same moment
 				first = <-left
@@ -84,7 +84,7 @@
 	free := sync.OnceFunc(func() { close(late) })
 	t.Cleanup(free)
 	release := make(chan struct{})
-	d := NewDirectory(t.Context(), discovery.New(strings.TrimPrefix(old.URL, "http://"), 4), func(e front.Event) {
+	d := NewWatcher(t.Context(), discovery.NewClient(strings.TrimPrefix(old.URL, "http://"), 4), func(e front.Event) {
 		seen <- e.(front.EndpointsChanged)
 		<-release
 		told <- e.(front.EndpointsChanged)
@@ -93,7 +93,7 @@
 	assert.Equal(t, int64(4), (<-seen).List.Index) // not in force yet
 	d.Fetch()
 	<-hung
-	d.Move(listing(t, `{"index":9,"snapshot":true,"endpoints":[]}`, asked, left))
+	d.SetAddress(listing(t, `{"index":9,"snapshot":true,"endpoints":[]}`, asked, left))
 	d.Fetch()
 	require.Eventually(t, func() bool { // the new one has come, and stands behind the old one or beside it
 		d.mu.Lock()
@@ -113,28 +113,28 @@
 	ctx, end := context.WithCancel(context.Background())
 	asked, left, told := make(chan string, 9), make(chan string, 9), make(chan front.EndpointsChanged, 9)
 	address := listing(t, `{"index":4,"snapshot":true,"endpoints":[]}`, asked, left)
-	d := NewDirectory(ctx, discovery.New(address, 4), func(e front.Event) { told <- e.(front.EndpointsChanged) }, func() float64 { return 0 })
+	d := NewWatcher(ctx, discovery.NewClient(address, 4), func(e front.Event) { told <- e.(front.EndpointsChanged) }, func() float64 { return 0 })
 	t.Cleanup(end)
 	d.Follow()
 	assert.Equal(t, int64(4), (<-told).List.Index)
 	assert.ElementsMatch(t, []string{"", "watch=1&after=4"}, []string{<-asked, <-asked})
-	known := discovery.List{Index: 3, Whole: true}
+	known := discovery.List{Index: 3, Snapshot: true}
 	from := func() discovery.List { return known }
-	assert.False(t, d.Lean(from), "what others know is older than what this front heard")
+	assert.False(t, d.UseSharedList(from), "what others know is older than what this front heard")
 	known.Index = 6
-	require.True(t, d.Lean(from))
+	require.True(t, d.UseSharedList(from))
 	assert.Equal(t, "watch=1&after=4", <-left, "its own watch ends")
 	assert.Equal(t, int64(6), (<-told).List.Index)
-	d.Handed(discovery.List{Index: 7})
+	d.SharedListChanged(discovery.List{Index: 7})
 	l := <-told
 	assert.Equal(t, int64(7), l.List.Index)
 	assert.Equal(t, port.Delta, l.Kind)
 	d.Fetch() // asked for the whole list, it has the others' word
 	assert.Equal(t, int64(6), (<-told).List.Index)
 	assert.Empty(t, asked, "the service is asked nothing meanwhile")
-	d.Alone(0)
+	d.WatchDirectly(0)
 	assert.Equal(t, "", <-asked, "alone, it asks for the whole list and watches again")
-	assert.False(t, d.Leaning())
-	d.Handed(discovery.List{Index: 8})
+	assert.False(t, d.UsesSharedList())
+	d.SharedListChanged(discovery.List{Index: 8})
 	assert.Equal(t, int64(4), (<-told).List.Index, "and hears its own service only")
 }
--- a/sockets/endings_test.go
+++ b/sockets/endings_test.go
@@ -116,11 +116,11 @@
 	for served < 50 {
 		require.True(t, hear())
 	}
-	g.server.Stop(g.listen)
+	g.server.Drain(g.listen)
 	for hear() {
 	}
 	assert.Equal(t, asked.Load(), served, "whatever a member was asked is answered")
-	assert.Equal(t, g.server.Refused(), refused, "and so is what was read and not sent on")
+	assert.Equal(t, g.server.RejectedWhileDraining(), refused, "and so is what was read and not sent on")
 	c.Close()
 	within(t, "the client writes on", gone)
 	require.NoError(t, <-g.served)
@@ -131,9 +131,9 @@
 // What crosses the front's goodbye is neither taken nor answered with a reset, which could overtake the last answer.
 func TestWhatCrossesTheGoodbyeIsNotTaken(t *testing.T) {
 	for name, end := range map[string]func(g *rig){
-		"stop":     func(g *rig) { g.server.Stop(g.listen) },
+		"stop":     func(g *rig) { g.server.Drain(g.listen) },
 		"eviction": func(g *rig) { g.server.evictIdle() },
-		"rest":     func(g *rig) { g.server.Standby(true, 0) },
+		"rest":     func(g *rig) { g.server.SetStandby(true, 0) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 40)
@@ -159,7 +159,7 @@
 	c.say(read("4000")...)
 	m := g.memberUp()
 	m.hear("Q")
-	g.server.Stop(g.listen)
+	g.server.Drain(g.listen)
 	m.say(whole("the last")...)
 	hungUpAt(t, c)
 	c.say(read("4000")...)
@@ -291,7 +291,7 @@
 func TestANewcomerOfAfterTheStopIsToldToGoElsewhere(t *testing.T) {
 	g := newRig(t, 40)
 	c := g.client()
-	g.server.Stop(g.listen)
+	g.server.Drain(g.listen)
 	require.NoError(t, <-g.served) // newcomers are over, and the server refuses
 	g.served <- nil
 	c.say(read("4000")...)
@@ -309,7 +309,7 @@
 			g.server.linger = 0
 			c := g.client()
 			c.say([]byte(sent)...)
-			g.server.Stop(g.listen)
+			g.server.Drain(g.listen)
 			require.NoError(t, <-g.served)
 			g.served <- nil
 			g.server.Close()
@@ -356,7 +356,7 @@
 	g.listen.Close()
 	require.ErrorIs(t, <-g.served, net.ErrClosed)
 	g.served <- nil
-	g.server.Stop(g.listen)
+	g.server.Drain(g.listen)
 	m.say(whole("v")...)
 	c.hear("TDCZ")
 	c.ends()
--- a/sockets/limiter.go
+++ b/sockets/limiter.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// ConnLimiter keeps the descriptors within their limit. Usual clients hold a third at most: from a quarter on, a
+// Descriptors keeps the descriptors within their limit. Usual clients hold a third at most: from a quarter on, a
 // newcomer ends the connection longest at rest, or those that ask once and stay would use up that third. Where
 // none rests, clients may hold three quarters, and a few that are about to close. Connections to members, of which few are
 // out at a time, must always find room, so idle clients make way for them too; and as one that was asked to leave holds its
 // descriptor until its other side has closed, clients that never do cannot take the members' quarter.
-type ConnLimiter struct {
+type Descriptors struct {
 	mu                   sync.Mutex
 	clients, links, peak int
 	mostClients, mostAll int
@@ -22,16 +22,16 @@
 	evictClient          func() bool // asks one to leave
 }
 
-// NewConnLimiter shares out a limit, less what is needed aside of clients and members.
-func NewConnLimiter(limit, aside int) *ConnLimiter {
+// NewDescriptors shares out a limit, less what is needed aside of clients and members.
+func NewDescriptors(limit, aside int) *Descriptors {
 	all := limit - aside
-	return &ConnLimiter{mostAll: all, mostClients: all * 3 / 4, share: limit / 4, closing: max(2, aside/4),
+	return &Descriptors{mostAll: all, mostClients: all * 3 / 4, share: limit / 4, closing: max(2, aside/4),
 		evictClient: func() bool { return false }}
 }
 
 // admitClient admits a client's connection, admitMember one to a member. Where there is no room, an idle one
 // must make way; it ends by itself, so for a moment there are too many, but never by more than a few.
-func (r *ConnLimiter) admitClient(evict func() bool) bool {
+func (r *Descriptors) admitClient(evict func() bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.clients >= r.share && !evict() && r.clients >= r.mostClients || r.clients >= r.mostClients+r.closing || r.full() {
@@ -42,7 +42,7 @@
 	return true
 }
 
-func (r *ConnLimiter) admitMember(evict func() bool) bool {
+func (r *Descriptors) admitMember(evict func() bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.clients+r.links >= r.mostAll && !evict() && !r.evictClient() && r.links >= r.mostAll-r.mostClients || r.full() {
@@ -54,19 +54,19 @@
 }
 
 // onEvict says who asks an idle client to leave.
-func (r *ConnLimiter) onEvict(idleClient func() bool) {
+func (r *Descriptors) onEvict(idleClient func() bool) {
 	r.mu.Lock()
 	r.evictClient = idleClient
 	r.mu.Unlock()
 }
 
-func (r *ConnLimiter) full() bool { return r.clients+r.links >= r.mostAll+r.closing }
+func (r *Descriptors) full() bool { return r.clients+r.links >= r.mostAll+r.closing }
 
-func (r *ConnLimiter) releaseClient() { r.mu.Lock(); r.clients--; r.mu.Unlock() }
-func (r *ConnLimiter) releaseMember() { r.mu.Lock(); r.links--; r.mu.Unlock() }
+func (r *Descriptors) releaseClient() { r.mu.Lock(); r.clients--; r.mu.Unlock() }
+func (r *Descriptors) releaseMember() { r.mu.Lock(); r.links--; r.mu.Unlock() }
 
 // InUse says how many descriptors clients and members take, and the most that they ever took.
-func (r *ConnLimiter) InUse() (clients, links, peak int) {
+func (r *Descriptors) InUse() (clients, links, peak int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.clients, r.links, r.peak
--- a/sockets/pieces_test.go
+++ b/sockets/pieces_test.go
@@ -34,9 +34,9 @@
 func TestARequestInPiecesIsServedWhateverWakesItsReading(t *testing.T) {
 	for name, wake := range map[string]func(g *rig){
 		"nothing":  func(*rig) {},
-		"a stop":   func(g *rig) { g.server.Stop(g.listen) },
+		"a stop":   func(g *rig) { g.server.Drain(g.listen) },
 		"room":     func(g *rig) { assert.False(t, g.server.evictIdle(), "it is not idle") },
-		"stand by": func(g *rig) { g.server.Standby(true, 0) },
+		"stand by": func(g *rig) { g.server.SetStandby(true, 0) },
 		"a wake of an earlier wait": func(g *rig) {
 			g.server.mu.Lock()
 			defer g.server.mu.Unlock()
@@ -85,7 +85,7 @@
 	hello := pgwire.Hello(nil, "portal", "crm")
 	c.inPieces(hello[:9])
 	g.reading()
-	g.server.Stop(g.listen)
+	g.server.Drain(g.listen)
 	c.inPieces(hello[9:])
 	c.hear("RSSSSZ")
 	c.inPieces(read("4000"))
--- a/sockets/pools.go
+++ b/sockets/pools.go
@@ -27,7 +27,7 @@
 // Pools holds a pool for each member.
 type Pools struct {
 	post           func(front.Event)
-	limiter        *ConnLimiter
+	limiter        *Descriptors
 	user, database string
 	dial, idle     time.Duration
 	longest        int                                                    // message that a member may send
@@ -43,13 +43,13 @@
 // NewPools makes the pools. A connection is not used again after idle, less a margin for what is on its way.
 // Members' values are longer on some days than the protocol's page has it: a message may be a part of the
 // memory told that leaves room for all that are out at once.
-func NewPools(post func(front.Event), room *ConnLimiter, user, database string, dial, idle time.Duration, memory int64) *Pools {
+func NewPools(post func(front.Event), room *Descriptors, user, database string, dial, idle time.Duration, memory int64) *Pools {
 	return &Pools{post: post, limiter: room, user: user, database: database, dial: dial, idle: idle - idle/20,
 		longest: int(memory / messages), bodies: bodies{most: memory / longPart}}
 }
 
-// Any lets members answer as any statement is answered: rows of any number and width, up to the longest message in all.
-func (ls *Pools) Any() { ls.any = true }
+// AllowAnyResult lets members answer as any statement is answered: rows of any number and width, up to the longest message in all.
+func (ls *Pools) AllowAnyResult() { ls.any = true }
 
 const messages = 64 // of the longest, fill the memory
 
--- a/sockets/requests_test.go
+++ b/sockets/requests_test.go
@@ -278,7 +278,7 @@
 		m.hear("Q")
 		members = append(members, m)
 	}
-	g.server.Stop(g.listen)
+	g.server.Drain(g.listen)
 	require.NoError(t, <-g.served)
 	g.served <- nil
 	c.say(reads(2)...) // refused where it is read, else the client finds its connection closed
@@ -305,7 +305,7 @@
 func TestAPanicLeavesNoRequestWithoutAnAnswer(t *testing.T) {
 	g := newRig(t, 40)
 	g.events()
-	g.server.Parse(func(body []byte) (pgwire.Statement, error) {
+	g.server.SetParser(func(body []byte) (pgwire.Statement, error) {
 		if bytes.Contains(body, []byte("d=4999")) {
 			panic("a fault")
 		}
--- a/sockets/server.go
+++ b/sockets/server.go
@@ -27,14 +27,14 @@
 // acceptGrace is how long after a stop was asked for new connections may still come; a tenth of it later all have been taken.
 const acceptGrace = 500 * time.Millisecond
 
-// ClosingLinger is how long, once the server closes, a connection waits for the other side to read the last of what it was sent, and
+// MaxCloseLinger is how long, once the server closes, a connection waits for the other side to read the last of what it was sent, and
 // for the rest of a message that has begun.
-const ClosingLinger = 100 * time.Millisecond
+const MaxCloseLinger = 100 * time.Millisecond
 
 // Server serves clients.
 type Server struct {
 	post         func(front.Event)
-	limiter      *ConnLimiter
+	limiter      *Descriptors
 	clock        *Clock
 	writeTimeout time.Duration // with a client that does not read
 	linger       time.Duration // for the other side to read the last of what it was sent
@@ -65,7 +65,7 @@
 )
 
 // NewServer makes a Server; writeTimeout is the longest that a request may take.
-func NewServer(post func(front.Event), room *ConnLimiter, clock *Clock, writeTimeout time.Duration, memory int64) *Server {
+func NewServer(post func(front.Event), room *Descriptors, clock *Clock, writeTimeout time.Duration, memory int64) *Server {
 	sv := &Server{post: post, limiter: room, clock: clock, writeTimeout: writeTimeout, linger: time.Second, idle: idleTimeout,
 		bodies: bodies{most: memory / longPart}, answers: bodies{most: memory / answersPart},
 		clients: map[*client]struct{}{}, rejecting: make(chan struct{}, maxRejecting), parse: pgwire.ParseStatement}
@@ -81,8 +81,8 @@
 	return r
 }
 
-// Parse sets how queries are taken apart; without it as pgwire.ParseStatement does. It is called before Serve.
-func (sv *Server) Parse(parse func(body []byte) (pgwire.Statement, error)) { sv.parse = parse }
+// SetParser sets how queries are taken apart; without it as pgwire.ParseStatement does. It is called before Serve.
+func (sv *Server) SetParser(parse func(body []byte) (pgwire.Statement, error)) { sv.parse = parse }
 
 // Listener is where clients connect: a *net.TCPListener.
 type Listener interface {
@@ -116,9 +116,9 @@
 	}
 }
 
-// Stop asks every client to leave once it is answered, and Serve to return when nobody comes any more. From then on the
+// Drain asks every client to leave once it is answered, and Serve to return when nobody comes any more. From then on the
 // server refuses.
-func (sv *Server) Stop(l Listener) {
+func (sv *Server) Drain(l Listener) {
 	sv.enter(draining)
 	l.SetDeadline(time.Now().Add(acceptGrace))
 }
@@ -126,7 +126,7 @@
 // Close ends every connection that is owed nothing. Refused tells how many requests were refused until now.
 func (sv *Server) Close() { sv.enter(closing) }
 
-func (sv *Server) Refused() int64 { return sv.refused.Load() }
+func (sv *Server) RejectedWhileDraining() int64 { return sv.refused.Load() }
 
 // enter goes on to a stage, never back, and wakes those who wait for something to come.
 func (sv *Server) enter(stage int32) {
@@ -153,9 +153,9 @@
 	}
 }
 
-// Standby lets clients go once they are answered and rejects newcomers, as a front that stands by does; it ends with false:
+// SetStandby lets clients go once they are answered and rejects newcomers, as a front that stands by does; it ends with false:
 // newcomers are taken again, more and more of them over a span, so that a front that comes back is not flooded.
-func (sv *Server) Standby(on bool, pace time.Duration) {
+func (sv *Server) SetStandby(on bool, pace time.Duration) {
 	if !on {
 		if sv.standby.Load() == standsBy { // a front that begins has nobody to spare
 			sv.pace.Store(int64(max(pace, 1)))
--- a/sockets/sockets_test.go
+++ b/sockets/sockets_test.go
@@ -71,7 +71,7 @@
 	core   *front.Core
 	links  *Pools
 	server *Server
-	room   *ConnLimiter
+	room   *Descriptors
 	listen *net.TCPListener
 	member *net.TCPListener
 	served chan error
@@ -79,15 +79,15 @@
 
 func newRig(t *testing.T, descriptors int) *rig {
 	g := &rig{t: t, d: &direct{begun: make(chan port.Request, 100), ended: make(chan port.AttemptOutcome, 100),
-		left: make(chan port.RequestRef, 100)}, room: NewConnLimiter(descriptors, 0), served: make(chan error, 1)}
+		left: make(chan port.RequestRef, 100)}, room: NewDescriptors(descriptors, 0), served: make(chan error, 1)}
 	g.listen, g.member = listen(t), listen(t)
 	clock := NewClock()
 	post := func(e front.Event) { g.core.Post(e) }
 	g.links = NewPools(post, g.room, "portal", "crm", 5*time.Second, time.Minute, 32<<20)
-	s := &site.Site{Types: []string{"read", "write"}, Zones: []string{"a"},
+	s := &site.Settings{TypeNames: []string{"read", "write"}, ZoneNames: []string{"a"},
 		RequestTypes: []port.RequestType{{Deadline: time.Minute}, {Deadline: time.Minute, Consistency: port.Write}},
-		Allowance:    port.Limits{MaxAttempts: 9, DialTimeout: 5 * time.Second}}
-	g.core = front.NewCore(clock.Born, 1, s, func(h port.Host, _ uint64, _ port.Topology, _ []port.RequestType,
+		Limits:       port.Limits{MaxAttempts: 9, DialTimeout: 5 * time.Second}}
+	g.core = front.NewCore(clock.StartedAt, 1, s, func(h port.Host, _ uint64, _ port.Topology, _ []port.RequestType,
 		_ []port.Customer, _ port.Replication, _ port.Guardrails, _ port.Limits, _ port.CostWeights) port.Router {
 		g.d.Host = h
 		return g.d
@@ -115,8 +115,8 @@
 }
 
 func (g *rig) list(address string, since int64) {
-	g.core.Post(front.EndpointsChanged{Kind: port.Snapshot, List: discovery.List{Entries: []discovery.Entry{
-		{Name: "s-1", Address: address, Zone: "a", Group: 2, Since: since}}}})
+	g.core.Post(front.EndpointsChanged{Kind: port.Snapshot, List: discovery.List{Endpoints: []discovery.Endpoint{
+		{Name: "s-1", Address: address, Zone: "a", Group: 2, StartedAtMillis: since}}}})
 }
 
 // peer is one end of a connection, as the test plays it.
@@ -589,7 +589,7 @@
 	busy.say(read("4000")...)
 	m := g.memberUp()
 	m.hear("Q")
-	g.server.Stop(g.listen)
+	g.server.Drain(g.listen)
 	idle.ends()
 	idle.Close()
 	late := g.client()
@@ -618,7 +618,7 @@
 // A front that stands by lets clients go between requests and turns newcomers away; when it is back it takes more and more of them.
 func TestAFrontThatStandsByLetsClientsGoAndComesBackAtAPace(t *testing.T) {
 	g := newRig(t, 40)
-	g.server.Standby(false, time.Hour) // it begins: nobody is spared
+	g.server.SetStandby(false, time.Hour) // it begins: nobody is spared
 	idle := g.client()
 	idle.say(pgwire.Query(nil, "")...)
 	idle.hear("IZ")
@@ -627,7 +627,7 @@
 	busy.say(read("4000")...)
 	m := g.memberUp()
 	m.hear("Q")
-	g.server.Standby(true, 0)
+	g.server.SetStandby(true, 0)
 	idle.ends()
 	late := g.client()
 	late.say(read("4000")...)
@@ -635,7 +635,7 @@
 	m.say(whole("v")...)
 	busy.hear("TDCZ")
 	busy.ends()
-	g.server.Standby(false, time.Hour)
+	g.server.SetStandby(false, time.Hour)
 	turned := 0
 	for range 80 {
 		if g.server.rejects() {
--- a/sockets/system_calls_test.go
+++ b/sockets/system_calls_test.go
@@ -143,7 +143,7 @@
 	_, err = io.ReadFull(c, answer[:])
 	require.NoError(t, err, "it is served")
 	assert.Equal(t, "N", string(answer[:]))
-	server.Stop(l)
+	server.Drain(l)
 	assert.NoError(t, <-served)
 }
 
--- a/wire/reader.go
+++ b/wire/reader.go
@@ -72,7 +72,7 @@
 	Token, Contents     []byte
 	Peer                int
 	Seed                uint64
-	Site                *site.Site
+	Site                *site.Settings
 }
 
 // Reader reads events.
@@ -115,11 +115,11 @@
 	switch e.Kind {
 	case Born:
 		e.Seed = uint64(r.integer("Entropy"))
-		at, err := site.Read(func(path string) string { return string(r.get(path)) })
+		at, err := site.ReadSettings(func(path string) string { return string(r.get(path)) })
 		if e.Site = at; err != nil {
-			var f *site.Fault
+			var f *site.KeyError
 			errors.As(err, &f)
-			r.fail(f.Key, f.What)
+			r.fail(f.Key, f.Problem)
 		}
 	case Targets:
 		e.ListKind = choice(r, "Kind", r.need("Kind"), listKinds)
@@ -193,7 +193,7 @@
 }
 
 func (r *Reader) load(e *Event) {
-	l := site.NoReport
+	l := site.EmptyLoad
 	rest := r.get("Pressure")
 	for len(rest) > 0 {
 		var part []byte
@@ -207,7 +207,7 @@
 		if string(name) == "x0" {
 			e.X0 = v
 		}
-		site.Report(&l, string(name), v, 0)
+		site.SetLoadField(&l, string(name), v, 0)
 	}
 	e.Load = l
 }
