--- a/cmd/dapplerouter/operator_file_fixture_test.go
+++ b/cmd/dapplerouter/operator_file_fixture_test.go
@@ -54,12 +54,12 @@
 	}
 	if f := o.fleet; f != nil {
 		var voters []string
-		for _, v := range f.Voters {
+		for _, v := range f.InitialVoters {
 			voters = append(voters, v.Name+" "+v.Address)
 		}
-		all["fleet"] = map[string]any{"id": f.ID, "listen": f.Listen, "address": f.Address, "voters": voters, "voter_file": f.VoterFile, "joins": f.Joins,
+		all["fleet"] = map[string]any{"id": f.ID, "listen": f.Listen, "address": f.Address, "voters": voters, "voter_file": f.VoterPath, "joins": f.JoinsExistingFleet,
 			"lease_duration": f.LeaseDuration.String(), "accepts_leases": f.AcceptsLeases, "keys": []string{f.Key, f.Certificate, f.Trust},
-			"control": f.Control, "history": f.History, "reach": f.Reach, "place": f.Place.String()}
+			"control": f.Control, "history": f.History, "reach": f.AddressOverrides, "place": f.Place.String()}
 	}
 	if r := o.roll; r != nil {
 		lease, err := r.ConfigLeaseFor(o.fleet.LeaseDuration)
--- a/fleet/agent/admin_test.go
+++ b/fleet/agent/admin_test.go
@@ -31,8 +31,8 @@
 	post := func(front.Event) {}
 	directory := sockets.NewWatcher(t.Context(), discovery.NewClient("127.0.0.1:1", 0), post, sockets.NewJitter(1))
 	start := &site.Instance{Name: "n1", Discovery: "127.0.0.1:1", Settings: &site.Settings{}}
-	config := &fleet.Config{ID: "f", Listen: "127.0.0.1:0", Address: "127.0.0.1:1", Voters: []fleet.Voter{{Name: "n1", Address: "127.0.0.1:1"}},
-		VoterFile: filepath.Join(dir, "fleet.db"), LeaseDuration: 600 * time.Millisecond, AcceptsLeases: true, Control: filepath.Join(dir, "s")}
+	config := &fleet.Config{ID: "f", Listen: "127.0.0.1:0", Address: "127.0.0.1:1", InitialVoters: []fleet.Voter{{Name: "n1", Address: "127.0.0.1:1"}},
+		VoterPath: filepath.Join(dir, "fleet.db"), LeaseDuration: 600 * time.Millisecond, AcceptsLeases: true, Control: filepath.Join(dir, "s")}
 	a, err := New(Forms{Fleet: config}, start, directory, "0.3.0")
 	require.NoError(t, err)
 	began := time.Now()
--- a/fleet/agent/agent.go
+++ b/fleet/agent/agent.go
@@ -137,16 +137,16 @@
 func (a *Agent) nodeOptions() fleet.Options {
 	c := a.config
 	o := fleet.Options{
-		Fleet:         c.ID,
-		Name:          a.name,
-		Incarnation:   a.incarnation,
-		Address:       c.Address,
-		Version:       a.program,
-		InitialVoters: c.Voters,
-		Joins:         c.Joins,
-		Timing:        a.timing(),
-		Seed:          a.seed,
-		AcceptsLeases: c.AcceptsLeases,
+		Fleet:              c.ID,
+		Name:               a.name,
+		Incarnation:        a.incarnation,
+		Address:            c.Address,
+		Version:            a.program,
+		InitialVoters:      c.InitialVoters,
+		JoinsExistingFleet: c.JoinsExistingFleet,
+		Timing:             a.timing(),
+		Seed:               a.seed,
+		AcceptsLeases:      c.AcceptsLeases,
 	}
 	if z := a.site.Topology.Zone; z >= 0 && z < len(a.site.ZoneNames) {
 		o.Zone = a.site.ZoneNames[z]
@@ -157,8 +157,8 @@
 // newNode makes the node, from the disk where this front is a voter.
 func (a *Agent) newNode(o fleet.Options) (node *fleet.Node, err error) {
 	var state *fleet.DiskState
-	if a.config.VoterFile != "" {
-		if a.disk, state, err = disk.Open(a.config.VoterFile, a.config.ID, a.name); err != nil {
+	if a.config.VoterPath != "" {
+		if a.disk, state, err = disk.Open(a.config.VoterPath, a.config.ID, a.name); err != nil {
 			return nil, err
 		}
 	}
@@ -176,7 +176,7 @@
 // meshOptions are the mesh's, with keys where the form names them.
 func (a *Agent) meshOptions(node *fleet.Node) mesh.Options {
 	c := a.config
-	o := mesh.Options{Listen: c.Listen, Reach: c.Reach, Node: node, Timing: a.timing(), OnEvent: a.onEvent}
+	o := mesh.Options{Listen: c.Listen, Reach: c.AddressOverrides, Node: node, Timing: a.timing(), OnEvent: a.onEvent}
 	if a.disk != nil {
 		o.Disk = a.disk
 	}
@@ -229,7 +229,7 @@
 	a.startParts()
 	a.mesh.Run()
 	a.goroutines.Go(a.watchLeaseholder)
-	slog.Info("one of a fleet", "listen", a.mesh.Addr().String(), "keeper", a.config.VoterFile != "", "span", a.config.LeaseDuration)
+	slog.Info("one of a fleet", "listen", a.mesh.Addr().String(), "keeper", a.config.VoterPath != "", "span", a.config.LeaseDuration)
 	return nil
 }
 
--- a/fleet/agent/control.go
+++ b/fleet/agent/control.go
@@ -138,7 +138,7 @@
 			s.Fronts = append(s.Fronts, FrontStatus{x.Name, x.Zone, x.Version, hexIncarnation(x.Incarnation), x.Address, isVoter, len(x.PastIncarnations)})
 		}
 		for _, d := range r.Leases {
-			x := LeaseStatus{Lease: d.Name, Term: d.Term, Leaseholder: d.Leaseholder, Since: d.Since, Why: d.Why}
+			x := LeaseStatus{Lease: d.Name, Term: d.Term, Leaseholder: d.Leaseholder, Since: d.GrantIndex, Why: d.Reason}
 			if _, ok := n.HoldsLease(now, d.Name); ok {
 				x.RemainingSeconds = (n.LeaseExpiry(d.Name) - now).Seconds()
 			}
--- a/fleet/agent/events.go
+++ b/fleet/agent/events.go
@@ -49,9 +49,9 @@
 
 func (a *Agent) onDatagram(e fleet.DatagramReceived) {
 	switch {
-	case e.Part == probePart:
+	case e.Subsystem == probePart:
 		a.Prober.OnProbeRequest(string(e.Data))
-	case e.Part == audit.Part && a.audit != nil:
+	case e.Subsystem == audit.Part && a.audit != nil:
 		a.audit.collector.onDatagram(e)
 	}
 }
@@ -82,8 +82,8 @@
 	case fleet.VoterHalted:
 		slog.Error("fleet: this keeper keeps no more", "why", e.Reason)
 	case fleet.VotersRecovered:
-		if e.Fault != "" {
-			slog.Warn("fleet: the voters were not recovered", "reason", e.Reason, "why", e.Fault)
+		if e.Refusal != "" {
+			slog.Warn("fleet: the voters were not recovered", "reason", e.Reason, "why", e.Refusal)
 		} else {
 			slog.Warn("fleet: the voters were recovered from this front's disk", "voters no more", e.Lost, "index", e.Index, "term", e.Term, "reason", e.Reason)
 		}
@@ -94,10 +94,10 @@
 	case fleet.BroadcastRejected:
 		slog.Warn("fleet: refused", "duty", e.Lease, "term", e.Term, "of", e.From, "why", e.Reason)
 	case fleet.BecameLeader, fleet.LostLeadership:
-		slog.Info("fleet: this keeper "+e.Fields().What, "term", e.Fields().Term)
+		slog.Info("fleet: this keeper "+e.Fields().Kind, "term", e.Fields().Term)
 	case fleet.FrontJoined, fleet.FrontLeft:
-		slog.Debug("fleet: "+e.Fields().What, "front", e.Fields().Name)
-	case fleet.LinkShed:
+		slog.Debug("fleet: "+e.Fields().Kind, "front", e.Fields().Name)
+	case fleet.LinkClosed:
 		slog.Info("fleet: a link is let go", "peer", e.Peer, "why", e.Reason)
 	}
 }
--- a/fleet/agent/history.go
+++ b/fleet/agent/history.go
@@ -34,19 +34,19 @@
 
 // noteVersion and noteTurn record what became of versions.
 func (h *history) noteVersion(m *mesh.Mesh, what string, version uint64) {
-	h.note(m, m.Now(), fleet.EventFields{What: what, Number: version})
+	h.note(m, m.Now(), fleet.EventFields{Kind: what, Number: version})
 }
 
 func (h *history) noteTurn(m *mesh.Mesh, s rollout.State, index uint64) {
-	h.note(m, m.Now(), fleet.EventFields{What: "turned", Number: s.Base, Term: s.Next, Name: s.Phase.String(), Index: index, Why: s.Why})
+	h.note(m, m.Now(), fleet.EventFields{Kind: "turned", Number: s.Base, Term: s.Next, Name: s.Phase.String(), Index: index, Reason: s.Why})
 }
 
 func (h *history) note(m *mesh.Mesh, at time.Duration, e fleet.EventFields) {
 	if h == nil {
 		return
 	}
-	x := fleet.HistoryEntry{At: m.At(at).UnixMicro(), Front: h.front, Incarnation: h.incarnation, What: e.What, Lease: e.Lease, Term: e.Term, Name: e.Name,
-		Number: e.Number, Index: e.Index, Why: e.Why}
+	x := fleet.HistoryEntry{At: m.At(at).UnixMicro(), Front: h.front, Incarnation: h.incarnation, Kind: e.Kind, Lease: e.Lease, Term: e.Term, Name: e.Name,
+		Number: e.Number, Index: e.Index, Reason: e.Reason}
 	if e.Until != 0 {
 		x.Until = m.At(e.Until).UnixMicro()
 	}
--- a/fleet/agent/prober.go
+++ b/fleet/agent/prober.go
@@ -203,7 +203,7 @@
 func (s *Prober) Avoided() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.cache.Avoided
+	return s.cache.ProbesAvoided
 }
 
 // endOf is a result as the end of a probe: without position, role or load, whatever the prober received.
--- a/fleet/command.go
+++ b/fleet/command.go
@@ -33,16 +33,16 @@
 	Incarnation uint64
 	RequestSeq  uint64 // the leaseholder's Seq at which it asked: its lease counts from when it sent that report
 	Bound       time.Duration
-	Loser       string // the front that lost the lease, and its recent losses
-	Losses      uint32
-	Why         string
+	LostBy      string // the front that lost the lease, and its recent losses
+	LossCount   uint32
+	Reason      string
 	Address     string
 	Front       *Front
 	Key         string
-	Prev        uint64
+	PrevIndex   uint64
 	Value       []byte
-	Asker       string // the front whose request this is, and the request's ID
-	AskID       uint64
+	Requester   string // the front whose request this is, and the request's ID
+	RequestID   uint64
 }
 
 // Encode returns the command as it is kept in the log.
--- a/fleet/compat_test.go
+++ b/fleet/compat_test.go
@@ -29,7 +29,7 @@
 // Programs of two versions in one fleet: each reads what it knows of the other's words, and nothing is taken for something else.
 func TestMessagesOfOlderAndNewerProgramsAreRead(t *testing.T) {
 	now := MembershipRecord{Name: "n1", Incarnation: 7, Seq: 9, Zone: "a", Address: "x:1", Version: "0.4.0", Index: 12, AcceptsLeases: true,
-		Renewals: []LeaseRenewal{{Lease: "list", Term: 3}}, ActiveVersion: 5, WantsConfigLease: true, PendingVersion: 6, HasPending: true, Digests: []Digest{{Part: "roll", Data: []byte("x")}}}
+		Renewals: []LeaseRenewal{{Lease: "list", Term: 3}}, ActiveVersion: 5, WantsConfigLease: true, PendingVersion: 6, HasPending: true, Digests: []Digest{{Subsystem: "roll", Data: []byte("x")}}}
 	b, err := msgpack.Marshal(&now)
 	require.NoError(t, err)
 	var same MembershipRecord
@@ -59,9 +59,9 @@
 func TestReplicatedStateSaysWhichVersionsAreAllowed(t *testing.T) {
 	state := newReplicatedState()
 	assert.True(t, state.allowsVersion(0) && state.allowsVersion(9), "all, where nothing is said")
-	state.Values[AllowedVersionsKey] = &StoredValue{Index: 3, Value: AllowedVersions{Least: 2, Most: 3}.Encode()}
+	state.Values[AllowedVersionsKey] = &StoredValue{Index: 3, Value: AllowedVersions{Min: 2, Max: 3}.Encode()}
 	assert.Equal(t, []bool{false, true, true, false}, []bool{state.allowsVersion(1), state.allowsVersion(2), state.allowsVersion(3), state.allowsVersion(4)})
-	state.Values[AllowedVersionsKey].Value = AllowedVersions{Least: 0, Most: 2}.Encode()
+	state.Values[AllowedVersionsKey].Value = AllowedVersions{Min: 0, Max: 2}.Encode()
 	assert.False(t, state.allowsVersion(1), "a version between them was taken back")
 }
 
@@ -90,7 +90,7 @@
 
 // A configuration lease on a version that is not allowed is not renewed, though a majority confirms the leader.
 func TestLeaderRenewsNoConfigLeaseOnAVersionThatIsNotAllowed(t *testing.T) {
-	n, err := New(Options{Name: "k1", Incarnation: 1, Timing: Timing{LeaseDuration: 3 * time.Second}, InitialVoters: []Voter{{"k1", "x"}}}, &DiskState{Opened: 1})
+	n, err := New(Options{Name: "k1", Incarnation: 1, Timing: Timing{LeaseDuration: 3 * time.Second}, InitialVoters: []Voter{{"k1", "x"}}}, &DiskState{OpenCount: 1})
 	require.NoError(t, err)
 	l := newLeader(n, n.voter, 0)
 	l.ready = true
@@ -103,7 +103,7 @@
 		l.renewConfigLeases(time.Second, n.voter.readRounds+1)
 		return n.Outgoing()
 	}
-	n.state.Values[AllowedVersionsKey] = &StoredValue{Index: 3, Value: AllowedVersions{Least: 2, Most: 3}.Encode()}
+	n.state.Values[AllowedVersionsKey] = &StoredValue{Index: 3, Value: AllowedVersions{Min: 2, Max: 3}.Encode()}
 	assert.Empty(t, ask(1))
 	require.Len(t, ask(2), 1)
 	assert.Empty(t, ask(4))
@@ -162,20 +162,20 @@
 		assert.Equal(t, oldRequest{ID: asked[0].ID, Type: RequestProposal, Lease: name, Command: asked[0].Command}, old)
 		var c Command
 		require.NoError(t, msgpack.Unmarshal(old.Command, &c))
-		assert.Equal(t, []any{opDeclareLease, name, "n2", old.ID}, []any{c.Op, c.Lease, c.Asker, c.AskID})
+		assert.Equal(t, []any{opDeclareLease, name, "n2", old.ID}, []any{c.Op, c.Lease, c.Requester, c.RequestID})
 		n.apply(time.Second, LogEntry{Index: n.state.Index + 1, Data: old.Command})
 	}
 	n.retryRequests(time.Second)
 	assert.Empty(t, requestsOf(n))
 	assert.Empty(t, n.pendingRequests)
 
-	k, err := New(Options{Name: "k1", Incarnation: 1, InitialVoters: []Voter{{"k1", "x"}}}, &DiskState{Opened: 1})
+	k, err := New(Options{Name: "k1", Incarnation: 1, InitialVoters: []Voter{{"k1", "x"}}}, &DiskState{OpenCount: 1})
 	require.NoError(t, err)
 	l := newLeader(k, k.voter, 0)
 	l.ready = true
 	k.routes["n2"], k.peers["p"] = route{via: "p"}, &peer{}
 	b, err := msgpack.Marshal(&oldRequest{ID: 9, Type: RequestProposal, Lease: "a",
-		Command: (&Command{Op: opDeclareLease, Lease: "a", Asker: "n2", AskID: 9}).Encode()})
+		Command: (&Command{Op: opDeclareLease, Lease: "a", Requester: "n2", RequestID: 9}).Encode()})
 	require.NoError(t, err)
 	var q Request
 	require.NoError(t, msgpack.Unmarshal(b, &q))
--- a/fleet/config.go
+++ b/fleet/config.go
@@ -26,14 +26,14 @@
 // Config is what the form says.
 type Config struct {
 	ID, Listen, Address     string
-	Voters                  []Voter
-	VoterFile               string // its path; "" for a follower
-	Joins                   bool
+	InitialVoters           []Voter
+	VoterPath               string // its path; "" for a follower
+	JoinsExistingFleet      bool
 	LeaseDuration           time.Duration
 	AcceptsLeases           bool
 	Key, Certificate, Trust string
 	Control, History        string
-	Reach                   map[string]string
+	AddressOverrides        map[string]string
 	Place                   conf.Place
 }
 
@@ -46,7 +46,7 @@
 
 // ReadConfig reads the form. Faults are recorded with the form's reading, each with its place and remedy.
 func ReadConfig(f *conf.Form) *Config {
-	c := &Config{LeaseDuration: DefaultLeaseDuration, AcceptsLeases: true, Reach: map[string]string{}, Place: f.Place}
+	c := &Config{LeaseDuration: DefaultLeaseDuration, AcceptsLeases: true, AddressOverrides: map[string]string{}, Place: f.Place}
 	forms := f.Forms("id", "listen", "address", "keepers", "keeper", "joins", "span", "duties", "key", "certificate", "trust", "plain",
 		"control", "history", "reach")
 	c.readTexts(f, forms)
@@ -56,7 +56,7 @@
 	if reach := forms["reach"]; reach != nil {
 		for _, g := range reach.Each() {
 			address, _ := g.One()
-			c.Reach[g.Name] = address.Name
+			c.AddressOverrides[g.Name] = address.Name
 		}
 	}
 	return c
@@ -68,7 +68,7 @@
 		"id":          &c.ID,
 		"listen":      &c.Listen,
 		"address":     &c.Address,
-		"keeper":      &c.VoterFile,
+		"keeper":      &c.VoterPath,
 		"key":         &c.Key,
 		"certificate": &c.Certificate,
 		"trust":       &c.Trust,
@@ -104,16 +104,16 @@
 				f.Fault(g.Place, "keep one of the two", "keeper %s is named twice", g.Name)
 			}
 			named[g.Name] = true
-			c.Voters = append(c.Voters, Voter{g.Name, address.Name})
+			c.InitialVoters = append(c.InitialVoters, Voter{g.Name, address.Name})
 		}
 	}
-	if n := len(c.Voters); n != 1 && n != 3 && n != 5 {
+	if n := len(c.InitialVoters); n != 1 && n != 3 && n != 5 {
 		f.Fault(place, "name three, or five: (keepers (n1 \"HOST:PORT\") ...); one for a trial",
 			"%d keepers can't keep a record that outlives one of them", n)
 	}
 	if joins := forms["joins"]; joins != nil {
-		c.Joins = true
-		if c.VoterFile == "" {
+		c.JoinsExistingFleet = true
+		if c.VoterPath == "" {
 			f.Fault(joins.Place, "(keeper \"FILE\") beside it", "joins is for a keeper")
 		}
 	}
@@ -157,13 +157,13 @@
 // CheckName checks the form against the front's own name.
 func (c *Config) CheckName(name string) error {
 	is := false
-	for _, k := range c.Voters {
+	for _, k := range c.InitialVoters {
 		is = is || k.Name == name
 	}
 	switch {
-	case is && c.VoterFile == "":
+	case is && c.VoterPath == "":
 		return conf.Faults{{Place: c.Place, What: name + " is named as a keeper and has no file", Remedy: "(keeper \"FILE\")"}}
-	case !is && c.VoterFile != "" && !c.Joins:
+	case !is && c.VoterPath != "" && !c.JoinsExistingFleet:
 		return conf.Faults{{Place: c.Place, What: name + " has a keeper's file and is not among the keepers",
 			Remedy: "name it there, or add (joins) for a keeper that comes to a fleet which has a record"}}
 	}
--- a/fleet/config_test.go
+++ b/fleet/config_test.go
@@ -29,10 +29,10 @@
 	assert.Equal(t, 2*time.Second, c.LeaseDuration)
 	assert.False(t, c.AcceptsLeases)
 	assert.Equal(t, "127.0.0.1:1", c.Address, "where it listens")
-	assert.Equal(t, map[string]string{"b": "h:9"}, c.Reach)
+	assert.Equal(t, map[string]string{"b": "h:9"}, c.AddressOverrides)
 	assert.NoError(t, c.CheckName("d"))
 	assert.ErrorContains(t, c.CheckName("a"), "has no file")
-	c.VoterFile = "f"
+	c.VoterPath = "f"
 	assert.NoError(t, c.CheckName("a"))
 	assert.ErrorContains(t, c.CheckName("d"), "(joins)")
 	for text, want := range map[string]string{
--- a/fleet/disk/disk.go
+++ b/fleet/disk/disk.go
@@ -83,8 +83,8 @@
 		if err != nil {
 			return err
 		}
-		s.Opened++
-		return m.Put(opened, binary.BigEndian.AppendUint64(nil, s.Opened))
+		s.OpenCount++
+		return m.Put(opened, binary.BigEndian.AppendUint64(nil, s.OpenCount))
 	})
 	if err != nil {
 		db.Close()
@@ -112,7 +112,7 @@
 
 func read(m, e *bbolt.Bucket, s *fleet.DiskState) error {
 	if b := m.Get(opened); len(b) == 8 {
-		s.Opened = binary.BigEndian.Uint64(b)
+		s.OpenCount = binary.BigEndian.Uint64(b)
 	}
 	if b := m.Get(hard); b != nil {
 		s.Hard = &pb.HardState{}
--- a/fleet/disk/disk_test.go
+++ b/fleet/disk/disk_test.go
@@ -22,7 +22,7 @@
 	f, s, err := Open(path, "x", "k1")
 	require.NoError(t, err)
 	assert.Nil(t, s.Hard)
-	assert.EqualValues(t, 1, s.Opened)
+	assert.EqualValues(t, 1, s.OpenCount)
 	first := &pb.Snapshot{Data: []byte("r"), Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(1), Term: proto.Uint64(1)}}
 	require.NoError(t, f.Save(&fleet.DiskWrite{Snapshot: first}))
 	require.NoError(t, f.Save(&fleet.DiskWrite{Hard: &pb.HardState{Term: proto.Uint64(3), Vote: proto.Uint64(9), Commit: proto.Uint64(2)},
@@ -32,7 +32,7 @@
 
 	f, s, err = Open(path, "x", "k1")
 	require.NoError(t, err)
-	assert.EqualValues(t, 2, s.Opened)
+	assert.EqualValues(t, 2, s.OpenCount)
 	assert.EqualValues(t, 9, s.Hard.GetVote())
 	assert.EqualValues(t, 5, s.Floors["k2"].Term)
 	require.Len(t, s.Entries, 2)
--- a/fleet/disk/format_test.go
+++ b/fleet/disk/format_test.go
@@ -45,7 +45,7 @@
 			ConfState: &pb.ConfState{Voters: []uint64{11, 12, 13}}}}},
 		{Hard: &pb.HardState{Term: proto.Uint64(5), Vote: proto.Uint64(11), Commit: proto.Uint64(301)},
 			Entries: []*pb.Entry{entry(301, 4, "first"), entry(302, 5, "second"), {Index: proto.Uint64(303), Term: proto.Uint64(5), Type: pb.EntryConfChangeV2.Enum(), Data: []byte{0}}},
-			Floors:  map[string]fleet.Floor{"k2": {Term: 5, Vote: 12, Commit: 300, Opened: 3}}},
+			Floors:  map[string]fleet.Floor{"k2": {Term: 5, Vote: 12, Commit: 300, OpenCount: 3}}},
 	}
 }
 
@@ -54,7 +54,7 @@
 	require.NoError(t, err)
 	defer f.Close()
 	writes := voterWrites()
-	assert.EqualValues(t, 2, s.Opened)
+	assert.EqualValues(t, 2, s.OpenCount)
 	assert.True(t, proto.Equal(writes[0].Snapshot, s.Snapshot), s.Snapshot)
 	assert.True(t, proto.Equal(writes[1].Hard, s.Hard), s.Hard)
 	assert.Equal(t, writes[1].Floors, s.Floors)
--- a/fleet/encoding_test.go
+++ b/fleet/encoding_test.go
@@ -38,10 +38,10 @@
 
 // sampleMessages returns a message of each kind, with a value in each field that the kind uses.
 func sampleMessages() []Message {
-	floor := Floor{Term: 3, Vote: 1 << 63, Commit: 70000, Opened: 2}
+	floor := Floor{Term: 3, Vote: 1 << 63, Commit: 70000, OpenCount: 2}
 	return []Message{
 		{Kind: KindHello, From: "n1", Index: 12, Hello: &Handshake{Fleet: "6f0c", Name: "n1", Incarnation: 1790000000000000000, Zone: "a",
-			Address: "10.0.0.1:7500", Format: 1, Voter: true, Dialled: true, Floor: floor, KnownFloor: Floor{Term: 2, Vote: 5, Commit: 6, Opened: 1}}},
+			Address: "10.0.0.1:7500", Format: 1, Voter: true, Dialled: true, Floor: floor, KnownFloor: Floor{Term: 2, Vote: 5, Commit: 6, OpenCount: 1}}},
 		{Kind: KindReject, Reason: reasonFull, Members: []MembershipRecord{{Name: "n2", Address: "10.0.0.2:7500"}}},
 		{Kind: KindPing, Index: 12, Hello: &Handshake{Name: "n1", Floor: floor, KnownFloor: excludedFloor}},
 		{Kind: KindConsensus, Data: []byte{8, 1, 16, 2}},
@@ -51,7 +51,7 @@
 		{Kind: KindEntriesRequest, Index: 12, Number: 1},
 		{Kind: KindMembership, From: "n2", Members: []MembershipRecord{{Name: "n3", Incarnation: 7, Seq: 9, Zone: "b", Address: "10.0.0.3:7500",
 			Version: "0.9.0", Index: 12, AcceptsLeases: true, Leaving: true, Renewals: []LeaseRenewal{{Lease: "list", Term: 3, Progress: 44}},
-			ActiveVersion: 5, WantsConfigLease: true, PendingVersion: 6, HasPending: true, Digests: []Digest{{Part: "roll", Data: []byte("x")}}}}},
+			ActiveVersion: 5, WantsConfigLease: true, PendingVersion: 6, HasPending: true, Digests: []Digest{{Subsystem: "roll", Data: []byte("x")}}}}},
 		{Kind: KindRequest, From: "n3", Number: 2, Request: &Request{ID: 1 << 40, Type: RequestTransfer, Lease: "list", Term: 3, To: "n2",
 			Command: []byte("c"), Declarations: []Declaration{{Lease: "scout/1", Bound: 6 * time.Second}}}},
 		{Kind: KindReply, From: "n1", Term: 3, Number: 1, Name: "n3", Reply: &LeaderReply{RenewedSeq: 9, Renewed: []LeaseRenewal{{Lease: "list", Term: 3, Progress: 44}},
@@ -70,16 +70,16 @@
 func sampleCommands() map[string]Command {
 	return map[string]Command{
 		"command none":          {Op: opNone},
-		"command declare lease": {Op: opDeclareLease, Lease: "list", Bound: 6 * time.Second, Asker: "n2", AskID: 1 << 40},
-		"command grant lease": {Op: opGrantLease, Lease: "list", Term: 3, Target: "n2", Incarnation: 7, RequestSeq: 9, Loser: "n1", Losses: 2,
-			Why: "it ran out"},
-		"command vacate lease": {Op: opVacateLease, Lease: "list", Term: 4, Why: "let go"},
+		"command declare lease": {Op: opDeclareLease, Lease: "list", Bound: 6 * time.Second, Requester: "n2", RequestID: 1 << 40},
+		"command grant lease": {Op: opGrantLease, Lease: "list", Term: 3, Target: "n2", Incarnation: 7, RequestSeq: 9, LostBy: "n1", LossCount: 2,
+			Reason: "it ran out"},
+		"command vacate lease": {Op: opVacateLease, Lease: "list", Term: 4, Reason: "let go"},
 		"command join": {Op: opJoin, Front: &Front{Name: "n2", Incarnation: 7, Zone: "a", Address: "10.0.0.2:7500", Version: "0.9.0",
 			PastIncarnations: []uint64{5, 6}}},
 		"command leave":        {Op: opLeave, Target: "n2", Incarnation: 7},
-		"command add voter":    {Op: opAddVoter, Target: "n4", Address: "10.0.0.4:7500", Asker: "n2", AskID: 1<<40 + 1},
-		"command remove voter": {Op: opRemoveVoter, Target: "n4", Asker: "n2", AskID: 1<<40 + 2},
-		"command put value":    {Op: opPutValue, Lease: "roll", Term: 2, Key: "roll/queue", Prev: 11, Value: []byte("v"), Asker: "n2", AskID: 1<<40 + 3},
+		"command add voter":    {Op: opAddVoter, Target: "n4", Address: "10.0.0.4:7500", Requester: "n2", RequestID: 1<<40 + 1},
+		"command remove voter": {Op: opRemoveVoter, Target: "n4", Requester: "n2", RequestID: 1<<40 + 2},
+		"command put value":    {Op: opPutValue, Lease: "roll", Term: 2, Key: "roll/queue", PrevIndex: 11, Value: []byte("v"), Requester: "n2", RequestID: 1<<40 + 3},
 	}
 }
 
@@ -87,14 +87,14 @@
 func sampleState() *ReplicatedState {
 	state := newReplicatedState()
 	state.Index, state.NeededFormat = 70000, 2
-	state.Leases["list"] = &Lease{Name: "list", Term: 3, Leaseholder: "n2", Incarnation: 7, RequestSeq: 9, Bound: 6 * time.Second, Since: 40,
-		Why: "nobody held it", Losses: []Loss{{Front: "n1", Count: 2}}}
+	state.Leases["list"] = &Lease{Name: "list", Term: 3, Leaseholder: "n2", Incarnation: 7, RequestSeq: 9, Bound: 6 * time.Second, GrantIndex: 40,
+		Reason: "nobody held it", Losses: []Loss{{Front: "n1", Count: 2}}}
 	state.Leases["scout/1"] = &Lease{Name: "scout/1"}
 	state.Fronts["n2"] = &Front{Name: "n2", Incarnation: 7, Zone: "a", Address: "10.0.0.2:7500", Version: "0.9.0", PastIncarnations: []uint64{5, 6}}
 	state.Fronts["n1"] = &Front{Name: "n1", Incarnation: 1}
 	state.Voters["n2"], state.Voters["n1"] = "10.0.0.2:7500", "10.0.0.1:7500"
 	state.Values["roll"] = &StoredValue{Lease: "roll", Term: 2, Index: 50, Value: []byte("v")}
-	state.Values[AllowedVersionsKey] = &StoredValue{Lease: "roll", Term: 2, Index: 49, Value: AllowedVersions{Least: 4, Most: 5}.Encode()}
+	state.Values[AllowedVersionsKey] = &StoredValue{Lease: "roll", Term: 2, Index: 49, Value: AllowedVersions{Min: 4, Max: 5}.Encode()}
 	return state
 }
 
@@ -135,8 +135,8 @@
 	all["endpoint update"] = hex.EncodeToString(encodeEndpointUpdate(discovery.List{Index: 18, Snapshot: true, Endpoints: []discovery.Endpoint{
 		{Name: "s-1", Address: "10.0.1.1:5432", Zone: "a", ServerType: "k", Group: 4, State: port.Serving, Weight: 0.5, Primary: true, StartedAtMillis: 99}}}, 17))
 	all["probe result"] = hex.EncodeToString(ProbeResult{Server: "s-1", Healthy: true, Code: "57P03", ConnectionLost: true, Pending: true}.Encode())
-	all["history entry"] = hex.EncodeToString([]byte(HistoryEntry{At: 1, Front: "n1", Incarnation: 2, What: "held", Lease: "list", Term: 3, Name: "n2",
-		Since: 4, Until: 5, Number: 6, Index: 7, Why: "y"}.String()))
+	all["history entry"] = hex.EncodeToString([]byte(HistoryEntry{At: 1, Front: "n1", Incarnation: 2, Kind: "held", Lease: "list", Term: 3, Name: "n2",
+		Since: 4, Until: 5, Number: 6, Index: 7, Reason: "y"}.String()))
 	return all
 }
 
--- a/fleet/endpoint_list.go
+++ b/fleet/endpoint_list.go
@@ -42,11 +42,11 @@
 // EndpointList is the list of servers that one front of the fleet follows for all: a Mirror of that front's broadcasts. Older
 // content never replaces newer content, whoever sends it.
 type EndpointList struct {
-	term      uint64
-	index     int64
-	known     bool // a whole list was received
-	endpoints map[string]discovery.Endpoint
-	Stale     int // updates that were older than the list here
+	term         uint64
+	index        int64
+	known        bool // a whole list was received
+	endpoints    map[string]discovery.Endpoint
+	StaleUpdates int // updates that were older than the list here
 }
 
 // NewEndpointList returns an empty list.
@@ -96,7 +96,7 @@
 	case a.Whole && (!l.known || a.Index > l.index):
 		l.endpoints = map[string]discovery.Endpoint{}
 	case l.known && a.Index < l.index:
-		l.Stale++
+		l.StaleUpdates++
 		return nil, false
 	case !l.known || !a.Whole && a.After > l.index:
 		return nil, true
--- a/fleet/event.go
+++ b/fleet/event.go
@@ -99,7 +99,7 @@
 	Lost        []string // those that are voters no more
 	Index, Term uint64   // of the recovered state
 	Reason      string   // the operator's
-	Fault       string   // why it was refused, "" where it was done
+	Refusal     string   // why it was refused, "" where it was done
 }
 
 // FrontDisplaced says that another process has this front's name: this one stays out of the fleet.
@@ -116,8 +116,8 @@
 	Reports    []MemberReport // answer to CollectDigests
 }
 
-// LinkShed says that a link was closed because it was of no use.
-type LinkShed struct {
+// LinkClosed says that a link was closed because it was of no use.
+type LinkClosed struct {
 	Peer   string
 	Reason string
 }
@@ -130,9 +130,9 @@
 
 // DatagramReceived is a datagram of another front, or of this one, to a part: a subsystem of this front.
 type DatagramReceived struct {
-	From string
-	Part string
-	Data []byte
+	From      string
+	Subsystem string
+	Data      []byte
 }
 
 // ConfigLeaseRenewed says that this front may use a configuration version until Until. It counts from Since, when it was asked for.
--- a/fleet/history.go
+++ b/fleet/history.go
@@ -39,7 +39,7 @@
 	At          int64  `json:"at"`
 	Front       string `json:"front"`
 	Incarnation uint64 `json:"incarnation"`
-	What        string `json:"what"`
+	Kind        string `json:"what"`
 	Lease       string `json:"duty,omitempty"`
 	Term        uint64 `json:"term,omitempty"`
 	Name        string `json:"name,omitempty"`
@@ -47,7 +47,7 @@
 	Until       int64  `json:"until,omitempty"`
 	Number      uint64 `json:"number,omitempty"`
 	Index       uint64 `json:"index,omitempty"`
-	Why         string `json:"why,omitempty"`
+	Reason      string `json:"why,omitempty"`
 }
 
 // String returns the entry as it is written to the file.
@@ -59,114 +59,114 @@
 // EventFields is an event in the history's flat form, with times of the front's own clock; fields without a meaning for the
 // event's kind are zero. See HistoryEntry.
 type EventFields struct {
-	What, Lease  string
+	Kind, Lease  string
 	Term         uint64
 	Name         string
 	Since, Until time.Duration
 	Number       uint64
 	Index        uint64
-	Why          string
+	Reason       string
 }
 
 // Fields implements Event.
 func (e LeaseAcquired) Fields() EventFields {
-	return EventFields{What: historyLeaseAcquired, Lease: e.Lease, Term: e.Term, Until: e.Until, Since: e.Since}
+	return EventFields{Kind: historyLeaseAcquired, Lease: e.Lease, Term: e.Term, Until: e.Until, Since: e.Since}
 }
 
 // Fields implements Event.
 func (e LeaseRenewed) Fields() EventFields {
-	return EventFields{What: historyLeaseRenewed, Lease: e.Lease, Term: e.Term, Until: e.Until, Since: e.Since}
+	return EventFields{Kind: historyLeaseRenewed, Lease: e.Lease, Term: e.Term, Until: e.Until, Since: e.Since}
 }
 
 // Fields implements Event.
 func (e LeaseEnded) Fields() EventFields {
-	return EventFields{What: historyLeaseEnded, Lease: e.Lease, Term: e.Term, Until: e.Until, Number: e.Broadcasts, Why: e.Reason}
+	return EventFields{Kind: historyLeaseEnded, Lease: e.Lease, Term: e.Term, Until: e.Until, Number: e.Broadcasts, Reason: e.Reason}
 }
 
 // Fields implements Event.
 func (e LeaseGranted) Fields() EventFields {
-	return EventFields{What: historyLeaseGranted, Lease: e.Lease, Term: e.Term, Name: e.Leaseholder, Index: e.Index, Why: e.Reason}
+	return EventFields{Kind: historyLeaseGranted, Lease: e.Lease, Term: e.Term, Name: e.Leaseholder, Index: e.Index, Reason: e.Reason}
 }
 
 // Fields implements Event.
 func (e BroadcastReceived) Fields() EventFields {
-	return EventFields{What: historyBroadcastReceived, Lease: e.Lease, Term: e.Term, Name: e.From, Number: e.Number}
+	return EventFields{Kind: historyBroadcastReceived, Lease: e.Lease, Term: e.Term, Name: e.From, Number: e.Number}
 }
 
 // Fields implements Event.
 func (e BroadcastRejected) Fields() EventFields {
-	return EventFields{What: historyBroadcastRejected, Lease: e.Lease, Term: e.Term, Name: e.From, Why: e.Reason}
+	return EventFields{Kind: historyBroadcastRejected, Lease: e.Lease, Term: e.Term, Name: e.From, Reason: e.Reason}
 }
 
 // Fields implements Event.
 func (e FrontJoined) Fields() EventFields {
-	return EventFields{What: historyFrontJoined, Name: e.Name, Number: e.Incarnation, Index: e.Index}
+	return EventFields{Kind: historyFrontJoined, Name: e.Name, Number: e.Incarnation, Index: e.Index}
 }
 
 // Fields implements Event.
 func (e FrontLeft) Fields() EventFields {
-	return EventFields{What: historyFrontLeft, Name: e.Name, Index: e.Index}
+	return EventFields{Kind: historyFrontLeft, Name: e.Name, Index: e.Index}
 }
 
 // Fields implements Event.
 func (e FleetReached) Fields() EventFields {
-	return EventFields{What: historyFleetReached, Term: e.Term}
+	return EventFields{Kind: historyFleetReached, Term: e.Term}
 }
 
 // Fields implements Event.
 func (e FleetLost) Fields() EventFields {
-	return EventFields{What: historyFleetLost, Why: e.Reason}
+	return EventFields{Kind: historyFleetLost, Reason: e.Reason}
 }
 
 // Fields implements Event.
 func (e BecameLeader) Fields() EventFields {
-	return EventFields{What: historyBecameLeader, Term: e.Term}
+	return EventFields{Kind: historyBecameLeader, Term: e.Term}
 }
 
 // Fields implements Event.
 func (e LostLeadership) Fields() EventFields {
-	return EventFields{What: historyLostLeadership}
+	return EventFields{Kind: historyLostLeadership}
 }
 
 // Fields implements Event.
 func (e VoterHalted) Fields() EventFields {
-	return EventFields{What: historyVoterHalted, Why: e.Reason}
+	return EventFields{Kind: historyVoterHalted, Reason: e.Reason}
 }
 
 // Fields implements Event.
 func (e VotersRecovered) Fields() EventFields {
-	if e.Fault != "" {
-		return EventFields{What: historyRecoveryRefused, Why: e.Fault}
+	if e.Refusal != "" {
+		return EventFields{Kind: historyRecoveryRefused, Reason: e.Refusal}
 	}
-	return EventFields{What: historyVotersRecovered, Name: strings.Join(e.Lost, " "), Term: e.Term, Index: e.Index, Why: e.Reason}
+	return EventFields{Kind: historyVotersRecovered, Name: strings.Join(e.Lost, " "), Term: e.Term, Index: e.Index, Reason: e.Reason}
 }
 
 // Fields implements Event.
 func (e FrontDisplaced) Fields() EventFields {
-	return EventFields{What: historyFrontDisplaced, Name: e.Name, Why: e.Reason}
+	return EventFields{Kind: historyFrontDisplaced, Name: e.Name, Reason: e.Reason}
 }
 
 // Fields implements Event.
 func (e RequestDone) Fields() EventFields {
-	return EventFields{What: historyRequestDone, Number: e.ID, Why: e.Error}
+	return EventFields{Kind: historyRequestDone, Number: e.ID, Reason: e.Error}
 }
 
 // Fields implements Event.
-func (e LinkShed) Fields() EventFields {
-	return EventFields{What: historyLinkShed, Name: e.Peer, Why: e.Reason}
+func (e LinkClosed) Fields() EventFields {
+	return EventFields{Kind: historyLinkShed, Name: e.Peer, Reason: e.Reason}
 }
 
 // Fields implements Event.
 func (e StateUnreadable) Fields() EventFields {
-	return EventFields{What: historyStateUnreadable, Index: e.Index, Why: e.Reason}
+	return EventFields{Kind: historyStateUnreadable, Index: e.Index, Reason: e.Reason}
 }
 
 // Fields implements Event.
 func (e DatagramReceived) Fields() EventFields {
-	return EventFields{What: historyDatagramReceived, Lease: e.Part, Name: e.From}
+	return EventFields{Kind: historyDatagramReceived, Lease: e.Subsystem, Name: e.From}
 }
 
 // Fields implements Event.
 func (e ConfigLeaseRenewed) Fields() EventFields {
-	return EventFields{What: historyConfigLeaseRenewed, Number: e.Version, Until: e.Until, Since: e.Since}
+	return EventFields{Kind: historyConfigLeaseRenewed, Number: e.Version, Until: e.Until, Since: e.Since}
 }
--- a/fleet/leader.go
+++ b/fleet/leader.go
@@ -185,8 +185,8 @@
 	case opGrantLease, opVacateLease:
 		lease := l.node.state.Leases[c.Lease]
 		l.timers[c.Lease] = l.newTimer(lease, now)
-		if c.Loser != "" {
-			l.pausedUntil[pauseKey(c.Lease, c.Loser)] = now + l.backoff(c.Losses)
+		if c.LostBy != "" {
+			l.pausedUntil[pauseKey(c.Lease, c.LostBy)] = now + l.backoff(c.LossCount)
 		}
 		if pendingTransfer, ok := l.transfers[c.Lease]; ok && lease.Term > pendingTransfer.term {
 			delete(l.transfers, c.Lease)
--- a/fleet/leader_leases.go
+++ b/fleet/leader_leases.go
@@ -150,7 +150,7 @@
 		Incarnation: best.Incarnation,
 		RequestSeq:  best.Seq,
 	}
-	c.Loser, c.Losses, c.Why = l.countLoss(now, lease, timer, lost, why)
+	c.LostBy, c.LossCount, c.Reason = l.countLoss(now, lease, timer, lost, why)
 	if l.voter.propose(c) {
 		timer.transferring, timer.transferringAt, timer.transferringTo = true, now, best.Name
 	}
--- a/fleet/leader_requests.go
+++ b/fleet/leader_requests.go
@@ -43,7 +43,7 @@
 		return // applied already or proposed; or too many of it are remembered, and the requester retries
 	}
 	var c Command
-	if err := msgpack.Unmarshal(q.Command, &c); err != nil || c.Asker != requester {
+	if err := msgpack.Unmarshal(q.Command, &c); err != nil || c.Requester != requester {
 		l.fail(now, requester, q, "a command that can't be read")
 		return
 	}
@@ -100,8 +100,8 @@
 		return // transferred already, or proposed
 	}
 	l.grant(now, lease, timer, q.To, "handed on", false)
-	c := &Command{Op: opVacateLease, Lease: lease.Name, Term: lease.Term, Why: "let go"}
-	c.Loser, c.Losses, c.Why = l.countLoss(now, lease, timer, false, c.Why)
+	c := &Command{Op: opVacateLease, Lease: lease.Name, Term: lease.Term, Reason: "let go"}
+	c.LostBy, c.LossCount, c.Reason = l.countLoss(now, lease, timer, false, c.Reason)
 	if !timer.transferring && l.voter.propose(c) {
 		timer.transferring, timer.transferringAt, timer.transferringTo = true, now, ""
 	}
@@ -140,7 +140,7 @@
 			Index:            known.Index,
 		}
 		for _, d := range known.Digests {
-			if d.Part == part {
+			if d.Subsystem == part {
 				report.Data = d.Data
 			}
 		}
--- a/fleet/lenient_decode.go
+++ b/fleet/lenient_decode.go
@@ -48,7 +48,9 @@
 }
 
 // DecodeMsgpack decodes a Digest of this or another version of the program.
-func (x *Digest) DecodeMsgpack(d *msgpack.Decoder) error { return decodeLenient(d, &x.Part, &x.Data) }
+func (x *Digest) DecodeMsgpack(d *msgpack.Decoder) error {
+	return decodeLenient(d, &x.Subsystem, &x.Data)
+}
 
 // DecodeMsgpack decodes a MemberReport of this or another version of the program.
 func (t *MemberReport) DecodeMsgpack(d *msgpack.Decoder) error {
--- a/fleet/links.go
+++ b/fleet/links.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Dial is a link that this front should open.
-type Dial struct{ Name, Address string }
+// DialTarget is a link that this front should open.
+type DialTarget struct{ Name, Address string }
 
 // peer is a front that this one is linked to.
 type peer struct {
@@ -234,7 +234,7 @@
 
 // WantedLinks returns the links that this front should dial: a voter wants all other voters, any other front one voter and two
 // fronts, each by its own ranking of them.
-func (n *Node) WantedLinks(now time.Duration) (dials []Dial) {
+func (n *Node) WantedLinks(now time.Duration) (dials []DialTarget) {
 	if n.isDisplaced {
 		return nil
 	}
@@ -245,10 +245,10 @@
 }
 
 // wantedByVoter returns the voters that this voter is not linked to.
-func (n *Node) wantedByVoter(now time.Duration) (dials []Dial) {
+func (n *Node) wantedByVoter(now time.Duration) (dials []DialTarget) {
 	for _, v := range n.knownVoters() {
 		if v.Name != n.options.Name && n.peers[v.Name] == nil && now >= n.retryAt[v.Name] {
-			dials = append(dials, Dial(v))
+			dials = append(dials, DialTarget(v))
 		}
 	}
 	return dials
@@ -256,7 +256,7 @@
 
 // wantedByFollower returns the links that bring a follower to followerLinks of its own, one of them to a voter. With enough links
 // but none to a voter it tries one now and then.
-func (n *Node) wantedByFollower(now time.Duration) []Dial {
+func (n *Node) wantedByFollower(now time.Duration) []DialTarget {
 	own, hasVoter := 0, false
 	for name, p := range n.peers {
 		if !p.Dialled { // by this front
@@ -268,10 +268,10 @@
 		return nil
 	}
 	n.searchedAt = now
-	var voters []Dial
+	var voters []DialTarget
 	for _, v := range n.knownVoters() {
 		if v.Name != n.options.Name {
-			voters = append(voters, Dial(v))
+			voters = append(voters, DialTarget(v))
 		}
 	}
 	dials, missing := n.pickLinks(now, voters, 1)
@@ -280,15 +280,15 @@
 }
 
 // knownFollowers returns the fronts other than voters that this one could link to, in no order.
-func (n *Node) knownFollowers() (fronts []Dial) {
+func (n *Node) knownFollowers() (fronts []DialTarget) {
 	for name, front := range n.state.Fronts {
 		if name != n.options.Name && !n.isVoter(name) && front.Address != "" {
-			fronts = append(fronts, Dial{name, front.Address})
+			fronts = append(fronts, DialTarget{name, front.Address})
 		}
 	}
 	for name, address := range n.suggested {
 		if n.state.Fronts[name] == nil && !n.isVoter(name) {
-			fronts = append(fronts, Dial{name, address})
+			fronts = append(fronts, DialTarget{name, address})
 		}
 	}
 	return fronts
@@ -296,12 +296,12 @@
 
 // pickLinks picks as many candidates as are wanted, by this front's ranking of them. Those that it has dialled already count;
 // missing is how many it did not find.
-func (n *Node) pickLinks(now time.Duration, candidates []Dial, wanted int) (dials []Dial, missing int) {
+func (n *Node) pickLinks(now time.Duration, candidates []DialTarget, wanted int) (dials []DialTarget, missing int) {
 	ranks := make(map[string]uint32, len(candidates))
 	for _, d := range candidates {
 		ranks[d.Name] = n.rank(d.Name)
 	}
-	slices.SortFunc(candidates, func(a, b Dial) int { return cmp.Compare(ranks[b.Name], ranks[a.Name]) })
+	slices.SortFunc(candidates, func(a, b DialTarget) int { return cmp.Compare(ranks[b.Name], ranks[a.Name]) })
 	for _, d := range candidates {
 		if wanted == 0 {
 			break
@@ -332,7 +332,7 @@
 		p := n.peers[name]
 		if now-p.heardAt > timing.LinkTimeout() {
 			n.closing = append(n.closing, name)
-			n.emit(LinkShed{Peer: name, Reason: "it was silent"})
+			n.emit(LinkClosed{Peer: name, Reason: "it was silent"})
 			p.heardAt = now
 			n.retryAt[name] = now + timing.HeartbeatInterval()
 			continue
--- a/fleet/membership.go
+++ b/fleet/membership.go
@@ -85,8 +85,8 @@
 	if len(data) > maxDigestBytes {
 		return
 	}
-	all := slices.DeleteFunc(slices.Clone(n.digests), func(d Digest) bool { return d.Part == part })
-	n.digests = append(all, Digest{Part: part, Data: data})
+	all := slices.DeleteFunc(slices.Clone(n.digests), func(d Digest) bool { return d.Subsystem == part })
+	n.digests = append(all, Digest{Subsystem: part, Data: data})
 }
 
 // SetIdle releases all leases and takes none until it is reset: for a front that may not act.
--- a/fleet/mesh/dial.go
+++ b/fleet/mesh/dial.go
@@ -18,7 +18,7 @@
 func (r rejection) Error() string { return "refused: " + r.why }
 
 // dial opens a link to a peer, unless that is under way; m.mu must be held.
-func (m *Mesh) dial(d fleet.Dial) {
+func (m *Mesh) dial(d fleet.DialTarget) {
 	if m.dialling[d.Name] {
 		return
 	}
--- a/fleet/mesh/format_test.go
+++ b/fleet/mesh/format_test.go
@@ -20,10 +20,10 @@
 func wireMessages() []fleet.Message {
 	member := fleet.MembershipRecord{Name: "n1", Incarnation: 7, Seq: 9, Zone: "a", Address: "x:1", Version: "0.3.0", Index: 12, AcceptsLeases: true, Leaving: true,
 		Renewals: []fleet.LeaseRenewal{{Lease: "list", Term: 3, Progress: 4}}, ActiveVersion: 5, WantsConfigLease: true, PendingVersion: 6, HasPending: true,
-		Digests: []fleet.Digest{{Part: "roll", Data: []byte("x")}}}
+		Digests: []fleet.Digest{{Subsystem: "roll", Data: []byte("x")}}}
 	return []fleet.Message{
 		{Kind: fleet.KindHello, From: "n1", Index: 300, Term: 70000, Hello: &fleet.Handshake{Fleet: "f", Name: "n1", Incarnation: 1 << 39, Zone: "a", Address: "x:1", Format: 1,
-			Voter: true, Dialled: true, Floor: fleet.Floor{Term: 1, Vote: 2, Commit: 3, Opened: 4}, KnownFloor: fleet.Floor{Term: 5, Vote: 6, Commit: 7, Opened: 8}}},
+			Voter: true, Dialled: true, Floor: fleet.Floor{Term: 1, Vote: 2, Commit: 3, OpenCount: 4}, KnownFloor: fleet.Floor{Term: 5, Vote: 6, Commit: 7, OpenCount: 8}}},
 		{Kind: fleet.KindReject, Reason: "another fleet", Members: []fleet.MembershipRecord{member}},
 		{Kind: fleet.KindRequest, From: "n1", Number: 1, Request: &fleet.Request{ID: 1 << 33, Type: fleet.RequestTransfer, Lease: "list", Term: 3, To: "n2", Command: []byte{1, 2},
 			Declarations: []fleet.Declaration{{Lease: "scout/1", Bound: time.Second}}}},
--- a/fleet/mesh/mesh_test.go
+++ b/fleet/mesh/mesh_test.go
@@ -31,7 +31,7 @@
 func oneOn(t *testing.T, disk Disk, slots int) (*Mesh, chan fleet.Event) {
 	told := make(chan fleet.Event, 1000)
 	n, err := fleet.New(fleet.Options{Fleet: "x", Name: "a", Incarnation: 7, InitialVoters: []fleet.Voter{{Name: "a"}}, Timing: pace, Seed: 1, AcceptsLeases: true, MaxFollowers: slots},
-		&fleet.DiskState{Opened: 1})
+		&fleet.DiskState{OpenCount: 1})
 	require.NoError(t, err)
 	n.DeclareLease("list", 0)
 	m, err := New(Options{Listen: "127.0.0.1:0", Node: n, Timing: pace, Disk: disk, OnEvent: func(_ time.Duration, e fleet.Event) { told <- e }})
--- a/fleet/message.go
+++ b/fleet/message.go
@@ -81,13 +81,13 @@
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Term, Vote, Commit uint64
-	Opened             uint64 // how often the disk was opened
+	OpenCount          uint64 // how often the disk was opened
 }
 
 // covers reports whether a disk with f can be the one that was known to hold k: its term, commit index and count of openings
 // never go back, and a vote is never forgotten within its term.
 func (f Floor) covers(k Floor) bool {
-	return f.Term >= k.Term && f.Commit >= k.Commit && f.Opened >= k.Opened &&
+	return f.Term >= k.Term && f.Commit >= k.Commit && f.OpenCount >= k.OpenCount &&
 		(f.Term > k.Term || k.Vote == 0 || f.Vote == k.Vote)
 }
 
@@ -96,7 +96,7 @@
 	if k.Term > f.Term || k.Term == f.Term && f.Vote == 0 {
 		f.Term, f.Vote = k.Term, k.Vote
 	}
-	f.Commit, f.Opened = max(f.Commit, k.Commit), max(f.Opened, k.Opened)
+	f.Commit, f.OpenCount = max(f.Commit, k.Commit), max(f.OpenCount, k.OpenCount)
 	return f
 }
 
@@ -127,8 +127,8 @@
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
 
-	Part string
-	Data []byte
+	Subsystem string
+	Data      []byte
 }
 
 // MemberReport is a front's digest as the leader has it.
@@ -259,7 +259,7 @@
 			return ProtocolError("a membership record without sense")
 		}
 		for _, d := range report.Digests {
-			if len(d.Part) > maxNameBytes || len(d.Data) > maxDigestBytes {
+			if len(d.Subsystem) > maxNameBytes || len(d.Data) > maxDigestBytes {
 				return ProtocolError("a digest that is too long")
 			}
 		}
--- a/fleet/probe_cache.go
+++ b/fleet/probe_cache.go
@@ -41,14 +41,14 @@
 // ProbeCache lets a front use the prober's results: its own probes of a server wait a while for a result that may come, and are
 // sent where none does. Q is a probe that waits.
 type ProbeCache[Q any] struct {
-	Fresh   time.Duration // a result is used for so long, and longer by the interval of results, at most four times this
-	MaxWait time.Duration // a probe waits so long for a result; twice as long while the prober's own is pending
-
-	results  map[string]cachedResult
-	pending  map[string]time.Duration // by server: when the prober said that a probe is pending
-	waiting  map[string][]waitingQuery[Q]
-	requests map[string]time.Duration
-	Avoided  int // probes that a result made needless
+	FreshFor time.Duration // a result is used for so long, and longer by the interval of results, at most four times this
+	MaxWait  time.Duration // a probe waits so long for a result; twice as long while the prober's own is pending
+
+	results       map[string]cachedResult
+	pending       map[string]time.Duration // by server: when the prober said that a probe is pending
+	waiting       map[string][]waitingQuery[Q]
+	requests      map[string]time.Duration
+	ProbesAvoided int // probes that a result made needless
 }
 
 // cachedResult is a server's latest result.
@@ -68,7 +68,7 @@
 // NewProbeCache returns an empty cache.
 func NewProbeCache[Q any](fresh, maxWait time.Duration) *ProbeCache[Q] {
 	return &ProbeCache[Q]{
-		Fresh:    fresh,
+		FreshFor: fresh,
 		MaxWait:  maxWait,
 		results:  map[string]cachedResult{},
 		pending:  map[string]time.Duration{},
@@ -92,8 +92,8 @@
 	if !mayWait {
 		return ProbeNow, result
 	}
-	if l, ok := s.results[server]; ok && now-l.receivedAt < s.Fresh+min(l.interval, 4*s.Fresh) {
-		s.Avoided++
+	if l, ok := s.results[server]; ok && now-l.receivedAt < s.FreshFor+min(l.interval, 4*s.FreshFor) {
+		s.ProbesAvoided++
 		return UseResult, l.ProbeResult
 	}
 	if len(s.waiting) >= maxKnownFronts {
@@ -130,7 +130,7 @@
 	for _, h := range s.waiting[result.Server] {
 		answers = append(answers, h.query)
 	}
-	s.Avoided += len(answers)
+	s.ProbesAvoided += len(answers)
 	delete(s.waiting, result.Server)
 	return answers
 }
--- a/fleet/probe_cache_test.go
+++ b/fleet/probe_cache_test.go
@@ -28,7 +28,7 @@
 	assert.False(t, result.Healthy)
 	what, _ = s.Decide(1300*time.Millisecond, "m", 4, true)
 	assert.Equal(t, AwaitResult, what, "an old look answers nothing")
-	assert.Equal(t, 3, s.Avoided)
+	assert.Equal(t, 3, s.ProbesAvoided)
 	what, _ = s.Decide(1300*time.Millisecond, "other", 5, true)
 	assert.Equal(t, AwaitResult, what, "nor does another member's")
 }
--- a/fleet/replicated_state.go
+++ b/fleet/replicated_state.go
@@ -25,8 +25,8 @@
 	Incarnation uint64
 	RequestSeq  uint64
 	Bound       time.Duration // within which progress is due; 0 for no bound
-	Since       uint64        // index of the grant
-	Why         string        // the reason of the last grant or release
+	GrantIndex  uint64        // index of the grant
+	Reason      string        // the reason of the last grant or release
 	Losses      []Loss
 }
 
@@ -162,13 +162,13 @@
 	if lease == nil || lease.Term != c.Term {
 		return faultOtherTerm
 	}
-	if c.Loser != "" {
-		lease.Losses = slices.DeleteFunc(slices.Clone(lease.Losses), func(l Loss) bool { return l.Front == c.Loser })
-		if c.Losses > 0 {
-			lease.Losses = append(lease.Losses, Loss{Front: c.Loser, Count: c.Losses})
+	if c.LostBy != "" {
+		lease.Losses = slices.DeleteFunc(slices.Clone(lease.Losses), func(l Loss) bool { return l.Front == c.LostBy })
+		if c.LossCount > 0 {
+			lease.Losses = append(lease.Losses, Loss{Front: c.LostBy, Count: c.LossCount})
 		}
 	}
-	lease.Why = c.Why
+	lease.Reason = c.Reason
 	if c.Op == opVacateLease {
 		lease.Leaseholder = ""
 		return ""
@@ -177,7 +177,7 @@
 	lease.Leaseholder = c.Target
 	lease.Incarnation = c.Incarnation
 	lease.RequestSeq = c.RequestSeq
-	lease.Since = index
+	lease.GrantIndex = index
 	return ""
 }
 
@@ -208,7 +208,7 @@
 	switch {
 	case lease == nil || lease.Term != c.Term:
 		return faultOtherTerm
-	case storedIndex != c.Prev:
+	case storedIndex != c.PrevIndex:
 		if stored != nil && stored.Term == c.Term && bytes.Equal(stored.Value, c.Value) {
 			return "" // a repeated request
 		}
@@ -230,7 +230,7 @@
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
 
-	Least, Most uint64
+	Min, Max uint64
 }
 
 // Encode encodes it as a stored value.
@@ -243,7 +243,7 @@
 }
 
 // Allows reports whether a version may be used.
-func (x AllowedVersions) Allows(version uint64) bool { return version == x.Least || version == x.Most }
+func (x AllowedVersions) Allows(version uint64) bool { return version == x.Min || version == x.Max }
 
 // AllowedVersions returns the versions in force and the index of their value; the index is 0 where there is none, and all versions
 // may be used.
--- a/fleet/replication.go
+++ b/fleet/replication.go
@@ -101,8 +101,8 @@
 		n.emit(StateUnreadable{Index: entry.Index, Reason: fault})
 		return
 	}
-	if c.Asker == n.options.Name && n.pendingRequests[c.AskID] != nil {
-		n.completeRequest(c.AskID, fault, 0)
+	if c.Requester == n.options.Name && n.pendingRequests[c.RequestID] != nil {
+		n.completeRequest(c.RequestID, fault, 0)
 	}
 	if n.leader != nil {
 		n.leader.onApplied(now, &c, fault)
@@ -115,7 +115,7 @@
 		n.noteDeclared(c.Lease)
 	case opGrantLease, opVacateLease:
 		lease := n.state.Leases[c.Lease]
-		n.emit(LeaseGranted{Lease: lease.Name, Term: lease.Term, Leaseholder: lease.Leaseholder, Index: entry.Index, Reason: lease.Why})
+		n.emit(LeaseGranted{Lease: lease.Name, Term: lease.Term, Leaseholder: lease.Leaseholder, Index: entry.Index, Reason: lease.Reason})
 		n.onLeaseChanged(now, lease)
 	case opJoin:
 		n.emit(FrontJoined{Name: c.Front.Name, Incarnation: c.Front.Incarnation, Index: entry.Index})
@@ -133,7 +133,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(state.Leases)) {
 		if lease := state.Leases[name]; lease.Term > 0 {
-			n.emit(LeaseGranted{Lease: name, Term: lease.Term, Leaseholder: lease.Leaseholder, Index: state.Index, Reason: lease.Why})
+			n.emit(LeaseGranted{Lease: name, Term: lease.Term, Leaseholder: lease.Leaseholder, Index: state.Index, Reason: lease.Reason})
 		}
 		n.onLeaseChanged(now, state.Leases[name])
 	}
--- a/fleet/requests.go
+++ b/fleet/requests.go
@@ -46,7 +46,7 @@
 	if !ok {
 		return 0, false
 	}
-	return n.proposeCommand(now, Command{Op: opPutValue, Lease: leaseName, Term: term, Key: key, Prev: prev, Value: value}), true
+	return n.proposeCommand(now, Command{Op: opPutValue, Lease: leaseName, Term: term, Key: key, PrevIndex: prev, Value: value}), true
 }
 
 // AddVoter asks for a front to become a voter.
@@ -61,7 +61,7 @@
 
 // proposeCommand asks for a command in the log.
 func (n *Node) proposeCommand(now time.Duration, c Command) uint64 {
-	c.Asker, c.AskID = n.options.Name, n.lastRequestID+1
+	c.Requester, c.RequestID = n.options.Name, n.lastRequestID+1
 	return n.Request(now, Request{Type: RequestProposal, Lease: c.Lease, Command: c.Encode()})
 }
 
@@ -154,11 +154,11 @@
 // requestDeclarations asks for leases to be declared.
 func (n *Node) requestDeclarations(now time.Duration, all []Declaration) uint64 {
 	first := Command{
-		Op:    opDeclareLease,
-		Lease: all[0].Lease,
-		Bound: all[0].Bound,
-		Asker: n.options.Name,
-		AskID: n.lastRequestID + 1,
+		Op:        opDeclareLease,
+		Lease:     all[0].Lease,
+		Bound:     all[0].Bound,
+		Requester: n.options.Name,
+		RequestID: n.lastRequestID + 1,
 	}
 	return n.Request(now, Request{Type: RequestProposal, Lease: first.Lease, Command: first.Encode(), Declarations: all[1:]})
 }
--- a/fleet/rollout/controller.go
+++ b/fleet/rollout/controller.go
@@ -162,7 +162,7 @@
 }
 
 func (c *Controller) putAllowed(least, most uint64) put {
-	return put{fleet.AllowedVersionsKey, fleet.AllowedVersions{Least: least, Most: most}.Encode()}
+	return put{fleet.AllowedVersionsKey, fleet.AllowedVersions{Min: least, Max: most}.Encode()}
 }
 
 // plan decides what to store next.
@@ -246,7 +246,7 @@
 // finishRollBack disallows the new version, and ends a rollout that is rolled back once no front uses it. Fronts that are heard
 // roll back by themselves first, so that no lease ends under their requests.
 func (c *Controller) finishRollBack(now time.Duration, r *fleet.ReplicatedState, s State) {
-	if allowed, _ := r.AllowedVersions(); allowed.Most != s.Base {
+	if allowed, _ := r.AllowedVersions(); allowed.Max != s.Base {
 		if c.countOn(r, s.Next) == 0 || now-c.stageAt > c.options.ConfigLease/2 {
 			c.queue = []put{c.putAllowed(s.Base, s.Base)}
 		}
--- a/fleet/rollout/participant.go
+++ b/fleet/rollout/participant.go
@@ -98,7 +98,7 @@
 			s.controller = nil
 		}
 	case fleet.DatagramReceived:
-		if e.Part == Part && s.controller != nil {
+		if e.Subsystem == Part && s.controller != nil {
 			if action, ok := DecodeAction(e.Data); ok {
 				s.controller.Submit(e.From, action)
 			}
--- a/fleet/routing.go
+++ b/fleet/routing.go
@@ -59,7 +59,7 @@
 // routeDatagram sends a datagram a hop towards its receiver, but not back.
 func (n *Node) routeDatagram(now time.Duration, from string, m *Message) {
 	if m.Name == n.options.Name {
-		n.emit(DatagramReceived{From: m.From, Part: m.Reason, Data: m.Data})
+		n.emit(DatagramReceived{From: m.From, Subsystem: m.Reason, Data: m.Data})
 		return
 	}
 	next := n.upstream
--- a/fleet/voter.go
+++ b/fleet/voter.go
@@ -68,7 +68,7 @@
 		v.peerFloors[name] = f
 	}
 	first := s.Snapshot
-	if s.Hard == nil && first == nil && !n.options.Joins {
+	if s.Hard == nil && first == nil && !n.options.JoinsExistingFleet {
 		first = initialSnapshot(n.options.InitialVoters)
 		v.pendingWrite = &DiskWrite{Snapshot: first} // the initial voters count as they were named at the first start
 	}
@@ -88,7 +88,7 @@
 		v.term = s.Hard.GetTerm()
 		v.floor = Floor{Term: s.Hard.GetTerm(), Vote: s.Hard.GetVote(), Commit: s.Hard.GetCommit()}
 	}
-	v.floor.Opened = s.Opened
+	v.floor.OpenCount = s.OpenCount
 	if len(s.Entries) > 0 {
 		if err := v.storage.Append(s.Entries); err != nil {
 			return nil, err
--- a/fleet/voter_admission.go
+++ b/fleet/voter_admission.go
@@ -100,7 +100,7 @@
 // one that knows that the fleet has begun, and the others could have lost their disks: so all must have been found without
 // anything on their disks.
 func (v *voter) mayFound() bool {
-	if !v.isBlank || v.fleetBegan || v.node.options.Joins {
+	if !v.isBlank || v.fleetBegan || v.node.options.JoinsExistingFleet {
 		return false
 	}
 	for _, initial := range v.node.options.InitialVoters {
@@ -117,5 +117,5 @@
 		return fmt.Sprintf("the voters were recovered at %s without it: start it again without its file, or add a voter of a new name", from)
 	}
 	return fmt.Sprintf("its disk is an old copy: %s knows it at term %d, commit %d, opened %d times, and it stands at %d, %d, %d: "+
-		"add a keeper of a new name in its place", from, known.Term, known.Commit, known.Opened, holds.Term, holds.Commit, holds.Opened)
+		"add a keeper of a new name in its place", from, known.Term, known.Commit, known.OpenCount, holds.Term, holds.Commit, holds.OpenCount)
 }
--- a/fleet/voter_disk.go
+++ b/fleet/voter_disk.go
@@ -11,11 +11,11 @@
 
 // DiskState is what a voter's disk holds when it is opened.
 type DiskState struct {
-	Hard     *pb.HardState // nil for a new disk
-	Snapshot *pb.Snapshot
-	Entries  []*pb.Entry
-	Floors   map[string]Floor // of the other voters
-	Opened   uint64           // how often the disk was opened, this time included
+	Hard      *pb.HardState // nil for a new disk
+	Snapshot  *pb.Snapshot
+	Entries   []*pb.Entry
+	Floors    map[string]Floor // of the other voters
+	OpenCount uint64           // how often the disk was opened, this time included
 }
 
 // DiskWrite is what must be on disk before the voter sends anything more.
--- a/fleet/voter_recovery.go
+++ b/fleet/voter_recovery.go
@@ -25,11 +25,11 @@
 
 // Recovery is a recovery of the voters that an operator asked for, see Node.RecoverVoters.
 type Recovery struct {
-	State  RecoveryState
-	Reason string        // the operator's
-	Fault  string        // why it was refused
-	DueAt  time.Duration // when the wait ends, on this front's clock
-	Lost   []string      // the voters that are voters no more
+	State   RecoveryState
+	Reason  string        // the operator's
+	Refusal string        // why it was refused
+	DueAt   time.Duration // when the wait ends, on this front's clock
+	Lost    []string      // the voters that are voters no more
 }
 
 // A recovered state skips indices and terms, so that none of its own is one that the lost voters may have used for something else.
@@ -41,7 +41,7 @@
 
 // excludedFloor is the Floor that a recovered voter keeps of those that are voters no more. No disk covers it: their disks are
 // refused for good.
-var excludedFloor = Floor{Term: math.MaxUint64, Vote: math.MaxUint64, Commit: math.MaxUint64, Opened: math.MaxUint64}
+var excludedFloor = Floor{Term: math.MaxUint64, Vote: math.MaxUint64, Commit: math.MaxUint64, OpenCount: math.MaxUint64}
 
 // exclusion returns excludedFloor where a voter was excluded by a recovery, and nothing elsewhere.
 func (v *voter) exclusion(name string) Floor {
@@ -158,8 +158,8 @@
 	if r == nil || r.State != RecoveryWaiting && r.State != RecoveryWriting {
 		return
 	}
-	r.State, r.Fault = RecoveryRefused, fault
-	n.emit(VotersRecovered{Reason: r.Reason, Fault: fault})
+	r.State, r.Refusal = RecoveryRefused, fault
+	n.emit(VotersRecovered{Reason: r.Reason, Refusal: fault})
 }
 
 // recoveredDisk returns what this voter's disk holds once it is the only voter: the replicated state with all entries of its log,
@@ -180,8 +180,8 @@
 	state.Voters = map[string]string{v.node.options.Name: v.node.options.Address}
 	for _, lease := range state.Leases {
 		lease.Term += recoveryTermGap
-		lease.Leaseholder, lease.Incarnation, lease.Since = "", 0, state.Index
-		lease.Why = "the voters were recovered"
+		lease.Leaseholder, lease.Incarnation, lease.GrantIndex = "", 0, state.Index
+		lease.Reason = "the voters were recovered"
 	}
 	term := max(v.term, v.node.heartbeat.term)
 	floors := v.copyFloors()
@@ -226,7 +226,7 @@
 // that those who are voters no more hear of it.
 func (v *voter) finishRecovery(now time.Duration, written *DiskWrite) {
 	n := v.node
-	fresh, err := newVoter(n, &DiskState{Hard: written.Hard, Snapshot: written.Snapshot, Floors: maps.Clone(written.Floors), Opened: v.floor.Opened})
+	fresh, err := newVoter(n, &DiskState{Hard: written.Hard, Snapshot: written.Snapshot, Floors: maps.Clone(written.Floors), OpenCount: v.floor.OpenCount})
 	if err != nil {
 		v.halt("the recovered state can't be used: " + err.Error())
 		return
--- a/fleet/voter_test.go
+++ b/fleet/voter_test.go
@@ -13,7 +13,7 @@
 // voterOfThree is one of the voters k1, k2 and k3, with a disk that has taken part in consensus.
 func voterOfThree(t *testing.T, name string) *Node {
 	initial := []Voter{{"k1", "k1"}, {"k2", "k2"}, {"k3", "k3"}}
-	disk := &DiskState{Opened: 2, Snapshot: initialSnapshot(initial), Hard: &pb.HardState{Term: proto.Uint64(3), Commit: proto.Uint64(initialIndex)}}
+	disk := &DiskState{OpenCount: 2, Snapshot: initialSnapshot(initial), Hard: &pb.HardState{Term: proto.Uint64(3), Commit: proto.Uint64(initialIndex)}}
 	n, err := New(Options{Name: name, Incarnation: 1, Timing: Timing{LeaseDuration: 3 * time.Second}, InitialVoters: initial}, disk)
 	require.NoError(t, err)
 	return n
@@ -43,7 +43,7 @@
 func TestWhoVouchesForADisk(t *testing.T) {
 	n, other := voterOfThree(t, "k1"), voterOfThree(t, "k2")
 	blank := other.Hello("k1", true)
-	blank.Hello.Floor = Floor{Opened: 1}
+	blank.Hello.Floor = Floor{OpenCount: 1}
 	n.LinkUp(0, blank)
 	assert.False(t, n.voter.mayVote(), "an empty disk knows nothing")
 	n.LinkUp(0, other.Hello("k1", true))
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -275,7 +275,7 @@
 			f.t.Lists.Open--
 		}
 	case fleet.DatagramReceived:
-		if e.Part != "scout" {
+		if e.Subsystem != "scout" {
 			break
 		}
 		f.prober.OnProbeRequest(string(e.Data))
--- a/lab/rig/judge.go
+++ b/lab/rig/judge.go
@@ -93,14 +93,14 @@
 		key := fmt.Sprint(m.Front, "/", m.Incarnation, "/", m.Term)
 		switch {
 		case m.Lease != lease:
-		case m.What == "held":
+		case m.Kind == "held":
 			h := &hold{who: m.Front, term: m.Term, from: m.At, to: m.Until, first: m}
 			open[key] = h
 			out = append(out, h)
-		case m.What == "kept" && open[key] != nil:
+		case m.Kind == "kept" && open[key] != nil:
 			open[key].to = max(open[key].to, m.Until)
-		case m.What == "ended" && open[key] != nil:
-			open[key].to, open[key].why = min(open[key].to, m.At), m.Why
+		case m.Kind == "ended" && open[key] != nil:
+			open[key].to, open[key].why = min(open[key].to, m.At), m.Reason
 			delete(open, key)
 		}
 	}
@@ -127,7 +127,7 @@
 		broke("%s", unmet)
 	}
 	for _, name := range r.mustHalt {
-		if !slices.ContainsFunc(all, func(m HistoryLine) bool { return m.Front == name && m.What == "keeper halted" }) {
+		if !slices.ContainsFunc(all, func(m HistoryLine) bool { return m.Front == name && m.Kind == "keeper halted" }) {
 			broke("%s came back with a disk that had lost something, and was not refused", name)
 		}
 	}
@@ -136,7 +136,7 @@
 	acts := map[string]HistoryLine{}
 	leases := map[string]bool{}
 	for _, m := range all {
-		switch m.What {
+		switch m.Kind {
 		case "held":
 			leases[m.Lease] = true
 		case "granted":
@@ -292,7 +292,7 @@
 	var ops []porcupine.Operation
 	first := map[uint64]bool{}
 	for _, m := range all {
-		if m.Lease != lease || m.What != "held" && m.What != "kept" {
+		if m.Lease != lease || m.Kind != "held" && m.Kind != "kept" {
 			continue
 		}
 		op := porcupine.Operation{ClientId: len(ops), Input: in{!first[m.Term], m.Term}, Call: m.Since, Return: m.At}
@@ -322,7 +322,7 @@
 			fill(l, '-')
 		}
 		for _, m := range all {
-			if m.What != "held" {
+			if m.Kind != "held" {
 				continue
 			}
 			for _, h := range r.holds(all, m.Lease) {
--- a/lab/rig/rig_test.go
+++ b/lab/rig/rig_test.go
@@ -72,7 +72,7 @@
 }
 
 func moment(at int64, front, what string, term uint64, since, until int64) HistoryLine {
-	return HistoryLine{At: at, Front: front, Incarnation: 1, What: what, Lease: "list", Term: term, Since: since, Until: until}
+	return HistoryLine{At: at, Front: front, Incarnation: 1, Kind: what, Lease: "list", Term: term, Since: since, Until: until}
 }
 
 // The checkers must be able to fail: histories that are wrong, each in its own way.
@@ -84,8 +84,8 @@
 	}{
 		"good":            {good, ""},
 		"two at a time":   {append(good[:2:2], moment(120, "n2", "held", 2, 110, 210)), "was held by n1"},
-		"two in one term": {[]HistoryLine{{What: "granted", Lease: "list", Term: 3, Name: "n1"}, {What: "granted", Lease: "list", Term: 3, Name: "n2"}}, "two fronts were granted"},
-		"an older act": {[]HistoryLine{{What: "came", Front: "n3", Lease: "list", Term: 3}, {What: "came", Front: "n3", Lease: "list", Term: 2}},
+		"two in one term": {[]HistoryLine{{Kind: "granted", Lease: "list", Term: 3, Name: "n1"}, {Kind: "granted", Lease: "list", Term: 3, Name: "n2"}}, "two fronts were granted"},
+		"an older act": {[]HistoryLine{{Kind: "came", Front: "n3", Lease: "list", Term: 3}, {Kind: "came", Front: "n3", Lease: "list", Term: 2}},
 			"an act of an older term"},
 		"a late renewal": {append(good[:3:3], moment(190, "n1", "kept", 1, 180, 300)), "not linearizable"},
 	} {
--- a/lab/rig/versions.go
+++ b/lab/rig/versions.go
@@ -41,7 +41,7 @@
 		if open[key] == nil {
 			open[key] = map[uint64]int64{}
 		}
-		switch m.What {
+		switch m.Kind {
 		case "adopted":
 			newest[key] = m.Number
 			open[key][m.Number] = m.At
@@ -108,18 +108,18 @@
 	for _, m := range all {
 		since := func(v uint64) time.Duration { return time.Duration(m.At-began[v]) * time.Microsecond }
 		switch {
-		case m.What == "turned" && m.Term != 0 && began[m.Term] == 0:
+		case m.Kind == "turned" && m.Term != 0 && began[m.Term] == 0:
 			began[m.Term], at[m.Term] = m.At, len(out)
 			out = append(out, Rolled{Version: m.Term})
-		case m.What == "adopted" && began[m.Number] != 0:
+		case m.Kind == "adopted" && began[m.Number] != 0:
 			r := &out[at[m.Number]]
 			if r.Fronts++; r.First == 0 {
 				r.First = since(m.Number)
 			}
 			r.Last = since(m.Number)
-		case m.What == "turned" && m.Name == "steady" && began[m.Number] != 0 && out[at[m.Number]].InForce == 0:
+		case m.Kind == "turned" && m.Name == "steady" && began[m.Number] != 0 && out[at[m.Number]].InForce == 0:
 			out[at[m.Number]].InForce = since(m.Number)
-		case m.What == "turned" && m.Name == "going back" && began[m.Term] != 0 && out[at[m.Term]].Back == 0:
+		case m.Kind == "turned" && m.Name == "going back" && began[m.Term] != 0 && out[at[m.Term]].Back == 0:
 			out[at[m.Term]].Back = since(m.Term)
 		}
 	}
@@ -150,7 +150,7 @@
 	for _, v := range r.mustBy {
 		inForce := int64(0)
 		for _, m := range all {
-			if m.What == "turned" && m.Number == v && m.Name == "steady" {
+			if m.Kind == "turned" && m.Number == v && m.Name == "steady" {
 				inForce = m.At
 				break
 			}
--- a/lab/rig/voters.go
+++ b/lab/rig/voters.go
@@ -82,7 +82,7 @@
 // lacksSomething reports whether a copy of a voter's disk lacks a term, a vote, an entry or an opening of the present one. What the
 // present one knows of other voters does not count: nobody else can tell that it was lost.
 func lacksSomething(restored, present *fleet.DiskState) bool {
-	same := restored.Opened == present.Opened && proto.Equal(restored.Hard, present.Hard) && lastIndex(restored) == lastIndex(present)
+	same := restored.OpenCount == present.OpenCount && proto.Equal(restored.Hard, present.Hard) && lastIndex(restored) == lastIndex(present)
 	return !same
 }
 
--- a/lab/rig/voters_test.go
+++ b/lab/rig/voters_test.go
@@ -13,14 +13,14 @@
 // A copy that lacks nothing must not be counted as a lost disk, and every other must be.
 func TestOnlyACopyThatLacksNothingMayBeUsed(t *testing.T) {
 	present := func() *fleet.DiskState {
-		return &fleet.DiskState{Opened: 2, Hard: &pb.HardState{Term: proto.Uint64(3), Vote: proto.Uint64(7), Commit: proto.Uint64(5)},
+		return &fleet.DiskState{OpenCount: 2, Hard: &pb.HardState{Term: proto.Uint64(3), Vote: proto.Uint64(7), Commit: proto.Uint64(5)},
 			Entries: []*pb.Entry{{Index: proto.Uint64(5)}, {Index: proto.Uint64(6)}}}
 	}
 	same := present()
 	same.Floors = map[string]fleet.Floor{"n1": {Term: 3}}
 	assert.False(t, lacksSomething(same, present()))
 	for name, change := range map[string]func(s *fleet.DiskState){
-		"an opening":  func(s *fleet.DiskState) { s.Opened-- },
+		"an opening":  func(s *fleet.DiskState) { s.OpenCount-- },
 		"a term":      func(s *fleet.DiskState) { s.Hard.Term = proto.Uint64(2) },
 		"a vote":      func(s *fleet.DiskState) { s.Hard.Vote = nil },
 		"a commit":    func(s *fleet.DiskState) { s.Hard.Commit = proto.Uint64(4) },
--- a/lab/scale/configurations.go
+++ b/lab/scale/configurations.go
@@ -172,7 +172,7 @@
 			return 0, err
 		}
 	}
-	return 0, fmt.Errorf("version %d is not in force after %v: it is %s", version, inForceTime, w.last.Why)
+	return 0, fmt.Errorf("version %d is not in force after %v: it is %s", version, inForceTime, w.last.Reason)
 }
 
 // taken waits until every hollow front has a version, and takes the times.
@@ -258,14 +258,14 @@
 		return
 	}
 	var m fleet.HistoryEntry
-	if json.Unmarshal(line, &m) != nil || m.What != turnedMoment {
+	if json.Unmarshal(line, &m) != nil || m.Kind != turnedMoment {
 		return
 	}
 	was := w.last
 	w.last = m
 	switch m.Name {
 	case backPhase:
-		w.why[m.Term] = m.Why
+		w.why[m.Term] = m.Reason
 	case finishPhase:
 		w.over[m.Term] = m.At
 	}
--- a/lab/sim/hard_test.go
+++ b/lab/sim/hard_test.go
@@ -161,7 +161,7 @@
 	w.Run(8 * time.Second)
 	require.NotNil(t, w.Holder("list"))
 	assert.NotEqual(t, lazy, w.Holder("list").Name)
-	assert.Equal(t, "it got nothing done", w.Leader().Node.State().Leases["list"].Why)
+	assert.Equal(t, "it got nothing done", w.Leader().Node.State().Leases["list"].Reason)
 	require.Empty(t, w.Wrong)
 }
 
--- a/lab/sim/host.go
+++ b/lab/sim/host.go
@@ -46,7 +46,7 @@
 	h.stopped, h.inbox, h.conns, h.dialling, h.terms, h.Events = false, nil, map[string]*conn{}, map[string]bool{}, map[string]uint64{}, nil
 	h.index = 0
 	o := fleet.Options{Fleet: "sim", Name: h.Name, Incarnation: w.Rnd.Uint64()>>24 | 1, Zone: h.Zone, Address: h.Name, Version: "sim",
-		InitialVoters: w.voters, Joins: h.Joins, Timing: w.Pace, Seed: w.Rnd.Uint64(), AcceptsLeases: !h.Unwilling, ConfigLease: h.Right}
+		InitialVoters: w.voters, JoinsExistingFleet: h.Joins, Timing: w.Pace, Seed: w.Rnd.Uint64(), AcceptsLeases: !h.Unwilling, ConfigLease: h.Right}
 	h.up = true
 	if h.Bare {
 		if w.Born != nil {
@@ -56,7 +56,7 @@
 	}
 	var disk *fleet.DiskState
 	if h.Disk != nil {
-		h.Disk.state.Opened++
+		h.Disk.state.OpenCount++
 		s := h.Disk.copied().state
 		disk = &s
 	}
@@ -220,7 +220,7 @@
 		h.Events = append(h.Events, e)
 		if _, ok := e.(fleet.LeaseRenewed); !ok {
 			f := e.Fields()
-			w.trace("%s tells %s %s term %d %s %s", h.Name, f.What, f.Lease, f.Term, f.Name, f.Why)
+			w.trace("%s tells %s %s term %d %s %s", h.Name, f.Kind, f.Lease, f.Term, f.Name, f.Reason)
 		}
 		if e, ok := e.(fleet.BroadcastReceived); ok {
 			if d := n.State().Leases[e.Lease]; d != nil && e.Term < d.Term {
--- a/lab/sim/network.go
+++ b/lab/sim/network.go
@@ -108,7 +108,7 @@
 // dial makes the links that the node wants and doesn't have.
 func (h *Host) dial(now time.Duration) {
 	w := h.w
-	var wanted []fleet.Dial
+	var wanted []fleet.DialTarget
 	h.metered(func() { wanted = h.Node.WantedLinks(now) })
 	for _, d := range wanted {
 		to := w.byName[d.Address]
