--- a/cmd/dapplerlab/main.go
+++ b/cmd/dapplerlab/main.go
@@ -63,7 +63,7 @@
 	if len(l.Names()) == 0 {
 		return faults(fmt.Errorf("there are no logs of an audit in %v", c.Dirs))
 	}
-	all, found := audit.Read(l)
+	all, found := audit.ReadLogs(l)
 	f, err := os.Create(c.Out)
 	if err == nil {
 		err = errors.Join(report.Audit(f, all, append(found, l.Conflicts...)), f.Close())
@@ -73,7 +73,7 @@
 	}
 	fmt.Println(c.Out)
 	for _, x := range append(found, l.Conflicts...) {
-		if x.Wrong {
+		if x.Violation {
 			return notSo
 		}
 	}
--- a/cmd/dapplerouter/auditcalls.go
+++ b/cmd/dapplerouter/auditcalls.go
@@ -37,9 +37,9 @@
 			return nil, err
 		}
 		if o.audit != nil {
-			dirs = []string{o.audit.Dir}
-			if o.audit.Collect != "" {
-				dirs = append(dirs, o.audit.Collect)
+			dirs = []string{o.audit.LogDir}
+			if o.audit.CollectDir != "" {
+				dirs = append(dirs, o.audit.CollectDir)
 			}
 		}
 	}
@@ -49,7 +49,7 @@
 	return disk.OpenAuditLogs(dirs...)
 }
 
-func (f *folders) read() (l *disk.AuditLogs, all []*audit.Journal, found []audit.Finding, code int) {
+func (f *folders) read() (l *disk.AuditLogs, all []*audit.FrontLog, found []audit.Finding, code int) {
 	l, err := f.logs()
 	if err == nil && len(l.Names()) == 0 {
 		err = fmt.Errorf("there are no logs of an audit in %s", strings.Join(f.Dir, ", "))
@@ -58,7 +58,7 @@
 		fmt.Fprintf(os.Stderr, "dapplerouter: %v\n", err)
 		return nil, nil, nil, unable
 	}
-	all, found = audit.Read(l)
+	all, found = audit.ReadLogs(l)
 	return l, all, append(found, l.Conflicts...), done
 }
 
@@ -75,7 +75,7 @@
 }
 
 // uses prints times of use.
-func (f *folders) uses(all []audit.Use, sure []bool) {
+func (f *folders) uses(all []audit.VersionUse, sure []bool) {
 	t := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	if !f.JSON {
 		fmt.Fprintln(t, "FRONT\tINCARNATION\tVERSION\tFROM\tUNTIL\tTXNS\tCOMMITTED\tDECLINED\tOTHER\tNOTE")
@@ -83,23 +83,23 @@
 	for i, u := range all {
 		note := ""
 		if sure != nil && !sure[i] {
-			note = fmt.Sprintf("by its clock, which may be wrong by %v: perhaps not", time.Duration(u.Clock)*time.Microsecond)
+			note = fmt.Sprintf("by its clock, which may be wrong by %v: perhaps not", time.Duration(u.MaxClockError)*time.Microsecond)
 		}
-		if u.Lapses > 0 {
-			note += fmt.Sprintf(" stood by %d times", u.Lapses)
+		if u.LeaseExpirations > 0 {
+			note += fmt.Sprintf(" stood by %d times", u.LeaseExpirations)
 		}
 		if f.JSON {
 			json.NewEncoder(os.Stdout).Encode(struct {
-				audit.Use
+				audit.VersionUse
 				Sure bool `json:"sure"`
 			}{u, sure == nil || sure[i]})
 			continue
 		}
-		until := moment(u.Until)
+		until := moment(u.End)
 		if u.Open {
 			until += " (last told)"
 		}
-		fmt.Fprintf(t, "%s\t%010x\t%d\t%s\t%s\t%s\t%s\n", u.Front, u.Incarnation, u.Version, moment(u.From), until, served(u.Ended), strings.TrimSpace(note))
+		fmt.Fprintf(t, "%s\t%010x\t%d\t%s\t%s\t%s\t%s\n", u.Front, u.Incarnation, u.Version, moment(u.Start), until, served(u.Outcomes), strings.TrimSpace(note))
 	}
 	t.Flush()
 }
@@ -119,7 +119,7 @@
 	if code != done {
 		return code
 	}
-	uses, sure := audit.At(audit.Uses(all), at.UnixMicro())
+	uses, sure := audit.UsesAt(audit.VersionUses(all), at.UnixMicro())
 	c.uses(uses, sure)
 	if len(uses) == 0 {
 		fmt.Fprintln(os.Stderr, "dapplerouter: no log tells of that moment")
@@ -138,8 +138,8 @@
 	if code != done {
 		return code
 	}
-	var its []audit.Use
-	for _, u := range audit.Uses(all) {
+	var its []audit.VersionUse
+	for _, u := range audit.VersionUses(all) {
 		if u.Front == c.Name {
 			its = append(its, u)
 		}
@@ -163,11 +163,11 @@
 	if !c.JSON {
 		fmt.Fprintln(t, "VERSION\tMEANING\tFIRST\tLAST\tFRONTS\tTXNS\tCOMMITTED\tDECLINED\tOTHER")
 	}
-	for _, v := range audit.Versions(all, audit.Uses(all)) {
+	for _, v := range audit.SummarizeVersions(all, audit.VersionUses(all)) {
 		if c.JSON {
 			json.NewEncoder(os.Stdout).Encode(v)
 		} else {
-			fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%d\t%s\n", v.Version, v.Meaning, moment(v.First), moment(v.Last), v.Fronts, served(v.Ended))
+			fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%d\t%s\n", v.Version, v.RulesHash, moment(v.First), moment(v.Last), v.Fronts, served(v.Outcomes))
 		}
 	}
 	t.Flush()
@@ -212,10 +212,10 @@
 		}
 		for _, text := range strings.Split(string(b), "\n") {
 			var x audit.Line
-			if json.Unmarshal([]byte(text), &x) != nil || x.What != audit.InSpan || x.IDs != h.IndexOffset+1 {
+			if json.Unmarshal([]byte(text), &x) != nil || x.Event != audit.EventInterval || x.IndexOffset != h.IndexOffset+1 {
 				continue
 			}
-			s := requestSeen{x.Front, x.Incarnation, x.Span, x.Version, x.From, x.Until, x.Index, x.Requests}
+			s := requestSeen{x.Front, x.Incarnation, x.Interval, x.Version, x.Start, x.End, x.Index, x.Requests}
 			if c.JSON {
 				json.NewEncoder(os.Stdout).Encode(s)
 			} else {
@@ -243,7 +243,7 @@
 		lines += len(j.Lines)
 	}
 	for _, f := range found {
-		if f.Wrong {
+		if f.Violation {
 			wrong++
 		}
 		if c.JSON {
--- a/cmd/dapplerouter/operator_file_fixture_test.go
+++ b/cmd/dapplerouter/operator_file_fixture_test.go
@@ -67,8 +67,8 @@
 		all["roll"] = map[string]any{"lease": lease.String(), "stop": r.StopWhenIsolated, "within": r.InForceWithin.String(), "dir": r.Dir, "place": r.Place.String()}
 	}
 	if a := o.audit; a != nil {
-		all["audit"] = map[string]any{"folders": []string{a.Dir, a.Export, a.Collect}, "sizes": []int64{a.Budget, a.Segment, a.Rate},
-			"clock_error": a.ClockError.String(), "place": a.Place.String()}
+		all["audit"] = map[string]any{"folders": []string{a.LogDir, a.ExportDir, a.CollectDir}, "sizes": []int64{a.MaxTotalBytes, a.SegmentBytes, a.CollectBytesPerSecond},
+			"clock_error": a.MaxClockError.String(), "place": a.Place.String()}
 	}
 	if r := o.rules; r != nil {
 		all["rules"] = map[string]any{"bounds": r.MaxStaleness, "windows": r.DedupWindows, "given_up": r.RejectedGroups}
--- a/fleet/agent/agent.go
+++ b/fleet/agent/agent.go
@@ -193,12 +193,12 @@
 	if forms.Rollout == nil && forms.Audit == nil {
 		return nil
 	}
-	var sink func(audit.Span)
+	var sink func(audit.Interval)
 	if forms.Audit != nil {
 		if a.audit, err = newAuditor(a, forms.Audit); err != nil {
 			return err
 		}
-		sink = func(s audit.Span) { a.audit.enqueue(queueEntry{span: &s}) }
+		sink = func(s audit.Interval) { a.audit.enqueue(queueEntry{span: &s}) }
 	}
 	if forms.Rollout != nil {
 		if o.ConfigLease, err = forms.Rollout.ConfigLeaseFor(a.config.LeaseDuration); err != nil {
@@ -284,7 +284,7 @@
 		a.Post(front.CloseAudit{OnClosed: func() { close(closed) }})
 		select {
 		case <-closed:
-			a.writeAudit(&audit.Line{What: audit.Closed})
+			a.writeAudit(&audit.Line{Event: audit.EventProcessStopped})
 		case <-time.After(time.Second):
 		}
 	}
--- a/fleet/agent/auditor.go
+++ b/fleet/agent/auditor.go
@@ -40,7 +40,7 @@
 // queueEntry is a line, a span or a sync, one of them, on its way to the files.
 type queueEntry struct {
 	line *audit.Line
-	span *audit.Span
+	span *audit.Interval
 	date int64 // of the span, Unix microseconds
 	sync chan struct{}
 }
@@ -50,7 +50,7 @@
 func newAuditor(a *Agent, c *audit.Config) (*auditor, error) {
 	w := &auditor{agent: a, config: c, queue: make(chan queueEntry, auditQueueLength), ended: make(chan struct{}), exportedSegments: map[string]bool{}}
 	var err error
-	if w.segments, err = disk.OpenSegments(c.Dir, a.name, c.Segment, c.Budget); err != nil {
+	if w.segments, err = disk.OpenSegments(c.LogDir, a.name, c.SegmentBytes, c.MaxTotalBytes); err != nil {
 		return nil, err
 	}
 	w.segments.Stamp = w.sign
@@ -132,17 +132,17 @@
 	w.written.Add(1)
 }
 
-func (w *auditor) spanLine(s *audit.Span) (*audit.Line, []byte) {
-	l := &audit.Line{What: audit.InSpan, Span: s.Number, From: w.agent.wallMicros(s.From), Until: w.agent.wallMicros(s.Until), Version: s.Version, List: s.List[:],
+func (w *auditor) spanLine(s *audit.Interval) (*audit.Line, []byte) {
+	l := &audit.Line{Event: audit.EventInterval, Interval: s.Number, Start: w.agent.wallMicros(s.Start), End: w.agent.wallMicros(s.End), Version: s.Version, EndpointListVersions: s.EndpointListVersions[:],
 		Standby: s.Standby, Requests: len(s.IDs)}
-	if s.Right > 0 {
-		l.Right = w.agent.wallMicros(s.Right)
+	if s.ConfigLeaseExpiry > 0 {
+		l.ConfigLeaseExpiry = w.agent.wallMicros(s.ConfigLeaseExpiry)
 	}
-	for _, ty := range s.Ended {
-		l.Ended = append(l.Ended, ty[:])
+	for _, ty := range s.Outcomes {
+		l.Outcomes = append(l.Outcomes, ty[:])
 	}
 	var ids []byte
-	ids, l.IDsHash = audit.Index(s)
+	ids, l.IndexHash = audit.EncodeIndex(s)
 	return l, ids
 }
 
@@ -161,7 +161,7 @@
 // exportAll copies closed segments that were not copied yet. After a crash a segment may be tried again: a copy that is there
 // already, and is the same, counts.
 func (w *auditor) exportAll() {
-	if w.config.Export == "" {
+	if w.config.ExportDir == "" {
 		return
 	}
 	w.exporting.Lock()
@@ -170,9 +170,9 @@
 		if w.exportedSegments[name] {
 			continue
 		}
-		err := disk.ExportSegment(w.config.Dir, name, w.config.Export)
+		err := disk.ExportSegment(w.config.LogDir, name, w.config.ExportDir)
 		if errors.Is(err, os.ErrNotExist) {
-			if _, gone := os.Stat(filepath.Join(w.config.Dir, name+audit.LinesEnd)); gone != nil { // removed meanwhile, to keep the budget
+			if _, gone := os.Stat(filepath.Join(w.config.LogDir, name+audit.LogSuffix)); gone != nil { // removed meanwhile, to keep the budget
 				w.exportedSegments[name] = true
 				continue
 			}
@@ -256,14 +256,14 @@
 	}
 	if a.audit != nil {
 		go a.audit.run()
-		a.writeAudit(&audit.Line{What: audit.Opened, Program: a.program, Kinds: a.site.TypeNames, Clock: a.audit.config.ClockError.Microseconds(), Version: a.initial.Version, Meaning: a.initial.Rules.Digest()})
+		a.writeAudit(&audit.Line{Event: audit.EventProcessStarted, Program: a.program, RequestTypes: a.site.TypeNames, MaxClockError: a.audit.config.MaxClockError.Microseconds(), Version: a.initial.Version, RulesHash: a.initial.Rules.Digest()})
 		go a.audit.export()
 		a.goroutines.Go(a.audit.collector.serve)
 		if a.audit.collector.gatherer != nil {
 			a.goroutines.Go(a.audit.collector.run)
 		}
 		a.goroutines.Go(func() {
-			t := time.NewTicker(audit.Longest / 6)
+			t := time.NewTicker(audit.MaxIntervalDuration / 6)
 			defer t.Stop()
 			for {
 				select {
@@ -295,8 +295,8 @@
 	}
 	switch e := e.(type) {
 	case fleet.LeaseAcquired:
-		a.writeAudit(&audit.Line{What: audit.Held, Lease: e.Lease, Term: e.Term})
+		a.writeAudit(&audit.Line{Event: audit.EventLeaseAcquired, Lease: e.Lease, Term: e.Term})
 	case fleet.LeaseEnded:
-		a.writeAudit(&audit.Line{What: audit.Let, Lease: e.Lease, Term: e.Term, Acts: e.Broadcasts, Why: e.Reason})
+		a.writeAudit(&audit.Line{Event: audit.EventLeaseEnded, Lease: e.Lease, Term: e.Term, LeaseActions: e.Broadcasts, Reason: e.Reason})
 	}
 }
--- a/fleet/agent/auditor_test.go
+++ b/fleet/agent/auditor_test.go
@@ -22,7 +22,7 @@
 func TestAuditLinesAreDatedInTheOrderInWhichTheyAreWritten(t *testing.T) {
 	dir, began := t.TempDir(), time.Now()
 	a := &Agent{name: "n1", StartedAt: began, Clock: func() time.Duration { return time.Since(began) }}
-	w, err := newAuditor(a, &audit.Config{Dir: dir, Segment: disk.DefaultSegmentBytes, Budget: 1 << 24})
+	w, err := newAuditor(a, &audit.Config{LogDir: dir, SegmentBytes: disk.DefaultSegmentBytes, MaxTotalBytes: 1 << 24})
 	require.NoError(t, err)
 	a.audit = w
 	var writers sync.WaitGroup
@@ -30,9 +30,9 @@
 		writers.Go(func() {
 			for n := range 100 {
 				if n%10 == 0 {
-					w.enqueue(queueEntry{span: &audit.Span{Number: 1, Ended: make([][front.StatusCount]uint32, 1)}})
+					w.enqueue(queueEntry{span: &audit.Interval{Number: 1, Outcomes: make([][front.StatusCount]uint32, 1)}})
 				}
-				a.writeAudit(&audit.Line{What: audit.Held, Lease: "list"})
+				a.writeAudit(&audit.Line{Event: audit.EventLeaseAcquired, Lease: "list"})
 			}
 		})
 	}
@@ -44,7 +44,7 @@
 	require.NoError(t, err)
 	lines, last := 0, int64(0)
 	for _, name := range names {
-		text, err := os.ReadFile(filepath.Join(dir, name+audit.LinesEnd))
+		text, err := os.ReadFile(filepath.Join(dir, name+audit.LogSuffix))
 		require.NoError(t, err)
 		for _, b := range bytes.Split(bytes.TrimSpace(text), []byte("\n")) {
 			var l audit.Line
--- a/fleet/agent/collector.go
+++ b/fleet/agent/collector.go
@@ -17,7 +17,7 @@
 // collector fetches other fronts' audits into this one's folder, and serves its own audit to those that ask.
 type collector struct {
 	auditor   *auditor
-	gatherer  *audit.Gatherer // nil where nothing is collected here
+	gatherer  *audit.Collector // nil where nothing is collected here
 	questions chan collectorMessage
 	replies   chan collectorMessage
 }
@@ -25,31 +25,31 @@
 // collectorMessage is a question or a reply of another front.
 type collectorMessage struct {
 	from     string
-	question *audit.Question
-	reply    *audit.Reply
+	question *audit.FetchRequest
+	reply    *audit.FetchResponse
 }
 
 const collectorQueueLength = 64
 
 func newCollector(w *auditor) (*collector, error) {
 	g := &collector{auditor: w, questions: make(chan collectorMessage, collectorQueueLength), replies: make(chan collectorMessage, collectorQueueLength)}
-	if w.config.Collect == "" {
+	if w.config.CollectDir == "" {
 		return g, nil
 	}
-	if err := os.MkdirAll(w.config.Collect, 0o700); err != nil {
+	if err := os.MkdirAll(w.config.CollectDir, 0o700); err != nil {
 		return nil, err
 	}
-	have, err := disk.ListSegments(w.config.Collect, "")
+	have, err := disk.ListSegments(w.config.CollectDir, "")
 	if err != nil {
 		return nil, err
 	}
-	g.gatherer = audit.NewGatherer(w.config.Rate, w.agent.config.LeaseDuration, have)
+	g.gatherer = audit.NewCollector(w.config.CollectBytesPerSecond, w.agent.config.LeaseDuration, have)
 	return g, nil
 }
 
 // onDatagram queues another front's message; one too many is dropped, and asked for again.
 func (g *collector) onDatagram(e fleet.DatagramReceived) {
-	q, r := audit.ReadPost(e.Data)
+	q, r := audit.DecodeDatagram(e.Data)
 	to := g.questions
 	if r != nil {
 		to = g.replies
@@ -76,34 +76,34 @@
 	}
 }
 
-func (g *collector) reply(q audit.Question) audit.Reply {
-	r := audit.Reply{Asked: q}
+func (g *collector) reply(q audit.FetchRequest) audit.FetchResponse {
+	r := audit.FetchResponse{Request: q}
 	sealed := g.auditor.segments.Sealed()
 	if q.Name == "" {
-		r.Names = audit.Listed(sealed, q.Behind)
+		r.Names = audit.SegmentsAfter(sealed, q.After)
 		return r
 	}
 	if !slices.Contains(sealed, q.Name) {
-		r.Gone = true
+		r.Removed = true
 		return r
 	}
-	end := audit.LinesEnd
-	if q.IDs {
-		end = audit.IDsEnd
+	end := audit.LogSuffix
+	if q.Index {
+		end = audit.IndexSuffix
 	}
-	f, err := os.Open(filepath.Join(g.auditor.config.Dir, q.Name+end))
+	f, err := os.Open(filepath.Join(g.auditor.config.LogDir, q.Name+end))
 	if err != nil {
-		r.Gone = true
+		r.Removed = true
 		return r
 	}
 	defer f.Close()
 	if at, err := f.Stat(); err == nil {
 		r.Total = at.Size()
 	}
-	b := make([]byte, audit.PieceSize)
-	n, err := f.ReadAt(b, q.At)
+	b := make([]byte, audit.ChunkBytes)
+	n, err := f.ReadAt(b, q.Offset)
 	if err != nil && !errors.Is(err, io.EOF) {
-		r.Gone = true
+		r.Removed = true
 	}
 	r.Data = b[:n]
 	return r
@@ -115,14 +115,14 @@
 	defer t.Stop()
 	failing := false
 	for {
-		var asks []audit.Ask
+		var asks []audit.PendingFetch
 		select {
 		case <-g.auditor.agent.ctx.Done():
 			return
 		case <-t.C:
 		case p := <-g.replies:
-			for _, f := range g.gatherer.Took(g.auditor.agent.mesh.Now(), p.from, p.reply) {
-				err := disk.WriteOnce(g.auditor.config.Collect, f.Name, f.Data)
+			for _, f := range g.gatherer.OnResponse(g.auditor.agent.mesh.Now(), p.from, p.reply) {
+				err := disk.WriteOnce(g.auditor.config.CollectDir, f.Name, f.Data)
 				if err != nil && !failing {
 					slog.Error("audit: what was collected can't be kept", "file", f.Name, "why", err)
 				}
@@ -136,7 +136,7 @@
 			}
 			asks = g.gatherer.Step(now, fronts)
 			for _, a := range asks {
-				n.SendDatagram(now, a.Front, audit.Part, a.Q.Encode())
+				n.SendDatagram(now, a.Front, audit.Part, a.Request.Encode())
 			}
 		})
 	}
--- a/fleet/agent/format_test.go
+++ b/fleet/agent/format_test.go
@@ -91,7 +91,7 @@
 		h.note(m, at, e.Fields())
 	}
 	h.noteVersion(m, "adopted", 5)
-	h.noteTurn(m, rollout.State{Base: 4, Next: 5, Phase: rollout.PhaseRolling, Why: "w"}, 44)
+	h.noteTurn(m, rollout.State{Base: 4, Next: 5, Phase: rollout.PhaseRolling, Reason: "w"}, 44)
 	h.close()
 	got, err := os.ReadFile(path)
 	require.NoError(t, err)
--- a/fleet/agent/history.go
+++ b/fleet/agent/history.go
@@ -38,7 +38,7 @@
 }
 
 func (h *history) noteTurn(m *mesh.Mesh, s rollout.State, index uint64) {
-	h.note(m, m.Now(), fleet.EventFields{Kind: "turned", Number: s.Base, Term: s.Next, Name: s.Phase.String(), Index: index, Reason: s.Why})
+	h.note(m, m.Now(), fleet.EventFields{Kind: "turned", Number: s.Base, Term: s.Next, Name: s.Phase.String(), Index: index, Reason: s.Reason})
 }
 
 func (h *history) note(m *mesh.Mesh, at time.Duration, e fleet.EventFields) {
--- a/fleet/agent/rollout.go
+++ b/fleet/agent/rollout.go
@@ -103,28 +103,28 @@
 		}
 	}
 	options := rollout.Options{
-		Name:             a.name,
-		Timing:           a.timing(),
-		ConfigLease:      configLease,
-		StopWhenIsolated: c.StopWhenIsolated,
-		InForceWithin:    c.InForceWithin,
-		Rules:            site.RulesText{},
-		Active:           k.Version,
-		Tried:            k.Tried,
+		Name:               a.name,
+		Timing:             a.timing(),
+		ConfigLease:        configLease,
+		StopWhenIsolated:   c.StopWhenIsolated,
+		InForceWithin:      c.InForceWithin,
+		Rules:              site.RulesText{},
+		InitialVersion:     k.Version,
+		UnconfirmedVersion: k.Tried,
 	}
 	h.participant = rollout.NewParticipant(options, rollout.Hooks{
-		Adopt:  func(adoption rollout.Adoption) { go h.adopt(adoption) },
-		Renew:  h.onRenewal,
-		Counts: h.counts,
-		Wall:   a.wallNow,
+		Adopt:     func(adoption rollout.Adoption) { go h.adopt(adoption) },
+		Renew:     h.onRenewal,
+		Counts:    h.counts,
+		WallClock: a.wallNow,
 	})
 	return h, begins, nil
 }
 
 // counts returns the front's counts on its version, and a checksum of its request types.
 func (h *rolloutHost) counts() (kinds uint32, counts []rollout.Counts) {
-	h.agent.auditLog.Sums(func(_ int, ended, served uint64) {
-		counts = append(counts, rollout.Counts{Ended: ended, Served: served})
+	h.agent.auditLog.Totals(func(_ int, ended, served uint64) {
+		counts = append(counts, rollout.Counts{Finished: ended, Succeeded: served})
 	})
 	return h.kinds, counts
 }
@@ -183,8 +183,8 @@
 	}
 	h.lastTurn = e.Index
 	if s, ok := rollout.ReadState(n.State()); ok {
-		slog.Info("fleet: rolls", "phase", s.Phase, "base", s.Base, "next", s.Next, "wave", s.Stage+1, "of", len(s.Stages), "held", s.Paused, "why", s.Why)
-		h.agent.writeAudit(&audit.Line{What: audit.Turned, Version: s.Next, Why: fmt.Sprintf("%v of %d to %d: %s", s.Phase, s.Base, s.Next, s.Why)})
+		slog.Info("fleet: rolls", "phase", s.Phase, "base", s.Base, "next", s.Next, "wave", s.Stage+1, "of", len(s.Stages), "held", s.Paused, "why", s.Reason)
+		h.agent.writeAudit(&audit.Line{Event: audit.EventRolloutChanged, Version: s.Next, Reason: fmt.Sprintf("%v of %d to %d: %s", s.Phase, s.Base, s.Next, s.Reason)})
 		h.agent.history.noteTurn(h.agent.mesh, s, e.Index)
 	}
 }
@@ -201,8 +201,8 @@
 		}
 		if err != nil {
 			slog.Error("fleet: a published version can't be used here", "version", adoption.Version, "why", err)
-			a.writeAudit(&audit.Line{What: audit.Refused, Version: adoption.Version, Why: err.Error()})
-			a.mesh.Do(func(n *fleet.Node, now time.Duration) { h.participant.Refused(now, n, adoption.Version, err.Error()) })
+			a.writeAudit(&audit.Line{Event: audit.EventVersionRejected, Version: adoption.Version, Reason: err.Error()})
+			a.mesh.Do(func(n *fleet.Node, now time.Duration) { h.participant.Rejected(now, n, adoption.Version, err.Error()) })
 			return
 		}
 	}
@@ -213,7 +213,7 @@
 	until, _ := h.coreTime(adoption.Until)
 	adopted := make(chan struct{})
 	a.Post(front.AdoptConfig{Version: adoption.Version, Rules: rules, LeaseExpiry: until, OnAdopted: func(at time.Duration) {
-		a.writeAudit(&audit.Line{What: audit.Adopted, At: a.wallMicros(at), Version: adoption.Version, Meaning: rules.Digest()})
+		a.writeAudit(&audit.Line{Event: audit.EventVersionAdopted, At: a.wallMicros(at), Version: adoption.Version, RulesHash: rules.Digest()})
 		go func() { // the core must not wait; the audit line comes before any span of the version
 			a.syncAudit()
 			h.mu.Lock()
@@ -232,7 +232,7 @@
 		go func() {
 			<-adopted
 			a.mesh.Do(func(n *fleet.Node, now time.Duration) {
-				h.participant.Settled(now, n, adoption.Version)
+				h.participant.Acknowledge(now, n, adoption.Version)
 				a.history.noteVersion(a.mesh, "acts", adoption.Version)
 			})
 		}()
@@ -258,12 +258,12 @@
 	if a.OnStandby != nil {
 		a.OnStandby(on)
 	}
-	what, historyName := audit.Right, "acts again"
+	what, historyName := audit.EventConfigLeaseAcquired, "acts again"
 	if on {
-		what, historyName = audit.Lapsed, "stands by"
+		what, historyName = audit.EventConfigLeaseExpired, "stands by"
 	}
 	go func() { // the core must not wait
-		a.writeAudit(&audit.Line{What: what})
+		a.writeAudit(&audit.Line{Event: what})
 		a.history.noteVersion(a.mesh, historyName, 0)
 	}()
 }
--- a/fleet/agent/rollout_control.go
+++ b/fleet/agent/rollout_control.go
@@ -65,21 +65,21 @@
 	reports := a.collectDigests(rollout.Part)
 	a.mesh.Do(func(n *fleet.Node, now time.Duration) {
 		st, _ := rollout.ReadState(n.State())
-		s = RolloutStatus{Phase: st.Phase.String(), Base: st.Base, Next: st.Next, Must: st.Must, Paused: st.Paused, Stage: st.Stage + 1, Stages: st.Stages,
-			Reason: st.Why, Meaning: st.Meaning, Unproven: st.Unproven, ActiveVersion: a.rollout.participant.Adopter.Active(), ConfigLeaseSeconds: max(0, (n.ConfigLeaseExpiry(a.rollout.participant.Adopter.Active()) - now).Seconds())}
-		if within := rollout.Within(n.State()); within > 0 {
+		s = RolloutStatus{Phase: st.Phase.String(), Base: st.Base, Next: st.Next, Must: st.Mandatory, Paused: st.Paused, Stage: st.Stage + 1, Stages: st.Stages,
+			Reason: st.Reason, Meaning: st.RulesHashes, Unproven: st.UnconfirmedFronts, ActiveVersion: a.rollout.participant.Adopter.Active(), ConfigLeaseSeconds: max(0, (n.ConfigLeaseExpiry(a.rollout.participant.Adopter.Active()) - now).Seconds())}
+		if within := rollout.InForceWithin(n.State()); within > 0 {
 			s.Within = within.String()
 		}
-		for _, w := range rollout.Queue(n.State()) {
+		for _, w := range rollout.QueuedPublications(n.State()) {
 			s.Waiting = append(s.Waiting, WaitingStatus{Front: w.Front, Base: w.Base, Changes: w.Changes})
 		}
-		if st.Watch > 0 {
-			s.Watch = st.Watch.String()
+		if st.ObservationTime > 0 {
+			s.Watch = st.ObservationTime.String()
 		}
 	})
 	for _, t := range reports {
 		w, _ := rollout.DecodeReport(t.Data)
-		x := ParticipantStatus{Front: t.Front, Zone: t.Zone, ActiveVersion: t.ActiveVersion, AgeSeconds: t.Age.Seconds(), RejectedVersion: w.Refused, Reason: w.Why, Participates: t.WantsConfigLease}
+		x := ParticipantStatus{Front: t.Front, Zone: t.Zone, ActiveVersion: t.ActiveVersion, AgeSeconds: t.Age.Seconds(), RejectedVersion: w.RejectedVersion, Reason: w.RejectedReason, Participates: t.WantsConfigLease}
 		if w.AdoptedAt > 0 {
 			x.Adopted = time.UnixMicro(w.AdoptedAt).UTC().Format("2006-01-02T15:04:05.000Z")
 		}
@@ -95,7 +95,7 @@
 		return nil, err
 	}
 	outcome := make(chan string, 1)
-	patience := max(8*a.config.LeaseDuration, max(action.Within, a.rollout.config.InForceWithin)+2*a.config.LeaseDuration)
+	patience := max(8*a.config.LeaseDuration, max(action.InForceWithin, a.rollout.config.InForceWithin)+2*a.config.LeaseDuration)
 	a.mesh.Do(func(n *fleet.Node, now time.Duration) {
 		a.rollout.participant.Submit(now, action, patience, func(fault string) { outcome <- fault })
 	})
@@ -120,7 +120,7 @@
 func (a *Agent) parseAction(q url.Values) (action rollout.Action, err error) {
 	var id [8]byte
 	rand.Read(id[:])
-	action = rollout.Action{ID: binary.LittleEndian.Uint64(id[:]) | 1, Why: q.Get("why"), Must: q.Get("must") == "true"}
+	action = rollout.Action{ID: binary.LittleEndian.Uint64(id[:]) | 1, Reason: q.Get("why"), Mandatory: q.Get("must") == "true"}
 	switch q.Get("do") {
 	case "publish":
 		action.Type = rollout.ActionPublish
@@ -150,7 +150,7 @@
 	if len(action.Text) > rollout.MaxTextBytes {
 		return control.RejectedError(fmt.Sprintf("the file has %d bytes, and %d are the most", len(action.Text), rollout.MaxTextBytes))
 	}
-	action.Meaning = rules.Digest()
+	action.RulesHash = rules.Digest()
 	for _, p := range strings.Split(q.Get("waves"), ",") {
 		permille, err := strconv.ParseUint(p, 10, 16)
 		if err != nil {
@@ -158,21 +158,21 @@
 		}
 		action.Stages = append(action.Stages, uint16(permille))
 	}
-	action.Watch, err = time.ParseDuration(q.Get("watch"))
-	if err != nil || action.Watch < 0 {
+	action.ObservationTime, err = time.ParseDuration(q.Get("watch"))
+	if err != nil || action.ObservationTime < 0 {
 		return control.RejectedError("watch is no time: " + q.Get("watch"))
 	}
 	if within := q.Get("within"); within != "" {
-		if action.Within, err = time.ParseDuration(within); err != nil || action.Within < 0 {
+		if action.InForceWithin, err = time.ParseDuration(within); err != nil || action.InForceWithin < 0 {
 			return control.RejectedError("within is no time: " + within)
 		}
 	}
 	switch q.Get("no_evidence") {
 	case "", "go":
 	case "hold":
-		action.NoEvidence = rollout.NoEvidencePause
+		action.OnUndecided = rollout.UndecidedPause
 	case "back":
-		action.NoEvidence = rollout.NoEvidenceRollBack
+		action.OnUndecided = rollout.UndecidedRollBack
 	default:
 		return control.RejectedError("no_evidence is go, hold or back, not " + q.Get("no_evidence"))
 	}
--- a/fleet/audit/ask.go
+++ b/fleet/audit/ask.go
@@ -7,70 +7,70 @@
 	"dapplerouter/front"
 )
 
-// Use is a time in which a front acted on a version, put together of its spans.
-type Use struct {
-	Front       string                    `json:"front"`
-	Incarnation uint64                    `json:"incarnation"`
-	Version     uint64                    `json:"version"`
-	From        int64                     `json:"from"` // Unix microseconds of the front's clock
-	Until       int64                     `json:"until"`
-	Clock       int64                     `json:"clock"` // by how much it may be wrong
-	Ended       [front.StatusCount]uint32 `json:"ended"`
-	List        [2]int64                  `json:"list"`
-	Lapses      int                       `json:"lapses,omitempty"`
-	Open        bool                      `json:"open,omitempty"` // nothing says that it ended: the front runs, or died
+// VersionUse is a time in which a front acted on a version, put together of its spans.
+type VersionUse struct {
+	Front                string                    `json:"front"`
+	Incarnation          uint64                    `json:"incarnation"`
+	Version              uint64                    `json:"version"`
+	Start                int64                     `json:"from"` // Unix microseconds of the front's clock
+	End                  int64                     `json:"until"`
+	MaxClockError        int64                     `json:"clock"` // by how much it may be wrong
+	Outcomes             [front.StatusCount]uint32 `json:"ended"`
+	EndpointListVersions [2]int64                  `json:"list"`
+	LeaseExpirations     int                       `json:"lapses,omitempty"`
+	Open                 bool                      `json:"open,omitempty"` // nothing says that it ended: the front runs, or died
 }
 
-// Uses are the times of all fronts, by front and time.
-func Uses(all []*Journal) (out []Use) {
+// VersionUses are the times of all fronts, by front and time.
+func VersionUses(all []*FrontLog) (out []VersionUse) {
 	for _, j := range all {
-		var in *Use
+		var in *VersionUse
 		clock := int64(0)
 		for _, p := range j.Lines {
-			switch p.What {
-			case Opened:
-				clock = p.Clock
+			switch p.Event {
+			case EventProcessStarted:
+				clock = p.MaxClockError
 				if in != nil {
 					in.Open = true
 				}
 				in = nil
-				out = append(out, Use{Front: j.Front, Incarnation: p.Incarnation, Version: p.Version, From: p.At, Until: p.At, Clock: clock, Open: true})
+				out = append(out, VersionUse{Front: j.Front, Incarnation: p.Incarnation, Version: p.Version, Start: p.At, End: p.At, MaxClockError: clock, Open: true})
 				in = &out[len(out)-1]
-			case Adopted:
+			case EventVersionAdopted:
 				if in != nil && in.Version != p.Version {
-					in.Until, in.Open = p.At, false
-					out = append(out, Use{Front: j.Front, Incarnation: p.Incarnation, Version: p.Version, From: p.At, Until: p.At, Clock: clock, Open: true})
+					in.End, in.Open = p.At, false
+					out = append(out, VersionUse{Front: j.Front, Incarnation: p.Incarnation, Version: p.Version, Start: p.At, End: p.At, MaxClockError: clock, Open: true})
 					in = &out[len(out)-1]
 				}
-			case Lapsed:
+			case EventConfigLeaseExpired:
 				if in != nil {
-					in.Lapses++
+					in.LeaseExpirations++
 				}
-			case Closed:
+			case EventProcessStopped:
 				if in != nil {
-					in.Until, in.Open = p.At, false
+					in.End, in.Open = p.At, false
 				}
 				in = nil
-			case InSpan: // it may come behind the adoption that ended it: its requests were in hand still
+			case EventInterval: // it may come behind the adoption that ended it: its requests were in hand still
 				for i := len(out) - 1; i >= 0 && out[i].Front == j.Front; i-- {
 					if u := &out[i]; u.Incarnation == p.Incarnation && u.Version == p.Version {
-						for _, ty := range p.Ended {
+						for _, ty := range p.Outcomes {
 							for w, n := range ty {
-								if w < len(u.Ended) {
-									u.Ended[w] += n
+								if w < len(u.Outcomes) {
+									u.Outcomes[w] += n
 								}
 							}
 						}
-						u.Until = max(u.Until, p.Until)
-						if len(p.List) == 2 {
-							u.List = [2]int64{p.List[0], p.List[1]}
+						u.End = max(u.End, p.End)
+						if len(p.EndpointListVersions) == 2 {
+							u.EndpointListVersions = [2]int64{p.EndpointListVersions[0], p.EndpointListVersions[1]}
 						}
 						break
 					}
 				}
 			default:
 				if in != nil {
-					in.Until = max(in.Until, p.At)
+					in.End = max(in.End, p.At)
 				}
 			}
 		}
@@ -78,56 +78,56 @@
 	return out
 }
 
-// At are the uses in force at a moment, Unix microseconds; sure tells whether the front's clock can't be so wrong that another
+// UsesAt are the uses in force at a moment, Unix microseconds; sure tells whether the front's clock can't be so wrong that another
 // was.
-func At(uses []Use, at int64) (out []Use, sure []bool) {
+func UsesAt(uses []VersionUse, at int64) (out []VersionUse, sure []bool) {
 	for _, u := range uses {
-		if u.From-u.Clock <= at && at <= u.Until+u.Clock {
+		if u.Start-u.MaxClockError <= at && at <= u.End+u.MaxClockError {
 			out = append(out, u)
-			sure = append(sure, u.From+u.Clock <= at && at <= u.Until-u.Clock)
+			sure = append(sure, u.Start+u.MaxClockError <= at && at <= u.End-u.MaxClockError)
 		}
 	}
 	return out, sure
 }
 
-// Sum is what was done on a version by all fronts.
-type Sum struct {
-	Version uint64                    `json:"version"`
-	Meaning string                    `json:"meaning"`
-	First   int64                     `json:"first"` // its first adoption, and the end of its last use
-	Last    int64                     `json:"last"`
-	Fronts  int                       `json:"fronts"`
-	Ended   [front.StatusCount]uint32 `json:"ended"`
+// VersionSummary is what was done on a version by all fronts.
+type VersionSummary struct {
+	Version   uint64                    `json:"version"`
+	RulesHash string                    `json:"meaning"`
+	First     int64                     `json:"first"` // its first adoption, and the end of its last use
+	Last      int64                     `json:"last"`
+	Fronts    int                       `json:"fronts"`
+	Outcomes  [front.StatusCount]uint32 `json:"ended"`
 }
 
-// Versions sums uses up by version.
-func Versions(all []*Journal, uses []Use) (out []Sum) {
+// SummarizeVersions sums uses up by version.
+func SummarizeVersions(all []*FrontLog, uses []VersionUse) (out []VersionSummary) {
 	meanings := map[uint64]string{}
 	for _, j := range all {
 		for _, p := range j.Lines {
-			if (p.What == Adopted || p.What == Opened) && p.Meaning != "" {
-				meanings[p.Version] = p.Meaning
+			if (p.Event == EventVersionAdopted || p.Event == EventProcessStarted) && p.RulesHash != "" {
+				meanings[p.Version] = p.RulesHash
 			}
 		}
 	}
-	by := map[uint64]*Sum{}
+	by := map[uint64]*VersionSummary{}
 	fronts := map[uint64]map[string]bool{}
 	for _, u := range uses {
 		s := by[u.Version]
 		if s == nil {
-			s = &Sum{Version: u.Version, Meaning: meanings[u.Version], First: u.From}
+			s = &VersionSummary{Version: u.Version, RulesHash: meanings[u.Version], First: u.Start}
 			by[u.Version], fronts[u.Version] = s, map[string]bool{}
 		}
 		fronts[u.Version][u.Front] = true
-		s.First, s.Last = min(s.First, u.From), max(s.Last, u.Until)
-		for i, n := range u.Ended {
-			s.Ended[i] += n
+		s.First, s.Last = min(s.First, u.Start), max(s.Last, u.End)
+		for i, n := range u.Outcomes {
+			s.Outcomes[i] += n
 		}
 	}
 	for v, s := range by {
 		s.Fronts = len(fronts[v])
 		out = append(out, *s)
 	}
-	slices.SortFunc(out, func(a, b Sum) int { return cmp.Compare(a.Version, b.Version) })
+	slices.SortFunc(out, func(a, b VersionSummary) int { return cmp.Compare(a.Version, b.Version) })
 	return out
 }
--- a/fleet/audit/audit_test.go
+++ b/fleet/audit/audit_test.go
@@ -38,12 +38,12 @@
 }
 
 // log writes a front's log of some spans, in segments of a few lines.
-func log(m memory, name string, incarnation uint64, chain *Chain, from uint64, spans int) (segments uint64) {
+func log(m memory, name string, incarnation uint64, chain *HashChain, from uint64, spans int) (segments uint64) {
 	at, ids, seg := int64(1_000_000), []byte{}, from
 	put := func(l *Line, idx []byte) {
 		n := SegmentName(name, seg)
 		if len(idx) > 0 {
-			l.IDs = int64(len(ids)) + 1
+			l.IndexOffset = int64(len(ids)) + 1
 			ids = append(ids, idx...)
 		}
 		l.Front, l.Incarnation, l.At, l.Index = name, incarnation, at, 10
@@ -51,46 +51,46 @@
 		m.ids[n] = ids
 		at += 1000
 	}
-	chain.Segment()
-	put(&Line{What: Opened, Kinds: []string{"browse"}, Clock: 50_000}, nil)
+	chain.StartSegment()
+	put(&Line{Event: EventProcessStarted, RequestTypes: []string{"browse"}, MaxClockError: 50_000}, nil)
 	for i := range spans {
-		s := Span{Number: uint32(i + 1), Ended: make([][front.StatusCount]uint32, 1)}
+		s := Interval{Number: uint32(i + 1), Outcomes: make([][front.StatusCount]uint32, 1)}
 		for k := range 4 {
-			s.IDs = append(s.IDs, Hash(fmt.Appendf(nil, "%s-%d-%d", name, i, k)))
+			s.IDs = append(s.IDs, HashID(fmt.Appendf(nil, "%s-%d-%d", name, i, k)))
 		}
-		idx, hash := Index(&s)
+		idx, hash := EncodeIndex(&s)
 		if i == 3 {
-			put(&Line{What: Adopted, Version: 1, Meaning: "m1"}, nil)
+			put(&Line{Event: EventVersionAdopted, Version: 1, RulesHash: "m1"}, nil)
 		}
-		put(&Line{What: InSpan, Span: s.Number, From: int64(i) * 10_000, Until: int64(i+1) * 10_000, Version: uint64(min(i/3, 1)), Requests: 4, IDsHash: hash,
-			Right: int64(i+1)*10_000 + 500, List: []int64{3, 3}, Ended: [][]uint32{{3, 1, 0, 0, 0}}}, idx)
+		put(&Line{Event: EventInterval, Interval: s.Number, Start: int64(i) * 10_000, End: int64(i+1) * 10_000, Version: uint64(min(i/3, 1)), Requests: 4, IndexHash: hash,
+			ConfigLeaseExpiry: int64(i+1)*10_000 + 500, EndpointListVersions: []int64{3, 3}, Outcomes: [][]uint32{{3, 1, 0, 0, 0}}}, idx)
 		if i%3 == 2 {
 			seg++
 			ids = nil
-			chain.Segment()
+			chain.StartSegment()
 		}
 	}
-	put(&Line{What: Closed}, nil)
+	put(&Line{Event: EventProcessStopped}, nil)
 	return seg
 }
 
 func logs() memory {
 	m := memory{map[string][]byte{}, map[string][]byte{}}
 	for _, n := range []string{"n1", "n2"} {
-		log(m, n, 7, &Chain{}, 1, 9)
+		log(m, n, 7, &HashChain{}, 1, 9)
 	}
 	return m
 }
 
 func TestAWholeLogHoldsAndAnswers(t *testing.T) {
-	all, found := Read(logs())
+	all, found := ReadLogs(logs())
 	assert.Empty(t, found)
 	require.Len(t, all, 2)
-	vs := Versions(all, Uses(all))
+	vs := SummarizeVersions(all, VersionUses(all))
 	require.Len(t, vs, 2)
 	assert.Equal(t, 2, vs[1].Fronts)
-	assert.Equal(t, "m1", vs[1].Meaning)
-	assert.EqualValues(t, 2*4*3, vs[0].Ended[front.StatusSucceeded]+vs[0].Ended[front.StatusRejected])
+	assert.Equal(t, "m1", vs[1].RulesHash)
+	assert.EqualValues(t, 2*4*3, vs[0].Outcomes[front.StatusSucceeded]+vs[0].Outcomes[front.StatusRejected])
 }
 
 // Wrongs of twelve kinds and more, planted one at a time: each is named at its place.
@@ -100,13 +100,13 @@
 		m.lines[name] = []byte(strings.Join(call(lines[:len(lines)-1]), ""))
 	}
 	relink := func(m memory, front string, change func(l *Line)) { // whoever can write the log can make the chain hold: what it says still has to fit
-		c := Chain{}
+		c := HashChain{}
 		for _, name := range m.Names() {
 			if !strings.HasPrefix(name, front+".") {
 				continue
 			}
 			out := []byte{}
-			c.Segment()
+			c.StartSegment()
 			for _, text := range strings.Split(strings.TrimSpace(string(m.lines[name])), "\n") {
 				var l Line
 				if json.Unmarshal([]byte(text), &l) == nil {
@@ -157,73 +157,73 @@
 		}, "n1.00000001:2: wrong: the index of span 1 is not what was written"},
 		"an index taken away": {func(m memory) { delete(m.ids, "n2.00000001") }, "n2.00000001:2: wrong: the index of its requests is missing"},
 		"an index cut short":  {func(m memory) { m.ids["n1.00000001"] = m.ids["n1.00000001"][:60] }, "the index has not the requests of span 2"},
-		"spans that overlap":  {func(m memory) { relink(m, "n1", func(l *Line) { l.From -= 300 * int64(l.Span/5) }) }, "span 5 begins 300 µs before the end of the one before it"},
+		"spans that overlap":  {func(m memory) { relink(m, "n1", func(l *Line) { l.Start -= 300 * int64(l.Interval/5) }) }, "span 5 begins 300 µs before the end of the one before it"},
 		"a time left out": {func(m memory) {
 			relink(m, "n1", func(l *Line) {
-				if l.Span == 5 {
-					l.From += 900
+				if l.Interval == 5 {
+					l.Start += 900
 				}
 			})
 		}, "between spans 4 and 5 900 µs are not told"},
 		"a span beyond a right": {func(m memory) {
 			relink(m, "n1", func(l *Line) {
-				if l.Span == 4 {
-					l.Right -= 9000
+				if l.Interval == 4 {
+					l.ConfigLeaseExpiry -= 9000
 				}
 			})
 		}, "span 4 acts on version 1 until 40000, and its right ended at 31500"},
 		"a version never taken up": {func(m memory) {
 			relink(m, "n1", func(l *Line) {
-				if l.Span == 2 {
+				if l.Interval == 2 {
 					l.Version = 4
 				}
 			})
 		}, "span 2 acts on version 4, and the front tells of no adoption of it"},
 		"requests that never ended": {func(m memory) {
 			relink(m, "n1", func(l *Line) {
-				if l.Span == 2 {
-					l.Ended[0][0]--
+				if l.Interval == 2 {
+					l.Outcomes[0][0]--
 				}
 			})
 		}, "span 2 took 4 requests, and 3 ended"},
 		"a clock set back": {func(m memory) {
 			relink(m, "n1", func(l *Line) {
-				if l.Span > 4 {
+				if l.Interval > 4 {
 					l.At -= 3_600_000_000
 				}
 			})
 		}, "its clock stands"},
 		"a record gone back": {func(m memory) {
 			relink(m, "n1", func(l *Line) {
-				if l.What == Adopted {
+				if l.Event == EventVersionAdopted {
 					l.Index = 4
 				}
 			})
 		}, "its record stands at 4, and stood at 10 before"},
 		"two fronts of a name": {func(m memory) {
 			relink(m, "n1", func(l *Line) {
-				if l.Span == 5 {
+				if l.Interval == 5 {
 					l.Incarnation = 8
 				}
 			})
 		}, "a line of another process while this one goes on: two fronts with one name"},
 		"restored from an old copy": {func(m memory) { // it went on behind segment 1, and what it wrote since stands beside
-			c := Chain{}
+			c := HashChain{}
 			old := memory{map[string][]byte{}, map[string][]byte{}}
 			log(old, "n1", 7, &c, 1, 3)
-			c.N, c.Value = 4, lastChain(m.lines["n1.00000001"])
+			c.Sequence, c.LastHash = 4, lastChain(m.lines["n1.00000001"])
 			log(m, "n1", 8, &c, 5, 3)
 		}, "restored from an old copy, or two fronts with one name"},
 	} {
 		m := logs()
 		x.plant(m)
-		_, found := Read(m)
+		_, found := ReadLogs(m)
 		var said []string
 		for _, f := range found {
 			said = append(said, f.String())
 		}
 		assert.Contains(t, strings.Join(said, "\n"), x.want, name)
-		assert.True(t, slices.ContainsFunc(found, func(f Finding) bool { return f.Wrong }), name)
+		assert.True(t, slices.ContainsFunc(found, func(f Finding) bool { return f.Violation }), name)
 	}
 }
 
@@ -231,35 +231,35 @@
 	lines := strings.Split(strings.TrimSpace(string(b)), "\n")
 	var l Line
 	json.Unmarshal([]byte(lines[len(lines)-1]), &l)
-	return l.Chain
+	return l.Hash
 }
 
 func TestWhatALogItselfTellsIsMissingIsNoWrong(t *testing.T) {
 	m := memory{map[string][]byte{}, map[string][]byte{}}
-	c := &Chain{}
+	c := &HashChain{}
 	last := log(m, "n1", 7, c, 1, 6)
-	c.Segment()
+	c.StartSegment()
 	n := SegmentName("n1", last+1)
-	for _, l := range []*Line{{What: Opened, Incarnation: 9}, {What: Cut, Lost: 12}, {What: Gap, Lost: 3, Why: "no space left on device"},
-		{What: Dropped, Name: "n1.00000001"}} {
+	for _, l := range []*Line{{Event: EventProcessStarted, Incarnation: 9}, {Event: EventTailTruncated, Lost: 12}, {Event: EventLinesLost, Lost: 3, Reason: "no space left on device"},
+		{Event: EventSegmentRemoved, Name: "n1.00000001"}} {
 		l.Front, l.At, l.Incarnation, l.Index = "n1", 5_000_000, 9, 12
 		m.lines[n] = append(m.lines[n], c.Append(l)...)
 	}
 	m.ids[n] = nil
 	delete(m.lines, "n1.00000001")
-	_, found := Read(m)
+	_, found := ReadLogs(m)
 	var said []string
 	for _, f := range found {
-		assert.False(t, f.Wrong, f)
-		said = append(said, f.What)
+		assert.False(t, f.Violation, f)
+		said = append(said, f.Message)
 	}
 	assert.Equal(t, []string{"a torn tail of 12 bytes was cut off", "3 lines could not be written: no space left on device",
 		"the log is not closed: the front runs, or its process died"}, said)
 }
 
 func TestATxnCountsInTheSpanInWhichItWasTaken(t *testing.T) {
-	var out []Span
-	b := NewRecorder(2, true, 0, func(s Span) { out = append(out, s) })
+	var out []Interval
+	b := NewRecorder(2, true, 0, func(s Interval) { out = append(out, s) })
 	b.EndpointsChanged(1*ms, 10)
 	b.LeaseChanged(10*ms, 100*ms, false)
 	one := b.RequestAccepted(11*ms, []byte("a"), 0)
@@ -270,34 +270,34 @@
 	assert.True(t, out[0].Standby)
 	b.RequestFinished(40*ms, one, 0, front.StatusSucceeded)
 	require.Len(t, out, 2)
-	assert.Equal(t, Span{Number: 2, From: 10 * ms, Until: 20 * ms, List: [2]int64{10, 10}, Right: 100 * ms,
-		Ended: [][front.StatusCount]uint32{{1}, {}}, IDs: []uint64{Hash([]byte("a"))}, closed: true}, out[1])
+	assert.Equal(t, Interval{Number: 2, Start: 10 * ms, End: 20 * ms, EndpointListVersions: [2]int64{10, 10}, ConfigLeaseExpiry: 100 * ms,
+		Outcomes: [][front.StatusCount]uint32{{1}, {}}, IDs: []uint64{HashID([]byte("a"))}, closed: true}, out[1])
 	b.LeaseChanged(400*ms, 100*ms, true) // found late: it had ended at its right's end
 	require.Len(t, out, 3)
-	assert.Equal(t, 100*ms, out[2].Until)
+	assert.Equal(t, 100*ms, out[2].End)
 	assert.EqualValues(t, 2, out[2].Version)
-	assert.EqualValues(t, 1, out[2].Ended[1][front.StatusRejected])
+	assert.EqualValues(t, 1, out[2].Outcomes[1][front.StatusRejected])
 	b.Close(500 * ms)
 	require.Len(t, out, 4)
 	assert.True(t, out[3].Standby)
-	assert.Equal(t, 100*ms, out[3].From, "no time is left out")
+	assert.Equal(t, 100*ms, out[3].Start, "no time is left out")
 }
 
 func TestEveryTxnIsFoundAndHardlyAnyOther(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 5000).Draw(t, "n")
-		s := Span{Number: 3}
+		s := Interval{Number: 3}
 		for i := range n {
-			s.IDs = append(s.IDs, Hash(fmt.Appendf(nil, "t%d", i)))
+			s.IDs = append(s.IDs, HashID(fmt.Appendf(nil, "t%d", i)))
 		}
-		b, _ := Index(&s)
-		span, ids, ok := Head(b)
-		if !ok || span != 3 || ids != n || Size(n) != int64(len(b)) {
+		b, _ := EncodeIndex(&s)
+		span, ids, ok := DecodeIndexHead(b)
+		if !ok || span != 3 || ids != n || IndexSize(n) != int64(len(b)) {
 			t.Fatal("the head is wrong")
 		}
 		read := func(off int64, n int) ([]byte, error) { return b[off : off+int64(n)], nil }
 		for i := range n + 50 {
-			found, err := Find(Hash(fmt.Appendf(nil, "t%d", i)), ids, headSize, read)
+			found, err := FindID(HashID(fmt.Appendf(nil, "t%d", i)), ids, headSize, read)
 			if err != nil || found != (i < n) {
 				t.Fatalf("t%d of %d: found %v, %v", i, n, found, err)
 			}
@@ -307,7 +307,7 @@
 
 // BenchmarkTxn tells what the audit costs a request in the core.
 func BenchmarkTxn(b *testing.B) {
-	book := NewRecorder(6, true, 0, func(Span) {})
+	book := NewRecorder(6, true, 0, func(Interval) {})
 	book.LeaseChanged(0, time.Hour, false)
 	id := []byte("a-request-id-of-24-characters")
 	b.ReportAllocs()
@@ -322,10 +322,10 @@
 // Clocks an hour apart: what two of them say of one moment is told as unsure, as far as their told errors go.
 func TestAMomentIsSureOnlyAsFarAsClocksAre(t *testing.T) {
 	hour := int64(3_600_000_000)
-	uses := []Use{{Front: "n1", Version: 1, From: 10 * hour, Until: 20 * hour, Clock: hour}, {Front: "n2", Version: 2, From: 10 * hour, Until: 20 * hour}}
+	uses := []VersionUse{{Front: "n1", Version: 1, Start: 10 * hour, End: 20 * hour, MaxClockError: hour}, {Front: "n2", Version: 2, Start: 10 * hour, End: 20 * hour}}
 	for at, want := range map[int64]string{15: "n1 true n2 true ", 10: "n1 false n2 true ", 9: "n1 false ", 21: "n1 false ", 22: ""} {
 		said := ""
-		found, sure := At(uses, at*hour)
+		found, sure := UsesAt(uses, at*hour)
 		for i, u := range found {
 			said += fmt.Sprint(u.Front, " ", sure[i], " ")
 		}
--- a/fleet/audit/gather_test.go
+++ b/fleet/audit/gather_test.go
@@ -20,63 +20,63 @@
 		fronts = append(fronts, f)
 		files[f] = map[string][]byte{}
 		for k := range 5 {
-			for _, end := range []string{LinesEnd, IDsEnd} {
+			for _, end := range []string{LogSuffix, IndexSuffix} {
 				b := bytes.Repeat([]byte{byte(k)}, r.IntN(100_000))
 				files[f][SegmentName(f, uint64(k+1))+end] = b
 				total += len(b)
 			}
 		}
 	}
-	files["n2"][SegmentName("n2", 2)+IDsEnd] = nil // an empty index is one too
-	reply := func(f string, q Question) *Reply {
+	files["n2"][SegmentName("n2", 2)+IndexSuffix] = nil // an empty index is one too
+	reply := func(f string, q FetchRequest) *FetchResponse {
 		if q.Name == "" {
 			var all []string
 			for k := range 5 {
 				all = append(all, SegmentName(f, uint64(k+1)))
 			}
-			return &Reply{Asked: q, Names: Listed(all, q.Behind)}
+			return &FetchResponse{Request: q, Names: SegmentsAfter(all, q.After)}
 		}
 		if f == "n3" && q.Name == SegmentName("n3", 1) {
-			return &Reply{Asked: q, Gone: true}
+			return &FetchResponse{Request: q, Removed: true}
 		}
-		end := LinesEnd
-		if q.IDs {
-			end = IDsEnd
+		end := LogSuffix
+		if q.Index {
+			end = IndexSuffix
 		}
 		b := files[f][q.Name+end]
-		return &Reply{Asked: q, Total: int64(len(b)), Data: b[q.At:min(int(q.At)+PieceSize, len(b))]}
+		return &FetchResponse{Request: q, Total: int64(len(b)), Data: b[q.Offset:min(int(q.Offset)+ChunkBytes, len(b))]}
 	}
 	const rate = 256 << 10
-	g := NewGatherer(rate, time.Second, []string{SegmentName("n1", 2)}) // two of n1's were gathered before
+	g := NewCollector(rate, time.Second, []string{SegmentName("n1", 2)}) // two of n1's were gathered before
 	kept := map[string][]byte{}
 	now := time.Duration(0)
-	for ; now < time.Minute && g.Files < 3+5+4; now += 50 * time.Millisecond {
+	for ; now < time.Minute && g.SegmentsReceived < 3+5+4; now += 50 * time.Millisecond {
 		for _, a := range g.Step(now, slices.Clone(fronts)) {
 			if r.IntN(5) == 0 {
 				continue // lost
 			}
-			q, _ := ReadPost(a.Q.Encode())
-			_, x := ReadPost(reply(a.Front, *q).Encode())
+			q, _ := DecodeDatagram(a.Request.Encode())
+			_, x := DecodeDatagram(reply(a.Front, *q).Encode())
 			for range 1 + r.IntN(2) {
-				for _, f := range g.Took(now, a.Front, x) {
+				for _, f := range g.OnResponse(now, a.Front, x) {
 					assert.NotContains(t, kept, f.Name)
 					kept[f.Name] = f.Data
 				}
 			}
 		}
-		assert.LessOrEqual(t, float64(g.Bytes), rate*(now.Seconds()+1)+PieceSize)
+		assert.LessOrEqual(t, float64(g.BytesReceived), rate*(now.Seconds()+1)+ChunkBytes)
 	}
-	assert.Equal(t, 12, g.Files)
+	assert.Equal(t, 12, g.SegmentsReceived)
 	for name, b := range kept {
-		front, _, ok := ParseName(name)
+		front, _, ok := ParseLogName(name)
 		if !ok {
 			front = name[:2]
 		}
 		assert.True(t, bytes.Equal(files[front][name], b), name)
 	}
-	assert.NotContains(t, kept, SegmentName("n1", 1)+LinesEnd)
+	assert.NotContains(t, kept, SegmentName("n1", 1)+LogSuffix)
 	for _, nonsense := range [][]byte{nil, {'q'}, {'r', 0xc1}, {'x', 1, 2}} {
-		q, x := ReadPost(nonsense)
+		q, x := DecodeDatagram(nonsense)
 		assert.True(t, q == nil && x == nil)
 	}
 }
--- a/fleet/audit/line.go
+++ b/fleet/audit/line.go
@@ -13,76 +13,76 @@
 
 // What a line tells.
 const (
-	Opened  = "opened"  // a process begins: Program, Kinds, Clock
-	Closed  = "closed"  // it ends as it should
-	InSpan  = "span"    // From, Until, Version, List, Ended; the ids of its requests stand in the index
-	Adopted = "adopted" // Version, Meaning
-	Refused = "refused" // Version can't be used: Why
-	Held    = "held"    // Duty in Term
-	Let     = "let go"  // Duty in Term: Why
-	Right   = "right"   // it has one again, until Until
-	Lapsed  = "lapsed"  // its right ran out at Until
-	Gap     = "gap"     // Lost lines could not be written: Why
-	Cut     = "cut"     // a torn tail was cut off at the start: Lost bytes
-	Dropped = "dropped" // a segment was taken away to stay within the budget: Name
-	Turned  = "turned"  // the record's rolls took a turn: Why
+	EventProcessStarted      = "opened"  // a process begins: Program, Kinds, Clock
+	EventProcessStopped      = "closed"  // it ends as it should
+	EventInterval            = "span"    // From, Until, Version, List, Ended; the ids of its requests stand in the index
+	EventVersionAdopted      = "adopted" // Version, Meaning
+	EventVersionRejected     = "refused" // Version can't be used: Why
+	EventLeaseAcquired       = "held"    // Duty in Term
+	EventLeaseEnded          = "let go"  // Duty in Term: Why
+	EventConfigLeaseAcquired = "right"   // it has one again, until Until
+	EventConfigLeaseExpired  = "lapsed"  // its right ran out at Until
+	EventLinesLost           = "gap"     // Lost lines could not be written: Why
+	EventTailTruncated       = "cut"     // a torn tail was cut off at the start: Lost bytes
+	EventSegmentRemoved      = "dropped" // a segment was taken away to stay within the budget: Name
+	EventRolloutChanged      = "turned"  // the record's rolls took a turn: Why
 )
 
 // Line is one of a front's log. Its keys are kept as they are: operators' tools read them.
 type Line struct {
-	N           uint64     `json:"n"`  // rises by one with each line of the front, over its restarts
-	At          int64      `json:"at"` // the front's wall clock, Unix microseconds
-	What        string     `json:"what"`
-	Front       string     `json:"front"`
-	Incarnation uint64     `json:"incarnation"`
-	Index       uint64     `json:"index"` // of the record, as the front had it
-	Version     uint64     `json:"version,omitempty"`
-	Meaning     string     `json:"meaning,omitempty"`
-	Program     string     `json:"program,omitempty"`
-	Kinds       []string   `json:"kinds,omitempty"` // request types, in the order of Ended
-	Clock       int64      `json:"clock,omitempty"` // by how much the wall clock may be wrong, microseconds, as the operator told
-	Span        uint32     `json:"span,omitempty"`
-	From        int64      `json:"from,omitempty"`
-	Until       int64      `json:"until,omitempty"`
-	Right       int64      `json:"right,omitempty"`   // until when the front might act, as of the span's end; 0 where it needs none
-	Standby     bool       `json:"standby,omitempty"` // a span without a right: nothing was taken in it
-	List        []int64    `json:"list,omitempty"`
-	Ended       [][]uint32 `json:"ended,omitempty"` // by request type: committed, rejected, rolled back, senseless, abandoned
-	Requests    int        `json:"txns,omitempty"`
-	IDs         int64      `json:"ids,omitempty"` // where the index has them, plus one
-	IDsHash     string     `json:"ids_hash,omitempty"`
-	Lease       string     `json:"duty,omitempty"`
-	Term        uint64     `json:"term,omitempty"`
-	Acts        uint64     `json:"acts,omitempty"` // of the duty, in that term
-	Lost        uint64     `json:"lost,omitempty"`
-	Name        string     `json:"name,omitempty"`
-	Why         string     `json:"why,omitempty"`
-	Prev        string     `json:"prev,omitempty"` // in a segment's first line: the chain's value before it
-	Chain       string     `json:"chain"`
+	Sequence             uint64     `json:"n"`  // rises by one with each line of the front, over its restarts
+	At                   int64      `json:"at"` // the front's wall clock, Unix microseconds
+	Event                string     `json:"what"`
+	Front                string     `json:"front"`
+	Incarnation          uint64     `json:"incarnation"`
+	Index                uint64     `json:"index"` // of the record, as the front had it
+	Version              uint64     `json:"version,omitempty"`
+	RulesHash            string     `json:"meaning,omitempty"`
+	Program              string     `json:"program,omitempty"`
+	RequestTypes         []string   `json:"kinds,omitempty"` // request types, in the order of Ended
+	MaxClockError        int64      `json:"clock,omitempty"` // by how much the wall clock may be wrong, microseconds, as the operator told
+	Interval             uint32     `json:"span,omitempty"`
+	Start                int64      `json:"from,omitempty"`
+	End                  int64      `json:"until,omitempty"`
+	ConfigLeaseExpiry    int64      `json:"right,omitempty"`   // until when the front might act, as of the span's end; 0 where it needs none
+	Standby              bool       `json:"standby,omitempty"` // a span without a right: nothing was taken in it
+	EndpointListVersions []int64    `json:"list,omitempty"`
+	Outcomes             [][]uint32 `json:"ended,omitempty"` // by request type: committed, rejected, rolled back, senseless, abandoned
+	Requests             int        `json:"txns,omitempty"`
+	IndexOffset          int64      `json:"ids,omitempty"` // where the index has them, plus one
+	IndexHash            string     `json:"ids_hash,omitempty"`
+	Lease                string     `json:"duty,omitempty"`
+	Term                 uint64     `json:"term,omitempty"`
+	LeaseActions         uint64     `json:"acts,omitempty"` // of the duty, in that term
+	Lost                 uint64     `json:"lost,omitempty"`
+	Name                 string     `json:"name,omitempty"`
+	Reason               string     `json:"why,omitempty"`
+	PreviousHash         string     `json:"prev,omitempty"` // in a segment's first line: the chain's value before it
+	Hash                 string     `json:"chain"`
 }
 
-// Chain binds lines: the value of each is a hash of the one before and of what the line says.
-type Chain struct {
-	N     uint64
-	Value string
-	first bool
+// HashChain binds lines: the value of each is a hash of the one before and of what the line says.
+type HashChain struct {
+	Sequence uint64
+	LastHash string
+	first    bool
 }
 
-// Segment begins another file: its first line says what went before.
-func (c *Chain) Segment() { c.first = true }
+// StartSegment begins another file: its first line says what went before.
+func (c *HashChain) StartSegment() { c.first = true }
 
 // Append puts a line behind the others, and gives it as the file has it.
-func (c *Chain) Append(l *Line) []byte {
-	c.N++
-	l.N, l.Prev, l.Chain = c.N, "", ""
+func (c *HashChain) Append(l *Line) []byte {
+	c.Sequence++
+	l.Sequence, l.PreviousHash, l.Hash = c.Sequence, "", ""
 	if c.first {
-		l.Prev, c.first = c.Value, false
-		if l.Prev == "" {
-			l.Prev = "none"
+		l.PreviousHash, c.first = c.LastHash, false
+		if l.PreviousHash == "" {
+			l.PreviousHash = "none"
 		}
 	}
-	l.Chain = link(c.Value, l)
-	c.Value = l.Chain
+	l.Hash = link(c.LastHash, l)
+	c.LastHash = l.Hash
 	b, err := json.Marshal(l)
 	if err != nil {
 		panic("a line that can't be written: " + err.Error()) // of our own making
@@ -92,7 +92,7 @@
 
 func link(before string, l *Line) string {
 	x := *l
-	x.Chain = ""
+	x.Hash = ""
 	b, err := json.Marshal(&x)
 	if err != nil {
 		return "unwritable"
@@ -110,8 +110,8 @@
 
 var idMagic = [4]byte{'I', 'D', 'S', '1'}
 
-// Index is a span's part of the index file, and a digest of it for the span's line.
-func Index(s *Span) (b []byte, hash string) {
+// EncodeIndex is a span's part of the index file, and a digest of it for the span's line.
+func EncodeIndex(s *Interval) (b []byte, hash string) {
 	all := slices.Clone(s.IDs)
 	for i := range all {
 		all[i] >>= 64 - 8*idBytes
@@ -129,20 +129,20 @@
 	return b, hex.EncodeToString(sum[:8])
 }
 
-// Head reads the head of a span in the index: how many ids follow.
-func Head(b []byte) (span uint32, ids int, ok bool) {
+// DecodeIndexHead reads the head of a span in the index: how many ids follow.
+func DecodeIndexHead(b []byte) (span uint32, ids int, ok bool) {
 	if len(b) < headSize || !bytes.Equal(b[:4], idMagic[:]) {
 		return 0, 0, false
 	}
 	return binary.BigEndian.Uint32(b[4:]), int(binary.BigEndian.Uint32(b[8:])), true
 }
 
-// Size is what a span of so many ids takes in the index.
-func Size(ids int) int64 { return headSize + int64(ids)*idBytes }
+// IndexSize is what a span of so many ids takes in the index.
+func IndexSize(ids int) int64 { return headSize + int64(ids)*idBytes }
 
-// Find looks for an id among a span's, which begin behind the head at off; read gives bytes of the index. Ids are evenly spread,
+// FindID looks for an id among a span's, which begin behind the head at off; read gives bytes of the index. Ids are evenly spread,
 // so it looks where the id should stand, and widens only by chance.
-func Find(id uint64, ids int, off int64, read func(off int64, n int) ([]byte, error)) (bool, error) {
+func FindID(id uint64, ids int, off int64, read func(off int64, n int) ([]byte, error)) (bool, error) {
 	want := id >> (64 - 8*idBytes)
 	lo, hi := 0, ids // the id, if any, is within
 	for hi > lo {
@@ -179,13 +179,13 @@
 
 // Endings of a segment's two files.
 const (
-	LinesEnd = ".audit"
-	IDsEnd   = ".ids"
+	LogSuffix   = ".audit"
+	IndexSuffix = ".ids"
 )
 
-// ParseName takes a segment's name apart.
-func ParseName(name string) (front string, number uint64, ok bool) {
-	base, found := strings.CutSuffix(name, LinesEnd)
+// ParseLogName takes a segment's name apart.
+func ParseLogName(name string) (front string, number uint64, ok bool) {
+	base, found := strings.CutSuffix(name, LogSuffix)
 	if !found {
 		return "", 0, false
 	}
--- a/fleet/audit/recorder.go
+++ b/fleet/audit/recorder.go
@@ -14,45 +14,45 @@
 )
 
 const (
-	// Longest is how long a span lasts at the most, while requests come: a front that dies loses what it counted in the one in hand.
-	Longest   = 30 * time.Second
-	mostIDs   = 32 << 10 // requests of a span
-	mostSpans = 64       // that wait for their last requests; behind it a list's changes widen the span in hand
+	// MaxIntervalDuration is how long a span lasts at the most, while requests come: a front that dies loses what it counted in the one in hand.
+	MaxIntervalDuration = 30 * time.Second
+	mostIDs             = 32 << 10 // requests of a span
+	mostSpans           = 64       // that wait for their last requests; behind it a list's changes widen the span in hand
 )
 
-// Span is a time in which a front acted on one version, with what it did. Times are the core's clock.
-type Span struct {
-	Number      uint32
-	From, Until time.Duration
-	Version     uint64
-	List        [2]int64                    // the list's versions, first and last
-	Standby     bool                        // the front had no right to act, and took nothing
-	Right       time.Duration               // until when it might act, as of the span's end; 0 where it needs none
-	Ended       [][front.StatusCount]uint32 // by request type
-	IDs         []uint64                    // of the requests taken, as Hash gives them, in the order in which they came
-	open        int
-	closed      bool
+// Interval is a time in which a front acted on one version, with what it did. Times are the core's clock.
+type Interval struct {
+	Number               uint32
+	Start, End           time.Duration
+	Version              uint64
+	EndpointListVersions [2]int64                    // the list's versions, first and last
+	Standby              bool                        // the front had no right to act, and took nothing
+	ConfigLeaseExpiry    time.Duration               // until when it might act, as of the span's end; 0 where it needs none
+	Outcomes             [][front.StatusCount]uint32 // by request type
+	IDs                  []uint64                    // of the requests taken, as Hash gives them, in the order in which they came
+	open                 int
+	closed               bool
 }
 
 // Recorder counts requests. Its calls are those of front.Auditor, from the core's goroutine; Sums may be called from anywhere.
 type Recorder struct {
 	types int
-	sink  func(Span)
-	spans []*Span // the last is the one in hand; the others wait for their requests
+	sink  func(Interval)
+	spans []*Interval // the last is the one in hand; the others wait for their requests
 	sums  []sum
-	first Span // how the first one begins
+	first Interval // how the first one begins
 }
 
 type sum struct{ ended, served atomic.Uint64 }
 
 // NewRecorder makes a Recorder for so many request types; sink takes spans whose requests have all ended and must not block, nil for none.
 // A front that needs a right stands by until it has one; version is what it begins with.
-func NewRecorder(types int, rights bool, version uint64, sink func(Span)) *Recorder {
-	return &Recorder{types: types, sink: sink, sums: make([]sum, types), first: Span{Standby: rights, Version: version}}
+func NewRecorder(types int, rights bool, version uint64, sink func(Interval)) *Recorder {
+	return &Recorder{types: types, sink: sink, sums: make([]sum, types), first: Interval{Standby: rights, Version: version}}
 }
 
-// Hash is how a request's id is kept: FNV-1a of 64 bits, of which the index holds 40.
-func Hash(id []byte) uint64 {
+// HashID is how a request's id is kept: FNV-1a of 64 bits, of which the index holds 40.
+func HashID(id []byte) uint64 {
 	h := uint64(14695981039346656037)
 	for _, c := range id {
 		h = (h ^ uint64(c)) * 1099511628211
@@ -60,7 +60,7 @@
 	return h
 }
 
-func (b *Recorder) now(at time.Duration) *Span {
+func (b *Recorder) now(at time.Duration) *Interval {
 	if n := len(b.spans); n > 0 {
 		return b.spans[n-1]
 	}
@@ -68,13 +68,13 @@
 }
 
 // turn closes the span in hand and opens the next.
-func (b *Recorder) turn(at time.Duration) *Span {
-	next := &Span{From: at, Number: 1, Standby: b.first.Standby, Version: b.first.Version, Ended: make([][front.StatusCount]uint32, b.types)}
+func (b *Recorder) turn(at time.Duration) *Interval {
+	next := &Interval{Start: at, Number: 1, Standby: b.first.Standby, Version: b.first.Version, Outcomes: make([][front.StatusCount]uint32, b.types)}
 	if n := len(b.spans); n > 0 {
 		old := b.spans[n-1]
-		old.Until, old.closed = at, true
-		next.Number, next.Version, next.List = old.Number+1, old.Version, [2]int64{old.List[1], old.List[1]}
-		next.Standby, next.Right = old.Standby, old.Right
+		old.End, old.closed = at, true
+		next.Number, next.Version, next.EndpointListVersions = old.Number+1, old.Version, [2]int64{old.EndpointListVersions[1], old.EndpointListVersions[1]}
+		next.Standby, next.ConfigLeaseExpiry = old.Standby, old.ConfigLeaseExpiry
 		if b.sink != nil {
 			next.IDs = make([]uint64, 0, min(max(len(old.IDs), 256), mostIDs))
 		}
@@ -99,10 +99,10 @@
 func (b *Recorder) RequestAccepted(at time.Duration, id []byte, _ int) uint32 {
 	s := b.now(at)
 	if b.sink != nil {
-		if len(s.IDs) >= mostIDs || at-s.From > Longest {
+		if len(s.IDs) >= mostIDs || at-s.Start > MaxIntervalDuration {
 			s = b.turn(at)
 		}
-		s.IDs = append(s.IDs, Hash(id))
+		s.IDs = append(s.IDs, HashID(id))
 	}
 	s.open++
 	return s.Number
@@ -121,8 +121,8 @@
 		return
 	}
 	s := b.spans[i]
-	if typ < len(s.Ended) { // types that classing adds count with none
-		s.Ended[typ][w]++
+	if typ < len(s.Outcomes) { // types that classing adds count with none
+		s.Outcomes[typ][w]++
 	}
 	if s.open--; s.open == 0 && s.closed {
 		b.done()
@@ -132,17 +132,17 @@
 // EndpointsChanged notes that the list has another version.
 func (b *Recorder) EndpointsChanged(at time.Duration, index int64) {
 	s := b.now(at)
-	if s.List[1] == index {
+	if s.EndpointListVersions[1] == index {
 		return
 	}
-	if s.List == [2]int64{} || len(s.IDs) == 0 && s.open == 0 || len(b.spans) >= mostSpans {
-		if s.List == [2]int64{} || len(s.IDs) == 0 && s.open == 0 {
-			s.List[0] = index
+	if s.EndpointListVersions == [2]int64{} || len(s.IDs) == 0 && s.open == 0 || len(b.spans) >= mostSpans {
+		if s.EndpointListVersions == [2]int64{} || len(s.IDs) == 0 && s.open == 0 {
+			s.EndpointListVersions[0] = index
 		}
-		s.List[1] = index
+		s.EndpointListVersions[1] = index
 		return
 	}
-	b.turn(at).List = [2]int64{index, index}
+	b.turn(at).EndpointListVersions = [2]int64{index, index}
 }
 
 // ConfigAdopted notes that other rules are in force.
@@ -161,17 +161,17 @@
 	s := b.now(at)
 	switch {
 	case standby && !s.Standby:
-		s.Right = until
-		s = b.turn(min(max(until, s.From), at))
+		s.ConfigLeaseExpiry = until
+		s = b.turn(min(max(until, s.Start), at))
 	case !standby && s.Standby:
 		s = b.turn(at)
 	}
-	s.Standby, s.Right = standby, until
+	s.Standby, s.ConfigLeaseExpiry = standby, until
 }
 
 // Tick closes a span that has lasted long enough, though nothing comes.
 func (b *Recorder) Tick(at time.Duration) {
-	if s := b.now(at); b.sink != nil && at-s.From > Longest && len(s.IDs) > 0 {
+	if s := b.now(at); b.sink != nil && at-s.Start > MaxIntervalDuration && len(s.IDs) > 0 {
 		b.turn(at)
 	}
 }
@@ -185,8 +185,8 @@
 	b.done()
 }
 
-// Sums are how many requests of each type ended, and how many of them were committed, since the version was adopted.
-func (b *Recorder) Sums(each func(typ int, ended, served uint64)) {
+// Totals are how many requests of each type ended, and how many of them were committed, since the version was adopted.
+func (b *Recorder) Totals(each func(typ int, ended, served uint64)) {
 	for i := range b.sums {
 		served := b.sums[i].served.Load() // first: it is never more than ended
 		each(i, b.sums[i].ended.Load(), served)
--- a/fleet/audit/settings.go
+++ b/fleet/audit/settings.go
@@ -19,37 +19,37 @@
 
 // Config is what the form says.
 type Config struct {
-	Dir, Export, Collect  string
-	Budget, Segment, Rate int64
-	ClockError            time.Duration
-	Place                 conf.Place
+	LogDir, ExportDir, CollectDir                      string
+	MaxTotalBytes, SegmentBytes, CollectBytesPerSecond int64
+	MaxClockError                                      time.Duration
+	Place                                              conf.Place
 }
 
 // ReadConfig reads the form; what is wrong with it is noted with its reading.
 func ReadConfig(f *conf.Form) *Config {
-	c := &Config{Budget: 64 << 20, Segment: 1 << 20, Rate: 256 << 10, ClockError: 500 * time.Millisecond, Place: f.Place}
+	c := &Config{MaxTotalBytes: 64 << 20, SegmentBytes: 1 << 20, CollectBytesPerSecond: 256 << 10, MaxClockError: 500 * time.Millisecond, Place: f.Place}
 	is := f.Forms("dir", "budget", "segment", "clock-error", "export", "collect", "rate")
-	for name, to := range map[string]*string{"dir": &c.Dir, "export": &c.Export, "collect": &c.Collect} {
+	for name, to := range map[string]*string{"dir": &c.LogDir, "export": &c.ExportDir, "collect": &c.CollectDir} {
 		if g := is[name]; g != nil {
 			w, _ := g.One()
 			*to = w.Name
 		}
 	}
-	for name, to := range map[string]*int64{"budget": &c.Budget, "segment": &c.Segment, "rate": &c.Rate} {
+	for name, to := range map[string]*int64{"budget": &c.MaxTotalBytes, "segment": &c.SegmentBytes, "rate": &c.CollectBytesPerSecond} {
 		if g := is[name]; g != nil {
 			*to = g.Size(4<<10, 1<<40)
 		}
 	}
 	if g := is["clock-error"]; g != nil {
-		c.ClockError = g.Span()
+		c.MaxClockError = g.Span()
 	}
-	if c.Dir == "" {
+	if c.LogDir == "" {
 		f.Fault(f.Place, "(dir \"FOLDER\"), the front's own", "the audit does not say where it is kept")
 	}
-	if c.Budget < 2*c.Segment {
-		f.Fault(f.Place, "make the budget larger, or a segment smaller", "a budget of %d bytes does not hold two segments of %d", c.Budget, c.Segment)
+	if c.MaxTotalBytes < 2*c.SegmentBytes {
+		f.Fault(f.Place, "make the budget larger, or a segment smaller", "a budget of %d bytes does not hold two segments of %d", c.MaxTotalBytes, c.SegmentBytes)
 	}
-	if c.Collect != "" && (c.Collect == c.Dir || c.Collect == c.Export) {
+	if c.CollectDir != "" && (c.CollectDir == c.LogDir || c.CollectDir == c.ExportDir) {
 		f.Fault(f.Place, "a folder of its own", "what is collected can't lie among the front's own")
 	}
 	return c
--- a/fleet/audit/size_bench_test.go
+++ b/fleet/audit/size_bench_test.go
@@ -15,13 +15,13 @@
 		b.Run(fmt.Sprintf("rate=%d", rate), func(b *testing.B) {
 			for b.Loop() {
 				var lines, ids int
-				chain := Chain{}
-				book := NewRecorder(2, false, 3, func(s Span) {
-					index, hash := Index(&s)
-					l := &Line{What: InSpan, At: s.Until.Microseconds(), Front: "f001", Incarnation: 7, Index: 100, Span: s.Number, From: s.From.Microseconds(),
-						Until: s.Until.Microseconds(), Requests: len(s.IDs), IDs: int64(ids) + 1, IDsHash: hash, Version: s.Version, List: s.List[:]}
-					for _, e := range s.Ended {
-						l.Ended = append(l.Ended, e[:])
+				chain := HashChain{}
+				book := NewRecorder(2, false, 3, func(s Interval) {
+					index, hash := EncodeIndex(&s)
+					l := &Line{Event: EventInterval, At: s.End.Microseconds(), Front: "f001", Incarnation: 7, Index: 100, Interval: s.Number, Start: s.Start.Microseconds(),
+						End: s.End.Microseconds(), Requests: len(s.IDs), IndexOffset: int64(ids) + 1, IndexHash: hash, Version: s.Version, EndpointListVersions: s.EndpointListVersions[:]}
+					for _, e := range s.Outcomes {
+						l.Outcomes = append(l.Outcomes, e[:])
 					}
 					lines, ids = lines+len(chain.Append(l)), ids+len(index)
 				})
--- a/fleet/audit/verify.go
+++ b/fleet/audit/verify.go
@@ -10,8 +10,8 @@
 	"slices"
 )
 
-// Files is where segments are read from: names without ending, and the bytes of each one's two files.
-type Files interface {
+// LogSource is where segments are read from: names without ending, and the bytes of each one's two files.
+type LogSource interface {
 	Names() []string // sorted
 	Lines(name string) ([]byte, error)
 	IDs(name string) ([]byte, error)
@@ -19,53 +19,53 @@
 
 // Finding is something that a log's reader should know: a wrong, or a note of what the log itself tells is missing.
 type Finding struct {
-	Segment string `json:"segment"`
-	Line    int    `json:"line"` // within the segment, from 1; 0 for the whole of it
-	Wrong   bool   `json:"wrong"`
-	What    string `json:"what"`
+	Segment   string `json:"segment"`
+	Line      int    `json:"line"` // within the segment, from 1; 0 for the whole of it
+	Violation bool   `json:"wrong"`
+	Message   string `json:"what"`
 }
 
 func (f Finding) String() string {
 	kind := "note"
-	if f.Wrong {
+	if f.Violation {
 		kind = "wrong"
 	}
 	if f.Line == 0 {
-		return fmt.Sprintf("%s: %s: %s", f.Segment, kind, f.What)
+		return fmt.Sprintf("%s: %s: %s", f.Segment, kind, f.Message)
 	}
-	return fmt.Sprintf("%s:%d: %s: %s", f.Segment, f.Line, kind, f.What)
+	return fmt.Sprintf("%s:%d: %s: %s", f.Segment, f.Line, kind, f.Message)
 }
 
-// Journal is one front's log, in its order.
-type Journal struct {
+// FrontLog is one front's log, in its order.
+type FrontLog struct {
 	Front string
-	Lines []Placed
+	Lines []PlacedLine
 }
 
-// Placed is a line and where it stands.
-type Placed struct {
+// PlacedLine is a line and where it stands.
+type PlacedLine struct {
 	Line
-	Segment string
-	At1     int // line within the segment, from 1
+	Segment    string
+	LineNumber int // line within the segment, from 1
 }
 
-// Read reads all logs, by front; what can't be read or does not hang together is told.
-func Read(files Files) (all []*Journal, found []Finding) {
+// ReadLogs reads all logs, by front; what can't be read or does not hang together is told.
+func ReadLogs(files LogSource) (all []*FrontLog, found []Finding) {
 	by := map[string]*reader{}
 	for _, name := range files.Names() {
-		front, number, ok := ParseName(name + LinesEnd)
+		front, number, ok := ParseLogName(name + LogSuffix)
 		if !ok {
 			continue
 		}
 		r := by[front]
 		if r == nil {
-			r = &reader{journal: &Journal{Front: front}}
+			r = &reader{journal: &FrontLog{Front: front}}
 			by[front] = r
 			all = append(all, r.journal)
 		}
 		r.segment(files, name, number)
 	}
-	slices.SortFunc(all, func(a, b *Journal) int { return cmp.Compare(a.Front, b.Front) })
+	slices.SortFunc(all, func(a, b *FrontLog) int { return cmp.Compare(a.Front, b.Front) })
 	for _, j := range all {
 		r := by[j.Front]
 		r.end()
@@ -76,7 +76,7 @@
 
 // reader follows one front's log.
 type reader struct {
-	journal *Journal
+	journal *FrontLog
 	found   []Finding
 
 	name    string
@@ -89,7 +89,7 @@
 	chain string
 	begun bool
 
-	open     *Placed // the incarnation in hand
+	open     *PlacedLine // the incarnation in hand
 	gone     map[uint64]bool
 	wall     int64
 	index    uint64
@@ -108,7 +108,7 @@
 	r.found = append(r.found, Finding{r.name, r.line, false, fmt.Sprintf(format, args...)})
 }
 
-func (r *reader) segment(files Files, name string, number uint64) {
+func (r *reader) segment(files LogSource, name string, number uint64) {
 	if r.dropped == nil {
 		r.dropped, r.gone = map[string]bool{}, map[uint64]bool{}
 	}
@@ -146,10 +146,10 @@
 			r.wrong("the line is of front %s", l.Front)
 			continue
 		}
-		if l.IDs > 0 || l.Requests > 0 {
+		if l.IndexOffset > 0 || l.Requests > 0 {
 			idsAt = r.ids(&l, ids, idsErr, idsAt)
 		}
-		p := Placed{Line: l, Segment: name, At1: r.line}
+		p := PlacedLine{Line: l, Segment: name, LineNumber: r.line}
 		r.told(&p)
 		r.journal.Lines = append(r.journal.Lines, p)
 	}
@@ -166,27 +166,27 @@
 func (r *reader) bind(l *Line, first, jumped bool) {
 	before := r.chain
 	if first && (jumped || !r.begun) { // what went before is not here: the segment says on what it stands
-		if before = l.Prev; before == "none" {
+		if before = l.PreviousHash; before == "none" {
 			before = ""
 		}
-		r.n = l.N - 1
+		r.n = l.Sequence - 1
 	}
 	r.begun = true
-	if first && !jumped && l.Prev != r.chain && !(l.Prev == "none" && r.chain == "") {
+	if first && !jumped && l.PreviousHash != r.chain && !(l.PreviousHash == "none" && r.chain == "") {
 		r.wrong("the segment does not go on where the one before it ended: restored from an old copy, or two fronts with one name")
-		before, r.n = l.Prev, l.N-1
+		before, r.n = l.PreviousHash, l.Sequence-1
 	}
 	switch {
-	case l.N > r.n+1:
-		r.wrong("lines %d to %d are missing before it", r.n+1, l.N-1)
-	case l.N <= r.n && r.n > 0 && l.Chain == r.chain:
-		r.wrong("line %d stands twice", l.N)
-	case l.N <= r.n && r.n > 0:
-		r.wrong("line %d stands behind line %d: it was moved, or it is another's", l.N, r.n)
-	case link(before, l) != l.Chain:
-		r.wrong("line %d is not what was written: it or the one before it was changed", l.N)
-	}
-	r.n, r.chain = max(r.n, l.N), l.Chain
+	case l.Sequence > r.n+1:
+		r.wrong("lines %d to %d are missing before it", r.n+1, l.Sequence-1)
+	case l.Sequence <= r.n && r.n > 0 && l.Hash == r.chain:
+		r.wrong("line %d stands twice", l.Sequence)
+	case l.Sequence <= r.n && r.n > 0:
+		r.wrong("line %d stands behind line %d: it was moved, or it is another's", l.Sequence, r.n)
+	case link(before, l) != l.Hash:
+		r.wrong("line %d is not what was written: it or the one before it was changed", l.Sequence)
+	}
+	r.n, r.chain = max(r.n, l.Sequence), l.Hash
 }
 
 func (r *reader) ids(l *Line, ids []byte, idsErr error, at int64) int64 {
@@ -194,31 +194,31 @@
 		r.wrong("the index of its requests is missing")
 		return at
 	}
-	off := l.IDs - 1
+	off := l.IndexOffset - 1
 	span, n, ok := uint32(0), 0, false
 	if off >= 0 && off+headSize <= int64(len(ids)) {
-		span, n, ok = Head(ids[off:])
+		span, n, ok = DecodeIndexHead(ids[off:])
 	}
-	end := off + Size(n)
-	if !ok || span != l.Span || n != l.Requests || end > int64(len(ids)) {
-		r.wrong("the index has not the requests of span %d", l.Span)
+	end := off + IndexSize(n)
+	if !ok || span != l.Interval || n != l.Requests || end > int64(len(ids)) {
+		r.wrong("the index has not the requests of span %d", l.Interval)
 		return at
 	}
 	sum := sha256.Sum256(ids[off:end])
-	if hex.EncodeToString(sum[:8]) != l.IDsHash {
-		r.wrong("the index of span %d is not what was written", l.Span)
+	if hex.EncodeToString(sum[:8]) != l.IndexHash {
+		r.wrong("the index of span %d is not what was written", l.Interval)
 	}
 	return max(at, end)
 }
 
 // told looks at what a line says against what those before it said.
-func (r *reader) told(p *Placed) {
+func (r *reader) told(p *PlacedLine) {
 	l := &p.Line
 	slack := int64(0)
 	if r.open != nil {
-		slack = r.open.Clock
+		slack = r.open.MaxClockError
 	}
-	if l.What == Opened {
+	if l.Event == EventProcessStarted {
 		if r.open != nil && r.open.Incarnation != l.Incarnation {
 			r.note("the process before it did not close its log: what it did behind %d is not told", r.wall)
 			r.gone[r.open.Incarnation] = true
@@ -231,7 +231,7 @@
 		return
 	}
 	switch {
-	case l.What == Cut || l.What == Gap || l.What == Dropped:
+	case l.Event == EventTailTruncated || l.Event == EventLinesLost || l.Event == EventSegmentRemoved:
 	case r.open == nil:
 		if !r.headless {
 			r.wrong("a line behind the end of its process, or of one that never opened its log")
@@ -244,66 +244,66 @@
 		if l.At < r.wall-2*slack {
 			r.wrong("its clock stands %d µs before the line before it, and the operator tells an error of %d µs", r.wall-l.At, slack)
 		}
-		if l.Index < r.index && l.What != InSpan {
+		if l.Index < r.index && l.Event != EventInterval {
 			r.wrong("its record stands at %d, and stood at %d before", l.Index, r.index)
 		}
 		r.wall, r.index = max(r.wall, l.At), max(r.index, l.Index)
 	}
-	switch l.What {
-	case InSpan:
+	switch l.Event {
+	case EventInterval:
 		r.spanned(l)
-	case Adopted:
+	case EventVersionAdopted:
 		if r.took != nil {
 			r.took[l.Version] = true
 		}
-	case Closed:
+	case EventProcessStopped:
 		r.gone[l.Incarnation] = true
 		r.open = nil
-	case Gap:
+	case EventLinesLost:
 		r.lost, r.took = true, nil // an adoption may be among them
-		r.note("%d lines could not be written: %s", l.Lost, l.Why)
-	case Cut:
+		r.note("%d lines could not be written: %s", l.Lost, l.Reason)
+	case EventTailTruncated:
 		r.lost = true
 		r.note("a torn tail of %d bytes was cut off", l.Lost)
-	case Dropped:
+	case EventSegmentRemoved:
 		r.dropped[l.Name] = true
 	}
 }
 
 func (r *reader) spanned(l *Line) {
-	if l.Until < l.From {
-		r.wrong("span %d ends before it begins", l.Span)
+	if l.End < l.Start {
+		r.wrong("span %d ends before it begins", l.Interval)
 	}
-	if l.Span <= r.span && r.span > 0 {
-		r.wrong("span %d comes behind span %d", l.Span, r.span)
-	} else if r.span > 0 && l.Span > r.span+1 && !r.lost {
-		r.wrong("spans %d to %d are not told, and no gap is", r.span+1, l.Span-1)
+	if l.Interval <= r.span && r.span > 0 {
+		r.wrong("span %d comes behind span %d", l.Interval, r.span)
+	} else if r.span > 0 && l.Interval > r.span+1 && !r.lost {
+		r.wrong("spans %d to %d are not told, and no gap is", r.span+1, l.Interval-1)
 	}
-	if l.From < r.until-1 {
-		r.wrong("span %d begins %d µs before the end of the one before it", l.Span, r.until-l.From)
-	} else if r.until > 0 && l.From > r.until+1 && !r.lost {
-		r.wrong("between spans %d and %d %d µs are not told, and no gap is", r.span, l.Span, l.From-r.until)
+	if l.Start < r.until-1 {
+		r.wrong("span %d begins %d µs before the end of the one before it", l.Interval, r.until-l.Start)
+	} else if r.until > 0 && l.Start > r.until+1 && !r.lost {
+		r.wrong("between spans %d and %d %d µs are not told, and no gap is", r.span, l.Interval, l.Start-r.until)
 	}
 	if l.Standby && l.Requests > 0 {
-		r.wrong("span %d is one of standing by, and %d requests were taken in it", l.Span, l.Requests)
+		r.wrong("span %d is one of standing by, and %d requests were taken in it", l.Interval, l.Requests)
 	}
-	if !l.Standby && l.Right > 0 && l.Until > l.Right+rightSlack {
-		r.wrong("span %d acts on version %d until %d, and its right ended at %d", l.Span, l.Version, l.Until, l.Right)
+	if !l.Standby && l.ConfigLeaseExpiry > 0 && l.End > l.ConfigLeaseExpiry+rightSlack {
+		r.wrong("span %d acts on version %d until %d, and its right ended at %d", l.Interval, l.Version, l.End, l.ConfigLeaseExpiry)
 	}
 	if r.took != nil && !r.took[l.Version] {
-		r.wrong("span %d acts on version %d, and the front tells of no adoption of it", l.Span, l.Version)
+		r.wrong("span %d acts on version %d, and the front tells of no adoption of it", l.Interval, l.Version)
 	}
 	if sum := ended(l); sum != l.Requests && l.Requests > 0 {
-		r.wrong("span %d took %d requests, and %d ended", l.Span, l.Requests, sum)
+		r.wrong("span %d took %d requests, and %d ended", l.Interval, l.Requests, sum)
 	}
-	r.span, r.until, r.lost = l.Span, l.Until, false
+	r.span, r.until, r.lost = l.Interval, l.End, false
 }
 
 // rightSlack is what two readings of one clock may differ by, in microseconds.
 const rightSlack = 2000
 
 func ended(l *Line) (sum int) {
-	for _, ty := range l.Ended {
+	for _, ty := range l.Outcomes {
 		for _, n := range ty {
 			sum += int(n)
 		}
--- a/fleet/disk/find_bench_test.go
+++ b/fleet/disk/find_bench_test.go
@@ -24,36 +24,36 @@
 	lines := int64(0)
 	for f := range fronts {
 		name := fmt.Sprintf("f%03d", f)
-		if _, err := os.Stat(filepath.Join(dir, audit.SegmentName(name, 1)+audit.IDsEnd)); err == nil {
+		if _, err := os.Stat(filepath.Join(dir, audit.SegmentName(name, 1)+audit.IndexSuffix)); err == nil {
 			continue
 		}
-		c := audit.Chain{}
+		c := audit.HashChain{}
 		number, seg := uint32(0), uint64(0)
 		for number < 2880 {
 			seg++
-			c.Segment()
+			c.StartSegment()
 			var ids, text []byte
 			for len(text)+len(ids) < 1<<20 && number < 2880 {
 				number++
-				s := audit.Span{Number: number}
+				s := audit.Interval{Number: number}
 				for range 300 {
 					s.IDs = append(s.IDs, r.Uint64())
 				}
 				if number == 1440 && f == fronts/2 {
-					s.IDs[7] = audit.Hash([]byte("the-one"))
+					s.IDs[7] = audit.HashID([]byte("the-one"))
 				}
-				b, hash := audit.Index(&s)
+				b, hash := audit.EncodeIndex(&s)
 				at := int64(number) * (30 * time.Second).Microseconds()
-				l := &audit.Line{What: audit.InSpan, At: at, Front: name, Incarnation: 7, Index: 100, Span: number, From: at, Until: at + 30_000_000, Requests: 300,
-					IDs: int64(len(ids)) + 1, IDsHash: hash, Version: 3, List: []int64{10, 10}, Ended: [][]uint32{{300, 0, 0, 0, 0}, {0, 0, 0, 0, 0}, {0, 0, 0, 0, 0}}}
+				l := &audit.Line{Event: audit.EventInterval, At: at, Front: name, Incarnation: 7, Index: 100, Interval: number, Start: at, End: at + 30_000_000, Requests: 300,
+					IndexOffset: int64(len(ids)) + 1, IndexHash: hash, Version: 3, EndpointListVersions: []int64{10, 10}, Outcomes: [][]uint32{{300, 0, 0, 0, 0}, {0, 0, 0, 0, 0}, {0, 0, 0, 0, 0}}}
 				ids = append(ids, b...)
 				text = append(text, c.Append(l)...)
 			}
 			base := filepath.Join(dir, audit.SegmentName(name, seg))
-			if err := os.WriteFile(base+audit.IDsEnd, ids, 0o600); err != nil {
+			if err := os.WriteFile(base+audit.IndexSuffix, ids, 0o600); err != nil {
 				b.Fatal(err)
 			}
-			if err := os.WriteFile(base+audit.LinesEnd, text, 0o600); err != nil {
+			if err := os.WriteFile(base+audit.LogSuffix, text, 0o600); err != nil {
 				b.Fatal(err)
 			}
 			lines += int64(len(text) + len(ids))
--- a/fleet/disk/format_test.go
+++ b/fleet/disk/format_test.go
@@ -101,27 +101,27 @@
 	require.NoError(t, err)
 	s.Stamp = func(l *audit.Line) { l.Front, l.Incarnation, l.Index = "n1", 7, 12 }
 	s.CountLost(2, "no room")
-	ids := &audit.Span{Number: 1, IDs: []uint64{audit.Hash([]byte("order-1")), audit.Hash([]byte("order-2"))}, Ended: make([][front.StatusCount]uint32, 1)}
-	index, hash := audit.Index(ids)
+	ids := &audit.Interval{Number: 1, IDs: []uint64{audit.HashID([]byte("order-1")), audit.HashID([]byte("order-2"))}, Outcomes: make([][front.StatusCount]uint32, 1)}
+	index, hash := audit.EncodeIndex(ids)
 	for _, l := range []*audit.Line{
-		{What: audit.Opened, Program: "0.3.0", Kinds: []string{"order", "news"}, Clock: 50_000, Version: 3, Meaning: "abc"},
-		{What: audit.Held, Lease: "list", Term: 4},
-		{What: audit.Adopted, Version: 4, Meaning: "def"},
-		{What: audit.InSpan, Span: 1, From: 1_000_000, Until: 2_000_000, Right: 3_000_000, Standby: true, Version: 4, List: []int64{10, 11}, Requests: 2,
-			Ended: [][]uint32{{1, 0, 1, 0, 0}, {0, 0, 0, 0, 0}}, IDsHash: hash},
-		{What: audit.Let, Lease: "list", Term: 4, Acts: 17, Why: "released"},
-		{What: audit.Refused, Version: 5, Why: "unknown zone"},
-		{What: audit.Right}, {What: audit.Lapsed}, {What: audit.Turned, Version: 5, Why: "rolling of 4 to 5: w"}, {What: audit.Closed},
+		{Event: audit.EventProcessStarted, Program: "0.3.0", RequestTypes: []string{"order", "news"}, MaxClockError: 50_000, Version: 3, RulesHash: "abc"},
+		{Event: audit.EventLeaseAcquired, Lease: "list", Term: 4},
+		{Event: audit.EventVersionAdopted, Version: 4, RulesHash: "def"},
+		{Event: audit.EventInterval, Interval: 1, Start: 1_000_000, End: 2_000_000, ConfigLeaseExpiry: 3_000_000, Standby: true, Version: 4, EndpointListVersions: []int64{10, 11}, Requests: 2,
+			Outcomes: [][]uint32{{1, 0, 1, 0, 0}, {0, 0, 0, 0, 0}}, IndexHash: hash},
+		{Event: audit.EventLeaseEnded, Lease: "list", Term: 4, LeaseActions: 17, Reason: "released"},
+		{Event: audit.EventVersionRejected, Version: 5, Reason: "unknown zone"},
+		{Event: audit.EventConfigLeaseAcquired}, {Event: audit.EventConfigLeaseExpired}, {Event: audit.EventRolloutChanged, Version: 5, Reason: "rolling of 4 to 5: w"}, {Event: audit.EventProcessStopped},
 	} {
 		l.Front, l.Incarnation, l.Index, l.At = "n1", 7, 12, 1_700_000_000_000_000
 		var b []byte
-		if l.What == audit.InSpan {
+		if l.Event == audit.EventInterval {
 			b = index
 		}
 		require.NoError(t, s.Write(l, b))
 	}
 	require.NoError(t, s.Close())
-	for _, end := range []string{audit.LinesEnd, audit.IDsEnd} {
+	for _, end := range []string{audit.LogSuffix, audit.IndexSuffix} {
 		got, err := os.ReadFile(filepath.Join(dir, "n1.00000001"+end))
 		require.NoError(t, err)
 		sameAsFile(t, "n1.00000001"+end, got)
@@ -132,7 +132,7 @@
 	l, err := OpenAuditLogs("testdata")
 	require.NoError(t, err)
 	assert.Equal(t, []string{"n1.00000001"}, l.Names())
-	all, _ := audit.Read(l)
+	all, _ := audit.ReadLogs(l)
 	require.Len(t, all, 1)
 	assert.Len(t, all[0].Lines, 11)
 	hits, err := l.Find("order-2")
--- a/fleet/disk/logs.go
+++ b/fleet/disk/logs.go
@@ -30,15 +30,15 @@
 			if err != nil || d.IsDir() {
 				return err
 			}
-			if _, _, ok := audit.ParseName(d.Name()); ok {
-				name := strings.TrimSuffix(d.Name(), audit.LinesEnd)
+			if _, _, ok := audit.ParseLogName(d.Name()); ok {
+				name := strings.TrimSuffix(d.Name(), audit.LogSuffix)
 				was, twice := l.at[name]
 				if !twice {
 					l.at[name] = filepath.Dir(path)
 					l.in = append(l.in, name)
 					return nil
 				}
-				a, err := os.ReadFile(filepath.Join(was, name+audit.LinesEnd))
+				a, err := os.ReadFile(filepath.Join(was, name+audit.LogSuffix))
 				if err != nil {
 					return err
 				}
@@ -49,8 +49,8 @@
 				case bytes.HasPrefix(b, a):
 					l.at[name] = filepath.Dir(path)
 				case !bytes.HasPrefix(a, b):
-					l.Conflicts = append(l.Conflicts, audit.Finding{Segment: name, Wrong: true,
-						What: "two copies differ, in " + was + " and " + filepath.Dir(path) + ": two fronts of one name, or a log restored from an old copy"})
+					l.Conflicts = append(l.Conflicts, audit.Finding{Segment: name, Violation: true,
+						Message: "two copies differ, in " + was + " and " + filepath.Dir(path) + ": two fronts of one name, or a log restored from an old copy"})
 				}
 			}
 			return nil
@@ -67,11 +67,11 @@
 func (l *AuditLogs) Names() []string { return l.in }
 
 func (l *AuditLogs) Lines(name string) ([]byte, error) {
-	return os.ReadFile(filepath.Join(l.at[name], name+audit.LinesEnd))
+	return os.ReadFile(filepath.Join(l.at[name], name+audit.LogSuffix))
 }
 
 func (l *AuditLogs) IDs(name string) ([]byte, error) {
-	return os.ReadFile(filepath.Join(l.at[name], name+audit.IDsEnd))
+	return os.ReadFile(filepath.Join(l.at[name], name+audit.IndexSuffix))
 }
 
 // Match is a span that took a request of an id.
@@ -84,7 +84,7 @@
 // Find looks for a request's id in all indexes, by as many at once as there are processors. A span of n requests that did not take it
 // is named by mistake with chance n in 2^40.
 func (l *AuditLogs) Find(id string) (hits []Match, err error) {
-	want := audit.Hash([]byte(id))
+	want := audit.HashID([]byte(id))
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	next := make(chan string)
@@ -111,7 +111,7 @@
 }
 
 func (l *AuditLogs) find(name string, want uint64) (hits []Match, err error) {
-	f, err := os.Open(filepath.Join(l.at[name], name+audit.IDsEnd))
+	f, err := os.Open(filepath.Join(l.at[name], name+audit.IndexSuffix))
 	if err != nil {
 		return nil, err
 	}
@@ -122,12 +122,12 @@
 		if n == 0 && errors.Is(err, io.EOF) {
 			return hits, nil
 		}
-		span, ids, ok := audit.Head(buf[:n])
+		span, ids, ok := audit.DecodeIndexHead(buf[:n])
 		if !ok {
 			return hits, nil // torn: what is behind can't be found
 		}
-		at := off + audit.Size(0)
-		found, err := audit.Find(want, ids, at, func(off int64, n int) ([]byte, error) {
+		at := off + audit.IndexSize(0)
+		found, err := audit.FindID(want, ids, at, func(off int64, n int) ([]byte, error) {
 			b := buf[:]
 			if n > len(b) {
 				b = make([]byte, n)
@@ -141,6 +141,6 @@
 		if found {
 			hits = append(hits, Match{name, span, off})
 		}
-		off += audit.Size(ids)
+		off += audit.IndexSize(ids)
 	}
 }
--- a/fleet/disk/segments.go
+++ b/fleet/disk/segments.go
@@ -20,7 +20,7 @@
 	size, budget int64
 
 	mu     sync.Mutex
-	chain  audit.Chain
+	chain  audit.HashChain
 	number uint64
 	lines  *os.File
 	ids    *os.File
@@ -67,8 +67,8 @@
 		return nil, fmt.Errorf("the audit's folder: %w", err)
 	}
 	for _, e := range all {
-		if f, _, ok := audit.ParseName(e.Name()); ok && (front == "" || f == front) {
-			names = append(names, e.Name()[:len(e.Name())-len(audit.LinesEnd)])
+		if f, _, ok := audit.ParseLogName(e.Name()); ok && (front == "" || f == front) {
+			names = append(names, e.Name()[:len(e.Name())-len(audit.LogSuffix)])
 		}
 	}
 	slices.Sort(names)
@@ -77,7 +77,7 @@
 
 // resume takes up the chain where the last segment left it.
 func (s *Segments) resume(name string) error {
-	path := filepath.Join(s.dir, name+audit.LinesEnd)
+	path := filepath.Join(s.dir, name+audit.LogSuffix)
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return fmt.Errorf("the audit's last segment: %w", err)
@@ -86,12 +86,12 @@
 	for good < len(b) {
 		n := bytes.IndexByte(b[good:], '\n')
 		var l audit.Line
-		if n < 0 || json.Unmarshal(b[good:good+n], &l) != nil || l.Chain == "" {
+		if n < 0 || json.Unmarshal(b[good:good+n], &l) != nil || l.Hash == "" {
 			break
 		}
-		s.chain.N, s.chain.Value = l.N, l.Chain
-		if l.IDs > 0 {
-			ids = l.IDs - 1 + audit.Size(l.Requests)
+		s.chain.Sequence, s.chain.LastHash = l.Sequence, l.Hash
+		if l.IndexOffset > 0 {
+			ids = l.IndexOffset - 1 + audit.IndexSize(l.Requests)
 		}
 		good += n + 1
 	}
@@ -100,32 +100,32 @@
 			return fmt.Errorf("the audit's torn tail: %w", err)
 		}
 	}
-	if at, err := os.Stat(filepath.Join(s.dir, name+audit.IDsEnd)); err == nil && at.Size() > ids { // of a line that was never written
-		if err := os.Truncate(filepath.Join(s.dir, name+audit.IDsEnd), ids); err != nil {
+	if at, err := os.Stat(filepath.Join(s.dir, name+audit.IndexSuffix)); err == nil && at.Size() > ids { // of a line that was never written
+		if err := os.Truncate(filepath.Join(s.dir, name+audit.IndexSuffix), ids); err != nil {
 			return fmt.Errorf("the audit's torn index: %w", err)
 		}
 	}
-	_, s.number, _ = audit.ParseName(name + audit.LinesEnd)
+	_, s.number, _ = audit.ParseLogName(name + audit.LogSuffix)
 	return nil
 }
 
 // begin opens the next segment. Where that fails none is open, and the next write tries again.
 func (s *Segments) begin() error {
 	path := filepath.Join(s.dir, audit.SegmentName(s.front, s.number+1))
-	lines, err := os.OpenFile(path+audit.LinesEnd, os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600)
+	lines, err := os.OpenFile(path+audit.LogSuffix, os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
 		return fmt.Errorf("the audit: %w", err)
 	}
-	ids, err := os.OpenFile(path+audit.IDsEnd, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
+	ids, err := os.OpenFile(path+audit.IndexSuffix, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		lines.Close()
-		os.Remove(path + audit.LinesEnd)
+		os.Remove(path + audit.LogSuffix)
 		return fmt.Errorf("the audit: %w", err)
 	}
 	s.lines, s.ids = lines, ids
 	s.number++
 	s.at, s.idsAt = 0, 0
-	s.chain.Segment()
+	s.chain.StartSegment()
 	return nil
 }
 
@@ -143,14 +143,14 @@
 		}
 	}
 	if s.cut > 0 {
-		cut := &audit.Line{What: audit.Cut, At: l.At, Lost: uint64(s.cut), Why: "the last line of the segment before was not whole"}
+		cut := &audit.Line{Event: audit.EventTailTruncated, At: l.At, Lost: uint64(s.cut), Reason: "the last line of the segment before was not whole"}
 		s.Stamp(cut)
 		if s.append(cut, nil) == nil {
 			s.cut = 0
 		}
 	}
 	if s.lost > 0 {
-		gap := &audit.Line{What: audit.Gap, At: l.At, Lost: s.lost, Why: s.why}
+		gap := &audit.Line{Event: audit.EventLinesLost, At: l.At, Lost: s.lost, Reason: s.why}
 		s.Stamp(gap)
 		if err := s.append(gap, nil); err != nil {
 			s.lost++
@@ -180,7 +180,7 @@
 		if _, err := s.ids.WriteAt(ids, s.idsAt); err != nil {
 			return err
 		}
-		l.IDs = s.idsAt + 1
+		l.IndexOffset = s.idsAt + 1
 	}
 	was := s.chain
 	b := s.chain.Append(l)
@@ -202,12 +202,12 @@
 	}
 	for len(s.sealed) > 0 && s.total() > s.budget {
 		oldest := s.sealed[0]
-		gone := &audit.Line{What: audit.Dropped, At: s.latest, Name: oldest, Why: fmt.Sprintf("the audit may take %d bytes", s.budget)}
+		gone := &audit.Line{Event: audit.EventSegmentRemoved, At: s.latest, Name: oldest, Reason: fmt.Sprintf("the audit may take %d bytes", s.budget)}
 		s.Stamp(gone)
 		if err := s.append(gone, nil); err != nil {
 			return err
 		}
-		for _, end := range []string{audit.LinesEnd, audit.IDsEnd} {
+		for _, end := range []string{audit.LogSuffix, audit.IndexSuffix} {
 			if err := os.Remove(filepath.Join(s.dir, oldest+end)); err != nil && !errors.Is(err, os.ErrNotExist) {
 				return err
 			}
@@ -230,7 +230,7 @@
 func (s *Segments) total() (sum int64) {
 	sum = s.at + s.idsAt
 	for _, name := range s.sealed {
-		for _, end := range []string{audit.LinesEnd, audit.IDsEnd} {
+		for _, end := range []string{audit.LogSuffix, audit.IndexSuffix} {
 			if at, err := os.Stat(filepath.Join(s.dir, name+end)); err == nil {
 				sum += at.Size()
 			}
@@ -280,7 +280,7 @@
 // there already with the same content counts as exported, however often it is asked for; one with other content is an error
 // and stays as it is.
 func ExportSegment(dir, name, to string) error {
-	for _, end := range []string{audit.IDsEnd, audit.LinesEnd} { // the lines last: who finds them finds the index
+	for _, end := range []string{audit.IndexSuffix, audit.LogSuffix} { // the lines last: who finds them finds the index
 		b, err := os.ReadFile(filepath.Join(dir, name+end))
 		if err == nil {
 			err = WriteOnce(to, name+end, b)
--- a/fleet/disk/segments_test.go
+++ b/fleet/disk/segments_test.go
@@ -14,30 +14,30 @@
 )
 
 func span(i int) (*audit.Line, []byte) {
-	s := audit.Span{Number: uint32(i), Ended: make([][front.StatusCount]uint32, 1)}
+	s := audit.Interval{Number: uint32(i), Outcomes: make([][front.StatusCount]uint32, 1)}
 	for k := range 5 {
-		s.IDs = append(s.IDs, audit.Hash(fmt.Appendf(nil, "t%d-%d", i, k)))
+		s.IDs = append(s.IDs, audit.HashID(fmt.Appendf(nil, "t%d-%d", i, k)))
 	}
-	ids, hash := audit.Index(&s)
-	return &audit.Line{What: audit.InSpan, Front: "n1", Incarnation: 7, Index: 3, At: int64(i) * 1000, Span: uint32(i), From: int64(i) * 1000, Until: int64(i+1) * 1000,
-		Requests: 5, Ended: [][]uint32{{5, 0, 0, 0, 0}}, IDsHash: hash}, ids
+	ids, hash := audit.EncodeIndex(&s)
+	return &audit.Line{Event: audit.EventInterval, Front: "n1", Incarnation: 7, Index: 3, At: int64(i) * 1000, Interval: uint32(i), Start: int64(i) * 1000, End: int64(i+1) * 1000,
+		Requests: 5, Outcomes: [][]uint32{{5, 0, 0, 0, 0}}, IndexHash: hash}, ids
 }
 
 func begun(t *testing.T, dir string, size, budget int64) *Segments {
 	s, err := OpenSegments(dir, "n1", size, budget)
 	require.NoError(t, err)
 	s.Stamp = func(l *audit.Line) { l.Front, l.Incarnation, l.At, l.Index = "n1", 7, 1, 3 }
-	require.NoError(t, s.Write(&audit.Line{What: audit.Opened, Front: "n1", Incarnation: 7, Index: 3, At: 1, Clock: 1 << 40}, nil))
+	require.NoError(t, s.Write(&audit.Line{Event: audit.EventProcessStarted, Front: "n1", Incarnation: 7, Index: 3, At: 1, MaxClockError: 1 << 40}, nil))
 	return s
 }
 
 func verified(t *testing.T, dirs ...string) (l *AuditLogs, notes []string) {
 	l, err := OpenAuditLogs(dirs...)
 	require.NoError(t, err)
-	_, found := audit.Read(l)
+	_, found := audit.ReadLogs(l)
 	for _, f := range append(found, l.Conflicts...) {
-		assert.False(t, f.Wrong, f)
-		notes = append(notes, f.What)
+		assert.False(t, f.Violation, f)
+		notes = append(notes, f.Message)
 	}
 	return l, notes
 }
@@ -48,12 +48,12 @@
 	for i := 1; i <= 200; i++ {
 		require.NoError(t, s.Write(span(i)))
 	}
-	require.NoError(t, s.Write(&audit.Line{What: audit.Closed, Front: "n1", Incarnation: 7, Index: 3, At: 1 << 40}, nil))
+	require.NoError(t, s.Write(&audit.Line{Event: audit.EventProcessStopped, Front: "n1", Incarnation: 7, Index: 3, At: 1 << 40}, nil))
 	require.NoError(t, s.Close())
 	l, _ := verified(t, dir)
 	sum := int64(0)
 	for _, n := range l.Names() {
-		for _, end := range []string{audit.LinesEnd, audit.IDsEnd} {
+		for _, end := range []string{audit.LogSuffix, audit.IndexSuffix} {
 			at, err := os.Stat(filepath.Join(dir, n+end))
 			require.NoError(t, err)
 			sum += at.Size()
@@ -76,14 +76,14 @@
 	}
 	s.lines.Close()
 	s.ids.Close() // it crashed
-	path := filepath.Join(dir, "n1.00000001"+audit.LinesEnd)
+	path := filepath.Join(dir, "n1.00000001"+audit.LogSuffix)
 	b, err := os.ReadFile(path)
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(path, b[:len(b)-9], 0o600))
 	s, err = OpenSegments(dir, "n1", 1<<20, 1<<24)
 	require.NoError(t, err)
 	s.Stamp = func(l *audit.Line) { l.Front, l.Incarnation, l.At, l.Index = "n1", 8, 9000, 3 }
-	require.NoError(t, s.Write(&audit.Line{What: audit.Opened, Front: "n1", Incarnation: 8, Index: 3, At: 9000, Clock: 1 << 40}, nil))
+	require.NoError(t, s.Write(&audit.Line{Event: audit.EventProcessStarted, Front: "n1", Incarnation: 8, Index: 3, At: 9000, MaxClockError: 1 << 40}, nil))
 	require.NoError(t, s.Close())
 	_, notes := verified(t, dir)
 	assert.Contains(t, fmt.Sprint(notes), "a torn tail of")
@@ -130,7 +130,7 @@
 	l, err := OpenAuditLogs(other, out)
 	require.NoError(t, err)
 	require.Len(t, l.Conflicts, 1)
-	assert.Contains(t, l.Conflicts[0].What, "two copies differ")
+	assert.Contains(t, l.Conflicts[0].Message, "two copies differ")
 }
 
 // TERMS.md: "Where a folder lasts: writes and syncs to it may fail for a while". A segment that cannot be begun is begun later, and
--- a/fleet/rollout/action.go
+++ b/fleet/rollout/action.go
@@ -11,8 +11,8 @@
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
 
-	ID    uint64
-	Fault string // "" where it was accepted
+	ID             uint64
+	RejectedReason string // "" where it was accepted
 }
 
 // Action is an operator's request, sent to the leaseholder repeatedly until its outcome is in the state.
@@ -20,27 +20,27 @@
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
 
-	ID        uint64
-	Type      uint8
-	Base      uint64 // the version that the operator saw in force; an outdated one is refused
-	Text      []byte
-	Meaning   string
-	Stages    []uint16 // in thousandths of the fleet, rising to 1000
-	Watch     time.Duration
-	Must      bool
-	MaxFenced uint16
-	Why       string
+	ID              uint64
+	Type            uint8
+	Base            uint64 // the version that the operator saw in force; an outdated one is refused
+	Text            []byte
+	RulesHash       string
+	Stages          []uint16 // in thousandths of the fleet, rising to 1000
+	ObservationTime time.Duration
+	Mandatory       bool
+	MaxFenced       uint16
+	Reason          string
 
 	// Since a later program; an action that has none of them is encoded without.
-	Within     time.Duration // by which it has to be in force everywhere; 0 for the form's time, or none
-	NoEvidence uint8         // with a time: what a stage does whose trial did not decide
+	InForceWithin time.Duration // by which it has to be in force everywhere; 0 for the form's time, or none
+	OnUndecided   uint8         // with a time: what a stage does whose trial did not decide
 }
 
 // What a stage does whose trial did not decide in its share of the time.
 const (
-	NoEvidenceGoOn     uint8 = iota // the next stage
-	NoEvidencePause                 // it waits for an operator, and the time is missed
-	NoEvidenceRollBack              // the version is rolled back
+	UndecidedContinue uint8 = iota // the next stage
+	UndecidedPause                 // it waits for an operator, and the time is missed
+	UndecidedRollBack              // the version is rolled back
 )
 
 // actionOfBefore is an Action as older programs encode and decode it.
@@ -62,8 +62,8 @@
 
 // DecodeMsgpack decodes an Action of this or another version of the program.
 func (action *Action) DecodeMsgpack(d *msgpack.Decoder) error {
-	return decodeLenient(d, &action.ID, &action.Type, &action.Base, &action.Text, &action.Meaning, &action.Stages, &action.Watch,
-		&action.Must, &action.MaxFenced, &action.Why, &action.Within, &action.NoEvidence)
+	return decodeLenient(d, &action.ID, &action.Type, &action.Base, &action.Text, &action.RulesHash, &action.Stages, &action.ObservationTime,
+		&action.Mandatory, &action.MaxFenced, &action.Reason, &action.InForceWithin, &action.OnUndecided)
 }
 
 // Types of an Action.
@@ -76,7 +76,7 @@
 
 // Encode encodes an action for a datagram.
 func (action Action) Encode() []byte {
-	if action.Within != 0 || action.NoEvidence != 0 {
+	if action.InForceWithin != 0 || action.OnUndecided != 0 {
 		return encode(&action)
 	}
 	return encode(&actionOfBefore{
@@ -84,12 +84,12 @@
 		Type:      action.Type,
 		Base:      action.Base,
 		Text:      action.Text,
-		Meaning:   action.Meaning,
+		Meaning:   action.RulesHash,
 		Stages:    action.Stages,
-		Watch:     action.Watch,
-		Must:      action.Must,
+		Watch:     action.ObservationTime,
+		Must:      action.Mandatory,
 		MaxFenced: action.MaxFenced,
-		Why:       action.Why,
+		Why:       action.Reason,
 	})
 }
 
@@ -97,14 +97,14 @@
 func DecodeAction(data []byte) (action Action, ok bool) {
 	err := msgpack.Unmarshal(data, &action)
 	return action, err == nil && action.ID != 0 && action.Type <= ActionResume && len(action.Text) <= MaxTextBytes && len(action.Stages) <= 64 &&
-		action.Within >= 0 && action.NoEvidence <= NoEvidenceRollBack
+		action.InForceWithin >= 0 && action.OnUndecided <= UndecidedRollBack
 }
 
 // Outcome returns what became of an action; ok is false where it is not known.
 func (s *State) Outcome(id uint64) (fault string, ok bool) {
 	for _, o := range s.Outcomes {
 		if o.ID == id {
-			return o.Fault, true
+			return o.RejectedReason, true
 		}
 	}
 	return "", false
--- a/fleet/rollout/adopter.go
+++ b/fleet/rollout/adopter.go
@@ -8,14 +8,14 @@
 
 // Options configure an Adopter or a Participant.
 type Options struct {
-	Name             string
-	Timing           fleet.Timing
-	ConfigLease      time.Duration // as the node's
-	StopWhenIsolated bool          // while isolated it serves only until its configuration lease expires; else it goes on with the version it has
-	InForceWithin    time.Duration // for versions that are published without a time; 0 for none
-	Rules            RuleSet       // to merge publications that wait; nil where none may
-	Active           uint64        // the version to start with: the one used last, 0 for the front's own file
-	Tried            uint64        // a version during whose adoption the last process ended, 0 for none
+	Name               string
+	Timing             fleet.Timing
+	ConfigLease        time.Duration // as the node's
+	StopWhenIsolated   bool          // while isolated it serves only until its configuration lease expires; else it goes on with the version it has
+	InForceWithin      time.Duration // for versions that are published without a time; 0 for none
+	Rules              RuleSet       // to merge publications that wait; nil where none may
+	InitialVersion     uint64        // the version to start with: the one used last, 0 for the front's own file
+	UnconfirmedVersion uint64        // a version during whose adoption the last process ended, 0 for none
 }
 
 // Adopter decides which version its front uses, and until when it may.
@@ -36,9 +36,9 @@
 
 // NewAdopter makes an Adopter.
 func NewAdopter(o Options) *Adopter {
-	a := &Adopter{options: o, active: o.Active}
-	if o.Tried != 0 && o.Tried != o.Active {
-		a.refused, a.refusedWhy = o.Tried, "the front went down when it took it up"
+	a := &Adopter{options: o, active: o.InitialVersion}
+	if o.UnconfirmedVersion != 0 && o.UnconfirmedVersion != o.InitialVersion {
+		a.refused, a.refusedWhy = o.UnconfirmedVersion, "the front went down when it took it up"
 	}
 	return a
 }
@@ -71,7 +71,7 @@
 			want = s.Base // it can use neither: with the one in force it serves, and somebody can roll the refused one back
 		}
 		again := want != a.refused || want == s.Base && now >= a.retryAt // a refused version that all others use is tried again now and then
-		if text := Text(r, want); want != a.active && again && !a.busy && (text != nil || want == 0) {
+		if text := VersionText(r, want); want != a.active && again && !a.busy && (text != nil || want == 0) {
 			n.SetPendingVersion(now, want)
 			if until := n.ConfigLeaseExpiry(want); until > now {
 				a.adopting, a.busy, a.retryAt = want, true, now+a.options.Timing.LeaseDuration
@@ -80,7 +80,7 @@
 		}
 	}
 	until = n.ConfigLeaseExpiry(a.active)
-	if isolated && !a.options.StopWhenIsolated && (a.reachedFleet || now-a.startedAt > a.options.Timing.LeaseDuration) && !(s.Must && s.Next != 0 && a.active != s.Next) {
+	if isolated && !a.options.StopWhenIsolated && (a.reachedFleet || now-a.startedAt > a.options.Timing.LeaseDuration) && !(s.Mandatory && s.Next != 0 && a.active != s.Next) {
 		// Nobody can be asked: it goes on with what it has, unless it knows of a mandatory version that is being rolled out.
 		a.isolatedUntil = now + a.options.Timing.LeaseDuration
 	}
@@ -99,12 +99,12 @@
 	}
 }
 
-// Refuse reports that the front can't use a version.
-func (a *Adopter) Refuse(version uint64, why string) {
+// Reject reports that the front can't use a version.
+func (a *Adopter) Reject(version uint64, why string) {
 	a.refused, a.refusedWhy, a.busy = version, why, false
 }
 
 // Report returns the front's digest; sums are its counts by request type on the version that it uses.
 func (a *Adopter) Report(kinds uint32, sums []Counts) Report {
-	return Report{AdoptedAt: a.adoptedAt, Refused: a.refused, Why: a.refusedWhy, ServesIsolated: !a.options.StopWhenIsolated, Kinds: kinds, Counts: sums}
+	return Report{AdoptedAt: a.adoptedAt, RejectedVersion: a.refused, RejectedReason: a.refusedWhy, ServesIsolated: !a.options.StopWhenIsolated, TypesChecksum: kinds, Counts: sums}
 }
--- a/fleet/rollout/coalesce.go
+++ b/fleet/rollout/coalesce.go
@@ -83,12 +83,12 @@
 		}
 	}
 	c.action.Text = rules.Join(merged)
-	c.action.Meaning = rules.Meaning(c.action.Text)
-	if c.merged > 0 && c.action.Meaning == baseMeaning && base > 0 {
+	c.action.RulesHash = rules.Meaning(c.action.Text)
+	if c.merged > 0 && c.action.RulesHash == baseMeaning && base > 0 {
 		c.merged = 0
 		for i := range c.outcomes {
-			if c.outcomes[i].Fault == "" {
-				c.outcomes[i].Fault = fmt.Sprintf("the rules mean the same as those of version %d, which is in force", base)
+			if c.outcomes[i].RejectedReason == "" {
+				c.outcomes[i].RejectedReason = fmt.Sprintf("the rules mean the same as those of version %d, which is in force", base)
 			}
 		}
 	}
@@ -96,7 +96,7 @@
 }
 
 func (c *coalesced) refuse(p publication, why string) {
-	c.outcomes = append(c.outcomes, Outcome{ID: p.action.ID, Fault: why})
+	c.outcomes = append(c.outcomes, Outcome{ID: p.action.ID, RejectedReason: why})
 }
 
 // add takes what a publication asks for into the version.
@@ -110,10 +110,10 @@
 	if len(p.action.Stages) > len(c.action.Stages) {
 		c.action.Stages = p.action.Stages
 	}
-	c.action.Watch = max(c.action.Watch, p.action.Watch)
-	c.action.Must = c.action.Must || p.action.Must
+	c.action.ObservationTime = max(c.action.ObservationTime, p.action.ObservationTime)
+	c.action.Mandatory = c.action.Mandatory || p.action.Mandatory
 	c.action.MaxFenced = min(c.action.MaxFenced, p.action.MaxFenced)
-	c.action.NoEvidence = max(c.action.NoEvidence, p.action.NoEvidence)
+	c.action.OnUndecided = max(c.action.OnUndecided, p.action.OnUndecided)
 	c.within = min(c.within, p.within)
 }
 
--- a/fleet/rollout/coalesce_test.go
+++ b/fleet/rollout/coalesce_test.go
@@ -75,7 +75,7 @@
 			t.Fatalf("%d outcomes of %d publications", len(c.outcomes), len(all))
 		}
 		for i, o := range c.outcomes {
-			if o.ID != all[i].action.ID || (o.Fault == "") != (c.merged > 0 && all[i].action.Base <= base) {
+			if o.ID != all[i].action.ID || (o.RejectedReason == "") != (c.merged > 0 && all[i].action.Base <= base) {
 				t.Fatalf("publication %d: %+v", i, o)
 			}
 		}
@@ -89,7 +89,7 @@
 		textKey(4): {Index: 1, Value: []byte(`{"a":"1","b":"1"}`)},
 		textKey(5): {Index: 2, Value: []byte(`{"a":"1","b":"2"}`)},
 	}}
-	return c, r, State{Number: 5, Base: 4, Next: 5, Phase: PhaseRolling, Stages: []uint16{1000}}
+	return c, r, State{LastVersion: 5, Base: 4, Next: 5, Phase: PhaseRolling, Stages: []uint16{1000}}
 }
 
 func TestAPublicationInConflictIsRefusedWithItsReason(t *testing.T) {
@@ -128,13 +128,13 @@
 	assert.Contains(t, c.admit(0, r, s, Action{ID: 99, Base: 4, Text: []byte(`{}`), Stages: []uint16{1000}}, "n1"), fmt.Sprintf("%d publications wait", maxWaiting))
 	require.True(t, c.serveQueue(time.Second, r, s))
 	r.Values[queueKey] = &fleet.StoredValue{Value: c.queue[0].value}
-	assert.Equal(t, Waiting{Front: "n1", Base: 4, Changes: "a"}, Queue(r)[0])
+	assert.Equal(t, QueuedPublication{Front: "n1", Base: 4, Changes: "a"}, QueuedPublications(r)[0])
 	assert.False(t, c.serveQueue(time.Second, r, s), "they wait")
 	require.True(t, c.serveQueue(21*time.Second, r, s), "nobody waits without an answer")
 	written, ok := ReadState(&fleet.ReplicatedState{Values: map[string]*fleet.StoredValue{stateKey: {Value: c.queue[0].value}}})
 	require.True(t, ok)
 	require.Len(t, written.Outcomes, maxWaiting)
-	assert.Contains(t, written.Outcomes[0].Fault, "version 5 is on its way still (rolling)")
+	assert.Contains(t, written.Outcomes[0].RejectedReason, "version 5 is on its way still (rolling)")
 	assert.False(t, c.serveQueue(22*time.Second, r, written) && len(c.waiting) > 0, "each has its outcome, and waits no more")
 	assert.Empty(t, c.waiting)
 }
--- a/fleet/rollout/controller.go
+++ b/fleet/rollout/controller.go
@@ -44,7 +44,7 @@
 	stage         string        // what the times below belong to
 	stageAt       time.Duration
 	completeSince time.Duration // when all fronts that are heard were first on their version; 0 for not yet
-	trial         Trial
+	trial         CanaryAnalysis
 	samples       map[string]sample  // by front, of the interval before
 	adopters      map[string]adopter // by front: those that were seen on the new version
 }
@@ -156,7 +156,7 @@
 func (c *Controller) putState(s State, why string) put {
 	s.Format = format
 	if why != "" {
-		s.Why = why
+		s.Reason = why
 	}
 	return put{stateKey, encode(&s)}
 }
@@ -172,7 +172,7 @@
 	}
 	stage := fmt.Sprint(s.Phase, s.Next, s.Stage, s.Paused)
 	if stage != c.stage {
-		c.stage, c.stageAt, c.completeSince, c.trial = stage, now, 0, Trial{}
+		c.stage, c.stageAt, c.completeSince, c.trial = stage, now, 0, CanaryAnalysis{}
 		clear(c.samples)
 	}
 	known := c.reportsAt != 0 && now-c.reportsAt <= c.options.Timing.LeaseDuration
@@ -223,7 +223,7 @@
 		return
 	}
 	if fault := c.admit(now, r, s, action.Action, action.from); fault != "" {
-		c.queue = []put{c.putState(s.withOutcomes(Outcome{ID: action.ID, Fault: fault}), "")}
+		c.queue = []put{c.putState(s.withOutcomes(Outcome{ID: action.ID, RejectedReason: fault}), "")}
 	}
 }
 
@@ -234,8 +234,8 @@
 		return
 	}
 	next := s
-	next.Base, next.Next, next.Phase, next.Unproven = s.Next, 0, PhaseSteady, unproven
-	next.Meaning = [2]string{s.Meaning[1], ""}
+	next.Base, next.Next, next.Phase, next.UnconfirmedFronts = s.Next, 0, PhaseSteady, unproven
+	next.RulesHashes = [2]string{s.RulesHashes[1], ""}
 	why := fmt.Sprintf("version %d is in force", s.Next)
 	if len(unproven) > 0 {
 		why += "; but " + strings.Join(unproven, ", ") + " may go on on the old one: it hears nobody and serves alone"
@@ -254,7 +254,7 @@
 	}
 	if unproven, all := c.onOtherVersions(now, r, s, s.Base); all {
 		next := s
-		next.Next, next.Phase, next.Unproven, next.Meaning[1] = 0, PhaseSteady, unproven, ""
+		next.Next, next.Phase, next.UnconfirmedFronts, next.RulesHashes[1] = 0, PhaseSteady, unproven, ""
 		c.queue = []put{c.putState(next, ""), {textKey(s.Next), nil}}
 	}
 }
--- a/fleet/rollout/controller_actions.go
+++ b/fleet/rollout/controller_actions.go
@@ -12,7 +12,7 @@
 
 // apply carries out an operator's action, or refuses it; its outcome is stored with the change of state.
 func (c *Controller) apply(now time.Duration, r *fleet.ReplicatedState, s State, action Action) {
-	note := func(fault string) State { return s.withOutcomes(Outcome{ID: action.ID, Fault: fault}) }
+	note := func(fault string) State { return s.withOutcomes(Outcome{ID: action.ID, RejectedReason: fault}) }
 	refuse := func(format string, args ...any) { c.queue = []put{c.putState(note(fmt.Sprintf(format, args...)), "")} }
 	switch {
 	case action.Type != ActionPublish && s.Next == 0:
@@ -20,21 +20,21 @@
 	case action.Type == ActionRollBack && s.Phase == PhaseFinishing:
 		refuse("version %d is being finished: publish the old rules anew", s.Next)
 	case action.Type == ActionRollBack:
-		c.rollBack(note(""), "taken back: "+action.Why)
+		c.rollBack(note(""), "taken back: "+action.Reason)
 	case action.Type == ActionPause, action.Type == ActionResume:
 		x := note("")
 		x.Paused = action.Type == ActionPause
-		c.queue = []put{c.putState(x, map[bool]string{true: "held: ", false: "goes on: "}[x.Paused]+action.Why)}
+		c.queue = []put{c.putState(x, map[bool]string{true: "held: ", false: "goes on: "}[x.Paused]+action.Reason)}
 	case s.Next != 0:
 		refuse("version %d is on its way (%v): wait for it, or take it back first", s.Next, s.Phase)
 	case action.Base != s.Base:
 		refuse("%s", outdated(s, action))
-	case action.Meaning == s.Meaning[0] && s.Base > 0:
+	case action.RulesHash == s.RulesHashes[0] && s.Base > 0:
 		refuse("the rules mean the same as those of version %d, which is in force", s.Base)
 	case !validStages(action.Stages):
 		refuse("%s", stagesRise)
 	default:
-		within := cmp.Or(action.Within, c.options.InForceWithin)
+		within := cmp.Or(action.InForceWithin, c.options.InForceWithin)
 		why := ""
 		if within > 0 {
 			why = c.whyNotWithin(r, s, within)
@@ -45,19 +45,19 @@
 			refuse("%s", why)
 			return
 		}
-		c.begin(r, note(""), action, within, fmt.Sprintf("version %d is published", s.Number+1))
+		c.begin(r, note(""), action, within, fmt.Sprintf("version %d is published", s.LastVersion+1))
 	}
 }
 
 // begin begins to roll a version out; a time of 0 is none.
 func (c *Controller) begin(r *fleet.ReplicatedState, s State, action Action, within time.Duration, why string) {
-	s.Number++
-	s.Next, s.Must, s.Phase, s.Paused = s.Number, action.Must, PhaseRolling, false
-	s.Stages, s.Stage, s.Watch, s.MaxFenced, s.Meaning[1], s.Unproven = action.Stages, 0, action.Watch, action.MaxFenced, action.Meaning, nil
-	s.Cut = stageCut(c.fronts(r), s.Next, action.Stages[0])
+	s.LastVersion++
+	s.Next, s.Mandatory, s.Phase, s.Paused = s.LastVersion, action.Mandatory, PhaseRolling, false
+	s.Stages, s.Stage, s.ObservationTime, s.MaxFenced, s.RulesHashes[1], s.UnconfirmedFronts = action.Stages, 0, action.ObservationTime, action.MaxFenced, action.RulesHash, nil
+	s.CutoffRank = stageCut(c.fronts(r), s.Next, action.Stages[0])
 	c.queue = []put{{textKey(s.Next), action.Text}}
 	if within > 0 {
-		c.queue = append(c.queue, c.putBounded(r), put{deadlineKey, encode(&deadline{Version: s.Next, Within: within, NoEvidence: action.NoEvidence})})
+		c.queue = append(c.queue, c.putBounded(r), put{deadlineKey, encode(&deadline{Version: s.Next, Within: within, NoEvidence: action.OnUndecided})})
 	}
 	c.queue = append(c.queue, c.putAllowed(s.Base, s.Next), c.putState(s, why))
 }
@@ -77,7 +77,7 @@
 // mustWait reports whether a publication with a time waits until fronts are known that a new leader has not heard yet. It waits for
 // no longer than its time.
 func (c *Controller) mustWait(now time.Duration, r *fleet.ReplicatedState, s State, action Action) bool {
-	within := cmp.Or(action.Within, c.options.InForceWithin)
+	within := cmp.Or(action.InForceWithin, c.options.InForceWithin)
 	if action.Type != ActionPublish || within == 0 || s.Next != 0 || c.unfitForGood(r) != "" || len(c.unknownFronts(r, s)) == 0 {
 		return false
 	}
@@ -89,7 +89,7 @@
 
 // whyNotWithin says why no version can be published that has to be in force everywhere within a time, "" for nothing.
 func (c *Controller) whyNotWithin(r *fleet.ReplicatedState, s State, within time.Duration) string {
-	if why, remedy := CheckWithin(c.options.Timing, c.options.ConfigLease, within); why != "" {
+	if why, remedy := CheckInForceWithin(c.options.Timing, c.options.ConfigLease, within); why != "" {
 		return why + ": " + remedy
 	}
 	return c.unfitForDeadline(r, s)
--- a/fleet/rollout/controller_stages.go
+++ b/fleet/rollout/controller_stages.go
@@ -53,15 +53,15 @@
 	switch {
 	case !last && verdict == Alike:
 		c.openNextStage(r, s, behind)
-	case watched < min(s.Watch, share):
+	case watched < min(s.ObservationTime, share):
 		return
 	case last:
 		c.openNextStage(r, s, behind)
 	case c.trial.leans():
 		c.rollBack(s, fmt.Sprintf("its time is over, and version %d looks as if it served worse", s.Next))
-	case s.Watch == 0 || d.NoEvidence == NoEvidenceGoOn || c.wasPaused == c.stageOf(s):
+	case s.ObservationTime == 0 || d.NoEvidence == UndecidedContinue || c.wasPaused == c.stageOf(s):
 		c.openNextStage(r, s, behind)
-	case d.NoEvidence == NoEvidencePause:
+	case d.NoEvidence == UndecidedPause:
 		s.Paused = true
 		c.queue = []put{c.putState(s, fmt.Sprintf("held: the time of wave %d is over, and did not tell whether version %d serves worse", s.Stage+1, s.Next))}
 	default:
@@ -83,7 +83,7 @@
 		}
 	}
 	patience := 3 * c.options.ConfigLease
-	if s.Must {
+	if s.Mandatory {
 		patience = c.options.ConfigLease / 2
 	}
 	return !last || now-c.stageAt < patience
@@ -152,9 +152,9 @@
 	suspect := !last && verdict == Undecided && c.trial.leans()
 	next := s
 	switch {
-	case watched < s.Watch:
+	case watched < s.ObservationTime:
 		return
-	case suspect && watched < 3*s.Watch:
+	case suspect && watched < 3*s.ObservationTime:
 		return // wait longer: what was seen leans towards worse
 	case suspect:
 		next.Paused = true
@@ -168,7 +168,7 @@
 func (c *Controller) openNextStage(r *fleet.ReplicatedState, s State, behind []string) {
 	if s.Stage < len(s.Stages)-1 {
 		s.Stage++
-		s.Cut = stageCut(c.fronts(r), s.Next, s.Stages[s.Stage])
+		s.CutoffRank = stageCut(c.fronts(r), s.Next, s.Stages[s.Stage])
 		c.queue = []put{c.putState(s, fmt.Sprintf("wave %d of %d is open", s.Stage+1, len(s.Stages)))}
 		return
 	}
@@ -182,7 +182,7 @@
 
 // noteReason records a reason in the state, once.
 func (c *Controller) noteReason(s State, why string) {
-	if s.Why != why {
+	if s.Reason != why {
 		c.queue = []put{c.putState(s, why)}
 	}
 }
@@ -222,8 +222,8 @@
 				deltas[newSide] = append(deltas[newSide], Counts{})
 				deltas[oldSide] = append(deltas[oldSide], Counts{})
 			}
-			deltas[side][i].Ended += delta.Ended
-			deltas[side][i].Served += delta.Served
+			deltas[side][i].Finished += delta.Finished
+			deltas[side][i].Succeeded += delta.Succeeded
 		}
 	}
 	if silent[newSide] >= 2 && silent[newSide]*2 > all[newSide] && silent[oldSide]*4 < all[oldSide] {
@@ -245,8 +245,8 @@
 
 // frontFailure says why one front's report means that the version must be rolled back, "" for nothing.
 func (c *Controller) frontFailure(name string, t fleet.MemberReport, report Report, s State) string {
-	if report.Refused == s.Next {
-		return fmt.Sprintf("%s can't use version %d: %s", name, s.Next, report.Why)
+	if report.RejectedVersion == s.Next {
+		return fmt.Sprintf("%s can't use version %d: %s", name, s.Next, report.RejectedReason)
 	}
 	if was, ok := c.adopters[name]; ok && was.incarnation != t.Incarnation && !was.leaving {
 		delete(c.adopters, name)
@@ -261,7 +261,7 @@
 // countsSince returns by how much a front's counts grew since its last report, nil where the two can't be compared.
 func (c *Controller) countsSince(name string, t fleet.MemberReport, report Report) []Counts {
 	before, ok := c.samples[name]
-	after := sample{t.Incarnation, t.ActiveVersion, report.Kinds, report.Counts}
+	after := sample{t.Incarnation, t.ActiveVersion, report.TypesChecksum, report.Counts}
 	c.samples[name] = after
 	comparable := ok && before.incarnation == after.incarnation && before.version == after.version &&
 		before.kinds == after.kinds && len(before.counts) == len(after.counts)
@@ -270,8 +270,8 @@
 	}
 	deltas := make([]Counts, len(after.counts))
 	for i := range deltas {
-		deltas[i].Ended = after.counts[i].Ended - before.counts[i].Ended
-		deltas[i].Served = after.counts[i].Served - before.counts[i].Served
+		deltas[i].Finished = after.counts[i].Finished - before.counts[i].Finished
+		deltas[i].Succeeded = after.counts[i].Succeeded - before.counts[i].Succeeded
 	}
 	return deltas
 }
--- a/fleet/rollout/deadline.go
+++ b/fleet/rollout/deadline.go
@@ -61,8 +61,8 @@
 	return d
 }
 
-// Within returns the time by which the version on its way has to be in force everywhere, 0 for none.
-func Within(r *fleet.ReplicatedState) time.Duration {
+// InForceWithin returns the time by which the version on its way has to be in force everywhere, 0 for none.
+func InForceWithin(r *fleet.ReplicatedState) time.Duration {
 	s, _ := ReadState(r)
 	return readDeadline(r, s).Within
 }
@@ -73,8 +73,8 @@
 	return within - timing.ExpiredAfter(configLease) - timing.LeaseDuration
 }
 
-// CheckWithin says why a version can't be in force everywhere within a time, "" where it can; remedy is what to do.
-func CheckWithin(timing fleet.Timing, configLease, within time.Duration) (why, remedy string) {
+// CheckInForceWithin says why a version can't be in force everywhere within a time, "" where it can; remedy is what to do.
+func CheckInForceWithin(timing fleet.Timing, configLease, within time.Duration) (why, remedy string) {
 	left := timeForStages(timing, configLease, within)
 	if left >= timing.LeaseDuration {
 		return "", ""
@@ -98,7 +98,7 @@
 		return conf.Faults{{Place: c.Place, What: "in-force-within promises a time, and fronts that hear nobody may act on an old version for as long as that lasts",
 			Remedy: "add (when-alone stop), or take in-force-within away"}}
 	}
-	if why, remedy := CheckWithin(fleet.Timing{LeaseDuration: leaseDuration}, configLease, c.InForceWithin); why != "" {
+	if why, remedy := CheckInForceWithin(fleet.Timing{LeaseDuration: leaseDuration}, configLease, c.InForceWithin); why != "" {
 		return conf.Faults{{Place: c.Place, What: why, Remedy: remedy}}
 	}
 	return nil
--- a/fleet/rollout/deadline_test.go
+++ b/fleet/rollout/deadline_test.go
@@ -43,7 +43,7 @@
 		timing := fleet.Timing{LeaseDuration: time.Duration(rapid.IntRange(1, 10).Draw(t, "span")) * time.Second}
 		lease := timing.LeaseDuration * time.Duration(rapid.IntRange(2, 16).Draw(t, "leases"))
 		within := time.Duration(rapid.IntRange(1, 300).Draw(t, "within")) * time.Second
-		why, _ := CheckWithin(timing, lease, within)
+		why, _ := CheckInForceWithin(timing, lease, within)
 		if least := timing.ExpiredAfter(lease) + 2*timing.LeaseDuration; (why == "") != (within >= least) {
 			t.Fatalf("%v with leases of %v: %q", within, lease, why)
 		}
@@ -85,19 +85,19 @@
 
 // The encoded form of an action without a time is that of older programs, and either reads the other's.
 func TestActionsOfOlderAndNewerPrograms(t *testing.T) {
-	action := Action{ID: 5, Type: ActionPublish, Base: 2, Text: []byte("(rules)"), Meaning: "m", Stages: []uint16{1000}, Watch: time.Second, Must: true, MaxFenced: 200, Why: "w"}
+	action := Action{ID: 5, Type: ActionPublish, Base: 2, Text: []byte("(rules)"), RulesHash: "m", Stages: []uint16{1000}, ObservationTime: time.Second, Mandatory: true, MaxFenced: 200, Reason: "w"}
 	var old actionOfBefore
 	require.NoError(t, msgpack.Unmarshal(action.Encode(), &old))
 	assert.Equal(t, action.Stages, old.Stages)
-	assert.Equal(t, action.Why, old.Why)
+	assert.Equal(t, action.Reason, old.Why)
 	got, ok := DecodeAction(encode(&old))
 	require.True(t, ok)
 	assert.Equal(t, action, got)
-	action.Within, action.NoEvidence = 20*time.Second, NoEvidencePause
+	action.InForceWithin, action.OnUndecided = 20*time.Second, UndecidedPause
 	got, ok = DecodeAction(action.Encode())
 	require.True(t, ok)
 	assert.Equal(t, action, got)
-	_, ok = DecodeAction(Action{ID: 5, Within: -1}.Encode())
+	_, ok = DecodeAction(Action{ID: 5, InForceWithin: -1}.Encode())
 	assert.False(t, ok)
 }
 
--- a/fleet/rollout/format_test.go
+++ b/fleet/rollout/format_test.go
@@ -33,30 +33,30 @@
 }
 
 func formatAction() Action {
-	return Action{ID: 0xfedcba9876543211, Type: ActionPublish, Base: 2, Text: []byte("(rules (given-up 7))"), Meaning: "00112233aabbccdd",
-		Stages: []uint16{1, 100, 500, 1000}, Watch: 30 * time.Second, Must: true, MaxFenced: 200, Why: "works"}
+	return Action{ID: 0xfedcba9876543211, Type: ActionPublish, Base: 2, Text: []byte("(rules (given-up 7))"), RulesHash: "00112233aabbccdd",
+		Stages: []uint16{1, 100, 500, 1000}, ObservationTime: 30 * time.Second, Mandatory: true, MaxFenced: 200, Reason: "works"}
 }
 
 func formatTimedAction() Action {
 	action := formatAction()
-	action.Within, action.NoEvidence = 20*time.Second, NoEvidenceRollBack
+	action.InForceWithin, action.OnUndecided = 20*time.Second, UndecidedRollBack
 	return action
 }
 
 func formatState() State {
-	return State{Format: format, Number: 9, Base: 7, Next: 9, Must: true, Phase: PhaseRolling, Paused: true, Stages: []uint16{1, 1000}, Stage: 1,
-		Cut: 0xdeadbeef, Watch: 30 * time.Second, MaxFenced: 200, Why: "version 9 is published", Meaning: [2]string{"00112233aabbccdd", "8899"},
-		Outcomes: []Outcome{{ID: 5}, {ID: 6, Fault: "no version is on its way"}}, Unproven: []string{"n3"}}
+	return State{Format: format, LastVersion: 9, Base: 7, Next: 9, Mandatory: true, Phase: PhaseRolling, Paused: true, Stages: []uint16{1, 1000}, Stage: 1,
+		CutoffRank: 0xdeadbeef, ObservationTime: 30 * time.Second, MaxFenced: 200, Reason: "version 9 is published", RulesHashes: [2]string{"00112233aabbccdd", "8899"},
+		Outcomes: []Outcome{{ID: 5}, {ID: 6, RejectedReason: "no version is on its way"}}, UnconfirmedFronts: []string{"n3"}}
 }
 
 func formatReport() Report {
-	return Report{AdoptedAt: 1_700_000_000_000_000, Refused: 8, Why: "its limits are others", ServesIsolated: true, Kinds: 0xcafe,
-		Counts: []Counts{{Ended: 1000, Served: 990}, {Ended: 70_000, Served: 3}}}
+	return Report{AdoptedAt: 1_700_000_000_000_000, RejectedVersion: 8, RejectedReason: "its limits are others", ServesIsolated: true, TypesChecksum: 0xcafe,
+		Counts: []Counts{{Finished: 1000, Succeeded: 990}, {Finished: 70_000, Succeeded: 3}}}
 }
 
 var (
-	formatDeadline = deadline{Version: 9, Within: 20 * time.Second, NoEvidence: NoEvidencePause}
-	formatQueue    = []Waiting{{Front: "n1", Base: 7, Changes: "bound browse, window book and 2 more"}, {Front: "n2", Base: 9, Changes: "given-up"}}
+	formatDeadline = deadline{Version: 9, Within: 20 * time.Second, NoEvidence: UndecidedPause}
+	formatQueue    = []QueuedPublication{{Front: "n1", Base: 7, Changes: "bound browse, window book and 2 more"}, {Front: "n2", Base: 9, Changes: "given-up"}}
 	formatBounded  = boundedFronts{1, 0xffffffffffffffff}
 )
 
@@ -105,10 +105,10 @@
 	s, ok := ReadState(r)
 	assert.True(t, ok)
 	assert.Equal(t, formatState(), s)
-	assert.Equal(t, []byte("(rules)"), Text(r, 9))
+	assert.Equal(t, []byte("(rules)"), VersionText(r, 9))
 	assert.Equal(t, formatDeadline, readDeadline(r, s))
-	assert.Equal(t, 20*time.Second, Within(r))
-	assert.Equal(t, formatQueue, Queue(r))
+	assert.Equal(t, 20*time.Second, InForceWithin(r))
+	assert.Equal(t, formatQueue, QueuedPublications(r))
 	assert.Equal(t, formatBounded, readBounded(r))
 	var raw []any // every stored value is an array, so that a field's name is no part of it
 	require.NoError(t, msgpack.Unmarshal(data("state"), &raw))
--- a/fleet/rollout/participant.go
+++ b/fleet/rollout/participant.go
@@ -8,10 +8,10 @@
 
 // Hooks are what a Participant needs of the front that hosts it; none of them may wait.
 type Hooks struct {
-	Adopt  func(a Adoption)                          // adopts a version: Adopted follows and, once no request goes on under another, Settled; or Refused
-	Renew  func(version uint64, until time.Duration) // the front may use it until then, on the node's clock; a time that is past: no more
-	Counts func() (kinds uint32, sums []Counts)      // the front's counts on the version that it uses
-	Wall   func() int64                              // the front's wall clock in Unix microseconds
+	Adopt     func(a Adoption)                          // adopts a version: Adopted follows and, once no request goes on under another, Settled; or Refused
+	Renew     func(version uint64, until time.Duration) // the front may use it until then, on the node's clock; a time that is past: no more
+	Counts    func() (kinds uint32, sums []Counts)      // the front's counts on the version that it uses
+	WallClock func() int64                              // the front's wall clock in Unix microseconds
 }
 
 // Participant runs a front's Adopter beside its node and, while it holds the lease, the Controller. Calls come with the node's.
@@ -111,10 +111,10 @@
 }
 
 // Adopted reports that the front takes new requests on a version from now on.
-func (s *Participant) Adopted(version uint64) { s.Adopter.Adopted(version, s.hooks.Wall()) }
+func (s *Participant) Adopted(version uint64) { s.Adopter.Adopted(version, s.hooks.WallClock()) }
 
-// Settled reports that the front uses a version and no other any more: this is what it acknowledges.
-func (s *Participant) Settled(now time.Duration, n *fleet.Node, version uint64) {
+// Acknowledge reports that the front uses a version and no other any more: this is what it acknowledges.
+func (s *Participant) Acknowledge(now time.Duration, n *fleet.Node, version uint64) {
 	if version != s.Adopter.Active() {
 		return // another was adopted since
 	}
@@ -123,9 +123,9 @@
 	n.SetActiveVersion(now, version)
 }
 
-// Refused reports that the front can't use a version.
-func (s *Participant) Refused(now time.Duration, n *fleet.Node, version uint64, why string) {
-	s.Adopter.Refuse(version, why)
+// Rejected reports that the front can't use a version.
+func (s *Participant) Rejected(now time.Duration, n *fleet.Node, version uint64, why string) {
+	s.Adopter.Reject(version, why)
 	n.SetDigest(Part, s.Adopter.Report(0, nil).Encode())
 }
 
--- a/fleet/rollout/queue.go
+++ b/fleet/rollout/queue.go
@@ -28,8 +28,8 @@
 	since   time.Duration
 }
 
-// Waiting is a publication that waits, as stored for operators.
-type Waiting struct {
+// QueuedPublication is a publication that waits, as stored for operators.
+type QueuedPublication struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
 
@@ -39,12 +39,12 @@
 }
 
 // DecodeMsgpack decodes a Waiting of this or another version of the program.
-func (w *Waiting) DecodeMsgpack(d *msgpack.Decoder) error {
+func (w *QueuedPublication) DecodeMsgpack(d *msgpack.Decoder) error {
 	return decodeLenient(d, &w.Front, &w.Base, &w.Changes)
 }
 
-// Queue returns the publications that wait for the next version, in their order.
-func Queue(r *fleet.ReplicatedState) (all []Waiting) {
+// QueuedPublications returns the publications that wait for the next version, in their order.
+func QueuedPublications(r *fleet.ReplicatedState) (all []QueuedPublication) {
 	if e := r.Values[queueKey]; e != nil && msgpack.Unmarshal(e.Value, &all) != nil {
 		return nil
 	}
@@ -56,9 +56,9 @@
 
 // putQueue returns the queue's value; changed is false where it is stored already.
 func (c *Controller) putQueue(r *fleet.ReplicatedState) (p put, changed bool) {
-	var all []Waiting
+	var all []QueuedPublication
 	for _, w := range c.waiting {
-		all = append(all, Waiting{Front: w.from, Base: w.action.Base, Changes: describe(w.changes)})
+		all = append(all, QueuedPublication{Front: w.from, Base: w.action.Base, Changes: describe(w.changes)})
 	}
 	p.key = queueKey
 	if len(all) > 0 {
@@ -77,8 +77,8 @@
 	if slices.ContainsFunc(c.waiting, func(p publication) bool { return p.action.ID == action.ID }) {
 		return ""
 	}
-	within := cmp.Or(action.Within, c.options.InForceWithin)
-	if why, remedy := CheckWithin(c.options.Timing, c.options.ConfigLease, within); why != "" {
+	within := cmp.Or(action.InForceWithin, c.options.InForceWithin)
+	if why, remedy := CheckInForceWithin(c.options.Timing, c.options.ConfigLease, within); why != "" {
 		return why + ": " + remedy
 	}
 	if why := c.unfitForGood(r); why != "" {
@@ -102,7 +102,7 @@
 
 // changesOf returns what a publication changes, or why it is in conflict.
 func (c *Controller) changesOf(r *fleet.ReplicatedState, s State, action Action) (changes map[string]string, fault string) {
-	madeOn, err := c.options.Rules.Split(Text(r, action.Base))
+	madeOn, err := c.options.Rules.Split(VersionText(r, action.Base))
 	if err != nil {
 		return nil, err.Error()
 	}
@@ -114,7 +114,7 @@
 	if s.Next == 0 || action.Base == s.Next || s.Phase == PhaseRollingBack {
 		return changes, ""
 	}
-	newest, err := c.options.Rules.Split(Text(r, s.Next))
+	newest, err := c.options.Rules.Split(VersionText(r, s.Next))
 	if err != nil {
 		return nil, err.Error()
 	}
@@ -154,7 +154,7 @@
 	var outcomes []Outcome
 	for _, p := range c.waiting {
 		if now-p.since > max(p.within, 6*c.options.Timing.LeaseDuration) {
-			outcomes = append(outcomes, Outcome{ID: p.action.ID, Fault: why})
+			outcomes = append(outcomes, Outcome{ID: p.action.ID, RejectedReason: why})
 		}
 	}
 	if len(outcomes) == 0 {
@@ -166,7 +166,7 @@
 
 // beginCoalesced begins a version that consists of all publications that wait.
 func (c *Controller) beginCoalesced(r *fleet.ReplicatedState, s State) {
-	next, err := coalesce(c.waiting, c.options.Rules, s.Base, Text(r, s.Base), s.Meaning[0])
+	next, err := coalesce(c.waiting, c.options.Rules, s.Base, VersionText(r, s.Base), s.RulesHashes[0])
 	if err != nil {
 		for _, p := range c.waiting {
 			next.refuse(p, err.Error())
@@ -177,7 +177,7 @@
 		c.queue = []put{c.putState(s, "")}
 		return
 	}
-	why := fmt.Sprintf("version %d is published", s.Number+1)
+	why := fmt.Sprintf("version %d is published", s.LastVersion+1)
 	if next.merged > 1 {
 		why += fmt.Sprintf(", of %d publications", next.merged)
 	}
--- a/fleet/rollout/rollout_test.go
+++ b/fleet/rollout/rollout_test.go
@@ -26,7 +26,7 @@
 		return k
 	}
 	for range trials {
-		var t Trial
+		var t CanaryAnalysis
 		v := Undecided
 		for i := 0; i < 200 && v == Undecided; i++ {
 			p := base * (0.2 + 1.6*r.Float64()) // a bad moment is bad for both
@@ -34,8 +34,8 @@
 			for range 3 {
 				a, b := 20+r.IntN(20), 60+r.IntN(60)
 				fa := some(a, min(p*worse, 1))
-				fresh = append(fresh, Counts{Ended: uint64(a), Served: uint64(a) - fa})
-				old = append(old, Counts{Ended: uint64(b), Served: uint64(b) - some(b, p)})
+				fresh = append(fresh, Counts{Finished: uint64(a), Succeeded: uint64(a) - fa})
+				old = append(old, Counts{Finished: uint64(b), Succeeded: uint64(b) - some(b, p)})
 				if worse > 1 {
 					cost += float64(fa)
 				}
@@ -72,7 +72,7 @@
 		s := State{Phase: PhaseRolling, Base: 4, Next: 6}
 		on := map[string]bool{}
 		for _, w := range waves {
-			s.Cut = stageCut(names, s.Next, w)
+			s.CutoffRank = stageCut(names, s.Next, w)
 			n := 0
 			for _, name := range names {
 				if s.VersionFor(name) == s.Next {
@@ -125,7 +125,7 @@
 		_, ok := DecodeAction(b)
 		assert.False(t, ok)
 	}
-	action, ok := DecodeAction(Action{ID: 7, Type: ActionPause, Why: "x"}.Encode())
+	action, ok := DecodeAction(Action{ID: 7, Type: ActionPause, Reason: "x"}.Encode())
 	assert.True(t, ok)
-	assert.Equal(t, "x", action.Why)
+	assert.Equal(t, "x", action.Reason)
 }
--- a/fleet/rollout/state.go
+++ b/fleet/rollout/state.go
@@ -58,22 +58,22 @@
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
 
-	Format    uint32
-	Number    uint64 // the last version that was numbered
-	Base      uint64 // 0: each front's own file
-	Next      uint64 // 0 for none
-	Must      bool   // mandatory: no front may use Base once Next is done
-	Phase     Phase
-	Paused    bool // until an operator resumes it
-	Stages    []uint16
-	Stage     int    // index of the open stage
-	Cut       uint32 // fronts whose rank is at most this use Next
-	Watch     time.Duration
-	MaxFenced uint16 // most fronts of the fleet, and of a zone, that may be fenced at once, in thousandths
-	Why       string // of the last change
-	Meaning   [2]string
-	Outcomes  []Outcome // of operators' latest actions
-	Unproven  []string  // fronts that may go on with the old version, since they serve while isolated
+	Format            uint32
+	LastVersion       uint64 // the last version that was numbered
+	Base              uint64 // 0: each front's own file
+	Next              uint64 // 0 for none
+	Mandatory         bool   // mandatory: no front may use Base once Next is done
+	Phase             Phase
+	Paused            bool // until an operator resumes it
+	Stages            []uint16
+	Stage             int    // index of the open stage
+	CutoffRank        uint32 // fronts whose rank is at most this use Next
+	ObservationTime   time.Duration
+	MaxFenced         uint16 // most fronts of the fleet, and of a zone, that may be fenced at once, in thousandths
+	Reason            string // of the last change
+	RulesHashes       [2]string
+	Outcomes          []Outcome // of operators' latest actions
+	UnconfirmedFronts []string  // fronts that may go on with the old version, since they serve while isolated
 }
 
 const (
@@ -103,8 +103,8 @@
 	return s, true
 }
 
-// Text returns a published version's file, nil for 0 and for a version that is not stored.
-func Text(r *fleet.ReplicatedState, version uint64) []byte {
+// VersionText returns a published version's file, nil for 0 and for a version that is not stored.
+func VersionText(r *fleet.ReplicatedState, version uint64) []byte {
 	if e := r.Values[textKey(version)]; e != nil && version > 0 {
 		return e.Value
 	}
@@ -127,7 +127,7 @@
 func (s *State) VersionFor(name string) uint64 {
 	switch s.Phase {
 	case PhaseRolling:
-		if rank(name, s.Next) <= s.Cut {
+		if rank(name, s.Next) <= s.CutoffRank {
 			return s.Next
 		}
 	case PhaseFinishing:
--- a/fleet/rollout/trial.go
+++ b/fleet/rollout/trial.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// A Trial decides whether fronts on a new version serve worse than those on the old one beside them. It is Wald's sequential
+// A CanaryAnalysis decides whether fronts on a new version serve worse than those on the old one beside them. It is Wald's sequential
 // test on pairs: in each interval the failures (requests that were answered and did not succeed) of both sides are compared.
 // Given how many there were in all, and how many requests each side answered, a failure falls to the new side with probability
 // p = n1/(n1+n0) where both serve alike, and with p' = odds*n1/(odds*n1+n0) where the new one fails odds times as often. So a
@@ -16,7 +16,7 @@
 // Errors: a version that serves alike is called worse with probability alpha over all these tests together, as often as they are
 // looked at; one that fails twice as often is called alike with probability beta, where a test comes to say so at all. Where
 // failures are common the counts vary less than the law says, which errs to the careful side.
-type Trial struct {
+type CanaryAnalysis struct {
 	kinds []weighing // of all types together, then of each
 }
 
@@ -35,11 +35,11 @@
 var odds = [...]float64{2, 8}
 
 // add adds an interval's counts by type, of the new side and of the old.
-func (t *Trial) add(fresh, old []Counts) {
+func (t *CanaryAnalysis) add(fresh, old []Counts) {
 	var all [2]Counts
 	for i := range fresh {
-		all[0].Ended, all[0].Served = all[0].Ended+fresh[i].Ended, all[0].Served+fresh[i].Served
-		all[1].Ended, all[1].Served = all[1].Ended+old[i].Ended, all[1].Served+old[i].Served
+		all[0].Finished, all[0].Succeeded = all[0].Finished+fresh[i].Finished, all[0].Succeeded+fresh[i].Succeeded
+		all[1].Finished, all[1].Succeeded = all[1].Finished+old[i].Finished, all[1].Succeeded+old[i].Succeeded
 	}
 	for len(t.kinds) <= len(fresh) {
 		t.kinds = append(t.kinds, weighing{})
@@ -52,14 +52,14 @@
 
 func (w *weighing) add(fresh, old Counts) {
 	for i, s := range []Counts{fresh, old} {
-		w.fails[i] += s.Ended - s.Served
-		w.ended[i] += s.Ended
+		w.fails[i] += s.Finished - s.Succeeded
+		w.ended[i] += s.Finished
 	}
-	if fresh.Ended == 0 || old.Ended == 0 {
+	if fresh.Finished == 0 || old.Finished == 0 {
 		return
 	}
-	n1, n0 := float64(fresh.Ended), float64(old.Ended)
-	f1, f0 := float64(fresh.Ended-fresh.Served), float64(old.Ended-old.Served)
+	n1, n0 := float64(fresh.Finished), float64(old.Finished)
+	f1, f0 := float64(fresh.Finished-fresh.Succeeded), float64(old.Finished-old.Succeeded)
 	p := n1 / (n1 + n0)
 	for i, worse := range odds {
 		q := worse * n1 / (worse*n1 + n0)
@@ -78,7 +78,7 @@
 )
 
 // verdict says what the counts show so far, and of which type. Alike needs all types that saw failures.
-func (t *Trial) verdict() (v Verdict, evidence string) {
+func (t *CanaryAnalysis) verdict() (v Verdict, evidence string) {
 	k := float64(max(len(t.kinds)*len(odds), 1))
 	up, down := math.Log((1-beta)/(alpha/k)), math.Log(beta/(1-alpha/k))
 	alike, seen := true, false
@@ -104,7 +104,7 @@
 }
 
 // leans reports whether an undecided trial leans towards worse: more than half of the way.
-func (t *Trial) leans() bool {
+func (t *CanaryAnalysis) leans() bool {
 	k := float64(max(len(t.kinds)*len(odds), 1))
 	half := math.Log((1-beta)/(alpha/k)) / 2
 	for _, w := range t.kinds {
--- a/lab/model/changes_bench_test.go
+++ b/lab/model/changes_bench_test.go
@@ -100,9 +100,9 @@
 	done, longest, refused := 0, 0, 0
 	busy := false
 	base := w.State().Base
-	taken := w.State().Number
+	taken := w.State().LastVersion
 	for w.Now < began+runs && done < len(all) {
-		if c.restart != nil && w.State().Number > taken && w.State().Next == 0 && w.State().Base == base {
+		if c.restart != nil && w.State().LastVersion > taken && w.State().Next == 0 && w.State().Base == base {
 			break // it was taken back
 		}
 		now := w.Now - began
@@ -112,8 +112,8 @@
 			if x.published == 0 {
 				x.published = now
 			}
-			w.Publish(w.Fronts[0], rollout.Action{Type: rollout.ActionPublish, Base: base, Text: fmt.Appendf(nil, "(rules (window book %dms))", 1000+done), Stages: c.stages, Watch: c.watch,
-				Must: c.must, MaxFenced: 300}, func(fault string) {
+			w.Publish(w.Fronts[0], rollout.Action{Type: rollout.ActionPublish, Base: base, Text: fmt.Appendf(nil, "(rules (window book %dms))", 1000+done), Stages: c.stages, ObservationTime: c.watch,
+				Mandatory: c.must, MaxFenced: 300}, func(fault string) {
 				if fault != "" {
 					refused++
 					busy = false
@@ -145,7 +145,7 @@
 		b.Fatal(w.Wrong)
 	}
 	if done < len(all) {
-		b.Logf("%s, %d fronts: %d of %d in force; the last turn: %s", c.name, fronts, done, len(all), w.State().Why)
+		b.Logf("%s, %d fronts: %d of %d in force; the last turn: %s", c.name, fronts, done, len(all), w.State().Reason)
 	}
 	c.report(b, all, done, longest, refused)
 }
@@ -172,7 +172,7 @@
 // restartProperly ends a front as SIGTERM does and starts it anew; kill ends it at once.
 func restartProperly(t *Town, f *Front) {
 	f.host.Do(func(n *fleet.Node, now time.Duration) {
-		f.disk = saved{version: f.version, text: rollout.Text(n.State(), f.version)} // a proper end keeps what it acts on
+		f.disk = saved{version: f.version, text: rollout.VersionText(n.State(), f.version)} // a proper end keeps what it acts on
 		n.Leave(now)
 	})
 	t.After(time.Second, func() { kill(t, f) })
--- a/lab/model/chaos.go
+++ b/lab/model/chaos.go
@@ -83,7 +83,7 @@
 	}
 	if !quiet() {
 		s := t.State()
-		t.Wrong = append(t.Wrong, fmt.Sprintf("it does not come to rest: %v of %d to %d, %s", s.Phase, s.Base, s.Next, s.Why))
+		t.Wrong = append(t.Wrong, fmt.Sprintf("it does not come to rest: %v of %d to %d, %s", s.Phase, s.Base, s.Next, s.Reason))
 		for _, f := range t.Fronts {
 			t.Wrong = append(t.Wrong, fmt.Sprintf("%s acts on %d, lapsed %v, alone %v", f.Name, f.Core.ConfigVersion(), f.Core.Standby(), f.host.Node.Isolated()))
 		}
@@ -161,15 +161,15 @@
 			return
 		}
 		s := t.State()
-		w := rollout.Action{Type: rollout.ActionPublish, Base: s.Base, Text: fmt.Appendf(nil, "(rules (window book %dms))", 1+t.Rnd.IntN(1900)), Watch: time.Second,
-			Stages: [][]uint16{{1000}, {1, 1000}, {300, 600, 1000}}[t.Rnd.IntN(3)], MaxFenced: 400, Must: t.Rnd.IntN(2) == 0}
+		w := rollout.Action{Type: rollout.ActionPublish, Base: s.Base, Text: fmt.Appendf(nil, "(rules (window book %dms))", 1+t.Rnd.IntN(1900)), ObservationTime: time.Second,
+			Stages: [][]uint16{{1000}, {1, 1000}, {300, 600, 1000}}[t.Rnd.IntN(3)], MaxFenced: 400, Mandatory: t.Rnd.IntN(2) == 0}
 		switch k := t.Rnd.IntN(8); {
 		case k == 0:
 			w.Type = rollout.ActionRollBack
 		case k == 1 && s.Next == 0:
 			w.Base++ // an operator who is mistaken
 		case k < 5:
-			bad[s.Number+1] = k - 1 // 0 to 3
+			bad[s.LastVersion+1] = k - 1 // 0 to 3
 		}
 		t.Publish(f, w, func(string) {})
 	}
--- a/lab/model/deadline_bench_test.go
+++ b/lab/model/deadline_bench_test.go
@@ -99,9 +99,9 @@
 	var action rollout.Action
 	operator.host.Do(func(n *fleet.Node, _ time.Duration) {
 		s, _ := rollout.ReadState(n.State())
-		rules, _ := site.RulesText{}.Split(rollout.Text(n.State(), s.Base))
+		rules, _ := site.RulesText{}.Split(rollout.VersionText(n.State(), s.Base))
 		rules[fmt.Sprint(i)] = fmt.Sprintf("(given-up %d)", 100+i)
-		action = rollout.Action{Type: rollout.ActionPublish, Base: s.Base, Text: site.RulesText{}.Join(rules), Stages: c.stages, Watch: c.watch, MaxFenced: 300}
+		action = rollout.Action{Type: rollout.ActionPublish, Base: s.Base, Text: site.RulesText{}.Join(rules), Stages: c.stages, ObservationTime: c.watch, MaxFenced: 300}
 	})
 	w.Publish(operator, action, func(fault string) {
 		if fault != "" {
@@ -109,7 +109,7 @@
 			return
 		}
 		s, _ := rollout.ReadState(operator.host.Node.State())
-		x.version = s.Number
+		x.version = s.LastVersion
 	})
 }
 
--- a/lab/model/deadline_test.go
+++ b/lab/model/deadline_test.go
@@ -28,14 +28,14 @@
 	t.Helper()
 	base, began, fault := w.State().Base, w.Now, "nothing came"
 	x := wish(text, 1000)
-	x.Base, x.Watch = base, 0
+	x.Base, x.ObservationTime = base, 0
 	w.Publish(at, x, func(f string) { fault = f })
 	for w.Now < began+2*time.Minute && (w.State().Base == base || w.State().Phase != rollout.PhaseSteady) {
 		w.Run(50 * time.Millisecond)
 	}
 	require.Empty(t, w.Wrong)
 	require.Empty(t, fault)
-	require.Greater(t, w.State().Base, base, w.State().Why)
+	require.Greater(t, w.State().Base, base, w.State().Reason)
 	return w.Now - began
 }
 
@@ -76,7 +76,7 @@
 		w.Fronts[0].host.Do(func(n *fleet.Node, _ time.Duration) {
 			s, _ := rollout.ReadState(n.State())
 			base := max(s.Base, s.Next) // an operator who looks at what is on its way too
-			seen, err := site.RulesText{}.Split(rollout.Text(n.State(), base))
+			seen, err := site.RulesText{}.Split(rollout.VersionText(n.State(), base))
 			require.NoError(t, err)
 			key := fmt.Sprintf("given-up %d", 100+i)
 			seen[key] = fmt.Sprintf("(given-up %d)", 100+i)
@@ -97,7 +97,7 @@
 	waited := 0
 	for w.Now < began+2*time.Minute {
 		w.Run(100 * time.Millisecond)
-		w.Fronts[0].host.Do(func(n *fleet.Node, _ time.Duration) { waited = max(waited, len(rollout.Queue(n.State()))) })
+		w.Fronts[0].host.Do(func(n *fleet.Node, _ time.Duration) { waited = max(waited, len(rollout.QueuedPublications(n.State()))) })
 		if s := w.State(); s.Phase == rollout.PhaseSteady {
 			for _, x := range changes {
 				if x != nil && x.accepted > 0 && x.inForce == 0 && x.accepted < w.Now-time.Second {
@@ -115,10 +115,10 @@
 	t.Logf("in force after %v; most waiting %d; versions %d", took, waited, w.State().Base)
 	assert.Positive(t, waited, "an operator sees who waits")
 	w.Fronts[0].host.Do(func(n *fleet.Node, _ time.Duration) {
-		got, err := site.RulesText{}.Split(rollout.Text(n.State(), w.State().Base))
+		got, err := site.RulesText{}.Split(rollout.VersionText(n.State(), w.State().Base))
 		require.NoError(t, err)
 		assert.Equal(t, rules, got)
-		assert.Empty(t, rollout.Queue(n.State()))
+		assert.Empty(t, rollout.QueuedPublications(n.State()))
 	})
 }
 
@@ -155,11 +155,11 @@
 		base       uint64
 		why        string
 	}{
-		{"decided", 0.2, 0, rollout.NoEvidencePause, 1, "is in force"},
-		{"worse", 0.02, 0.3, rollout.NoEvidenceGoOn, 0, "serves worse"},
-		{"go", 0, 0, rollout.NoEvidenceGoOn, 1, "is in force"},
-		{"hold", 0, 0, rollout.NoEvidencePause, 0, "held: the time of wave 1 is over"},
-		{"back", 0, 0, rollout.NoEvidenceRollBack, 0, "the time of wave 1 is over"},
+		{"decided", 0.2, 0, rollout.UndecidedPause, 1, "is in force"},
+		{"worse", 0.02, 0.3, rollout.UndecidedContinue, 0, "serves worse"},
+		{"go", 0, 0, rollout.UndecidedContinue, 1, "is in force"},
+		{"hold", 0, 0, rollout.UndecidedPause, 0, "held: the time of wave 1 is over"},
+		{"back", 0, 0, rollout.UndecidedRollBack, 0, "the time of wave 1 is over"},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			w := New(Options{Seed: 61, Fronts: 12, Voters: 3, Groups: 3, PerGroup: 3, Servers: 8, Service: 2 * time.Millisecond, Rate: 40, Writes: 0.25,
@@ -170,7 +170,7 @@
 			w.StartAll()
 			w.Run(10 * time.Second)
 			action := wish("(rules (window book 1s))", 500, 1000)
-			action.Watch, action.NoEvidence = 30*time.Second, x.noEvidence
+			action.ObservationTime, action.OnUndecided = 30*time.Second, x.noEvidence
 			began := w.Now
 			require.Empty(t, publish(t, w, action))
 			for w.Now < began+time.Minute && w.State().Phase != rollout.PhaseSteady && !w.State().Paused {
@@ -179,10 +179,10 @@
 			took := w.Now - began
 			s := w.State()
 			require.Empty(t, w.Wrong)
-			t.Logf("%v: %s", took, s.Why)
+			t.Logf("%v: %s", took, s.Reason)
 			assert.Equal(t, x.base, s.Base)
 			assert.LessOrEqual(t, took, 40*time.Second)
-			if x.noEvidence == rollout.NoEvidencePause && s.Paused {
+			if x.noEvidence == rollout.UndecidedPause && s.Paused {
 				f := w.Fronts[0]
 				w.Publish(f, rollout.Action{Type: rollout.ActionResume}, func(string) {})
 				w.Run(30 * time.Second)
@@ -191,9 +191,9 @@
 			}
 			found := false
 			for _, turn := range w.Turns {
-				found = found || strings.Contains(turn.Why, x.why)
+				found = found || strings.Contains(turn.Reason, x.why)
 			}
-			assert.True(t, found, s.Why)
+			assert.True(t, found, s.Reason)
 		})
 	}
 }
@@ -205,7 +205,7 @@
 	w.StartAll()
 	w.Run(10 * time.Second)
 	x := wish("(rules (given-up 2))", 1, 500, 1000)
-	x.Watch = 30 * time.Second
+	x.ObservationTime = 30 * time.Second
 	began := w.Now
 	w.Publish(w.Fronts[0], x, func(string) {})
 	for w.Now < began+5*time.Second && w.State().Next == 0 {
@@ -217,11 +217,11 @@
 			f.host.Stop()
 		}
 	}
-	for w.Now < began+time.Minute && (w.State().Phase != rollout.PhaseSteady || w.State().Number == 0) {
+	for w.Now < began+time.Minute && (w.State().Phase != rollout.PhaseSteady || w.State().LastVersion == 0) {
 		w.Run(100 * time.Millisecond)
 	}
 	require.Empty(t, w.Wrong)
-	assert.EqualValues(t, 1, w.State().Base, w.State().Why)
+	assert.EqualValues(t, 1, w.State().Base, w.State().Reason)
 	assert.LessOrEqual(t, w.Now-began, 20*time.Second)
 	t.Logf("in force after %v", w.Now-began)
 }
--- a/lab/model/regions_bench_test.go
+++ b/lab/model/regions_bench_test.go
@@ -129,8 +129,8 @@
 					s := r.sides()
 					b.Logf("%d fronts, stop %v, the leader was %s, after 5 min: first %+v, second %+v; asked for on the first: %+v, on the second: %+v; turns:", fronts, stop, leader.Name, s[0], s[1], asked[0], asked[1])
 					for _, t := range r.Turns {
-						if t.Number > 1 {
-							b.Logf("  %v %v base %d next %d: %.80s", t.At-began, t.Phase, t.Base, t.Next, t.Why)
+						if t.LastVersion > 1 {
+							b.Logf("  %v %v base %d next %d: %.80s", t.At-began, t.Phase, t.Base, t.Next, t.Reason)
 						}
 					}
 					r.Heal()
--- a/lab/model/rolls.go
+++ b/lab/model/rolls.go
@@ -16,8 +16,8 @@
 	t := f.t
 	f.Core.JoinFleet(front.FleetOptions{Clock: f.host.Clock, Auditor: (*tally)(f)})
 	f.sums = make([]rollout.Counts, 2)
-	o := rollout.Options{Name: f.Name, Timing: t.Pace, ConfigLease: t.O.Right, StopWhenIsolated: t.O.Stop, InForceWithin: t.O.Within, Rules: site.RulesText{}, Active: f.disk.version, Tried: f.disk.tried}
-	f.version = o.Active
+	o := rollout.Options{Name: f.Name, Timing: t.Pace, ConfigLease: t.O.Right, StopWhenIsolated: t.O.Stop, InForceWithin: t.O.Within, Rules: site.RulesText{}, InitialVersion: f.disk.version, UnconfirmedVersion: f.disk.tried}
+	f.version = o.InitialVersion
 	turn := f.turn
 	f.Participant = rollout.NewParticipant(o, rollout.Hooks{
 		Adopt: func(a rollout.Adoption) {
@@ -32,8 +32,8 @@
 				}
 			})
 		},
-		Counts: func() (uint32, []rollout.Counts) { return 1, slices.Clone(f.sums) },
-		Wall:   func() int64 { return t.wall(t.Now) * 1000 },
+		Counts:    func() (uint32, []rollout.Counts) { return 1, slices.Clone(f.sums) },
+		WallClock: func() int64 { return t.wall(t.Now) * 1000 },
 	})
 	if f.disk.version != 0 {
 		if r, err := site.ParseRules("saved", f.disk.text); err == nil {
@@ -68,7 +68,7 @@
 			err = fmt.Errorf("its limits are others")
 		}
 		if err != nil {
-			do(func(n *fleet.Node, now time.Duration) { f.Participant.Refused(now, n, a.Version, err.Error()) })
+			do(func(n *fleet.Node, now time.Duration) { f.Participant.Rejected(now, n, a.Version, err.Error()) })
 			return
 		}
 	}
@@ -96,7 +96,7 @@
 		})
 	}, OnOlderFinished: func() {
 		f.host.After(0, func(time.Duration) {
-			do(func(n *fleet.Node, now time.Duration) { f.Participant.Settled(now, n, a.Version) })
+			do(func(n *fleet.Node, now time.Duration) { f.Participant.Acknowledge(now, n, a.Version) })
 		})
 	}})
 }
@@ -111,9 +111,9 @@
 func (f *tally) Close(time.Duration)                               {}
 func (f *tally) LeaseChanged(time.Duration, time.Duration, bool)   {}
 func (f *tally) RequestFinished(_ time.Duration, _ uint32, typ int, w front.Status) {
-	f.sums[typ].Ended++
+	f.sums[typ].Finished++
 	if w == front.StatusSucceeded {
-		f.sums[typ].Served++
+		f.sums[typ].Succeeded++
 	}
 }
 
@@ -135,10 +135,10 @@
 	seen := map[uint64]bool{}
 	for _, o := range s.Outcomes {
 		fault, known := t.outcomes[o.ID]
-		if seen[o.ID] || known && fault != o.Fault {
-			t.Wrong = append(t.Wrong, fmt.Sprintf("%v: action %x has the outcomes %q and %q", t.Now, o.ID, fault, o.Fault))
+		if seen[o.ID] || known && fault != o.RejectedReason {
+			t.Wrong = append(t.Wrong, fmt.Sprintf("%v: action %x has the outcomes %q and %q", t.Now, o.ID, fault, o.RejectedReason))
 		}
-		seen[o.ID], t.outcomes[o.ID] = true, o.Fault
+		seen[o.ID], t.outcomes[o.ID] = true, o.RejectedReason
 	}
 }
 
@@ -190,7 +190,7 @@
 // Publish lets an operator publish a text at a front, and gives the wish's outcome when it is there.
 func (t *Town) Publish(f *Front, w rollout.Action, outcome func(fault string)) {
 	if r, err := site.ParseRules("x", w.Text); err == nil {
-		w.Meaning = r.Digest()
+		w.RulesHash = r.Digest()
 	}
 	w.ID = t.Rnd.Uint64() | 1
 	f.host.Do(func(n *fleet.Node, now time.Duration) { f.Participant.Submit(now, w, 10*t.Pace.LeaseDuration, outcome) })
--- a/lab/model/rolls_bench_test.go
+++ b/lab/model/rolls_bench_test.go
@@ -58,7 +58,7 @@
 						}
 					}
 					if len(w.Wrong) > 0 || steady == 0 {
-						b.Fatal(w.Wrong, w.State().Why)
+						b.Fatal(w.Wrong, w.State().Reason)
 					}
 					b.ReportMetric(first.Seconds(), "s-first")
 					b.ReportMetric(heard.Seconds(), "s-all-heard")
@@ -82,8 +82,8 @@
 						f.Spoils = func(v uint64) float64 { return 0.002 + harm*float64(v) }
 					}
 					began := w.Now
-					w.Publish(w.Fronts[0], rollout.Action{Type: rollout.ActionPublish, Text: []byte("(rules (window book 1s))"), Stages: []uint16{wave, 1000}, Watch: 30 * time.Second, MaxFenced: 300}, func(string) {})
-					for w.Now < began+2*time.Minute && (w.State().Phase != rollout.PhaseSteady || w.State().Number == 0) {
+					w.Publish(w.Fronts[0], rollout.Action{Type: rollout.ActionPublish, Text: []byte("(rules (window book 1s))"), Stages: []uint16{wave, 1000}, ObservationTime: 30 * time.Second, MaxFenced: 300}, func(string) {})
+					for w.Now < began+2*time.Minute && (w.State().Phase != rollout.PhaseSteady || w.State().LastVersion == 0) {
 						w.Run(50 * time.Millisecond)
 					}
 					bad := 0
--- a/lab/model/rolls_test.go
+++ b/lab/model/rolls_test.go
@@ -27,7 +27,7 @@
 	if len(waves) == 0 {
 		waves = []uint16{10, 500, 1000}
 	}
-	return rollout.Action{Type: rollout.ActionPublish, Text: []byte(text), Stages: waves, Watch: 2 * time.Second, MaxFenced: 200}
+	return rollout.Action{Type: rollout.ActionPublish, Text: []byte(text), Stages: waves, ObservationTime: 2 * time.Second, MaxFenced: 200}
 }
 
 // publish makes a wish at the first front and waits for its outcome.
@@ -45,11 +45,11 @@
 
 func settled(t *testing.T, w *Town, within time.Duration) rollout.State {
 	end := w.Now + within
-	for w.Now < end && (w.State().Phase != rollout.PhaseSteady || w.State().Number == 0) {
+	for w.Now < end && (w.State().Phase != rollout.PhaseSteady || w.State().LastVersion == 0) {
 		w.Run(250 * time.Millisecond)
 	}
 	require.Empty(t, w.Wrong)
-	require.Equal(t, rollout.PhaseSteady, w.State().Phase, w.State().Why)
+	require.Equal(t, rollout.PhaseSteady, w.State().Phase, w.State().Reason)
 	return w.State()
 }
 
@@ -108,7 +108,7 @@
 	require.Empty(t, publish(t, w, wish("(rules (given-up 2))", 400, 1000)))
 	s := settled(t, w, time.Minute)
 	assert.EqualValues(t, 0, s.Base)
-	assert.Contains(t, s.Why, "can't use version 1: its limits are others")
+	assert.Contains(t, s.Reason, "can't use version 1: its limits are others")
 	assert.Equal(t, make([]uint64, 6), acting(w))
 }
 
@@ -120,7 +120,7 @@
 	require.Empty(t, publish(t, w, wish("(rules (given-up 2))")))
 	s := settled(t, w, time.Minute)
 	assert.EqualValues(t, 0, s.Base)
-	assert.Contains(t, s.Why, "version 1")
+	assert.Contains(t, s.Reason, "version 1")
 	w.Run(5 * time.Second)
 	assert.Equal(t, make([]uint64, 6), acting(w))
 	assert.Empty(t, w.Wrong)
@@ -130,7 +130,7 @@
 func TestAVersionOnWhichAFrontGoesDownLaterGoesBack(t *testing.T) {
 	w := rolling(13, 6, true)
 	x := wish("(rules (given-up 2))", 1, 1000)
-	x.Watch = 25 * time.Second
+	x.ObservationTime = 25 * time.Second
 	require.Empty(t, publish(t, w, x))
 	w.Run(12 * time.Second)
 	for _, f := range w.Fronts {
@@ -141,7 +141,7 @@
 	}
 	s := settled(t, w, time.Minute)
 	assert.EqualValues(t, 0, s.Base)
-	assert.Contains(t, s.Why, "went down behind taking up version 1")
+	assert.Contains(t, s.Reason, "went down behind taking up version 1")
 }
 
 // All fronts go down by a version before the one in force was confirmed on their disks: they come back on an older one, which is ruled
@@ -159,7 +159,7 @@
 	w.Run(5 * time.Second)
 	s := settled(t, w, time.Minute)
 	assert.EqualValues(t, 1, s.Base)
-	assert.Contains(t, s.Why, "version 2")
+	assert.Contains(t, s.Reason, "version 2")
 	w.Run(5 * time.Second)
 	assert.Equal(t, []uint64{1, 1, 1, 1, 1, 1}, acting(w))
 }
@@ -199,12 +199,12 @@
 		f.Spoils = func(v uint64) float64 { return 0.005 + 0.1*float64(v) }
 	}
 	x := wish("(rules (given-up 2))", 250, 1000)
-	x.Watch = 20 * time.Second
+	x.ObservationTime = 20 * time.Second
 	from := w.Now
 	require.Empty(t, publish(t, w, x))
 	s := settled(t, w, time.Minute)
 	assert.EqualValues(t, 0, s.Base)
-	assert.Contains(t, s.Why, "serves worse")
+	assert.Contains(t, s.Reason, "serves worse")
 	bad := 0
 	for _, x := range w.Requests {
 		if x.At > from && x.Answers == 1 && (x.Word == front.StatusRejected || x.Word == front.StatusFailed) {
@@ -231,7 +231,7 @@
 		}
 	}
 	s := settled(t, w, 2*time.Minute)
-	assert.EqualValues(t, 1, s.Base, s.Why)
+	assert.EqualValues(t, 1, s.Base, s.Reason)
 	assert.Len(t, seen, 4)
 }
 
@@ -250,7 +250,7 @@
 		h.Stop()
 		w.After(time.Minute, h.Continue)
 		x := wish("(rules (given-up 2))", 1000)
-		x.Must = true
+		x.Mandatory = true
 		require.Empty(t, publish(t, w, x))
 		s := settled(t, w, 50*time.Second)
 		assert.EqualValues(t, 1, s.Base)
@@ -296,7 +296,7 @@
 func TestAMustVersionDoesNotComeIntoForceWithoutAMajority(t *testing.T) {
 	w := rolling(32, 5, false)
 	x := wish("(rules (given-up 2))", 400, 1000)
-	x.Must, x.Watch = true, 8*time.Second
+	x.Mandatory, x.ObservationTime = true, 8*time.Second
 	require.Empty(t, publish(t, w, x))
 	w.Hosts[1].Crash()
 	w.Hosts[2].Crash()
@@ -348,7 +348,7 @@
 	require.Empty(t, publish(t, w, wish("(rules (given-up 2))", 1000)))
 	w.Run(40 * time.Second)
 	assert.Equal(t, rollout.PhaseRolling, w.State().Phase)
-	assert.Contains(t, w.State().Why, "2 fronts lag (f004, f005), and 1 may be shut out at once")
+	assert.Contains(t, w.State().Reason, "2 fronts lag (f004, f005), and 1 may be shut out at once")
 	w.Heal()
 	settled(t, w, time.Minute)
 	assert.Equal(t, []uint64{1, 1, 1, 1, 1, 1}, acting(w))
@@ -380,7 +380,7 @@
 	}
 	w, wrong := RoughRolls(s, 4+int(s%4), s%2 == 0, func(l string) { fmt.Println(l) })
 	for _, x := range w.Turns {
-		fmt.Println(x.At, x.Phase, x.Base, x.Next, x.Stage, x.Paused, x.Why)
+		fmt.Println(x.At, x.Phase, x.Base, x.Next, x.Stage, x.Paused, x.Reason)
 	}
 	require.Empty(t, wrong)
 }
--- a/lab/model/walk_test.go
+++ b/lab/model/walk_test.go
@@ -40,12 +40,12 @@
 			Span: time.Second, Fleet: true, Right: 3 * time.Second, Stop: true, Within: within, Deadline: time.Second, TargetLatency: 250 * time.Millisecond})
 		w.StartAll()
 		w.Run(4 * time.Second)
-		w.Publish(w.Fronts[0], rollout.Action{Type: rollout.ActionPublish, Text: []byte("(rules (window book 1500ms))"), Stages: []uint16{1, 1000}, Watch: time.Second, MaxFenced: 400}, func(string) {})
+		w.Publish(w.Fronts[0], rollout.Action{Type: rollout.ActionPublish, Text: []byte("(rules (window book 1500ms))"), Stages: []uint16{1, 1000}, ObservationTime: time.Second, MaxFenced: 400}, func(string) {})
 		must := func() {
 			s := w.State()
 			for _, f := range w.Fronts {
 				if f.host.Up() && !f.host.Stopped() {
-					w.Publish(f, rollout.Action{Type: rollout.ActionPublish, Base: s.Base, Text: []byte("(rules (given-up 1))"), Stages: []uint16{500, 1000}, Watch: time.Second, MaxFenced: 400, Must: true}, func(string) {})
+					w.Publish(f, rollout.Action{Type: rollout.ActionPublish, Base: s.Base, Text: []byte("(rules (given-up 1))"), Stages: []uint16{500, 1000}, ObservationTime: time.Second, MaxFenced: 400, Mandatory: true}, func(string) {})
 					return
 				}
 			}
--- a/lab/report/audit.go
+++ b/lab/report/audit.go
@@ -88,11 +88,11 @@
 
 // Audit writes one page on many fronts' logs: who acted on what, when, who lagged, what was served by each version. What
 // happened is ordered by what caused what: the record's index, then terms; clocks only among what has the same.
-func Audit(w io.Writer, all []*audit.Journal, found []audit.Finding) error {
-	uses := audit.Uses(all)
+func Audit(w io.Writer, all []*audit.FrontLog, found []audit.Finding) error {
+	uses := audit.VersionUses(all)
 	p := page{Made: time.Now().UTC().Format(time.RFC3339), Fronts: len(all), Width: wide + 160, Height: rowHeight*float64(len(all)) + 40}
 	for _, f := range found {
-		if f.Wrong {
+		if f.Violation {
 			p.Wrong = append(p.Wrong, f)
 		} else {
 			p.Notes = append(p.Notes, f)
@@ -100,7 +100,7 @@
 	}
 	from, until, clock := int64(1)<<62, int64(0), int64(0)
 	for _, u := range uses {
-		from, until, clock = min(from, u.From), max(until, u.Until), max(clock, u.Clock)
+		from, until, clock = min(from, u.Start), max(until, u.End), max(clock, u.MaxClockError)
 	}
 	if until <= from {
 		return fmt.Errorf("the logs tell of no time")
@@ -119,19 +119,19 @@
 		for _, u := range uses {
 			if u.Front == j.Front {
 				total := uint32(0)
-				for _, n := range u.Ended {
+				for _, n := range u.Outcomes {
 					total += n
 				}
-				r.Bars = append(r.Bars, bar{X: x(u.From), W: max(1, x(u.Until)-x(u.From)), Colour: colour(u.Version), Version: u.Version, Open: u.Open,
-					Tip: fmt.Sprintf("%s on version %d, %s to %s: %d requests, %d committed", u.Front, u.Version, stamp(u.From), stamp(u.Until), total, u.Ended[front.StatusSucceeded])})
+				r.Bars = append(r.Bars, bar{X: x(u.Start), W: max(1, x(u.End)-x(u.Start)), Colour: colour(u.Version), Version: u.Version, Open: u.Open,
+					Tip: fmt.Sprintf("%s on version %d, %s to %s: %d requests, %d committed", u.Front, u.Version, stamp(u.Start), stamp(u.End), total, u.Outcomes[front.StatusSucceeded])})
 			}
 		}
 		for _, l := range j.Lines {
 			p.Lines++
-			switch l.What {
-			case audit.Lapsed:
+			switch l.Event {
+			case audit.EventConfigLeaseExpired:
 				r.Marks = append(r.Marks, mark{x(l.At), j.Front + " stood by from " + stamp(l.At)})
-			case audit.Adopted:
+			case audit.EventVersionAdopted:
 				if at, ok := first[l.Version]; !ok || l.At < at {
 					first[l.Version] = l.At
 				}
@@ -142,9 +142,9 @@
 		}
 		p.Rows = append(p.Rows, r)
 	}
-	for _, v := range audit.Versions(all, uses) {
-		x := version{Version: v.Version, Colour: colour(v.Version), Meaning: v.Meaning, First: stamp(v.First), Last: stamp(v.Last), Fronts: v.Fronts,
-			Succeeded: v.Ended[front.StatusSucceeded], Rejected: v.Ended[front.StatusRejected], Other: v.Ended[front.StatusFailed] + v.Ended[front.StatusInvalid] + v.Ended[front.StatusAbandoned]}
+	for _, v := range audit.SummarizeVersions(all, uses) {
+		x := version{Version: v.Version, Colour: colour(v.Version), Meaning: v.RulesHash, First: stamp(v.First), Last: stamp(v.Last), Fronts: v.Fronts,
+			Succeeded: v.Outcomes[front.StatusSucceeded], Rejected: v.Outcomes[front.StatusRejected], Other: v.Outcomes[front.StatusFailed] + v.Outcomes[front.StatusInvalid] + v.Outcomes[front.StatusAbandoned]}
 		if at, ok := first[v.Version]; ok {
 			x.Spread = (time.Duration(latest[v.Version]-at) * time.Microsecond).Round(time.Millisecond).String()
 			x.LastFront = lastOf[v.Version]
@@ -163,7 +163,7 @@
 }
 
 // happened is what fronts told beside their spans, by what caused what.
-func happened(all []*audit.Journal) (out []happening, more int) {
+func happened(all []*audit.FrontLog) (out []happening, more int) {
 	type one struct {
 		audit.Line
 		what string
@@ -172,25 +172,25 @@
 	for _, j := range all {
 		for _, p := range j.Lines {
 			what := ""
-			switch p.What {
-			case audit.Adopted:
-				what = fmt.Sprintf("acts on version %d (%s)", p.Version, p.Meaning)
-			case audit.Refused:
-				what = fmt.Sprintf("refused version %d: %s", p.Version, p.Why)
-			case audit.Held:
+			switch p.Event {
+			case audit.EventVersionAdopted:
+				what = fmt.Sprintf("acts on version %d (%s)", p.Version, p.RulesHash)
+			case audit.EventVersionRejected:
+				what = fmt.Sprintf("refused version %d: %s", p.Version, p.Reason)
+			case audit.EventLeaseAcquired:
 				what = fmt.Sprintf("holds %s in term %d", p.Lease, p.Term)
-			case audit.Let:
-				what = fmt.Sprintf("holds %s no more: %s", p.Lease, p.Why)
-			case audit.Lapsed:
+			case audit.EventLeaseEnded:
+				what = fmt.Sprintf("holds %s no more: %s", p.Lease, p.Reason)
+			case audit.EventConfigLeaseExpired:
 				what = "stands by: its right ran out"
-			case audit.Right:
+			case audit.EventConfigLeaseAcquired:
 				what = "takes requests: it has a right"
-			case audit.Opened:
+			case audit.EventProcessStarted:
 				what = "starts, with version " + fmt.Sprint(p.Version)
-			case audit.Closed:
+			case audit.EventProcessStopped:
 				what = "ends"
-			case audit.Gap, audit.Cut, audit.Dropped:
-				what = "audit: " + p.What + " " + p.Why
+			case audit.EventLinesLost, audit.EventTailTruncated, audit.EventSegmentRemoved:
+				what = "audit: " + p.Event + " " + p.Reason
 			default:
 				continue
 			}
--- a/lab/report/audit_test.go
+++ b/lab/report/audit_test.go
@@ -18,8 +18,8 @@
 		s, err := disk.OpenSegments(dir, n, 1<<20, 1<<24)
 		require.NoError(t, err)
 		base := int64(1_800_000_000)*second - int64(i)*3600*second // the second one's clock stands an hour behind
-		for _, l := range []*audit.Line{{What: audit.Opened, At: 1, Index: 1, Clock: 3600 * second}, {What: audit.Held, At: 2, Index: 4 + uint64(i), Lease: "roll", Term: 1 + uint64(i)},
-			{What: audit.Adopted, At: 3, Index: 9, Version: 1, Meaning: "m<1>"}, {What: audit.Lapsed, At: 4, Index: 12}, {What: audit.Closed, At: 9, Index: 12}} {
+		for _, l := range []*audit.Line{{Event: audit.EventProcessStarted, At: 1, Index: 1, MaxClockError: 3600 * second}, {Event: audit.EventLeaseAcquired, At: 2, Index: 4 + uint64(i), Lease: "roll", Term: 1 + uint64(i)},
+			{Event: audit.EventVersionAdopted, At: 3, Index: 9, Version: 1, RulesHash: "m<1>"}, {Event: audit.EventConfigLeaseExpired, At: 4, Index: 12}, {Event: audit.EventProcessStopped, At: 9, Index: 12}} {
 			l.Front, l.Incarnation, l.At = n, 7, base+l.At*second
 			require.NoError(t, s.Write(l, nil))
 		}
@@ -27,7 +27,7 @@
 	}
 	l, err := disk.OpenAuditLogs(dir)
 	require.NoError(t, err)
-	all, found := audit.Read(l)
+	all, found := audit.ReadLogs(l)
 	var out strings.Builder
 	require.NoError(t, Audit(&out, all, found))
 	page := out.String()
--- a/lab/rig/files.go
+++ b/lab/rig/files.go
@@ -83,7 +83,7 @@
 	if err != nil || len(names) == 0 {
 		return
 	}
-	path := filepath.Join(f.audit(), names[len(names)-1]+audit.LinesEnd)
+	path := filepath.Join(f.audit(), names[len(names)-1]+audit.LogSuffix)
 	if b, err := os.ReadFile(path); err == nil && len(b) > 20 {
 		os.WriteFile(path, b[:len(b)-20], 0o600)
 		r.cutAudit++
--- a/lab/rig/versions.go
+++ b/lab/rig/versions.go
@@ -174,14 +174,14 @@
 		broke("audits: %v", err)
 		return
 	}
-	journals, found := audit.Read(l)
+	journals, found := audit.ReadLogs(l)
 	found = append(found, l.Conflicts...)
 	cuts := 0
 	for _, f := range found {
-		if f.Wrong {
+		if f.Violation {
 			broke("audit: %s", f)
 		}
-		if !f.Wrong && strings.Contains(f.What, "torn tail") {
+		if !f.Violation && strings.Contains(f.Message, "torn tail") {
 			cuts++
 		}
 	}
@@ -194,8 +194,8 @@
 	told := map[string]bool{} // spans with their front, by what Find gives
 	for _, j := range journals {
 		for _, p := range j.Lines {
-			if p.What == audit.InSpan {
-				told[fmt.Sprint(p.Segment, "/", p.IDs-1)] = true
+			if p.Event == audit.EventInterval {
+				told[fmt.Sprint(p.Segment, "/", p.IndexOffset-1)] = true
 			}
 		}
 	}
@@ -206,7 +206,7 @@
 		}
 		hits, _ := l.Find(t.id)
 		if !slices.ContainsFunc(hits, func(h disk.Match) bool {
-			front, _, _ := audit.ParseName(h.Segment + audit.LinesEnd)
+			front, _, _ := audit.ParseLogName(h.Segment + audit.LogSuffix)
 			return front == t.front && told[fmt.Sprint(h.Segment, "/", h.IndexOffset)]
 		}) {
 			if missing++; missing < 4 {
