--- a/cmd/dapplerlab/main.go
+++ b/cmd/dapplerlab/main.go
@@ -124,7 +124,7 @@
 }
 
 func faults(err error) int {
-	var fs conf.Faults
+	var fs conf.ErrorList
 	if !errors.As(err, &fs) {
 		fmt.Fprintf(os.Stderr, "dapplerlab: %v\n", err)
 	}
--- a/cmd/dapplerouter/file.go
+++ b/cmd/dapplerouter/file.go
@@ -20,7 +20,7 @@
 // operator is what the operator's file says: a form that is absent is off.
 type operator struct {
 	classing *shape.Settings
-	place    conf.Place // of the classing form
+	place    conf.Position // of the classing form
 	gateway  *gateway.Config
 	fleet    *fleet.Config
 	roll     *rollout.Config
@@ -38,11 +38,11 @@
 	if err != nil {
 		return nil, err
 	}
-	r := f.Read()
+	r := f.NewDecoder()
 	o := &operator{}
 	forms := r.Forms(shape.FormName, gateway.FormName, fleet.FormName, rollout.FormName, audit.FormName, site.RulesForm)
 	if form := forms[shape.FormName]; form != nil {
-		o.classing, o.place = shape.ReadSettings(form), form.Place
+		o.classing, o.place = shape.ReadSettings(form), form.Position
 	}
 	if form := forms[gateway.FormName]; form != nil {
 		o.gateway = gateway.ReadConfig(form)
@@ -54,8 +54,8 @@
 		o.roll = rollout.ReadConfig(form)
 		if o.fleet != nil && o.fleet.LeaseDuration > 0 {
 			if _, err := o.roll.ConfigLeaseFor(o.fleet.LeaseDuration); err != nil {
-				f := err.(conf.Faults)[0]
-				form.Fault(f.Place, f.Remedy, "%s", f.What)
+				f := err.(conf.ErrorList)[0]
+				form.Errorf(f.Position, f.Remedy, "%s", f.Message)
 			}
 		}
 	}
@@ -67,7 +67,7 @@
 	}
 	for _, name := range []string{rollout.FormName, audit.FormName} {
 		if form := forms[name]; form != nil && o.fleet == nil {
-			form.Fault(form.Place, "add the form fleet, or take this one away", "%s stands on a fleet, and the file has none", name)
+			form.Errorf(form.Position, "add the form fleet, or take this one away", "%s stands on a fleet, and the file has none", name)
 		}
 	}
 	return o, r.Err()
@@ -76,7 +76,7 @@
 // checkAt finds what the file says against what a front is told.
 func (o *operator) checkAt(told *site.Instance) error {
 	if g := o.gateway; g != nil && 2*(g.Settings.Credit+g.Settings.Kept) > told.MemoryBytes/2 {
-		return conf.Faults{{Place: g.Place, What: fmt.Sprintf("credit and kept of %d and %d bytes are too much for the %d told",
+		return conf.ErrorList{{Position: g.Place, Message: fmt.Sprintf("credit and kept of %d and %d bytes are too much for the %d told",
 			g.Settings.Credit, g.Settings.Kept, told.MemoryBytes), Remedy: "make them smaller: twice both may be half of the memory"}}
 	}
 	if o.fleet != nil {
@@ -91,7 +91,7 @@
 		return nil
 	}
 	if o.classing.Bytes > told.MemoryBytes/4 {
-		return conf.Faults{{Place: o.place, What: fmt.Sprintf("a cache of %d bytes is more than a quarter of the %d told",
+		return conf.ErrorList{{Position: o.place, Message: fmt.Sprintf("a cache of %d bytes is more than a quarter of the %d told",
 			o.classing.Bytes, told.MemoryBytes), Remedy: "make the cache smaller"}}
 	}
 	return front.ValidateClassification(o.classing, told.Settings)
@@ -119,7 +119,7 @@
 
 // faultsOf takes an error apart.
 func faultsOf(err error) (all []error) {
-	var faults conf.Faults
+	var faults conf.ErrorList
 	if !errors.As(err, &faults) {
 		return []error{err}
 	}
@@ -158,7 +158,7 @@
 		}
 		err = o.checkAt(told)
 	}
-	var faults conf.Faults
+	var faults conf.ErrorList
 	switch {
 	case err == nil:
 		if !c.JSON {
@@ -172,7 +172,7 @@
 	out := json.NewEncoder(os.Stdout)
 	for _, f := range faults {
 		if c.JSON {
-			out.Encode(map[string]any{"file": f.File, "line": f.Line, "column": f.Column, "what": f.What, "remedy": f.Remedy})
+			out.Encode(map[string]any{"file": f.File, "line": f.Line, "column": f.Column, "what": f.Message, "remedy": f.Remedy})
 		} else {
 			fmt.Fprintln(os.Stderr, f)
 		}
--- a/conf/conf.go
+++ b/conf/conf.go
@@ -19,31 +19,31 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// Place is where something stands in a file; lines and columns count from 1, columns in characters.
-type Place struct {
+// Position is where something stands in a file; lines and columns count from 1, columns in characters.
+type Position struct {
 	File         string
 	Line, Column int
 }
 
-func (p Place) String() string { return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Column) }
+func (p Position) String() string { return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Column) }
 
-// Fault is what is wrong at a place, and what would be right.
-type Fault struct {
-	Place
-	What, Remedy string
+// Error is what is wrong at a place, and what would be right.
+type Error struct {
+	Position
+	Message, Remedy string
 }
 
-func (f Fault) Error() string {
+func (f Error) Error() string {
 	if f.Remedy == "" {
-		return f.Place.String() + ": " + f.What
+		return f.Position.String() + ": " + f.Message
 	}
-	return f.Place.String() + ": " + f.What + "; " + f.Remedy
+	return f.Position.String() + ": " + f.Message + "; " + f.Remedy
 }
 
-// Faults are all that is wrong with a file, in its order.
-type Faults []Fault
+// ErrorList are all that is wrong with a file, in its order.
+type ErrorList []Error
 
-func (fs Faults) Error() string {
+func (fs ErrorList) Error() string {
 	lines := make([]string, len(fs))
 	for i, f := range fs {
 		lines[i] = f.Error()
@@ -54,7 +54,7 @@
 // Node is an atom, a text or a list.
 type Node struct {
 	Pos  lexer.Position
-	Word string  `parser:"( @Word"`
+	Atom string  `parser:"( @Word"`
 	Text *string `parser:"| @Text"`
 	List *List   `parser:"| @@ )"`
 }
@@ -93,21 +93,21 @@
 // Parse reads a file's text; its name is for the faults. The error is Faults.
 func Parse(name string, text []byte) (*File, error) {
 	if len(text) > largest {
-		return nil, Faults{{Place{name, 1, 1}, fmt.Sprintf("the file has %d bytes", len(text)), "at most 1 MiB is read"}}
+		return nil, ErrorList{{Position{name, 1, 1}, fmt.Sprintf("the file has %d bytes", len(text)), "at most 1 MiB is read"}}
 	}
 	if p, ok := tooDeep(name, text); ok {
-		return nil, Faults{{p, "lists too deep within each other", fmt.Sprintf("at most %d are read", deepest)}}
+		return nil, ErrorList{{p, "lists too deep within each other", fmt.Sprintf("at most %d are read", deepest)}}
 	}
 	t, err := grammar.ParseBytes(name, text)
 	if err != nil {
 		var at participle.Error
-		f := Fault{Place: Place{name, 1, 1}, What: err.Error()}
+		f := Error{Position: Position{name, 1, 1}, Message: err.Error()}
 		if errors.As(err, &at) {
 			p := at.Position()
-			f.Place = Place{name, p.Line, p.Column}
-			f.What, f.Remedy = plain(at.Message(), text, p)
+			f.Position = Position{name, p.Line, p.Column}
+			f.Message, f.Remedy = plain(at.Message(), text, p)
 		}
-		return nil, Faults{f}
+		return nil, ErrorList{f}
 	}
 	return &File{Name: name, forms: t.Forms}, nil
 }
@@ -129,8 +129,8 @@
 	return message, "see the form in docs/operate/classing.md"
 }
 
-func tooDeep(name string, text []byte) (Place, bool) {
-	p, depth := Place{name, 1, 0}, 0
+func tooDeep(name string, text []byte) (Position, bool) {
+	p, depth := Position{name, 1, 0}, 0
 	quoted, comment, escaped := false, false, false
 	for _, c := range string(text) {
 		p.Column++
@@ -158,54 +158,54 @@
 
 // Form is a list whose first word names it.
 type Form struct {
-	Place
+	Position
 	Name  string
 	items []*Node
-	r     *Reading
+	r     *Decoder
 }
 
-// Reading collects faults while subsystems read their forms.
-type Reading struct {
+// Decoder collects faults while subsystems read their forms.
+type Decoder struct {
 	file   *File
-	faults Faults
+	faults ErrorList
 }
 
-// Read begins to read a file.
-func (f *File) Read() *Reading { return &Reading{file: f} }
+// NewDecoder begins to read a file.
+func (f *File) NewDecoder() *Decoder { return &Decoder{file: f} }
 
-// Fault notes what is wrong at a place.
-func (r *Reading) Fault(p Place, remedy, format string, args ...any) {
-	r.faults = append(r.faults, Fault{p, fmt.Sprintf(format, args...), remedy})
+// Errorf notes what is wrong at a place.
+func (r *Decoder) Errorf(p Position, remedy, format string, args ...any) {
+	r.faults = append(r.faults, Error{p, fmt.Sprintf(format, args...), remedy})
 }
 
 // Err gives all faults noted, in the file's order, or nil.
-func (r *Reading) Err() error {
+func (r *Decoder) Err() error {
 	if len(r.faults) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(r.faults, func(a, b Fault) int {
+	slices.SortStableFunc(r.faults, func(a, b Error) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
 	})
 	return r.faults
 }
 
-func (r *Reading) place(n *Node) Place { return Place{r.file.Name, n.Pos.Line, n.Pos.Column} }
+func (r *Decoder) place(n *Node) Position { return Position{r.file.Name, n.Pos.Line, n.Pos.Column} }
 
 // Forms gives the file's forms by name. One that is not known, or stands twice where one may stand, is a fault.
-func (r *Reading) Forms(known ...string) map[string]*Form {
+func (r *Decoder) Forms(known ...string) map[string]*Form {
 	return r.forms(r.file.forms, "the file", known)
 }
 
-func (r *Reading) forms(nodes []*Node, within string, known []string) map[string]*Form {
+func (r *Decoder) forms(nodes []*Node, within string, known []string) map[string]*Form {
 	found := map[string]*Form{}
 	for _, n := range nodes {
 		f := r.form(n, within)
 		switch {
 		case f == nil:
 		case !slices.Contains(known, f.Name):
-			r.Fault(f.Place, meant(f.Name, known), "%s has no form %s", within, f.Name)
+			r.Errorf(f.Position, meant(f.Name, known), "%s has no form %s", within, f.Name)
 		case found[f.Name] != nil:
-			r.Fault(f.Place, "keep one of the two", "%s stands twice in %s, first at %s", f.Name, within, found[f.Name].Place)
+			r.Errorf(f.Position, "keep one of the two", "%s stands twice in %s, first at %s", f.Name, within, found[f.Name].Position)
 		default:
 			found[f.Name] = f
 		}
@@ -213,18 +213,18 @@
 	return found
 }
 
-func (r *Reading) form(n *Node, within string) *Form {
-	if n.List == nil || len(n.List.Nodes) == 0 || n.List.Nodes[0].Word == "" {
+func (r *Decoder) form(n *Node, within string) *Form {
+	if n.List == nil || len(n.List.Nodes) == 0 || n.List.Nodes[0].Atom == "" {
 		what := "an empty list"
 		if n.List == nil {
 			what = n.show()
 		} else if len(n.List.Nodes) > 0 {
 			what = "a list that begins with no name"
 		}
-		r.Fault(r.place(n), "a form is (name ...)", "%s stands in %s where a form belongs", what, within)
+		r.Errorf(r.place(n), "a form is (name ...)", "%s stands in %s where a form belongs", what, within)
 		return nil
 	}
-	return &Form{Place: r.place(n), Name: n.List.Nodes[0].Word, items: n.List.Nodes[1:], r: r}
+	return &Form{Position: r.place(n), Name: n.List.Nodes[0].Atom, items: n.List.Nodes[1:], r: r}
 }
 
 func (n *Node) show() string {
@@ -234,7 +234,7 @@
 	case n.Text != nil:
 		return strconv.Quote(*n.Text)
 	}
-	return n.Word
+	return n.Atom
 }
 
 // meant names the known word that is nearest to one that was written.
@@ -279,8 +279,8 @@
 // Forms gives the forms within this one.
 func (f *Form) Forms(known ...string) map[string]*Form { return f.r.forms(f.items, f.Name, known) }
 
-// Each gives the forms within this one in order, whatever their names.
-func (f *Form) Each() (forms []*Form) {
+// Subforms gives the forms within this one in order, whatever their names.
+func (f *Form) Subforms() (forms []*Form) {
 	for _, n := range f.items {
 		if g := f.r.form(n, f.Name); g != nil {
 			forms = append(forms, g)
@@ -289,50 +289,50 @@
 	return forms
 }
 
-// Word is a name with its place.
-type Word struct {
-	Place
-	Name  string
-	Exact bool // given as a text: its case counts
+// Atom is a name with its place.
+type Atom struct {
+	Position
+	Name   string
+	Quoted bool // given as a text: its case counts
 }
 
-// Words gives the items as names, at least one.
-func (f *Form) Words() (words []Word) {
+// Atoms gives the items as names, at least one.
+func (f *Form) Atoms() (words []Atom) {
 	for _, n := range f.items {
 		switch {
 		case n.Text != nil:
-			words = append(words, Word{f.r.place(n), *n.Text, true})
-		case n.Word != "":
-			words = append(words, Word{f.r.place(n), n.Word, false})
+			words = append(words, Atom{f.r.place(n), *n.Text, true})
+		case n.Atom != "":
+			words = append(words, Atom{f.r.place(n), n.Atom, false})
 		default:
-			f.r.Fault(f.r.place(n), "write it without parentheses", "a list stands in %s where a name belongs", f.Name)
+			f.r.Errorf(f.r.place(n), "write it without parentheses", "a list stands in %s where a name belongs", f.Name)
 		}
 	}
 	if len(f.items) == 0 {
-		f.r.Fault(f.Place, "name one, or leave the form out", "%s names nothing", f.Name)
+		f.r.Errorf(f.Position, "name one, or leave the form out", "%s names nothing", f.Name)
 	}
 	return words
 }
 
-// One gives the only item as a word.
-func (f *Form) One() (Word, bool) {
+// Value gives the only item as a word.
+func (f *Form) Value() (Atom, bool) {
 	if len(f.items) != 1 || f.items[0].List != nil {
-		f.r.Fault(f.Place, fmt.Sprintf("write (%s VALUE)", f.Name), "%s wants one value", f.Name)
-		return Word{}, false
+		f.r.Errorf(f.Position, fmt.Sprintf("write (%s VALUE)", f.Name), "%s wants one value", f.Name)
+		return Atom{}, false
 	}
-	return f.Words()[0], true
+	return f.Atoms()[0], true
 }
 
-// Head takes the first item as a name; the forms behind it are left.
-func (f *Form) Head() (Word, bool) {
+// TakeName takes the first item as a name; the forms behind it are left.
+func (f *Form) TakeName() (Atom, bool) {
 	if len(f.items) == 0 || f.items[0].List != nil {
-		f.r.Fault(f.Place, fmt.Sprintf("write (%s NAME ...)", f.Name), "%s has no name", f.Name)
-		return Word{}, false
+		f.r.Errorf(f.Position, fmt.Sprintf("write (%s NAME ...)", f.Name), "%s has no name", f.Name)
+		return Atom{}, false
 	}
 	n := f.items[0]
-	w := Word{Place: f.r.place(n), Name: n.Word}
+	w := Atom{Position: f.r.place(n), Name: n.Atom}
 	if n.Text != nil {
-		w.Name, w.Exact = *n.Text, true
+		w.Name, w.Quoted = *n.Text, true
 	}
 	f.items = f.items[1:]
 	return w, true
@@ -340,7 +340,7 @@
 
 // Size gives the only item in bytes: a whole number with B, KiB, MiB or GiB.
 func (f *Form) Size(least, most int64) int64 {
-	w, ok := f.One()
+	w, ok := f.Value()
 	if !ok {
 		return least
 	}
@@ -348,17 +348,17 @@
 	by := map[string]int64{"B": 1, "KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30}[unit]
 	switch {
 	case !ok || by == 0 && unit != "":
-		f.r.Fault(w.Place, "a size is a whole number with KiB, MiB or GiB, as in 8MiB", "%s is no size", w.Name)
+		f.r.Errorf(w.Position, "a size is a whole number with KiB, MiB or GiB, as in 8MiB", "%s is no size", w.Name)
 		return least
 	case unit == "":
 		likely := "MiB"
 		if n > 1<<12 {
 			likely = "B"
 		}
-		f.r.Fault(w.Place, fmt.Sprintf("%s%s was likely meant", w.Name, likely), "%s has no unit", w.Name)
+		f.r.Errorf(w.Position, fmt.Sprintf("%s%s was likely meant", w.Name, likely), "%s has no unit", w.Name)
 		return least
 	case n > most/by || n*by < least:
-		f.r.Fault(w.Place, fmt.Sprintf("between %s and %s", showSize(least), showSize(most)), "%s is out of range", w.Name)
+		f.r.Errorf(w.Position, fmt.Sprintf("between %s and %s", showSize(least), showSize(most)), "%s is out of range", w.Name)
 		return least
 	}
 	return n * by
@@ -376,9 +376,9 @@
 	return strconv.FormatInt(n, 10) + "B"
 }
 
-// Span gives the only item as a time: with us, ms, s, m or h, above nothing.
-func (f *Form) Span() time.Duration {
-	w, ok := f.One()
+// Duration gives the only item as a time: with us, ms, s, m or h, above nothing.
+func (f *Form) Duration() time.Duration {
+	w, ok := f.Value()
 	if !ok {
 		return 0
 	}
@@ -387,12 +387,12 @@
 		if n >= 50 {
 			likely = "ms"
 		}
-		f.r.Fault(w.Place, fmt.Sprintf("%s%s was likely meant", w.Name, likely), "%s has no unit", w.Name)
+		f.r.Errorf(w.Position, fmt.Sprintf("%s%s was likely meant", w.Name, likely), "%s has no unit", w.Name)
 		return 0
 	}
 	d, err := time.ParseDuration(w.Name)
 	if err != nil || d <= 0 {
-		f.r.Fault(w.Place, "a time is a number above 0 with us, ms, s, m or h, as in 200ms", "%s is no time", w.Name)
+		f.r.Errorf(w.Position, "a time is a number above 0 with us, ms, s, m or h, as in 200ms", "%s is no time", w.Name)
 		return 0
 	}
 	return d
@@ -409,15 +409,15 @@
 
 // Choice gives the only item, which must be one of the words.
 func (f *Form) Choice(words ...string) string {
-	w, ok := f.One()
+	w, ok := f.Value()
 	if ok && !slices.Contains(words, w.Name) {
-		f.r.Fault(w.Place, meant(w.Name, words), "%s has no value %s", f.Name, w.Name)
+		f.r.Errorf(w.Position, meant(w.Name, words), "%s has no value %s", f.Name, w.Name)
 		return ""
 	}
 	return w.Name
 }
 
-// Fault notes what is wrong with this form.
-func (f *Form) Fault(p Place, remedy, format string, args ...any) {
-	f.r.Fault(p, remedy, format, args...)
+// Errorf notes what is wrong with this form.
+func (f *Form) Errorf(p Position, remedy, format string, args ...any) {
+	f.r.Errorf(p, remedy, format, args...)
 }
--- a/conf/conf_test.go
+++ b/conf/conf_test.go
@@ -9,39 +9,39 @@
 	"github.com/stretchr/testify/require"
 )
 
-func read(text string, use func(*Reading)) error {
+func read(text string, use func(*Decoder)) error {
 	f, err := Parse("f", []byte(text))
 	if err != nil {
 		return err
 	}
-	r := f.Read()
+	r := f.NewDecoder()
 	use(r)
 	return r.Err()
 }
 
 func TestFormsAreReadWithTheirUnits(t *testing.T) {
-	require.NoError(t, read("; a comment (\n(cache 8MiB) (wait 200ms) (names a \"B \\\"c\\\"\" d) (pick on)", func(r *Reading) {
+	require.NoError(t, read("; a comment (\n(cache 8MiB) (wait 200ms) (names a \"B \\\"c\\\"\" d) (pick on)", func(r *Decoder) {
 		fs := r.Forms("cache", "wait", "names", "pick")
 		assert.EqualValues(t, 8<<20, fs["cache"].Size(1, 1<<30))
-		assert.Equal(t, 200*time.Millisecond, fs["wait"].Span())
-		words := fs["names"].Words()
+		assert.Equal(t, 200*time.Millisecond, fs["wait"].Duration())
+		words := fs["names"].Atoms()
 		assert.Equal(t, []string{"a", `B "c"`, "d"}, []string{words[0].Name, words[1].Name, words[2].Name})
-		assert.True(t, words[1].Exact)
+		assert.True(t, words[1].Quoted)
 		assert.Equal(t, "on", fs["pick"].Choice("on", "off"))
 	}))
 }
 
 func TestEachFaultNamesItsPlaceAndRemedy(t *testing.T) {
-	all := func(r *Reading) {
+	all := func(r *Decoder) {
 		fs := r.Forms("cache", "wait", "names", "pick")
 		for name, f := range fs {
 			switch name {
 			case "cache":
 				f.Size(64<<10, 1<<30)
 			case "wait":
-				f.Span()
+				f.Duration()
 			case "names":
-				f.Words()
+				f.Atoms()
 			case "pick":
 				f.Choice("on", "off")
 			}
@@ -84,8 +84,8 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		file, err := Parse("f", []byte(text))
 		if err == nil {
-			for _, form := range file.Read().Forms("classing") {
-				form.Each()
+			for _, form := range file.NewDecoder().Forms("classing") {
+				form.Subforms()
 			}
 		}
 	})
--- a/fleet/audit/settings.go
+++ b/fleet/audit/settings.go
@@ -22,16 +22,16 @@
 	LogDir, ExportDir, CollectDir                      string
 	MaxTotalBytes, SegmentBytes, CollectBytesPerSecond int64
 	MaxClockError                                      time.Duration
-	Place                                              conf.Place
+	Place                                              conf.Position
 }
 
 // ReadConfig reads the form; what is wrong with it is noted with its reading.
 func ReadConfig(f *conf.Form) *Config {
-	c := &Config{MaxTotalBytes: 64 << 20, SegmentBytes: 1 << 20, CollectBytesPerSecond: 256 << 10, MaxClockError: 500 * time.Millisecond, Place: f.Place}
+	c := &Config{MaxTotalBytes: 64 << 20, SegmentBytes: 1 << 20, CollectBytesPerSecond: 256 << 10, MaxClockError: 500 * time.Millisecond, Place: f.Position}
 	is := f.Forms("dir", "budget", "segment", "clock-error", "export", "collect", "rate")
 	for name, to := range map[string]*string{"dir": &c.LogDir, "export": &c.ExportDir, "collect": &c.CollectDir} {
 		if g := is[name]; g != nil {
-			w, _ := g.One()
+			w, _ := g.Value()
 			*to = w.Name
 		}
 	}
@@ -41,16 +41,16 @@
 		}
 	}
 	if g := is["clock-error"]; g != nil {
-		c.MaxClockError = g.Span()
+		c.MaxClockError = g.Duration()
 	}
 	if c.LogDir == "" {
-		f.Fault(f.Place, "(dir \"FOLDER\"), the front's own", "the audit does not say where it is kept")
+		f.Errorf(f.Position, "(dir \"FOLDER\"), the front's own", "the audit does not say where it is kept")
 	}
 	if c.MaxTotalBytes < 2*c.SegmentBytes {
-		f.Fault(f.Place, "make the budget larger, or a segment smaller", "a budget of %d bytes does not hold two segments of %d", c.MaxTotalBytes, c.SegmentBytes)
+		f.Errorf(f.Position, "make the budget larger, or a segment smaller", "a budget of %d bytes does not hold two segments of %d", c.MaxTotalBytes, c.SegmentBytes)
 	}
 	if c.CollectDir != "" && (c.CollectDir == c.LogDir || c.CollectDir == c.ExportDir) {
-		f.Fault(f.Place, "a folder of its own", "what is collected can't lie among the front's own")
+		f.Errorf(f.Position, "a folder of its own", "what is collected can't lie among the front's own")
 	}
 	return c
 }
--- a/fleet/config.go
+++ b/fleet/config.go
@@ -34,7 +34,7 @@
 	Key, Certificate, Trust string
 	Control, History        string
 	AddressOverrides        map[string]string
-	Place                   conf.Place
+	Place                   conf.Position
 }
 
 // Bounds of the lease duration: under the minimum, pauses of a loaded machine would cost leases; over the maximum, a failed
@@ -46,7 +46,7 @@
 
 // ReadConfig reads the form. Faults are recorded with the form's reading, each with its place and remedy.
 func ReadConfig(f *conf.Form) *Config {
-	c := &Config{LeaseDuration: DefaultLeaseDuration, AcceptsLeases: true, AddressOverrides: map[string]string{}, Place: f.Place}
+	c := &Config{LeaseDuration: DefaultLeaseDuration, AcceptsLeases: true, AddressOverrides: map[string]string{}, Place: f.Position}
 	forms := f.Forms("id", "listen", "address", "keepers", "keeper", "joins", "span", "duties", "key", "certificate", "trust", "plain",
 		"control", "history", "reach")
 	c.readTexts(f, forms)
@@ -54,8 +54,8 @@
 	c.readLeases(f, forms)
 	c.readKeys(f, forms)
 	if reach := forms["reach"]; reach != nil {
-		for _, g := range reach.Each() {
-			address, _ := g.One()
+		for _, g := range reach.Subforms() {
+			address, _ := g.Value()
 			c.AddressOverrides[g.Name] = address.Name
 		}
 	}
@@ -77,15 +77,15 @@
 	}
 	for name, to := range texts {
 		if g := forms[name]; g != nil {
-			text, _ := g.One()
+			text, _ := g.Value()
 			*to = text.Name
 		}
 	}
 	if c.ID == "" {
-		f.Fault(f.Place, "(id \"...\") as dapplerouter fleet id new gives it, the same at all fronts", "the fleet has no id")
+		f.Errorf(f.Position, "(id \"...\") as dapplerouter fleet id new gives it, the same at all fronts", "the fleet has no id")
 	}
 	if c.Listen == "" {
-		f.Fault(f.Place, "(listen \"HOST:PORT\")", "the front does not say where it listens for the others")
+		f.Errorf(f.Position, "(listen \"HOST:PORT\")", "the front does not say where it listens for the others")
 	}
 	if c.Address == "" {
 		c.Address = c.Listen
@@ -94,27 +94,27 @@
 
 // readVoters reads the initial voters, and whether this front is one that joins.
 func (c *Config) readVoters(f *conf.Form, forms map[string]*conf.Form) {
-	place := f.Place
+	place := f.Position
 	named := map[string]bool{}
 	if voters := forms["keepers"]; voters != nil {
-		place = voters.Place
-		for _, g := range voters.Each() {
-			address, _ := g.One()
+		place = voters.Position
+		for _, g := range voters.Subforms() {
+			address, _ := g.Value()
 			if named[g.Name] {
-				f.Fault(g.Place, "keep one of the two", "keeper %s is named twice", g.Name)
+				f.Errorf(g.Position, "keep one of the two", "keeper %s is named twice", g.Name)
 			}
 			named[g.Name] = true
 			c.InitialVoters = append(c.InitialVoters, Voter{g.Name, address.Name})
 		}
 	}
 	if n := len(c.InitialVoters); n != 1 && n != 3 && n != 5 {
-		f.Fault(place, "name three, or five: (keepers (n1 \"HOST:PORT\") ...); one for a trial",
+		f.Errorf(place, "name three, or five: (keepers (n1 \"HOST:PORT\") ...); one for a trial",
 			"%d keepers can't keep a record that outlives one of them", n)
 	}
 	if joins := forms["joins"]; joins != nil {
 		c.JoinsExistingFleet = true
 		if c.VoterPath == "" {
-			f.Fault(joins.Place, "(keeper \"FILE\") beside it", "joins is for a keeper")
+			f.Errorf(joins.Position, "(keeper \"FILE\") beside it", "joins is for a keeper")
 		}
 	}
 }
@@ -122,9 +122,9 @@
 // readLeases reads the lease duration, and whether this front takes leases.
 func (c *Config) readLeases(f *conf.Form, forms map[string]*conf.Form) {
 	if duration := forms["span"]; duration != nil {
-		c.LeaseDuration = duration.Span()
+		c.LeaseDuration = duration.Duration()
 		if c.LeaseDuration != 0 && (c.LeaseDuration < minLeaseDuration || c.LeaseDuration > maxLeaseDuration) {
-			f.Fault(duration.Place, "between 300ms and 5m; 3s is usual", "%v is no span for a duty", c.LeaseDuration)
+			f.Errorf(duration.Position, "between 300ms and 5m; 3s is usual", "%v is no span for a duty", c.LeaseDuration)
 		}
 	}
 	if leases := forms["duties"]; leases != nil {
@@ -138,14 +138,14 @@
 	if plain != nil {
 		plain.Choice("loopback")
 		if c.Listen != "" && !onLoopback(c.Listen) {
-			f.Fault(plain.Place, "(key FILE) (certificate FILE) (trust FILE), made by dapplerouter keys",
+			f.Errorf(plain.Position, "(key FILE) (certificate FILE) (trust FILE), made by dapplerouter keys",
 				"a mesh without keys is for loopback only")
 		}
 	}
 	allKeys := c.Key != "" && c.Certificate != "" && c.Trust != ""
 	anyKey := c.Key+c.Certificate+c.Trust != ""
 	if allKeys == (plain != nil) || plain != nil && anyKey {
-		f.Fault(f.Place, "(key FILE) (certificate FILE) (trust FILE), made by dapplerouter keys; or (plain loopback) for a trial",
+		f.Errorf(f.Position, "(key FILE) (certificate FILE) (trust FILE), made by dapplerouter keys; or (plain loopback) for a trial",
 			"the mesh's keys are not all named")
 	}
 }
@@ -162,9 +162,9 @@
 	}
 	switch {
 	case is && c.VoterPath == "":
-		return conf.Faults{{Place: c.Place, What: name + " is named as a keeper and has no file", Remedy: "(keeper \"FILE\")"}}
+		return conf.ErrorList{{Position: c.Place, Message: name + " is named as a keeper and has no file", Remedy: "(keeper \"FILE\")"}}
 	case !is && c.VoterPath != "" && !c.JoinsExistingFleet:
-		return conf.Faults{{Place: c.Place, What: name + " has a keeper's file and is not among the keepers",
+		return conf.ErrorList{{Position: c.Place, Message: name + " has a keeper's file and is not among the keepers",
 			Remedy: "name it there, or add (joins) for a keeper that comes to a fleet which has a record"}}
 	}
 	return nil
--- a/fleet/config_test.go
+++ b/fleet/config_test.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := f.Read()
+	r := f.NewDecoder()
 	c := ReadConfig(r.Forms(FormName)[FormName])
 	return c, r.Err()
 }
--- a/fleet/rollout/config.go
+++ b/fleet/rollout/config.go
@@ -21,27 +21,27 @@
 	StopWhenIsolated bool
 	InForceWithin    time.Duration // by which a published version has to be in force everywhere; 0 for no time
 	Dir              string
-	Place            conf.Place
+	Place            conf.Position
 }
 
 // ReadConfig reads the form. Faults are recorded with the form's reading, each with its place and remedy.
 func ReadConfig(f *conf.Form) *Config {
-	c := &Config{Place: f.Place}
+	c := &Config{Place: f.Position}
 	is := f.Forms("right", "when-alone", "in-force-within", "dir")
 	if r := is["right"]; r != nil {
-		c.ConfigLease = r.Span()
+		c.ConfigLease = r.Duration()
 	}
 	if w := is["when-alone"]; w != nil {
 		c.StopWhenIsolated = w.Choice("serve", "stop") == "stop"
 	}
 	if w := is["in-force-within"]; w != nil {
-		c.InForceWithin = w.Span()
+		c.InForceWithin = w.Duration()
 	}
 	if d := is["dir"]; d != nil {
-		report, _ := d.One()
+		report, _ := d.Value()
 		c.Dir = report.Name
 	} else {
-		f.Fault(f.Place, "(dir \"FOLDER\"), the front's own", "the front does not say where it keeps the version that it acts on")
+		f.Errorf(f.Position, "(dir \"FOLDER\"), the front's own", "the front does not say where it keeps the version that it acts on")
 	}
 	return c
 }
@@ -53,7 +53,7 @@
 		configLease = 4 * leaseDuration
 	}
 	if configLease < 2*leaseDuration || configLease > 16*leaseDuration {
-		return 0, conf.Faults{{Place: c.Place, What: "a right of " + configLease.String() + " does not fit a span of " + leaseDuration.String(),
+		return 0, conf.ErrorList{{Position: c.Place, Message: "a right of " + configLease.String() + " does not fit a span of " + leaseDuration.String(),
 			Remedy: "between twice and sixteen times the fleet's span"}}
 	}
 	return configLease, c.checkWithin(leaseDuration, configLease)
--- a/fleet/rollout/deadline_test.go
+++ b/fleet/rollout/deadline_test.go
@@ -17,7 +17,7 @@
 func readForm(t *testing.T, text string) (*Config, error) {
 	f, err := conf.Parse("operator.sexp", []byte(text))
 	require.NoError(t, err)
-	reading := f.Read()
+	reading := f.NewDecoder()
 	c := ReadConfig(reading.Forms(FormName)[FormName])
 	require.NoError(t, reading.Err())
 	_, err = c.ConfigLeaseFor(3 * time.Second)
--- a/front/classing.go
+++ b/front/classing.go
@@ -30,15 +30,15 @@
 
 // ValidateClassification finds what the settings say against a site's request types. The error is conf.Faults.
 func ValidateClassification(s *shape.Settings, at *site.Settings) error {
-	var faults conf.Faults
+	var faults conf.ErrorList
 	for i, r := range s.Rules {
 		t := slices.Index(at.TypeNames, r.Type)
 		switch {
 		case t < 0:
-			faults = append(faults, conf.Fault{Place: s.Places[i], What: r.Type + " is no request type of this site",
+			faults = append(faults, conf.Error{Position: s.Places[i], Message: r.Type + " is no request type of this site",
 				Remedy: fmt.Sprint("its types are ", at.TypeNames)})
 		case r.Class == shape.Write && at.RequestTypes[t].Consistency != port.Write:
-			faults = append(faults, conf.Fault{Place: s.Places[i], What: r.Type + " reads, and the rule is for writes",
+			faults = append(faults, conf.Error{Position: s.Places[i], Message: r.Type + " reads, and the rule is for writes",
 				Remedy: "name a type that writes, or take (class write) away"})
 		}
 	}
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -26,37 +26,37 @@
 	Groups                  []int64
 	Settings                Settings
 	Key, Certificate, Trust string // files; all "" where the link is plain
-	Place                   conf.Place
+	Place                   conf.Position
 }
 
 // ReadConfig reads the form; what is wrong with it is noted with its reading.
 func ReadConfig(f *conf.Form) *Config {
-	c := &Config{Settings: Usual, Place: f.Place}
+	c := &Config{Settings: Usual, Place: f.Position}
 	forms := f.Forms("here", "peer")
 	if h := forms["here"]; h != nil {
-		w, _ := h.One()
+		w, _ := h.Value()
 		c.Here = w.Name
 	} else {
-		f.Fault(f.Place, "(here NAME)", "the gateway does not say where it stands")
+		f.Errorf(f.Position, "(here NAME)", "the gateway does not say where it stands")
 	}
 	p := forms["peer"]
 	if p == nil {
-		f.Fault(f.Place, "(peer NAME (address ...) (groups ...) ...)", "the gateway names no peer")
+		f.Errorf(f.Position, "(peer NAME (address ...) (groups ...) ...)", "the gateway names no peer")
 		return c
 	}
-	name, ok := p.Head()
+	name, ok := p.TakeName()
 	if !ok {
 		return c
 	}
 	c.Peer = name.Name
 	if c.Peer == c.Here {
-		f.Fault(name.Place, "the other site's name", "%s is its own peer", c.Peer)
+		f.Errorf(name.Position, "the other site's name", "%s is its own peer", c.Peer)
 	}
 	is := p.Forms("address", "listen", "groups", "key", "certificate", "trust", "plain", "heartbeat", "silence", "recover", "retain",
 		"crossings", "credit", "kept")
 	text := func(name string, to *string) {
 		if g := is[name]; g != nil {
-			w, _ := g.One()
+			w, _ := g.Value()
 			*to = w.Name
 		}
 	}
@@ -66,13 +66,13 @@
 	text("certificate", &c.Certificate)
 	text("trust", &c.Trust)
 	if (c.Address == "") == (c.Listen == "") {
-		f.Fault(p.Place, "(address \"HOST:PORT\") at one site, (listen \"HOST:PORT\") at the other", "one of address and listen belongs here")
+		f.Errorf(p.Position, "(address \"HOST:PORT\") at one site, (listen \"HOST:PORT\") at the other", "one of address and listen belongs here")
 	}
 	if g := is["groups"]; g != nil {
-		for _, w := range g.Words() {
+		for _, w := range g.Atoms() {
 			n, err := strconv.ParseInt(w.Name, 10, 64)
 			if err != nil {
-				f.Fault(w.Place, "a group is a whole number, as the list has it", "%s is no group", w.Name)
+				f.Errorf(w.Position, "a group is a whole number, as the list has it", "%s is no group", w.Name)
 			}
 			c.Groups = append(c.Groups, n)
 		}
@@ -82,12 +82,12 @@
 		plain.Choice("loopback")
 	}
 	if all := c.Key != "" && c.Certificate != "" && c.Trust != ""; all == (plain != nil) || plain != nil && c.Key+c.Certificate+c.Trust != "" {
-		f.Fault(p.Place, "(key FILE) (certificate FILE) (trust FILE), made by dapplerouter keys; or (plain loopback) for a trial",
+		f.Errorf(p.Position, "(key FILE) (certificate FILE) (trust FILE), made by dapplerouter keys; or (plain loopback) for a trial",
 			"the link's keys are not all named")
 	}
 	span := func(name string, to *time.Duration) {
 		if g := is[name]; g != nil {
-			*to = g.Span()
+			*to = g.Duration()
 		}
 	}
 	span("heartbeat", &c.Settings.Heartbeat)
@@ -101,15 +101,15 @@
 		c.Settings.Kept = g.Size(LongestData, 1<<30)
 	}
 	if g := is["crossings"]; g != nil {
-		w, _ := g.One()
+		w, _ := g.Value()
 		n, err := strconv.Atoi(w.Name)
 		if err != nil || n < 1 || n > 1<<16 {
-			f.Fault(w.Place, "between 1 and 65536", "%s is no count of crossings", w.Name)
+			f.Errorf(w.Position, "between 1 and 65536", "%s is no count of crossings", w.Name)
 		}
 		c.Settings.Crossings = n
 	}
 	if err := c.Settings.Check(); err != nil {
-		f.Fault(p.Place, "see docs/operate/gateway.md", "the link's times contradict each other: %v", err)
+		f.Errorf(p.Position, "see docs/operate/gateway.md", "the link's times contradict each other: %v", err)
 	}
 	return c
 }
--- a/lab/rig/script.go
+++ b/lab/rig/script.go
@@ -39,7 +39,7 @@
 	Spans []time.Duration
 	Lease string
 	Words []string // of a publish
-	Place conf.Place
+	Place conf.Position
 }
 
 // Who names a front: by its name, or by what it is when the step comes.
@@ -113,22 +113,22 @@
 	if err != nil {
 		return nil, err
 	}
-	r := f.Read()
+	r := f.NewDecoder()
 	s := &Script{Name: name, Fronts: 5, Voters: 3, Members: 3, Clients: 4, Span: time.Second, For: 10 * time.Second}
 	form := r.Forms("rig")["rig"]
 	if form == nil {
-		r.Fault(conf.Place{File: name, Line: 1, Column: 1}, "(rig (fronts 5) ... (at 3s (stop n1 2s)))", "the file has no form rig")
+		r.Errorf(conf.Position{File: name, Line: 1, Column: 1}, "(rig (fronts 5) ... (at 3s (stop n1 2s)))", "the file has no form rig")
 		return nil, r.Err()
 	}
 	count := func(g *conf.Form, to *int, most int) {
-		w, ok := g.One()
+		w, ok := g.Value()
 		n, err := strconv.Atoi(w.Name)
 		if ok && (err != nil || n < 0 || n > most) {
-			g.Fault(w.Place, fmt.Sprintf("a whole number up to %d", most), "%s is no count of %s", w.Name, g.Name)
+			g.Errorf(w.Position, fmt.Sprintf("a whole number up to %d", most), "%s is no count of %s", w.Name, g.Name)
 		}
 		*to = n
 	}
-	for _, g := range form.Each() {
+	for _, g := range form.Subforms() {
 		switch g.Name {
 		case "fronts":
 			count(g, &s.Fronts, 60)
@@ -139,16 +139,16 @@
 		case "clients":
 			count(g, &s.Clients, 200)
 		case "span":
-			s.Span = g.Span()
+			s.Span = g.Duration()
 		case "for":
-			s.For = g.Span()
+			s.For = g.Duration()
 		case "alone":
 			s.Off = true
 		case "ask":
 			s.Ask = true
 		case "versions":
 			within := false
-			for _, w := range g.Words() {
+			for _, w := range g.Atoms() {
 				switch d, err := time.ParseDuration(w.Name); {
 				case w.Name == "within":
 					within = true
@@ -157,7 +157,7 @@
 				case w.Name == "differ":
 					s.Differ = true
 				case err != nil || d <= 0:
-					g.Fault(w.Place, "(versions 4s [stop] [differ] [within 9s])", "%s is no right", w.Name)
+					g.Errorf(w.Position, "(versions 4s [stop] [differ] [within 9s])", "%s is no right", w.Name)
 				case within:
 					s.Within, within = d, false
 				default:
@@ -165,51 +165,51 @@
 				}
 			}
 		case "at":
-			w, ok := g.Head()
+			w, ok := g.TakeName()
 			if !ok {
 				continue
 			}
 			at, err := time.ParseDuration(w.Name)
 			if err != nil || at < 0 {
-				g.Fault(w.Place, "a time as in 3s or 250ms", "%s is no time", w.Name)
+				g.Errorf(w.Position, "a time as in 3s or 250ms", "%s is no time", w.Name)
 			}
-			for _, x := range g.Each() {
+			for _, x := range g.Subforms() {
 				s.Steps = append(s.Steps, s.step(x, at))
 			}
 		default:
-			g.Fault(g.Place, "known are fronts, keepers, members, clients, span, for, alone, ask, versions, at", "a rig has no %s", g.Name)
+			g.Errorf(g.Position, "known are fronts, keepers, members, clients, span, for, alone, ask, versions, at", "a rig has no %s", g.Name)
 		}
 	}
 	if s.Voters > s.Fronts || s.Voters%2 == 0 {
-		form.Fault(form.Place, "(keepers 3), and as many (fronts ...) at least", "%d keepers of %d fronts", s.Voters, s.Fronts)
+		form.Errorf(form.Position, "(keepers 3), and as many (fronts ...) at least", "%d keepers of %d fronts", s.Voters, s.Fronts)
 	}
 	return s, r.Err()
 }
 
 func (s *Script) step(x *conf.Form, at time.Duration) Step {
-	st := Step{At: at, What: x.Name, Place: x.Place}
+	st := Step{At: at, What: x.Name, Place: x.Position}
 	known, ok := words[x.Name]
 	if !ok {
 		names := ""
 		for _, n := range sorted(words) {
 			names += " " + n
 		}
-		x.Fault(x.Place, "known are"+names, "nothing is called %s", x.Name)
+		x.Errorf(x.Position, "known are"+names, "nothing is called %s", x.Name)
 		return st
 	}
 	if x.Name == "publish" {
-		for _, w := range x.Words() {
+		for _, w := range x.Atoms() {
 			st.Words = append(st.Words, w.Name)
 		}
 		if len(st.Words) == 0 || texts[st.Words[0]] == "" || s.Right == 0 {
-			x.Fault(x.Place, known.help+"; and (versions 4s) before it", "publish is not whole")
+			x.Errorf(x.Position, known.help+"; and (versions 4s) before it", "publish is not whole")
 		}
 		return st
 	}
 	if known.fronts+known.spans == 0 && x.Name != "hand" {
 		return st
 	}
-	for _, w := range x.Words() {
+	for _, w := range x.Atoms() {
 		switch {
 		case len(st.Who) < known.fronts:
 			st.Who = append(st.Who, s.who(x, w))
@@ -218,19 +218,19 @@
 		default:
 			d, err := time.ParseDuration(w.Name)
 			if err != nil || d <= 0 {
-				x.Fault(w.Place, known.help, "%s is no time", w.Name)
+				x.Errorf(w.Position, known.help, "%s is no time", w.Name)
 			}
 			st.Spans = append(st.Spans, d)
 		}
 	}
 	if len(st.Who) != known.fronts || len(st.Spans) != known.spans || x.Name == "hand" && st.Lease == "" {
-		x.Fault(x.Place, known.help, "%s is not whole", x.Name)
+		x.Errorf(x.Position, known.help, "%s is not whole", x.Name)
 	}
 	return st
 }
 
 // who reads a front's name: n1, holder:list, giver, follower, any.
-func (s *Script) who(x *conf.Form, w conf.Word) Who {
+func (s *Script) who(x *conf.Form, w conf.Atom) Who {
 	for i := range s.Fronts {
 		if w.Name == frontName(i) {
 			return Who{Name: w.Name}
@@ -242,7 +242,7 @@
 	case len(w.Name) > 7 && w.Name[:7] == "holder:":
 		return Who{Name: "holder", Lease: w.Name[7:]}
 	}
-	x.Fault(w.Place, "n1 to n"+strconv.Itoa(s.Fronts)+", holder:DUTY, giver, keeper, follower, new (on the newest version) or any", "%s is no front", w.Name)
+	x.Errorf(w.Position, "n1 to n"+strconv.Itoa(s.Fronts)+", holder:DUTY, giver, keeper, follower, new (on the newest version) or any", "%s is no front", w.Name)
 	return Who{Name: "any"}
 }
 
--- a/lab/scale/files.go
+++ b/lab/scale/files.go
@@ -109,7 +109,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	r := f.Read()
+	r := f.NewDecoder()
 	forms := r.Forms(fleet.FormName, rollout.FormName)
 	of, ro := fleet.ReadConfig(forms[fleet.FormName]), rollout.ReadConfig(forms[rollout.FormName])
 	return of, ro, r.Err()
--- a/shape/settings.go
+++ b/shape/settings.go
@@ -29,7 +29,7 @@
 	Lists      *Lists
 	Rules      []Rule
 	Undeclared port.Idempotency // of a write whose request type reads
-	Places     []conf.Place     // of the rules
+	Places     []conf.Position  // of the rules
 }
 
 const (
@@ -47,27 +47,27 @@
 	var reads, writes, columns []string
 	if fs := forms["functions"]; fs != nil {
 		lists := fs.Forms("reads", "writes")
-		listed := map[string]conf.Place{}
+		listed := map[string]conf.Position{}
 		if w := lists["writes"]; w != nil {
-			for _, n := range w.Words() {
+			for _, n := range w.Atoms() {
 				if name, ok := listedName(w, n); ok {
 					writes = append(writes, name)
-					listed[lower(string(lastPart([]byte(name))))] = n.Place
+					listed[lower(string(lastPart([]byte(name))))] = n.Position
 				}
 			}
 		}
 		if r := lists["reads"]; r != nil {
-			for _, n := range r.Words() {
+			for _, n := range r.Atoms() {
 				name, ok := listedName(r, n)
 				last := lower(string(lastPart([]byte(name))))
 				at, twice := listed[last]
 				switch {
 				case !ok:
 				case twice:
-					r.Fault(n.Place, "a name that writes in any schema stands on no list of reading ones",
+					r.Errorf(n.Position, "a name that writes in any schema stands on no list of reading ones",
 						"%s is listed as writing too, at %s", n.Name, at)
 				case builtinWrites[last] || builtinBound[last]:
-					r.Fault(n.Place, "take it off the list", "%s is PostgreSQL's own and writes", n.Name)
+					r.Errorf(n.Position, "take it off the list", "%s is PostgreSQL's own and writes", n.Name)
 				default:
 					reads = append(reads, name)
 				}
@@ -76,7 +76,7 @@
 	}
 	if c := forms["columns"]; c != nil {
 		columns = []string{}
-		for _, n := range c.Words() {
+		for _, n := range c.Atoms() {
 			columns = append(columns, asServer(n))
 		}
 	}
@@ -90,7 +90,7 @@
 		}
 	}
 	if ts := forms["types"]; ts != nil {
-		for _, t := range ts.Each() {
+		for _, t := range ts.Subforms() {
 			s.rule(t)
 		}
 	}
@@ -98,24 +98,24 @@
 }
 
 // asServer is a name as the server knows it: folded, but where it stands between quotes.
-func asServer(w conf.Word) string {
-	if w.Exact {
+func asServer(w conf.Atom) string {
+	if w.Quoted {
 		return w.Name
 	}
 	return lower(w.Name)
 }
 
 // listedName checks a name of a list: parts of letters, digits and _, at most a schema and a name.
-func listedName(f *conf.Form, w conf.Word) (string, bool) {
+func listedName(f *conf.Form, w conf.Atom) (string, bool) {
 	name := asServer(w)
 	parts := strings.Split(name, ".")
 	for _, p := range parts {
 		bad := p == ""
 		for i := range len(p) {
-			bad = bad || !w.Exact && (charClass[p[i]]&cInner == 0 || i == 0 && charClass[p[i]]&cStart == 0)
+			bad = bad || !w.Quoted && (charClass[p[i]]&cInner == 0 || i == 0 && charClass[p[i]]&cStart == 0)
 		}
 		if bad || len(parts) > 2 {
-			f.Fault(w.Place, "a name is name or schema.name; one with other characters or capitals stands between two \"",
+			f.Errorf(w.Position, "a name is name or schema.name; one with other characters or capitals stands between two \"",
 				"%s is no name of a function", w.Name)
 			return "", false
 		}
@@ -135,45 +135,45 @@
 		}
 	}
 	if v := forms["verbs"]; v != nil {
-		for _, w := range v.Words() {
+		for _, w := range v.Atoms() {
 			verb := lower(w.Name)
 			sort := keywords[verb]
 			switch {
 			case sort&kBound != 0:
-				v.Fault(w.Place, "connections are shared", "%s is never served", w.Name)
+				v.Errorf(w.Position, "connections are shared", "%s is never served", w.Name)
 			case sort&(kDML|kQuery|kChange) == 0 && verb != "show" || verb == "with":
-				v.Fault(w.Place, "a verb is select, insert, update, delete, merge, call or another first word of a statement",
+				v.Errorf(w.Position, "a verb is select, insert, update, delete, merge, call or another first word of a statement",
 					"%s is no verb", w.Name)
 			}
 			r.Verbs = append(r.Verbs, verb)
 		}
 	}
 	if t := forms["tables"]; t != nil {
-		for _, w := range t.Words() {
+		for _, w := range t.Atoms() {
 			r.Tables = append(r.Tables, asServer(w))
 		}
 	}
 	if b := forms["below"]; b != nil {
-		r.Below = b.Span()
+		r.Below = b.Duration()
 	}
 	if a := forms["above"]; a != nil {
-		r.Above = a.Span()
+		r.Above = a.Duration()
 	}
 	switch {
 	case r.Below > 0 && r.Above >= r.Below:
-		f.Fault(forms["above"].Place, "above must be less than below", "%s fits no statement", f.Name)
+		f.Errorf(forms["above"].Position, "above must be less than below", "%s fits no statement", f.Name)
 	case len(s.Rules) == MostRules:
-		f.Fault(f.Place, "put some together", "more than %d types", MostRules)
+		f.Errorf(f.Position, "put some together", "more than %d types", MostRules)
 		return
 	}
 	for i, q := range s.Rules { // an earlier one that takes all that this would
 		if q.covers(&r) {
-			f.Fault(f.Place, "put the narrower one first", "%s can never fit: %s at %s takes all that it would", f.Name, q.Type,
+			f.Errorf(f.Position, "put the narrower one first", "%s can never fit: %s at %s takes all that it would", f.Name, q.Type,
 				s.Places[i])
 			break
 		}
 	}
-	s.Rules, s.Places = append(s.Rules, r), append(s.Places, f.Place)
+	s.Rules, s.Places = append(s.Rules, r), append(s.Places, f.Position)
 }
 
 // covers tells whether q fits all that r fits.
--- a/site/rules.go
+++ b/site/rules.go
@@ -26,17 +26,17 @@
 type Rules struct {
 	MaxStaleness, DedupWindows map[string]time.Duration // by request type
 	RejectedGroups             []int64                  // groups, sorted
-	places                     map[string]conf.Place
-	place                      conf.Place
+	places                     map[string]conf.Position
+	place                      conf.Position
 }
 
 // ReadRules reads the form; what is wrong with it is noted with its reading.
 func ReadRules(f *conf.Form) *Rules {
-	r := &Rules{MaxStaleness: map[string]time.Duration{}, DedupWindows: map[string]time.Duration{}, places: map[string]conf.Place{}, place: f.Place}
-	for _, g := range f.Each() {
+	r := &Rules{MaxStaleness: map[string]time.Duration{}, DedupWindows: map[string]time.Duration{}, places: map[string]conf.Position{}, place: f.Position}
+	for _, g := range f.Subforms() {
 		switch g.Name {
 		case "bound", "window":
-			w, ok := g.Head()
+			w, ok := g.TakeName()
 			if !ok {
 				continue
 			}
@@ -45,23 +45,23 @@
 				to = r.DedupWindows
 			}
 			if _, twice := to[w.Name]; twice {
-				g.Fault(w.Place, "keep one of the two", "%s of %s is named twice", g.Name, w.Name)
+				g.Errorf(w.Position, "keep one of the two", "%s of %s is named twice", g.Name, w.Name)
 			}
-			to[w.Name] = g.Span()
-			r.places[g.Name+" "+w.Name] = g.Place
+			to[w.Name] = g.Duration()
+			r.places[g.Name+" "+w.Name] = g.Position
 			if to[w.Name] <= 0 {
-				g.Fault(g.Place, "("+g.Name+" "+w.Name+" 2s)", "a %s is a time", g.Name)
+				g.Errorf(g.Position, "("+g.Name+" "+w.Name+" 2s)", "a %s is a time", g.Name)
 			}
 		case "given-up":
-			for _, w := range g.Words() {
+			for _, w := range g.Atoms() {
 				n, err := strconv.ParseInt(w.Name, 10, 64)
 				if err != nil {
-					g.Fault(w.Place, "(given-up 7): groups as the list numbers them", "%s is no group", w.Name)
+					g.Errorf(w.Position, "(given-up 7): groups as the list numbers them", "%s is no group", w.Name)
 				}
 				r.RejectedGroups = append(r.RejectedGroups, n)
 			}
 		default:
-			g.Fault(g.Place, "known are bound, window, given-up", "rules have no %s", g.Name)
+			g.Errorf(g.Position, "known are bound, window, given-up", "rules have no %s", g.Name)
 		}
 	}
 	slices.Sort(r.RejectedGroups)
@@ -75,20 +75,20 @@
 	if r == nil {
 		return nil
 	}
-	var faults conf.Faults
+	var faults conf.ErrorList
 	look := func(what string, of map[string]time.Duration, most func(port.RequestType) (time.Duration, bool), kind string) {
 		for _, name := range slices.Sorted(maps.Keys(of)) {
 			place := r.places[what+" "+name]
 			i := slices.Index(s.TypeNames, name)
 			if i < 0 {
-				faults = append(faults, conf.Fault{Place: place, What: name + " is no request type of this site", Remedy: fmt.Sprint("its types are ", s.TypeNames)})
+				faults = append(faults, conf.Error{Position: place, Message: name + " is no request type of this site", Remedy: fmt.Sprint("its types are ", s.TypeNames)})
 				continue
 			}
 			switch limit, ok := most(s.RequestTypes[i]); {
 			case !ok:
-				faults = append(faults, conf.Fault{Place: place, What: name + " has no " + what, Remedy: "name a type that " + kind})
+				faults = append(faults, conf.Error{Position: place, Message: name + " has no " + what, Remedy: "name a type that " + kind})
 			case of[name] > limit:
-				faults = append(faults, conf.Fault{Place: place, What: fmt.Sprintf("%v is looser than the site's %s of %v for %s", of[name], what, limit, name),
+				faults = append(faults, conf.Error{Position: place, Message: fmt.Sprintf("%v is looser than the site's %s of %v for %s", of[name], what, limit, name),
 					Remedy: "rules only tighten: take it away, or make it smaller"})
 			}
 		}
@@ -129,10 +129,10 @@
 	if err != nil {
 		return nil, err
 	}
-	r := f.Read()
+	r := f.NewDecoder()
 	form := r.Forms(RulesForm)[RulesForm]
 	if form == nil {
-		r.Fault(conf.Place{File: name, Line: 1, Column: 1}, "(rules (given-up 7)); other forms take a restart", "the file has no form rules")
+		r.Errorf(conf.Position{File: name, Line: 1, Column: 1}, "(rules (given-up 7)); other forms take a restart", "the file has no form rules")
 		return nil, r.Err()
 	}
 	rules := ReadRules(form)
