--- a/sockets/endings_test.go
+++ b/sockets/endings_test.go
@@ -30,10 +30,10 @@
 			go func() {
 				defer c.Close()
 				r := pgwire.NewReader(c, 4096, 1<<20)
-				if _, err := r.Startup(); err != nil {
+				if _, err := r.ReadStartup(); err != nil {
 					return
 				}
-				c.Write(pgwire.Welcome(nil))
+				c.Write(pgwire.AppendGreeting(nil))
 				for {
 					if _, _, err := r.Next(); err != nil {
 						return
@@ -108,7 +108,7 @@
 		case 'D':
 			served++
 		case 'E':
-			assert.Contains(t, string(body), pgwire.CannotConnectNow)
+			assert.Contains(t, string(body), pgwire.CodeCannotConnectNow)
 			refused++
 		}
 		return true
@@ -237,7 +237,7 @@
 	<-g.d.begun
 	c.Close()
 	<-g.d.left // which takes nothing back
-	m.say(pgwire.Welcome(nil)...)
+	m.say(pgwire.AppendGreeting(nil)...)
 	assert.Equal(t, port.NotSent, (<-g.d.ended).Result)
 	g.settled(1) // the connection is kept for others
 	c = g.client()
@@ -263,8 +263,8 @@
 		slow = append(slow, g.dial())
 	}
 	c := g.dial()
-	c.say(append(pgwire.Hello(nil, "portal", "crm"), read("4000")...)...)
-	assert.Contains(t, string(c.hear("RSSSSZE")), pgwire.TooManyConnections)
+	c.say(append(pgwire.AppendStartup(nil, "portal", "crm"), read("4000")...)...)
+	assert.Contains(t, string(c.hear("RSSSSZE")), pgwire.CodeTooManyConnections)
 	slow[0].Read(make([]byte, 1)) // cut off
 	g.server.mu.Lock()
 	defer g.server.mu.Unlock()
@@ -281,7 +281,7 @@
 	<-g.d.begun
 	c := g.dial()
 	part := read("4000")[:9] // the beginning of one more, whose rest never comes
-	c.say(bytes.Join([][]byte{pgwire.Hello(nil, "portal", "crm"), read("4000"), read("3000"), part}, nil)...)
+	c.say(bytes.Join([][]byte{pgwire.AppendStartup(nil, "portal", "crm"), read("4000"), read("3000"), part}, nil)...)
 	c.hear("RSSSSZEE")
 	_, err := io.Copy(io.Discard, c)
 	assert.NoError(t, err, "it ends in an ordinary way")
@@ -295,7 +295,7 @@
 	require.NoError(t, <-g.served) // newcomers are over, and the server refuses
 	g.served <- nil
 	c.say(read("4000")...)
-	assert.Contains(t, string(c.hear("EZ")), pgwire.CannotConnectNow)
+	assert.Contains(t, string(c.hear("EZ")), pgwire.CodeCannotConnectNow)
 	c.ends()
 	c.Close()
 	assert.True(t, g.server.Wait(10*time.Second))
@@ -325,7 +325,7 @@
 	p, c := g.pair()
 	q := read("4000")
 	p.say(q[:20]...)
-	_, err := c.r.Watch()
+	_, err := c.r.WaitForInput()
 	require.NoError(t, err)
 	p.say(q[20:]...)
 	g.eventually(func() bool { return peek(c.conn) > 0 })
@@ -339,7 +339,7 @@
 	assert.ErrorIs(t, err, errLeaving, "of one that was not read the client knows that it was not taken")
 	c = &client{sv: g.server, conn: c.conn, answered: true, r: g.server.reader(c.conn, clientBuffer)}
 	c.conn.SetReadDeadline(time.Time{})
-	_, err = c.r.Watch()
+	_, err = c.r.WaitForInput()
 	require.NoError(t, err)
 	g.server.linger = 0
 	_, _, err = c.next()
@@ -370,8 +370,8 @@
 	c := g.client()
 	c.say(read("60")...)
 	m := g.accept()
-	assert.Contains(t, string(c.hear("EZ")), pgwire.RolledBack)
-	m.say(pgwire.Welcome(nil)...)
+	assert.Contains(t, string(c.hear("EZ")), pgwire.CodeTransactionRollback)
+	m.say(pgwire.AppendGreeting(nil)...)
 	g.settled(1)
 	c.say(read("4000")...)
 	m.hear("Q")
@@ -388,10 +388,10 @@
 	m := g.memberUp()
 	m.hear("Q")
 	g.core.Post(front.Shutdown{})
-	assert.Contains(t, string(c.hear("EZ")), pgwire.TooManyConnections)
+	assert.Contains(t, string(c.hear("EZ")), pgwire.CodeTooManyConnections)
 	m.ends()
 	c.say(read("4000")...)
-	assert.Contains(t, string(c.hear("EZ")), pgwire.TooManyConnections, "nothing is taken any more")
+	assert.Contains(t, string(c.hear("EZ")), pgwire.CodeTooManyConnections, "nothing is taken any more")
 }
 
 // Long messages share a part of the memory. One that finds none is told so and comes again; what was held is given back, however its
@@ -402,12 +402,12 @@
 	g.answering()
 	g.server.bodies.most = 300 << 10
 	held := func() int64 { return g.server.bodies.held.Load() }
-	long := pgwire.Query(nil, "SELECT data FROM facts WHERE code = '"+strings.Repeat("k", 200<<10)+"' /* id=long,c=read,d=4000,cluster=2 */")
+	long := pgwire.AppendQuery(nil, "SELECT data FROM facts WHERE code = '"+strings.Repeat("k", 200<<10)+"' /* id=long,c=read,d=4000,cluster=2 */")
 	first, second, small := g.client(), g.client(), g.client()
 	first.say(long[:len(long)-1]...)
 	g.eventually(func() bool { return held() > 200<<10 })
 	second.say(long...)
-	assert.Contains(t, string(second.hear("E")), pgwire.TooManyConnections)
+	assert.Contains(t, string(second.hear("E")), pgwire.CodeTooManyConnections)
 	second.ends()
 	small.say(read("4000")...)
 	small.hear("TDCZ")
@@ -438,7 +438,7 @@
 	n.hear("Q")
 	n.Write(long) // it may be cut off midway
 	assert.Equal(t, port.ServerError, (<-g.d.ended).Result)
-	assert.Contains(t, string(second.hear("EZ")), pgwire.RolledBack)
+	assert.Contains(t, string(second.hear("EZ")), pgwire.CodeTransactionRollback)
 	m.say(long[len(long)-20:]...)
 	first.hear("TDCZ")
 	g.eventually(func() bool { return held() == 0 })
@@ -467,9 +467,9 @@
 	g.answering()
 	good := g.client()
 	for i, bad := range [][]byte{
-		append(pgwire.Hello(nil, "portal", "crm"), 'Q', 127, 255, 255, 255),
-		append(pgwire.Hello(nil, "portal", "crm"), pgwire.Query(nil, "SELECT \x00 1")...),
-		append(pgwire.Hello(nil, "portal", "crm"), message('Z', "I")...),
+		append(pgwire.AppendStartup(nil, "portal", "crm"), 'Q', 127, 255, 255, 255),
+		append(pgwire.AppendStartup(nil, "portal", "crm"), pgwire.AppendQuery(nil, "SELECT \x00 1")...),
+		append(pgwire.AppendStartup(nil, "portal", "crm"), message('Z', "I")...),
 		{0, 0, 40, 0}, {0, 0, 0, 4}, bytes.Repeat([]byte{'x'}, 9000),
 	} {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
@@ -481,7 +481,7 @@
 					require.Fail(t, "it ends untold", err)
 				}
 				if typ == 'E' {
-					assert.Contains(t, string(body), pgwire.ProtocolViolation)
+					assert.Contains(t, string(body), pgwire.CodeProtocolViolation)
 					break
 				}
 			}
--- a/sockets/pieces_test.go
+++ b/sockets/pieces_test.go
@@ -82,7 +82,7 @@
 	g := newRig(t, 40)
 	g.member.SetDeadline(time.Now().Add(10 * time.Second)) // only so that a failing test ends
 	c := g.dial()
-	hello := pgwire.Hello(nil, "portal", "crm")
+	hello := pgwire.AppendStartup(nil, "portal", "crm")
 	c.inPieces(hello[:9])
 	g.reading()
 	g.server.Drain(g.listen)
--- a/sockets/pools.go
+++ b/sockets/pools.go
@@ -185,20 +185,20 @@
 
 // disturbed says whether something came in on a connection that nobody has asked anything: what a member says there would be
 // taken for the answer of the next attempt, and of one written behind its close nobody knows whether it ran.
-func (l *memberConn) disturbed() bool { return l.r.Waiting() || peek(l.conn) >= 0 }
+func (l *memberConn) disturbed() bool { return l.r.MessageStarted() || peek(l.conn) >= 0 }
 
 // readMessage adds the next message to an answer; done means that it has ended.
-func (l *memberConn) readMessage(a *pgwire.Answer) (done bool, err error) {
+func (l *memberConn) readMessage(a *pgwire.QueryResult) (done bool, err error) {
 	typ, body, err := l.r.Next()
 	if err != nil {
 		return false, err
 	}
 	if typ != 'D' || len(body) <= bodyKept {
-		return a.Take(typ, body)
+		return a.AddMessage(typ, body)
 	}
-	kept, err := a.TakeRow(body)
+	kept, err := a.AddRowInPlace(body)
 	if kept {
-		_, reserved := l.r.Take()
+		_, reserved := l.r.Detach()
 		l.reserved += reserved
 	}
 	return false, err
@@ -233,28 +233,28 @@
 		return false
 	}
 	e := &front.AttemptFinished{Attempt: s}
-	e.Answer.Any, e.Answer.Most = l.ls.any, l.ls.longest
-	l.r.Check = e.Answer.Early
+	e.Answer.AnyStatement, e.Answer.MaxBytes = l.ls.any, l.ls.longest
+	l.r.CheckMessage = e.Answer.CheckMessage
 	for {
 		done, err := l.readMessage(&e.Answer)
 		switch {
 		case timedOut(err) && l.goOn():
 			continue
-		case done && err == nil && (l.r.Waiting() || e.Answer.Open): // more than was asked for must not answer the next attempt
+		case done && err == nil && (l.r.MessageStarted() || e.Answer.InTransaction): // more than was asked for must not answer the next attempt
 		case done && err == nil:
 			e.Release = l.handOver()
-			l.r.Check = nil // which would keep the answer for as long as the connection is idle
-			l.release()     // before its answer is told, so that the next attempt finds it
+			l.r.CheckMessage = nil // which would keep the answer for as long as the connection is idle
+			l.release()            // before its answer is told, so that the next attempt finds it
 			l.ls.post(e)
 			return true
 		case err == nil:
 			continue
 		case tooMuch(err):
-			e.Answer = pgwire.Answer{Any: true, TooLong: true, Message: err.Error()}
-		case pgwire.IsViolation(err) || errors.Is(err, pgwire.ErrNoRoom):
-			e.Err, e.Answer = &front.ConnectionError{Stage: front.StageDecode, Err: err}, pgwire.Answer{}
+			e.Answer = pgwire.QueryResult{AnyStatement: true, TooLong: true, ErrorMessage: err.Error()}
+		case pgwire.IsProtocolError(err) || errors.Is(err, pgwire.ErrBufferLimit):
+			e.Err, e.Answer = &front.ConnectionError{Stage: front.StageDecode, Err: err}, pgwire.QueryResult{}
 		case e.Answer.Code == "":
-			e.Err, e.Answer = &front.ConnectionError{Stage: front.StageRead, Err: err}, pgwire.Answer{}
+			e.Err, e.Answer = &front.ConnectionError{Stage: front.StageRead, Err: err}, pgwire.QueryResult{}
 		}
 		l.conn.Close() // before it is told: what takes a failed one's place must find this one ended
 		l.ls.post(e)   // a fatal error ends its connection without more
@@ -264,7 +264,7 @@
 
 // handOver lets the room that a long message took stand for its answer until the core has passed that on; nil for a short one.
 func (l *memberConn) handOver() (release func()) {
-	body, reserved := l.r.Take()
+	body, reserved := l.r.Detach()
 	if reserved == 0 {
 		l.r.Reuse(body)
 	}
@@ -298,7 +298,7 @@
 // awaitJob waits for the next attempt; nil when the connection is to end. Whatever the member says meanwhile
 // ends it, and another connection takes an attempt that came at the same time: nothing of it was written.
 func (l *memberConn) awaitJob() *front.Attempt {
-	l.r.Watch()
+	l.r.WaitForInput()
 	if l.removeIdle() {
 		return nil
 	}
@@ -328,7 +328,7 @@
 }
 
 func tooMuch(err error) bool {
-	var t *pgwire.TooMuch
+	var t *pgwire.ResultTooLargeError
 	return errors.As(err, &t)
 }
 
--- a/sockets/reject.go
+++ b/sockets/reject.go
@@ -53,7 +53,7 @@
 		if err != nil || typ != 'Q' {
 			return
 		}
-		if !c.write(pgwire.Error(nil, "FATAL", pgwire.TooManyConnections, "too many clients", "")) || !c.r.Waiting() {
+		if !c.write(pgwire.AppendErrorResponse(nil, "FATAL", pgwire.CodeTooManyConnections, "too many clients", "")) || !c.r.MessageStarted() {
 			return
 		}
 	}
--- a/sockets/requests.go
+++ b/sockets/requests.go
@@ -72,7 +72,7 @@
 // withoutRows is what a client is told in place of rows that find no room: a read may be tried again, a write has run.
 func withoutRows(f front.Response, write bool) front.Response {
 	if write {
-		return front.Response{Status: front.StatusInvalid, Code: pgwire.TooLarge, Reason: "executed, but there is no room for its answer"}
+		return front.Response{Status: front.StatusInvalid, Code: pgwire.CodeProgramLimitExceeded, Reason: "executed, but there is no room for its answer"}
 	}
 	return front.Response{Status: front.StatusRejected}
 }
@@ -157,7 +157,7 @@
 // the connection ends.
 func (c *client) awaitProgress() bool {
 	reads := c.readsAhead()
-	if reads && c.r.Waiting() && c.partUntil.IsZero() {
+	if reads && c.r.MessageStarted() && c.partUntil.IsZero() {
 		c.partUntil = time.Now().Add(messageTimeout)
 	}
 	c.conn.SetReadDeadline(c.partUntil)
@@ -171,7 +171,7 @@
 		if err == nil {
 			return false
 		}
-	case c.r.Waiting():
+	case c.r.MessageStarted():
 		var typ byte
 		var body []byte
 		if typ, body, err = c.readMessage(); err == nil {
@@ -179,7 +179,7 @@
 			c.take(typ, body)
 		}
 	default:
-		_, err = c.r.Watch()
+		_, err = c.r.WaitForInput()
 	}
 	return c.goesOn(err)
 }
@@ -188,8 +188,8 @@
 // to come in is.
 func (c *client) readsAhead() bool {
 	if c.sv.stage.Load() >= refusing {
-		c.r.Exact()
-		if !c.r.Waiting() {
+		c.r.StopReadAhead()
+		if !c.r.MessageStarted() {
 			return false
 		}
 	}
@@ -198,8 +198,8 @@
 
 // readMessage reads a message behind requests that are out: it takes its room among the long messages whatever its length.
 func (c *client) readMessage() (typ byte, body []byte, err error) {
-	c.r.Kept = 0
-	defer func() { c.r.Kept = bodyKept }()
+	c.r.RetainedBytes = 0
+	defer func() { c.r.RetainedBytes = bodyKept }()
 	return c.r.Next()
 }
 
@@ -213,11 +213,11 @@
 			c.end(errSilent)
 		}
 		return true
-	case errors.Is(err, pgwire.ErrNoRoom):
+	case errors.Is(err, pgwire.ErrBufferLimit):
 		c.noRoom = true
 		c.partUntil = time.Time{}
 		return true
-	case pgwire.IsViolation(err):
+	case pgwire.IsProtocolError(err):
 		c.end(err)
 		return true
 	}
@@ -233,22 +233,22 @@
 // take takes a message in; its answer comes in its turn.
 func (c *client) take(typ byte, body []byte) {
 	switch {
-	case typ == pgwire.Terminate:
+	case typ == pgwire.TypeTerminate:
 		c.end(errLeaving)
 	case c.skipping && typ != 'S':
 	case typ == 'Q':
 		c.query(body)
-		c.r.Shed()
+		c.r.ReleaseLargeBody()
 	case typ == 'S':
 		c.skipping = false
-		c.reply(pgwire.Ready(nil))
+		c.reply(pgwire.AppendReadyForQuery(nil))
 	case typ == 'H':
 	case extendedProtocol(typ):
 		c.skipping = true
-		q := c.reply(pgwire.Error(nil, "ERROR", pgwire.NotSupported, "only simple queries are served here", ""))
+		q := c.reply(pgwire.AppendErrorResponse(nil, "ERROR", pgwire.CodeFeatureNotSupported, "only simple queries are served here", ""))
 		q.passing = true
 	default:
-		c.end(pgwire.Unexpected(typ))
+		c.end(pgwire.UnexpectedMessage(typ))
 	}
 }
 
@@ -264,21 +264,21 @@
 func (c *client) query(body []byte) {
 	at := c.sv.clock.Now()
 	statement, err := c.sv.parse(body)
-	var malformed *pgwire.Malformed
+	var malformed *pgwire.StatementError
 	switch {
 	case errors.As(err, &malformed):
-		c.reply(encodeError(malformed.Code, malformed.What, ""))
+		c.reply(encodeError(malformed.Code, malformed.Message, ""))
 	case err != nil:
 		c.end(err)
 	case statement.Empty:
-		c.reply(pgwire.Empty(nil))
+		c.reply(pgwire.AppendEmptyQueryResponse(nil))
 	case c.sv.stage.Load() >= refusing: // its answer could come too late for whoever stops this front
 		c.sv.refused.Add(1)
-		c.reply(encodeError(pgwire.CannotConnectNow, "shutting down: try again elsewhere", ""))
+		c.reply(encodeError(pgwire.CodeCannotConnectNow, "shutting down: try again elsewhere", ""))
 	default:
 		q := &request{client: c, behind: c.pipeline.Len() > 0}
 		q.arrival = front.NewRequest(q, statement, at)
-		q.body, q.reserved = c.r.Take()
+		q.body, q.reserved = c.r.Detach()
 		c.readAhead += len(q.body)
 		q.entry = c.pipeline.Add(q, &q.arrival.Statement)
 	}
@@ -328,20 +328,20 @@
 func encode(f *front.Response) []byte {
 	switch f.Status {
 	case front.StatusSucceeded:
-		return pgwire.Ready(f.Rows) // which have room for it
+		return pgwire.AppendReadyForQuery(f.Rows) // which have room for it
 	case front.StatusRejected:
 		detail := ""
 		if f.RetryAfter > 0 {
 			detail = strconv.FormatInt(int64((f.RetryAfter+time.Millisecond-1)/time.Millisecond), 10)
 		}
-		return encodeError(pgwire.TooManyConnections, "declined: try again", detail)
+		return encodeError(pgwire.CodeTooManyConnections, "declined: try again", detail)
 	case front.StatusFailed:
-		return encodeError(pgwire.RolledBack, "rolled back", "")
+		return encodeError(pgwire.CodeTransactionRollback, "rolled back", "")
 	}
 	return encodeError(f.Code, f.Reason, "")
 }
 
 // encodeError is an error behind which the connection lives on.
 func encodeError(code, what, detail string) []byte {
-	return pgwire.Ready(pgwire.Error(nil, "ERROR", code, what, detail))
+	return pgwire.AppendReadyForQuery(pgwire.AppendErrorResponse(nil, "ERROR", code, what, detail))
 }
--- a/sockets/requests_test.go
+++ b/sockets/requests_test.go
@@ -18,12 +18,12 @@
 
 // write is a request that writes a row, and readOf one that reads it.
 func write(key, wait string) []byte {
-	return pgwire.Query(nil, fmt.Sprintf("INSERT INTO facts (code, data) VALUES ('%s', '\\x00') RETURNING data /* id=%d,c=write,d=%s,cluster=2 */",
+	return pgwire.AppendQuery(nil, fmt.Sprintf("INSERT INTO facts (code, data) VALUES ('%s', '\\x00') RETURNING data /* id=%d,c=write,d=%s,cluster=2 */",
 		key, ids.Add(1), wait))
 }
 
 func readOf(key, wait string) []byte {
-	return pgwire.Query(nil, fmt.Sprintf("SELECT data FROM facts WHERE code = '%s' /* id=%d,c=read,d=%s,cluster=2 */", key, ids.Add(1), wait))
+	return pgwire.AppendQuery(nil, fmt.Sprintf("SELECT data FROM facts WHERE code = '%s' /* id=%d,c=read,d=%s,cluster=2 */", key, ids.Add(1), wait))
 }
 
 func reads(n int) (all []byte) {
@@ -109,7 +109,7 @@
 	time.Sleep(25 * time.Millisecond) // the second one's time, which runs since it was read
 	m.say(whole("written")...)
 	c.hear("TDCZ")
-	assert.Contains(t, string(c.hear("EZ")), pgwire.TooManyConnections)
+	assert.Contains(t, string(c.hear("EZ")), pgwire.CodeTooManyConnections)
 	assert.Empty(t, g.d.begun, "nothing of it is sent on")
 }
 
@@ -197,7 +197,7 @@
 	assert.Equal(t, port.Succeeded, (<-g.d.ended).Result)
 	first.say(whole("v")...)
 	c.hear("TDCZ")
-	assert.Contains(t, string(c.hear("EZ")), pgwire.TooManyConnections)
+	assert.Contains(t, string(c.hear("EZ")), pgwire.CodeTooManyConnections)
 	g.heldNothing()
 }
 
@@ -228,14 +228,14 @@
 func TestAViolationBehindRequestsIsToldInItsTurn(t *testing.T) {
 	g := newRig(t, 40)
 	c := g.client()
-	c.say(bytes.Join([][]byte{read("60000"), pgwire.Query(nil, "SELECT 1"), message('P', "x"), message('S', ""), message('?', ""), read("60000")}, nil)...)
+	c.say(bytes.Join([][]byte{read("60000"), pgwire.AppendQuery(nil, "SELECT 1"), message('P', "x"), message('S', ""), message('?', ""), read("60000")}, nil)...)
 	m := g.memberUp()
 	m.hear("Q")
 	m.say(whole("v")...)
 	c.hear("TDCZ")
-	assert.Contains(t, string(c.hear("EZ")), pgwire.SyntaxError)
-	assert.Contains(t, string(c.hear("EZ")), pgwire.NotSupported)
-	assert.Contains(t, string(c.hear("E")), pgwire.ProtocolViolation)
+	assert.Contains(t, string(c.hear("EZ")), pgwire.CodeSyntaxError)
+	assert.Contains(t, string(c.hear("EZ")), pgwire.CodeFeatureNotSupported)
+	assert.Contains(t, string(c.hear("E")), pgwire.CodeProtocolViolation)
 	c.ends()
 	<-g.d.begun
 	assert.Empty(t, g.d.begun)
@@ -245,7 +245,7 @@
 func TestALeaveBehindRequestsWaitsForTheirAnswers(t *testing.T) {
 	g := newRig(t, 40)
 	c := g.client()
-	c.say(append(read("60000"), message(pgwire.Terminate, "")...)...)
+	c.say(append(read("60000"), message(pgwire.TypeTerminate, "")...)...)
 	m := g.memberUp()
 	m.hear("Q")
 	m.say(whole("v")...)
@@ -263,7 +263,7 @@
 	time.Sleep(messageTimeout) // which runs out behind the request
 	m.say(whole("v")...)
 	c.hear("TDCZ")
-	assert.Contains(t, string(c.hear("E")), pgwire.IdleTooLong)
+	assert.Contains(t, string(c.hear("E")), pgwire.CodeIdleSessionTimeout)
 	c.ends()
 }
 
@@ -292,7 +292,7 @@
 			require.ErrorIs(t, err, io.EOF, "no reset takes an answer with it")
 			break
 		}
-		require.True(t, typ == 'Z' || typ == 'E' && strings.Contains(string(body), pgwire.CannotConnectNow), "%q %q", typ, body)
+		require.True(t, typ == 'Z' || typ == 'E' && strings.Contains(string(body), pgwire.CodeCannotConnectNow), "%q %q", typ, body)
 	}
 	for range 3 {
 		<-g.d.begun
@@ -316,7 +316,7 @@
 	m := g.memberUp()
 	m.hear("Q") // and says nothing
 	c.say(read("4999")...)
-	assert.Contains(t, string(c.hear("EZ")), pgwire.InternalError)
-	assert.Contains(t, string(c.hear("E")), pgwire.InternalError)
+	assert.Contains(t, string(c.hear("EZ")), pgwire.CodeInternalError)
+	assert.Contains(t, string(c.hear("E")), pgwire.CodeInternalError)
 	c.ends()
 }
--- a/sockets/server.go
+++ b/sockets/server.go
@@ -76,7 +76,7 @@
 // reader reads a client's messages.
 func (sv *Server) reader(conn *net.TCPConn, buffer int) *pgwire.Reader {
 	r := pgwire.NewReader(conn, buffer, longestQuery)
-	r.Kept = bodyKept
+	r.RetainedBytes = bodyKept
 	r.Reserve = sv.bodies.reserve
 	return r
 }
--- a/sockets/server_bytes_test.go
+++ b/sockets/server_bytes_test.go
@@ -35,19 +35,19 @@
 	g := newRig(t, 40)
 	g.events()
 	c := g.client()
-	c.say(pgwire.Query(nil, "SELECT data FROM facts WHERE code = 'k' /* id=r1,c=read,d=60000,cluster=2 */")...)
+	c.say(pgwire.AppendQuery(nil, "SELECT data FROM facts WHERE code = 'k' /* id=r1,c=read,d=60000,cluster=2 */")...)
 	conn, err := g.member.Accept()
 	require.NoError(t, err)
 	m := newPeer(t, conn)
 	assertRecorded(t, file, "startup", string(rawMessage(t, m, 4)))
-	m.say(pgwire.Welcome(nil)...)
+	m.say(pgwire.AppendGreeting(nil)...)
 	deadline := regexp.MustCompile(`\bd=(\d+)`)
 	for i, statement := range []string{"",
 		`SELECT data  FROM facts WHERE code = 'it''s' /* id=r2,c=read,t=acme,d=60000,k=5c,cluster=2,after=17,new=1 */ ; `,
 		`INSERT INTO facts (code, data) VALUES ('k', '\x00ff') RETURNING data /* id=w1,c=write,d=60000,cluster=2 */`,
 	} {
 		if i > 0 {
-			c.say(pgwire.Query(nil, statement)...)
+			c.say(pgwire.AppendQuery(nil, statement)...)
 		}
 		sent := rawMessage(t, m, 5)
 		d := deadline.FindSubmatchIndex(sent)
@@ -61,6 +61,6 @@
 		c.hear("TDCZ")
 		g.settled(1)
 	}
-	g.links.Send(0, front.NewHealthCheck(pgwire.Query(nil, "SHOW load")))
+	g.links.Send(0, front.NewHealthCheck(pgwire.AppendQuery(nil, "SHOW load")))
 	assertRecorded(t, file, "probe", string(rawMessage(t, m, 5)))
 }
--- a/sockets/sockets_test.go
+++ b/sockets/sockets_test.go
@@ -157,14 +157,14 @@
 	c, err := g.member.Accept()
 	require.NoError(g.t, err)
 	p := newPeer(g.t, c)
-	_, err = p.r.Startup()
+	_, err = p.r.ReadStartup()
 	require.NoError(g.t, err)
 	return p
 }
 
 func (g *rig) memberUp() *peer {
 	p := g.accept()
-	p.say(pgwire.Welcome(nil)...)
+	p.say(pgwire.AppendGreeting(nil)...)
 	return p
 }
 
@@ -176,7 +176,7 @@
 
 func (g *rig) client() *peer {
 	p := g.dial()
-	p.say(pgwire.Hello(nil, "portal", "crm")...)
+	p.say(pgwire.AppendStartup(nil, "portal", "crm")...)
 	p.hear("RSSSSZ")
 	return p
 }
@@ -184,7 +184,7 @@
 var ids atomic.Int64
 
 func read(wait string) []byte {
-	return pgwire.Query(nil, "SELECT data FROM facts WHERE code = 'k' /* id="+strconv.FormatInt(ids.Add(1), 10)+",c=read,d="+wait+",cluster=2 */")
+	return pgwire.AppendQuery(nil, "SELECT data FROM facts WHERE code = 'k' /* id="+strconv.FormatInt(ids.Add(1), 10)+",c=read,d="+wait+",cluster=2 */")
 }
 
 func message(typ byte, body string) []byte {
@@ -200,13 +200,13 @@
 }
 
 func whole(value string) []byte {
-	return pgwire.Ready(pgwire.Status(row(value), "role", "replica"))
+	return pgwire.AppendReadyForQuery(pgwire.AppendParameterStatus(row(value), "role", "replica"))
 }
 
 func TestATxnPassesThroughWithItsStartupInOneWrite(t *testing.T) {
 	g := newRig(t, 40)
 	c := g.dial()
-	c.say(append(pgwire.Hello(nil, "portal", "crm"), read("4000")...)...)
+	c.say(append(pgwire.AppendStartup(nil, "portal", "crm"), read("4000")...)...)
 	m := g.memberUp()
 	assert.Regexp(t, `SELECT data FROM facts WHERE code = 'k' /\* id=\d+,c=read,d=\d+,cluster=2 \*/`, string(m.hear("Q")))
 	value := string(bytes.Repeat([]byte{0, 255}, 200<<10)) // the day of slow clients has values of 400 KB
@@ -231,21 +231,21 @@
 	n := []byte{0}
 	_, err := io.ReadFull(c, n)
 	require.True(t, err == nil && n[0] == 'N')
-	c.say(pgwire.Hello(nil, "portal", "crm")...)
+	c.say(pgwire.AppendStartup(nil, "portal", "crm")...)
 	c.hear("RSSSSZ")
-	c.say(pgwire.Query(nil, "")...)
+	c.say(pgwire.AppendQuery(nil, "")...)
 	c.hear("IZ")
 	c.say(bytes.Join([][]byte{message('P', "x"), message('B', "x"), message('S', "")}, nil)...)
-	assert.Contains(t, string(c.hear("EZ")), pgwire.NotSupported)
-	c.say(pgwire.Query(nil, "SELECT 1")...)
-	assert.Contains(t, string(c.hear("EZ")), pgwire.SyntaxError)
+	assert.Contains(t, string(c.hear("EZ")), pgwire.CodeFeatureNotSupported)
+	c.say(pgwire.AppendQuery(nil, "SELECT 1")...)
+	assert.Contains(t, string(c.hear("EZ")), pgwire.CodeSyntaxError)
 	c.say(message('?', "")...)
-	assert.Contains(t, string(c.hear("E")), pgwire.ProtocolViolation)
+	assert.Contains(t, string(c.hear("E")), pgwire.CodeProtocolViolation)
 	c.ends()
 	for _, bad := range [][]byte{{0, 0, 0, 3, 1}, {0, 0, 0, 8, 0, 2, 0, 0}} {
 		c := g.dial()
 		c.say(bad...)
-		assert.Contains(t, string(c.hear("E")), pgwire.ProtocolViolation)
+		assert.Contains(t, string(c.hear("E")), pgwire.CodeProtocolViolation)
 		c.ends()
 	}
 	c = g.dial()
@@ -270,7 +270,7 @@
 	m.hear("Q")
 	m.ends()
 	assert.Equal(t, port.TimedOut, (<-g.d.ended).Result)
-	assert.Contains(t, string(c.hear("EZ")), pgwire.RolledBack)
+	assert.Contains(t, string(c.hear("EZ")), pgwire.CodeTransactionRollback)
 	c.say(read("4000")...)
 	m = g.memberUp()
 	m.hear("Q")
@@ -286,18 +286,18 @@
 		"refused":                      {func(g *rig) { g.member.Close() }, port.Unreachable},
 		"closed before welcome":        {func(g *rig) { g.accept().Close() }, port.Unreachable},
 		"no sense as welcome":          {func(g *rig) { g.accept().say(message('?', "")...) }, port.Unreachable},
-		"an answer with the welcome":   {func(g *rig) { g.accept().say(append(pgwire.Welcome(nil), whole("v")...)...) }, port.Unreachable},
-		"half a line with the welcome": {func(g *rig) { g.accept().say(append(pgwire.Welcome(nil), row("v")[:20]...)...) }, port.Unreachable},
+		"an answer with the welcome":   {func(g *rig) { g.accept().say(append(pgwire.AppendGreeting(nil), whole("v")...)...) }, port.Unreachable},
+		"half a line with the welcome": {func(g *rig) { g.accept().say(append(pgwire.AppendGreeting(nil), row("v")[:20]...)...) }, port.Unreachable},
 		"the end with the welcome": {func(g *rig) { // in one piece, however busy the machine is
 			m := g.accept()
 			raw, err := m.Conn.(*net.TCPConn).SyscallConn()
 			require.NoError(g.t, err)
 			raw.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_CORK, 1) })
 			require.NoError(g.t, err)
-			m.say(pgwire.Welcome(nil)...)
+			m.say(pgwire.AppendGreeting(nil)...)
 			m.Close()
 		}, port.Unreachable},
-		"turned away at welcome": {func(g *rig) { g.accept().say(pgwire.Error(nil, "FATAL", "53300", "full", "")...) }, port.Overloaded},
+		"turned away at welcome": {func(g *rig) { g.accept().say(pgwire.AppendErrorResponse(nil, "FATAL", "53300", "full", "")...) }, port.Overloaded},
 		"closed after the query": {func(g *rig) { m := g.memberUp(); m.hear("Q"); m.Close() }, port.ConnectionLost},
 		"closed within the row":  {func(g *rig) { m := g.memberUp(); m.hear("Q"); m.say(row("v")[:40]...); m.Close() }, port.ConnectionLost},
 		"two rows":               {func(g *rig) { m := g.memberUp(); m.hear("Q"); m.say(append(row("v"), whole("w")...)...) }, port.ServerError},
@@ -312,7 +312,7 @@
 		"a fatal error": {func(g *rig) {
 			m := g.memberUp()
 			m.hear("Q")
-			m.say(pgwire.Error(nil, "FATAL", "72000", "behind", "")...)
+			m.say(pgwire.AppendErrorResponse(nil, "FATAL", "72000", "behind", "")...)
 			m.Close()
 		}, port.Misrouted},
 	} {
@@ -327,7 +327,7 @@
 				x.act(g)
 			}
 			assert.Equal(t, x.want, (<-g.d.ended).Result)
-			assert.Contains(t, string(c.hear("EZ")), pgwire.RolledBack, "no part of a value reaches the client")
+			assert.Contains(t, string(c.hear("EZ")), pgwire.CodeTransactionRollback, "no part of a value reaches the client")
 		})
 	}
 }
@@ -435,7 +435,7 @@
 			require.NoError(t, err)
 			spoil(newPeer(t, c))
 			g.eventually(func() bool { return peek(l.conn) >= 0 })
-			s := front.NewHealthCheck(pgwire.Query(nil, "SELECT 2"))
+			s := front.NewHealthCheck(pgwire.AppendQuery(nil, "SELECT 2"))
 			l.job <- s
 			assert.Nil(t, l.awaitJob())
 			m := g.memberUp()
@@ -511,33 +511,33 @@
 		g.client().say(read("4000")...)
 		<-g.d.begun
 	}
-	assert.Contains(t, string(silent.hear("E")), pgwire.TooManyConnections, "no request of it was taken")
+	assert.Contains(t, string(silent.hear("E")), pgwire.CodeTooManyConnections, "no request of it was taken")
 	silent.ends()
 	c = g.client()
 	c.say(read("4000")...)
-	assert.Contains(t, string(c.hear("E")), pgwire.TooManyConnections, "all have a request out")
+	assert.Contains(t, string(c.hear("E")), pgwire.CodeTooManyConnections, "all have a request out")
 	c.ends()
 }
 
 // Whoever does not bring a whole message in time is told so and let go; a length that cannot be is told at once.
 func TestClientsThatSayTooLittleAreTold(t *testing.T) {
-	hello, half := slices.Clip(pgwire.Hello(nil, "portal", "crm")), read("4000")[:40]
+	hello, half := slices.Clip(pgwire.AppendStartup(nil, "portal", "crm")), read("4000")[:40]
 	for name, x := range map[string]struct {
 		sent      []byte
 		heard     string
 		code      string
 		withQuery bool
 	}{
-		"nothing":                {nil, "E", pgwire.IdleTooLong, false},
-		"half a startup":         {hello[:9], "E", pgwire.IdleTooLong, false},
-		"a startup alone":        {hello, "RSSSSZE", pgwire.IdleTooLong, false},
-		"half a query":           {append(hello, half...), "RSSSSZE", pgwire.IdleTooLong, false},
-		"half a second query":    {half, "E", pgwire.IdleTooLong, true},
-		"only flushes":           {append(hello, message('H', "")...), "RSSSSZE", pgwire.IdleTooLong, false},
-		"60 MB of a query":       {append(hello, 'Q', 3, 147, 135, 0, 'S'), "RSSSSZE", pgwire.ProtocolViolation, false},
-		"a negative length":      {append(hello, 'Q', 255, 255, 255, 0, 'S'), "RSSSSZE", pgwire.ProtocolViolation, false},
-		"a startup of 2 GB":      {[]byte{127, 0, 0, 0}, "E", pgwire.ProtocolViolation, false},
-		"a length of too little": {append(hello, 'Q', 0, 0, 0, 3), "RSSSSZE", pgwire.ProtocolViolation, false},
+		"nothing":                {nil, "E", pgwire.CodeIdleSessionTimeout, false},
+		"half a startup":         {hello[:9], "E", pgwire.CodeIdleSessionTimeout, false},
+		"a startup alone":        {hello, "RSSSSZE", pgwire.CodeIdleSessionTimeout, false},
+		"half a query":           {append(hello, half...), "RSSSSZE", pgwire.CodeIdleSessionTimeout, false},
+		"half a second query":    {half, "E", pgwire.CodeIdleSessionTimeout, true},
+		"only flushes":           {append(hello, message('H', "")...), "RSSSSZE", pgwire.CodeIdleSessionTimeout, false},
+		"60 MB of a query":       {append(hello, 'Q', 3, 147, 135, 0, 'S'), "RSSSSZE", pgwire.CodeProtocolViolation, false},
+		"a negative length":      {append(hello, 'Q', 255, 255, 255, 0, 'S'), "RSSSSZE", pgwire.CodeProtocolViolation, false},
+		"a startup of 2 GB":      {[]byte{127, 0, 0, 0}, "E", pgwire.CodeProtocolViolation, false},
+		"a length of too little": {append(hello, 'Q', 0, 0, 0, 3), "RSSSSZE", pgwire.CodeProtocolViolation, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -550,7 +550,7 @@
 			c.say(x.sent...)
 			assert.Contains(t, string(c.hear(x.heard)), x.code)
 			c.ends()
-			if x.code == pgwire.ProtocolViolation {
+			if x.code == pgwire.CodeProtocolViolation {
 				assert.Less(t, time.Since(from), messageTimeout, "not kept for its silence")
 			}
 		})
@@ -582,7 +582,7 @@
 func TestAStopAnswersWhatWasTaken(t *testing.T) {
 	g := newRig(t, 40)
 	idle := g.client()
-	idle.say(pgwire.Query(nil, "")...)
+	idle.say(pgwire.AppendQuery(nil, "")...)
 	idle.hear("IZ")
 	g.resting()
 	busy := g.client()
@@ -620,7 +620,7 @@
 	g := newRig(t, 40)
 	g.server.SetStandby(false, time.Hour) // it begins: nobody is spared
 	idle := g.client()
-	idle.say(pgwire.Query(nil, "")...)
+	idle.say(pgwire.AppendQuery(nil, "")...)
 	idle.hear("IZ")
 	g.resting()
 	busy := g.client()
@@ -631,7 +631,7 @@
 	idle.ends()
 	late := g.client()
 	late.say(read("4000")...)
-	assert.Contains(t, string(late.hear("E")), pgwire.TooManyConnections)
+	assert.Contains(t, string(late.hear("E")), pgwire.CodeTooManyConnections)
 	m.say(whole("v")...)
 	busy.hear("TDCZ")
 	busy.ends()
--- a/standin/store/client.go
+++ b/standin/store/client.go
@@ -33,7 +33,7 @@
 		return nil, err
 	}
 	cl := &Client{c, pgwire.NewReader(c, 4096, 1<<24)}
-	if _, err := c.Write(pgwire.Hello(nil, "portal", "crm")); err != nil {
+	if _, err := c.Write(pgwire.AppendStartup(nil, "portal", "crm")); err != nil {
 		c.Close()
 		return nil, err
 	}
@@ -51,7 +51,7 @@
 		return nil, Answer{}, err
 	}
 	cl := &Client{c, pgwire.NewReader(c, 4096, 1<<24)}
-	if _, err = c.Write(pgwire.Query(pgwire.Hello(nil, "portal", "crm"), sql)); err == nil {
+	if _, err = c.Write(pgwire.AppendQuery(pgwire.AppendStartup(nil, "portal", "crm"), sql)); err == nil {
 		_, err = cl.answer()
 	}
 	if err != nil {
@@ -75,7 +75,7 @@
 
 // Send sends a statement and waits for nothing.
 func (c *Client) Send(sql string) error {
-	_, err := c.conn.Write(pgwire.Query(nil, sql))
+	_, err := c.conn.Write(pgwire.AppendQuery(nil, sql))
 	return err
 }
 
--- a/standin/store/cost_test.go
+++ b/standin/store/cost_test.go
@@ -102,16 +102,16 @@
 	c, err := Dial(g.Members[0].Address())
 	require.NoError(t, err)
 	defer c.Close()
-	by := shape.New(shape.Options{Bytes: 1 << 20})
+	by := shape.New(shape.Options{CacheBytes: 1 << 20})
 	r := rand.New(rand.NewPCG(3, 5))
 	type seen struct {
-		s     *shape.Shape
-		f     shape.Facts
+		s     *shape.NormalizedStatement
+		f     shape.Details
 		took  time.Duration
 		guess time.Duration
 	}
 	run := func(sql string) seen {
-		s, f, fault := by.Take([]byte(sql))
+		s, f, fault := by.Classify([]byte(sql))
 		require.Nil(t, fault)
 		guess := by.Estimate(s, &f)
 		began := time.Now()
@@ -133,13 +133,13 @@
 		}
 	}
 	for _, s := range first {
-		by.Learn(s.s, &s.f, s.took)
+		by.Observe(s.s, &s.f, s.took)
 	}
 	for range 3 {
 		for _, sql := range kinds(r) {
 			s := run(sql)
 			learned = append(learned, s)
-			by.Learn(s.s, &s.f, s.took)
+			by.Observe(s.s, &s.f, s.took)
 		}
 	}
 	t.Logf("Spearman's rank correlation with %d times measured: %.3f by the shape alone, %.3f once learned", len(first),
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -187,17 +187,17 @@
 func (m *Member) serve(c net.Conn) {
 	r := pgwire.NewReader(c, 4096, 1<<20)
 	for {
-		s, err := r.Startup()
-		if err != nil || s.Cancel {
+		s, err := r.ReadStartup()
+		if err != nil || s.CancelRequest {
 			return
 		}
-		if !s.Encryption {
+		if !s.EncryptionRequest {
 			break
 		}
 		c.Write([]byte{'N'})
 	}
 	time.Sleep(m.welcomeDelay())
-	if _, err := c.Write(pgwire.Welcome(nil)); err != nil {
+	if _, err := c.Write(pgwire.AppendGreeting(nil)); err != nil {
 		return
 	}
 	for {
@@ -272,11 +272,11 @@
 	case fault.Code != "":
 		return m.refuse(fault.Code, "scripted"), true
 	case !primary && plainMark.MatchString(sql):
-		return m.refuse(pgwire.ReadOnly, "cannot execute a change in a read-only transaction"), true
+		return m.refuse(pgwire.CodeReadOnlyTransaction, "cannot execute a change in a read-only transaction"), true
 	}
 	if f := afterWord.FindStringSubmatch(sql); f != nil && !primary {
 		if after, _ := strconv.ParseInt(f[1], 10, 64); after > m.applied(now) {
-			return m.refuse(pgwire.TooFarBehind, "too far behind"), true
+			return m.refuse(pgwire.CodeSnapshotTooOld, "too far behind"), true
 		}
 	}
 	m.work <- struct{}{}
@@ -330,7 +330,7 @@
 }
 
 func (m *Member) refuse(code, what string) []byte {
-	return m.end(pgwire.Error(nil, "ERROR", code, what, ""), m.primary(), time.Now())
+	return m.end(pgwire.AppendErrorResponse(nil, "ERROR", code, what, ""), m.primary(), time.Now())
 }
 
 // end tells role and position, as members do, and that the connection is ready.
@@ -339,9 +339,9 @@
 	if primary {
 		role = "primary"
 	}
-	b = pgwire.Status(b, "role", role)
-	b = pgwire.Status(b, "applied_ms", strconv.FormatInt(m.applied(now), 10))
-	return pgwire.Ready(b)
+	b = pgwire.AppendParameterStatus(b, "role", role)
+	b = pgwire.AppendParameterStatus(b, "applied_ms", strconv.FormatInt(m.applied(now), 10))
+	return pgwire.AppendReadyForQuery(b)
 }
 
 func message(b []byte, typ byte, body []byte) []byte {
