--- a/adapter/adapter.go
+++ b/adapter/adapter.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"dapplerouter/front"
-	"dapplerouter/port"
+	"dapplerouter/routing"
 	"dapplerouter/site"
 	"dapplerouter/wire"
 )
@@ -127,21 +127,21 @@
 	id      int
 	start   int64
 	zero    time.Duration
-	decider port.Router
+	decider routing.Router
 	awake   bool
 
 	types, customers, zones, kinds *front.Index[string]
-	requestTypes                   []port.RequestType
+	requestTypes                   []routing.RequestType
 	stores, groups                 *front.Index[int64]
-	requests                       map[string]port.RequestRef
+	requests                       map[string]routing.RequestRef
 	slab                           front.RequestTable[string]
-	entries                        []port.Endpoint
+	entries                        []routing.Endpoint
 }
 
 func newInstance(a *adapter, id int, s *site.Settings) *instance {
 	return &instance{a: a, id: id, start: a.clock, zero: time.Duration(s.PositionOrigin - a.clock),
 		kinds: front.NewIndex[string](), stores: front.NewIndex[int64](), groups: front.NewIndex[int64](),
-		requests: map[string]port.RequestRef{}, types: front.NewIndex(s.TypeNames...), requestTypes: s.RequestTypes,
+		requests: map[string]routing.RequestRef{}, types: front.NewIndex(s.TypeNames...), requestTypes: s.RequestTypes,
 		customers: front.NewIndex(s.CustomerNames...), zones: front.NewIndex(s.ZoneNames...)}
 }
 
@@ -155,7 +155,7 @@
 	return m, nil
 }
 
-func (f *instance) load(l port.LoadReport, x0 float64) port.LoadReport {
+func (f *instance) load(l routing.LoadReport, x0 float64) routing.LoadReport {
 	if l.HasPosition {
 		l.Position = f.zero + time.Duration(x0*float64(time.Second))
 	}
@@ -215,7 +215,7 @@
 
 func (f *instance) targets(now time.Duration, e *wire.Event) error {
 	f.entries = f.entries[:0]
-	if e.ListKind != port.UpdateFailed {
+	if e.ListKind != routing.UpdateFailed {
 		if e.Page < 0 || e.Page >= len(f.a.pages) || f.a.pages[e.Page] == nil {
 			return fmt.Errorf("field Page: no catalog %d", e.Page)
 		}
@@ -224,7 +224,7 @@
 			if !ok {
 				return fmt.Errorf("field RegionPart: %q is none of Zones", en.Zone)
 			}
-			f.entries = append(f.entries, port.Endpoint{Server: f.stores.Intern(en.Store), Zone: zone,
+			f.entries = append(f.entries, routing.Endpoint{Server: f.stores.Intern(en.Store), Zone: zone,
 				Kind: f.kinds.Intern(en.Model), Group: f.groups.Intern(en.Db),
 				State: en.State, Weight: en.Weight, Primary: en.Primary,
 				StartedAt: time.Duration(en.Born - f.start), HasStartTime: en.Born != 0})
@@ -240,7 +240,7 @@
 	if t.Type, ok = f.types.Lookup(string(e.Qos)); !ok {
 		return fmt.Errorf("field Qos: %q is no class", e.Qos)
 	}
-	t.Customer = port.None
+	t.Customer = routing.None
 	if len(e.Customer) > 0 && string(e.Customer) != "0" && f.customers.Len() > 0 {
 		if t.Customer, ok = f.customers.Lookup(string(e.Customer)); !ok {
 			return fmt.Errorf("field Customer: %q is no tenant", e.Customer)
@@ -262,7 +262,7 @@
 }
 
 // release gives a place back once its request is answered and every attempt has ended.
-func (f *instance) release(r port.RequestRef) {
+func (f *instance) release(r routing.RequestRef) {
 	if d := f.slab.Get(r); d != nil {
 		if rid := d.Value; f.slab.Release(r) {
 			delete(f.requests, rid)
@@ -271,25 +271,25 @@
 }
 
 // StartAttempt and the rest carry the module's wishes to the wire.
-func (f *instance) StartAttempt(r port.RequestRef, member int, giveUpAfter time.Duration) {
+func (f *instance) StartAttempt(r routing.RequestRef, member int, giveUpAfter time.Duration) {
 	d := f.slab.MustGet(r)
 	d.InFlight++
 	d.Attempts++
 	f.a.w.HandOff(f.id, d.Value, f.stores.Key(member), int64(giveUpAfter))
 }
 
-func (f *instance) CancelAttempt(r port.RequestRef, hop int) {
+func (f *instance) CancelAttempt(r routing.RequestRef, hop int) {
 	f.a.w.Cancel(f.id, f.slab.MustGet(r).Value, hop)
 }
 
-func (f *instance) Reject(r port.RequestRef, comeBackIn time.Duration) {
+func (f *instance) Reject(r routing.RequestRef, comeBackIn time.Duration) {
 	d := f.slab.MustGet(r)
 	f.a.w.Reject(f.id, d.Value, int64(comeBackIn))
 	d.Finished = true
 	f.release(r)
 }
 
-func (f *instance) Fail(r port.RequestRef) {
+func (f *instance) Fail(r routing.RequestRef) {
 	d := f.slab.MustGet(r)
 	f.a.w.Lose(f.id, d.Value)
 	d.Finished = true
--- a/adapter/adapter_test.go
+++ b/adapter/adapter_test.go
@@ -8,31 +8,31 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // echo sends every request to member 0 at once and panics when woken.
 type echo struct {
-	port.Host
+	routing.Host
 	entries int
 }
 
-func (e *echo) RequiredPosition(port.RequestRef) (time.Duration, bool) { return 0, false }
-func (e *echo) EndpointsChanged(_ time.Duration, _ port.UpdateKind, _ int64, l []port.Endpoint) {
+func (e *echo) RequiredPosition(routing.RequestRef) (time.Duration, bool) { return 0, false }
+func (e *echo) EndpointsChanged(_ time.Duration, _ routing.UpdateKind, _ int64, l []routing.Endpoint) {
 	e.entries = len(l)
 }
-func (e *echo) RequestReceived(_ time.Duration, t port.Request)    { e.StartAttempt(t.Ref, 0, 0) }
-func (e *echo) AttemptFinished(time.Duration, port.AttemptOutcome) {}
-func (e *echo) ClientGone(time.Duration, port.RequestRef)          {}
-func (e *echo) ClockCorrected(time.Duration, time.Duration)        {}
-func (e *echo) GossipReceived(time.Duration, int, []byte)          {}
-func (e *echo) TimerFired(time.Duration)                           { panic("woken") }
-func (e *echo) Reconcile(time.Duration)                            {}
-func (e *echo) HealthCheckFinished(time.Duration, int, port.AttemptResult, time.Duration, port.LoadReport) {
+func (e *echo) RequestReceived(_ time.Duration, t routing.Request)    { e.StartAttempt(t.Ref, 0, 0) }
+func (e *echo) AttemptFinished(time.Duration, routing.AttemptOutcome) {}
+func (e *echo) ClientGone(time.Duration, routing.RequestRef)          {}
+func (e *echo) ClockCorrected(time.Duration, time.Duration)           {}
+func (e *echo) GossipReceived(time.Duration, int, []byte)             {}
+func (e *echo) TimerFired(time.Duration)                              { panic("woken") }
+func (e *echo) Reconcile(time.Duration)                               {}
+func (e *echo) HealthCheckFinished(time.Duration, int, routing.AttemptResult, time.Duration, routing.LoadReport) {
 }
 
-func made(h port.Host, _ uint64, _ port.Topology, _ []port.RequestType, _ []port.Customer, _ port.Replication,
-	_ port.Guardrails, _ port.Limits, _ port.CostWeights) port.Router {
+func made(h routing.Host, _ uint64, _ routing.Topology, _ []routing.RequestType, _ []routing.Customer, _ routing.Replication,
+	_ routing.Guardrails, _ routing.Limits, _ routing.CostWeights) routing.Router {
 	return &echo{Host: h}
 }
 
--- a/adapter/answers_test.go
+++ b/adapter/answers_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // Every event of the wire goes in and every action comes out: the answers are the recorded ones, byte for byte. testdata/batches.txt is
@@ -22,8 +22,8 @@
 	recorded, err := os.ReadFile("testdata/answers.txt")
 	require.NoError(t, err)
 	var answers strings.Builder
-	require.NoError(t, Run(batches, &answers, func(h port.Host, seed uint64, at port.Topology, types []port.RequestType, customers []port.Customer,
-		_ port.Replication, _ port.Guardrails, allowed port.Limits, _ port.CostWeights) port.Router {
+	require.NoError(t, Run(batches, &answers, func(h routing.Host, seed uint64, at routing.Topology, types []routing.RequestType, customers []routing.Customer,
+		_ routing.Replication, _ routing.Guardrails, allowed routing.Limits, _ routing.CostWeights) routing.Router {
 		h.Log(fmt.Sprint("new ", seed, at.Zone, at.ZoneCount, len(types), len(customers), allowed.MaxAttempts))
 		return &transcript{host: h}
 	}))
@@ -32,18 +32,18 @@
 
 // transcript logs each event, value by value, and uses each method of its host.
 type transcript struct {
-	host port.Host
+	host routing.Host
 }
 
 func (s *transcript) log(now time.Duration, event string, values ...any) {
 	s.host.Log(strings.TrimSuffix(fmt.Sprintln(append([]any{now, event}, values...)...), "\n"))
 }
 
-func report(l port.LoadReport) []any {
+func report(l routing.LoadReport) []any {
 	return []any{l.InFlight, l.Queued, l.Position, l.HasPosition, int(l.Role), l.Utilization, l.LatencyMillis, l.RequestRate, l.ErrorRate}
 }
 
-func (s *transcript) EndpointsChanged(now time.Duration, kind port.UpdateKind, version int64, entries []port.Endpoint) {
+func (s *transcript) EndpointsChanged(now time.Duration, kind routing.UpdateKind, version int64, entries []routing.Endpoint) {
 	s.log(now, "list", int(kind), version, len(entries))
 	for _, e := range entries {
 		s.log(now, "entry", e.Server, e.Zone, e.Kind, e.Group, int(e.State), e.Weight, e.Primary, e.StartedAt, e.HasStartTime)
@@ -51,7 +51,7 @@
 }
 
 // RequestReceived sends a request out, and one of type 1 also a second time, of which the first attempt is cancelled.
-func (s *transcript) RequestReceived(now time.Duration, t port.Request) {
+func (s *transcript) RequestReceived(now time.Duration, t routing.Request) {
 	s.log(now, "request", t.Ref.Slot, t.Ref.Generation, t.Type, t.Customer, t.Session, t.Group, t.Timeout, t.ExpectedWork, t.TokenAge, t.MaxStaleness, t.DedupWindow, t.Retry, t.Write)
 	s.host.StartAttempt(t.Ref, 0, t.Timeout/4)
 	if t.Type == 1 {
@@ -60,29 +60,29 @@
 	}
 }
 
-func (s *transcript) AttemptFinished(now time.Duration, o port.AttemptOutcome) {
+func (s *transcript) AttemptFinished(now time.Duration, o routing.AttemptOutcome) {
 	s.log(now, "ended", append([]any{o.Ref.Slot, o.Ref.Generation, o.AttemptNumber, o.Server, int(o.Result), o.RequestFinished, o.Latency, o.Position, o.HasPosition, int(o.Role)},
 		report(o.Load)...)...)
 	switch {
 	case o.RequestFinished:
-	case o.Result == port.ServerError:
+	case o.Result == routing.ServerError:
 		s.host.Reject(o.Ref, 5*time.Millisecond)
-	case o.Result == port.Overloaded:
+	case o.Result == routing.Overloaded:
 		s.host.Reject(o.Ref, 0)
-	case o.Result == port.TimedOut:
+	case o.Result == routing.TimedOut:
 		s.host.Fail(o.Ref)
-	case o.Result == port.Misrouted:
+	case o.Result == routing.Misrouted:
 		s.host.StartAttempt(o.Ref, 1, 0)
 	}
 }
 
-func (s *transcript) ClientGone(now time.Duration, r port.RequestRef) {
+func (s *transcript) ClientGone(now time.Duration, r routing.RequestRef) {
 	s.log(now, "left", r.Slot, r.Generation)
 }
 
-func (s *transcript) HealthCheckFinished(now time.Duration, member int, e port.AttemptResult, latency time.Duration, l port.LoadReport) {
+func (s *transcript) HealthCheckFinished(now time.Duration, member int, e routing.AttemptResult, latency time.Duration, l routing.LoadReport) {
 	s.log(now, "probed", append([]any{member, int(e), latency}, report(l)...)...)
-	if e == port.Unreachable {
+	if e == routing.Unreachable {
 		s.host.ReleaseServer(member)
 	}
 }
@@ -90,7 +90,7 @@
 func (s *transcript) GossipReceived(now time.Duration, peer int, message []byte) {
 	s.log(now, "heard", peer, message)
 	s.host.SendGossip(peer, message)
-	s.host.SendGossip(port.None, nil)
+	s.host.SendGossip(routing.None, nil)
 }
 
 func (s *transcript) TimerFired(now time.Duration) {
@@ -105,6 +105,6 @@
 	}
 }
 
-func (s *transcript) Reconcile(now time.Duration)                                 { s.log(now, "reconcile") }
-func (s *transcript) ClockCorrected(now, by time.Duration)                        { s.log(now, "redate", by) }
-func (s *transcript) RequiredPosition(port.RequestRef) (_ time.Duration, ok bool) { return 0, false }
+func (s *transcript) Reconcile(now time.Duration)                                    { s.log(now, "reconcile") }
+func (s *transcript) ClockCorrected(now, by time.Duration)                           { s.log(now, "redate", by) }
+func (s *transcript) RequiredPosition(routing.RequestRef) (_ time.Duration, ok bool) { return 0, false }
--- a/cmd/dapplerouter/permute_test.go
+++ b/cmd/dapplerouter/permute_test.go
@@ -16,8 +16,8 @@
 	"dapplerouter/discovery"
 	"dapplerouter/front"
 	"dapplerouter/pgwire"
-	"dapplerouter/port"
 	"dapplerouter/router"
+	"dapplerouter/routing"
 	"dapplerouter/site"
 )
 
@@ -94,7 +94,7 @@
 	for i := range 3 {
 		members = append(members, discovery.Endpoint{Name: fmt.Sprint("s", i), Address: "x", Zone: "a", Weight: 1, Primary: i == 0})
 	}
-	s.core.Post(front.EndpointsChanged{Kind: port.Snapshot, List: discovery.List{Index: 1, Snapshot: true, Endpoints: members}})
+	s.core.Post(front.EndpointsChanged{Kind: routing.Snapshot, List: discovery.List{Index: 1, Snapshot: true, Endpoints: members}})
 	r := rand.New(rand.NewPCG(3, 4))
 	names, gone := []string{"browse", "mine", "book", "slots", "pay"}, 0
 	for n := 0; s.now < 4*time.Second; s.now += time.Millisecond {
--- a/cmd/dapplerouter/serve.go
+++ b/cmd/dapplerouter/serve.go
@@ -19,8 +19,8 @@
 	"dapplerouter/gateway"
 	"dapplerouter/gateway/link"
 	"dapplerouter/pgwire"
-	"dapplerouter/port"
 	"dapplerouter/router"
+	"dapplerouter/routing"
 	"dapplerouter/site"
 	"dapplerouter/sockets"
 )
@@ -147,7 +147,7 @@
 	for _, why := range told.SkippedEndpoints {
 		slog.Warn("an entry of the known list is passed over", "why", why)
 	}
-	seen(front.EndpointsChanged{Kind: port.CachedSnapshot, List: told.CachedList})
+	seen(front.EndpointsChanged{Kind: routing.CachedSnapshot, List: told.CachedList})
 	longest := time.Duration(0)
 	for _, ty := range told.Settings.RequestTypes {
 		longest = max(longest, ty.Deadline)
--- a/discovery/deadline_test.go
+++ b/discovery/deadline_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 	"dapplerouter/standin/loopback"
 )
 
@@ -89,7 +89,7 @@
 			if l.Index == 8 {
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				assert.Equal(t, port.Draining, l.Endpoints[0].State)
+				assert.Equal(t, routing.Draining, l.Endpoints[0].State)
 				assert.Empty(t, s.calls, "all went wrong that was to")
 				return time.Since(s.since)
 			}
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 const entry = `{"name":"s-1","address":"127.0.0.1:1","zone":"a","type":"m","group":3,"status":"%s","weight":1.0,"since_ms":0}`
@@ -75,8 +75,8 @@
 	for _, want := range []struct {
 		index int64
 		whole bool
-		state port.ServerState
-	}{{41, true, port.Serving}, {42, false, port.Draining}, {43, false, port.Removed}, {44, true, port.Serving}} {
+		state routing.ServerState
+	}{{41, true, routing.Serving}, {42, false, routing.Draining}, {43, false, routing.Removed}, {44, true, routing.Serving}} {
 		l := <-lists
 		assert.Equal(t, want.index, l.Index)
 		assert.Equal(t, want.whole, l.Snapshot)
@@ -127,7 +127,7 @@
 				last = <-lists
 				if last.Index == 10 {
 					assert.True(t, last.Snapshot, "nothing is taken behind what was lost")
-					assert.Equal(t, port.Draining, last.Endpoints[0].State)
+					assert.Equal(t, routing.Draining, last.Endpoints[0].State)
 				}
 			}
 			assert.True(t, <-failed)
@@ -156,7 +156,7 @@
 	}, says(object(9, true, "draining")))
 	l, err := c.FetchSnapshot(context.Background())
 	require.NoError(t, err)
-	assert.Equal(t, port.Draining, l.Endpoints[0].State)
+	assert.Equal(t, routing.Draining, l.Endpoints[0].State)
 	assert.Len(t, asked, 2)
 }
 
--- a/discovery/list.go
+++ b/discovery/list.go
@@ -5,14 +5,14 @@
 	"encoding/json"
 	"fmt"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // Endpoint is a line of the list, in the list's own names.
 type Endpoint struct {
 	Name, Address, Zone, ServerType string
 	Group                           int64
-	State                           port.ServerState
+	State                           routing.ServerState
 	Weight                          float64
 	Primary                         bool
 	StartedAtMillis                 int64 // Unix milliseconds of the last start, 0 for long ago
@@ -25,7 +25,7 @@
 	Endpoints []Endpoint
 }
 
-var states = map[string]port.ServerState{"up": port.Serving, "draining": port.Draining, "removed": port.Removed}
+var states = map[string]routing.ServerState{"up": routing.Serving, "draining": routing.Draining, "removed": routing.Removed}
 
 // Decode reads one object. Entries that say nothing usable are left out and returned as faults; err means
 // that the object as a whole is none.
@@ -54,7 +54,7 @@
 			faults = append(faults, fmt.Errorf("an entry without name"))
 		case !ok:
 			faults = append(faults, fmt.Errorf("entry %s: unknown status %q", e.Name, e.Status))
-		case e.Address == "" && state != port.Removed:
+		case e.Address == "" && state != routing.Removed:
 			faults = append(faults, fmt.Errorf("entry %s: no address", e.Name))
 		case e.Group == nil:
 			faults = append(faults, fmt.Errorf("entry %s: no group", e.Name))
--- a/fleet/agent/prober_test.go
+++ b/fleet/agent/prober_test.go
@@ -10,7 +10,7 @@
 	"dapplerouter/discovery"
 	"dapplerouter/fleet"
 	"dapplerouter/front"
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // A result stands for a probe's ending and for nothing else: no role, position or load comes with it, whatever the prober heard.
@@ -33,8 +33,8 @@
 	s := NewProber(time.Second, time.Second)
 	s.DeclareLease, s.Post = func(d string) { wanted = append(wanted, d) }, func(front.Event) {}
 	entries := []discovery.Endpoint{{Name: "a", Address: "x:1", Group: 3}, {Name: "b", Address: "x:2", Group: 3}, {Name: "c", Address: "x:3", Group: 4}}
-	s.OnFrontEvent(front.EndpointsChanged{Kind: port.Snapshot, List: discovery.List{Endpoints: entries}})
-	s.OnFrontEvent(front.EndpointsChanged{Kind: port.Delta, List: discovery.List{Endpoints: entries[:1]}})
+	s.OnFrontEvent(front.EndpointsChanged{Kind: routing.Snapshot, List: discovery.List{Endpoints: entries}})
+	s.OnFrontEvent(front.EndpointsChanged{Kind: routing.Delta, List: discovery.List{Endpoints: entries[:1]}})
 	assert.Equal(t, []string{"scout/3", "scout/4"}, wanted)
 	s.OnFleetEvent(fleet.FleetReached{}, "n1")
 	s.OnFleetEvent(fleet.LeaseGranted{Lease: "scout/3", Leaseholder: "n2"}, "n1")
--- a/fleet/config_test.go
+++ b/fleet/config_test.go
@@ -9,7 +9,7 @@
 
 	"dapplerouter/conf"
 	"dapplerouter/discovery"
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 func config(text string) (*Config, error) {
@@ -89,7 +89,7 @@
 func list(index int64, whole bool, names ...string) (l discovery.List) {
 	l.Index, l.Snapshot = index, whole
 	for _, n := range names {
-		l.Endpoints = append(l.Endpoints, discovery.Endpoint{Name: n, Address: n + ":1", Zone: "a", State: port.Serving})
+		l.Endpoints = append(l.Endpoints, discovery.Endpoint{Name: n, Address: n + ":1", Zone: "a", State: routing.Serving})
 	}
 	return l
 }
--- a/fleet/endpoint_list.go
+++ b/fleet/endpoint_list.go
@@ -8,7 +8,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"dapplerouter/discovery"
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // EndpointListLease is the lease of the front that follows the discovery service for all.
@@ -105,12 +105,12 @@
 	}
 	l.known, l.index = true, a.Index
 	for _, e := range a.Endpoints {
-		if port.ServerState(e.State) == port.Removed {
+		if routing.ServerState(e.State) == routing.Removed {
 			delete(l.endpoints, e.Name)
 			continue
 		}
 		l.endpoints[e.Name] = discovery.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, ServerType: e.Kind, Group: e.Group,
-			State: port.ServerState(e.State), Weight: e.Weight, Primary: e.Primary, StartedAtMillis: e.Since}
+			State: routing.ServerState(e.State), Weight: e.Weight, Primary: e.Primary, StartedAtMillis: e.Since}
 	}
 	return data, false
 }
@@ -138,7 +138,7 @@
 	said.Index, said.Snapshot = a.Index, a.Whole
 	for _, e := range a.Endpoints {
 		said.Endpoints = append(said.Endpoints, discovery.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, ServerType: e.Kind, Group: e.Group,
-			State: port.ServerState(e.State), Weight: e.Weight, Primary: e.Primary, StartedAtMillis: e.Since})
+			State: routing.ServerState(e.State), Weight: e.Weight, Primary: e.Primary, StartedAtMillis: e.Since})
 	}
 	return said, a.Whole || len(a.Endpoints) > 0
 }
--- a/front/classing.go
+++ b/front/classing.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"dapplerouter/conf"
-	"dapplerouter/port"
+	"dapplerouter/routing"
 	"dapplerouter/shape"
 	"dapplerouter/site"
 )
@@ -25,7 +25,7 @@
 // Classifier is what the operator's settings made.
 type Classifier struct {
 	*shape.Classifier
-	UndeclaredWriteEffect port.Idempotency // of a write whose request type reads
+	UndeclaredWriteEffect routing.Idempotency // of a write whose request type reads
 }
 
 // ValidateClassification finds what the settings say against a site's request types. The error is conf.Faults.
@@ -37,7 +37,7 @@
 		case t < 0:
 			faults = append(faults, conf.Error{Position: s.RulePositions[i], Message: r.Type + " is no request type of this site",
 				Remedy: fmt.Sprint("its types are ", at.TypeNames)})
-		case r.Class == shape.Write && at.RequestTypes[t].Consistency != port.Write:
+		case r.Class == shape.Write && at.RequestTypes[t].Consistency != routing.Write:
 			faults = append(faults, conf.Error{Position: s.RulePositions[i], Message: r.Type + " reads, and the rule is for writes",
 				Remedy: "name a type that writes, or take (class write) away"})
 		}
@@ -51,17 +51,17 @@
 // withUndeclared adds to the types, for each that reads, one like it that writes with the effect that the operator
 // gave to writes that their type does not tell of. So the module decides these as it does all others: to the
 // primary only, and again only as far as the effect allows.
-func (k *classes) withUndeclared(types []port.RequestType, effect port.Idempotency) []port.RequestType {
+func (k *classes) withUndeclared(types []routing.RequestType, effect routing.Idempotency) []routing.RequestType {
 	all := slices.Clone(types)
 	for i, ty := range types {
 		k.undeclared = append(k.undeclared, i)
-		if ty.Consistency == port.Write {
+		if ty.Consistency == routing.Write {
 			continue
 		}
 		k.undeclared[i] = len(all)
-		ty.Consistency, ty.Idempotency, ty.MaxStaleness = port.Write, effect, 0
-		if effect == port.IdempotencyKey && ty.DedupWindow == 0 {
-			ty.Idempotency = port.NonIdempotent // nothing says for how long a mark is remembered
+		ty.Consistency, ty.Idempotency, ty.MaxStaleness = routing.Write, effect, 0
+		if effect == routing.IdempotencyKey && ty.DedupWindow == 0 {
+			ty.Idempotency = routing.NonIdempotent // nothing says for how long a mark is remembered
 		}
 		all = append(all, ty)
 	}
@@ -69,7 +69,7 @@
 }
 
 // class gives an arrival that was classed its request type, or says why it has none.
-func (a *Request) class(c *Core, t *port.Request) (refusal string) {
+func (a *Request) class(c *Core, t *routing.Request) (refusal string) {
 	s, k := &a.Statement, c.classes
 	k.found++
 	t.ExpectedWork = k.by.Estimate(s.Normalized, &s.Details)
@@ -87,15 +87,15 @@
 		k.byRule++
 		t.Type = k.types[rule]
 	}
-	if s.Write && c.types[t.Type].Consistency != port.Write {
+	if s.Write && c.types[t.Type].Consistency != routing.Write {
 		slog.Debug("undeclared write", "id", string(s.ID), "type", c.typeIDs.Key(t.Type), "class", s.Normalized.Class,
 			"why", s.Normalized.Reason, "fingerprint", s.Normalized.Fingerprint())
 		k.undeclaredWrites++
 		t.Type = k.undeclared[t.Type]
 	}
 	ty := &c.types[t.Type]
-	t.Write = ty.Consistency == port.Write // a read under a writing type runs where its type says
-	if ty.Consistency == port.ReadYourWrites && len(s.Key) == 0 {
+	t.Write = ty.Consistency == routing.Write // a read under a writing type runs where its type says
+	if ty.Consistency == routing.ReadYourWrites && len(s.Key) == 0 {
 		return "a read of this request type belongs to a session: s=NAME in the comment, or a quoted key"
 	}
 	return ""
--- a/front/core.go
+++ b/front/core.go
@@ -12,13 +12,13 @@
 	"time"
 
 	"dapplerouter/discovery"
-	"dapplerouter/port"
+	"dapplerouter/routing"
 	"dapplerouter/site"
 )
 
 // RouterFactory makes the Decider of an instance.
-type RouterFactory func(h port.Host, seed uint64, at port.Topology, types []port.RequestType, customers []port.Customer,
-	copies port.Replication, rules port.Guardrails, allowed port.Limits, costs port.CostWeights) port.Router
+type RouterFactory func(h routing.Host, seed uint64, at routing.Topology, types []routing.RequestType, customers []routing.Customer,
+	copies routing.Replication, rules routing.Guardrails, allowed routing.Limits, costs routing.CostWeights) routing.Router
 
 // Event is something that came in; the types stand with the stages that take them.
 type Event interface {
@@ -52,7 +52,7 @@
 
 // Core owns the module.
 type Core struct {
-	decider port.Router
+	decider routing.Router
 	pools   Pools
 	ask     EndpointSource
 	events  chan Event
@@ -62,7 +62,7 @@
 	serving []bool               // by member: the list lets new work go there
 	clock   func() time.Duration // nil where a host steps the core
 
-	types      []port.RequestType
+	types      []routing.RequestType
 	most       int           // attempts a request
 	patience   time.Duration // for a probe
 	typeIDs    *Index[string]
@@ -89,7 +89,7 @@
 	lapsed     bool     // the right has run out, and what was in hand is ended
 	shut       bool     // no request is taken any more
 	comeBack   time.Duration
-	entries    []port.Endpoint
+	entries    []routing.Endpoint
 }
 
 // NewCore makes a Core; born is the moment from which its clock counts. Where classing is nil, statements are served in
@@ -217,17 +217,17 @@
 
 // EndpointsChanged brings what the list says; Failed and Cached lists too.
 type EndpointsChanged struct {
-	Kind port.UpdateKind
+	Kind routing.UpdateKind
 	List discovery.List
 }
 
 func (l EndpointsChanged) take(c *Core, now time.Duration) {
 	c.entries = c.entries[:0]
 	all := l.List.Endpoints
-	if l.Kind == port.Snapshot || l.Kind == port.CachedSnapshot {
+	if l.Kind == routing.Snapshot || l.Kind == routing.CachedSnapshot {
 		all = slices.Concat(all, c.standing)
 	}
-	if l.Kind == port.Snapshot || l.Kind == port.CachedSnapshot {
+	if l.Kind == routing.Snapshot || l.Kind == routing.CachedSnapshot {
 		clear(c.serving)
 	}
 	for _, e := range all { // a start lies in the past
@@ -248,11 +248,11 @@
 		if e.Address != "" {
 			c.place(m, place{e.Address, e.StartedAtMillis})
 		}
-		c.serves(m, e.State == port.Serving)
-		c.entries = append(c.entries, port.Endpoint{Server: m, Zone: zone, Kind: c.kinds.Intern(e.ServerType),
+		c.serves(m, e.State == routing.Serving)
+		c.entries = append(c.entries, routing.Endpoint{Server: m, Zone: zone, Kind: c.kinds.Intern(e.ServerType),
 			Group: c.groups.Intern(e.Group), State: e.State, Weight: e.Weight, Primary: e.Primary,
 			StartedAt: c.since(e.StartedAtMillis), HasStartTime: e.StartedAtMillis != 0})
-		if l.Kind == port.Delta {
+		if l.Kind == routing.Delta {
 			for i := range c.standing { // as the next whole list will have it
 				if c.standing[i].Name == e.Name {
 					c.standing[i] = e
@@ -262,14 +262,14 @@
 				"index", l.List.Index)
 		}
 	}
-	if l.Kind == port.Snapshot {
+	if l.Kind == routing.Snapshot {
 		slog.Info("listed whole", "members", len(c.entries), "index", l.List.Index)
 	}
-	if c.bound.Auditor != nil && l.Kind != port.UpdateFailed {
+	if c.bound.Auditor != nil && l.Kind != routing.UpdateFailed {
 		c.bound.Auditor.EndpointsChanged(now, l.List.Index)
 	}
 	c.decider.EndpointsChanged(now, l.Kind, l.List.Index, c.entries)
-	if l.Kind != port.UpdateFailed {
+	if l.Kind != routing.UpdateFailed {
 		c.cancelDrained()
 	}
 }
--- a/front/core_bench_test.go
+++ b/front/core_bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 
 	"dapplerouter/pgwire"
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // What one request costs in the core, from its arrival to its answer: by itself, and where the front is one of a fleet, with a
@@ -39,7 +39,7 @@
 				s.Message()
 				c.Post(&AttemptFinished{Attempt: s, Answer: answer})
 				c.batch(now)
-				if len(w.final) != 1 || w.final[0].Status != StatusSucceeded || m.ended[0].Result != port.Succeeded {
+				if len(w.final) != 1 || w.final[0].Status != StatusSucceeded || m.ended[0].Result != routing.Succeeded {
 					b.Fatal(w.final)
 				}
 				m.begun, m.ended, w.sent, w.final = m.begun[:0], m.ended[:0], w.sent[:0], w.final[:0]
--- a/front/drains.go
+++ b/front/drains.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // serves notes whether the list lets new work go to a member.
@@ -26,6 +26,6 @@
 
 // unsent are the attempts of which nothing has gone out.
 func (c *Core) unsent() (all []*Attempt) {
-	c.slab.Each(func(_ port.RequestRef, slot *RequestEntry[*Request]) { all = append(all, slot.Value.out...) })
+	c.slab.Each(func(_ routing.RequestRef, slot *RequestEntry[*Request]) { all = append(all, slot.Value.out...) })
 	return slices.DeleteFunc(all, func(s *Attempt) bool { return s.done || s.stage.Load() != waiting })
 }
--- a/front/endings_test.go
+++ b/front/endings_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 
 	"dapplerouter/pgwire"
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 const order = "INSERT INTO facts (code, data) VALUES ('k', '') /* id=1,c=order,k=5c,d=900,cluster=9 */"
@@ -19,7 +19,7 @@
 // repeated brings a referenced request to where its repeat waits for a connection: the first was out from 10 ms on and may have run.
 func repeated(t *testing.T) (*Core, *module, *wires) {
 	c, m, w := newFront(t)
-	c.types[1].Idempotency, c.types[1].DedupWindow = port.IdempotencyKey, 300*ms
+	c.types[1].Idempotency, c.types[1].DedupWindow = routing.IdempotencyKey, 300*ms
 	arrive(t, c, w, order)
 	m.wish = func(m *module) { m.StartAttempt(m.begun[0].Ref, 0, 0) }
 	c.batch(10 * ms)
@@ -39,7 +39,7 @@
 	require.Len(t, m.ended, 1)
 	c.batch(310 * ms)
 	assert.False(t, w.sent[1].Begin(func() {}))
-	assert.Equal(t, port.NotSent, m.ended[1].Result, "nothing of it went out")
+	assert.Equal(t, routing.NotSent, m.ended[1].Result, "nothing of it went out")
 	c, m, w = repeated(t)
 	c.batch(309 * ms)
 	w.begin(t, 1)
@@ -60,7 +60,7 @@
 	assert.False(t, w.sent[0].Begin(func() {}), "before the core has heard of it")
 	c.Post(gone)
 	c.batch(20 * ms)
-	assert.Equal(t, port.NotSent, m.ended[0].Result)
+	assert.Equal(t, routing.NotSent, m.ended[0].Result)
 	assert.True(t, m.ended[0].RequestFinished)
 	assert.Zero(t, c.slab.Len())
 	assert.Empty(t, w.final)
@@ -79,14 +79,14 @@
 	assert.False(t, w.sent[1].Begin(func() {}), "before the core has heard of it")
 	c.Post(gone)
 	c.batch(30 * ms)
-	assert.Equal(t, []port.AttemptResult{port.ConnectionLost, port.NotSent}, []port.AttemptResult{m.ended[0].Result, m.ended[1].Result})
+	assert.Equal(t, []routing.AttemptResult{routing.ConnectionLost, routing.NotSent}, []routing.AttemptResult{m.ended[0].Result, m.ended[1].Result})
 	assert.Zero(t, c.slab.Len())
 	assert.Empty(t, w.final)
 }
 
 func TestAShutdownGivesEachTxnWhatIsTrueOfIt(t *testing.T) {
 	c, m, w := newFront(t)
-	c.types[1].Idempotency = port.NonIdempotent
+	c.types[1].Idempotency = routing.NonIdempotent
 	for i, text := range []string{browse, strings.Replace(order, "id=1", "id=2", 1), strings.Replace(order, "id=1", "id=3", 1)} {
 		arrive(t, c, w, text)
 		m.wish = func(m *module) { m.StartAttempt(m.begun[i].Ref, 0, 0) }
--- a/front/far_test.go
+++ b/front/far_test.go
@@ -8,14 +8,14 @@
 
 	"dapplerouter/discovery"
 	"dapplerouter/pgwire"
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // far makes member 0 stand for another site, behind a site that allows so many attempts.
 func far(t *testing.T, most int) (*Core, *module, *wires) {
 	c, m, w := newFront(t)
 	c.most = most
-	c.Post(EndpointsChanged{Kind: port.Delta, List: discovery.List{Endpoints: []discovery.Endpoint{
+	c.Post(EndpointsChanged{Kind: routing.Delta, List: discovery.List{Endpoints: []discovery.Endpoint{
 		{Name: "s-1", Address: RemoteSitePrefix + "b/9", Zone: "a", Group: 9}}}})
 	c.batch(ms)
 	return c, m, w
@@ -62,7 +62,7 @@
 	assert.Len(t, w.sent, 2)
 	void := 0
 	for _, o := range m.ended {
-		if o.Result == port.NotSent {
+		if o.Result == routing.NotSent {
 			void++
 		}
 	}
@@ -77,7 +77,7 @@
 		final int
 	}{{200 * ms, true, 1}, {301 * ms, true, 0}, {0, false, 0}} {
 		c, m, w := far(t, 9)
-		c.types[0].Consistency, c.types[0].MaxStaleness = port.BoundedStaleness, 300*ms
+		c.types[0].Consistency, c.types[0].MaxStaleness = routing.BoundedStaleness, 300*ms
 		out(t, c, m, w)
 		w.begin(t, 0)
 		c.Post(&AttemptFinished{Attempt: w.sent[0], Answer: pgwire.QueryResult{Complete: true, Rows: []byte("r")}, Remote: true,
@@ -85,7 +85,7 @@
 		c.batch(20 * ms)
 		assert.Len(t, w.final, story.final)
 		if story.final == 0 {
-			assert.Equal(t, port.Misrouted, m.ended[0].Result)
+			assert.Equal(t, routing.Misrouted, m.ended[0].Result)
 		}
 	}
 }
--- a/front/front_test.go
+++ b/front/front_test.go
@@ -11,7 +11,7 @@
 
 	"dapplerouter/discovery"
 	"dapplerouter/pgwire"
-	"dapplerouter/port"
+	"dapplerouter/routing"
 	"dapplerouter/site"
 )
 
@@ -19,32 +19,32 @@
 
 // module is a Decider that writes down what it hears and does as it is told.
 type module struct {
-	port.Host
-	begun   []port.Request
-	ended   []port.AttemptOutcome
-	probed  []port.LoadReport
-	left    []port.RequestRef
-	listed  []port.Endpoint
+	routing.Host
+	begun   []routing.Request
+	ended   []routing.AttemptOutcome
+	probed  []routing.LoadReport
+	left    []routing.RequestRef
+	listed  []routing.Endpoint
 	settled int
 	redated time.Duration
 	wish    func(m *module) // at the next settling
 }
 
-func (m *module) EndpointsChanged(_ time.Duration, _ port.UpdateKind, _ int64, e []port.Endpoint) {
+func (m *module) EndpointsChanged(_ time.Duration, _ routing.UpdateKind, _ int64, e []routing.Endpoint) {
 	m.listed = append(m.listed, e...)
 }
-func (m *module) RequestReceived(_ time.Duration, t port.Request) { m.begun = append(m.begun, t) }
-func (m *module) AttemptFinished(_ time.Duration, o port.AttemptOutcome) {
+func (m *module) RequestReceived(_ time.Duration, t routing.Request) { m.begun = append(m.begun, t) }
+func (m *module) AttemptFinished(_ time.Duration, o routing.AttemptOutcome) {
 	m.ended = append(m.ended, o)
 }
-func (m *module) ClientGone(_ time.Duration, r port.RequestRef) { m.left = append(m.left, r) }
-func (m *module) ClockCorrected(_, by time.Duration)            { m.redated += by }
-func (m *module) GossipReceived(time.Duration, int, []byte)     {}
-func (m *module) TimerFired(time.Duration)                      {}
-func (m *module) HealthCheckFinished(_ time.Duration, _ int, _ port.AttemptResult, _ time.Duration, l port.LoadReport) {
+func (m *module) ClientGone(_ time.Duration, r routing.RequestRef) { m.left = append(m.left, r) }
+func (m *module) ClockCorrected(_, by time.Duration)               { m.redated += by }
+func (m *module) GossipReceived(time.Duration, int, []byte)        {}
+func (m *module) TimerFired(time.Duration)                         {}
+func (m *module) HealthCheckFinished(_ time.Duration, _ int, _ routing.AttemptResult, _ time.Duration, l routing.LoadReport) {
 	m.probed = append(m.probed, l)
 }
-func (m *module) RequiredPosition(port.RequestRef) (time.Duration, bool) { return 0, false }
+func (m *module) RequiredPosition(routing.RequestRef) (time.Duration, bool) { return 0, false }
 func (m *module) Reconcile(time.Duration) {
 	m.settled++
 	if w := m.wish; w != nil {
@@ -74,15 +74,15 @@
 func newFront(testing.TB) (*Core, *module, *wires) {
 	w, m := &wires{}, &module{}
 	s := &site.Settings{TypeNames: []string{"browse", "order"}, ZoneNames: []string{"a"}, CustomerNames: []string{"acme"},
-		RequestTypes: []port.RequestType{{Consistency: port.ReadYourWrites, Deadline: time.Second}, {Consistency: port.Write, Deadline: time.Second}},
-		Limits:       port.Limits{MaxAttempts: 2, DialTimeout: 250 * ms}}
-	c := NewCore(born, 1, s, func(h port.Host, _ uint64, _ port.Topology, _ []port.RequestType, _ []port.Customer,
-		_ port.Replication, _ port.Guardrails, _ port.Limits, _ port.CostWeights) port.Router {
+		RequestTypes: []routing.RequestType{{Consistency: routing.ReadYourWrites, Deadline: time.Second}, {Consistency: routing.Write, Deadline: time.Second}},
+		Limits:       routing.Limits{MaxAttempts: 2, DialTimeout: 250 * ms}}
+	c := NewCore(born, 1, s, func(h routing.Host, _ uint64, _ routing.Topology, _ []routing.RequestType, _ []routing.Customer,
+		_ routing.Replication, _ routing.Guardrails, _ routing.Limits, _ routing.CostWeights) routing.Router {
 		m.Host = h
 		return m
 	}, w, w, nil)
 	c.confirmed = true // as by a primary's answer; timeline_test.go has what comes before
-	c.Post(EndpointsChanged{Kind: port.CachedSnapshot, List: discovery.List{Endpoints: []discovery.Endpoint{
+	c.Post(EndpointsChanged{Kind: routing.CachedSnapshot, List: discovery.List{Endpoints: []discovery.Endpoint{
 		{Name: "s-1", Address: "x", Zone: "a", Group: 9, StartedAtMillis: 999_500},
 		{Name: "s-2", Address: "x", Zone: "nowhere", Group: 9}}}})
 	c.batch(0)
@@ -114,7 +114,7 @@
 
 func TestATxnIsServedByWhatItsMemberMade(t *testing.T) {
 	c, m, w := newFront(t)
-	assert.Equal(t, []port.Endpoint{{Group: 0, StartedAt: -500 * ms, HasStartTime: true}}, m.listed, "a zone that is none is passed over")
+	assert.Equal(t, []routing.Endpoint{{Group: 0, StartedAt: -500 * ms, HasStartTime: true}}, m.listed, "a zone that is none is passed over")
 	out(t, c, m, w)
 	assert.Equal(t, 90*ms, m.begun[0].Timeout, "what it waited since its last byte is off")
 	assert.NotZero(t, m.begun[0].Session)
@@ -124,8 +124,8 @@
 	c.batch(30 * ms)
 	assert.Equal(t, []Response{{Status: StatusSucceeded, Rows: []byte("rows"), Position: 1_000_030, DataAge: 20 * ms, DataAgeKnown: true}}, w.final)
 	o := m.ended[0]
-	assert.Equal(t, port.Succeeded, o.Result)
-	assert.True(t, o.RequestFinished && o.HasPosition && o.Role == port.Replica)
+	assert.Equal(t, routing.Succeeded, o.Result)
+	assert.True(t, o.RequestFinished && o.HasPosition && o.Role == routing.Replica)
 	assert.Equal(t, 30*ms, o.Position, "Unix milliseconds become a span since the start")
 	assert.Equal(t, 20*ms, o.Latency)
 	assert.Zero(t, c.slab.Len())
@@ -135,17 +135,17 @@
 	for _, x := range []struct {
 		answer  pgwire.QueryResult
 		failure *ConnectionError
-		want    port.AttemptResult
+		want    routing.AttemptResult
 	}{
-		{row(), nil, port.Succeeded},
-		{pgwire.QueryResult{Code: "25006"}, nil, port.Misrouted},
-		{pgwire.QueryResult{Code: "72000"}, nil, port.Misrouted},
-		{pgwire.QueryResult{Code: "53300"}, nil, port.Overloaded},
-		{pgwire.QueryResult{Code: "XX000"}, nil, port.ServerError},
-		{pgwire.QueryResult{}, nil, port.ServerError},
-		{row(), &ConnectionError{StageDial, errors.New("refused")}, port.Unreachable},
-		{row(), &ConnectionError{StageWrite, errors.New("reset")}, port.Unreachable},
-		{row(), &ConnectionError{StageRead, errors.New("reset")}, port.ConnectionLost},
+		{row(), nil, routing.Succeeded},
+		{pgwire.QueryResult{Code: "25006"}, nil, routing.Misrouted},
+		{pgwire.QueryResult{Code: "72000"}, nil, routing.Misrouted},
+		{pgwire.QueryResult{Code: "53300"}, nil, routing.Overloaded},
+		{pgwire.QueryResult{Code: "XX000"}, nil, routing.ServerError},
+		{pgwire.QueryResult{}, nil, routing.ServerError},
+		{row(), &ConnectionError{StageDial, errors.New("refused")}, routing.Unreachable},
+		{row(), &ConnectionError{StageWrite, errors.New("reset")}, routing.Unreachable},
+		{row(), &ConnectionError{StageRead, errors.New("reset")}, routing.ConnectionLost},
 	} {
 		c, m, w := newFront(t)
 		out(t, c, m, w)
@@ -153,7 +153,7 @@
 		c.Post(&AttemptFinished{Attempt: w.sent[0], Answer: x.answer, Err: x.failure})
 		c.batch(20 * ms)
 		assert.Equal(t, x.want, m.ended[0].Result)
-		assert.Equal(t, x.want == port.Succeeded, len(w.final) == 1)
+		assert.Equal(t, x.want == routing.Succeeded, len(w.final) == 1)
 	}
 }
 
@@ -166,7 +166,7 @@
 	m.wish = func(m *module) { m.Fail(m.begun[0].Ref) }
 	c.batch(100 * ms)
 	assert.Equal(t, 1, w.cuts)
-	assert.Equal(t, port.TimedOut, m.ended[0].Result)
+	assert.Equal(t, routing.TimedOut, m.ended[0].Result)
 	assert.False(t, m.ended[0].RequestFinished, "the module still owes the answer")
 	assert.Equal(t, []Response{{Status: StatusFailed}}, w.final)
 	c.Post(&AttemptFinished{Attempt: w.sent[0], Answer: row()})
@@ -183,18 +183,18 @@
 	assert.False(t, w.sent[0].Begin(func() {}), "nothing may go out any more")
 	m.wish = func(m *module) { m.StartAttempt(m.begun[0].Ref, 0, 30*ms) }
 	c.batch(20 * ms)
-	assert.Equal(t, port.NotSent, m.ended[0].Result)
+	assert.Equal(t, routing.NotSent, m.ended[0].Result)
 	w.begin(t, 1)
 	m.wish = func(m *module) { m.CancelAttempt(m.begun[0].Ref, 1) }
 	c.batch(30 * ms)
 	c.batch(30 * ms)
-	assert.Equal(t, port.Cancelled, m.ended[1].Result, "that one was on its way")
+	assert.Equal(t, routing.Cancelled, m.ended[1].Result, "that one was on its way")
 	assert.Equal(t, 1, w.cuts)
 	m.wish = func(m *module) { m.StartAttempt(m.begun[0].Ref, 0, 0) }
 	c.batch(40 * ms)
 	c.batch(40 * ms)
 	assert.Len(t, w.sent, 2, "the site allows two")
-	assert.Equal(t, port.NotSent, m.ended[2].Result)
+	assert.Equal(t, routing.NotSent, m.ended[2].Result)
 }
 
 func TestAClientThatLeavesIsOwedNothing(t *testing.T) {
@@ -204,7 +204,7 @@
 	c.Post(ClientGone{a})
 	m.wish = func(m *module) { m.CancelAttempt(m.begun[0].Ref, 0) }
 	c.batch(20 * ms)
-	assert.Equal(t, []port.RequestRef{m.begun[0].Ref}, m.left)
+	assert.Equal(t, []routing.RequestRef{m.begun[0].Ref}, m.left)
 	c.batch(20 * ms)
 	assert.True(t, m.ended[0].RequestFinished)
 	assert.Empty(t, w.final)
@@ -261,7 +261,7 @@
 	c.Post(&AttemptFinished{Attempt: w.sent[0], Answer: a})
 	m.wish = func(m *module) { m.StartHealthCheck(0) }
 	c.batch(2 * ms)
-	assert.Equal(t, port.LoadReport{InFlight: 2, Queued: -1, Utilization: -1, LatencyMillis: -1, RequestRate: -1, ErrorRate: -1, Role: port.Primary,
+	assert.Equal(t, routing.LoadReport{InFlight: 2, Queued: -1, Utilization: -1, LatencyMillis: -1, RequestRate: -1, ErrorRate: -1, Role: routing.Primary,
 		HasPosition: true, Position: 62500 * time.Microsecond}, m.probed[0])
 	c.batch(252 * ms)
 	assert.Len(t, m.probed, 2, "a silent member's probe ends with the limit for dialling")
@@ -288,7 +288,7 @@
 		c.batch(20 * ms)
 		assert.Equal(t, StatusInvalid, w.final[0].Status)
 		assert.Equal(t, code, w.final[0].Code)
-		assert.True(t, m.ended[0].RequestFinished && m.ended[0].Result == port.Misrouted, "the member is well")
+		assert.True(t, m.ended[0].RequestFinished && m.ended[0].Result == routing.Misrouted, "the member is well")
 	}
 }
 
@@ -315,7 +315,7 @@
 	w.begin(t, 0)
 	m.wish = func(m *module) { m.ReleaseServer(0) }
 	c.batch(2 * ms)
-	c.Post(EndpointsChanged{Kind: port.Delta, List: discovery.List{Endpoints: []discovery.Endpoint{{Name: "s-3", Address: "y", Zone: "a", Group: 9}}}})
+	c.Post(EndpointsChanged{Kind: routing.Delta, List: discovery.List{Endpoints: []discovery.Endpoint{{Name: "s-3", Address: "y", Zone: "a", Group: 9}}}})
 	c.batch(3 * ms)
 	c.Post(&AttemptFinished{Attempt: w.sent[0], Err: &ConnectionError{Stage: StageDial}})
 	c.batch(4 * ms)
@@ -330,7 +330,7 @@
 func TestAForgottenMembersPlaceIsAnothers(t *testing.T) {
 	c, m, w := newFront(t)
 	change := func(name string) {
-		c.Post(EndpointsChanged{Kind: port.Delta, List: discovery.List{Endpoints: []discovery.Endpoint{
+		c.Post(EndpointsChanged{Kind: routing.Delta, List: discovery.List{Endpoints: []discovery.Endpoint{
 			{Name: name, Address: "y", Zone: "a", Group: 9}}}})
 	}
 	m.wish = func(m *module) { m.ReleaseServer(0) }
--- a/front/ids.go
+++ b/front/ids.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"hash/fnv"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // Index hands out small indices, one that was given back first, else the next.
@@ -82,7 +82,7 @@
 }
 
 // Add takes a place for a request.
-func (d *RequestTable[T]) Add(what T) port.RequestRef {
+func (d *RequestTable[T]) Add(what T) routing.RequestRef {
 	var place uint32
 	if n := len(d.free); n > 0 {
 		place, d.free = d.free[n-1], d.free[:n-1]
@@ -93,11 +93,11 @@
 	turn := d.slots[place].turn + 1
 	d.slots[place] = RequestEntry[T]{Value: what, held: true, turn: turn}
 	d.held++
-	return port.RequestRef{Slot: place, Generation: turn}
+	return routing.RequestRef{Slot: place, Generation: turn}
 }
 
 // Get finds the slot of a request in hand, or nil; the zero Ref is never in hand.
-func (d *RequestTable[T]) Get(r port.RequestRef) *RequestEntry[T] {
+func (d *RequestTable[T]) Get(r routing.RequestRef) *RequestEntry[T] {
 	if int(r.Slot) >= len(d.slots) {
 		return nil
 	}
@@ -108,16 +108,16 @@
 }
 
 // Each calls with every slot in hand; the call may release its own.
-func (d *RequestTable[T]) Each(call func(port.RequestRef, *RequestEntry[T])) {
+func (d *RequestTable[T]) Each(call func(routing.RequestRef, *RequestEntry[T])) {
 	for i := range d.slots {
 		if o := &d.slots[i]; o.held {
-			call(port.RequestRef{Slot: uint32(i), Generation: o.turn}, o)
+			call(routing.RequestRef{Slot: uint32(i), Generation: o.turn}, o)
 		}
 	}
 }
 
 // MustGet finds the slot of a request that the module names.
-func (d *RequestTable[T]) MustGet(r port.RequestRef) *RequestEntry[T] {
+func (d *RequestTable[T]) MustGet(r routing.RequestRef) *RequestEntry[T] {
 	o := d.Get(r)
 	if o == nil {
 		panic(fmt.Sprintf("request %d.%d is not in hand", r.Slot, r.Generation))
@@ -126,7 +126,7 @@
 }
 
 // Release gives a place back once its request is answered and every attempt has ended, and says whether it did.
-func (d *RequestTable[T]) Release(r port.RequestRef) bool {
+func (d *RequestTable[T]) Release(r routing.RequestRef) bool {
 	o := d.Get(r)
 	if o == nil || !o.Finished || o.InFlight > 0 {
 		return false
--- a/front/metrics.go
+++ b/front/metrics.go
@@ -5,29 +5,29 @@
 	"slices"
 	"time"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // Metrics counts what passed, for the log.
 type Metrics struct {
 	taken, served, rejected, failed, left, senseless int
 	attempts, probes, spoilt                         int
-	endings                                          [port.Misrouted + 1]int
+	endings                                          [routing.Misrouted + 1]int
 	lateMost, tookMost                               time.Duration
 	failing                                          []bool // by member: what was last heard of it
 }
 
 // heard tells the log when a member begins to fail and when it answers again.
-func (c *Core) heard(member int, e port.AttemptResult, why error) {
+func (c *Core) heard(member int, e routing.AttemptResult, why error) {
 	b := &c.metrics
 	for len(b.failing) <= member {
 		b.failing = append(b.failing, false)
 	}
 	var bad bool
 	switch e {
-	case port.Unreachable, port.ConnectionLost, port.TimedOut:
+	case routing.Unreachable, routing.ConnectionLost, routing.TimedOut:
 		bad = true
-	case port.Cancelled, port.NotSent:
+	case routing.Cancelled, routing.NotSent:
 		return
 	}
 	if b.failing[member] == bad {
@@ -45,7 +45,7 @@
 func (b *Metrics) took(d time.Duration)  { b.tookMost = max(b.tookMost, d) }
 
 // ended tells the module an ending and gives the place back if it was the last.
-func (c *Core) ended(s *Attempt, o port.AttemptOutcome, why error) {
+func (c *Core) ended(s *Attempt, o routing.AttemptOutcome, why error) {
 	if s.probe && s.turn != c.turns[s.member] { // sent on the fleet's word: the module did not wait for it with the place
 		return
 	}
@@ -68,7 +68,7 @@
 }
 
 // conclude gives the final answer on the module's word.
-func (c *Core) conclude(r port.RequestRef, f Response) {
+func (c *Core) conclude(r routing.RequestRef, f Response) {
 	c.answer(c.slab.MustGet(r), f)
 	c.slab.Release(r)
 }
@@ -137,9 +137,9 @@
 	e := &b.endings
 	slog.Info("totals", append([]any{"taken", b.taken, "committed", b.served, "declined", b.rejected,
 		"rolled_back", b.failed, "left", b.left, "senseless", b.senseless, "in_hand", c.slab.Len(),
-		"submissions", b.attempts, "probes", b.probes, "errored", e[port.ServerError], "spoilt", b.spoilt,
-		"full", e[port.Overloaded], "timed_out", e[port.TimedOut], "unreachable", e[port.Unreachable], "broken", e[port.ConnectionLost],
-		"withdrawn", e[port.Cancelled], "missed", e[port.Misrouted], "alarm_late", b.lateMost,
+		"submissions", b.attempts, "probes", b.probes, "errored", e[routing.ServerError], "spoilt", b.spoilt,
+		"full", e[routing.Overloaded], "timed_out", e[routing.TimedOut], "unreachable", e[routing.Unreachable], "broken", e[routing.ConnectionLost],
+		"withdrawn", e[routing.Cancelled], "missed", e[routing.Misrouted], "alarm_late", b.lateMost,
 		"batch_took", b.tookMost}, append(c.classReport(), r.Extra...)...)...)
 	b.lateMost, b.tookMost = 0, 0
 }
--- a/front/relay.go
+++ b/front/relay.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"dapplerouter/pgwire"
-	"dapplerouter/port"
+	"dapplerouter/routing"
 	"dapplerouter/site"
 )
 
@@ -55,14 +55,14 @@
 		return // given up before; that ending was told
 	}
 	e.Attempt.done = true
-	o := port.AttemptOutcome{Result: ending(&e.Answer, e.Err), Load: site.EmptyLoad}
+	o := routing.AttemptOutcome{Result: ending(&e.Answer, e.Err), Load: site.EmptyLoad}
 	if a := &e.Answer; e.Err == nil {
 		o.Role = roles[a.Role]
-		if a.HasApplied && o.Role == port.Primary && a.Code == "" && !e.Remote {
+		if a.HasApplied && o.Role == routing.Primary && a.Code == "" && !e.Remote {
 			c.moved(c.timeline.present(a.AppliedMillis, e.Attempt.sent, c.now))
 		}
 		report := a.LoadReport
-		if e.Attempt.probe && o.Result == port.Succeeded {
+		if e.Attempt.probe && o.Result == routing.Succeeded {
 			report = a.Value()
 		}
 		o.Load = c.report(report, e.Attempt.sent)
@@ -72,11 +72,11 @@
 	}
 	if d := c.slab.Get(e.Attempt.ref); d != nil {
 		ty := &d.Value.terms.types[d.Value.typ]
-		if o.Result == port.Succeeded && e.Remote && ty.Consistency == port.BoundedStaleness && (!e.DataAgeKnown || e.DataAge > ty.MaxStaleness) {
-			o.Result, o.HasPosition = port.Misrouted, false // a read that is older than its bound by now is nobody's answer
+		if o.Result == routing.Succeeded && e.Remote && ty.Consistency == routing.BoundedStaleness && (!e.DataAgeKnown || e.DataAge > ty.MaxStaleness) {
+			o.Result, o.HasPosition = routing.Misrouted, false // a read that is older than its bound by now is nobody's answer
 		}
 		switch {
-		case o.Result == port.Succeeded:
+		case o.Result == routing.Succeeded:
 			c.learns(e.Attempt)
 			c.answer(d, c.served(e, &o))
 		case e.Answer.IsStatementError(): // as it would be anywhere: other members are spared it
@@ -99,8 +99,8 @@
 
 // served is the final answer of what a member committed, with how old its data may be for a further site: since the
 // attempt went out, and what the member was behind when it answered. Only clocks of one site are compared.
-func (c *Core) served(e *AttemptFinished, o *port.AttemptOutcome) Response {
-	f := Response{Status: StatusSucceeded, Rows: e.Answer.Rows, FromPrimary: o.Role == port.Primary}
+func (c *Core) served(e *AttemptFinished, o *routing.AttemptOutcome) Response {
+	f := Response{Status: StatusSucceeded, Rows: e.Answer.Rows, FromPrimary: o.Role == routing.Primary}
 	if e.Answer.HasApplied {
 		f.Position = e.Answer.AppliedMillis
 	}
@@ -115,41 +115,41 @@
 	return f
 }
 
-var roles = map[string]port.Role{"primary": port.Primary, "replica": port.Replica}
+var roles = map[string]routing.Role{"primary": routing.Primary, "replica": routing.Replica}
 
 // ending is the protocol's table.
-func ending(a *pgwire.QueryResult, f *ConnectionError) port.AttemptResult {
+func ending(a *pgwire.QueryResult, f *ConnectionError) routing.AttemptResult {
 	switch {
 	case f != nil && f.Stage == StageDecode:
-		return port.ServerError // the member is there, and it may have run
+		return routing.ServerError // the member is there, and it may have run
 	case f != nil && f.Stage == StageRead:
-		return port.ConnectionLost
+		return routing.ConnectionLost
 	case f != nil && f.Stage == StageLocal:
-		return port.NotSent // never sent, and nobody's fault
+		return routing.NotSent // never sent, and nobody's fault
 	case f != nil:
-		return port.Unreachable
+		return routing.Unreachable
 	case a.TooLong:
-		return port.ServerError
+		return routing.ServerError
 	case a.Code == pgwire.CodeReadOnlyTransaction || a.Code == pgwire.CodeSnapshotTooOld || a.IsStatementError():
-		return port.Misrouted // the member is well, and nothing ran
+		return routing.Misrouted // the member is well, and nothing ran
 	case a.Code == pgwire.CodeTooManyConnections:
-		return port.Overloaded
+		return routing.Overloaded
 	case a.Code != "":
-		return port.ServerError
+		return routing.ServerError
 	case a.Complete:
-		return port.Succeeded
+		return routing.Succeeded
 	}
-	return port.ServerError // an answer without a row: it may have run
+	return routing.ServerError // an answer without a row: it may have run
 }
 
 // report reads a member's report of its load. Where a primary's is the first that tells of the present, times move by it.
-func (c *Core) report(pairs []byte, sent time.Duration) port.LoadReport {
+func (c *Core) report(pairs []byte, sent time.Duration) routing.LoadReport {
 	l := site.EmptyLoad
 	zero := c.since(0)
 	if !pgwire.ParseLoadReport(pairs, func(name string, v float64) { site.SetLoadField(&l, name, v, zero) }) {
 		return site.EmptyLoad
 	}
-	if l.HasPosition && l.Role == port.Primary && !c.confirmed {
+	if l.HasPosition && l.Role == routing.Primary && !c.confirmed {
 		told := (l.Position - zero).Milliseconds()
 		c.moved(c.timeline.present(told, sent-oldestLoadReport, c.now))
 		l.Position = c.since(told)
--- a/front/route.go
+++ b/front/route.go
@@ -5,11 +5,11 @@
 	"log/slog"
 	"time"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // StartAttempt and the rest are the module's wishes; each is carried out as it stands.
-func (c *Core) StartAttempt(r port.RequestRef, member int, giveUpAfter time.Duration) {
+func (c *Core) StartAttempt(r routing.RequestRef, member int, giveUpAfter time.Duration) {
 	d := c.slab.MustGet(r)
 	s := &Attempt{ref: r, member: member, hop: d.Attempts, sent: c.now}
 	d.InFlight++
@@ -28,7 +28,7 @@
 	}
 	a.spent += grant
 	if d.Finished || until <= c.now || a.spent > most {
-		c.later = append(c.later, settled{s, port.NotSent})
+		c.later = append(c.later, settled{s, routing.NotSent})
 		return
 	}
 	s.query = a.Statement.QueryWithTimeout(until - c.now)
@@ -44,12 +44,12 @@
 }
 
 // CancelAttempt takes one attempt back.
-func (c *Core) CancelAttempt(r port.RequestRef, hop int) {
+func (c *Core) CancelAttempt(r routing.RequestRef, hop int) {
 	for _, s := range c.slab.MustGet(r).Value.out {
 		if s.hop == hop && !s.done {
-			ending := port.NotSent
+			ending := routing.NotSent
 			if s.cancel() {
-				ending = port.Cancelled
+				ending = routing.Cancelled
 			}
 			c.later = append(c.later, settled{s, ending})
 		}
@@ -57,12 +57,12 @@
 }
 
 // Reject and Fail are final answers.
-func (c *Core) Reject(r port.RequestRef, comeBackIn time.Duration) {
+func (c *Core) Reject(r routing.RequestRef, comeBackIn time.Duration) {
 	a := c.slab.MustGet(r).Value
-	c.conclude(r, Response{Status: StatusRejected, RetryAfter: comeBackIn, MayHaveRun: a.mayRun && c.types[a.typ].Idempotency != port.Idempotent})
+	c.conclude(r, Response{Status: StatusRejected, RetryAfter: comeBackIn, MayHaveRun: a.mayRun && c.types[a.typ].Idempotency != routing.Idempotent})
 }
 
-func (c *Core) Fail(r port.RequestRef) { c.conclude(r, Response{Status: StatusFailed}) }
+func (c *Core) Fail(r routing.RequestRef) { c.conclude(r, Response{Status: StatusFailed}) }
 
 // StartHealthCheck asks a member for its report.
 func (c *Core) StartHealthCheck(member int) {
--- a/front/script_test.go
+++ b/front/script_test.go
@@ -14,7 +14,7 @@
 
 	"dapplerouter/discovery"
 	"dapplerouter/pgwire"
-	"dapplerouter/port"
+	"dapplerouter/routing"
 	"dapplerouter/shape"
 	"dapplerouter/site"
 )
@@ -24,9 +24,9 @@
 type script struct {
 	t    *testing.T
 	core *Core
-	host port.Host
+	host routing.Host
 	do   func() // what the router asks for at the next reconciling
-	refs []port.RequestRef
+	refs []routing.RequestRef
 	sent []*Attempt
 	now  time.Duration
 	out  strings.Builder
@@ -42,13 +42,13 @@
 func newScript(t *testing.T, classing *Classifier) *script {
 	s := &script{t: t}
 	st := &site.Settings{TypeNames: []string{"browse", "order", "cart"}, ZoneNames: []string{"a", "b"}, CustomerNames: []string{"acme"},
-		RequestTypes: []port.RequestType{
-			{Consistency: port.BoundedStaleness, MaxStaleness: 300 * ms, Deadline: time.Second},
-			{Consistency: port.Write, Idempotency: port.IdempotencyKey, DedupWindow: 400 * ms, Deadline: 2 * time.Second},
-			{Consistency: port.ReadYourWrites, Deadline: time.Second}},
-		Limits: port.Limits{MaxAttempts: 5, DialTimeout: 250 * ms, MaxRetryAfter: 700 * ms}}
-	s.core = NewCore(born, 1, st, func(h port.Host, _ uint64, _ port.Topology, _ []port.RequestType, _ []port.Customer,
-		_ port.Replication, _ port.Guardrails, _ port.Limits, _ port.CostWeights) port.Router {
+		RequestTypes: []routing.RequestType{
+			{Consistency: routing.BoundedStaleness, MaxStaleness: 300 * ms, Deadline: time.Second},
+			{Consistency: routing.Write, Idempotency: routing.IdempotencyKey, DedupWindow: 400 * ms, Deadline: 2 * time.Second},
+			{Consistency: routing.ReadYourWrites, Deadline: time.Second}},
+		Limits: routing.Limits{MaxAttempts: 5, DialTimeout: 250 * ms, MaxRetryAfter: 700 * ms}}
+	s.core = NewCore(born, 1, st, func(h routing.Host, _ uint64, _ routing.Topology, _ []routing.RequestType, _ []routing.Customer,
+		_ routing.Replication, _ routing.Guardrails, _ routing.Limits, _ routing.CostWeights) routing.Router {
 		s.host = h
 		return scriptRouter{s}
 	}, scriptPools{s}, scriptPools{s}, classing)
@@ -56,7 +56,7 @@
 	s.core.clock = func() time.Duration { return s.now }
 	s.core.SetStaticEndpoints([]discovery.Endpoint{{Name: "remote", Address: RemoteSitePrefix + "west/9", Zone: "b", ServerType: "site", Group: 9}})
 	s.core.Post(RenewLease{Expiry: 10 * time.Second})
-	s.core.Post(EndpointsChanged{Kind: port.Snapshot, List: discovery.List{Index: 7, Endpoints: []discovery.Endpoint{
+	s.core.Post(EndpointsChanged{Kind: routing.Snapshot, List: discovery.List{Index: 7, Endpoints: []discovery.Endpoint{
 		{Name: "s-1", Address: "10.0.0.1:5432", Zone: "a", ServerType: "large", Group: 9, StartedAtMillis: 999_500, Primary: true, Weight: 1},
 		{Name: "s-2", Address: "10.0.0.2:5432", Zone: "b", ServerType: "large", Group: 9, StartedAtMillis: 998_000, Weight: 0.5}}}})
 	s.step(ms, nil)
@@ -118,31 +118,31 @@
 
 type scriptRouter struct{ s *script }
 
-func (m scriptRouter) EndpointsChanged(_ time.Duration, k port.UpdateKind, index int64, entries []port.Endpoint) {
+func (m scriptRouter) EndpointsChanged(_ time.Duration, k routing.UpdateKind, index int64, entries []routing.Endpoint) {
 	m.s.line("list %d %d", k, index)
 	for _, e := range entries {
 		m.s.line("  entry %d %d %d %d %d %v %v %v %v", e.Server, e.Zone, e.Kind, e.Group, e.State, e.Weight, e.Primary, e.StartedAt, e.HasStartTime)
 	}
 }
-func (m scriptRouter) RequestReceived(_ time.Duration, t port.Request) {
+func (m scriptRouter) RequestReceived(_ time.Duration, t routing.Request) {
 	m.s.refs = append(m.s.refs, t.Ref)
 	m.s.line("request %d.%d type %d customer %d session %x group %d budget %v hint %v token %v bound %v window %v retry %v write %v", t.Ref.Slot, t.Ref.Generation,
 		t.Type, t.Customer, t.Session, t.Group, t.Timeout, t.ExpectedWork.Round(ms), t.TokenAge, t.MaxStaleness, t.DedupWindow, t.Retry, t.Write)
 }
-func (m scriptRouter) AttemptFinished(_ time.Duration, o port.AttemptOutcome) {
+func (m scriptRouter) AttemptFinished(_ time.Duration, o routing.AttemptOutcome) {
 	m.s.line("ended %d.%d attempt %d server %d ending %d closed %v latency %v position %v %v role %d load %s", o.Ref.Slot, o.Ref.Generation, o.AttemptNumber, o.Server, o.Result,
 		o.RequestFinished, o.Latency, o.Position, o.HasPosition, o.Role, loadText(o.Load))
 }
-func (m scriptRouter) ClientGone(_ time.Duration, r port.RequestRef) {
+func (m scriptRouter) ClientGone(_ time.Duration, r routing.RequestRef) {
 	m.s.line("left %d.%d", r.Slot, r.Generation)
 }
 func (m scriptRouter) ClockCorrected(_, by time.Duration)        { m.s.line("redated by %v", by) }
 func (m scriptRouter) GossipReceived(time.Duration, int, []byte) { m.s.line("heard") }
 func (m scriptRouter) TimerFired(time.Duration)                  { m.s.line("woken") }
-func (m scriptRouter) RequiredPosition(port.RequestRef) (time.Duration, bool) {
+func (m scriptRouter) RequiredPosition(routing.RequestRef) (time.Duration, bool) {
 	return 2500 * time.Microsecond, true
 }
-func (m scriptRouter) HealthCheckFinished(_ time.Duration, server int, e port.AttemptResult, d time.Duration, l port.LoadReport) {
+func (m scriptRouter) HealthCheckFinished(_ time.Duration, server int, e routing.AttemptResult, d time.Duration, l routing.LoadReport) {
 	m.s.line("probed %d ending %d latency %v load %s", server, e, d, loadText(l))
 }
 func (m scriptRouter) Reconcile(time.Duration) {
@@ -152,7 +152,7 @@
 	}
 }
 
-func loadText(l port.LoadReport) string {
+func loadText(l routing.LoadReport) string {
 	return fmt.Sprint(l.InFlight, l.Queued, l.Position, l.HasPosition, l.Role, l.Utilization, l.LatencyMillis, l.RequestRate, l.ErrorRate)
 }
 
@@ -304,8 +304,8 @@
 	s.step(5330*ms, nil)
 	s.request(fmt.Sprintf(scriptRead, 31))
 	s.step(5400*ms, s.submit(1, 0))
-	s.core.Post(EndpointsChanged{Kind: port.Delta, List: discovery.List{Index: 8, Endpoints: []discovery.Endpoint{
-		{Name: "s-2", Address: "10.0.0.2:5432", Zone: "b", ServerType: "large", Group: 9, StartedAtMillis: 998_000, State: port.Draining},
+	s.core.Post(EndpointsChanged{Kind: routing.Delta, List: discovery.List{Index: 8, Endpoints: []discovery.Endpoint{
+		{Name: "s-2", Address: "10.0.0.2:5432", Zone: "b", ServerType: "large", Group: 9, StartedAtMillis: 998_000, State: routing.Draining},
 		{Name: "s-3", Address: "10.0.0.3:5432", Zone: "nowhere", Group: 9}}}})
 	s.step(5410*ms, func() { s.host.Reject(s.refs[len(s.refs)-1], 10*ms) })
 	s.step(5600*ms, func() { s.host.ReleaseServer(1) })
@@ -346,7 +346,7 @@
 	settings := &shape.Settings{CacheBytes: 1 << 20, Rules: []shape.Rule{{Type: "order", Class: shape.Write, Tables: []string{"facts"}},
 		{Type: "browse", Class: shape.Read, Tables: []string{"facts"}}}}
 	classing := settings.NewClassifier()
-	s := newScript(t, &Classifier{Classifier: classing, UndeclaredWriteEffect: port.IdempotencyKey})
+	s := newScript(t, &Classifier{Classifier: classing, UndeclaredWriteEffect: routing.IdempotencyKey})
 	for i, text := range []string{
 		"SELECT data FROM facts /* id=1,d=300,cluster=9 */",
 		"UPDATE facts SET data = 'x' WHERE code = 'k' /* id=2,d=300,cluster=9,k=1 */",
--- a/front/send.go
+++ b/front/send.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"dapplerouter/pgwire"
-	"dapplerouter/port"
+	"dapplerouter/routing"
 	"dapplerouter/site"
 )
 
@@ -15,7 +15,7 @@
 	query pgwire.TimedQuery
 	until time.Duration // when it is given up
 
-	ref    port.RequestRef
+	ref    routing.RequestRef
 	member int
 	hop    int
 	sent   time.Duration
@@ -111,7 +111,7 @@
 		if client, ok := a.Client.(ConnectedClient); ok {
 			s.client = client.Connection()
 		}
-		if ty := &a.terms.types[a.typ]; a.mayRun && ty.Idempotency == port.IdempotencyKey {
+		if ty := &a.terms.types[a.typ]; a.mayRun && ty.Idempotency == routing.IdempotencyKey {
 			s.begin = a.ranSince + ty.DedupWindow
 			if s.begin < until {
 				heap.Push(&c.alarms, alarm{at: s.begin, s: s, unbegun: true})
@@ -140,7 +140,7 @@
 func (c *Core) cancelUnsent(s *Attempt) {
 	if !s.done && s.stage.CompareAndSwap(waiting, dropped) {
 		s.done = true
-		c.ended(s, port.AttemptOutcome{Result: port.NotSent, Load: site.EmptyLoad}, nil)
+		c.ended(s, routing.AttemptOutcome{Result: routing.NotSent, Load: site.EmptyLoad}, nil)
 	}
 }
 
@@ -148,16 +148,16 @@
 func (c *Core) expire(s *Attempt) {
 	if !s.done {
 		s.cancel()
-		c.ended(s, port.AttemptOutcome{Result: port.TimedOut, Load: site.EmptyLoad}, nil)
+		c.ended(s, routing.AttemptOutcome{Result: routing.TimedOut, Load: site.EmptyLoad}, nil)
 	}
 }
 
 // settled is an ending that comes of the module's own wish; it is told in the next batch.
 type settled struct {
 	s      *Attempt
-	ending port.AttemptResult
+	ending routing.AttemptResult
 }
 
 func (e settled) take(c *Core, _ time.Duration) {
-	c.ended(e.s, port.AttemptOutcome{Result: e.ending, Load: site.EmptyLoad}, nil)
+	c.ended(e.s, routing.AttemptOutcome{Result: e.ending, Load: site.EmptyLoad}, nil)
 }
--- a/front/takein.go
+++ b/front/takein.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"dapplerouter/pgwire"
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // Client is where a final answer goes. Answer never blocks.
@@ -51,7 +51,7 @@
 	Statement   pgwire.Statement
 	ReceivedAt  time.Duration
 	MaxAttempts int // attempts, where fewer than the site allows; 0: as the site does
-	ref         port.RequestRef
+	ref         routing.RequestRef
 	expiry      time.Duration
 	out         []*Attempt    // without an ending
 	spent       int           // attempts made and granted to another site
@@ -86,7 +86,7 @@
 	}
 	a.terms = c.terms
 	s := &a.Statement
-	t := port.Request{Customer: port.None, Retry: s.Retry, Write: s.Write}
+	t := routing.Request{Customer: routing.None, Retry: s.Retry, Write: s.Write}
 	var ok bool
 	if s.Normalized != nil {
 		if why := a.class(c, &t); why != "" {
@@ -98,7 +98,7 @@
 		return
 	}
 	ty := &c.types[t.Type]
-	if s.Normalized == nil && s.Write != (ty.Consistency == port.Write) {
+	if s.Normalized == nil && s.Write != (ty.Consistency == routing.Write) {
 		a.refuse(c, "the statement does not fit its request type")
 		return
 	}
@@ -121,7 +121,7 @@
 		return
 	}
 	t.MaxStaleness, t.DedupWindow = a.terms.types[t.Type].MaxStaleness, a.terms.types[t.Type].DedupWindow
-	if (ty.Consistency == port.Write || ty.Consistency == port.ReadYourWrites) && (s.Normalized == nil || len(s.Key) > 0) {
+	if (ty.Consistency == routing.Write || ty.Consistency == routing.ReadYourWrites) && (s.Normalized == nil || len(s.Key) > 0) {
 		t.Session = SessionHash(s.Key)
 	}
 	if s.After > 0 {
--- a/front/terms.go
+++ b/front/terms.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 	"dapplerouter/site"
 )
 
@@ -59,7 +59,7 @@
 // those that it was taken on.
 type terms struct {
 	version uint64
-	types   []port.RequestType
+	types   []routing.RequestType
 	givenUp map[int64]struct{}
 	right   *ConfigLease // to act on it; nil where none is needed
 }
@@ -84,8 +84,8 @@
 func (e AdoptConfig) take(c *Core, now time.Duration) {
 	t := &terms{version: e.Version, types: c.types, givenUp: map[int64]struct{}{}, right: c.newRight()}
 	if r := e.Rules; r != nil {
-		t.types = append([]port.RequestType{}, c.types...)
-		put := func(name string, set func(*port.RequestType)) {
+		t.types = append([]routing.RequestType{}, c.types...)
+		put := func(name string, set func(*routing.RequestType)) {
 			if i, ok := c.typeIDs.Lookup(name); ok {
 				set(&t.types[i])
 				if c.classes != nil && c.classes.undeclared[i] != i { // a write of a reading type, by another index
@@ -94,10 +94,10 @@
 			}
 		}
 		for name, d := range r.MaxStaleness {
-			put(name, func(ty *port.RequestType) { ty.MaxStaleness = min(ty.MaxStaleness, d) })
+			put(name, func(ty *routing.RequestType) { ty.MaxStaleness = min(ty.MaxStaleness, d) })
 		}
 		for name, d := range r.DedupWindows {
-			put(name, func(ty *port.RequestType) { ty.DedupWindow = min(ty.DedupWindow, d) })
+			put(name, func(ty *routing.RequestType) { ty.DedupWindow = min(ty.DedupWindow, d) })
 		}
 		for _, g := range r.RejectedGroups {
 			t.givenUp[g] = struct{}{}
@@ -268,23 +268,23 @@
 
 // endAll gives each request in hand on some terms its final answer, and takes back what is out for it.
 func (c *Core) endAll(now time.Duration, on func(*terms) bool) {
-	c.slab.Each(func(ref port.RequestRef, d *RequestEntry[*Request]) {
+	c.slab.Each(func(ref routing.RequestRef, d *RequestEntry[*Request]) {
 		if d.Finished || !on(d.Value.terms) {
 			return
 		}
 		a := d.Value
 		outs := append([]*Attempt{}, a.out...)
-		endings := make([]port.AttemptResult, len(outs))
+		endings := make([]routing.AttemptResult, len(outs))
 		for i, s := range outs {
 			if !s.done {
-				endings[i] = port.NotSent
+				endings[i] = routing.NotSent
 				if s.cancel() {
-					endings[i], a.mayRun = port.Cancelled, true
+					endings[i], a.mayRun = routing.Cancelled, true
 				}
 			}
 		}
 		f := Response{Status: StatusRejected, RetryAfter: c.comeBack, MayHaveRun: a.mayRun}
-		if a.mayRun && c.types[a.typ].Idempotency != port.Idempotent {
+		if a.mayRun && c.types[a.typ].Idempotency != routing.Idempotent {
 			f = Response{Status: StatusFailed}
 		}
 		c.answer(d, f)
@@ -293,8 +293,8 @@
 			c.slab.Release(ref)
 		}
 		for i, s := range outs {
-			if endings[i] != port.Succeeded { // it was out until now
-				c.ended(s, port.AttemptOutcome{Result: endings[i], Load: site.EmptyLoad}, nil)
+			if endings[i] != routing.Succeeded { // it was out until now
+				c.ended(s, routing.AttemptOutcome{Result: endings[i], Load: site.EmptyLoad}, nil)
 			}
 		}
 	})
--- a/front/terms_test.go
+++ b/front/terms_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 	"dapplerouter/site"
 )
 
@@ -45,7 +45,7 @@
 
 func TestATxnKeepsTheTermsItWasTakenOn(t *testing.T) {
 	c, m, w := newFront(t)
-	c.types[0].Consistency, c.types[0].MaxStaleness = port.BoundedStaleness, 3*time.Second
+	c.types[0].Consistency, c.types[0].MaxStaleness = routing.BoundedStaleness, 3*time.Second
 	c.terms = &terms{types: c.types}
 	arrive(t, c, w, browse)
 	c.batch(10 * ms)
@@ -92,7 +92,7 @@
 	require.Len(t, w.final, 1, "at once")
 	assert.Equal(t, StatusRejected, w.final[0].Status, "a read may be asked again")
 	assert.Equal(t, 1, w.cuts)
-	assert.Equal(t, port.Cancelled, m.ended[0].Result)
+	assert.Equal(t, routing.Cancelled, m.ended[0].Result)
 	assert.True(t, m.ended[0].RequestFinished)
 	assert.Zero(t, c.slab.Len())
 	arrive(t, c, w, browse)
@@ -112,7 +112,7 @@
 func TestAWriteThatMayHaveRunIsRolledBackAndOneThatDidNotIsDeclined(t *testing.T) {
 	for _, begun := range []bool{true, false} {
 		c, m, w, _, _ := righted(t)
-		c.types[1].Idempotency = port.IdempotencyKey
+		c.types[1].Idempotency = routing.IdempotencyKey
 		arrive(t, c, w, "INSERT INTO facts (id) VALUES ('k') /* id=1,c=order,k=9,d=500,cluster=9 */")
 		m.wish = func(m *module) { m.StartAttempt(m.begun[0].Ref, 0, 0) }
 		c.batch(10 * ms)
@@ -122,7 +122,7 @@
 		c.batch(150 * ms)
 		require.Len(t, w.final, 1)
 		assert.Equal(t, map[bool]Status{true: StatusFailed, false: StatusRejected}[begun], w.final[0].Status)
-		assert.Equal(t, map[bool]port.AttemptResult{true: port.Cancelled, false: port.NotSent}[begun], m.ended[0].Result)
+		assert.Equal(t, map[bool]routing.AttemptResult{true: routing.Cancelled, false: routing.NotSent}[begun], m.ended[0].Result)
 		assert.False(t, !begun && w.sent[0].Begin(func() {}), "nothing goes out afterwards")
 	}
 }
@@ -138,7 +138,7 @@
 	c.batch(60 * time.Second)
 	require.Len(t, w.final, 1)
 	assert.Equal(t, StatusRejected, w.final[0].Status)
-	assert.Equal(t, port.NotSent, m.ended[0].Result)
+	assert.Equal(t, routing.NotSent, m.ended[0].Result)
 	assert.False(t, w.sent[0].Begin(func() {}), "not under the new right either")
 	arrive(t, c, w, browse)
 	c.batch(60*time.Second + ms)
--- a/front/timeline.go
+++ b/front/timeline.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // timeline puts Unix times that others tell, in milliseconds, on the core's clock.
@@ -70,8 +70,8 @@
 
 // believes tells whether a position that a member tells may count. A primary's is the present. Another's counts only once the present
 // is known, and never where it lies ahead of it: then a clock was stepped, and it tells nothing of how far that member is behind.
-func (c *Core) believes(role port.Role, position time.Duration) bool {
-	return role == port.Primary || c.confirmed && position <= c.now+timelineSlack
+func (c *Core) believes(role routing.Role, position time.Duration) bool {
+	return role == routing.Primary || c.confirmed && position <= c.now+timelineSlack
 }
 
 // place is where a member is reached, and when it started last.
--- a/front/timeline_test.go
+++ b/front/timeline_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 
 	"dapplerouter/discovery"
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 const zero = 1_000_000 // Unix milliseconds at which timelines of these tests believe to begin
@@ -96,7 +96,7 @@
 	assert.Equal(t, 40*ms, m.ended[1].Position)
 	assert.Equal(t, time.Duration(0), c.age(1_000_055+time.Hour.Milliseconds()))
 	assert.Equal(t, time.Hour+555*ms, c.age(999_500))
-	c.Post(EndpointsChanged{Kind: port.Delta, List: discovery.List{Endpoints: []discovery.Endpoint{{Name: "s-1", Address: "x", Zone: "a", Group: 9, StartedAtMillis: 1_000_000 + time.Hour.Milliseconds()}}}})
+	c.Post(EndpointsChanged{Kind: routing.Delta, List: discovery.List{Endpoints: []discovery.Endpoint{{Name: "s-1", Address: "x", Zone: "a", Group: 9, StartedAtMillis: 1_000_000 + time.Hour.Milliseconds()}}}})
 	c.batch(60 * ms)
 	assert.Equal(t, -5*ms, m.listed[len(m.listed)-1].StartedAt)
 }
--- a/gateway/link/crossings.go
+++ b/gateway/link/crossings.go
@@ -7,7 +7,7 @@
 	"dapplerouter/front"
 	"dapplerouter/gateway"
 	"dapplerouter/pgwire"
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // What crosses a link, from here and from the peer.
@@ -97,7 +97,7 @@
 		l.told = state
 		l.mu.Unlock()
 		if turned {
-			l.o.Post(front.EndpointsChanged{Kind: port.Delta, List: discovery.List{Endpoints: RemoteEntries(l.o.PeerSite, l.o.Groups, state)}})
+			l.o.Post(front.EndpointsChanged{Kind: routing.Delta, List: discovery.List{Endpoints: RemoteEntries(l.o.PeerSite, l.o.Groups, state)}})
 		}
 		for _, e := range all {
 			l.o.Post(e)
--- a/gateway/link/links.go
+++ b/gateway/link/links.go
@@ -8,7 +8,7 @@
 	"dapplerouter/discovery"
 	"dapplerouter/front"
 	"dapplerouter/gateway"
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // Dispatcher sends what goes to members of this site over their own links, and what goes to the other site over the Link.
@@ -48,9 +48,9 @@
 // RemoteEntries are those that stand for a far site: one for each of its groups, in a zone of its name, their primary; away
 // while the link is not up.
 func RemoteEntries(site string, groups []int64, link gateway.State) (entries []discovery.Endpoint) {
-	state := port.Partitioned
+	state := routing.Partitioned
 	if link == gateway.Up {
-		state = port.Serving
+		state = routing.Serving
 	}
 	for _, g := range groups {
 		name := site + "/" + strconv.FormatInt(g, 10)
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -14,8 +14,8 @@
 	"dapplerouter/front"
 	"dapplerouter/lab/sim"
 	"dapplerouter/pgwire"
-	"dapplerouter/port"
 	"dapplerouter/router"
+	"dapplerouter/routing"
 	"dapplerouter/site"
 )
 
@@ -161,13 +161,13 @@
 func (t *Town) site(i int) *site.Settings {
 	o := t.O
 	s := &site.Settings{TypeNames: []string{Browse, Book}, ZoneNames: zones,
-		RequestTypes: []port.RequestType{
-			{LatencyObjective: o.TargetLatency, Deadline: o.Deadline, PriorityWeight: 1, Idempotency: port.Idempotent, DedupScope: port.ScopeAll, Consistency: port.Eventual},
-			{LatencyObjective: o.TargetLatency, Deadline: o.Deadline, PriorityWeight: 5, Idempotency: port.IdempotencyKey, DedupScope: port.ScopeGroup, DedupWindow: 2 * time.Second, Consistency: port.Write}},
-		Topology:    port.Topology{Zone: i % 3, ZoneCount: 3, FleetSize: len(t.Hosts), Ordinal: i, PullEndpoints: o.Ask, RoleListing: port.RolesDelayed, TickInterval: 5 * time.Millisecond},
-		Replication: port.Replication{StalenessCheck: port.RejectIfStale, PositionInResponses: true},
-		Guardrails:  port.Guardrails{AnswerSlack: 20 * time.Millisecond, DrainGrace: 2 * time.Second, InitialCapacity: 1, OverloadMultiple: 1, MaxPollInterval: 2 * time.Second, SlowStartDuration: time.Second, OverloadWindow: 2 * time.Second},
-		Limits:      port.Limits{MaxAttempts: 10, HealthChecks: true, Cancellation: true, MaxRetryAfter: time.Second, DialTimeout: 500 * time.Millisecond, IdleConnTimeout: 30 * time.Second}}
+		RequestTypes: []routing.RequestType{
+			{LatencyObjective: o.TargetLatency, Deadline: o.Deadline, PriorityWeight: 1, Idempotency: routing.Idempotent, DedupScope: routing.ScopeAll, Consistency: routing.Eventual},
+			{LatencyObjective: o.TargetLatency, Deadline: o.Deadline, PriorityWeight: 5, Idempotency: routing.IdempotencyKey, DedupScope: routing.ScopeGroup, DedupWindow: 2 * time.Second, Consistency: routing.Write}},
+		Topology:    routing.Topology{Zone: i % 3, ZoneCount: 3, FleetSize: len(t.Hosts), Ordinal: i, PullEndpoints: o.Ask, RoleListing: routing.RolesDelayed, TickInterval: 5 * time.Millisecond},
+		Replication: routing.Replication{StalenessCheck: routing.RejectIfStale, PositionInResponses: true},
+		Guardrails:  routing.Guardrails{AnswerSlack: 20 * time.Millisecond, DrainGrace: 2 * time.Second, InitialCapacity: 1, OverloadMultiple: 1, MaxPollInterval: 2 * time.Second, SlowStartDuration: time.Second, OverloadWindow: 2 * time.Second},
+		Limits:      routing.Limits{MaxAttempts: 10, HealthChecks: true, Cancellation: true, MaxRetryAfter: time.Second, DialTimeout: 500 * time.Millisecond, IdleConnTimeout: 30 * time.Second}}
 	return s
 }
 
@@ -210,7 +210,7 @@
 	if t.O.Right > 0 && f.host.Node != nil {
 		f.participate(s)
 	}
-	f.seen(front.EndpointsChanged{Kind: port.CachedSnapshot, List: t.whole()})
+	f.seen(front.EndpointsChanged{Kind: routing.CachedSnapshot, List: t.whole()})
 	if !t.O.Ask {
 		f.dir.follows = true
 		f.dir.open()
@@ -315,7 +315,7 @@
 	}
 	d.opened = true
 	d.f.t.Lists.Open++
-	d.call(func(l discovery.List) { d.f.seen(front.EndpointsChanged{Kind: port.Snapshot, List: l}) })
+	d.call(func(l discovery.List) { d.f.seen(front.EndpointsChanged{Kind: routing.Snapshot, List: l}) })
 }
 
 func (d *directory) shut() {
@@ -330,7 +330,7 @@
 	t := d.f.t
 	t.Lists.Calls++
 	if t.Lists.Away {
-		d.f.host.After(t.way(), func(time.Duration) { d.f.seen(front.EndpointsChanged{Kind: port.UpdateFailed}) })
+		d.f.host.After(t.way(), func(time.Duration) { d.f.seen(front.EndpointsChanged{Kind: routing.UpdateFailed}) })
 		return
 	}
 	d.f.host.After(2*t.way(), func(time.Duration) { then(t.whole()) })
@@ -340,7 +340,7 @@
 	d.watches = on
 	switch {
 	case on && d.leaning:
-		d.f.host.After(0, func(time.Duration) { d.f.seen(front.EndpointsChanged{Kind: port.Snapshot, List: d.f.list.List()}) })
+		d.f.host.After(0, func(time.Duration) { d.f.seen(front.EndpointsChanged{Kind: routing.Snapshot, List: d.f.list.List()}) })
 	case on:
 		d.open()
 	case !d.follows:
@@ -350,10 +350,10 @@
 
 func (d *directory) Fetch() {
 	if d.leaning {
-		d.f.host.After(0, func(time.Duration) { d.f.seen(front.EndpointsChanged{Kind: port.Snapshot, List: d.f.list.List()}) })
+		d.f.host.After(0, func(time.Duration) { d.f.seen(front.EndpointsChanged{Kind: routing.Snapshot, List: d.f.list.List()}) })
 		return
 	}
-	d.call(func(l discovery.List) { d.f.seen(front.EndpointsChanged{Kind: port.Snapshot, List: l}) })
+	d.call(func(l discovery.List) { d.f.seen(front.EndpointsChanged{Kind: routing.Snapshot, List: l}) })
 }
 
 // followAll is the duty's work: a watch for all, and the service's beat handed on.
@@ -388,14 +388,14 @@
 	if d.leaning {
 		_, changed := fleet.DecodeEndpointUpdate(data)
 		if changed {
-			d.f.seen(front.EndpointsChanged{Kind: port.Snapshot, List: d.f.list.List()})
+			d.f.seen(front.EndpointsChanged{Kind: routing.Snapshot, List: d.f.list.List()})
 		}
 		return
 	}
 	d.leaning = true
 	d.shut()
 	if d.follows || d.watches {
-		d.f.seen(front.EndpointsChanged{Kind: port.Snapshot, List: d.f.list.List()})
+		d.f.seen(front.EndpointsChanged{Kind: routing.Snapshot, List: d.f.list.List()})
 	}
 }
 
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -10,8 +10,8 @@
 	"dapplerouter/discovery"
 	"dapplerouter/fleet/agent"
 	"dapplerouter/front"
-	"dapplerouter/port"
 	"dapplerouter/router"
+	"dapplerouter/routing"
 	"dapplerouter/site"
 	"dapplerouter/sockets"
 )
@@ -74,7 +74,7 @@
 	h.agent.Prober.Pools, h.agent.Prober.Post = links, post
 	core = front.NewCore(clock.StartedAt, told.Seed, told.Settings, router.New, h.agent.Prober, directory, nil)
 	core.JoinFleet(h.agent.CoreHooks())
-	seen(front.EndpointsChanged{Kind: port.CachedSnapshot, List: told.CachedList})
+	seen(front.EndpointsChanged{Kind: routing.CachedSnapshot, List: told.CachedList})
 	go core.Run(clock, ctx.Done())
 	if err := h.agent.Start(); err != nil {
 		return err
@@ -87,7 +87,7 @@
 func (h *hollow) noted(e front.Event) front.Event {
 	switch e := e.(type) {
 	case front.EndpointsChanged:
-		if e.Kind == port.Snapshot || e.Kind == port.Delta {
+		if e.Kind == routing.Snapshot || e.Kind == routing.Delta {
 			h.mu.Lock()
 			if _, ok := h.lists[e.List.Index]; !ok {
 				h.lists[e.List.Index] = time.Now().UnixMicro()
--- a/router/admission.go
+++ b/router/admission.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // What goes out first, and what is turned away? Inputs: what each request is worth for its work, the load of its member, how its time
@@ -20,7 +20,7 @@
 	budgetsSeen   []int // of each type
 }
 
-func newAdmission(types []port.RequestType, at port.Topology, allowed port.Limits) admission {
+func newAdmission(types []routing.RequestType, at routing.Topology, allowed routing.Limits) admission {
 	return admission{retryAfter: allowed.MaxRetryAfter / 2, retriesMarked: at.RetriesMarked,
 		usualBudgets: make([]time.Duration, len(types)), budgetsSeen: make([]int, len(types))}
 }
@@ -64,7 +64,7 @@
 // budgetDeviation is how far a budget is from that of most. Clients leave a first try after a fixed part of it,
 // a later one with what is left: so it tells a retry where clients don't mark them, and how long that waited
 // which came while this front stood still. A few tries have to be seen first.
-func (r *Router) budgetDeviation(in *port.Request) time.Duration {
+func (r *Router) budgetDeviation(in *routing.Request) time.Duration {
 	most, seen := &r.usualBudgets[in.Type], &r.budgetsSeen[in.Type]
 	off := in.Timeout - *most
 	*seen++
--- a/router/endpoints.go
+++ b/router/endpoints.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // Who is there, and who drains? Inputs: the endpoint list. Invariant: a drain binds as soon as the list speaks, its grace is for what is
@@ -24,10 +24,10 @@
 	subscribing bool
 	subscribeAt time.Duration
 	askWithin   time.Duration
-	roles       port.RoleListing
+	roles       routing.RoleListing
 }
 
-func newEndpointList(at port.Topology, rules port.Guardrails) endpointList {
+func newEndpointList(at routing.Topology, rules routing.Guardrails) endpointList {
 	return endpointList{asks: at.PullEndpoints, subscribing: at.PullEndpoints, askWithin: rules.MaxPollInterval, roles: at.RoleListing}
 }
 
@@ -40,13 +40,13 @@
 
 // EndpointsChanged takes what the list says; facts from answers beat it. After a failure, which may mean that the
 // subscription broke, it is asked for anew, spread out.
-func (r *Router) EndpointsChanged(now time.Duration, kind port.UpdateKind, _ int64, entries []port.Endpoint) {
-	if kind == port.UpdateFailed {
+func (r *Router) EndpointsChanged(now time.Duration, kind routing.UpdateKind, _ int64, entries []routing.Endpoint) {
+	if kind == routing.UpdateFailed {
 		r.subscribing = r.asks
 		r.subscribeAt = now + time.Duration(float64(r.askWithin)*(1+4*r.draw())/50)
 		return
 	}
-	if kind != port.Delta {
+	if kind != routing.Delta {
 		for i := range r.members {
 			r.members[i].listed, r.members[i].listedAt = false, now
 		}
@@ -65,7 +65,7 @@
 }
 
 // listEntry takes one entry.
-func (r *Router) listEntry(now time.Duration, e *port.Endpoint) {
+func (r *Router) listEntry(now time.Duration, e *routing.Endpoint) {
 	for len(r.members) <= e.Server {
 		r.members = append(r.members, unknownMember)
 	}
@@ -75,9 +75,9 @@
 		m.group = e.Group
 		g.members = append(g.members, e.Server)
 	}
-	m.listed, m.listedAt, m.zone = e.State != port.Removed, now, e.Zone
-	m.draining = e.State != port.Serving
-	if away := e.State == port.Partitioned; away != m.away {
+	m.listed, m.listedAt, m.zone = e.State != routing.Removed, now, e.Zone
+	m.draining = e.State != routing.Serving
+	if away := e.State == routing.Partitioned; away != m.away {
 		m.away, g.away = away, away
 		if !away && g.restore(e.Server) {
 			m.recovered()
@@ -87,7 +87,7 @@
 		r.startsTold = true
 		r.listStart(now, m, e.StartedAt)
 	}
-	if e.Primary && r.roles != port.RolesNotListed && !m.draining {
+	if e.Primary && r.roles != routing.RolesNotListed && !m.draining {
 		g.listed(e.Server)
 	}
 }
--- a/router/freshness.go
+++ b/router/freshness.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // How far has a member applied the log? Inputs: positions in answers and reports. Invariant: a position once known stays valid
@@ -11,7 +11,7 @@
 
 // position is a member's, in the log.
 type position struct {
-	role  port.Role
+	role  routing.Role
 	pos   time.Duration // highest log position known; it stays valid
 	lag   time.Duration // how far it was behind
 	lagAt time.Duration // never: no position is known
@@ -21,7 +21,7 @@
 
 // estimate is the position as far behind as it was recently, less as that grows old.
 func (r *Router) estimate(m *member, now time.Duration) time.Duration {
-	if m.role == port.Primary {
+	if m.role == routing.Primary {
 		return now
 	}
 	f := r.fade(now - m.lagAt)
@@ -44,12 +44,12 @@
 }
 
 // observePosition takes the position of an outcome, or of the report that rode on it.
-func (r *Router) observePosition(now time.Duration, m *member, o *port.AttemptOutcome) {
+func (r *Router) observePosition(now time.Duration, m *member, o *routing.AttemptOutcome) {
 	switch l := &o.Load; {
 	case o.HasPosition:
 		m.observe(now, o.Position, 0)
 	case r.positionsByReport && l.HasPosition: // a primary's position is the present: its report tells how old they are
-		if l.Role == port.Primary && m.role == port.Primary {
+		if l.Role == routing.Primary && m.role == routing.Primary {
 			r.reportAge += (now - l.Position - r.reportAge) / 4
 		}
 		m.observe(now, l.Position, r.reportAge)
--- a/router/health.go
+++ b/router/health.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // Does a member work? Inputs: the endings of attempts, and silence. Invariant: what fails everywhere alike, or while others are
@@ -80,7 +80,7 @@
 
 // looksLost tells of an attempt that may be sent elsewhere: its member is silent, or loses some and has answered later ones.
 func (r *Router) looksLost(now time.Duration, t *request) bool {
-	if t.end != open || t.at == none || r.types[t.Type].Idempotency == port.NonIdempotent {
+	if t.end != open || t.at == none || r.types[t.Type].Idempotency == routing.NonIdempotent {
 		return false
 	}
 	m := &r.members[t.at]
@@ -89,32 +89,32 @@
 }
 
 // observeOutcome draws on an ending for the member's limit and health; ty is none for one that no longer counts for its request.
-func (r *Router) observeOutcome(now time.Duration, o port.AttemptOutcome, ty int) {
+func (r *Router) observeOutcome(now time.Duration, o routing.AttemptOutcome, ty int) {
 	m := &r.members[o.Server]
 	switch o.Result {
-	case port.Succeeded, port.Misrouted:
+	case routing.Succeeded, routing.Misrouted:
 		r.observeAnswer(now, m, &o, ty)
-	case port.ServerError: // quick, but no reason to send more
+	case routing.ServerError: // quick, but no reason to send more
 		r.observeError(now, m)
-	case port.Overloaded:
+	case routing.Overloaded:
 		m.answeredAt = now
 		m.failures++
 		r.reduceLimit(m, failureReduction)
 		r.observeLoad(now, m, jamLoad)
-	case port.Unreachable, port.ConnectionLost:
+	case routing.Unreachable, routing.ConnectionLost:
 		r.observeConnectionFailure(now, m, &o)
-	case port.TimedOut:
+	case routing.TimedOut:
 		r.observeTimeout(now, m, &o)
 	}
 }
 
-func (r *Router) observeAnswer(now time.Duration, m *member, o *port.AttemptOutcome, ty int) {
+func (r *Router) observeAnswer(now time.Duration, m *member, o *routing.AttemptOutcome, ty int) {
 	m.answeredAt = now
 	if m.ejected && m.unreachableAt > m.started { // what could not be reached may have started meanwhile
 		r.beginSlowStart(now, m, now)
 	}
 	m.recovered()
-	if o.Result == port.Misrouted || ty == none || r.stalled(now) {
+	if o.Result == routing.Misrouted || ty == none || r.stalled(now) {
 		return
 	}
 	by := r.loadOf(ty, o.Latency)
@@ -138,7 +138,7 @@
 	}
 }
 
-func (r *Router) observeConnectionFailure(now time.Duration, m *member, o *port.AttemptOutcome) {
+func (r *Router) observeConnectionFailure(now time.Duration, m *member, o *routing.AttemptOutcome) {
 	m.dialAt = now + time.Duration(r.draw()*float64(2*r.tick))
 	if m.answeredAt > now-max(o.Latency, r.shortest) { // it answers: the connection failed, or it takes no more of them
 		r.observeFaults(m, 0, 1)
@@ -154,7 +154,7 @@
 	}
 }
 
-func (r *Router) observeTimeout(now time.Duration, m *member, o *port.AttemptOutcome) {
+func (r *Router) observeTimeout(now time.Duration, m *member, o *routing.AttemptOutcome) {
 	if r.stalled(now) {
 		return
 	}
--- a/router/host_test.go
+++ b/router/host_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 const ms = time.Millisecond
@@ -22,31 +22,31 @@
 
 // site is what a story may vary before it begins.
 type site struct {
-	at      port.Topology
-	types   []port.RequestType
-	copies  port.Replication
-	rules   port.Guardrails
-	allowed port.Limits
+	at      routing.Topology
+	types   []routing.RequestType
+	copies  routing.Replication
+	rules   routing.Guardrails
+	allowed routing.Limits
 }
 
 func littleSite() site {
-	read := port.RequestType{LatencyObjective: 200 * ms, Deadline: 800 * ms, PriorityWeight: 1, Idempotency: port.Idempotent}
+	read := routing.RequestType{LatencyObjective: 200 * ms, Deadline: 800 * ms, PriorityWeight: 1, Idempotency: routing.Idempotent}
 	s := site{
-		at:     port.Topology{ZoneCount: 2, FleetSize: 1, TickInterval: 5 * ms, RoleListing: port.RolesDelayed},
-		copies: port.Replication{StalenessCheck: port.WaitUntilFresh, FreshnessWait: 50 * ms, PositionInResponses: true},
-		rules: port.Guardrails{AnswerSlack: 20 * ms, DrainGrace: time.Second, MaxPollInterval: 10 * time.Second,
+		at:     routing.Topology{ZoneCount: 2, FleetSize: 1, TickInterval: 5 * ms, RoleListing: routing.RolesDelayed},
+		copies: routing.Replication{StalenessCheck: routing.WaitUntilFresh, FreshnessWait: 50 * ms, PositionInResponses: true},
+		rules: routing.Guardrails{AnswerSlack: 20 * ms, DrainGrace: time.Second, MaxPollInterval: 10 * time.Second,
 			InitialCapacity: 0.2, OverloadMultiple: 2.5, SlowStartDuration: 10 * time.Second, OverloadWindow: 2 * time.Second},
-		allowed: port.Limits{MaxAttempts: 6, HealthChecks: true, Cancellation: true,
+		allowed: routing.Limits{MaxAttempts: 6, HealthChecks: true, Cancellation: true,
 			MaxRetryAfter: 400 * ms},
 	}
-	for _, level := range []port.Consistency{port.Eventual, port.BoundedStaleness, port.ReadYourWrites, port.Strong} {
+	for _, level := range []routing.Consistency{routing.Eventual, routing.BoundedStaleness, routing.ReadYourWrites, routing.Strong} {
 		read.Consistency, read.MaxStaleness = level, 300*ms
 		s.types = append(s.types, read)
 	}
-	w := port.RequestType{LatencyObjective: 600 * ms, Deadline: 2 * time.Second, PriorityWeight: 6, LateFraction: 0.3, Consistency: port.Write,
-		Idempotency: port.IdempotencyKey, DedupScope: port.ScopeGroup, DedupWindow: 2 * time.Second}
+	w := routing.RequestType{LatencyObjective: 600 * ms, Deadline: 2 * time.Second, PriorityWeight: 6, LateFraction: 0.3, Consistency: routing.Write,
+		Idempotency: routing.IdempotencyKey, DedupScope: routing.ScopeGroup, DedupWindow: 2 * time.Second}
 	once := w
-	once.Idempotency = port.NonIdempotent
+	once.Idempotency = routing.NonIdempotent
 	s.types = append(s.types, w, once)
 	return s
 }
@@ -57,27 +57,27 @@
 	now   time.Duration
 	asked []string
 	turns uint32
-	subs  map[port.RequestRef]int
-	where map[port.RequestRef]int
+	subs  map[routing.RequestRef]int
+	where map[routing.RequestRef]int
 }
 
 func tell(_ *testing.T, s site) *story {
-	y := &story{subs: map[port.RequestRef]int{}, where: map[port.RequestRef]int{}}
-	y.Router = New(y, 7, s.at, s.types, nil, s.copies, s.rules, s.allowed, port.CostWeights{}).(*Router)
+	y := &story{subs: map[routing.RequestRef]int{}, where: map[routing.RequestRef]int{}}
+	y.Router = New(y, 7, s.at, s.types, nil, s.copies, s.rules, s.allowed, routing.CostWeights{}).(*Router)
 	return y
 }
 
 // group lists members 0..n-1 of group 0, member 0 as primary; odd ones stand in the other zone.
 func (y *story) group(n int) *story {
-	var list []port.Endpoint
+	var list []routing.Endpoint
 	for i := range n {
-		list = append(list, port.Endpoint{Server: i, Zone: i % 2, Primary: i == 0})
+		list = append(list, routing.Endpoint{Server: i, Zone: i % 2, Primary: i == 0})
 	}
-	y.list(port.CachedSnapshot, list...)
+	y.list(routing.CachedSnapshot, list...)
 	return y
 }
 
-func (y *story) list(kind port.UpdateKind, entries ...port.Endpoint) {
+func (y *story) list(kind routing.UpdateKind, entries ...routing.Endpoint) {
 	y.EndpointsChanged(y.now, kind, 1, entries)
 	y.settle()
 }
@@ -93,9 +93,9 @@
 	}
 }
 
-func (y *story) begin(ty int, change ...func(*port.Request)) port.RequestRef {
+func (y *story) begin(ty int, change ...func(*routing.Request)) routing.RequestRef {
 	y.turns++
-	t := port.Request{Ref: port.RequestRef{Slot: y.turns, Generation: y.turns}, Type: ty, Customer: port.None, Session: 9,
+	t := routing.Request{Ref: routing.RequestRef{Slot: y.turns, Generation: y.turns}, Type: ty, Customer: routing.None, Session: 9,
 		Timeout: y.types[ty].Deadline, MaxStaleness: y.types[ty].MaxStaleness, DedupWindow: y.types[ty].DedupWindow}
 	for _, c := range change {
 		c(&t)
@@ -106,26 +106,26 @@
 }
 
 // ends gives the last attempt of a request an ending; pos 0 leaves the position out.
-func (y *story) ends(r port.RequestRef, e port.AttemptResult, role port.Role, pos time.Duration) {
-	y.AttemptFinished(y.now, port.AttemptOutcome{Ref: r, AttemptNumber: y.subs[r] - 1, Server: y.where[r], Result: e, Role: role,
-		RequestFinished: e == port.Succeeded, Latency: 30 * ms, Position: pos, HasPosition: pos != 0})
+func (y *story) ends(r routing.RequestRef, e routing.AttemptResult, role routing.Role, pos time.Duration) {
+	y.AttemptFinished(y.now, routing.AttemptOutcome{Ref: r, AttemptNumber: y.subs[r] - 1, Server: y.where[r], Result: e, Role: role,
+		RequestFinished: e == routing.Succeeded, Latency: 30 * ms, Position: pos, HasPosition: pos != 0})
 	y.settle()
 }
 
 // dies ends an attempt by a failure, and the next one of its request at the same member by being refused.
-func (y *story) dies(r port.RequestRef, e port.AttemptResult) {
+func (y *story) dies(r routing.RequestRef, e routing.AttemptResult) {
 	member := y.where[r]
 	n := y.subs[r]
-	y.ends(r, e, port.UnknownRole, 0)
+	y.ends(r, e, routing.UnknownRole, 0)
 	y.pass(2 * y.tick) // a new link is not tried at once
 	if y.subs[r] > n && y.where[r] == member {
-		y.ends(r, port.Unreachable, port.UnknownRole, 0)
+		y.ends(r, routing.Unreachable, routing.UnknownRole, 0)
 	}
 }
 
 // knows tells the instance what a member says of itself, as a probe would.
-func (y *story) knows(i int, role port.Role, pos time.Duration) {
-	y.HealthCheckFinished(y.now, i, port.Succeeded, ms, port.LoadReport{InFlight: 0, Role: role, Position: pos, HasPosition: true})
+func (y *story) knows(i int, role routing.Role, pos time.Duration) {
+	y.HealthCheckFinished(y.now, i, routing.Succeeded, ms, routing.LoadReport{InFlight: 0, Role: role, Position: pos, HasPosition: true})
 	y.settle()
 }
 
@@ -152,16 +152,16 @@
 	y.asked = append(y.asked, fmt.Sprintf(format, args...))
 }
 
-func (y *story) StartAttempt(r port.RequestRef, m int, _ time.Duration) {
+func (y *story) StartAttempt(r routing.RequestRef, m int, _ time.Duration) {
 	y.subs[r]++
 	y.where[r] = m
 	y.ask("submit %d to %d", r.Slot, m)
 }
-func (y *story) CancelAttempt(r port.RequestRef, hop int) { y.ask("revoke %d.%d", r.Slot, hop) }
-func (y *story) Reject(r port.RequestRef, back time.Duration) {
+func (y *story) CancelAttempt(r routing.RequestRef, hop int) { y.ask("revoke %d.%d", r.Slot, hop) }
+func (y *story) Reject(r routing.RequestRef, back time.Duration) {
 	y.ask("decline %d, back in %v", r.Slot, back)
 }
-func (y *story) Fail(r port.RequestRef)        { y.ask("roll back %d", r.Slot) }
+func (y *story) Fail(r routing.RequestRef)     { y.ask("roll back %d", r.Slot) }
 func (y *story) StartHealthCheck(m int)        { y.ask("probe %d", m) }
 func (y *story) ReleaseServer(m int)           { y.ask("forget %d", m) }
 func (y *story) WatchEndpoints(on bool)        { y.ask("watch %v", on) }
--- a/router/identity_test.go
+++ b/router/identity_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"dapplerouter/port"
 	"dapplerouter/router"
+	"dapplerouter/routing"
 )
 
 var updateActions = flag.Bool("update-actions", false, "write testdata/actions.txt anew: decisions were changed on purpose")
@@ -49,11 +49,11 @@
 
 // day is the host of one instance, and the servers and clients around it.
 type day struct {
-	router  port.Router
+	router  routing.Router
 	random  *rand.Rand
 	now     time.Duration
 	wakeAt  time.Duration
-	types   []port.RequestType
+	types   []routing.RequestType
 	members []server
 	places  []place
 	out     []attempt
@@ -66,7 +66,7 @@
 type server struct {
 	group   int
 	primary bool
-	state   port.ServerState
+	state   routing.ServerState
 	faulty  bool // fails and drops half of what comes
 	lag     time.Duration
 }
@@ -85,12 +85,12 @@
 
 // attempt is an attempt on its way.
 type attempt struct {
-	ref    port.RequestRef
+	ref    routing.RequestRef
 	hop    int
 	member int
 	sent   time.Duration
 	due    time.Duration
-	ending port.AttemptResult
+	ending routing.AttemptResult
 }
 
 type probe struct {
@@ -109,19 +109,19 @@
 func playDay(seed uint64) *day {
 	random := rand.New(rand.NewPCG(seed, 1))
 	d := &day{random: random, places: make([]place, daysPlaces), counts: map[string]int{}, types: dayTypes()}
-	at := port.Topology{ZoneCount: 2, Zone: int(seed % 2), FleetSize: 1 + random.IntN(20), TickInterval: 5 * time.Millisecond, PullEndpoints: d.chance(0.3),
-		RetriesMarked: d.chance(0.5), RoleListing: port.RoleListing(random.IntN(3))}
-	copies := port.Replication{StalenessCheck: port.StalenessCheck(seed % 3), FreshnessWait: 50 * time.Millisecond, ClientCarriesToken: d.chance(0.3), PositionInResponses: d.chance(0.7)}
+	at := routing.Topology{ZoneCount: 2, Zone: int(seed % 2), FleetSize: 1 + random.IntN(20), TickInterval: 5 * time.Millisecond, PullEndpoints: d.chance(0.3),
+		RetriesMarked: d.chance(0.5), RoleListing: routing.RoleListing(random.IntN(3))}
+	copies := routing.Replication{StalenessCheck: routing.StalenessCheck(seed % 3), FreshnessWait: 50 * time.Millisecond, ClientCarriesToken: d.chance(0.3), PositionInResponses: d.chance(0.7)}
 	copies.LoadInResponses = !copies.PositionInResponses
-	rules := port.Guardrails{AnswerSlack: 20 * time.Millisecond, DrainGrace: time.Second, MaxPollInterval: 10 * time.Second,
+	rules := routing.Guardrails{AnswerSlack: 20 * time.Millisecond, DrainGrace: time.Second, MaxPollInterval: 10 * time.Second,
 		InitialCapacity: 0.2, OverloadMultiple: 2.5, SlowStartDuration: 4 * time.Second, OverloadWindow: time.Second}
-	allowed := port.Limits{MaxAttempts: 2 + random.IntN(6), HealthChecks: d.chance(0.7), Cancellation: d.chance(0.7), MaxRetryAfter: 400 * time.Millisecond,
+	allowed := routing.Limits{MaxAttempts: 2 + random.IntN(6), HealthChecks: d.chance(0.7), Cancellation: d.chance(0.7), MaxRetryAfter: 400 * time.Millisecond,
 		IdleConnTimeout: time.Second}
-	d.router = router.New(d, seed, at, d.types, nil, copies, rules, allowed, port.CostWeights{})
+	d.router = router.New(d, seed, at, d.types, nil, copies, rules, allowed, routing.CostWeights{})
 	for i := range daysGroups * daysGroupSize {
 		d.members = append(d.members, server{group: i / daysGroupSize, primary: i%daysGroupSize == 0, lag: time.Duration(random.IntN(200)) * time.Millisecond})
 	}
-	d.list(port.CachedSnapshot)
+	d.list(routing.CachedSnapshot)
 	for range recordedSteps {
 		d.step()
 	}
@@ -129,14 +129,14 @@
 }
 
 // dayTypes has a type of each level, and writes of each effect.
-func dayTypes() (all []port.RequestType) {
-	for _, level := range []port.Consistency{port.Eventual, port.BoundedStaleness, port.ReadYourWrites, port.Strong} {
-		all = append(all, port.RequestType{LatencyObjective: 200 * time.Millisecond, Deadline: 800 * time.Millisecond, PriorityWeight: 1, Consistency: level, MaxStaleness: 300 * time.Millisecond,
+func dayTypes() (all []routing.RequestType) {
+	for _, level := range []routing.Consistency{routing.Eventual, routing.BoundedStaleness, routing.ReadYourWrites, routing.Strong} {
+		all = append(all, routing.RequestType{LatencyObjective: 200 * time.Millisecond, Deadline: 800 * time.Millisecond, PriorityWeight: 1, Consistency: level, MaxStaleness: 300 * time.Millisecond,
 			LateFraction: float64(level%2) / 2})
 	}
-	for _, effect := range []port.Idempotency{port.Idempotent, port.IdempotencyKey, port.NonIdempotent} {
-		all = append(all, port.RequestType{LatencyObjective: 600 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 6, LateFraction: 0.3, Consistency: port.Write, Idempotency: effect,
-			DedupScope: port.DedupScope(effect % 3), DedupWindow: 2 * time.Second})
+	for _, effect := range []routing.Idempotency{routing.Idempotent, routing.IdempotencyKey, routing.NonIdempotent} {
+		all = append(all, routing.RequestType{LatencyObjective: 600 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 6, LateFraction: 0.3, Consistency: routing.Write, Idempotency: effect,
+			DedupScope: routing.DedupScope(effect % 3), DedupWindow: 2 * time.Second})
 	}
 	return all
 }
@@ -172,10 +172,10 @@
 		}
 		p := &d.places[a.ref.Slot]
 		p.out--
-		p.ended = p.ended || a.ending == port.Succeeded
+		p.ended = p.ended || a.ending == routing.Succeeded
 		m := &d.members[a.member]
-		o := port.AttemptOutcome{Ref: a.ref, AttemptNumber: a.hop, Server: a.member, Result: a.ending, RequestFinished: p.ended, Latency: d.now - a.sent, Load: d.report(m)}
-		if answered := a.ending == port.Succeeded || a.ending == port.Misrouted; answered && d.chance(0.8) {
+		o := routing.AttemptOutcome{Ref: a.ref, AttemptNumber: a.hop, Server: a.member, Result: a.ending, RequestFinished: p.ended, Latency: d.now - a.sent, Load: d.report(m)}
+		if answered := a.ending == routing.Succeeded || a.ending == routing.Misrouted; answered && d.chance(0.8) {
 			o.Role, o.Position, o.HasPosition = o.Load.Role, o.Load.Position, true
 		}
 		d.router.AttemptFinished(d.now, o)
@@ -189,20 +189,20 @@
 			continue
 		}
 		m := &d.members[q.member]
-		ending := port.Succeeded
+		ending := routing.Succeeded
 		if m.faulty && d.chance(0.5) {
-			ending = port.Unreachable
+			ending = routing.Unreachable
 		}
 		d.router.HealthCheckFinished(d.now, q.member, ending, d.now-q.sent, d.report(m))
 	}
 }
 
 // report is what a server tells of itself.
-func (d *day) report(m *server) port.LoadReport {
+func (d *day) report(m *server) routing.LoadReport {
 	if m.primary {
-		return port.LoadReport{InFlight: float64(d.random.IntN(3)), Role: port.Primary, Position: d.now, HasPosition: true}
+		return routing.LoadReport{InFlight: float64(d.random.IntN(3)), Role: routing.Primary, Position: d.now, HasPosition: true}
 	}
-	return port.LoadReport{InFlight: float64(d.random.IntN(3)), Role: port.Replica, Position: d.now - m.lag, HasPosition: true}
+	return routing.LoadReport{InFlight: float64(d.random.IntN(3)), Role: routing.Replica, Position: d.now - m.lag, HasPosition: true}
 }
 
 // departures tells of clients that leave, and of answers that are overdue.
@@ -211,7 +211,7 @@
 		p := &d.places[i]
 		if p.taken && !p.ended && (d.now > p.begun+p.budget || d.chance(0.0005)) {
 			p.ended = true
-			d.router.ClientGone(d.now, port.RequestRef{Slot: uint32(i), Generation: p.turn})
+			d.router.ClientGone(d.now, routing.RequestRef{Slot: uint32(i), Generation: p.turn})
 			d.free(p)
 		}
 	}
@@ -228,10 +228,10 @@
 	if d.chance(0.1) {
 		budget /= 2
 	}
-	*p = place{turn: p.turn + 1, write: d.types[ty].Consistency == port.Write, taken: true, begun: d.now, budget: budget}
-	t := port.Request{Ref: port.RequestRef{Slot: uint32(i), Generation: p.turn}, Type: ty, Customer: port.None, Session: uint64(d.random.IntN(6)),
+	*p = place{turn: p.turn + 1, write: d.types[ty].Consistency == routing.Write, taken: true, begun: d.now, budget: budget}
+	t := routing.Request{Ref: routing.RequestRef{Slot: uint32(i), Generation: p.turn}, Type: ty, Customer: routing.None, Session: uint64(d.random.IntN(6)),
 		Group: d.random.IntN(daysGroups), Timeout: budget, MaxStaleness: d.types[ty].MaxStaleness, DedupWindow: d.types[ty].DedupWindow, Retry: d.chance(0.1),
-		Write: d.types[ty].Consistency == port.Write}
+		Write: d.types[ty].Consistency == routing.Write}
 	if d.chance(0.1) {
 		t.TokenAge = time.Duration(d.random.IntN(300)) * time.Millisecond
 	}
@@ -253,18 +253,18 @@
 		}
 	}
 	if d.chance(0.02) {
-		m.state = port.ServerState(d.random.IntN(4))
-		d.list(port.Delta, i)
+		m.state = routing.ServerState(d.random.IntN(4))
+		d.list(routing.Delta, i)
 	}
 	if d.chance(0.01) {
-		m.state = port.Serving
-		d.list(port.Delta, i)
+		m.state = routing.Serving
+		d.list(routing.Delta, i)
 	}
 	if d.chance(0.004) {
-		d.list(port.Snapshot)
+		d.list(routing.Snapshot)
 	}
 	if d.chance(0.004) {
-		d.router.EndpointsChanged(d.now, port.UpdateFailed, 1, nil)
+		d.router.EndpointsChanged(d.now, routing.UpdateFailed, 1, nil)
 	}
 	if d.chance(0.002) {
 		d.router.ClockCorrected(d.now, time.Duration(d.random.IntN(4000)-2000)*time.Millisecond)
@@ -272,14 +272,14 @@
 }
 
 // list tells of these members, or of all.
-func (d *day) list(kind port.UpdateKind, which ...int) {
-	var entries []port.Endpoint
+func (d *day) list(kind routing.UpdateKind, which ...int) {
+	var entries []routing.Endpoint
 	for i, m := range d.members {
 		told := len(which) == 0 || which[0] == i
-		if !told || kind != port.Delta && m.state == port.Removed {
+		if !told || kind != routing.Delta && m.state == routing.Removed {
 			continue
 		}
-		e := port.Endpoint{Server: i, Zone: i % 2, Group: m.group, State: m.state, Weight: 1, Primary: m.primary}
+		e := routing.Endpoint{Server: i, Zone: i % 2, Group: m.group, State: m.state, Weight: 1, Primary: m.primary}
 		if d.chance(0.2) {
 			e.StartedAt, e.HasStartTime = d.now-time.Duration(d.random.IntN(5000))*time.Millisecond, true
 		}
@@ -297,21 +297,21 @@
 }
 
 // StartAttempt implements port.Host, as do the methods below it.
-func (d *day) StartAttempt(ref port.RequestRef, member int, giveUpAfter time.Duration) {
+func (d *day) StartAttempt(ref routing.RequestRef, member int, giveUpAfter time.Duration) {
 	d.acted("submit", "%v to %d within %v", ref, member, giveUpAfter)
 	p, m := &d.places[ref.Slot], &d.members[member]
 	latency := time.Duration(d.random.ExpFloat64() * 40 * float64(time.Millisecond))
-	ending := port.Succeeded
+	ending := routing.Succeeded
 	write := p.write
 	switch chance := d.random.Float64(); {
 	case m.faulty && chance < 0.5:
-		ending = []port.AttemptResult{port.ServerError, port.Overloaded, port.TimedOut, port.Unreachable, port.ConnectionLost, port.NotSent}[d.random.IntN(6)]
+		ending = []routing.AttemptResult{routing.ServerError, routing.Overloaded, routing.TimedOut, routing.Unreachable, routing.ConnectionLost, routing.NotSent}[d.random.IntN(6)]
 	case chance < 0.03 || write && !m.primary:
-		ending = port.Misrouted
+		ending = routing.Misrouted
 	case chance < 0.05:
-		ending = []port.AttemptResult{port.ServerError, port.Overloaded, port.TimedOut, port.Unreachable, port.ConnectionLost, port.NotSent}[d.random.IntN(6)]
+		ending = []routing.AttemptResult{routing.ServerError, routing.Overloaded, routing.TimedOut, routing.Unreachable, routing.ConnectionLost, routing.NotSent}[d.random.IntN(6)]
 	}
-	if ending == port.TimedOut {
+	if ending == routing.TimedOut {
 		latency += 500 * time.Millisecond
 	}
 	d.out = append(d.out, attempt{ref: ref, hop: p.attempts, member: member, sent: d.now, due: d.now + latency, ending: ending})
@@ -319,26 +319,26 @@
 	p.out++
 }
 
-func (d *day) CancelAttempt(ref port.RequestRef, hop int) {
+func (d *day) CancelAttempt(ref routing.RequestRef, hop int) {
 	d.acted("revoke", "%v %d", ref, hop)
 	for i := range d.out {
 		if a := &d.out[i]; a.ref == ref && a.hop == hop {
-			a.due, a.ending = d.now+time.Millisecond, port.Cancelled
+			a.due, a.ending = d.now+time.Millisecond, routing.Cancelled
 		}
 	}
 }
 
-func (d *day) Reject(ref port.RequestRef, comeBackIn time.Duration) {
+func (d *day) Reject(ref routing.RequestRef, comeBackIn time.Duration) {
 	d.acted("decline", "%v back in %v", ref, comeBackIn)
 	d.conclude(ref)
 }
 
-func (d *day) Fail(ref port.RequestRef) {
+func (d *day) Fail(ref routing.RequestRef) {
 	d.acted("roll-back", "%v", ref)
 	d.conclude(ref)
 }
 
-func (d *day) conclude(ref port.RequestRef) {
+func (d *day) conclude(ref routing.RequestRef) {
 	p := &d.places[ref.Slot]
 	p.ended = true
 	d.free(p)
--- a/router/latency.go
+++ b/router/latency.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // How long do things take here? Inputs: the latencies of answers, the types' target latencies. Invariant: every span of the other files
@@ -27,7 +27,7 @@
 	tick         time.Duration   // how often held requests and silent members are looked at
 }
 
-func newLatencies(types []port.RequestType, tick time.Duration) latencies {
+func newLatencies(types []routing.RequestType, tick time.Duration) latencies {
 	p := latencies{shortest: time.Hour}
 	for _, ty := range types {
 		p.shortest = min(p.shortest, ty.LatencyObjective)
--- a/router/planning.go
+++ b/router/planning.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // What should be out for a request now? Inputs: the request, its group, the answers of the other files. Invariant: a request that has
@@ -23,7 +23,7 @@
 	to := r.destination(now, t, ty, g)
 	if to == none {
 		// A primary behind a cut way is there still, and no new one can come up here: waiting brings nothing.
-		if g.away && g.primary == none && (ty.Consistency >= port.Strong || t.missed || len(g.members) == 1) {
+		if g.away && g.primary == none && (ty.Consistency >= routing.Strong || t.missed || len(g.members) == 1) {
 			t.giveUp(ty)
 		}
 		g.probeWanted = g.probeWanted || g.primary == none
@@ -37,9 +37,9 @@
 }
 
 // destination is the member that a request should go to now, none for none.
-func (r *Router) destination(now time.Duration, t *request, ty *port.RequestType, g *group) int {
-	blind := ty.Consistency == port.Write && g.primary == none && !r.mayProbe // a miss is the only way to ask
-	if blind || ty.Consistency != port.Write && ty.Consistency != port.Strong {
+func (r *Router) destination(now time.Duration, t *request, ty *routing.RequestType, g *group) int {
+	blind := ty.Consistency == routing.Write && g.primary == none && !r.mayProbe // a miss is the only way to ask
+	if blind || ty.Consistency != routing.Write && ty.Consistency != routing.Strong {
 		return r.pick(now, t, ty)
 	}
 	if g.primary != none && r.admits(now, &r.members[g.primary], t) {
--- a/router/primary.go
+++ b/router/primary.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // Who is the primary of a group? Inputs: what members claim in answers, refusals and probes, with their positions; the list where no
@@ -43,27 +43,27 @@
 }
 
 // claims takes a member's word on its own role.
-func (r *Router) claims(now time.Duration, i int, role port.Role, pos time.Duration, placed bool) {
+func (r *Router) claims(now time.Duration, i int, role routing.Role, pos time.Duration, placed bool) {
 	m := &r.members[i]
 	g := r.group(m.group)
 	if !placed {
 		pos = now
 	}
 	switch {
-	case role == port.Primary && (g.claimant == i || pos >= g.claimPosition):
+	case role == routing.Primary && (g.claimant == i || pos >= g.claimPosition):
 		if g.claimant != i {
 			if g.claimant != none {
-				r.members[g.claimant].role = port.Replica
+				r.members[g.claimant].role = routing.Replica
 			}
 			g.beginTerm(i, pos)
 		}
 		r.presentTold = r.presentTold || placed
-		g.claimPosition, m.role = max(g.claimPosition, pos), port.Primary
+		g.claimPosition, m.role = max(g.claimPosition, pos), routing.Primary
 		if !m.draining {
 			g.primary = i
 		}
-	case role == port.Replica && (g.claimant != i || pos >= g.claimPosition):
-		m.role = port.Replica
+	case role == routing.Replica && (g.claimant != i || pos >= g.claimPosition):
+		m.role = routing.Replica
 		g.doubt(i)
 	}
 }
--- a/router/probing.go
+++ b/router/probing.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // Whom is it worth to ask about itself? Inputs: what is held for want of knowledge, who is ejected. Invariant: probes go out for cause
@@ -36,10 +36,10 @@
 const shortQueue = 1.5
 
 // HealthCheckFinished takes what a probe brought.
-func (r *Router) HealthCheckFinished(now time.Duration, i int, e port.AttemptResult, _ time.Duration, l port.LoadReport) {
+func (r *Router) HealthCheckFinished(now time.Duration, i int, e routing.AttemptResult, _ time.Duration, l routing.LoadReport) {
 	m := &r.members[i]
 	m.probeOut = false
-	if e != port.Succeeded {
+	if e != routing.Succeeded {
 		r.probeFailed(now, i, e)
 		return
 	}
@@ -49,7 +49,7 @@
 	if l.HasPosition {
 		m.observe(now, l.Position, 0)
 	}
-	if l.Role != port.UnknownRole {
+	if l.Role != routing.UnknownRole {
 		r.claims(now, i, l.Role, l.Position, l.HasPosition)
 	}
 	m.retryAt, m.answeredAt = min(m.retryAt, now), now
@@ -59,8 +59,8 @@
 }
 
 // probeFailed ejects a member that cannot be reached; one that is full, or was not asked, is none.
-func (r *Router) probeFailed(now time.Duration, i int, e port.AttemptResult) {
-	if e == port.Overloaded || e == port.NotSent {
+func (r *Router) probeFailed(now time.Duration, i int, e routing.AttemptResult) {
+	if e == routing.Overloaded || e == routing.NotSent {
 		return
 	}
 	m := &r.members[i]
--- a/router/request.go
+++ b/router/request.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // Where does a request stand? Inputs: its arrival, the endings of its attempts, its client's departure. Invariant: one attempt is out at
@@ -20,7 +20,7 @@
 
 // request is one in hand.
 type request struct {
-	port.Request
+	routing.Request
 	begun      time.Duration
 	targetAt   time.Duration // when its target latency is over
 	deadline   time.Duration
@@ -42,7 +42,7 @@
 
 // requestTable has all that are in hand.
 type requestTable struct {
-	types     []port.RequestType
+	types     []routing.RequestType
 	mayCancel bool
 	slab      []request
 	held      []uint32 // to be planned: new, or without a place to go
@@ -50,7 +50,7 @@
 }
 
 // RequestReceived takes a request.
-func (r *Router) RequestReceived(now time.Duration, in port.Request) {
+func (r *Router) RequestReceived(now time.Duration, in routing.Request) {
 	for len(r.slab) <= int(in.Ref.Slot) {
 		r.slab = append(r.slab, request{end: closed, at: none, want: none})
 	}
@@ -59,7 +59,7 @@
 	*t = request{Request: in, begun: now, deadline: now + in.Timeout, value: ty.PriorityWeight, needs: never, at: none, want: none,
 		lastMember: none, held: t.held,
 		targetAt: now + min(ty.LatencyObjective+time.Duration(ty.WorkMultiple*float64(in.ExpectedWork)), ty.Deadline)}
-	if ty.Consistency == port.ReadYourWrites {
+	if ty.Consistency == routing.ReadYourWrites {
 		t.needs = r.needs(now, &in, r.group(in.Group))
 	}
 	r.discountRetry(now, t)
@@ -89,7 +89,7 @@
 }
 
 // ClientGone ends a request whose client is gone. One that was out then is a sign of a queue, and came to nothing.
-func (r *Router) ClientGone(now time.Duration, ref port.RequestRef) {
+func (r *Router) ClientGone(now time.Duration, ref routing.RequestRef) {
 	t := &r.slab[ref.Slot]
 	if t.Ref != ref || t.end == closed {
 		return
@@ -104,7 +104,7 @@
 }
 
 // AttemptFinished takes the ending of an attempt, also of one whose place in the slab has a new request by now.
-func (r *Router) AttemptFinished(now time.Duration, o port.AttemptOutcome) {
+func (r *Router) AttemptFinished(now time.Duration, o routing.AttemptOutcome) {
 	m := &r.members[o.Server]
 	m.ended(now)
 	t := &r.slab[o.Ref.Slot]
@@ -113,7 +113,7 @@
 		ty = t.Type
 	}
 	r.observeOutcome(now, o, ty)
-	if o.Role != port.UnknownRole {
+	if o.Role != routing.UnknownRole {
 		r.claims(now, o.Server, o.Role, o.Position, o.HasPosition)
 	}
 	r.observePosition(now, m, &o)
@@ -121,10 +121,10 @@
 		return
 	}
 	t.attemptEnded(&o)
-	if o.Result == port.Succeeded && r.types[ty].Consistency == port.Write && t.Session != 0 && o.HasPosition {
+	if o.Result == routing.Succeeded && r.types[ty].Consistency == routing.Write && t.Session != 0 && o.HasPosition {
 		r.recordWrite(sessionKey(&t.Request), r.group(t.Group), o.Position)
 	}
-	if o.Result == port.Unreachable || o.Result == port.NotSent {
+	if o.Result == routing.Unreachable || o.Result == routing.NotSent {
 		r.refundRetry()
 	}
 	switch {
@@ -136,13 +136,13 @@
 }
 
 // attemptEnded takes the ending of the attempt that is out.
-func (t *request) attemptEnded(o *port.AttemptOutcome) {
+func (t *request) attemptEnded(o *routing.AttemptOutcome) {
 	t.at, t.want, t.lastMember, t.cancelling = none, none, o.Server, false
 	if !o.Result.NeverRan() && !t.mayRun {
 		t.mayRun, t.ranSince = true, t.sentAt
 	}
-	t.missed = t.missed || o.Result == port.Misrouted
-	if o.Result == port.ServerError {
+	t.missed = t.missed || o.Result == routing.Misrouted
+	if o.Result == routing.ServerError {
 		t.errors++
 	}
 }
--- a/router/retry.go
+++ b/router/retry.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // May a request be sent again, or is it past hope? Inputs: its effect, what was sent, what time is left. Invariant: nothing that may
@@ -39,8 +39,8 @@
 // pastHope tells when to give a request up: after two errors, its own fault then, or shortly before its deadline, or at
 // its target latency where late is worth nothing. What is out is never cut short: clients would come back at once.
 // A write or a retry of which nothing went out leaves half of its time to its client, who may find more room.
-func (r *Router) pastHope(now time.Duration, t *request, ty *port.RequestType) bool {
-	kept := (ty.Consistency == port.Write || t.value < ty.PriorityWeight) && !t.mayRun && !t.missed &&
+func (r *Router) pastHope(now time.Duration, t *request, ty *routing.RequestType) bool {
+	kept := (ty.Consistency == routing.Write || t.value < ty.PriorityWeight) && !t.mayRun && !t.missed &&
 		now > t.begun+t.Timeout/2-2*r.tick
 	senseless := t.errors > 1 || t.errors > 0 && r.errorRate > 1.0/4 // where errors are common, at the first
 	// A usual latency over the target must not shut a type out: what is never sent is never learnt of.
@@ -49,15 +49,15 @@
 }
 
 // unrepeatable tells of a request that may have run, where nothing would drop the repeat.
-func (t *request) unrepeatable(now time.Duration, ty *port.RequestType) bool {
-	return t.mayRun && (ty.Idempotency == port.NonIdempotent ||
-		ty.Idempotency == port.IdempotencyKey && (now-t.ranSince > t.DedupWindow*9/10 || ty.DedupScope == port.ScopeZone))
+func (t *request) unrepeatable(now time.Duration, ty *routing.RequestType) bool {
+	return t.mayRun && (ty.Idempotency == routing.NonIdempotent ||
+		ty.Idempotency == routing.IdempotencyKey && (now-t.ranSince > t.DedupWindow*9/10 || ty.DedupScope == routing.ScopeZone))
 }
 
 // giveUp ends a request at once, as well as its type allows.
-func (t *request) giveUp(ty *port.RequestType) {
+func (t *request) giveUp(ty *routing.RequestType) {
 	t.end = rejected
-	if t.mayRun && (ty.Idempotency == port.NonIdempotent || ty.Idempotency == port.IdempotencyKey && ty.DedupScope != port.ScopeAll) {
+	if t.mayRun && (ty.Idempotency == routing.NonIdempotent || ty.Idempotency == routing.IdempotencyKey && ty.DedupScope != routing.ScopeAll) {
 		t.end = failed
 	}
 }
--- a/router/router.go
+++ b/router/router.go
@@ -22,12 +22,12 @@
 	"slices"
 	"time"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 const (
 	never = time.Duration(math.MinInt64 / 4)
-	none  = port.None
+	none  = routing.None
 )
 
 // member is what is known of a member; all is unknown at birth.
@@ -46,7 +46,7 @@
 
 // Router is one instance: its parts.
 type Router struct {
-	host port.Host
+	host routing.Host
 	chance
 	latencies
 	members []member
@@ -64,8 +64,8 @@
 }
 
 // New makes an instance that knows nothing yet.
-func New(h port.Host, seed uint64, at port.Topology, types []port.RequestType, _ []port.Customer,
-	copies port.Replication, rules port.Guardrails, allowed port.Limits, _ port.CostWeights) port.Router {
+func New(h routing.Host, seed uint64, at routing.Topology, types []routing.RequestType, _ []routing.Customer,
+	copies routing.Replication, rules routing.Guardrails, allowed routing.Limits, _ routing.CostWeights) routing.Router {
 	return &Router{
 		host:           h,
 		chance:         chance{seed: seed},
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // The ordinary path.
@@ -17,13 +17,13 @@
 	y.now = time.Second
 	w := y.begin(write)
 	assert.Equal(t, "submit 1 to 0", y.last("submit"))
-	y.ends(w, port.Succeeded, port.Primary, y.now)
-	y.knows(2, port.Replica, y.now-100*ms)
-	y.knows(1, port.Replica, y.now)
-	y.knows(3, port.Replica, y.now-100*ms)
+	y.ends(w, routing.Succeeded, routing.Primary, y.now)
+	y.knows(2, routing.Replica, y.now-100*ms)
+	y.knows(1, routing.Replica, y.now)
+	y.knows(3, routing.Replica, y.now-100*ms)
 	y.begin(session)
 	assert.Equal(t, "submit 2 to 1", y.last("submit"), "a fresh one elsewhere before a stale one here")
-	y.knows(2, port.Replica, y.now)
+	y.knows(2, routing.Replica, y.now)
 	y.begin(session)
 	assert.Equal(t, "submit 3 to 2", y.last("submit"), "among fresh ones the zone's own")
 }
@@ -31,21 +31,21 @@
 func TestWhereNoneIsKnownFreshTheLeastBehindChecksForItself(t *testing.T) {
 	y := tell(t, littleSite()).group(3)
 	y.now = time.Second
-	y.ends(y.begin(write), port.Succeeded, port.Primary, y.now)
-	y.knows(1, port.Replica, y.now-40*ms)
-	y.knows(2, port.Replica, y.now-30*ms)
+	y.ends(y.begin(write), routing.Succeeded, routing.Primary, y.now)
+	y.knows(1, routing.Replica, y.now-40*ms)
+	y.knows(2, routing.Replica, y.now-30*ms)
 	r := y.begin(session)
 	assert.Equal(t, "submit 2 to 2", y.last("submit"))
-	y.ends(r, port.Misrouted, port.Replica, y.now-20*ms)
+	y.ends(r, routing.Misrouted, routing.Replica, y.now-20*ms)
 	assert.Equal(t, "submit 2 to 0", y.last("submit"), "after the miss the primary")
 }
 
 func TestAHoldThatCannotDoItIsNotSpent(t *testing.T) {
 	y := tell(t, littleSite()).group(3)
 	y.now = 5 * time.Second
-	y.ends(y.begin(write), port.Succeeded, port.Primary, y.now)
-	y.knows(1, port.Replica, y.now-2*time.Second)
-	y.knows(2, port.Replica, y.now-2*time.Second)
+	y.ends(y.begin(write), routing.Succeeded, routing.Primary, y.now)
+	y.knows(1, routing.Replica, y.now-2*time.Second)
+	y.knows(2, routing.Replica, y.now-2*time.Second)
 	y.begin(session)
 	assert.Equal(t, "submit 2 to 0", y.last("submit"), "a whole group behind: straight to the primary")
 }
@@ -53,7 +53,7 @@
 func TestATargetIsNeverLoweredWithinATermAndRaisedToTheStartOfTheNext(t *testing.T) {
 	s := newSessions(false)
 	g := &group{term: 1}
-	in := &port.Request{Session: 9}
+	in := &routing.Request{Session: 9}
 	s.recordWrite(9, g, 500*ms)
 	s.recordWrite(9, g, 400*ms)
 	assert.Equal(t, 500*ms, s.needs(0, in, g))
@@ -71,28 +71,28 @@
 	for i := range uint64(ways + 1) {
 		s.recordWrite(i+1, g, time.Duration(i+1)*ms)
 	}
-	assert.Equal(t, ms, s.needs(0, &port.Request{Session: 1}, g), "the one that was forgotten")
-	assert.Equal(t, 3*ms, s.needs(0, &port.Request{Session: 3}, g))
+	assert.Equal(t, ms, s.needs(0, &routing.Request{Session: 1}, g), "the one that was forgotten")
+	assert.Equal(t, 3*ms, s.needs(0, &routing.Request{Session: 3}, g))
 }
 
 func TestACarriedTokenIsAnAge(t *testing.T) {
 	s := newSessions(true)
-	assert.Equal(t, 700*ms, s.needs(time.Second, &port.Request{TokenAge: 300 * ms}, &group{termStart: never}))
-	assert.Equal(t, never, s.needs(time.Second, &port.Request{Session: 9}, &group{}))
+	assert.Equal(t, 700*ms, s.needs(time.Second, &routing.Request{TokenAge: 300 * ms}, &group{termStart: never}))
+	assert.Equal(t, never, s.needs(time.Second, &routing.Request{Session: 9}, &group{}))
 }
 
 func TestWhereNothingIsCheckedOnlyAProofWillDo(t *testing.T) {
 	p := littleSite()
-	p.copies.StalenessCheck = port.NoStalenessCheck
+	p.copies.StalenessCheck = routing.NoStalenessCheck
 	y := tell(t, p).group(3)
 	y.now = time.Second
-	y.ends(y.begin(write), port.Succeeded, port.Primary, y.now)
-	y.knows(1, port.Replica, y.now-20*ms)
-	y.knows(2, port.Replica, y.now-20*ms)
+	y.ends(y.begin(write), routing.Succeeded, routing.Primary, y.now)
+	y.knows(1, routing.Replica, y.now-20*ms)
+	y.knows(2, routing.Replica, y.now-20*ms)
 	y.now += 100 * ms // by their pace both have it now, but nobody said so
 	y.begin(session)
 	assert.Equal(t, "submit 2 to 0", y.last("submit"))
-	y.knows(2, port.Replica, y.now)
+	y.knows(2, routing.Replica, y.now)
 	y.begin(session)
 	assert.Equal(t, "submit 3 to 2", y.last("submit"))
 }
@@ -107,39 +107,39 @@
 
 func TestWritesWaitForAPrimaryAndGoOutWhenOneShows(t *testing.T) {
 	p := littleSite()
-	p.at.RoleListing = port.RolesNotListed
+	p.at.RoleListing = routing.RolesNotListed
 	y := tell(t, p).group(3)
 	y.begin(write)
 	assert.Empty(t, y.last("submit"), "none is sent blindly")
 	assert.Equal(t, 3, y.count("probe"), "and the primary is looked for")
-	y.knows(1, port.Primary, y.now)
+	y.knows(1, routing.Primary, y.now)
 	assert.Equal(t, "submit 1 to 1", y.last("submit"))
 }
 
 func TestWithoutProbesAWriteAsksForThePrimaryItself(t *testing.T) {
 	p := littleSite()
-	p.at.RoleListing, p.allowed.HealthChecks = port.RolesNotListed, false
+	p.at.RoleListing, p.allowed.HealthChecks = routing.RolesNotListed, false
 	y := tell(t, p).group(2)
 	w := y.begin(write)
 	first := y.where[w]
-	y.ends(w, port.Misrouted, port.Replica, y.now+ms)
+	y.ends(w, routing.Misrouted, routing.Replica, y.now+ms)
 	assert.Equal(t, 2, y.subs[w])
 	assert.NotEqual(t, first, y.where[w])
-	y.ends(w, port.Succeeded, port.Primary, y.now+ms)
+	y.ends(w, routing.Succeeded, routing.Primary, y.now+ms)
 	assert.Equal(t, y.where[w], y.groups[0].primary)
 }
 
 func TestTheClaimFurtherOnInTheLogWins(t *testing.T) {
 	y := tell(t, littleSite()).group(3)
 	y.now = 10 * time.Second
-	y.knows(1, port.Primary, 9*time.Second)
-	y.knows(0, port.Primary, 5*time.Second) // an old report of the old primary
+	y.knows(1, routing.Primary, 9*time.Second)
+	y.knows(0, routing.Primary, 5*time.Second) // an old report of the old primary
 	y.begin(write)
 	assert.Equal(t, "submit 1 to 1", y.last("submit"))
-	y.knows(1, port.Replica, 8*time.Second) // older than its own claim
+	y.knows(1, routing.Replica, 8*time.Second) // older than its own claim
 	y.begin(write)
 	assert.Equal(t, "submit 2 to 1", y.last("submit"))
-	y.list(port.Delta, port.Endpoint{Server: 2, Primary: true}) // the list is late
+	y.list(routing.Delta, routing.Endpoint{Server: 2, Primary: true}) // the list is late
 	y.begin(write)
 	assert.Equal(t, "submit 3 to 1", y.last("submit"))
 }
@@ -148,9 +148,9 @@
 	y := tell(t, littleSite()).group(3)
 	y.now = time.Second
 	w := y.begin(write)
-	y.ends(w, port.Misrouted, port.Replica, 900*ms)
+	y.ends(w, routing.Misrouted, routing.Replica, 900*ms)
 	assert.Equal(t, 1, y.count("submit"))
-	y.knows(2, port.Primary, y.now)
+	y.knows(2, routing.Primary, y.now)
 	assert.Equal(t, "submit 1 to 2", y.last("submit"))
 }
 
@@ -158,11 +158,11 @@
 	y := tell(t, littleSite()).group(3)
 	y.pass(time.Second)
 	n := y.count("probe")
-	y.list(port.Delta, port.Endpoint{Server: 0, State: port.Draining, Primary: true})
+	y.list(routing.Delta, routing.Endpoint{Server: 0, State: routing.Draining, Primary: true})
 	y.begin(write)
 	assert.Empty(t, y.last("submit"))
 	assert.Equal(t, n+2, y.count("probe"), "the others are asked for the new one")
-	y.knows(1, port.Primary, y.now+ms)
+	y.knows(1, routing.Primary, y.now+ms)
 	assert.Equal(t, "submit 1 to 1", y.last("submit"))
 }
 
@@ -171,11 +171,11 @@
 func TestAWriteThatIsKeptIsDeclinedAtHalfItsTimeWithATimeToComeBack(t *testing.T) {
 	for name, why := range map[string]func(*story){
 		"no primary is known": func(*story) {},
-		"the primary is full": func(y *story) { y.knows(0, port.Primary, 0); y.members[0].out = 9 },
+		"the primary is full": func(y *story) { y.knows(0, routing.Primary, 0); y.members[0].out = 9 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := littleSite()
-			p.at.RoleListing = port.RolesNotListed
+			p.at.RoleListing = routing.RolesNotListed
 			y := tell(t, p).group(3)
 			why(y)
 			n := y.count("decline")
@@ -195,7 +195,7 @@
 	p.at.RetriesMarked, p.types[anyRead].LateFraction = true, 0.5
 	y := tell(t, p).group(1)
 	y.members[0].out = 9
-	y.begin(anyRead, func(in *port.Request) { in.Retry, in.Timeout = true, 120*ms })
+	y.begin(anyRead, func(in *routing.Request) { in.Retry, in.Timeout = true, 120*ms })
 	y.pass(15 * ms)
 	assert.Zero(t, y.count("decline"))
 	y.pass(25 * ms)
@@ -205,10 +205,10 @@
 func TestWhatHasWaitedOutItsSLATimeElsewhereIsDeclinedAtOnceWhereLateIsWorthNothing(t *testing.T) {
 	y := tell(t, littleSite()).group(2)
 	for range 20 {
-		y.ends(y.begin(anyRead), port.Succeeded, port.Replica, 0)
+		y.ends(y.begin(anyRead), routing.Succeeded, routing.Replica, 0)
 	}
 	n := y.count("submit")
-	y.begin(anyRead, func(in *port.Request) { in.Timeout = 560 * ms })
+	y.begin(anyRead, func(in *routing.Request) { in.Timeout = 560 * ms })
 	assert.Equal(t, n, y.count("submit"), "240 ms of its budget are gone, and its SLA time is 200")
 	assert.Equal(t, 1, y.count("decline"))
 }
@@ -231,14 +231,14 @@
 	p.types[write].DedupWindow = time.Second
 	y := tell(t, p).group(3)
 	w := y.begin(write)
-	y.dies(w, port.ConnectionLost)
+	y.dies(w, routing.ConnectionLost)
 	y.pass(500 * ms)
-	y.knows(1, port.Primary, y.now)
+	y.knows(1, routing.Primary, y.now)
 	assert.Equal(t, "submit 1 to 1", y.last("submit"), "within the window it goes on")
 	y.pass(210 * ms)
-	y.dies(w, port.ConnectionLost)
+	y.dies(w, routing.ConnectionLost)
 	y.pass(600 * ms)
-	y.knows(2, port.Primary, y.now)
+	y.knows(2, routing.Primary, y.now)
 	assert.Equal(t, 4, y.count("submit"), "past it no more")
 	assert.Equal(t, "roll back 1", y.last("roll back"))
 	assert.Zero(t, y.count("decline"))
@@ -246,9 +246,9 @@
 
 func TestATxnThatOnlyItsZoneKnowsIsNotRepeated(t *testing.T) {
 	p := littleSite()
-	p.types[write].DedupScope = port.ScopeZone
+	p.types[write].DedupScope = routing.ScopeZone
 	y := tell(t, p).group(3)
-	y.ends(y.begin(write), port.ConnectionLost, port.UnknownRole, 0)
+	y.ends(y.begin(write), routing.ConnectionLost, routing.UnknownRole, 0)
 	y.pass(100 * ms)
 	assert.Equal(t, 1, y.count("submit"))
 	assert.Equal(t, "roll back 1", y.last("roll back"))
@@ -257,10 +257,10 @@
 func TestAOnceOnlyTxnGoesOnOnlyWhenItNeverRan(t *testing.T) {
 	y := tell(t, littleSite()).group(3)
 	a := y.begin(onceOnly)
-	y.dies(a, port.Unreachable)
-	y.knows(1, port.Primary, y.now)
+	y.dies(a, routing.Unreachable)
+	y.knows(1, routing.Primary, y.now)
 	assert.Equal(t, "submit 1 to 1", y.last("submit"))
-	y.ends(a, port.ServerError, port.Primary, y.now)
+	y.ends(a, routing.ServerError, routing.Primary, y.now)
 	assert.Equal(t, "roll back 1", y.last("roll back"))
 	assert.Zero(t, y.count("decline"))
 }
@@ -272,11 +272,11 @@
 	y.settle()
 	assert.Equal(t, "revoke 1.0", y.last("revoke"))
 	assert.Equal(t, 2.0, y.members[y.where[old]].limit, "it left too early to be served: a sign of a queue")
-	ref := port.RequestRef{Slot: old.Slot, Generation: old.Generation + 1}
-	y.RequestReceived(y.now, port.Request{Ref: ref, Type: anyRead, Customer: port.None, Timeout: time.Second})
+	ref := routing.RequestRef{Slot: old.Slot, Generation: old.Generation + 1}
+	y.RequestReceived(y.now, routing.Request{Ref: ref, Type: anyRead, Customer: routing.None, Timeout: time.Second})
 	y.slab[ref.Slot].rank = 0
 	y.settle()
-	y.ends(old, port.Cancelled, port.UnknownRole, 0)
+	y.ends(old, routing.Cancelled, routing.UnknownRole, 0)
 	assert.Equal(t, open, y.slab[ref.Slot].end)
 	assert.Equal(t, 2, y.count("submit"), "and brings it no further submission")
 }
@@ -299,16 +299,16 @@
 
 func TestAMissedReadDoesNotCircleAmongReplicas(t *testing.T) {
 	p := littleSite()
-	p.at.RoleListing = port.RolesNotListed
+	p.at.RoleListing = routing.RolesNotListed
 	y := tell(t, p).group(4)
 	y.now = time.Second
 	for i := range 4 {
-		y.knows(i, port.Replica, 200*ms)
+		y.knows(i, routing.Replica, 200*ms)
 	}
 	r := y.begin(bounded)
 	for range 5 {
 		if y.slab[r.Slot].at != none {
-			y.ends(r, port.Misrouted, port.Replica, 200*ms)
+			y.ends(r, routing.Misrouted, routing.Replica, 200*ms)
 		}
 	}
 	assert.Equal(t, 1, y.subs[r])
@@ -318,8 +318,8 @@
 
 func TestNothingNewGoesToADrainingOrMissingMember(t *testing.T) {
 	y := tell(t, littleSite()).group(2)
-	y.list(port.Delta, port.Endpoint{Server: 1, Zone: 1, State: port.Draining})
-	y.list(port.Snapshot, port.Endpoint{Server: 1, Zone: 1, State: port.Draining})
+	y.list(routing.Delta, routing.Endpoint{Server: 1, Zone: 1, State: routing.Draining})
+	y.list(routing.Snapshot, routing.Endpoint{Server: 1, Zone: 1, State: routing.Draining})
 	y.begin(anyRead)
 	assert.Zero(t, y.count("submit"))
 }
@@ -328,10 +328,10 @@
 func TestAMembersPlaceIsGivenBackOnceItIsGoneAndNothingIsOut(t *testing.T) {
 	y := tell(t, littleSite()).group(2)
 	r := y.begin(write)
-	y.list(port.Delta, port.Endpoint{Server: 0, State: port.Removed})
+	y.list(routing.Delta, routing.Endpoint{Server: 0, State: routing.Removed})
 	y.pass(11 * time.Second)
 	assert.Zero(t, y.count("forget"), "its submission is out")
-	y.ends(r, port.Succeeded, port.Primary, time.Second)
+	y.ends(r, routing.Succeeded, routing.Primary, time.Second)
 	y.groups[0].primary = 0 // as when it shows as primary while it is down
 	y.pass(time.Second)
 	assert.Equal(t, "forget 0", y.last("forget"))
@@ -339,12 +339,12 @@
 	assert.Equal(t, []int{1}, y.groups[0].members)
 	y.pass(time.Minute)
 	assert.Equal(t, 1, y.count("forget"))
-	y.list(port.Delta, port.Endpoint{Server: 0, Group: 1, Primary: true})
-	y.knows(1, port.Primary, 2*time.Second)
+	y.list(routing.Delta, routing.Endpoint{Server: 0, Group: 1, Primary: true})
+	y.knows(1, routing.Primary, 2*time.Second)
 	assert.Equal(t, 0, y.groups[1].primary, "another's by now")
 	assert.Equal(t, 1, y.groups[0].primary, "the claim of the one that is gone does not stand against it")
 	assert.Equal(t, unknownMember.limit, y.members[0].limit)
-	y.list(port.Snapshot, port.Endpoint{Server: 0, Group: 1})
+	y.list(routing.Snapshot, routing.Endpoint{Server: 0, Group: 1})
 	y.pass(11 * time.Second)
 	assert.Equal(t, "forget 1", y.last("forget"), "missing from a whole list")
 }
@@ -354,7 +354,7 @@
 		y := tell(t, littleSite()).group(3)
 		y.now = 20 * time.Second
 		if cold {
-			y.list(port.Delta, port.Endpoint{Server: 2, HasStartTime: true, StartedAt: y.now})
+			y.list(routing.Delta, routing.Endpoint{Server: 2, HasStartTime: true, StartedAt: y.now})
 		}
 		for range 400 {
 			y.now += 5 * ms
@@ -365,7 +365,7 @@
 			if y.where[r] == 2 {
 				n++
 			}
-			y.ends(r, port.Succeeded, port.Replica, y.now)
+			y.ends(r, routing.Succeeded, routing.Replica, y.now)
 		}
 		return n
 	}
@@ -374,18 +374,18 @@
 
 func TestAColdMemberThatTurnsReadsAwayIsNotFloodedWithThem(t *testing.T) {
 	p := littleSite()
-	p.at.RoleListing = port.RolesNotListed
+	p.at.RoleListing = routing.RolesNotListed
 	y := tell(t, p).group(2)
 	y.now = 20 * time.Second
-	y.list(port.Delta, port.Endpoint{Server: 1, HasStartTime: true, StartedAt: y.now})
+	y.list(routing.Delta, routing.Endpoint{Server: 1, HasStartTime: true, StartedAt: y.now})
 	y.members[0].ejected, y.members[0].retryAt = true, time.Hour
 	n := 0
 	for range 200 { // a second in which the group has no primary and the member is behind
 		y.now += 5 * ms
-		r := y.begin(session, func(t *port.Request) { t.Session = 0 })
+		r := y.begin(session, func(t *routing.Request) { t.Session = 0 })
 		for y.subs[r] > 0 && y.slab[r.Slot].at != none {
 			n++
-			y.ends(r, port.Misrouted, port.Replica, 10*time.Second)
+			y.ends(r, routing.Misrouted, routing.Replica, 10*time.Second)
 		}
 		y.pass(5 * ms)
 	}
@@ -395,11 +395,11 @@
 func TestAMemberThatCouldNotBeReachedCountsAsStarted(t *testing.T) {
 	y := tell(t, littleSite()).group(2)
 	y.now = time.Minute
-	y.ends(y.begin(write), port.Unreachable, port.UnknownRole, 0)
-	y.HealthCheckFinished(y.now, 0, port.Unreachable, ms, port.LoadReport{})
+	y.ends(y.begin(write), routing.Unreachable, routing.UnknownRole, 0)
+	y.HealthCheckFinished(y.now, 0, routing.Unreachable, ms, routing.LoadReport{})
 	y.now += time.Second
-	y.knows(0, port.Primary, y.now)
-	y.ends(y.begin(write), port.Succeeded, port.Primary, y.now)
+	y.knows(0, routing.Primary, y.now)
+	y.ends(y.begin(write), routing.Succeeded, routing.Primary, y.now)
 	assert.True(t, y.members[0].cold)
 }
 
@@ -408,7 +408,7 @@
 	p.at.PullEndpoints = true
 	y := tell(t, p).group(2)
 	assert.Equal(t, 1, y.count("watch"))
-	y.list(port.UpdateFailed)
+	y.list(routing.UpdateFailed)
 	assert.Equal(t, 1, y.count("watch"), "spread out, not at once")
 	y.pass(time.Second)
 	assert.Equal(t, 2, y.count("watch"))
@@ -426,8 +426,8 @@
 	y.pass(900 * ms)
 	assert.Equal(t, 3, y.count("revoke"))
 	assert.Equal(t, 3, y.count("submit"), "no second one while the first is out")
-	y.ends(w, port.Cancelled, port.UnknownRole, 0)
-	y.knows(1, port.Primary, y.now)
+	y.ends(w, routing.Cancelled, routing.UnknownRole, 0)
+	y.knows(1, routing.Primary, y.now)
 	assert.Equal(t, "submit 1 to 1", y.last("submit"))
 }
 
@@ -444,7 +444,7 @@
 }
 
 func TestAMemberThatFailsAtGreatSpeedDrawsNoTraffic(t *testing.T) {
-	for _, e := range []port.AttemptResult{port.Overloaded, port.ServerError, port.Unreachable} {
+	for _, e := range []routing.AttemptResult{routing.Overloaded, routing.ServerError, routing.Unreachable} {
 		y := tell(t, littleSite()).group(3)
 		n := 0
 		for range 200 {
@@ -453,9 +453,9 @@
 			for y.subs[r] > 0 && y.slab[r.Slot].at != none {
 				if y.where[r] == 2 {
 					n++
-					y.ends(r, e, port.UnknownRole, 0)
+					y.ends(r, e, routing.UnknownRole, 0)
 				} else {
-					y.ends(r, port.Succeeded, port.Replica, 0)
+					y.ends(r, routing.Succeeded, routing.Replica, 0)
 				}
 			}
 		}
@@ -471,7 +471,7 @@
 		y.pass(100 * ms)
 		r := y.begin(write)
 		if y.subs[r] > 0 {
-			y.AttemptFinished(y.now, port.AttemptOutcome{Ref: r, Result: port.Succeeded, RequestFinished: true, Latency: 500 * ms})
+			y.AttemptFinished(y.now, routing.AttemptOutcome{Ref: r, Result: routing.Succeeded, RequestFinished: true, Latency: 500 * ms})
 			y.settle()
 		}
 	}
@@ -521,7 +521,7 @@
 	y := tell(t, littleSite()).group(1)
 	y.ClientGone(y.now, y.begin(write))
 	assert.Equal(t, maxLoad, y.members[0].load.sum)
-	y.observeOutcome(y.now, port.AttemptOutcome{Result: port.TimedOut, Latency: ms}, write)
+	y.observeOutcome(y.now, routing.AttemptOutcome{Result: routing.TimedOut, Latency: ms}, write)
 	assert.Equal(t, 2*maxLoad, y.members[0].load.sum)
 }
 
@@ -529,11 +529,11 @@
 	for _, faulty := range []int{none, 2} { // half of all that is sent, or all that is sent to one
 		y := tell(t, littleSite()).group(4)
 		for k := range 400 {
-			e := port.Succeeded
+			e := routing.Succeeded
 			if faulty == none && k/4%2 == 0 || k%4 == faulty {
-				e = port.ServerError
+				e = routing.ServerError
 			}
-			y.observeOutcome(y.now, port.AttemptOutcome{Server: k % 4, Result: e, Latency: 10 * ms}, anyRead)
+			y.observeOutcome(y.now, routing.AttemptOutcome{Server: k % 4, Result: e, Latency: 10 * ms}, anyRead)
 		}
 		assert.Equal(t, faulty == 2, y.members[2].limit < 1)
 		if faulty == 2 {
@@ -545,27 +545,27 @@
 }
 
 func TestAFailedConnectionToAMemberThatAnswersOthersIsNoDeath(t *testing.T) {
-	for _, e := range []port.AttemptResult{port.ConnectionLost, port.Unreachable} {
+	for _, e := range []routing.AttemptResult{routing.ConnectionLost, routing.Unreachable} {
 		y := tell(t, littleSite()).group(2)
 		y.now = time.Minute
-		y.observeOutcome(y.now, port.AttemptOutcome{Result: port.Succeeded, Latency: 20 * ms}, write)
-		y.observeOutcome(y.now+100*ms, port.AttemptOutcome{Result: e, Latency: 250 * ms}, write)
+		y.observeOutcome(y.now, routing.AttemptOutcome{Result: routing.Succeeded, Latency: 20 * ms}, write)
+		y.observeOutcome(y.now+100*ms, routing.AttemptOutcome{Result: e, Latency: 250 * ms}, write)
 		assert.False(t, y.members[0].ejected, "it answered while this one was tried")
 		y.now += time.Second
-		y.observeOutcome(y.now, port.AttemptOutcome{Result: e, Latency: 250 * ms}, write)
+		y.observeOutcome(y.now, routing.AttemptOutcome{Result: e, Latency: 250 * ms}, write)
 		assert.False(t, y.members[0].ejected, "one link may break where the member is well")
 		assert.Equal(t, "probe 0", y.last("probe"))
-		y.observeOutcome(y.now, port.AttemptOutcome{Result: e, Latency: 250 * ms}, write)
+		y.observeOutcome(y.now, routing.AttemptOutcome{Result: e, Latency: 250 * ms}, write)
 		assert.True(t, y.members[0].ejected, "the second in a row")
-		y.knows(0, port.Primary, y.now)
-		y.observeOutcome(y.now, port.AttemptOutcome{Result: port.Succeeded, Latency: 20 * ms}, write)
+		y.knows(0, routing.Primary, y.now)
+		y.observeOutcome(y.now, routing.AttemptOutcome{Result: routing.Succeeded, Latency: 20 * ms}, write)
 		assert.False(t, y.members[0].cold, "the probe found it running: it did not start anew")
 	}
 }
 
 func TestOneTimeOutTakesNoMemberDownAndTwoInARowDo(t *testing.T) {
 	y := tell(t, littleSite()).group(1)
-	out := port.AttemptOutcome{Result: port.TimedOut, Latency: 800 * ms}
+	out := routing.AttemptOutcome{Result: routing.TimedOut, Latency: 800 * ms}
 	y.pass(time.Second)
 	y.observeOutcome(y.now, out, anyRead)
 	assert.False(t, y.members[0].ejected)
@@ -580,7 +580,7 @@
 	p.at.FleetSize = 100
 	y := tell(t, p).group(2)
 	y.now = 20 * time.Second
-	y.list(port.Delta, port.Endpoint{Server: 1, HasStartTime: true, StartedAt: y.now})
+	y.list(routing.Delta, routing.Endpoint{Server: 1, HasStartTime: true, StartedAt: y.now})
 	assert.True(t, y.members[1].cold)
 	y.now += p.rules.OverloadWindow
 	assert.False(t, y.slowStartAdmits(y.now, &y.members[1], 0.05), "a front that sent nothing has a hundredth of one")
@@ -619,17 +619,17 @@
 func TestALostAnswerIsNoSignOfAQueue(t *testing.T) {
 	y := tell(t, littleSite()).group(1)
 	y.pass(time.Second)
-	y.observeOutcome(y.now, port.AttemptOutcome{Result: port.Succeeded, Latency: 20 * ms}, anyRead)
+	y.observeOutcome(y.now, routing.AttemptOutcome{Result: routing.Succeeded, Latency: 20 * ms}, anyRead)
 	room := y.members[0].limit
-	y.observeOutcome(y.now, port.AttemptOutcome{Result: port.TimedOut, Latency: 800 * ms}, anyRead)
+	y.observeOutcome(y.now, routing.AttemptOutcome{Result: routing.TimedOut, Latency: 800 * ms}, anyRead)
 	assert.Equal(t, room, y.members[0].limit, "one that was sent later came back quickly")
 	y.pass(time.Second)
-	y.observeOutcome(y.now, port.AttemptOutcome{Result: port.TimedOut, Latency: 800 * ms}, anyRead)
+	y.observeOutcome(y.now, routing.AttemptOutcome{Result: routing.TimedOut, Latency: 800 * ms}, anyRead)
 	assert.Less(t, y.members[0].limit, room)
 	room = y.members[0].limit
 	y.pass(10 * time.Second)
-	y.knows(0, port.Primary, y.now)
-	y.observeOutcome(y.now+100*ms, port.AttemptOutcome{Result: port.TimedOut, Latency: 800 * ms}, anyRead)
+	y.knows(0, routing.Primary, y.now)
+	y.observeOutcome(y.now+100*ms, routing.AttemptOutcome{Result: routing.TimedOut, Latency: 800 * ms}, anyRead)
 	assert.Equal(t, room, y.members[0].limit, "by its own report it holds nothing")
 }
 
@@ -645,7 +645,7 @@
 			continue
 		}
 		assert.Equal(t, "revoke 1.0", y.last("revoke"))
-		y.ends(w, port.Cancelled, port.UnknownRole, 0)
+		y.ends(w, routing.Cancelled, routing.UnknownRole, 0)
 		assert.Equal(t, 2, y.count("submit"))
 		y.members[0].waitingSince, y.members[0].quickAt = time.Hour, time.Hour
 		y.pass(700 * ms)
@@ -660,10 +660,10 @@
 	y.members[0].limit = 1
 	first := y.begin(write)
 	cheap := y.begin(anyRead)
-	retry := y.begin(write, func(t *port.Request) { t.Retry = true })
+	retry := y.begin(write, func(t *routing.Request) { t.Retry = true })
 	dear := y.begin(write)
-	for _, next := range []port.RequestRef{dear, cheap, retry} {
-		y.ends(first, port.Succeeded, port.Primary, 0)
+	for _, next := range []routing.RequestRef{dear, cheap, retry} {
+		y.ends(first, routing.Succeeded, routing.Primary, 0)
 		assert.Equal(t, 1, y.subs[next])
 		first = next
 	}
@@ -673,18 +673,18 @@
 func TestAnUnmarkedRetryIsToldByItsBudget(t *testing.T) {
 	y := tell(t, littleSite()).group(1)
 	for range 50 {
-		y.begin(anyRead, func(in *port.Request) { in.Timeout = 400 * ms })
+		y.begin(anyRead, func(in *routing.Request) { in.Timeout = 400 * ms })
 	}
-	last := y.begin(anyRead, func(in *port.Request) { in.Timeout = 300 * ms })
+	last := y.begin(anyRead, func(in *routing.Request) { in.Timeout = 300 * ms })
 	assert.Equal(t, 1.0/4, y.slab[last.Slot].value)
-	first := y.begin(anyRead, func(in *port.Request) { in.Timeout = 400 * ms })
+	first := y.begin(anyRead, func(in *routing.Request) { in.Timeout = 400 * ms })
 	assert.Equal(t, 1.0, y.slab[first.Slot].value)
 	for range 20 {
 		y.begin(write)
 	}
 	assert.Equal(t, 6.0, y.slab[y.begin(write).Slot].value, "another type's tries come with another part of its expiry")
 	y.retriesMarked = true
-	last = y.begin(anyRead, func(in *port.Request) { in.Timeout = 300 * ms })
+	last = y.begin(anyRead, func(in *routing.Request) { in.Timeout = 300 * ms })
 	assert.Equal(t, 1.0, y.slab[last.Slot].value, "where clients mark them, the mark is what counts")
 }
 
@@ -696,7 +696,7 @@
 		r := y.begin(write)
 		y.members[0].ejected = false
 		for y.subs[r] > 0 && y.slab[r.Slot].end == open && y.slab[r.Slot].at != none {
-			y.ends(r, port.ServerError, port.Primary, y.now)
+			y.ends(r, routing.ServerError, routing.Primary, y.now)
 			y.members[0].limit = 4
 		}
 		n += max(0, y.subs[r]-1)
@@ -708,14 +708,14 @@
 	y := tell(t, littleSite()).group(4)
 	for range 500 {
 		y.now += 10 * ms
-		y.ends(y.begin(anyRead), port.Succeeded, port.Replica, 0)
+		y.ends(y.begin(anyRead), routing.Succeeded, routing.Replica, 0)
 	}
 	assert.Zero(t, y.count("probe"), "answers tell enough")
 	y.eject(y.now, 3)
 	for range 500 {
 		y.pass(20 * ms)
 		if y.members[3].probeOut {
-			y.HealthCheckFinished(y.now, 3, port.TimedOut, ms, port.LoadReport{})
+			y.HealthCheckFinished(y.now, 3, routing.TimedOut, ms, routing.LoadReport{})
 		}
 	}
 	assert.LessOrEqual(t, y.count("probe"), 8, "and one that is down is asked ever more rarely")
@@ -727,7 +727,7 @@
 		y := tell(t, littleSite()).group(4)
 		for range 50 {
 			y.now += 7 * ms
-			y.ends(y.begin(session), port.Succeeded, port.Replica, y.now)
+			y.ends(y.begin(session), routing.Succeeded, routing.Replica, y.now)
 		}
 		return y
 	}
@@ -742,21 +742,21 @@
 func ordinaryPath() (round func()) {
 	q := quiet{}
 	p := littleSite()
-	r := New(&q, 7, p.at, p.types, nil, p.copies, p.rules, p.allowed, port.CostWeights{})
-	var entries []port.Endpoint
+	r := New(&q, 7, p.at, p.types, nil, p.copies, p.rules, p.allowed, routing.CostWeights{})
+	var entries []routing.Endpoint
 	for i := range 4 {
-		entries = append(entries, port.Endpoint{Server: i, Primary: i == 0})
+		entries = append(entries, routing.Endpoint{Server: i, Primary: i == 0})
 	}
-	r.EndpointsChanged(0, port.CachedSnapshot, 1, entries)
+	r.EndpointsChanged(0, routing.CachedSnapshot, 1, entries)
 	now, turn := time.Duration(0), uint32(0)
 	return func() {
 		for _, ty := range []int{write, session, anyRead, bounded} {
 			now, turn = now+5*ms, turn+1
-			ref := port.RequestRef{Slot: turn % 8, Generation: turn}
-			r.RequestReceived(now, port.Request{Ref: ref, Type: ty, Customer: port.None, Session: uint64(turn), Timeout: time.Second})
+			ref := routing.RequestRef{Slot: turn % 8, Generation: turn}
+			r.RequestReceived(now, routing.Request{Ref: ref, Type: ty, Customer: routing.None, Session: uint64(turn), Timeout: time.Second})
 			r.Reconcile(now)
-			r.AttemptFinished(now, port.AttemptOutcome{Ref: ref, Server: q.to, Result: port.Succeeded, RequestFinished: true, Latency: 20 * ms,
-				Role: port.Replica, Position: now, HasPosition: true})
+			r.AttemptFinished(now, routing.AttemptOutcome{Ref: ref, Server: q.to, Result: routing.Succeeded, RequestFinished: true, Latency: 20 * ms,
+				Role: routing.Replica, Position: now, HasPosition: true})
 			r.Reconcile(now)
 		}
 	}
@@ -768,22 +768,22 @@
 	to int
 }
 
-func (q *quiet) StartAttempt(_ port.RequestRef, m int, _ time.Duration) { q.to = m }
-func (q *quiet) StartHealthCheck(int)                                   {}
+func (q *quiet) StartAttempt(_ routing.RequestRef, m int, _ time.Duration) { q.to = m }
+func (q *quiet) StartHealthCheck(int)                                      {}
 
 // The group's only primary is at another site, and the way there is cut: waiting would bring nothing. What a copy here may
 // answer goes on; when the way is open again, all does.
 func TestAPrimaryBehindACutWayIsNotWaitedForAndServesAtOnceWhenItIsOpen(t *testing.T) {
 	y := tell(t, littleSite()).group(3)
 	y.now = time.Second
-	y.ends(y.begin(write), port.Succeeded, port.Primary, y.now)
-	y.knows(2, port.Replica, y.now)
-	y.list(port.Delta, port.Endpoint{Server: 0, State: port.Partitioned, Primary: true})
+	y.ends(y.begin(write), routing.Succeeded, routing.Primary, y.now)
+	y.knows(2, routing.Replica, y.now)
+	y.list(routing.Delta, routing.Endpoint{Server: 0, State: routing.Partitioned, Primary: true})
 	y.begin(onceOnly)
 	assert.Equal(t, "decline 2, back in 200ms", y.last("decline"), "at once")
 	y.begin(anyRead)
 	assert.Equal(t, "submit 3 to 2", y.last("submit"))
-	y.list(port.Delta, port.Endpoint{Server: 0, Primary: true})
+	y.list(routing.Delta, routing.Endpoint{Server: 0, Primary: true})
 	y.begin(onceOnly)
 	assert.Equal(t, "submit 4 to 0", y.last("submit"))
 }
@@ -792,19 +792,19 @@
 
 func TestWhereOnlyReportsTellPositionsTheirAgeIsTakenOff(t *testing.T) {
 	p := littleSite()
-	p.copies = port.Replication{StalenessCheck: port.RejectIfStale, LoadInResponses: true}
+	p.copies = routing.Replication{StalenessCheck: routing.RejectIfStale, LoadInResponses: true}
 	y := tell(t, p).group(3)
 	y.begin(anyRead)
-	answers := func(member int, role port.Role, reported time.Duration) {
+	answers := func(member int, role routing.Role, reported time.Duration) {
 		y.members[member].out++
-		y.AttemptFinished(y.now, port.AttemptOutcome{Ref: port.RequestRef{}, Server: member, Result: port.Succeeded, Role: role, Latency: 30 * ms,
-			Load: port.LoadReport{Role: role, Position: reported, HasPosition: true}})
+		y.AttemptFinished(y.now, routing.AttemptOutcome{Ref: routing.RequestRef{}, Server: member, Result: routing.Succeeded, Role: role, Latency: 30 * ms,
+			Load: routing.LoadReport{Role: role, Position: reported, HasPosition: true}})
 	}
 	for range 20 { // reports are three seconds late, all of them
 		y.pass(100 * ms)
-		answers(0, port.Primary, y.now-3*time.Second)
-		answers(1, port.Replica, y.now-3*time.Second)
-		answers(2, port.Replica, y.now-5*time.Second)
+		answers(0, routing.Primary, y.now-3*time.Second)
+		answers(1, routing.Replica, y.now-3*time.Second)
+		answers(2, routing.Replica, y.now-5*time.Second)
 	}
 	assert.InDelta(t, 3*time.Second, y.reportAge, float64(50*ms))
 	assert.Less(t, y.now-y.estimate(&y.members[1], y.now), 100*ms, "its report is late, it is not")
@@ -818,21 +818,21 @@
 	p.allowed.MaxRetryAfter = 0
 	y := tell(t, p).group(4)
 	r := y.begin(anyRead)
-	y.ends(r, port.ServerError, port.Replica, 0)
+	y.ends(r, routing.ServerError, routing.Replica, 0)
 	assert.Equal(t, 2, y.subs[r], "one error may be a member's")
-	y.ends(r, port.ServerError, port.Replica, 0)
+	y.ends(r, routing.ServerError, routing.Replica, 0)
 	assert.Equal(t, 2, y.subs[r])
 	assert.Equal(t, "decline 1, back in 0s", y.last("decline"))
 	y.errorRate = 0.3
 	r = y.begin(anyRead)
-	y.ends(r, port.ServerError, port.Replica, 0)
+	y.ends(r, routing.ServerError, routing.Replica, 0)
 	assert.Equal(t, 1, y.subs[r], "where errors are common the first is enough")
 }
 
 func TestErrorsAreNoLostAnswers(t *testing.T) {
 	y := tell(t, littleSite()).group(1)
 	for range 50 {
-		y.observeOutcome(y.now, port.AttemptOutcome{Result: port.ServerError, Latency: ms}, anyRead)
+		y.observeOutcome(y.now, routing.AttemptOutcome{Result: routing.ServerError, Latency: ms}, anyRead)
 	}
 	assert.Zero(t, y.members[0].lossRate, "else what takes four least latencies would be taken back")
 }
@@ -841,20 +841,20 @@
 	y := tell(t, littleSite()).group(1)
 	for range 3 {
 		y.pass(100 * ms)
-		y.observeOutcome(y.now, port.AttemptOutcome{Result: port.Succeeded, Latency: 20 * ms}, anyRead)
+		y.observeOutcome(y.now, routing.AttemptOutcome{Result: routing.Succeeded, Latency: 20 * ms}, anyRead)
 	}
 	a, b := y.begin(anyRead), y.begin(anyRead)
 	room, strain := y.members[0].limit, y.members[0].load.n
 	y.now += 5 * time.Second // no beat came
 	y.TimerFired(y.now)      // the alarm stands before the endings in what came meanwhile
 	assert.False(t, y.members[0].ejected, "it is not the member that was silent")
-	y.ends(a, port.TimedOut, port.UnknownRole, 0)
+	y.ends(a, routing.TimedOut, routing.UnknownRole, 0)
 	y.ClientGone(y.now, b)
-	y.observeOutcome(y.now, port.AttemptOutcome{Result: port.Succeeded, Latency: 5 * time.Second}, anyRead)
+	y.observeOutcome(y.now, routing.AttemptOutcome{Result: routing.Succeeded, Latency: 5 * time.Second}, anyRead)
 	assert.Equal(t, room, y.members[0].limit)
 	assert.Equal(t, strain, y.members[0].load.n)
 	y.pass(100 * ms)
-	y.observeOutcome(y.now, port.AttemptOutcome{Result: port.Succeeded, Latency: 600 * ms}, anyRead)
+	y.observeOutcome(y.now, routing.AttemptOutcome{Result: routing.Succeeded, Latency: 600 * ms}, anyRead)
 	assert.Less(t, y.members[0].limit, room, "what comes later counts again")
 }
 
@@ -866,11 +866,11 @@
 	again := y.retryBudget
 	for range 20 {
 		w := y.begin(write)
-		y.AttemptFinished(y.now, port.AttemptOutcome{Ref: w, AttemptNumber: y.subs[w] - 1, Result: port.Unreachable, Latency: 2 * ms})
+		y.AttemptFinished(y.now, routing.AttemptOutcome{Ref: w, AttemptNumber: y.subs[w] - 1, Result: routing.Unreachable, Latency: 2 * ms})
 		y.settle()
-		y.knows(0, port.Primary, y.now)
+		y.knows(0, routing.Primary, y.now)
 		y.pass(2 * y.tick)
-		y.ends(w, port.Succeeded, port.Primary, y.now)
+		y.ends(w, routing.Succeeded, routing.Primary, y.now)
 	}
 	assert.False(t, y.members[0].ejected)
 	assert.LessOrEqual(t, y.count("probe"), 8, "what answered within an SLA time is not asked again")
@@ -908,22 +908,22 @@
 func TestTheFirstSecondsAfterASwitchAreSafe(t *testing.T) {
 	p := littleSite()
 	p.at.FleetSize = 250
-	p.copies = port.Replication{StalenessCheck: port.RejectIfStale, LoadInResponses: true}
+	p.copies = routing.Replication{StalenessCheck: routing.RejectIfStale, LoadInResponses: true}
 	y := tell(t, p)
-	list := []port.Endpoint{{Server: 0, Primary: true}, {Server: 1}, {Server: 2, HasStartTime: true, StartedAt: -time.Second},
+	list := []routing.Endpoint{{Server: 0, Primary: true}, {Server: 1}, {Server: 2, HasStartTime: true, StartedAt: -time.Second},
 		{Server: 3, Group: 1, Primary: true}, {Server: 4, Group: 1}}
-	y.list(port.CachedSnapshot, list...)
+	y.list(routing.CachedSnapshot, list...)
 	y.pass(100 * ms)
 	r := y.begin(session)
 	assert.Equal(t, 1, y.where[r], "a replica, whose own check decides")
-	y.ends(r, port.Misrouted, port.Replica, 0)
+	y.ends(r, routing.Misrouted, routing.Replica, 0)
 	assert.Equal(t, 0, y.where[r], "and after a miss the primary")
-	y.ends(r, port.Succeeded, port.Primary, 0)
+	y.ends(r, routing.Succeeded, routing.Primary, 0)
 	for range 40 {
 		y.pass(50 * ms)
 		r := y.begin(anyRead)
 		if y.subs[r] > 0 {
-			y.ends(r, port.Succeeded, port.Replica, 0)
+			y.ends(r, routing.Succeeded, routing.Replica, 0)
 		}
 	}
 	cold := 0
@@ -933,11 +933,11 @@
 		}
 	}
 	assert.LessOrEqual(t, cold, 2, "a starting member gets its part of what 250 fronts send")
-	y.AttemptFinished(y.now, port.AttemptOutcome{Ref: port.RequestRef{Slot: 1}, Server: 4, Result: port.Succeeded, Role: port.Primary,
+	y.AttemptFinished(y.now, routing.AttemptOutcome{Ref: routing.RequestRef{Slot: 1}, Server: 4, Result: routing.Succeeded, Role: routing.Primary,
 		Position: y.now, HasPosition: true}) // a claim in the other group
 	assert.Equal(t, 0, y.groups[0].primary, "what another group's member says is not believed here")
 	assert.Equal(t, 4, y.groups[1].primary)
-	y.AttemptFinished(y.now, port.AttemptOutcome{Ref: port.RequestRef{Slot: 1}, Server: 3, Result: port.Succeeded, Role: port.Primary,
+	y.AttemptFinished(y.now, routing.AttemptOutcome{Ref: routing.RequestRef{Slot: 1}, Server: 3, Result: routing.Succeeded, Role: routing.Primary,
 		Position: y.now - time.Second, HasPosition: true})
 	assert.Equal(t, 4, y.groups[1].primary, "nor what is of an older term")
 }
@@ -946,9 +946,9 @@
 	part := func(failing int) float64 {
 		y := tell(t, littleSite()).group(3)
 		y.pass(100 * ms)
-		y.ends(y.begin(anyRead), port.Succeeded, port.Replica, 0)
+		y.ends(y.begin(anyRead), routing.Succeeded, routing.Replica, 0)
 		for range failing { // worthless, the same everywhere
-			y.ends(y.begin(anyRead), port.ServerError, port.Replica, 0)
+			y.ends(y.begin(anyRead), routing.ServerError, routing.Replica, 0)
 		}
 		return y.served.sum
 	}
@@ -958,8 +958,8 @@
 // A request whose client leaves in the batch in which it came goes nowhere: its place is free again at once.
 func TestARequestThatLeavesInTheBatchOfItsArrivalGoesNowhere(t *testing.T) {
 	y := tell(t, littleSite()).group(3)
-	r := port.RequestRef{Slot: 1, Generation: 1}
-	y.RequestReceived(y.now, port.Request{Ref: r, Type: anyRead, Customer: port.None, Timeout: time.Second})
+	r := routing.RequestRef{Slot: 1, Generation: 1}
+	y.RequestReceived(y.now, routing.Request{Ref: r, Type: anyRead, Customer: routing.None, Timeout: time.Second})
 	y.ClientGone(y.now, r)
 	y.settle()
 	y.pass(time.Second)
--- a/router/scale_bench_test.go
+++ b/router/scale_bench_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // What an instance's beat and its settling cost, by how many members the list has: a fleet may grow by sixteen times.
@@ -12,11 +12,11 @@
 	for _, members := range []int{200, 3200} {
 		b.Run(fmt.Sprint(members), func(b *testing.B) {
 			y := tell(nil, littleSite())
-			var list []port.Endpoint
+			var list []routing.Endpoint
 			for i := range members {
-				list = append(list, port.Endpoint{Server: i, Group: i / 5, Zone: i % 2, Primary: i%5 == 0})
+				list = append(list, routing.Endpoint{Server: i, Group: i / 5, Zone: i % 2, Primary: i%5 == 0})
 			}
-			y.EndpointsChanged(0, port.CachedSnapshot, 1, list)
+			y.EndpointsChanged(0, routing.CachedSnapshot, 1, list)
 			for b.Loop() {
 				for range 50 { // beats
 					y.now += 20 * ms
--- a/router/selection.go
+++ b/router/selection.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // Which member does a read go to? Inputs: what each has out, its load, its position and zone. Invariant: a read goes only where its
@@ -14,7 +14,7 @@
 type selection struct {
 	zone     int
 	linkIdle time.Duration // after which an idle connection is closed
-	check    port.StalenessCheck
+	check    routing.StalenessCheck
 	hold     time.Duration
 	turn     int // rotates among equals
 }
@@ -28,7 +28,7 @@
 	firstTurns   = 1 << 16
 )
 
-func newSelection(seed uint64, at port.Topology, copies port.Replication, allowed port.Limits) selection {
+func newSelection(seed uint64, at routing.Topology, copies routing.Replication, allowed routing.Limits) selection {
 	return selection{zone: at.Zone, turn: firstTurn(seed), linkIdle: allowed.IdleConnTimeout, check: copies.StalenessCheck, hold: copies.FreshnessWait}
 }
 
@@ -69,16 +69,16 @@
 // is known fresh enough the least behind, whose own check decides; but not where its hold can't do it:
 // a whole group behind would spend a hold on each read and then go to the primary all the same. After a
 // miss, and where the wait can't be enforced, the primary; it also relieves replicas that are far busier.
-func (r *Router) pick(now time.Duration, t *request, ty *port.RequestType) int {
+func (r *Router) pick(now time.Duration, t *request, ty *routing.RequestType) int {
 	g := r.group(t.Group)
 	needs := t.needs
-	if ty.Consistency == port.BoundedStaleness {
+	if ty.Consistency == routing.BoundedStaleness {
 		needs = now - t.MaxStaleness
 	}
 	c := r.candidates(now, t, g, needs)
 	best, least := c.fresh, c.cost
-	g.probeWanted = g.probeWanted || best == none && r.check == port.NoStalenessCheck
-	if best == none && c.behind != none && r.check != port.NoStalenessCheck {
+	g.probeWanted = g.probeWanted || best == none && r.check == routing.NoStalenessCheck
+	if best == none && c.behind != none && r.check != routing.NoStalenessCheck {
 		m := &r.members[c.behind]
 		if m.lagAt == never || r.estimate(m, now)+r.hold+r.reportAge >= needs || g.primary == none && !t.missed {
 			best, least = c.behind, r.cost(now, m)
@@ -120,7 +120,7 @@
 
 // provenPosition is what may be relied on: where members check nothing, nothing but a proof will do.
 func (r *Router) provenPosition(now time.Duration, m *member) time.Duration {
-	if r.check == port.NoStalenessCheck {
+	if r.check == routing.NoStalenessCheck {
 		return m.pos
 	}
 	return r.estimate(m, now)
--- a/router/sessions.go
+++ b/router/sessions.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // What must a session's read see? Inputs: positions of its writes' answers, or the token that it brings. Invariant: a target is never
@@ -72,7 +72,7 @@
 }
 
 // needs is the position that a session's read must see, never for none.
-func (s *sessions) needs(now time.Duration, in *port.Request, g *group) time.Duration {
+func (s *sessions) needs(now time.Duration, in *routing.Request, g *group) time.Duration {
 	token := never
 	if in.TokenAge > 0 { // it names a moment, not a term; one before this term's start is of an older term
 		token = max(now-in.TokenAge, g.termStart)
@@ -90,10 +90,10 @@
 }
 
 // sessionKey names a session in a group.
-func sessionKey(in *port.Request) uint64 { return in.Session + uint64(in.Group) }
+func sessionKey(in *routing.Request) uint64 { return in.Session + uint64(in.Group) }
 
 // RequiredPosition tells the position that a read in hand must see, for an instance of another site.
-func (r *Router) RequiredPosition(ref port.RequestRef) (time.Duration, bool) {
+func (r *Router) RequiredPosition(ref routing.RequestRef) (time.Duration, bool) {
 	t := &r.slab[ref.Slot]
 	return t.needs, t.Ref == ref && t.needs != never
 }
--- a/router/slow_start.go
+++ b/router/slow_start.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // What may a member be sent that has just started? Inputs: when it started, by the list or by what could not be reached and answers
@@ -23,7 +23,7 @@
 
 const safeShare = 0.6 // of the multiple of its part at which a cold member falls
 
-func newSlowStartRules(rules port.Guardrails) slowStartRules {
+func newSlowStartRules(rules routing.Guardrails) slowStartRules {
 	return slowStartRules{initialShare: rules.InitialCapacity, shareMultiple: safeShare * rules.OverloadMultiple, warmUp: rules.SlowStartDuration,
 		fallTime: rules.OverloadWindow}
 }
--- a/port/port.go
+++ b/routing/port.go
@@ -1,4 +1,4 @@
-// Package port is the line between the decisions and whatever carries them.
+// Package routing is the line between the decisions and whatever carries them.
 //
 // A host (the bench adapter today, a socket front later) turns what it hears into the plain types
 // below and calls a Decider; the Decider asks for what it wants through Host. Nothing here knows a
@@ -6,7 +6,7 @@
 //
 // Times are spans since the instance started. A log position is given on the same scale: it is the
 // moment up to which a member has applied every commit. Ids are small indices, given out at the door.
-package port
+package routing
 
 import "time"
 
--- a/shape/settings.go
+++ b/shape/settings.go
@@ -5,7 +5,7 @@
 	"strings"
 
 	"dapplerouter/conf"
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // FormName is the operator's form that turns classing on.
@@ -28,8 +28,8 @@
 	CacheBytes       int64
 	Lists            *NameLists
 	Rules            []Rule
-	UndeclaredWrites port.Idempotency // of a write whose request type reads
-	RulePositions    []conf.Position  // of the rules
+	UndeclaredWrites routing.Idempotency // of a write whose request type reads
+	RulePositions    []conf.Position     // of the rules
 }
 
 const (
@@ -39,7 +39,7 @@
 
 // ReadSettings reads the form; what is wrong with it is noted with its reading.
 func ReadSettings(f *conf.Form) *Settings {
-	s := &Settings{CacheBytes: usualBytes, UndeclaredWrites: port.NonIdempotent}
+	s := &Settings{CacheBytes: usualBytes, UndeclaredWrites: routing.NonIdempotent}
 	forms := f.Forms("cache", "functions", "columns", "undeclared-writes", "types")
 	if c := forms["cache"]; c != nil {
 		s.CacheBytes = c.Size(MinCacheBytes, mostBytes)
@@ -84,9 +84,9 @@
 	if u := forms["undeclared-writes"]; u != nil {
 		switch u.Choice("once-only", "referenced", "repeatable") {
 		case "referenced":
-			s.UndeclaredWrites = port.IdempotencyKey
+			s.UndeclaredWrites = routing.IdempotencyKey
 		case "repeatable":
-			s.UndeclaredWrites = port.Idempotent
+			s.UndeclaredWrites = routing.Idempotent
 		}
 	}
 	if ts := forms["types"]; ts != nil {
--- a/site/rules.go
+++ b/site/rules.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"dapplerouter/conf"
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // RulesForm is the operator's form for what may change while fronts run, by a published version:
@@ -76,7 +76,7 @@
 		return nil
 	}
 	var faults conf.ErrorList
-	look := func(what string, of map[string]time.Duration, most func(port.RequestType) (time.Duration, bool), kind string) {
+	look := func(what string, of map[string]time.Duration, most func(routing.RequestType) (time.Duration, bool), kind string) {
 		for _, name := range slices.Sorted(maps.Keys(of)) {
 			place := r.places[what+" "+name]
 			i := slices.Index(s.TypeNames, name)
@@ -93,11 +93,11 @@
 			}
 		}
 	}
-	look("bound", r.MaxStaleness, func(t port.RequestType) (time.Duration, bool) {
-		return t.MaxStaleness, t.Consistency == port.BoundedStaleness
+	look("bound", r.MaxStaleness, func(t routing.RequestType) (time.Duration, bool) {
+		return t.MaxStaleness, t.Consistency == routing.BoundedStaleness
 	}, "reads within a bound")
-	look("window", r.DedupWindows, func(t port.RequestType) (time.Duration, bool) {
-		return t.DedupWindow, t.Idempotency == port.IdempotencyKey
+	look("window", r.DedupWindows, func(t routing.RequestType) (time.Duration, bool) {
+		return t.DedupWindow, t.Idempotency == routing.IdempotencyKey
 	}, "carries a mark")
 	if faults == nil {
 		return nil
--- a/site/rules_test.go
+++ b/site/rules_test.go
@@ -7,11 +7,11 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 func TestRulesOnlyTightenAndWhatIsWrongIsToldAtItsPlace(t *testing.T) {
-	s := &Settings{TypeNames: []string{"browse", "book"}, RequestTypes: []port.RequestType{{Consistency: port.BoundedStaleness, MaxStaleness: 3 * time.Second}, {Consistency: port.Write, Idempotency: port.IdempotencyKey, DedupWindow: 2 * time.Second}}}
+	s := &Settings{TypeNames: []string{"browse", "book"}, RequestTypes: []routing.RequestType{{Consistency: routing.BoundedStaleness, MaxStaleness: 3 * time.Second}, {Consistency: routing.Write, Idempotency: routing.IdempotencyKey, DedupWindow: 2 * time.Second}}}
 	for text, want := range map[string]string{
 		"(rules (bound browse 2s) (window book 1s) (given-up 7 3))": "",
 		"(rules (bound browse 5s))":                                 "x:1:8: 5s is looser than the site's bound of 3s for browse",
--- a/site/site.go
+++ b/site/site.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // Source gives the text under a dotted path, and "" where there is none. The values of a list of plain ones
@@ -28,30 +28,30 @@
 type Settings struct {
 	PositionOrigin                      int64 // clock time from which positions are measured
 	TypeNames, CustomerNames, ZoneNames []string
-	Topology                            port.Topology
-	RequestTypes                        []port.RequestType
-	CustomerQuotas                      []port.Customer
-	Replication                         port.Replication
-	Guardrails                          port.Guardrails
-	Limits                              port.Limits
-	CostWeights                         port.CostWeights
+	Topology                            routing.Topology
+	RequestTypes                        []routing.RequestType
+	CustomerQuotas                      []routing.Customer
+	Replication                         routing.Replication
+	Guardrails                          routing.Guardrails
+	Limits                              routing.Limits
+	CostWeights                         routing.CostWeights
 }
 
-var effects = map[string]port.Idempotency{
-	"read_like": port.Idempotent, "idempotency_key": port.IdempotencyKey, "non_idempotent": port.NonIdempotent,
+var effects = map[string]routing.Idempotency{
+	"read_like": routing.Idempotent, "idempotency_key": routing.IdempotencyKey, "non_idempotent": routing.NonIdempotent,
 }
 
-var scopes = map[string]port.DedupScope{"all": port.ScopeAll, "zone": port.ScopeZone, "cell": port.ScopeGroup}
+var scopes = map[string]routing.DedupScope{"all": routing.ScopeAll, "zone": routing.ScopeZone, "cell": routing.ScopeGroup}
 
-var checks = map[string]port.StalenessCheck{"silent": port.NoStalenessCheck, "bounce": port.RejectIfStale, "await": port.WaitUntilFresh}
+var checks = map[string]routing.StalenessCheck{"silent": routing.NoStalenessCheck, "bounce": routing.RejectIfStale, "await": routing.WaitUntilFresh}
 
-var levels = map[string]port.Consistency{
-	"eventual": port.Eventual, "lag_bound": port.BoundedStaleness, "causal": port.ReadYourWrites, "strong": port.Strong,
-	"mutate": port.Write,
+var levels = map[string]routing.Consistency{
+	"eventual": routing.Eventual, "lag_bound": routing.BoundedStaleness, "causal": routing.ReadYourWrites, "strong": routing.Strong,
+	"mutate": routing.Write,
 }
 
-var listedRoles = map[string]port.RoleListing{
-	"silent": port.RolesNotListed, "static": port.RolesAtStart, "trailing": port.RolesDelayed,
+var listedRoles = map[string]routing.RoleListing{
+	"silent": routing.RolesNotListed, "static": routing.RolesAtStart, "trailing": routing.RolesDelayed,
 }
 
 var asked = map[string]bool{"push": false, "ask": true}
@@ -75,7 +75,7 @@
 	for i := 0; i < n && r.err == nil; i++ {
 		p := "Classes." + strconv.Itoa(i) + "."
 		s.TypeNames = append(s.TypeNames, r.need(p+"Name"))
-		s.RequestTypes = append(s.RequestTypes, port.RequestType{
+		s.RequestTypes = append(s.RequestTypes, routing.RequestType{
 			LatencyObjective: r.span(p + "Aim"), Deadline: r.span(p + "Deadline"), WorkMultiple: r.decimal(p+"AimStretch", 0),
 			PriorityWeight: r.decimal(p+"Worth", 1), LateFraction: r.decimal(p+"LateWorth", 0),
 			Idempotency:  choice(r, p+"Effect", effects),
@@ -89,12 +89,12 @@
 	for i := 0; i < n && r.err == nil; i++ {
 		p := "Tenants." + strconv.Itoa(i) + "."
 		s.CustomerNames = append(s.CustomerNames, r.need(p+"Name"))
-		s.CustomerQuotas = append(s.CustomerQuotas, port.Customer{
+		s.CustomerQuotas = append(s.CustomerQuotas, routing.Customer{
 			RequestsPerSecond: r.decimal(p+"QuotaPerS", 0), Quota: r.decimal(p+"Share", 0)})
 	}
 	home := r.need("Locality")
-	s.Topology = port.Topology{
-		Zone: port.None, ZoneCount: len(s.ZoneNames), FleetSize: int(r.integer("FleetSize")), Ordinal: int(r.integer("Ordinal")),
+	s.Topology = routing.Topology{
+		Zone: routing.None, ZoneCount: len(s.ZoneNames), FleetSize: int(r.integer("FleetSize")), Ordinal: int(r.integer("Ordinal")),
 		PullEndpoints: choice(r, "Discovery", asked), TickInterval: r.span("Tick"),
 		RetriesMarked: r.yes("Clients.MarksRetry"),
 		RoleListing:   choice(r, "FamilyInfo.RoleListed", listedRoles),
@@ -104,10 +104,10 @@
 			s.Topology.Zone = i
 		}
 	}
-	if r.err == nil && s.Topology.Zone == port.None {
+	if r.err == nil && s.Topology.Zone == routing.None {
 		r.fail("Locality", fmt.Sprintf("is none of Zones: %q", home))
 	}
-	s.Replication = port.Replication{
+	s.Replication = routing.Replication{
 		StalenessCheck:      choice(r, "FamilyInfo.Checks", checks),
 		FreshnessWait:       time.Duration(r.optional("FamilyInfo.HoldsFor")),
 		ClientCarriesToken:  r.need("FamilyInfo.WriteMarks") == "brought",
@@ -115,12 +115,12 @@
 		SemiSyncWrites:      r.yes("FamilyInfo.Synchronous"),
 		LoadInResponses:     word(r, "Stats.Source", r.get("Stats.Source"), piggyback),
 	}
-	s.Guardrails = port.Guardrails{
+	s.Guardrails = routing.Guardrails{
 		AnswerSlack: r.span("Rules.AnswerSlack"), DrainGrace: r.span("Rules.StopSendingWithin"),
 		MaxPollInterval: time.Duration(r.optional("Rules.AskEvery")), InitialCapacity: r.decimal("Rules.StartCapacity", 1),
 		OverloadMultiple: r.decimal("Rules.FallMultiple", 1), SlowStartDuration: r.span("Rules.Cold"), OverloadWindow: r.span("Rules.Fall"),
 	}
-	s.Limits = port.Limits{
+	s.Limits = routing.Limits{
 		MaxAttempts: int(r.integer("Limits.AttemptsCap")), HealthChecks: r.yes("Limits.MayProbe"),
 		Gossip: r.yes("Limits.Peers"), Cancellation: r.yes("Limits.Cancel"), HedgedRequests: r.yes("Limits.MayDuplicate"),
 		MaxRetryAfter:   time.Duration(r.optional("Limits.MaxRetryAfter")),
@@ -130,7 +130,7 @@
 	if !r.yes("Limits.RetryAfter") {
 		s.Limits.MaxRetryAfter = 0
 	}
-	s.CostWeights = port.CostWeights{
+	s.CostWeights = routing.CostWeights{
 		CrossZone: r.decimal("Deductions.CrossZone", 0), WastedWork: r.decimal("Deductions.Waste", 0),
 		HealthCheck: r.decimal("Deductions.Probe", 0), LateFailure: r.decimal("Deductions.LateFail", 0),
 		Gossip: r.decimal("Deductions.Peer", 0), OverQuota: r.decimal("OverShareWorth", 1),
@@ -243,7 +243,7 @@
 
 // SetLoadField puts a value of a load report into its field, by the names that sites give them. Positions are in
 // seconds, counted from zero; names that say nothing here are passed over.
-func SetLoadField(l *port.LoadReport, name string, v float64, zero time.Duration) {
+func SetLoadField(l *routing.LoadReport, name string, v float64, zero time.Duration) {
 	switch name {
 	case "active", "inflight":
 		l.InFlight = v
@@ -260,13 +260,13 @@
 	case "x0":
 		l.Position, l.HasPosition = zero+time.Duration(v*float64(time.Second)), true
 	case "x1":
-		l.Role = port.Replica
+		l.Role = routing.Replica
 		if v == 1 {
-			l.Role = port.Primary
+			l.Role = routing.Primary
 		}
 	}
 }
 
 // EmptyLoad is a load report that says nothing.
-var EmptyLoad = port.LoadReport{InFlight: port.None, Queued: port.None, Utilization: port.None, LatencyMillis: port.None,
-	RequestRate: port.None, ErrorRate: port.None}
+var EmptyLoad = routing.LoadReport{InFlight: routing.None, Queued: routing.None, Utilization: routing.None, LatencyMillis: routing.None,
+	RequestRate: routing.None, ErrorRate: routing.None}
--- a/site/site_test.go
+++ b/site/site_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 const told = `{"name":"n3","listen":"127.0.0.1:5432","discovery":"127.0.0.2:8500","seed":"8c1f30d27a5be964",
@@ -44,9 +44,9 @@
 	assert.Len(t, s.CachedList.Endpoints, 1)
 	assert.Len(t, s.SkippedEndpoints, 1, "a member without an address")
 	assert.Equal(t, []string{"browse", "order"}, s.Settings.TypeNames)
-	assert.Equal(t, port.BoundedStaleness, s.Settings.RequestTypes[0].Consistency)
+	assert.Equal(t, routing.BoundedStaleness, s.Settings.RequestTypes[0].Consistency)
 	assert.Equal(t, 3*time.Second, s.Settings.RequestTypes[0].MaxStaleness)
-	assert.Equal(t, port.IdempotencyKey, s.Settings.RequestTypes[1].Idempotency)
+	assert.Equal(t, routing.IdempotencyKey, s.Settings.RequestTypes[1].Idempotency)
 	assert.Equal(t, 1, s.Settings.Topology.Zone)
 	assert.Equal(t, 184.5, s.Settings.CustomerQuotas[0].RequestsPerSecond)
 	assert.Equal(t, 250*time.Millisecond, s.Settings.Limits.DialTimeout)
@@ -119,8 +119,8 @@
 	SetLoadField(&l, "x1", 0, 0)
 	SetLoadField(&l, "inflight", 3, 0)
 	SetLoadField(&l, "unheard_of", 9, 0)
-	assert.Equal(t, port.LoadReport{InFlight: 3, Queued: -1, Utilization: -1, LatencyMillis: -1, RequestRate: -1, ErrorRate: -1,
-		Position: 2500 * time.Millisecond, HasPosition: true, Role: port.Replica}, l)
+	assert.Equal(t, routing.LoadReport{InFlight: 3, Queued: -1, Utilization: -1, LatencyMillis: -1, RequestRate: -1, ErrorRate: -1,
+		Position: 2500 * time.Millisecond, HasPosition: true, Role: routing.Replica}, l)
 }
 
 func TestTheFileReadAgainNamesTheList(t *testing.T) {
--- a/sockets/directory.go
+++ b/sockets/directory.go
@@ -9,7 +9,7 @@
 
 	"dapplerouter/discovery"
 	"dapplerouter/front"
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // Watcher brings the list to the core: unasked, or on the module's word where the site wants to be asked.
@@ -210,13 +210,13 @@
 }
 
 // failed is what the core hears where the list did not come.
-var failed = front.EndpointsChanged{Kind: port.UpdateFailed}
+var failed = front.EndpointsChanged{Kind: routing.UpdateFailed}
 
 func listed(l discovery.List) front.EndpointsChanged {
 	if l.Snapshot {
-		return front.EndpointsChanged{Kind: port.Snapshot, List: l}
+		return front.EndpointsChanged{Kind: routing.Snapshot, List: l}
 	}
-	return front.EndpointsChanged{Kind: port.Delta, List: l}
+	return front.EndpointsChanged{Kind: routing.Delta, List: l}
 }
 
 func (d *Watcher) from(client *discovery.Client) func(discovery.List) {
@@ -228,14 +228,14 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.client == client {
-		if e.Kind != port.UpdateFailed {
+		if e.Kind != routing.UpdateFailed {
 			d.told = true
 			d.endEarlier(len(d.earlier))
 		}
 		d.pass(e)
 		return
 	}
-	if e.Kind == port.UpdateFailed { // of an address of before
+	if e.Kind == routing.UpdateFailed { // of an address of before
 		return
 	}
 	if i := slices.IndexFunc(d.earlier, func(f followed) bool { return f.client == client }); i >= 0 {
--- a/sockets/directory_test.go
+++ b/sockets/directory_test.go
@@ -15,7 +15,7 @@
 
 	"dapplerouter/discovery"
 	"dapplerouter/front"
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // listing is a stand-in of the list's service: it gives the whole list, keeps watches open and tells of both
@@ -58,7 +58,7 @@
 			}
 			assert.Equal(t, "watch=1&after=4", first, "the old one is left")
 			for l := range told {
-				require.Equal(t, port.Snapshot, l.Kind, "the end of the old watch is no failure")
+				require.Equal(t, routing.Snapshot, l.Kind, "the end of the old watch is no failure")
 				if l.List.Index == 9 {
 					return // what was missed meanwhile stands in the whole list
 				}
@@ -128,7 +128,7 @@
 	d.SharedListChanged(discovery.List{Index: 7})
 	l := <-told
 	assert.Equal(t, int64(7), l.List.Index)
-	assert.Equal(t, port.Delta, l.Kind)
+	assert.Equal(t, routing.Delta, l.Kind)
 	d.Fetch() // asked for the whole list, it has the others' word
 	assert.Equal(t, int64(6), (<-told).List.Index)
 	assert.Empty(t, asked, "the service is asked nothing meanwhile")
--- a/sockets/endings_test.go
+++ b/sockets/endings_test.go
@@ -15,7 +15,7 @@
 
 	"dapplerouter/front"
 	"dapplerouter/pgwire"
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // answering has the member answer whatever it is asked, and counts it.
@@ -238,7 +238,7 @@
 	c.Close()
 	<-g.d.left // which takes nothing back
 	m.say(pgwire.AppendGreeting(nil)...)
-	assert.Equal(t, port.NotSent, (<-g.d.ended).Result)
+	assert.Equal(t, routing.NotSent, (<-g.d.ended).Result)
 	g.settled(1) // the connection is kept for others
 	c = g.client()
 	c.say(read("4000")...)
@@ -437,7 +437,7 @@
 	n := g.memberUp()
 	n.hear("Q")
 	n.Write(long) // it may be cut off midway
-	assert.Equal(t, port.ServerError, (<-g.d.ended).Result)
+	assert.Equal(t, routing.ServerError, (<-g.d.ended).Result)
 	assert.Contains(t, string(second.hear("EZ")), pgwire.CodeTransactionRollback)
 	m.say(long[len(long)-20:]...)
 	first.hear("TDCZ")
--- a/sockets/requests_test.go
+++ b/sockets/requests_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 
 	"dapplerouter/pgwire"
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // write is a request that writes a row, and readOf one that reads it.
@@ -87,7 +87,7 @@
 	}
 	assert.Contains(t, strings.Join(heard, ""), "'b'", "another row's read need not wait")
 	other.say(whole("b")...)
-	assert.Equal(t, port.Succeeded, (<-g.d.ended).Result)
+	assert.Equal(t, routing.Succeeded, (<-g.d.ended).Result)
 	assert.Len(t, g.d.begun, 2, "the read of the row that is written has not begun")
 	first.say(whole("written")...)
 	c.hear("TDCZ")
@@ -194,7 +194,7 @@
 		second.hear("Q")
 	}
 	second.say(whole(strings.Repeat("v", 20<<10))...)
-	assert.Equal(t, port.Succeeded, (<-g.d.ended).Result)
+	assert.Equal(t, routing.Succeeded, (<-g.d.ended).Result)
 	first.say(whole("v")...)
 	c.hear("TDCZ")
 	assert.Contains(t, string(c.hear("EZ")), pgwire.CodeTooManyConnections)
@@ -206,7 +206,7 @@
 	g := newRig(t, 100)
 	c := g.client()
 	c.say(append(bytes.Join([][]byte{write("a", "60000"), readOf("a", "60000")}, nil), reads(2*maxPipelined)...)...)
-	begun := map[port.RequestRef]bool{}
+	begun := map[routing.RequestRef]bool{}
 	for range maxPipelined - 1 { // all but the read behind the write
 		begun[(<-g.d.begun).Ref] = true
 	}
--- a/sockets/sockets_test.go
+++ b/sockets/sockets_test.go
@@ -18,33 +18,33 @@
 	"dapplerouter/discovery"
 	"dapplerouter/front"
 	"dapplerouter/pgwire"
-	"dapplerouter/port"
+	"dapplerouter/routing"
 	"dapplerouter/site"
 )
 
 // direct sends every request to member 0 and rolls back what does not commit. It tells what it hears.
 type direct struct {
-	port.Host
-	begun chan port.Request
-	ended chan port.AttemptOutcome
-	left  chan port.RequestRef
-	out   []port.RequestRef
+	routing.Host
+	begun chan routing.Request
+	ended chan routing.AttemptOutcome
+	left  chan routing.RequestRef
+	out   []routing.RequestRef
 }
 
-func (d *direct) RequiredPosition(port.RequestRef) (time.Duration, bool)                  { return 0, false }
-func (d *direct) EndpointsChanged(time.Duration, port.UpdateKind, int64, []port.Endpoint) {}
-func (d *direct) RequestReceived(_ time.Duration, t port.Request) {
+func (d *direct) RequiredPosition(routing.RequestRef) (time.Duration, bool)                     { return 0, false }
+func (d *direct) EndpointsChanged(time.Duration, routing.UpdateKind, int64, []routing.Endpoint) {}
+func (d *direct) RequestReceived(_ time.Duration, t routing.Request) {
 	d.out = append(d.out, t.Ref)
 	d.begun <- t
 }
-func (d *direct) AttemptFinished(_ time.Duration, o port.AttemptOutcome) {
+func (d *direct) AttemptFinished(_ time.Duration, o routing.AttemptOutcome) {
 	if !o.RequestFinished {
 		d.Fail(o.Ref)
 	}
 	d.ended <- o
 }
-func (d *direct) ClientGone(_ time.Duration, r port.RequestRef) { // as the module does: what left in the batch in which it came goes nowhere
-	d.out = slices.DeleteFunc(d.out, func(begun port.RequestRef) bool { return begun == r })
+func (d *direct) ClientGone(_ time.Duration, r routing.RequestRef) { // as the module does: what left in the batch in which it came goes nowhere
+	d.out = slices.DeleteFunc(d.out, func(begun routing.RequestRef) bool { return begun == r })
 	d.left <- r
 }
 func (d *direct) ClockCorrected(time.Duration, time.Duration) {}
@@ -56,7 +56,7 @@
 	}
 	d.out = d.out[:0]
 }
-func (d *direct) HealthCheckFinished(time.Duration, int, port.AttemptResult, time.Duration, port.LoadReport) {
+func (d *direct) HealthCheckFinished(time.Duration, int, routing.AttemptResult, time.Duration, routing.LoadReport) {
 }
 
 type nobody struct{}
@@ -78,17 +78,17 @@
 }
 
 func newRig(t *testing.T, descriptors int) *rig {
-	g := &rig{t: t, d: &direct{begun: make(chan port.Request, 100), ended: make(chan port.AttemptOutcome, 100),
-		left: make(chan port.RequestRef, 100)}, room: NewDescriptors(descriptors, 0), served: make(chan error, 1)}
+	g := &rig{t: t, d: &direct{begun: make(chan routing.Request, 100), ended: make(chan routing.AttemptOutcome, 100),
+		left: make(chan routing.RequestRef, 100)}, room: NewDescriptors(descriptors, 0), served: make(chan error, 1)}
 	g.listen, g.member = listen(t), listen(t)
 	clock := NewClock()
 	post := func(e front.Event) { g.core.Post(e) }
 	g.links = NewPools(post, g.room, "portal", "crm", 5*time.Second, time.Minute, 32<<20)
 	s := &site.Settings{TypeNames: []string{"read", "write"}, ZoneNames: []string{"a"},
-		RequestTypes: []port.RequestType{{Deadline: time.Minute}, {Deadline: time.Minute, Consistency: port.Write}},
-		Limits:       port.Limits{MaxAttempts: 9, DialTimeout: 5 * time.Second}}
-	g.core = front.NewCore(clock.StartedAt, 1, s, func(h port.Host, _ uint64, _ port.Topology, _ []port.RequestType,
-		_ []port.Customer, _ port.Replication, _ port.Guardrails, _ port.Limits, _ port.CostWeights) port.Router {
+		RequestTypes: []routing.RequestType{{Deadline: time.Minute}, {Deadline: time.Minute, Consistency: routing.Write}},
+		Limits:       routing.Limits{MaxAttempts: 9, DialTimeout: 5 * time.Second}}
+	g.core = front.NewCore(clock.StartedAt, 1, s, func(h routing.Host, _ uint64, _ routing.Topology, _ []routing.RequestType,
+		_ []routing.Customer, _ routing.Replication, _ routing.Guardrails, _ routing.Limits, _ routing.CostWeights) routing.Router {
 		g.d.Host = h
 		return g.d
 	}, g.links, nobody{}, nil)
@@ -115,7 +115,7 @@
 }
 
 func (g *rig) list(address string, since int64) {
-	g.core.Post(front.EndpointsChanged{Kind: port.Snapshot, List: discovery.List{Endpoints: []discovery.Endpoint{
+	g.core.Post(front.EndpointsChanged{Kind: routing.Snapshot, List: discovery.List{Endpoints: []discovery.Endpoint{
 		{Name: "s-1", Address: address, Zone: "a", Group: 2, StartedAtMillis: since}}}})
 }
 
@@ -215,7 +215,7 @@
 	assert.Equal(t, value, string(c.hear("D")[6:]))
 	c.hear("CZ")
 	o := <-g.d.ended
-	assert.True(t, o.Result == port.Succeeded && o.RequestFinished && o.Role == port.Replica)
+	assert.True(t, o.Result == routing.Succeeded && o.RequestFinished && o.Role == routing.Replica)
 	c.say(read("4000")...)
 	m.hear("Q") // over the same connection
 	m.say(whole("v")...)
@@ -269,7 +269,7 @@
 	m := g.memberUp()
 	m.hear("Q")
 	m.ends()
-	assert.Equal(t, port.TimedOut, (<-g.d.ended).Result)
+	assert.Equal(t, routing.TimedOut, (<-g.d.ended).Result)
 	assert.Contains(t, string(c.hear("EZ")), pgwire.CodeTransactionRollback)
 	c.say(read("4000")...)
 	m = g.memberUp()
@@ -281,13 +281,13 @@
 func TestHowFarASubmissionHadCome(t *testing.T) {
 	for name, x := range map[string]struct {
 		act  func(g *rig)
-		want port.AttemptResult
+		want routing.AttemptResult
 	}{
-		"refused":                      {func(g *rig) { g.member.Close() }, port.Unreachable},
-		"closed before welcome":        {func(g *rig) { g.accept().Close() }, port.Unreachable},
-		"no sense as welcome":          {func(g *rig) { g.accept().say(message('?', "")...) }, port.Unreachable},
-		"an answer with the welcome":   {func(g *rig) { g.accept().say(append(pgwire.AppendGreeting(nil), whole("v")...)...) }, port.Unreachable},
-		"half a line with the welcome": {func(g *rig) { g.accept().say(append(pgwire.AppendGreeting(nil), row("v")[:20]...)...) }, port.Unreachable},
+		"refused":                      {func(g *rig) { g.member.Close() }, routing.Unreachable},
+		"closed before welcome":        {func(g *rig) { g.accept().Close() }, routing.Unreachable},
+		"no sense as welcome":          {func(g *rig) { g.accept().say(message('?', "")...) }, routing.Unreachable},
+		"an answer with the welcome":   {func(g *rig) { g.accept().say(append(pgwire.AppendGreeting(nil), whole("v")...)...) }, routing.Unreachable},
+		"half a line with the welcome": {func(g *rig) { g.accept().say(append(pgwire.AppendGreeting(nil), row("v")[:20]...)...) }, routing.Unreachable},
 		"the end with the welcome": {func(g *rig) { // in one piece, however busy the machine is
 			m := g.accept()
 			raw, err := m.Conn.(*net.TCPConn).SyscallConn()
@@ -296,30 +296,30 @@
 			require.NoError(g.t, err)
 			m.say(pgwire.AppendGreeting(nil)...)
 			m.Close()
-		}, port.Unreachable},
-		"turned away at welcome": {func(g *rig) { g.accept().say(pgwire.AppendErrorResponse(nil, "FATAL", "53300", "full", "")...) }, port.Overloaded},
-		"closed after the query": {func(g *rig) { m := g.memberUp(); m.hear("Q"); m.Close() }, port.ConnectionLost},
-		"closed within the row":  {func(g *rig) { m := g.memberUp(); m.hear("Q"); m.say(row("v")[:40]...); m.Close() }, port.ConnectionLost},
-		"two rows":               {func(g *rig) { m := g.memberUp(); m.hear("Q"); m.say(append(row("v"), whole("w")...)...) }, port.ServerError},
+		}, routing.Unreachable},
+		"turned away at welcome": {func(g *rig) { g.accept().say(pgwire.AppendErrorResponse(nil, "FATAL", "53300", "full", "")...) }, routing.Overloaded},
+		"closed after the query": {func(g *rig) { m := g.memberUp(); m.hear("Q"); m.Close() }, routing.ConnectionLost},
+		"closed within the row":  {func(g *rig) { m := g.memberUp(); m.hear("Q"); m.say(row("v")[:40]...); m.Close() }, routing.ConnectionLost},
+		"two rows":               {func(g *rig) { m := g.memberUp(); m.hear("Q"); m.say(append(row("v"), whole("w")...)...) }, routing.ServerError},
 		"a row's wrong length, the rest never sent": {func(g *rig) {
 			m := g.memberUp()
 			m.hear("Q")
 			m.say(row("v")[:len(row(""))-25]...)
 			m.say('D', 0, 0, 9, 0, 0, 1, 0, 0, 0, 1)
-		}, port.ServerError},
-		"noise":     {func(g *rig) { m := g.memberUp(); m.hear("Q"); m.say([]byte("zzzz\x00")...) }, port.ServerError},
-		"oversized": {func(g *rig) { m := g.memberUp(); m.hear("Q"); m.say('D', 127, 0, 0, 0) }, port.ServerError},
+		}, routing.ServerError},
+		"noise":     {func(g *rig) { m := g.memberUp(); m.hear("Q"); m.say([]byte("zzzz\x00")...) }, routing.ServerError},
+		"oversized": {func(g *rig) { m := g.memberUp(); m.hear("Q"); m.say('D', 127, 0, 0, 0) }, routing.ServerError},
 		"a fatal error": {func(g *rig) {
 			m := g.memberUp()
 			m.hear("Q")
 			m.say(pgwire.AppendErrorResponse(nil, "FATAL", "72000", "behind", "")...)
 			m.Close()
-		}, port.Misrouted},
+		}, routing.Misrouted},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 40)
 			c := g.client()
-			if x.want == port.Unreachable && name == "refused" {
+			if x.want == routing.Unreachable && name == "refused" {
 				x.act(g)
 				c.say(read("4000")...)
 			} else {
@@ -388,7 +388,7 @@
 	m.hear("Q")
 	m.say(whole("v")...)
 	c.hear("TDCZ")
-	assert.Equal(t, port.Succeeded, (<-g.d.ended).Result)
+	assert.Equal(t, routing.Succeeded, (<-g.d.ended).Result)
 }
 
 // The day of bad members: what came unasked answered the next attempt of the link, and so on, 416 times.
@@ -461,7 +461,7 @@
 	up.say(message('?', "")...)
 	m <- up
 	assert.ErrorIs(t, <-seen, io.EOF)
-	assert.Equal(t, port.ServerError, (<-g.d.ended).Result, "the member is there")
+	assert.Equal(t, routing.ServerError, (<-g.d.ended).Result, "the member is there")
 }
 
 func TestConnectionsFromBeforeAMembersStartAreClosed(t *testing.T) {
--- a/sockets/system_calls_test.go
+++ b/sockets/system_calls_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 
 	"dapplerouter/front"
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 // TERMS.md: "accept, socket and connect may fail for a moment (ECONNABORTED, ENFILE, ENOBUFS, EADDRNOTAVAIL, ENETUNREACH), waits may
@@ -39,7 +39,7 @@
 			g.answering()
 			c := g.client()
 			c.say(read("4000")...)
-			assert.Equal(t, port.Succeeded, (<-g.d.ended).Result)
+			assert.Equal(t, routing.Succeeded, (<-g.d.ended).Result)
 			assert.EqualValues(t, 4, tries.Load())
 		})
 	}
@@ -49,7 +49,7 @@
 		g.links.control = func(string, string, syscall.RawConn) error { return os.NewSyscallError("connect", syscall.ENOBUFS) }
 		c := g.client()
 		c.say(read("4000")...)
-		assert.Equal(t, port.NotSent, (<-g.d.ended).Result)
+		assert.Equal(t, routing.NotSent, (<-g.d.ended).Result)
 		c.hear("EZ")
 	})
 }
@@ -69,7 +69,7 @@
 	}
 	c := g.client()
 	c.say(read("4000")...)
-	assert.Equal(t, port.NotSent, (<-g.d.ended).Result)
+	assert.Equal(t, routing.NotSent, (<-g.d.ended).Result)
 	c.hear("EZ")
 }
 
@@ -86,7 +86,7 @@
 		return nil
 	}
 	g.client().say(read("4000")...)
-	assert.Equal(t, port.Unreachable, (<-g.d.ended).Result)
+	assert.Equal(t, routing.Unreachable, (<-g.d.ended).Result)
 }
 
 // What says of the member that it is not there still does.
@@ -95,7 +95,7 @@
 		g := newRig(t, 40)
 		g.links.control = func(string, string, syscall.RawConn) error { return os.NewSyscallError("connect", number) }
 		g.client().say(read("4000")...)
-		assert.Equal(t, port.Unreachable, (<-g.d.ended).Result, number.Error())
+		assert.Equal(t, routing.Unreachable, (<-g.d.ended).Result, number.Error())
 	}
 }
 
--- a/wire/reader.go
+++ b/wire/reader.go
@@ -12,7 +12,7 @@
 	"strconv"
 	"time"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 	"dapplerouter/site"
 )
 
@@ -46,7 +46,7 @@
 	Store, Db   int64
 	Zone, Model string
 	Primary     bool
-	State       port.ServerState
+	State       routing.ServerState
 	Weight      float64
 	Born        int64
 }
@@ -60,14 +60,14 @@
 	Rid                 []byte
 	Qos, Customer, User []byte
 	Group, Store        int64
-	Request             port.Request        // spans and flags only
-	Outcome             port.AttemptOutcome // all but ids, position and load
-	Stamp               int64               // role is in Outcome; this is the position in milliseconds
-	Load                port.LoadReport     // Position in X0, seconds
+	Request             routing.Request        // spans and flags only
+	Outcome             routing.AttemptOutcome // all but ids, position and load
+	Stamp               int64                  // role is in Outcome; this is the position in milliseconds
+	Load                routing.LoadReport     // Position in X0, seconds
 	X0                  float64
 	Page                int
 	Entries             []Entry
-	ListKind            port.UpdateKind
+	ListKind            routing.UpdateKind
 	Epoch               int64
 	Token, Contents     []byte
 	Peer                int
@@ -124,27 +124,27 @@
 	case Targets:
 		e.ListKind = choice(r, "Kind", r.need("Kind"), listKinds)
 		e.Page = -1
-		if e.ListKind != port.UpdateFailed {
+		if e.ListKind != routing.UpdateFailed {
 			e.Page, e.Epoch = int(r.integer("Page")), r.integer("Epoch")
 		}
 	case Order:
 		e.Rid, e.Qos, e.Customer, e.User = r.need("Rid"), r.need("Qos"), r.get("Customer"), r.get("User")
 		e.Group = r.integer("PartitionNo")
-		e.Request = port.Request{Timeout: r.span("Budget"), ExpectedWork: time.Duration(r.optional("Hint")),
+		e.Request = routing.Request{Timeout: r.span("Budget"), ExpectedWork: time.Duration(r.optional("Hint")),
 			Retry: r.flag("IsRetry"), Write: r.flag("Write")}
 		if v := r.get("TokenAgeMs"); v != nil {
 			e.Request.TokenAge = time.Duration(math.Ceil(r.number("TokenAgeMs", v) * float64(time.Millisecond)))
 		}
 	case Opened:
 		e.Rid, e.Store = r.need("Rid"), r.integer("Store")
-		e.Outcome = port.AttemptOutcome{AttemptNumber: int(r.integer("Hop")), Latency: r.span("Latency")}
+		e.Outcome = routing.AttemptOutcome{AttemptNumber: int(r.integer("Hop")), Latency: r.span("Latency")}
 	case Resolved:
 		e.Rid, e.Store = r.need("Rid"), r.integer("Store")
-		e.Outcome = port.AttemptOutcome{Result: choice(r, "Ending", r.need("Ending"), endings), RequestFinished: r.flag("Closed"),
+		e.Outcome = routing.AttemptOutcome{Result: choice(r, "Ending", r.need("Ending"), endings), RequestFinished: r.flag("Closed"),
 			AttemptNumber: int(r.integer("Hop")), Latency: time.Duration(r.optional("Latency"))}
 		stamp := r.optional("Stamp")
-		e.Stamp, e.Outcome.Role = stamp>>2, port.Role(stamp&3)
-		if e.Outcome.Role > port.Replica {
+		e.Stamp, e.Outcome.Role = stamp>>2, routing.Role(stamp&3)
+		if e.Outcome.Role > routing.Replica {
 			r.fail("Stamp", "names no role")
 		}
 		r.load(e)
@@ -154,7 +154,7 @@
 		e.Token = r.need("Token")
 	case PingResult:
 		e.Store = r.integer("Store")
-		e.Outcome = port.AttemptOutcome{Result: choice(r, "Ending", r.need("Ending"), endings),
+		e.Outcome = routing.AttemptOutcome{Result: choice(r, "Ending", r.need("Ending"), endings),
 			Latency: time.Duration(r.optional("Latency"))}
 		r.load(e)
 	case NeighbourSays:
@@ -375,16 +375,16 @@
 	return err
 }
 
-var listKinds = map[string]port.UpdateKind{
-	"delta": port.Delta, "full": port.Snapshot, "cached": port.CachedSnapshot, "failed": port.UpdateFailed,
+var listKinds = map[string]routing.UpdateKind{
+	"delta": routing.Delta, "full": routing.Snapshot, "cached": routing.CachedSnapshot, "failed": routing.UpdateFailed,
 }
 
-var states = map[string]port.ServerState{
-	"SERVING": port.Serving, "DRAINING": port.Draining, "DELETED": port.Removed,
+var states = map[string]routing.ServerState{
+	"SERVING": routing.Serving, "DRAINING": routing.Draining, "DELETED": routing.Removed,
 }
 
-var endings = map[string]port.AttemptResult{
-	"success": port.Succeeded, "failure": port.ServerError, "overloaded": port.Overloaded, "timed_out": port.TimedOut,
-	"unreachable": port.Unreachable, "broken": port.ConnectionLost, "withdrawn": port.Cancelled, "void": port.NotSent,
-	"absent": port.Misrouted,
+var endings = map[string]routing.AttemptResult{
+	"success": routing.Succeeded, "failure": routing.ServerError, "overloaded": routing.Overloaded, "timed_out": routing.TimedOut,
+	"unreachable": routing.Unreachable, "broken": routing.ConnectionLost, "withdrawn": routing.Cancelled, "void": routing.NotSent,
+	"absent": routing.Misrouted,
 }
