--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"dapplerouter/port"
+	"dapplerouter/routing"
 )
 
 func next(t *testing.T, line string) (Event, error) {
@@ -24,7 +24,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, 3, e.Front)
 	assert.Equal(t, int64(6371), e.Stamp)
-	assert.Equal(t, port.Replica, e.Outcome.Role)
+	assert.Equal(t, routing.Replica, e.Outcome.Role)
 	assert.Equal(t, 18500*time.Microsecond, e.Outcome.Latency)
 	assert.True(t, e.Outcome.RequestFinished)
 	assert.Equal(t, 7.0, e.Load.InFlight)
