--- a/cmd/dapplerouter/classify.go
+++ b/cmd/dapplerouter/classify.go
@@ -13,7 +13,7 @@
 	"time"
 	"unicode/utf8"
 
-	"dapplerouter/shape"
+	"dapplerouter/sqlclass"
 )
 
 type classifyCall struct {
@@ -35,18 +35,18 @@
 }
 
 // classifier says of texts what a front with these settings would find.
-type classifier struct{ by *shape.Classifier }
+type classifier struct{ by *sqlclass.Classifier }
 
 func (c *classifier) record(text []byte) record {
 	s, facts, fault := c.by.Classify(text)
 	if fault != nil {
-		return record{Class: shape.Unknown.String(), Why: fault.Message, At: fault.Offset}
+		return record{Class: sqlclass.Unknown.String(), Why: fault.Message, At: fault.Offset}
 	}
 	v := c.by.Explain(text)
 	r := record{Class: s.Class.String(), Why: v.Reason, At: v.ReasonOffset, Shape: strings.TrimSpace(string(s.Text()))}
 	switch {
 	case s.Empty:
-		r.Class, r.Why = shape.Unknown.String(), "no statement"
+		r.Class, r.Why = sqlclass.Unknown.String(), "no statement"
 	case s.SessionBound && r.Why == "":
 		r.Why = "it leaves something on the connection"
 	}
@@ -65,7 +65,7 @@
 func (c *classifyCall) run() int { return c.classify(os.Stdin, os.Stdout, os.Stderr) }
 
 func (c *classifyCall) classify(in io.Reader, out, errs io.Writer) int {
-	settings := &shape.Settings{CacheBytes: shape.MinCacheBytes}
+	settings := &sqlclass.Settings{CacheBytes: sqlclass.MinCacheBytes}
 	if c.File != "" {
 		o, err := readFile(c.File)
 		if err != nil {
@@ -164,7 +164,7 @@
 		text, fault := statement(bytes.TrimRight(line, "\r\n"))
 		if fault != "" {
 			bad = append(bad, fmt.Sprintf("%d:1: %s; a line is {\"sql\": \"...\"} or plain SQL", n, fault))
-			say(record{Class: shape.Unknown.String(), Why: fault, At: -1})
+			say(record{Class: sqlclass.Unknown.String(), Why: fault, At: -1})
 			continue
 		}
 		say(c.record(text))
@@ -191,24 +191,24 @@
 
 // parts cuts plain SQL at the semicolons that end statements.
 func (c *classifier) parts(text []byte, say func(record)) {
-	var s shape.Scanner
+	var s sqlclass.Scanner
 	s.Reset(text)
 	from, depth, any := 0, 0, false
 	for {
 		t := s.Next()
 		mark := byte(0)
-		if t.Kind == shape.Punctuation {
+		if t.Kind == sqlclass.Punctuation {
 			mark = text[t.Start]
 		}
 		switch {
-		case t.Kind == shape.Invalid:
+		case t.Kind == sqlclass.Invalid:
 			say(c.record(text[from:]))
 			return
-		case t.Kind == shape.EndOfText || mark == ';' && depth <= 0:
+		case t.Kind == sqlclass.EndOfText || mark == ';' && depth <= 0:
 			if any {
 				say(c.record(text[from:t.Start]))
 			}
-			if t.Kind == shape.EndOfText {
+			if t.Kind == sqlclass.EndOfText {
 				return
 			}
 			from, depth, any = t.End, 0, false
--- a/cmd/dapplerouter/file.go
+++ b/cmd/dapplerouter/file.go
@@ -13,13 +13,13 @@
 	"dapplerouter/fleet/rollout"
 	"dapplerouter/front"
 	"dapplerouter/gateway"
-	"dapplerouter/shape"
 	"dapplerouter/site"
+	"dapplerouter/sqlclass"
 )
 
 // operator is what the operator's file says: a form that is absent is off.
 type operator struct {
-	classing *shape.Settings
+	classing *sqlclass.Settings
 	place    conf.Position // of the classing form
 	gateway  *gateway.Config
 	fleet    *fleet.Config
@@ -40,9 +40,9 @@
 	}
 	r := f.NewDecoder()
 	o := &operator{}
-	forms := r.Forms(shape.FormName, gateway.FormName, fleet.FormName, rollout.FormName, audit.FormName, site.RulesForm)
-	if form := forms[shape.FormName]; form != nil {
-		o.classing, o.place = shape.ReadSettings(form), form.Position
+	forms := r.Forms(sqlclass.FormName, gateway.FormName, fleet.FormName, rollout.FormName, audit.FormName, site.RulesForm)
+	if form := forms[sqlclass.FormName]; form != nil {
+		o.classing, o.place = sqlclass.ReadSettings(form), form.Position
 	}
 	if form := forms[gateway.FormName]; form != nil {
 		o.gateway = gateway.ReadConfig(form)
--- a/front/classing.go
+++ b/front/classing.go
@@ -7,14 +7,14 @@
 
 	"dapplerouter/conf"
 	"dapplerouter/routing"
-	"dapplerouter/shape"
 	"dapplerouter/site"
+	"dapplerouter/sqlclass"
 )
 
 // classes is what a core knows of classing, where the operator's file turns it on: which request type a rule names,
 // and the type under which a write of a reading type goes to the module.
 type classes struct {
-	by         *shape.Classifier
+	by         *sqlclass.Classifier
 	types      []int // by rule
 	undeclared []int // by request type: the same but writing, itself where it writes anyway
 
@@ -24,12 +24,12 @@
 
 // Classifier is what the operator's settings made.
 type Classifier struct {
-	*shape.Classifier
+	*sqlclass.Classifier
 	UndeclaredWriteEffect routing.Idempotency // of a write whose request type reads
 }
 
 // ValidateClassification finds what the settings say against a site's request types. The error is conf.Faults.
-func ValidateClassification(s *shape.Settings, at *site.Settings) error {
+func ValidateClassification(s *sqlclass.Settings, at *site.Settings) error {
 	var faults conf.ErrorList
 	for i, r := range s.Rules {
 		t := slices.Index(at.TypeNames, r.Type)
@@ -37,7 +37,7 @@
 		case t < 0:
 			faults = append(faults, conf.Error{Position: s.RulePositions[i], Message: r.Type + " is no request type of this site",
 				Remedy: fmt.Sprint("its types are ", at.TypeNames)})
-		case r.Class == shape.Write && at.RequestTypes[t].Consistency != routing.Write:
+		case r.Class == sqlclass.Write && at.RequestTypes[t].Consistency != routing.Write:
 			faults = append(faults, conf.Error{Position: s.RulePositions[i], Message: r.Type + " reads, and the rule is for writes",
 				Remedy: "name a type that writes, or take (class write) away"})
 		}
--- a/front/pipeline_test.go
+++ b/front/pipeline_test.go
@@ -8,14 +8,14 @@
 	"pgregory.net/rapid"
 
 	"dapplerouter/pgwire"
-	"dapplerouter/shape"
+	"dapplerouter/sqlclass"
 )
 
 func TestWhichRequestsOfOneConnectionDependOnOneAnother(t *testing.T) {
 	read := func(key string) *pgwire.Statement { return &pgwire.Statement{Key: []byte(key)} }
 	write := func(key string) *pgwire.Statement { return &pgwire.Statement{Key: []byte(key), Write: true} }
 	elsewhere := &pgwire.Statement{Key: []byte("a"), Group: 1, Write: true}
-	classed := &pgwire.Statement{Normalized: &shape.NormalizedStatement{}, Write: true}
+	classed := &pgwire.Statement{Normalized: &sqlclass.NormalizedStatement{}, Write: true}
 	for name, x := range map[string]struct {
 		earlier, later *pgwire.Statement
 		want           bool
--- a/front/script_test.go
+++ b/front/script_test.go
@@ -15,8 +15,8 @@
 	"dapplerouter/discovery"
 	"dapplerouter/pgwire"
 	"dapplerouter/routing"
-	"dapplerouter/shape"
 	"dapplerouter/site"
+	"dapplerouter/sqlclass"
 )
 
 // script drives a core step by step and writes down, in order, all that the core asks of its surroundings: attempts with the bytes that
@@ -343,8 +343,8 @@
 
 // The same holds where statements are classed: types by rule and by comment, undeclared writes, and refusals.
 func TestAScriptedRunOfClassedStatementsIsTheSame(t *testing.T) {
-	settings := &shape.Settings{CacheBytes: 1 << 20, Rules: []shape.Rule{{Type: "order", Class: shape.Write, Tables: []string{"facts"}},
-		{Type: "browse", Class: shape.Read, Tables: []string{"facts"}}}}
+	settings := &sqlclass.Settings{CacheBytes: 1 << 20, Rules: []sqlclass.Rule{{Type: "order", Class: sqlclass.Write, Tables: []string{"facts"}},
+		{Type: "browse", Class: sqlclass.Read, Tables: []string{"facts"}}}}
 	classing := settings.NewClassifier()
 	s := newScript(t, &Classifier{Classifier: classing, UndeclaredWriteEffect: routing.IdempotencyKey})
 	for i, text := range []string{
--- a/pgwire/classed.go
+++ b/pgwire/classed.go
@@ -3,13 +3,13 @@
 import (
 	"fmt"
 
-	"dapplerouter/shape"
+	"dapplerouter/sqlclass"
 )
 
 // ParseClassified takes the body of a Query message apart where statements are classed: any verb passes, what is not
 // known to read is a write, and the comment may leave the request type out. Its s names the session, else the first
 // quoted text does. A statement that works on the connection itself is refused: connections to members are shared.
-func ParseClassified(body []byte, by *shape.Classifier) (s Statement, err error) {
+func ParseClassified(body []byte, by *sqlclass.Classifier) (s Statement, err error) {
 	if s.text, err = queryText(body); err != nil {
 		return s, err
 	}
@@ -30,11 +30,11 @@
 	case facts.LastComment[0] < 0:
 		return s, malformed(CodeSyntaxError, "the statement has no comment")
 	}
-	s.Write = found.Class != shape.Read
+	s.Write = found.Class != sqlclass.Read
 	return s, s.comment(facts.LastComment[0], facts.LastComment[1], len(by.Rules()) == 0)
 }
 
-func bound(v shape.Classification) string {
+func bound(v sqlclass.Classification) string {
 	why := v.Reason
 	if why == "" {
 		why = "it makes a temporary table, which would stay on the connection"
--- a/pgwire/pinned_test.go
+++ b/pgwire/pinned_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"dapplerouter/shape"
+	"dapplerouter/sqlclass"
 )
 
 // What is written to clients and servers, byte for byte: testdata/messages.txt has a name and a quoted text a line.
@@ -50,7 +50,7 @@
 		_, err := statement(text)
 		add("plain "+text, errorText(err))
 	}
-	by := shape.New(shape.Options{CacheBytes: shape.MinCacheBytes})
+	by := sqlclass.New(sqlclass.Options{CacheBytes: sqlclass.MinCacheBytes})
 	for _, text := range []string{"BEGIN /* id=7,d=5,c=o,cluster=1 */", "SELECT 'x'", "SELECT 'x", "SELECT 1; SELECT 2",
 		"CREATE TEMP TABLE t (a int) /* id=7 */", "SELECT set_config('a', 'b', false)", "SELECT 1 /* id=7,d=5 */",
 		"SELECT 'x' /* id=7,d=5,cluster=1 */", "SELECT '\xff'"} {
--- a/pgwire/statement.go
+++ b/pgwire/statement.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"time"
 
-	"dapplerouter/shape"
+	"dapplerouter/sqlclass"
 )
 
 // Statement is a client's query with what its comment says. The slices lie within the text.
@@ -23,8 +23,8 @@
 	After                     int64 // Unix milliseconds of the session's last write, 0 for none
 	waitAt, waitEnd           int
 
-	Normalized *shape.NormalizedStatement // where statements are classed, else nil
-	Details    shape.Details
+	Normalized *sqlclass.NormalizedStatement // where statements are classed, else nil
+	Details    sqlclass.Details
 }
 
 // StatementError is a statement that cannot be served; the connection lives on.
--- a/shape/class.go
+++ b/sqlclass/class.go
@@ -1,4 +1,4 @@
-// Package shape parses statements just far enough to say what they do, what they may cost and which request type
+// Package sqlclass parses statements just far enough to say what they do, what they may cost and which request type
 // they are, and keeps what it found by the statement's form.
 //
 // What holds, and is asserted by the tests:
@@ -11,7 +11,7 @@
 //     number, names and tables counted.
 //
 // Nothing here chooses a member, or whether a request runs again.
-package shape
+package sqlclass
 
 import (
 	"bytes"
--- a/shape/classer.go
+++ b/sqlclass/classer.go
@@ -1,4 +1,4 @@
-package shape
+package sqlclass
 
 // One pass over the tokens of a statement.
 
--- a/shape/keywords.go
+++ b/sqlclass/keywords.go
@@ -1,4 +1,4 @@
-package shape
+package sqlclass
 
 // What the words of a statement do to its class.
 
--- a/shape/scan.go
+++ b/sqlclass/scan.go
@@ -1,4 +1,4 @@
-package shape
+package sqlclass
 
 import (
 	"fmt"
--- a/standin/store/cost_test.go
+++ b/standin/store/cost_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"dapplerouter/shape"
+	"dapplerouter/sqlclass"
 )
 
 // kinds are statements of a booking service, cheap and dear, each with literals that differ from text to text.
@@ -102,11 +102,11 @@
 	c, err := Dial(g.Members[0].Address())
 	require.NoError(t, err)
 	defer c.Close()
-	by := shape.New(shape.Options{CacheBytes: 1 << 20})
+	by := sqlclass.New(sqlclass.Options{CacheBytes: 1 << 20})
 	r := rand.New(rand.NewPCG(3, 5))
 	type seen struct {
-		s     *shape.NormalizedStatement
-		f     shape.Details
+		s     *sqlclass.NormalizedStatement
+		f     sqlclass.Details
 		took  time.Duration
 		guess time.Duration
 	}
