--- a/lab/rig/files.go
+++ b/lab/rig/files.go
@@ -16,7 +16,7 @@
 	if err := os.MkdirAll(f.dir, 0o700); err != nil {
 		return err
 	}
-	told := fmt.Sprintf(config, f.Name, f.clients, r.lists.address(), r.rnd.Uint64()|1, r.group.Listed(), string(rune('a'+f.i%3)), len(r.fronts), f.i, map[bool]string{true: "ask", false: "push"}[r.Script.Ask],
+	told := fmt.Sprintf(instanceConfigFormat, f.Name, f.clients, r.lists.address(), r.rnd.Uint64()|1, r.group.Listed(), string(rune('a'+f.i%3)), len(r.fronts), f.i, map[bool]string{true: "ask", false: "push"}[r.Script.Ask],
 		map[bool]int64{true: 1e9, false: 2e9}[r.Script.Differ && f.i%2 == 1])
 	if err := os.WriteFile(filepath.Join(f.dir, "config.json"), []byte(told), 0o600); err != nil {
 		return err
--- a/lab/rig/rig.go
+++ b/lab/rig/rig.go
@@ -67,7 +67,7 @@
 	used      int
 }
 
-const config = `{"name": %q, "listen": %q, "discovery": %q, "seed": "%x",
+const instanceConfigFormat = `{"name": %q, "listen": %q, "discovery": %q, "seed": "%x",
  "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256}, "known": %s,
  "settings": {
   "Zones": ["a", "b", "c"], "Locality": %q, "FleetSize": %d, "Ordinal": %d, "Discovery": %q, "Tick": 5000000,
--- a/lab/scale/files.go
+++ b/lab/scale/files.go
@@ -54,7 +54,7 @@
 	bookType   = "book"
 )
 
-const config = `{"name": %q, "listen": "%s:%d", "discovery": %q, "seed": "%x",
+const instanceConfigFormat = `{"name": %q, "listen": "%s:%d", "discovery": %q, "seed": "%x",
  "limits": {"cores": %.1f, "memory_mb": %d, "sockets": 256}, "known": {"index": 0, "snapshot": true, "endpoints": []},
  "settings": {
   "Zones": %s, "Locality": %q, "FleetSize": %d, "Ordinal": %d, "Discovery": "push", "Tick": 5000000,
@@ -78,7 +78,7 @@
 	if err != nil {
 		panic("zones that are no JSON: " + err.Error()) // of our own making
 	}
-	return fmt.Sprintf(config, frontName(i), s.host(i), clientPort, s.Discovery, uint64(i)*2654435761+1, frontCores, frontMB,
+	return fmt.Sprintf(instanceConfigFormat, frontName(i), s.host(i), clientPort, s.Discovery, uint64(i)*2654435761+1, frontCores, frontMB,
 		names, zoneName(i%s.Zones), s.Fronts, i, browseType, bookType)
 }
 
