--- a/fleet/config_test.go
+++ b/fleet/config_test.go
@@ -12,7 +12,7 @@
 	"dapplerouter/routing"
 )
 
-func config(text string) (*Config, error) {
+func configOf(text string) (*Config, error) {
 	f, err := conf.Parse("x", []byte(text))
 	if err != nil {
 		return nil, err
@@ -24,7 +24,7 @@
 
 func TestFormIsReadAndFaultsNameTheirPlace(t *testing.T) {
 	good := `(fleet (id "x") (listen "127.0.0.1:1") (keepers (a "h:1") (b "h:2") (c "h:3")) (span 2s) (duties none) (plain loopback) (reach (b "h:9")))`
-	c, err := config(good)
+	c, err := configOf(good)
 	require.NoError(t, err)
 	assert.Equal(t, 2*time.Second, c.LeaseDuration)
 	assert.False(t, c.AcceptsLeases)
@@ -49,7 +49,7 @@
 		`(fleet (id "x") (listen "127.0.0.1:1") (keepers (a "h:1")) (duties some) (plain loopback))`:         `duties has no value some`,
 		`(fleet (id "x") (listen "127.0.0.1:1") (keepers (a "h:1")) (plain loopback) (key "k") (trust "t"))`: `keys are not all named`,
 	} {
-		_, err := config(text)
+		_, err := configOf(text)
 		assert.ErrorContains(t, err, want, text)
 	}
 }
