--- a/cmd/dapplerlab/main.go
+++ b/cmd/dapplerlab/main.go
@@ -12,7 +12,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"dapplerouter/conf"
+	"dapplerouter/config"
 	"dapplerouter/fleet/audit"
 	"dapplerouter/fleet/disk"
 	"dapplerouter/lab/report"
@@ -124,7 +124,7 @@
 }
 
 func faults(err error) int {
-	var fs conf.ErrorList
+	var fs config.ErrorList
 	if !errors.As(err, &fs) {
 		fmt.Fprintf(os.Stderr, "dapplerlab: %v\n", err)
 	}
--- a/cmd/dapplerouter/file.go
+++ b/cmd/dapplerouter/file.go
@@ -7,7 +7,7 @@
 	"io"
 	"os"
 
-	"dapplerouter/conf"
+	"dapplerouter/config"
 	"dapplerouter/fleet"
 	"dapplerouter/fleet/audit"
 	"dapplerouter/fleet/rollout"
@@ -20,7 +20,7 @@
 // operator is what the operator's file says: a form that is absent is off.
 type operator struct {
 	classing *sqlclass.Settings
-	place    conf.Position // of the classing form
+	place    config.Position // of the classing form
 	gateway  *gateway.Config
 	fleet    *fleet.Config
 	roll     *rollout.Config
@@ -34,7 +34,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f, err := conf.Parse(path, text)
+	f, err := config.Parse(path, text)
 	if err != nil {
 		return nil, err
 	}
@@ -54,7 +54,7 @@
 		o.roll = rollout.ReadConfig(form)
 		if o.fleet != nil && o.fleet.LeaseDuration > 0 {
 			if _, err := o.roll.ConfigLeaseFor(o.fleet.LeaseDuration); err != nil {
-				f := err.(conf.ErrorList)[0]
+				f := err.(config.ErrorList)[0]
 				form.Errorf(f.Position, f.Remedy, "%s", f.Message)
 			}
 		}
@@ -76,7 +76,7 @@
 // checkAt finds what the file says against what a front is told.
 func (o *operator) checkAt(told *site.Instance) error {
 	if g := o.gateway; g != nil && 2*(g.Settings.CreditBytes+g.Settings.RetainedBytes) > told.MemoryBytes/2 {
-		return conf.ErrorList{{Position: g.Position, Message: fmt.Sprintf("credit and kept of %d and %d bytes are too much for the %d told",
+		return config.ErrorList{{Position: g.Position, Message: fmt.Sprintf("credit and kept of %d and %d bytes are too much for the %d told",
 			g.Settings.CreditBytes, g.Settings.RetainedBytes, told.MemoryBytes), Remedy: "make them smaller: twice both may be half of the memory"}}
 	}
 	if o.fleet != nil {
@@ -91,7 +91,7 @@
 		return nil
 	}
 	if o.classing.CacheBytes > told.MemoryBytes/4 {
-		return conf.ErrorList{{Position: o.place, Message: fmt.Sprintf("a cache of %d bytes is more than a quarter of the %d told",
+		return config.ErrorList{{Position: o.place, Message: fmt.Sprintf("a cache of %d bytes is more than a quarter of the %d told",
 			o.classing.CacheBytes, told.MemoryBytes), Remedy: "make the cache smaller"}}
 	}
 	return front.ValidateClassification(o.classing, told.Settings)
@@ -119,7 +119,7 @@
 
 // faultsOf takes an error apart.
 func faultsOf(err error) (all []error) {
-	var faults conf.ErrorList
+	var faults config.ErrorList
 	if !errors.As(err, &faults) {
 		return []error{err}
 	}
@@ -158,7 +158,7 @@
 		}
 		err = o.checkAt(told)
 	}
-	var faults conf.ErrorList
+	var faults config.ErrorList
 	switch {
 	case err == nil:
 		if !c.JSON {
--- a/conf/conf.go
+++ b/config/conf.go
@@ -1,10 +1,10 @@
-// Package conf reads the operator's own file: S-expressions, a form a subsystem, every value that has a unit
+// Package config reads the operator's own file: S-expressions, a form a subsystem, every value that has a unit
 // carrying it. It knows the grammar, units and faults; what a form may say stands with its subsystem.
 //
 //	(classing (cache 8MiB) (functions (reads seat_name) (writes next_seat)))
 //
 // All faults of a file come in one run, each with its place and its remedy.
-package conf
+package config
 
 import (
 	"cmp"
--- a/conf/conf_test.go
+++ b/config/conf_test.go
@@ -1,4 +1,4 @@
-package conf
+package config
 
 import (
 	"strings"
--- a/fleet/audit/settings.go
+++ b/fleet/audit/settings.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dapplerouter/conf"
+	"dapplerouter/config"
 )
 
 // FormName is the operator's form for the audit; it stands beside the form fleet:
@@ -22,11 +22,11 @@
 	LogDir, ExportDir, CollectDir                      string
 	MaxTotalBytes, SegmentBytes, CollectBytesPerSecond int64
 	MaxClockError                                      time.Duration
-	Place                                              conf.Position
+	Place                                              config.Position
 }
 
 // ReadConfig reads the form; what is wrong with it is noted with its reading.
-func ReadConfig(f *conf.Form) *Config {
+func ReadConfig(f *config.Form) *Config {
 	c := &Config{MaxTotalBytes: 64 << 20, SegmentBytes: 1 << 20, CollectBytesPerSecond: 256 << 10, MaxClockError: 500 * time.Millisecond, Place: f.Position}
 	is := f.Forms("dir", "budget", "segment", "clock-error", "export", "collect", "rate")
 	for name, to := range map[string]*string{"dir": &c.LogDir, "export": &c.ExportDir, "collect": &c.CollectDir} {
--- a/fleet/config.go
+++ b/fleet/config.go
@@ -4,7 +4,7 @@
 	"strings"
 	"time"
 
-	"dapplerouter/conf"
+	"dapplerouter/config"
 )
 
 // FormName is the operator's form that makes a front one of a fleet:
@@ -34,7 +34,7 @@
 	Key, Certificate, Trust string
 	Control, History        string
 	AddressOverrides        map[string]string
-	Place                   conf.Position
+	Place                   config.Position
 }
 
 // Bounds of the lease duration: under the minimum, pauses of a loaded machine would cost leases; over the maximum, a failed
@@ -45,7 +45,7 @@
 )
 
 // ReadConfig reads the form. Faults are recorded with the form's reading, each with its place and remedy.
-func ReadConfig(f *conf.Form) *Config {
+func ReadConfig(f *config.Form) *Config {
 	c := &Config{LeaseDuration: DefaultLeaseDuration, AcceptsLeases: true, AddressOverrides: map[string]string{}, Place: f.Position}
 	forms := f.Forms("id", "listen", "address", "keepers", "keeper", "joins", "span", "duties", "key", "certificate", "trust", "plain",
 		"control", "history", "reach")
@@ -63,7 +63,7 @@
 }
 
 // readTexts reads what is a single text each.
-func (c *Config) readTexts(f *conf.Form, forms map[string]*conf.Form) {
+func (c *Config) readTexts(f *config.Form, forms map[string]*config.Form) {
 	texts := map[string]*string{
 		"id":          &c.ID,
 		"listen":      &c.Listen,
@@ -93,7 +93,7 @@
 }
 
 // readVoters reads the initial voters, and whether this front is one that joins.
-func (c *Config) readVoters(f *conf.Form, forms map[string]*conf.Form) {
+func (c *Config) readVoters(f *config.Form, forms map[string]*config.Form) {
 	place := f.Position
 	named := map[string]bool{}
 	if voters := forms["keepers"]; voters != nil {
@@ -120,7 +120,7 @@
 }
 
 // readLeases reads the lease duration, and whether this front takes leases.
-func (c *Config) readLeases(f *conf.Form, forms map[string]*conf.Form) {
+func (c *Config) readLeases(f *config.Form, forms map[string]*config.Form) {
 	if duration := forms["span"]; duration != nil {
 		c.LeaseDuration = duration.Duration()
 		if c.LeaseDuration != 0 && (c.LeaseDuration < minLeaseDuration || c.LeaseDuration > maxLeaseDuration) {
@@ -133,7 +133,7 @@
 }
 
 // readKeys checks that the mesh has all its keys, or none on loopback.
-func (c *Config) readKeys(f *conf.Form, forms map[string]*conf.Form) {
+func (c *Config) readKeys(f *config.Form, forms map[string]*config.Form) {
 	plain := forms["plain"]
 	if plain != nil {
 		plain.Choice("loopback")
@@ -162,9 +162,9 @@
 	}
 	switch {
 	case is && c.VoterPath == "":
-		return conf.ErrorList{{Position: c.Place, Message: name + " is named as a keeper and has no file", Remedy: "(keeper \"FILE\")"}}
+		return config.ErrorList{{Position: c.Place, Message: name + " is named as a keeper and has no file", Remedy: "(keeper \"FILE\")"}}
 	case !is && c.VoterPath != "" && !c.JoinsExistingFleet:
-		return conf.ErrorList{{Position: c.Place, Message: name + " has a keeper's file and is not among the keepers",
+		return config.ErrorList{{Position: c.Place, Message: name + " has a keeper's file and is not among the keepers",
 			Remedy: "name it there, or add (joins) for a keeper that comes to a fleet which has a record"}}
 	}
 	return nil
--- a/fleet/config_test.go
+++ b/fleet/config_test.go
@@ -7,13 +7,13 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"dapplerouter/conf"
+	"dapplerouter/config"
 	"dapplerouter/discovery"
 	"dapplerouter/routing"
 )
 
 func configOf(text string) (*Config, error) {
-	f, err := conf.Parse("x", []byte(text))
+	f, err := config.Parse("x", []byte(text))
 	if err != nil {
 		return nil, err
 	}
--- a/fleet/rollout/config.go
+++ b/fleet/rollout/config.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"dapplerouter/conf"
+	"dapplerouter/config"
 )
 
 // FormName is the operator's form for versions that are published over the fleet; it stands beside the form fleet:
@@ -21,11 +21,11 @@
 	StopWhenIsolated bool
 	InForceWithin    time.Duration // by which a published version has to be in force everywhere; 0 for no time
 	Dir              string
-	Place            conf.Position
+	Place            config.Position
 }
 
 // ReadConfig reads the form. Faults are recorded with the form's reading, each with its place and remedy.
-func ReadConfig(f *conf.Form) *Config {
+func ReadConfig(f *config.Form) *Config {
 	c := &Config{Place: f.Position}
 	is := f.Forms("right", "when-alone", "in-force-within", "dir")
 	if r := is["right"]; r != nil {
@@ -53,7 +53,7 @@
 		configLease = 4 * leaseDuration
 	}
 	if configLease < 2*leaseDuration || configLease > 16*leaseDuration {
-		return 0, conf.ErrorList{{Position: c.Place, Message: "a right of " + configLease.String() + " does not fit a span of " + leaseDuration.String(),
+		return 0, config.ErrorList{{Position: c.Place, Message: "a right of " + configLease.String() + " does not fit a span of " + leaseDuration.String(),
 			Remedy: "between twice and sixteen times the fleet's span"}}
 	}
 	return configLease, c.checkWithin(leaseDuration, configLease)
--- a/fleet/rollout/deadline.go
+++ b/fleet/rollout/deadline.go
@@ -8,7 +8,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"dapplerouter/conf"
+	"dapplerouter/config"
 	"dapplerouter/fleet"
 )
 
@@ -95,11 +95,11 @@
 		return nil
 	}
 	if !c.StopWhenIsolated {
-		return conf.ErrorList{{Position: c.Place, Message: "in-force-within promises a time, and fronts that hear nobody may act on an old version for as long as that lasts",
+		return config.ErrorList{{Position: c.Place, Message: "in-force-within promises a time, and fronts that hear nobody may act on an old version for as long as that lasts",
 			Remedy: "add (when-alone stop), or take in-force-within away"}}
 	}
 	if why, remedy := CheckInForceWithin(fleet.Timing{LeaseDuration: leaseDuration}, configLease, c.InForceWithin); why != "" {
-		return conf.ErrorList{{Position: c.Place, Message: why, Remedy: remedy}}
+		return config.ErrorList{{Position: c.Place, Message: why, Remedy: remedy}}
 	}
 	return nil
 }
--- a/fleet/rollout/deadline_test.go
+++ b/fleet/rollout/deadline_test.go
@@ -9,13 +9,13 @@
 	"github.com/vmihailenco/msgpack/v5"
 	"pgregory.net/rapid"
 
-	"dapplerouter/conf"
+	"dapplerouter/config"
 	"dapplerouter/fleet"
 )
 
 // readForm reads the form roll of a text, and checks it against a lease duration of 3 s.
 func readForm(t *testing.T, text string) (*Config, error) {
-	f, err := conf.Parse("operator.sexp", []byte(text))
+	f, err := config.Parse("operator.sexp", []byte(text))
 	require.NoError(t, err)
 	reading := f.NewDecoder()
 	c := ReadConfig(reading.Forms(FormName)[FormName])
--- a/front/classing.go
+++ b/front/classing.go
@@ -5,7 +5,7 @@
 	"log/slog"
 	"slices"
 
-	"dapplerouter/conf"
+	"dapplerouter/config"
 	"dapplerouter/routing"
 	"dapplerouter/site"
 	"dapplerouter/sqlclass"
@@ -30,15 +30,15 @@
 
 // ValidateClassification finds what the settings say against a site's request types. The error is conf.Faults.
 func ValidateClassification(s *sqlclass.Settings, at *site.Settings) error {
-	var faults conf.ErrorList
+	var faults config.ErrorList
 	for i, r := range s.Rules {
 		t := slices.Index(at.TypeNames, r.Type)
 		switch {
 		case t < 0:
-			faults = append(faults, conf.Error{Position: s.RulePositions[i], Message: r.Type + " is no request type of this site",
+			faults = append(faults, config.Error{Position: s.RulePositions[i], Message: r.Type + " is no request type of this site",
 				Remedy: fmt.Sprint("its types are ", at.TypeNames)})
 		case r.Class == sqlclass.Write && at.RequestTypes[t].Consistency != routing.Write:
-			faults = append(faults, conf.Error{Position: s.RulePositions[i], Message: r.Type + " reads, and the rule is for writes",
+			faults = append(faults, config.Error{Position: s.RulePositions[i], Message: r.Type + " reads, and the rule is for writes",
 				Remedy: "name a type that writes, or take (class write) away"})
 		}
 	}
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -4,7 +4,7 @@
 	"strconv"
 	"time"
 
-	"dapplerouter/conf"
+	"dapplerouter/config"
 )
 
 // FormName is the operator's form that makes an instance a gateway:
@@ -26,11 +26,11 @@
 	Groups                              []int64
 	Settings                            Settings
 	KeyFile, CertificateFile, TrustFile string // files; all "" where the link is plain
-	Position                            conf.Position
+	Position                            config.Position
 }
 
 // ReadConfig reads the form; what is wrong with it is noted with its reading.
-func ReadConfig(f *conf.Form) *Config {
+func ReadConfig(f *config.Form) *Config {
 	c := &Config{Settings: DefaultSettings, Position: f.Position}
 	forms := f.Forms("here", "peer")
 	if h := forms["here"]; h != nil {
--- a/lab/rig/script.go
+++ b/lab/rig/script.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"time"
 
-	"dapplerouter/conf"
+	"dapplerouter/config"
 )
 
 // Script is what is to happen:
@@ -39,7 +39,7 @@
 	Spans []time.Duration
 	Lease string
 	Words []string // of a publish
-	Place conf.Position
+	Place config.Position
 }
 
 // Who names a front: by its name, or by what it is when the step comes.
@@ -109,7 +109,7 @@
 
 // Parse reads a script; the error is conf.Faults, each with its place and its remedy.
 func Parse(name string, text []byte) (*Script, error) {
-	f, err := conf.Parse(name, text)
+	f, err := config.Parse(name, text)
 	if err != nil {
 		return nil, err
 	}
@@ -117,10 +117,10 @@
 	s := &Script{Name: name, Fronts: 5, Voters: 3, Members: 3, Clients: 4, Span: time.Second, For: 10 * time.Second}
 	form := r.Forms("rig")["rig"]
 	if form == nil {
-		r.Errorf(conf.Position{File: name, Line: 1, Column: 1}, "(rig (fronts 5) ... (at 3s (stop n1 2s)))", "the file has no form rig")
+		r.Errorf(config.Position{File: name, Line: 1, Column: 1}, "(rig (fronts 5) ... (at 3s (stop n1 2s)))", "the file has no form rig")
 		return nil, r.Err()
 	}
-	count := func(g *conf.Form, to *int, most int) {
+	count := func(g *config.Form, to *int, most int) {
 		w, ok := g.Value()
 		n, err := strconv.Atoi(w.Name)
 		if ok && (err != nil || n < 0 || n > most) {
@@ -186,7 +186,7 @@
 	return s, r.Err()
 }
 
-func (s *Script) step(x *conf.Form, at time.Duration) Step {
+func (s *Script) step(x *config.Form, at time.Duration) Step {
 	st := Step{At: at, What: x.Name, Place: x.Position}
 	known, ok := words[x.Name]
 	if !ok {
@@ -230,7 +230,7 @@
 }
 
 // who reads a front's name: n1, holder:list, giver, follower, any.
-func (s *Script) who(x *conf.Form, w conf.Atom) Who {
+func (s *Script) who(x *config.Form, w config.Atom) Who {
 	for i := range s.Fronts {
 		if w.Name == frontName(i) {
 			return Who{Name: w.Name}
--- a/lab/scale/files.go
+++ b/lab/scale/files.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"dapplerouter/conf"
+	"dapplerouter/config"
 	"dapplerouter/fleet"
 	"dapplerouter/fleet/rollout"
 )
@@ -105,7 +105,7 @@
 
 // operatorForms reads such a file, as the program does.
 func operatorForms(text string) (*fleet.Config, *rollout.Config, error) {
-	f, err := conf.Parse("operator", []byte(text))
+	f, err := config.Parse("operator", []byte(text))
 	if err != nil {
 		return nil, nil, err
 	}
--- a/site/rules.go
+++ b/site/rules.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"dapplerouter/conf"
+	"dapplerouter/config"
 	"dapplerouter/routing"
 )
 
@@ -26,13 +26,13 @@
 type Rules struct {
 	MaxStaleness, DedupWindows map[string]time.Duration // by request type
 	RejectedGroups             []int64                  // groups, sorted
-	places                     map[string]conf.Position
-	place                      conf.Position
+	places                     map[string]config.Position
+	place                      config.Position
 }
 
 // ReadRules reads the form; what is wrong with it is noted with its reading.
-func ReadRules(f *conf.Form) *Rules {
-	r := &Rules{MaxStaleness: map[string]time.Duration{}, DedupWindows: map[string]time.Duration{}, places: map[string]conf.Position{}, place: f.Position}
+func ReadRules(f *config.Form) *Rules {
+	r := &Rules{MaxStaleness: map[string]time.Duration{}, DedupWindows: map[string]time.Duration{}, places: map[string]config.Position{}, place: f.Position}
 	for _, g := range f.Subforms() {
 		switch g.Name {
 		case "bound", "window":
@@ -75,20 +75,20 @@
 	if r == nil {
 		return nil
 	}
-	var faults conf.ErrorList
+	var faults config.ErrorList
 	look := func(what string, of map[string]time.Duration, most func(routing.RequestType) (time.Duration, bool), kind string) {
 		for _, name := range slices.Sorted(maps.Keys(of)) {
 			place := r.places[what+" "+name]
 			i := slices.Index(s.TypeNames, name)
 			if i < 0 {
-				faults = append(faults, conf.Error{Position: place, Message: name + " is no request type of this site", Remedy: fmt.Sprint("its types are ", s.TypeNames)})
+				faults = append(faults, config.Error{Position: place, Message: name + " is no request type of this site", Remedy: fmt.Sprint("its types are ", s.TypeNames)})
 				continue
 			}
 			switch limit, ok := most(s.RequestTypes[i]); {
 			case !ok:
-				faults = append(faults, conf.Error{Position: place, Message: name + " has no " + what, Remedy: "name a type that " + kind})
+				faults = append(faults, config.Error{Position: place, Message: name + " has no " + what, Remedy: "name a type that " + kind})
 			case of[name] > limit:
-				faults = append(faults, conf.Error{Position: place, Message: fmt.Sprintf("%v is looser than the site's %s of %v for %s", of[name], what, limit, name),
+				faults = append(faults, config.Error{Position: place, Message: fmt.Sprintf("%v is looser than the site's %s of %v for %s", of[name], what, limit, name),
 					Remedy: "rules only tighten: take it away, or make it smaller"})
 			}
 		}
@@ -125,14 +125,14 @@
 
 // ParseRules reads a text that has the form and no other: what may be published. The error is conf.Faults.
 func ParseRules(name string, text []byte) (*Rules, error) {
-	f, err := conf.Parse(name, text)
+	f, err := config.Parse(name, text)
 	if err != nil {
 		return nil, err
 	}
 	r := f.NewDecoder()
 	form := r.Forms(RulesForm)[RulesForm]
 	if form == nil {
-		r.Errorf(conf.Position{File: name, Line: 1, Column: 1}, "(rules (given-up 7)); other forms take a restart", "the file has no form rules")
+		r.Errorf(config.Position{File: name, Line: 1, Column: 1}, "(rules (given-up 7)); other forms take a restart", "the file has no form rules")
 		return nil, r.Err()
 	}
 	rules := ReadRules(form)
--- a/sqlclass/settings.go
+++ b/sqlclass/settings.go
@@ -4,7 +4,7 @@
 	"slices"
 	"strings"
 
-	"dapplerouter/conf"
+	"dapplerouter/config"
 	"dapplerouter/routing"
 )
 
@@ -29,7 +29,7 @@
 	Lists            *NameLists
 	Rules            []Rule
 	UndeclaredWrites routing.Idempotency // of a write whose request type reads
-	RulePositions    []conf.Position     // of the rules
+	RulePositions    []config.Position   // of the rules
 }
 
 const (
@@ -38,7 +38,7 @@
 )
 
 // ReadSettings reads the form; what is wrong with it is noted with its reading.
-func ReadSettings(f *conf.Form) *Settings {
+func ReadSettings(f *config.Form) *Settings {
 	s := &Settings{CacheBytes: usualBytes, UndeclaredWrites: routing.NonIdempotent}
 	forms := f.Forms("cache", "functions", "columns", "undeclared-writes", "types")
 	if c := forms["cache"]; c != nil {
@@ -47,7 +47,7 @@
 	var reads, writes, columns []string
 	if fs := forms["functions"]; fs != nil {
 		lists := fs.Forms("reads", "writes")
-		listed := map[string]conf.Position{}
+		listed := map[string]config.Position{}
 		if w := lists["writes"]; w != nil {
 			for _, n := range w.Atoms() {
 				if name, ok := listedName(w, n); ok {
@@ -98,7 +98,7 @@
 }
 
 // asServer is a name as the server knows it: folded, but where it stands between quotes.
-func asServer(w conf.Atom) string {
+func asServer(w config.Atom) string {
 	if w.Quoted {
 		return w.Name
 	}
@@ -106,7 +106,7 @@
 }
 
 // listedName checks a name of a list: parts of letters, digits and _, at most a schema and a name.
-func listedName(f *conf.Form, w conf.Atom) (string, bool) {
+func listedName(f *config.Form, w config.Atom) (string, bool) {
 	name := asServer(w)
 	parts := strings.Split(name, ".")
 	for _, p := range parts {
@@ -123,7 +123,7 @@
 	return name, true
 }
 
-func (s *Settings) rule(f *conf.Form) {
+func (s *Settings) rule(f *config.Form) {
 	r := Rule{Type: f.Name}
 	forms := f.Forms("class", "verbs", "tables", "below", "above")
 	if c := forms["class"]; c != nil {
