--- a/adapter/adapter.go
+++ b/adapter/adapter.go
@@ -7,9 +7,9 @@
 	"io"
 	"time"
 
+	"dapplerouter/deployment"
 	"dapplerouter/front"
 	"dapplerouter/routing"
-	"dapplerouter/site"
 	"dapplerouter/wire"
 )
 
@@ -138,7 +138,7 @@
 	entries                        []routing.Endpoint
 }
 
-func newInstance(a *adapter, id int, s *site.Settings) *instance {
+func newInstance(a *adapter, id int, s *deployment.Settings) *instance {
 	return &instance{a: a, id: id, start: a.clock, zero: time.Duration(s.PositionOrigin - a.clock),
 		kinds: front.NewIndex[string](), stores: front.NewIndex[int64](), groups: front.NewIndex[int64](),
 		requests: map[string]routing.RequestRef{}, types: front.NewIndex(s.TypeNames...), requestTypes: s.RequestTypes,
--- a/cmd/dapplerouter/classing_test.go
+++ b/cmd/dapplerouter/classing_test.go
@@ -18,7 +18,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"dapplerouter/site"
+	"dapplerouter/deployment"
 	"dapplerouter/standin/store"
 )
 
@@ -89,8 +89,8 @@
 	dir := t.TempDir()
 	config, file := filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.sexp")
 	require.NoError(t, os.WriteFile(config, fmt.Appendf(nil, strings.NewReplacer(`"bounce"`, strconv.Quote(checks), `"Aim": 2000000000`, `"Aim": `+aim, `"sockets": 256`, `"sockets": `+descriptors).Replace(told), list.Listener.Addr(), g.Listed()), 0o600))
-	start, err := site.Load(func(name string) string {
-		if name == site.FileVariable {
+	start, err := deployment.Load(func(name string) string {
+		if name == deployment.FileVariable {
 			return config
 		}
 		return ""
@@ -112,7 +112,7 @@
 }
 
 // serve starts the instance and returns once it serves, or why it does not.
-func (i *instance) serve(start *site.Instance, operator *operator) error {
+func (i *instance) serve(start *deployment.Instance, operator *operator) error {
 	ready := make(chan struct{})
 	go func() {
 		i.ended <- serve(start, operator, i.stop, nil, func(a net.Addr, b *bridge) {
@@ -364,7 +364,7 @@
 		if err != nil {
 			return notSo, strings.ReplaceAll(err.Error(), path, "f")
 		}
-		start := &site.Instance{MemoryBytes: 32 << 20, Settings: &site.Settings{}}
+		start := &deployment.Instance{MemoryBytes: 32 << 20, Settings: &deployment.Settings{}}
 		if err := o.checkAt(start); err != nil {
 			return notSo, strings.ReplaceAll(err.Error(), path, "f")
 		}
--- a/cmd/dapplerouter/cold_test.go
+++ b/cmd/dapplerouter/cold_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"dapplerouter/site"
+	"dapplerouter/deployment"
 	"dapplerouter/standin/store"
 )
 
@@ -35,7 +35,7 @@
 		changes := append(changes, `"FleetSize": 1`, fmt.Sprintf(`"FleetSize": %d`, fronts), `"Ordinal": 0`, fmt.Sprintf(`"Ordinal": %d`, n),
 			"8c1f30d27a5be964", fmt.Sprintf("8c1f30d27a5be9%02x", n))
 		text := fmt.Appendf(nil, strings.NewReplacer(changes...).Replace(told), discovery, g.Listed())
-		start, err := site.Load(func(name string) string { return map[string]string{site.FileVariable: "x"}[name] },
+		start, err := deployment.Load(func(name string) string { return map[string]string{deployment.FileVariable: "x"}[name] },
 			func(string) ([]byte, error) { return text, nil })
 		require.NoError(t, err)
 		operator, err := operatorOf("", start)
--- a/cmd/dapplerouter/file.go
+++ b/cmd/dapplerouter/file.go
@@ -8,12 +8,12 @@
 	"os"
 
 	"dapplerouter/config"
+	"dapplerouter/deployment"
 	"dapplerouter/fleet"
 	"dapplerouter/fleet/audit"
 	"dapplerouter/fleet/rollout"
 	"dapplerouter/front"
 	"dapplerouter/gateway"
-	"dapplerouter/site"
 	"dapplerouter/sqlclass"
 )
 
@@ -25,7 +25,7 @@
 	fleet    *fleet.Config
 	roll     *rollout.Config
 	audit    *audit.Config
-	rules    *site.Rules
+	rules    *deployment.Rules
 }
 
 // readFile reads an operator's file. The error is conf.Faults where the text is at fault.
@@ -40,7 +40,7 @@
 	}
 	r := f.NewDecoder()
 	o := &operator{}
-	forms := r.Forms(sqlclass.FormName, gateway.FormName, fleet.FormName, rollout.FormName, audit.FormName, site.RulesForm)
+	forms := r.Forms(sqlclass.FormName, gateway.FormName, fleet.FormName, rollout.FormName, audit.FormName, deployment.RulesForm)
 	if form := forms[sqlclass.FormName]; form != nil {
 		o.classing, o.place = sqlclass.ReadSettings(form), form.Position
 	}
@@ -62,8 +62,8 @@
 	if form := forms[audit.FormName]; form != nil {
 		o.audit = audit.ReadConfig(form)
 	}
-	if form := forms[site.RulesForm]; form != nil {
-		o.rules = site.ReadRules(form)
+	if form := forms[deployment.RulesForm]; form != nil {
+		o.rules = deployment.ReadRules(form)
 	}
 	for _, name := range []string{rollout.FormName, audit.FormName} {
 		if form := forms[name]; form != nil && o.fleet == nil {
@@ -74,7 +74,7 @@
 }
 
 // checkAt finds what the file says against what a front is told.
-func (o *operator) checkAt(told *site.Instance) error {
+func (o *operator) checkAt(told *deployment.Instance) error {
 	if g := o.gateway; g != nil && 2*(g.Settings.CreditBytes+g.Settings.RetainedBytes) > told.MemoryBytes/2 {
 		return config.ErrorList{{Position: g.Position, Message: fmt.Sprintf("credit and kept of %d and %d bytes are too much for the %d told",
 			g.Settings.CreditBytes, g.Settings.RetainedBytes, told.MemoryBytes), Remedy: "make them smaller: twice both may be half of the memory"}}
@@ -98,7 +98,7 @@
 }
 
 // operatorOf reads the file and checks it against what a front is told; where there is no file, nothing is on.
-func operatorOf(path string, told *site.Instance) (*operator, error) {
+func operatorOf(path string, told *deployment.Instance) (*operator, error) {
 	if path == "" {
 		return &operator{}, nil
 	}
@@ -146,8 +146,8 @@
 func (c *checkCall) run() int {
 	o, err := readFile(c.File)
 	if err == nil && c.Config != "" {
-		told, fault := site.Load(func(name string) string {
-			if name == site.FileVariable {
+		told, fault := deployment.Load(func(name string) string {
+			if name == deployment.FileVariable {
 				return c.Config
 			}
 			return ""
--- a/cmd/dapplerouter/gateway.go
+++ b/cmd/dapplerouter/gateway.go
@@ -7,12 +7,12 @@
 	"slices"
 	"time"
 
+	"dapplerouter/deployment"
 	"dapplerouter/framing"
 	"dapplerouter/front"
 	"dapplerouter/gateway"
 	"dapplerouter/gateway/link"
 	"dapplerouter/pgwire"
-	"dapplerouter/site"
 	"dapplerouter/sockets"
 )
 
@@ -31,7 +31,7 @@
 }
 
 // bridgeOf makes the link that a gateway form tells of, nil for none, and gives the site the peer's zone.
-func bridgeOf(c *gateway.Config, told *site.Instance, clock *sockets.Clock, post func(front.Event), local front.Pools,
+func bridgeOf(c *gateway.Config, told *deployment.Instance, clock *sockets.Clock, post func(front.Event), local front.Pools,
 	parse func([]byte) (pgwire.Statement, error)) (*bridge, error) {
 	if c == nil {
 		return nil, nil
--- a/cmd/dapplerouter/permute_test.go
+++ b/cmd/dapplerouter/permute_test.go
@@ -13,12 +13,12 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"dapplerouter/deployment"
 	"dapplerouter/discovery"
 	"dapplerouter/front"
 	"dapplerouter/pgwire"
 	"dapplerouter/router"
 	"dapplerouter/routing"
-	"dapplerouter/site"
 )
 
 // stage is a front in steps of a millisecond, before members that answer by a checksum over what they are asked.
@@ -86,7 +86,7 @@
 		map[string]any{"Name": "c", "Share": 0.5}}, customers)
 	data, err := json.Marshal(file)
 	require.NoError(t, err)
-	start, err := site.Load(func(name string) string { return map[string]string{site.FileVariable: "x"}[name] }, func(string) ([]byte, error) { return data, nil })
+	start, err := deployment.Load(func(name string) string { return map[string]string{deployment.FileVariable: "x"}[name] }, func(string) ([]byte, error) { return data, nil })
 	require.NoError(t, err)
 	s := &stage{due: map[time.Duration][]front.Event{}}
 	s.core = front.NewCore(time.UnixMilli(1_000_000), 5, start.Settings, router.New, s, s, nil)
--- a/cmd/dapplerouter/retry.go
+++ b/cmd/dapplerouter/retry.go
@@ -11,7 +11,7 @@
 
 	"github.com/cenkalti/backoff/v5"
 
-	"dapplerouter/site"
+	"dapplerouter/deployment"
 )
 
 // How long what may fail for a moment is tried again. The platform waits 30 s for a front that starts, and 10 s for nine in ten.
@@ -42,22 +42,22 @@
 }
 
 // loadStart reads what the front is told at its start.
-func loadStart(ctx context.Context) (*site.Instance, error) {
-	return retry(ctx, "reading the configuration", startPatience, lastingFault, func() (*site.Instance, error) {
-		return site.Load(os.Getenv, os.ReadFile)
+func loadStart(ctx context.Context) (*deployment.Instance, error) {
+	return retry(ctx, "reading the configuration", startPatience, lastingFault, func() (*deployment.Instance, error) {
+		return deployment.Load(os.Getenv, os.ReadFile)
 	})
 }
 
 // reload reads the configuration again.
-func reload(ctx context.Context) (*site.Instance, error) {
-	return retry(ctx, "reading the new configuration", reloadPatience, lastingFault, func() (*site.Instance, error) {
-		return site.Reload(os.Getenv, os.ReadFile)
+func reload(ctx context.Context) (*deployment.Instance, error) {
+	return retry(ctx, "reading the new configuration", reloadPatience, lastingFault, func() (*deployment.Instance, error) {
+		return deployment.Reload(os.Getenv, os.ReadFile)
 	})
 }
 
 // lastingFault tells whether another reading of the configuration would find it as it is.
 func lastingFault(err error) bool {
-	var fault *site.KeyError
+	var fault *deployment.KeyError
 	return !errors.As(err, &fault) || !fault.Transient
 }
 
--- a/cmd/dapplerouter/rollcalls.go
+++ b/cmd/dapplerouter/rollcalls.go
@@ -10,8 +10,8 @@
 	"text/tabwriter"
 	"time"
 
+	"dapplerouter/deployment"
 	"dapplerouter/fleet/agent"
-	"dapplerouter/site"
 )
 
 // fleetPublish brings rules to the whole fleet in waves.
@@ -46,7 +46,7 @@
 		fmt.Fprintf(os.Stderr, "dapplerouter: %v\n", err)
 		return unable
 	}
-	if _, err := site.ParseRules(c.Rules, text); err != nil {
+	if _, err := deployment.ParseRules(c.Rules, text); err != nil {
 		return sayFaults(os.Stderr, err)
 	}
 	var waves []string
--- a/cmd/dapplerouter/serve.go
+++ b/cmd/dapplerouter/serve.go
@@ -13,6 +13,7 @@
 	"syscall"
 	"time"
 
+	"dapplerouter/deployment"
 	"dapplerouter/discovery"
 	"dapplerouter/fleet/agent"
 	"dapplerouter/front"
@@ -21,7 +22,6 @@
 	"dapplerouter/pgwire"
 	"dapplerouter/router"
 	"dapplerouter/routing"
-	"dapplerouter/site"
 	"dapplerouter/sockets"
 )
 
@@ -94,11 +94,11 @@
 }
 
 // serve is a front until a stop is asked for; ready hears where it listens.
-func serve(told *site.Instance, operator *operator, stopAsked, rereadAsked <-chan os.Signal, ready func(net.Addr, *bridge)) error {
+func serve(told *deployment.Instance, operator *operator, stopAsked, rereadAsked <-chan os.Signal, ready func(net.Addr, *bridge)) error {
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
 	clock := sockets.NewClock()
-	room := sockets.NewDescriptors(told.MaxDescriptors, site.ReservedDescriptors)
+	room := sockets.NewDescriptors(told.MaxDescriptors, deployment.ReservedDescriptors)
 	allowed := told.Settings.Limits
 	var core *front.Core
 	post := func(e front.Event) { core.Post(e) }
@@ -212,8 +212,8 @@
 // reread takes the file in again each time that it is asked for. One that cannot be opened or is not whole is tried again, until the
 // next signal asks anew. What cannot be used is logged and changes nothing; what takes a restart is logged too. It goes on while the
 // front drains.
-func reread(ctx context.Context, asked <-chan os.Signal, told *site.Instance, move func(address string)) {
-	read := make(chan *site.Instance)
+func reread(ctx context.Context, asked <-chan os.Signal, told *deployment.Instance, move func(address string)) {
+	read := make(chan *deployment.Instance)
 	giveUp := func() {}
 	for {
 		select {
@@ -236,7 +236,7 @@
 }
 
 // rereadOnce brings the file as it is now, unless it is given up before.
-func rereadOnce(ctx context.Context, read chan<- *site.Instance) {
+func rereadOnce(ctx context.Context, read chan<- *deployment.Instance) {
 	next, err := reload(ctx)
 	switch {
 	case ctx.Err() != nil:
--- a/site/rules.go
+++ b/deployment/rules.go
@@ -1,4 +1,4 @@
-package site
+package deployment
 
 import (
 	"crypto/sha256"
--- a/site/site.go
+++ b/deployment/site.go
@@ -1,6 +1,6 @@
-// Package site reads, checks and fills in what an instance is told at its start. Whatever carries it (the
+// Package deployment reads, checks and fills in what an instance is told at its start. Whatever carries it (the
 // bench's born line, a JSON file) is a Source; the records of package port that come of it are the same.
-package site
+package deployment
 
 import (
 	"fmt"
--- a/fleet/agent/admin_test.go
+++ b/fleet/agent/admin_test.go
@@ -15,10 +15,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"dapplerouter/deployment"
 	"dapplerouter/discovery"
 	"dapplerouter/fleet"
 	"dapplerouter/front"
-	"dapplerouter/site"
 	"dapplerouter/sockets"
 )
 
@@ -30,7 +30,7 @@
 	t.Cleanup(func() { os.RemoveAll(dir) })
 	post := func(front.Event) {}
 	directory := sockets.NewWatcher(t.Context(), discovery.NewClient("127.0.0.1:1", 0), post, sockets.NewJitter(1))
-	start := &site.Instance{Name: "n1", Discovery: "127.0.0.1:1", Settings: &site.Settings{}}
+	start := &deployment.Instance{Name: "n1", Discovery: "127.0.0.1:1", Settings: &deployment.Settings{}}
 	config := &fleet.Config{ID: "f", Listen: "127.0.0.1:0", Address: "127.0.0.1:1", InitialVoters: []fleet.Voter{{Name: "n1", Address: "127.0.0.1:1"}},
 		VoterPath: filepath.Join(dir, "fleet.db"), LeaseDuration: 600 * time.Millisecond, AcceptsLeases: true, Control: filepath.Join(dir, "s")}
 	a, err := New(Config{Fleet: config}, start, directory, "0.3.0")
--- a/fleet/agent/agent.go
+++ b/fleet/agent/agent.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"dapplerouter/control"
+	"dapplerouter/deployment"
 	"dapplerouter/fleet"
 	"dapplerouter/fleet/audit"
 	"dapplerouter/fleet/disk"
@@ -23,7 +24,6 @@
 	"dapplerouter/fleet/rollout"
 	"dapplerouter/framing"
 	"dapplerouter/front"
-	"dapplerouter/site"
 	"dapplerouter/sockets"
 )
 
@@ -45,8 +45,8 @@
 	Post      func(front.Event)    // hands an event to the front's core
 	OnStandby func(standby bool)   // the front begins or ends its standby; nil to ignore it
 
-	site        *site.Settings
-	ownRules    *site.Rules // of the operator's file
+	site        *deployment.Settings
+	ownRules    *deployment.Rules // of the operator's file
 	program     string
 	incarnation uint64
 	initial     front.AdoptConfig
@@ -72,12 +72,12 @@
 	Fleet   *fleet.Config
 	Rollout *rollout.Config
 	Audit   *audit.Config
-	Rules   *site.Rules
+	Rules   *deployment.Rules
 }
 
 // New makes the agent that the forms describe; version is the program's. Set Clock, StartedAt and Post before Start. The error is a
 // file, a socket or an address that can't be used.
-func New(forms Config, start *site.Instance, directory *sockets.Watcher, version string) (*Agent, error) {
+func New(forms Config, start *deployment.Instance, directory *sockets.Watcher, version string) (*Agent, error) {
 	c := forms.Fleet
 	a := &Agent{
 		config:           c,
--- a/fleet/agent/rollout.go
+++ b/fleet/agent/rollout.go
@@ -12,12 +12,12 @@
 	"sync"
 	"time"
 
+	"dapplerouter/deployment"
 	"dapplerouter/fleet"
 	"dapplerouter/fleet/audit"
 	"dapplerouter/fleet/disk"
 	"dapplerouter/fleet/rollout"
 	"dapplerouter/front"
-	"dapplerouter/site"
 )
 
 // rolloutHost runs a front's part in rollouts: it carries between the participant, the front's core and the disk.
@@ -61,7 +61,7 @@
 		err = json.Unmarshal(b, &k)
 	}
 	if err == nil && k.Version != 0 {
-		_, err = site.ParseRules(h.path(), []byte(k.Text))
+		_, err = deployment.ParseRules(h.path(), []byte(k.Text))
 	}
 	if err != nil {
 		slog.Warn("fleet: the version that was kept can't be read; this front begins with its own file", "file", h.path(), "why", err)
@@ -91,7 +91,7 @@
 	h.current = storedVersion{Version: k.Version, Text: k.Text}
 	begins = front.AdoptConfig{Version: k.Version, Rules: a.ownRules}
 	if k.Version != 0 {
-		rules, err := site.ParseRules(h.path(), []byte(k.Text))
+		rules, err := deployment.ParseRules(h.path(), []byte(k.Text))
 		if err == nil {
 			err = rules.Validate(a.site)
 		}
@@ -108,7 +108,7 @@
 		ConfigLease:        configLease,
 		StopWhenIsolated:   c.StopWhenIsolated,
 		InForceWithin:      c.InForceWithin,
-		Rules:              site.RulesText{},
+		Rules:              deployment.RulesText{},
 		InitialVersion:     k.Version,
 		UnconfirmedVersion: k.Tried,
 	}
@@ -196,7 +196,7 @@
 	rules := a.ownRules
 	if adoption.Text != nil {
 		var err error
-		if rules, err = site.ParseRules("published", adoption.Text); err == nil {
+		if rules, err = deployment.ParseRules("published", adoption.Text); err == nil {
 			err = rules.Validate(a.site)
 		}
 		if err != nil {
--- a/fleet/agent/rollout_control.go
+++ b/fleet/agent/rollout_control.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"dapplerouter/control"
+	"dapplerouter/deployment"
 	"dapplerouter/fleet"
 	"dapplerouter/fleet/rollout"
-	"dapplerouter/site"
 )
 
 // RolloutStatus is what a front reports of rollouts over the admin API.
@@ -140,7 +140,7 @@
 // parsePublish reads what a publication needs. Rules that this front can't use are refused.
 func (a *Agent) parsePublish(q url.Values, action *rollout.Action) error {
 	action.Text = []byte(q.Get("text"))
-	rules, err := site.ParseRules("the file", action.Text)
+	rules, err := deployment.ParseRules("the file", action.Text)
 	if err != nil {
 		return control.RejectedError(err.Error())
 	}
--- a/front/classing.go
+++ b/front/classing.go
@@ -6,8 +6,8 @@
 	"slices"
 
 	"dapplerouter/config"
+	"dapplerouter/deployment"
 	"dapplerouter/routing"
-	"dapplerouter/site"
 	"dapplerouter/sqlclass"
 )
 
@@ -29,7 +29,7 @@
 }
 
 // ValidateClassification finds what the settings say against a site's request types. The error is conf.Faults.
-func ValidateClassification(s *sqlclass.Settings, at *site.Settings) error {
+func ValidateClassification(s *sqlclass.Settings, at *deployment.Settings) error {
 	var faults config.ErrorList
 	for i, r := range s.Rules {
 		t := slices.Index(at.TypeNames, r.Type)
--- a/front/core.go
+++ b/front/core.go
@@ -11,9 +11,9 @@
 	"strings"
 	"time"
 
+	"dapplerouter/deployment"
 	"dapplerouter/discovery"
 	"dapplerouter/routing"
-	"dapplerouter/site"
 )
 
 // RouterFactory makes the Decider of an instance.
@@ -94,7 +94,7 @@
 
 // NewCore makes a Core; born is the moment from which its clock counts. Where classing is nil, statements are served in
 // the one form that the users' protocol has.
-func NewCore(born time.Time, seed uint64, s *site.Settings, decide RouterFactory, links Pools, ask EndpointSource, classing *Classifier) *Core {
+func NewCore(born time.Time, seed uint64, s *deployment.Settings, decide RouterFactory, links Pools, ask EndpointSource, classing *Classifier) *Core {
 	c := &Core{pools: links, ask: ask, events: make(chan Event, queued), timeline: timeline{zero: born.Round(0)}, types: s.RequestTypes,
 		most: s.Limits.MaxAttempts, patience: s.Limits.DialTimeout,
 		typeIDs: NewIndex(s.TypeNames...), customers: NewIndex(s.CustomerNames...), zones: NewIndex(s.ZoneNames...),
--- a/front/front_test.go
+++ b/front/front_test.go
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"dapplerouter/deployment"
 	"dapplerouter/discovery"
 	"dapplerouter/pgwire"
 	"dapplerouter/routing"
-	"dapplerouter/site"
 )
 
 const ms = time.Millisecond
@@ -73,7 +73,7 @@
 
 func newFront(testing.TB) (*Core, *module, *wires) {
 	w, m := &wires{}, &module{}
-	s := &site.Settings{TypeNames: []string{"browse", "order"}, ZoneNames: []string{"a"}, CustomerNames: []string{"acme"},
+	s := &deployment.Settings{TypeNames: []string{"browse", "order"}, ZoneNames: []string{"a"}, CustomerNames: []string{"acme"},
 		RequestTypes: []routing.RequestType{{Consistency: routing.ReadYourWrites, Deadline: time.Second}, {Consistency: routing.Write, Deadline: time.Second}},
 		Limits:       routing.Limits{MaxAttempts: 2, DialTimeout: 250 * ms}}
 	c := NewCore(born, 1, s, func(h routing.Host, _ uint64, _ routing.Topology, _ []routing.RequestType, _ []routing.Customer,
--- a/front/relay.go
+++ b/front/relay.go
@@ -6,9 +6,9 @@
 	"log/slog"
 	"time"
 
+	"dapplerouter/deployment"
 	"dapplerouter/pgwire"
 	"dapplerouter/routing"
-	"dapplerouter/site"
 )
 
 // FailureStage says how far an attempt had come when its connection failed.
@@ -55,7 +55,7 @@
 		return // given up before; that ending was told
 	}
 	e.Attempt.done = true
-	o := routing.AttemptOutcome{Result: ending(&e.Answer, e.Err), Load: site.EmptyLoad}
+	o := routing.AttemptOutcome{Result: ending(&e.Answer, e.Err), Load: deployment.EmptyLoad}
 	if a := &e.Answer; e.Err == nil {
 		o.Role = roles[a.Role]
 		if a.HasApplied && o.Role == routing.Primary && a.Code == "" && !e.Remote {
@@ -144,10 +144,10 @@
 
 // report reads a member's report of its load. Where a primary's is the first that tells of the present, times move by it.
 func (c *Core) report(pairs []byte, sent time.Duration) routing.LoadReport {
-	l := site.EmptyLoad
+	l := deployment.EmptyLoad
 	zero := c.since(0)
-	if !pgwire.ParseLoadReport(pairs, func(name string, v float64) { site.SetLoadField(&l, name, v, zero) }) {
-		return site.EmptyLoad
+	if !pgwire.ParseLoadReport(pairs, func(name string, v float64) { deployment.SetLoadField(&l, name, v, zero) }) {
+		return deployment.EmptyLoad
 	}
 	if l.HasPosition && l.Role == routing.Primary && !c.confirmed {
 		told := (l.Position - zero).Milliseconds()
--- a/front/script_test.go
+++ b/front/script_test.go
@@ -12,10 +12,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"dapplerouter/deployment"
 	"dapplerouter/discovery"
 	"dapplerouter/pgwire"
 	"dapplerouter/routing"
-	"dapplerouter/site"
 	"dapplerouter/sqlclass"
 )
 
@@ -41,7 +41,7 @@
 // newScript makes a core of two request types, with a lease until 10 s.
 func newScript(t *testing.T, classing *Classifier) *script {
 	s := &script{t: t}
-	st := &site.Settings{TypeNames: []string{"browse", "order", "cart"}, ZoneNames: []string{"a", "b"}, CustomerNames: []string{"acme"},
+	st := &deployment.Settings{TypeNames: []string{"browse", "order", "cart"}, ZoneNames: []string{"a", "b"}, CustomerNames: []string{"acme"},
 		RequestTypes: []routing.RequestType{
 			{Consistency: routing.BoundedStaleness, MaxStaleness: 300 * ms, Deadline: time.Second},
 			{Consistency: routing.Write, Idempotency: routing.IdempotencyKey, DedupWindow: 400 * ms, Deadline: 2 * time.Second},
@@ -314,7 +314,7 @@
 	s.request(fmt.Sprintf(scriptWrite, 40))
 	s.step(5700*ms, s.submit(0, 0))
 	s.begin()
-	s.core.Post(AdoptConfig{Version: 2, Rules: &site.Rules{MaxStaleness: map[string]time.Duration{"browse": 100 * ms}, DedupWindows: map[string]time.Duration{"order": 200 * ms},
+	s.core.Post(AdoptConfig{Version: 2, Rules: &deployment.Rules{MaxStaleness: map[string]time.Duration{"browse": 100 * ms}, DedupWindows: map[string]time.Duration{"order": 200 * ms},
 		RejectedGroups: []int64{11}}, LeaseExpiry: 6500 * ms, OnAdopted: func(at time.Duration) { s.line("adopted at %v", at) }, OnOlderFinished: func() { s.line("alone") }})
 	s.request(fmt.Sprintf(scriptRead, 41))
 	s.request(fmt.Sprintf(scriptWrite, 41))
--- a/front/send.go
+++ b/front/send.go
@@ -5,9 +5,9 @@
 	"sync/atomic"
 	"time"
 
+	"dapplerouter/deployment"
 	"dapplerouter/pgwire"
 	"dapplerouter/routing"
-	"dapplerouter/site"
 )
 
 // Attempt is one sending to a member, of a request or of a probe.
@@ -140,7 +140,7 @@
 func (c *Core) cancelUnsent(s *Attempt) {
 	if !s.done && s.stage.CompareAndSwap(waiting, dropped) {
 		s.done = true
-		c.ended(s, routing.AttemptOutcome{Result: routing.NotSent, Load: site.EmptyLoad}, nil)
+		c.ended(s, routing.AttemptOutcome{Result: routing.NotSent, Load: deployment.EmptyLoad}, nil)
 	}
 }
 
@@ -148,7 +148,7 @@
 func (c *Core) expire(s *Attempt) {
 	if !s.done {
 		s.cancel()
-		c.ended(s, routing.AttemptOutcome{Result: routing.TimedOut, Load: site.EmptyLoad}, nil)
+		c.ended(s, routing.AttemptOutcome{Result: routing.TimedOut, Load: deployment.EmptyLoad}, nil)
 	}
 }
 
@@ -159,5 +159,5 @@
 }
 
 func (e settled) take(c *Core, _ time.Duration) {
-	c.ended(e.s, routing.AttemptOutcome{Result: e.ending, Load: site.EmptyLoad}, nil)
+	c.ended(e.s, routing.AttemptOutcome{Result: e.ending, Load: deployment.EmptyLoad}, nil)
 }
--- a/front/terms.go
+++ b/front/terms.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 	"time"
 
+	"dapplerouter/deployment"
 	"dapplerouter/routing"
-	"dapplerouter/site"
 )
 
 // FleetOptions is what a core stands on where its front is one of a fleet that publishes versions and audits; the zero value is a
@@ -75,8 +75,8 @@
 // that was taken on another version: from then on the front acts on this one alone.
 type AdoptConfig struct {
 	Version         uint64
-	Rules           *site.Rules   // checked against the site before
-	LeaseExpiry     time.Duration // the right to act on it, where one is needed
+	Rules           *deployment.Rules // checked against the site before
+	LeaseExpiry     time.Duration     // the right to act on it, where one is needed
 	OnAdopted       func(at time.Duration)
 	OnOlderFinished func()
 }
@@ -294,7 +294,7 @@
 		}
 		for i, s := range outs {
 			if endings[i] != routing.Succeeded { // it was out until now
-				c.ended(s, routing.AttemptOutcome{Result: endings[i], Load: site.EmptyLoad}, nil)
+				c.ended(s, routing.AttemptOutcome{Result: endings[i], Load: deployment.EmptyLoad}, nil)
 			}
 		}
 	})
--- a/front/terms_test.go
+++ b/front/terms_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"dapplerouter/deployment"
 	"dapplerouter/routing"
-	"dapplerouter/site"
 )
 
 // ledger is an Auditor that writes down what it hears.
@@ -50,7 +50,7 @@
 	arrive(t, c, w, browse)
 	c.batch(10 * ms)
 	at := time.Duration(-1)
-	c.Post(AdoptConfig{Version: 2, Rules: &site.Rules{MaxStaleness: map[string]time.Duration{"browse": time.Second}, RejectedGroups: []int64{4}},
+	c.Post(AdoptConfig{Version: 2, Rules: &deployment.Rules{MaxStaleness: map[string]time.Duration{"browse": time.Second}, RejectedGroups: []int64{4}},
 		OnAdopted: func(d time.Duration) { at = d }})
 	c.batch(20 * ms)
 	assert.Equal(t, 20*ms, at, "the moment of adoption")
@@ -71,7 +71,7 @@
 	assert.Equal(t, 1, alone)
 	w.final = nil
 
-	c.Post(AdoptConfig{Version: 3, Rules: &site.Rules{RejectedGroups: []int64{9}}})
+	c.Post(AdoptConfig{Version: 3, Rules: &deployment.Rules{RejectedGroups: []int64{9}}})
 	c.batch(40 * ms)
 	arrive(t, c, w, "SELECT data FROM facts WHERE code = 'k' /* id=3,c=browse,t=acme,d=100,cluster=9 */")
 	c.batch(50 * ms)
--- a/lab/model/deadline_bench_test.go
+++ b/lab/model/deadline_bench_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
+	"dapplerouter/deployment"
 	"dapplerouter/fleet"
 	"dapplerouter/fleet/rollout"
-	"dapplerouter/site"
 )
 
 // deadlineRun is changes of configuration that come at given times, with a time to be in force and without. Without one, a change that
@@ -99,9 +99,9 @@
 	var action rollout.Action
 	operator.host.Do(func(n *fleet.Node, _ time.Duration) {
 		s, _ := rollout.ReadState(n.State())
-		rules, _ := site.RulesText{}.Split(rollout.VersionText(n.State(), s.Base))
+		rules, _ := deployment.RulesText{}.Split(rollout.VersionText(n.State(), s.Base))
 		rules[fmt.Sprint(i)] = fmt.Sprintf("(given-up %d)", 100+i)
-		action = rollout.Action{Type: rollout.ActionPublish, Base: s.Base, Text: site.RulesText{}.Join(rules), Stages: c.stages, ObservationTime: c.watch, MaxFenced: 300}
+		action = rollout.Action{Type: rollout.ActionPublish, Base: s.Base, Text: deployment.RulesText{}.Join(rules), Stages: c.stages, ObservationTime: c.watch, MaxFenced: 300}
 	})
 	w.Publish(operator, action, func(fault string) {
 		if fault != "" {
--- a/lab/model/deadline_test.go
+++ b/lab/model/deadline_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"dapplerouter/deployment"
 	"dapplerouter/fleet"
 	"dapplerouter/fleet/rollout"
-	"dapplerouter/site"
 )
 
 // timed is a fleet whose versions have to be in force everywhere within 20 s, with the default ratio of lease durations.
@@ -76,12 +76,12 @@
 		w.Fronts[0].host.Do(func(n *fleet.Node, _ time.Duration) {
 			s, _ := rollout.ReadState(n.State())
 			base := max(s.Base, s.Next) // an operator who looks at what is on its way too
-			seen, err := site.RulesText{}.Split(rollout.VersionText(n.State(), base))
+			seen, err := deployment.RulesText{}.Split(rollout.VersionText(n.State(), base))
 			require.NoError(t, err)
 			key := fmt.Sprintf("given-up %d", 100+i)
 			seen[key] = fmt.Sprintf("(given-up %d)", 100+i)
 			rules[key] = seen[key]
-			text = site.RulesText{}.Join(seen)
+			text = deployment.RulesText{}.Join(seen)
 			action := rollout.Action{Type: rollout.ActionPublish, Base: base, Text: text, Stages: []uint16{1000}, MaxFenced: 300}
 			w.Publish(w.Fronts[0], action, func(fault string) {
 				require.Empty(t, fault, "change %d", i)
@@ -115,7 +115,7 @@
 	t.Logf("in force after %v; most waiting %d; versions %d", took, waited, w.State().Base)
 	assert.Positive(t, waited, "an operator sees who waits")
 	w.Fronts[0].host.Do(func(n *fleet.Node, _ time.Duration) {
-		got, err := site.RulesText{}.Split(rollout.VersionText(n.State(), w.State().Base))
+		got, err := deployment.RulesText{}.Split(rollout.VersionText(n.State(), w.State().Base))
 		require.NoError(t, err)
 		assert.Equal(t, rules, got)
 		assert.Empty(t, rollout.QueuedPublications(n.State()))
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"time"
 
+	"dapplerouter/deployment"
 	"dapplerouter/discovery"
 	"dapplerouter/fleet"
 	"dapplerouter/fleet/agent"
@@ -16,7 +17,6 @@
 	"dapplerouter/pgwire"
 	"dapplerouter/router"
 	"dapplerouter/routing"
-	"dapplerouter/site"
 )
 
 // Options are what a Town is made of.
@@ -158,9 +158,9 @@
 	Book   = "book"   // writes under a mark
 )
 
-func (t *Town) site(i int) *site.Settings {
+func (t *Town) site(i int) *deployment.Settings {
 	o := t.O
-	s := &site.Settings{TypeNames: []string{Browse, Book}, ZoneNames: zones,
+	s := &deployment.Settings{TypeNames: []string{Browse, Book}, ZoneNames: zones,
 		RequestTypes: []routing.RequestType{
 			{LatencyObjective: o.TargetLatency, Deadline: o.Deadline, PriorityWeight: 1, Idempotency: routing.Idempotent, DedupScope: routing.ScopeAll, Consistency: routing.Eventual},
 			{LatencyObjective: o.TargetLatency, Deadline: o.Deadline, PriorityWeight: 5, Idempotency: routing.IdempotencyKey, DedupScope: routing.ScopeGroup, DedupWindow: 2 * time.Second, Consistency: routing.Write}},
--- a/lab/model/rolls.go
+++ b/lab/model/rolls.go
@@ -5,18 +5,18 @@
 	"slices"
 	"time"
 
+	"dapplerouter/deployment"
 	"dapplerouter/fleet"
 	"dapplerouter/fleet/rollout"
 	"dapplerouter/front"
-	"dapplerouter/site"
 )
 
 // seat gives a front that starts its part in rolls, as fleet/agent does.
-func (f *Front) participate(s *site.Settings) {
+func (f *Front) participate(s *deployment.Settings) {
 	t := f.t
 	f.Core.JoinFleet(front.FleetOptions{Clock: f.host.Clock, Auditor: (*tally)(f)})
 	f.sums = make([]rollout.Counts, 2)
-	o := rollout.Options{Name: f.Name, Timing: t.Pace, ConfigLease: t.O.Right, StopWhenIsolated: t.O.Stop, InForceWithin: t.O.Within, Rules: site.RulesText{}, InitialVersion: f.disk.version, UnconfirmedVersion: f.disk.tried}
+	o := rollout.Options{Name: f.Name, Timing: t.Pace, ConfigLease: t.O.Right, StopWhenIsolated: t.O.Stop, InForceWithin: t.O.Within, Rules: deployment.RulesText{}, InitialVersion: f.disk.version, UnconfirmedVersion: f.disk.tried}
 	f.version = o.InitialVersion
 	turn := f.turn
 	f.Participant = rollout.NewParticipant(o, rollout.Hooks{
@@ -36,7 +36,7 @@
 		WallClock: func() int64 { return t.wall(t.Now) * 1000 },
 	})
 	if f.disk.version != 0 {
-		if r, err := site.ParseRules("saved", f.disk.text); err == nil {
+		if r, err := deployment.ParseRules("saved", f.disk.text); err == nil {
 			f.post(front.AdoptConfig{Version: f.disk.version, Rules: r})
 		}
 	}
@@ -56,12 +56,12 @@
 	f.host.After(t.Pace.TickInterval(), tick)
 }
 
-func (f *Front) adopt(a rollout.Adoption, s *site.Settings) {
+func (f *Front) adopt(a rollout.Adoption, s *deployment.Settings) {
 	do := func(call func(n *fleet.Node, now time.Duration)) { f.host.Do(call) }
-	var rules *site.Rules
+	var rules *deployment.Rules
 	if a.Text != nil {
 		var err error
-		if rules, err = site.ParseRules("published", a.Text); err == nil {
+		if rules, err = deployment.ParseRules("published", a.Text); err == nil {
 			err = rules.Validate(s)
 		}
 		if err == nil && f.Bad != nil && f.Bad(a.Version) {
@@ -189,7 +189,7 @@
 
 // Publish lets an operator publish a text at a front, and gives the wish's outcome when it is there.
 func (t *Town) Publish(f *Front, w rollout.Action, outcome func(fault string)) {
-	if r, err := site.ParseRules("x", w.Text); err == nil {
+	if r, err := deployment.ParseRules("x", w.Text); err == nil {
 		w.RulesHash = r.Digest()
 	}
 	w.ID = t.Rnd.Uint64() | 1
--- a/lab/scale/hollow.go
+++ b/lab/scale/hollow.go
@@ -7,12 +7,12 @@
 	"sync"
 	"time"
 
+	"dapplerouter/deployment"
 	"dapplerouter/discovery"
 	"dapplerouter/fleet/agent"
 	"dapplerouter/front"
 	"dapplerouter/router"
 	"dapplerouter/routing"
-	"dapplerouter/site"
 	"dapplerouter/sockets"
 )
 
@@ -47,8 +47,8 @@
 	if err := os.MkdirAll(s.folder(i), 0o700); err != nil {
 		return err
 	}
-	told, err := site.Load(func(name string) string {
-		return map[string]string{site.FileVariable: "config.json"}[name]
+	told, err := deployment.Load(func(name string) string {
+		return map[string]string{deployment.FileVariable: "config.json"}[name]
 	}, func(string) ([]byte, error) { return []byte(s.configText(i)), nil })
 	if err != nil {
 		return err
@@ -60,7 +60,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	h.stop = stop
 	clock := sockets.NewClock()
-	room := sockets.NewDescriptors(told.MaxDescriptors, site.ReservedDescriptors)
+	room := sockets.NewDescriptors(told.MaxDescriptors, deployment.ReservedDescriptors)
 	allowed := told.Settings.Limits
 	var core *front.Core
 	post := func(e front.Event) { core.Post(h.noted(e)) }
--- a/sockets/sockets_test.go
+++ b/sockets/sockets_test.go
@@ -15,11 +15,11 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
 
+	"dapplerouter/deployment"
 	"dapplerouter/discovery"
 	"dapplerouter/front"
 	"dapplerouter/pgwire"
 	"dapplerouter/routing"
-	"dapplerouter/site"
 )
 
 // direct sends every request to member 0 and rolls back what does not commit. It tells what it hears.
@@ -84,7 +84,7 @@
 	clock := NewClock()
 	post := func(e front.Event) { g.core.Post(e) }
 	g.links = NewPools(post, g.room, "portal", "crm", 5*time.Second, time.Minute, 32<<20)
-	s := &site.Settings{TypeNames: []string{"read", "write"}, ZoneNames: []string{"a"},
+	s := &deployment.Settings{TypeNames: []string{"read", "write"}, ZoneNames: []string{"a"},
 		RequestTypes: []routing.RequestType{{Deadline: time.Minute}, {Deadline: time.Minute, Consistency: routing.Write}},
 		Limits:       routing.Limits{MaxAttempts: 9, DialTimeout: 5 * time.Second}}
 	g.core = front.NewCore(clock.StartedAt, 1, s, func(h routing.Host, _ uint64, _ routing.Topology, _ []routing.RequestType,
--- a/wire/reader.go
+++ b/wire/reader.go
@@ -12,8 +12,8 @@
 	"strconv"
 	"time"
 
+	"dapplerouter/deployment"
 	"dapplerouter/routing"
-	"dapplerouter/site"
 )
 
 // Kind tells the events apart.
@@ -72,7 +72,7 @@
 	Token, Contents     []byte
 	Peer                int
 	Seed                uint64
-	Site                *site.Settings
+	Site                *deployment.Settings
 }
 
 // Reader reads events.
@@ -115,9 +115,9 @@
 	switch e.Kind {
 	case Born:
 		e.Seed = uint64(r.integer("Entropy"))
-		at, err := site.ReadSettings(func(path string) string { return string(r.get(path)) })
+		at, err := deployment.ReadSettings(func(path string) string { return string(r.get(path)) })
 		if e.Site = at; err != nil {
-			var f *site.KeyError
+			var f *deployment.KeyError
 			errors.As(err, &f)
 			r.fail(f.Key, f.Problem)
 		}
@@ -193,7 +193,7 @@
 }
 
 func (r *Reader) load(e *Event) {
-	l := site.EmptyLoad
+	l := deployment.EmptyLoad
 	rest := r.get("Pressure")
 	for len(rest) > 0 {
 		var part []byte
@@ -207,7 +207,7 @@
 		if string(name) == "x0" {
 			e.X0 = v
 		}
-		site.SetLoadField(&l, string(name), v, 0)
+		deployment.SetLoadField(&l, string(name), v, 0)
 	}
 	e.Load = l
 }
