--- a/control/control.go
+++ b/adminapi/control.go
@@ -1,6 +1,6 @@
-// Package control is a front's own door for its operator: HTTP on a Unix socket that only its owner may use. What is said
+// Package adminapi is a front's own door for its operator: HTTP on a Unix socket that only its owner may use. What is said
 // there stands with each part; it decides nothing.
-package control
+package adminapi
 
 import (
 	"context"
--- a/control/control_test.go
+++ b/adminapi/control_test.go
@@ -1,4 +1,4 @@
-package control
+package adminapi
 
 import (
 	"net/url"
--- a/cmd/dapplerouter/fleetcalls.go
+++ b/cmd/dapplerouter/fleetcalls.go
@@ -12,7 +12,7 @@
 	"strings"
 	"text/tabwriter"
 
-	"dapplerouter/control"
+	"dapplerouter/adminapi"
 	"dapplerouter/fleet/agent"
 )
 
@@ -49,12 +49,12 @@
 	if socket == "" {
 		return errors.New("no control socket is named: give --control SOCKET, or --file with a fleet form that has (control \"SOCKET\")")
 	}
-	return control.Call(socket, method, path, q, out)
+	return adminapi.Call(socket, method, path, q, out)
 }
 
 // ended gives a call's exit code: what was asked is not so, or could not be asked.
 func ended(err error) int {
-	var f control.RejectedError
+	var f adminapi.RejectedError
 	if err == nil {
 		return done
 	}
--- a/cmd/dapplerouter/json_output_fixture_test.go
+++ b/cmd/dapplerouter/json_output_fixture_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"dapplerouter/control"
+	"dapplerouter/adminapi"
 )
 
 // explanation is a text for people within a line of JSON, of which only the key is kept as it is.
@@ -62,7 +62,7 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { os.RemoveAll(dir) })
 	socket = filepath.Join(dir, "s")
-	s, err := control.Listen(socket)
+	s, err := adminapi.Listen(socket)
 	require.NoError(t, err)
 	t.Cleanup(s.Close)
 	answer := func(name string) func(url.Values) (any, error) {
--- a/cmd/dapplerouter/recovercall_test.go
+++ b/cmd/dapplerouter/recovercall_test.go
@@ -8,14 +8,14 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"dapplerouter/control"
+	"dapplerouter/adminapi"
 	"dapplerouter/fleet"
 	"dapplerouter/fleet/agent"
 )
 
 func TestARecoveryAsksForItsConfirmationAndTellsItsEnd(t *testing.T) {
 	socket := filepath.Join(t.TempDir(), "ctl")
-	s, err := control.Listen(socket)
+	s, err := adminapi.Listen(socket)
 	require.NoError(t, err)
 	defer s.Close()
 	var asked []url.Values
--- a/fleet/agent/agent.go
+++ b/fleet/agent/agent.go
@@ -15,7 +15,7 @@
 	"sync"
 	"time"
 
-	"dapplerouter/control"
+	"dapplerouter/adminapi"
 	"dapplerouter/deployment"
 	"dapplerouter/fleet"
 	"dapplerouter/fleet/audit"
@@ -34,7 +34,7 @@
 	disk      *disk.VoterFile
 	endpoints *fleet.EndpointList
 	directory *sockets.Watcher
-	control   *control.Server
+	control   *adminapi.Server
 	history   *history
 	Prober    *Prober
 	name      string
@@ -218,7 +218,7 @@
 // Start listens for other fronts and operators, and starts all goroutines. The error is a socket that can't be used.
 func (a *Agent) Start() error {
 	if a.config.Control != "" {
-		s, err := control.Listen(a.config.Control)
+		s, err := adminapi.Listen(a.config.Control)
 		if err != nil {
 			return err
 		}
--- a/fleet/agent/control.go
+++ b/fleet/agent/control.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"dapplerouter/control"
+	"dapplerouter/adminapi"
 	"dapplerouter/fleet"
 )
 
@@ -58,7 +58,7 @@
 }
 
 // serveControl registers the handlers of the admin API.
-func (a *Agent) serveControl(s *control.Server) {
+func (a *Agent) serveControl(s *adminapi.Server) {
 	if a.rollout != nil {
 		a.serveRollout(s)
 	}
@@ -81,10 +81,10 @@
 func (a *Agent) request(ask func(n *fleet.Node, now time.Duration) uint64) (any, error) {
 	e, ok := a.awaitRequest(ask)
 	if !ok {
-		return nil, control.RejectedError("no answer of the fleet")
+		return nil, adminapi.RejectedError("no answer of the fleet")
 	}
 	if e.Error != "" {
-		return nil, control.RejectedError(e.Error)
+		return nil, adminapi.RejectedError(e.Error)
 	}
 	return map[string]bool{"done": true}, nil
 }
--- a/fleet/agent/counters.go
+++ b/fleet/agent/counters.go
@@ -5,7 +5,7 @@
 	"syscall"
 	"time"
 
-	"dapplerouter/control"
+	"dapplerouter/adminapi"
 	"dapplerouter/fleet"
 	"dapplerouter/fleet/mesh"
 )
@@ -40,6 +40,6 @@
 	return c
 }
 
-func (a *Agent) serveCounters(s *control.Server) {
+func (a *Agent) serveCounters(s *adminapi.Server) {
 	s.HandleGet("/v1/fleet/counters", func(url.Values) (any, error) { return a.Counters(), nil })
 }
--- a/fleet/agent/recovery_control.go
+++ b/fleet/agent/recovery_control.go
@@ -5,7 +5,7 @@
 	"net/url"
 	"time"
 
-	"dapplerouter/control"
+	"dapplerouter/adminapi"
 	"dapplerouter/fleet"
 )
 
@@ -20,7 +20,7 @@
 }
 
 // serveRecovery registers the handlers that recover the voters from this front's disk.
-func (a *Agent) serveRecovery(s *control.Server) {
+func (a *Agent) serveRecovery(s *adminapi.Server) {
 	s.HandlePost("/v1/fleet/voters/recover", a.startRecovery)
 	s.HandleGet("/v1/fleet/voters/recovery", func(url.Values) (any, error) { return a.recoveryStatus() })
 }
@@ -28,14 +28,14 @@
 // startRecovery starts a recovery; recoveryStatus tells how it goes on.
 func (a *Agent) startRecovery(q url.Values) (any, error) {
 	if q.Get("confirm") != "yes" {
-		return nil, control.RejectedError("a recovery needs confirm=yes: it may lose what the lost voters acknowledged")
+		return nil, adminapi.RejectedError("a recovery needs confirm=yes: it may lose what the lost voters acknowledged")
 	}
 	reason := q.Get("reason")
 	var err error
 	a.mesh.Do(func(n *fleet.Node, now time.Duration) { err = n.RecoverVoters(now, reason) })
 	if err != nil {
 		slog.Warn("fleet: a recovery of the voters is refused", "reason", reason, "why", err)
-		return nil, control.RejectedError(err.Error())
+		return nil, adminapi.RejectedError(err.Error())
 	}
 	slog.Warn("fleet: a recovery of the voters begins, from this front's disk", "reason", reason)
 	return a.recoveryStatus()
@@ -43,7 +43,7 @@
 
 // recoveryStatus returns how far the recovery has come that was asked for last.
 func (a *Agent) recoveryStatus() (s RecoveryStatus, err error) {
-	err = control.RejectedError("no recovery was asked for since this front started")
+	err = adminapi.RejectedError("no recovery was asked for since this front started")
 	a.mesh.Do(func(n *fleet.Node, now time.Duration) {
 		if r := n.Recovery(); r != nil {
 			wait := max(0, r.DueAt-now)
--- a/fleet/agent/rollout_control.go
+++ b/fleet/agent/rollout_control.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"dapplerouter/control"
+	"dapplerouter/adminapi"
 	"dapplerouter/deployment"
 	"dapplerouter/fleet"
 	"dapplerouter/fleet/rollout"
@@ -55,7 +55,7 @@
 }
 
 // serveRollout registers the handlers for rollouts.
-func (a *Agent) serveRollout(s *control.Server) {
+func (a *Agent) serveRollout(s *adminapi.Server) {
 	s.HandleGet("/v1/fleet/roll", func(url.Values) (any, error) { return a.rolloutStatus(), nil })
 	s.HandlePost("/v1/fleet/roll", func(q url.Values) (any, error) { return a.requestRollout(q) })
 }
@@ -102,11 +102,11 @@
 	select {
 	case why := <-outcome:
 		if why != "" {
-			return nil, control.RejectedError(why)
+			return nil, adminapi.RejectedError(why)
 		}
 		return map[string]any{"done": true, "version": a.rolloutState().Next}, nil
 	case <-time.After(patience + 2*a.config.LeaseDuration):
-		return nil, control.RejectedError("no answer of the fleet")
+		return nil, adminapi.RejectedError("no answer of the fleet")
 	}
 }
 
@@ -132,7 +132,7 @@
 	case "resume":
 		action.Type = rollout.ActionResume
 	default:
-		return action, control.RejectedError("unknown: " + q.Get("do"))
+		return action, adminapi.RejectedError("unknown: " + q.Get("do"))
 	}
 	return action, nil
 }
@@ -142,29 +142,29 @@
 	action.Text = []byte(q.Get("text"))
 	rules, err := deployment.ParseRules("the file", action.Text)
 	if err != nil {
-		return control.RejectedError(err.Error())
+		return adminapi.RejectedError(err.Error())
 	}
 	if err := rules.Validate(a.site); err != nil {
-		return control.RejectedError(err.Error())
+		return adminapi.RejectedError(err.Error())
 	}
 	if len(action.Text) > rollout.MaxTextBytes {
-		return control.RejectedError(fmt.Sprintf("the file has %d bytes, and %d are the most", len(action.Text), rollout.MaxTextBytes))
+		return adminapi.RejectedError(fmt.Sprintf("the file has %d bytes, and %d are the most", len(action.Text), rollout.MaxTextBytes))
 	}
 	action.RulesHash = rules.Digest()
 	for _, p := range strings.Split(q.Get("waves"), ",") {
 		permille, err := strconv.ParseUint(p, 10, 16)
 		if err != nil {
-			return control.RejectedError("waves are thousandths: " + err.Error())
+			return adminapi.RejectedError("waves are thousandths: " + err.Error())
 		}
 		action.Stages = append(action.Stages, uint16(permille))
 	}
 	action.ObservationTime, err = time.ParseDuration(q.Get("watch"))
 	if err != nil || action.ObservationTime < 0 {
-		return control.RejectedError("watch is no time: " + q.Get("watch"))
+		return adminapi.RejectedError("watch is no time: " + q.Get("watch"))
 	}
 	if within := q.Get("within"); within != "" {
 		if action.InForceWithin, err = time.ParseDuration(within); err != nil || action.InForceWithin < 0 {
-			return control.RejectedError("within is no time: " + within)
+			return adminapi.RejectedError("within is no time: " + within)
 		}
 	}
 	switch q.Get("no_evidence") {
@@ -174,16 +174,16 @@
 	case "back":
 		action.OnUndecided = rollout.UndecidedRollBack
 	default:
-		return control.RejectedError("no_evidence is go, hold or back, not " + q.Get("no_evidence"))
+		return adminapi.RejectedError("no_evidence is go, hold or back, not " + q.Get("no_evidence"))
 	}
 	permille, err := strconv.ParseUint(q.Get("shut_out"), 10, 16)
 	if err != nil || permille > 1000 {
-		return control.RejectedError("shut_out is thousandths: " + q.Get("shut_out"))
+		return adminapi.RejectedError("shut_out is thousandths: " + q.Get("shut_out"))
 	}
 	action.MaxFenced = uint16(permille)
 	if base := q.Get("on"); base != "" {
 		if action.Base, err = strconv.ParseUint(base, 10, 64); err != nil {
-			return control.RejectedError("on is no version: " + base)
+			return adminapi.RejectedError("on is no version: " + base)
 		}
 		return nil
 	}
--- a/lab/rig/actions.go
+++ b/lab/rig/actions.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"dapplerouter/control"
+	"dapplerouter/adminapi"
 	"dapplerouter/standin/hop"
 )
 
@@ -194,7 +194,7 @@
 			if s, err := f.seen(); err == nil && !s.Alone {
 				r.later.Go(func() {
 					var out map[string]bool
-					err := control.Call(f.socket(), "POST", "/v1/fleet/hand", url.Values{"duty": {st.Lease}}, &out)
+					err := adminapi.Call(f.socket(), "POST", "/v1/fleet/hand", url.Values{"duty": {st.Lease}}, &out)
 					r.say("-", "hand %s by %s: %s", st.Lease, f.Name, cmp.Or(errText(err), "done"))
 				})
 				return nil
@@ -274,7 +274,7 @@
 					continue
 				}
 				var out struct{ Version uint64 }
-				err = control.Call(f.socket(), "POST", "/v1/fleet/roll", q, &out)
+				err = adminapi.Call(f.socket(), "POST", "/v1/fleet/roll", q, &out)
 				r.say("-", "%s %s by %s: %s", st.What, strings.Join(st.Words, " "), f.Name, cmp.Or(errText(err), fmt.Sprintf("done, version %d", out.Version)))
 				if err == nil && st.What == "publish" && st.Words[0] == "give-up" && must {
 					r.said.Lock()
--- a/lab/rig/processes.go
+++ b/lab/rig/processes.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"dapplerouter/control"
+	"dapplerouter/adminapi"
 	"dapplerouter/standin/store"
 )
 
@@ -94,7 +94,7 @@
 }
 
 func (f *Front) seen() (s seen, err error) {
-	err = control.Call(f.socket(), "GET", "/v1/fleet", nil, &s)
+	err = adminapi.Call(f.socket(), "GET", "/v1/fleet", nil, &s)
 	return s, err
 }
 
--- a/lab/rig/waits.go
+++ b/lab/rig/waits.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"dapplerouter/control"
+	"dapplerouter/adminapi"
 	"dapplerouter/fleet/agent"
 )
 
@@ -66,7 +66,7 @@
 }
 
 func (f *Front) rolls() (s agent.RolloutStatus, err error) {
-	err = control.Call(f.socket(), "GET", "/v1/fleet/roll", nil, &s)
+	err = adminapi.Call(f.socket(), "GET", "/v1/fleet/roll", nil, &s)
 	return s, err
 }
 
--- a/lab/scale/configurations.go
+++ b/lab/scale/configurations.go
@@ -16,7 +16,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"dapplerouter/control"
+	"dapplerouter/adminapi"
 	"dapplerouter/fleet"
 )
 
@@ -145,11 +145,11 @@
 	q := url.Values{"do": {"publish"}, "text": {text}, "waves": {oneStage}, "watch": {"0s"}, "shut_out": {fencedShare}, "must": {strconv.FormatBool(b.o.Must)}}
 	for until := time.Now().Add(inForceTime); ; {
 		var out struct{ Version uint64 }
-		err := control.Call(b.shared.socket(rolloutsReal), "POST", "/v1/fleet/roll", q, &out)
+		err := adminapi.Call(b.shared.socket(rolloutsReal), "POST", "/v1/fleet/roll", q, &out)
 		if err == nil {
 			return out.Version, nil
 		}
-		var fault control.RejectedError
+		var fault adminapi.RejectedError
 		if !errors.As(err, &fault) || time.Now().After(until) {
 			return 0, fmt.Errorf("a configuration can't be published: %w", err)
 		}
--- a/lab/scale/roles.go
+++ b/lab/scale/roles.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"sync"
 
-	"dapplerouter/control"
+	"dapplerouter/adminapi"
 	"dapplerouter/fleet"
 	"dapplerouter/fleet/agent"
 	"dapplerouter/fleet/rollout"
@@ -100,7 +100,7 @@
 // realCounters asks a process of the program.
 func (b *bench) realCounters(i int, p *process) (c Counters, err error) {
 	var x agent.Counters
-	if err := control.Call(b.shared.socket(i), "GET", "/v1/fleet/counters", nil, &x); err != nil {
+	if err := adminapi.Call(b.shared.socket(i), "GET", "/v1/fleet/counters", nil, &x); err != nil {
 		return c, err
 	}
 	c = Counters{At: nowMicro(), Fronts: 1, CPU: x.CPUSeconds, Links: x.Links, Sent: x.Sent, Received: x.Received, SentBytes: x.SentBytes,
--- a/lab/scale/settle.go
+++ b/lab/scale/settle.go
@@ -7,12 +7,12 @@
 	"sync"
 	"time"
 
-	"dapplerouter/control"
+	"dapplerouter/adminapi"
 	"dapplerouter/fleet/agent"
 )
 
 func (b *bench) seen(i int) (s agent.Status, err error) {
-	err = control.Call(b.shared.socket(i), "GET", "/v1/fleet", nil, &s)
+	err = adminapi.Call(b.shared.socket(i), "GET", "/v1/fleet", nil, &s)
 	return s, err
 }
 
@@ -93,7 +93,7 @@
 		if holder(s, lease) == frontName(to) {
 			return nil
 		}
-		err = control.Call(b.shared.socket(to), "POST", "/v1/fleet/hand", q, new(map[string]any))
+		err = adminapi.Call(b.shared.socket(to), "POST", "/v1/fleet/hand", q, new(map[string]any))
 		if err != nil && time.Now().After(until) {
 			return fmt.Errorf("the lease of %s can't be transferred to %s: %w", lease, frontName(to), err)
 		}
