--- a/cmd/dapplerouter/bench_test.go
+++ b/cmd/dapplerouter/bench_test.go
@@ -18,7 +18,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dapplerouter/standin/store"
+	"dapplerouter/testsupport/fakeserver"
 )
 
 func cpu() time.Duration {
@@ -92,7 +92,7 @@
 			defer front.Wait()
 			defer front.Process.Signal(syscall.SIGTERM)
 			for range 100 {
-				if c, err := store.Dial(address); err == nil {
+				if c, err := fakeserver.Dial(address); err == nil {
 					c.Close()
 					break
 				}
--- a/cmd/dapplerouter/classing_test.go
+++ b/cmd/dapplerouter/classing_test.go
@@ -19,7 +19,7 @@
 	"github.com/stretchr/testify/require"
 
 	"dapplerouter/deployment"
-	"dapplerouter/standin/store"
+	"dapplerouter/testsupport/fakeserver"
 )
 
 // told is what a front of a small booking service is told; its types are a read of any data, a session's read and a
@@ -62,7 +62,7 @@
 
 // startFront starts a front before a group of stand-ins, by the same wiring as in service; text is the operator's file,
 // "" for none.
-func startFront(t testing.TB, g *store.Group, text string) (address string) {
+func startFront(t testing.TB, g *fakeserver.Group, text string) (address string) {
 	i := startInstance(t, g, text)
 	t.Cleanup(i.end)
 	return i.address
@@ -84,7 +84,7 @@
 	i.list.Close() // after the front, whose watch it would wait for
 }
 
-func startInstance(t testing.TB, g *store.Group, text string) *instance {
+func startInstance(t testing.TB, g *fakeserver.Group, text string) *instance {
 	list := g.List()
 	dir := t.TempDir()
 	config, file := filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.sexp")
@@ -128,15 +128,15 @@
 	}
 }
 
-func startGroup(t testing.TB, members int) *store.Group {
-	g, err := store.Start(store.Restaurants(20, 60, 500), members, 4, 0, 0)
+func startGroup(t testing.TB, members int) *fakeserver.Group {
+	g, err := fakeserver.Start(fakeserver.Restaurants(20, 60, 500), members, 4, 0, 0)
 	require.NoError(t, err)
 	t.Cleanup(g.Close)
 	return g
 }
 
-func dial(t testing.TB, address string) *store.Client {
-	c, err := store.Dial(address)
+func dial(t testing.TB, address string) *fakeserver.Client {
+	c, err := fakeserver.Dial(address)
 	require.NoError(t, err)
 	t.Cleanup(c.Close)
 	return c
@@ -179,8 +179,8 @@
 func TestAWriteUnderAReadingTypeRunsOnceAtThePrimary(t *testing.T) {
 	g := startGroup(t, 3)
 	c := dial(t, startFront(t, g, operatorFile))
-	g.Members[0].Break(func(n int, sql string) store.Fault {
-		return store.Fault{BreakAfter: strings.Contains(sql, "id=lost")}
+	g.Members[0].Break(func(n int, sql string) fakeserver.Fault {
+		return fakeserver.Fault{BreakAfter: strings.Contains(sql, "id=lost")}
 	})
 	for i := range 20 {
 		a, err := c.Query("SELECT next_seat(1)" + said(fmt.Sprintf("w%d", i), ",c=browse"))
@@ -245,17 +245,17 @@
 func TestWhatAMemberSaysOfAStatementIsPassedOnOnce(t *testing.T) {
 	g := startGroup(t, 1)
 	c := dial(t, startFront(t, g, operatorFile))
-	g.Members[0].Break(func(_ int, sql string) store.Fault {
+	g.Members[0].Break(func(_ int, sql string) fakeserver.Fault {
 		switch {
 		case strings.Contains(sql, "id=twice"):
-			return store.Fault{Code: "23505"}
+			return fakeserver.Fault{Code: "23505"}
 		case strings.Contains(sql, "id=open"): // a transaction is left open
 			raw := []byte("C\x00\x00\x00\x0bINSERT\x00Z\x00\x00\x00\x05T")
-			return store.Fault{Raw: raw}
+			return fakeserver.Fault{Raw: raw}
 		case strings.Contains(sql, "id=copy"):
-			return store.Fault{Raw: []byte("H\x00\x00\x00\x07\x00\x00\x00Z\x00\x00\x00\x05I")}
+			return fakeserver.Fault{Raw: []byte("H\x00\x00\x00\x07\x00\x00\x00Z\x00\x00\x00\x05I")}
 		}
-		return store.Fault{}
+		return fakeserver.Fault{}
 	})
 	a, err := c.Query("INSERT INTO bookings (id) VALUES (1)" + said("twice", ""))
 	require.NoError(t, err)
@@ -278,7 +278,7 @@
 }
 
 func TestAnAnswerBeyondTheMemoryEndsTheTxnAndNothingElse(t *testing.T) {
-	g, err := store.Start(store.Restaurants(20, 60, 40_000), 2, 4, 0, 0)
+	g, err := fakeserver.Start(fakeserver.Restaurants(20, 60, 40_000), 2, 4, 0, 0)
 	require.NoError(t, err)
 	t.Cleanup(g.Close)
 	c := dial(t, startFront(t, g, operatorFile))
--- a/cmd/dapplerouter/cold_test.go
+++ b/cmd/dapplerouter/cold_test.go
@@ -15,12 +15,12 @@
 	"github.com/stretchr/testify/require"
 
 	"dapplerouter/deployment"
-	"dapplerouter/standin/store"
+	"dapplerouter/testsupport/fakeserver"
 )
 
 // startFleet starts so many fronts that know nothing of each other in this process, and gives their addresses; changes are
 // pairs of what each is told otherwise.
-func startFleet(t *testing.T, fronts int, g *store.Group, discovery string, changes ...string) (addresses []string) {
+func startFleet(t *testing.T, fronts int, g *fakeserver.Group, discovery string, changes ...string) (addresses []string) {
 	var stops []chan<- os.Signal
 	var ends []<-chan error
 	t.Cleanup(func() {
@@ -51,7 +51,7 @@
 }
 
 // sawWithin counts the statements that a member saw in a span.
-func sawWithin(seen []store.Seen, from, to time.Time) (n float64) {
+func sawWithin(seen []fakeserver.Seen, from, to time.Time) (n float64) {
 	for _, s := range seen {
 		if !s.At.Before(from) && s.At.Before(to) {
 			n++
@@ -109,7 +109,7 @@
 	time.Sleep(cold)
 	close(stop)
 	clients.Wait()
-	seen := make([][]store.Seen, len(g.Members))
+	seen := make([][]fakeserver.Seen, len(g.Members))
 	for i, m := range g.Members {
 		seen[i] = m.Seen()
 	}
--- a/cmd/dapplerouter/crowd_test.go
+++ b/cmd/dapplerouter/crowd_test.go
@@ -16,7 +16,7 @@
 	"golang.org/x/sys/unix"
 
 	"dapplerouter/pgwire"
-	"dapplerouter/standin/store"
+	"dapplerouter/testsupport/fakeserver"
 )
 
 // limitDescriptors holds the process to so many, as the platform does.
@@ -78,7 +78,7 @@
 
 // asks says whether a new client with work is served.
 func (p *process) asks(id string) bool {
-	c, err := store.Dial(p.address)
+	c, err := fakeserver.Dial(p.address)
 	if err != nil {
 		return false
 	}
--- a/cmd/dapplerouter/endings_test.go
+++ b/cmd/dapplerouter/endings_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 
 	"dapplerouter/standin/loopback"
-	"dapplerouter/standin/store"
+	"dapplerouter/testsupport/fakeserver"
 )
 
 var built = sync.OnceValues(func() (string, error) {
@@ -43,12 +43,12 @@
 }
 
 // startProcess starts it before a group; discovery is where the list's service is, changes are pairs of what is told otherwise.
-func startProcess(t *testing.T, g *store.Group, discovery, expiry string, changes ...string) *process {
+func startProcess(t *testing.T, g *fakeserver.Group, discovery, expiry string, changes ...string) *process {
 	return startTold(t, discovery, g.Listed(), append(changes, `"Deadline": 8000000000`, `"Deadline": `+expiry)...)
 }
 
 // startListed starts it before a group whose list is followed.
-func startListed(t *testing.T, g *store.Group, expiry string, changes ...string) *process {
+func startListed(t *testing.T, g *fakeserver.Group, expiry string, changes ...string) *process {
 	list := g.List()
 	t.Cleanup(list.Close)
 	return startProcess(t, g, list.Listener.Addr().String(), expiry, changes...)
@@ -84,7 +84,7 @@
 func (p *process) start() {
 	p.spawn()
 	require.Eventually(p.t, func() bool {
-		c, err := store.Dial(p.address)
+		c, err := fakeserver.Dial(p.address)
 		if err == nil {
 			c.Close()
 		}
@@ -141,7 +141,7 @@
 // again is a client that sends its next request as soon as it has an answer, on new connections too, until nobody listens.
 func (u *unanswered) again(address, name string) {
 	for n := 0; ; {
-		c, err := store.Dial(address)
+		c, err := fakeserver.Dial(address)
 		if err != nil {
 			return
 		}
@@ -195,7 +195,7 @@
 	codes := make(chan string, 2)
 	for _, sql := range []string{"SELECT 'x' /* id=r,c=browse,d=8000,cluster=0 */", strings.Replace(pay("w", 0), "d=3000", "d=8000", 1)} {
 		go func() {
-			c, a, err := store.DialAndQuery(front.address, sql) // at once: a client that says nothing for 2 s is let go
+			c, a, err := fakeserver.DialAndQuery(front.address, sql) // at once: a client that says nothing for 2 s is let go
 			if err != nil {
 				a.Code = err.Error()
 			} else {
--- a/cmd/dapplerouter/flood_test.go
+++ b/cmd/dapplerouter/flood_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 
 	"dapplerouter/pgwire"
-	"dapplerouter/standin/store"
+	"dapplerouter/testsupport/fakeserver"
 )
 
 // resident is the memory that a process holds, in KiB.
@@ -60,7 +60,7 @@
 			assert.Less(t, most, 32<<10)
 			g.Members[0].Hang(false)
 			require.Eventually(t, func() bool { // there may be no room at first
-				c, err := store.Dial(p.address)
+				c, err := fakeserver.Dial(p.address)
 				if err != nil {
 					return false
 				}
@@ -115,7 +115,7 @@
 	before, most := p.resident(), 0
 	var clients sync.WaitGroup
 	for n := range 180 {
-		c, err := store.Dial(p.address)
+		c, err := fakeserver.Dial(p.address)
 		require.NoError(t, err)
 		clients.Go(func() {
 			defer c.Close()
--- a/cmd/dapplerouter/gateway_bench_test.go
+++ b/cmd/dapplerouter/gateway_bench_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"dapplerouter/standin/hop"
-	"dapplerouter/standin/store"
+	"dapplerouter/testsupport/fakeserver"
 )
 
 func quantile(all []time.Duration, q float64) float64 {
@@ -49,7 +49,7 @@
 				b.ResetTimer()
 				for range 16 {
 					all.Go(func() {
-						c, _ := store.Dial(s.here.address)
+						c, _ := fakeserver.Dial(s.here.address)
 						defer c.Close()
 						var mine []time.Duration
 						for k := n.Add(1); k <= int64(b.N); k = n.Add(1) {
@@ -57,7 +57,7 @@
 							began := time.Now()
 							if way != "link" {
 								var err error
-								if c, err = store.Dial(bare.Address()); err != nil {
+								if c, err = fakeserver.Dial(bare.Address()); err != nil {
 									no.Add(1)
 									continue
 								}
@@ -111,7 +111,7 @@
 		var n atomic.Int64
 		for range 16 {
 			all.Go(func() {
-				c, _ := store.Dial(s.here.address)
+				c, _ := fakeserver.Dial(s.here.address)
 				defer c.Close()
 				for {
 					select {
--- a/cmd/dapplerouter/gateway_test.go
+++ b/cmd/dapplerouter/gateway_test.go
@@ -17,7 +17,7 @@
 
 	"dapplerouter/framing"
 	"dapplerouter/standin/hop"
-	"dapplerouter/standin/store"
+	"dapplerouter/testsupport/fakeserver"
 )
 
 // sites are two gateways with a hop between them, each with a group of its own: 0 at kathmandu, 1 at pokhara.
@@ -25,8 +25,8 @@
 	t       testing.TB
 	here    *instance
 	there   *instance
-	near    *store.Group
-	far     *store.Group
+	near    *fakeserver.Group
+	far     *fakeserver.Group
 	hop     *hop.Hop
 	farFile string
 }
@@ -92,8 +92,8 @@
 
 func TestATxnCrossesToTheGroupsOtherSite(t *testing.T) {
 	s := startSites(t, [2]string{})
-	for from, c := range map[string]*store.Client{"here": dial(t, s.here.address), "there": dial(t, s.there.address)} {
-		for g, group := range []*store.Group{s.near, s.far} {
+	for from, c := range map[string]*fakeserver.Client{"here": dial(t, s.here.address), "there": dial(t, s.there.address)} {
+		for g, group := range []*fakeserver.Group{s.near, s.far} {
 			id := fmt.Sprintf("%s%d", from, g)
 			a, err := c.Query(book(id, g))
 			require.NoError(t, err)
@@ -164,10 +164,10 @@
 	)
 	for range count {
 		all.Go(func() {
-			c, err := store.Dial(s.here.address)
+			c, err := fakeserver.Dial(s.here.address)
 			for k := next.Add(1); k <= n; k = next.Add(1) {
 				for c == nil || err != nil {
-					c, err = store.Dial(s.here.address)
+					c, err = fakeserver.Dial(s.here.address)
 				}
 				id := fmt.Sprintf("%s%d", name, k)
 				a, failed := c.Query(statement(id, 1))
@@ -409,15 +409,15 @@
 	s := startSites(t, [2]string{})
 	arrived := make(chan struct{}, 1)
 	for _, m := range s.far.Members {
-		m.Break(func(_ int, sql string) store.Fault {
+		m.Break(func(_ int, sql string) fakeserver.Fault {
 			if strings.Contains(sql, "id=leaves") {
 				arrived <- struct{}{}
-				return store.Fault{Delay: 500 * time.Millisecond}
+				return fakeserver.Fault{Delay: 500 * time.Millisecond}
 			}
-			return store.Fault{}
+			return fakeserver.Fault{}
 		})
 	}
-	c, err := store.Dial(s.here.address)
+	c, err := fakeserver.Dial(s.here.address)
 	require.NoError(t, err)
 	go c.Query(pay("leaves", 1))
 	<-arrived
@@ -452,7 +452,7 @@
 				mu.Lock()
 				address := s.here.address
 				mu.Unlock()
-				c, err := store.Dial(address)
+				c, err := fakeserver.Dial(address)
 				if err != nil {
 					time.Sleep(5 * time.Millisecond)
 					continue
--- a/cmd/dapplerouter/limits_test.go
+++ b/cmd/dapplerouter/limits_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 
 	"dapplerouter/pgwire"
-	"dapplerouter/standin/store"
+	"dapplerouter/testsupport/fakeserver"
 )
 
 // The limits of the operators' terms, at their edge, with the built program. Each row of docs/terms-audit.md names its test.
@@ -56,7 +56,7 @@
 }
 
 // excess is by how much a statement that a server saw tells it more than its client has left.
-func (s sent) excess(t *testing.T, seen store.Seen) time.Duration {
+func (s sent) excess(t *testing.T, seen fakeserver.Seen) time.Duration {
 	told := toldDeadline.FindStringSubmatch(seen.SQL)
 	require.NotNil(t, told, seen.SQL)
 	ms, err := strconv.Atoi(told[1])
@@ -65,7 +65,7 @@
 }
 
 // connections has the front open connections to its servers, which are idle then, so that what is sent next waits for none.
-func (p *process) connections(g *store.Group, many int) {
+func (p *process) connections(g *fakeserver.Group, many int) {
 	each := g.Each
 	g.Each = 30 * time.Millisecond
 	var clients sync.WaitGroup
@@ -120,7 +120,7 @@
 		left.Store(id, time.Now())
 		c.Close()
 	}
-	var open []*store.Client
+	var open []*fakeserver.Client
 	for range 10 {
 		open = append(open, dial(t, p.address))
 	}
@@ -163,7 +163,7 @@
 	for _, m := range g.Members {
 		m.Hang(true)
 	}
-	var clients []*store.Client
+	var clients []*fakeserver.Client
 	for i := range many {
 		c := dial(t, p.address)
 		require.NoError(t, c.Send(fmt.Sprintf("SELECT 'x' /* id=f%d,c=browse,d=6000,cluster=0 */", i)))
--- a/cmd/dapplerouter/list_test.go
+++ b/cmd/dapplerouter/list_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"dapplerouter/standin/store"
+	"dapplerouter/testsupport/fakeserver"
 )
 
 // list is a service of a group's list that can change and can be down: then it takes calls and says nothing, and watches fall silent.
@@ -37,7 +37,7 @@
 	entry json.RawMessage
 }
 
-func startList(t *testing.T, g *store.Group) *list {
+func startList(t *testing.T, g *fakeserver.Group) *list {
 	l := &list{t: t, changed: make(chan struct{}), up: true}
 	require.NoError(t, json.Unmarshal(g.Listed(), &l.whole))
 	l.Server = httptest.NewServer(l)
@@ -59,7 +59,7 @@
 func (l *list) set(up bool) { l.update(func() { l.up = up }) }
 
 // entry changes a value of what the list says of a member.
-func (l *list) entry(m *store.Member, key string, value any) {
+func (l *list) entry(m *fakeserver.Member, key string, value any) {
 	l.update(func() {
 		l.whole["index"] = l.whole["index"].(float64) + 1
 		for _, e := range l.whole["endpoints"].([]any) {
--- a/cmd/dapplerouter/soak_test.go
+++ b/cmd/dapplerouter/soak_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 
 	"dapplerouter/pgwire"
-	"dapplerouter/standin/store"
+	"dapplerouter/testsupport/fakeserver"
 )
 
 // The soak plays short lives of one front, each from a seed: servers hang, break and drain, the list falls silent and moves, signals
@@ -38,7 +38,7 @@
 	t      *testing.T
 	rand   *rand.Rand
 	p      *process
-	g      *store.Group
+	g      *fakeserver.Group
 	wait   time.Duration // deadline of all types
 	window time.Duration // in which a repeat of a keyed write is known
 	grace  time.Duration // of a drain
@@ -48,7 +48,7 @@
 
 	mu       sync.Mutex
 	requests map[string]*soakRequest
-	drained  map[*store.Member]time.Time // when the front counts as told
+	drained  map[*fakeserver.Member]time.Time // when the front counts as told
 }
 
 func (s *soak) note(change func()) {
@@ -84,9 +84,9 @@
 }
 
 // connect dials until the soak is over.
-func (s *soak) connect() *store.Client {
+func (s *soak) connect() *fakeserver.Client {
 	for !s.over() {
-		if c, err := store.Dial(s.p.address); err == nil {
+		if c, err := fakeserver.Dial(s.p.address); err == nil {
 			return c
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -115,7 +115,7 @@
 }
 
 // hear waits for a request's answer, and tells whether the connection lives on.
-func (s *soak) hear(c *store.Client, id string) bool {
+func (s *soak) hear(c *fakeserver.Client, id string) bool {
 	a, err := c.Answer()
 	s.note(func() {
 		if r := s.requests[id]; err != nil {
@@ -249,7 +249,7 @@
 
 // judge holds what was noted to the rules; late is how late this process itself was at most.
 func (s *soak) judge(late time.Duration) {
-	seen := map[string][]store.Seen{}
+	seen := map[string][]fakeserver.Seen{}
 	for _, m := range s.g.Members {
 		told, drains := s.drained[m]
 		for _, x := range m.Seen() {
@@ -304,7 +304,7 @@
 }
 
 func playSoak(t *testing.T, seed uint64) {
-	s := &soak{t: t, rand: rand.New(rand.NewPCG(seed, 46)), stop: make(chan struct{}), requests: map[string]*soakRequest{}, drained: map[*store.Member]time.Time{}}
+	s := &soak{t: t, rand: rand.New(rand.NewPCG(seed, 46)), stop: make(chan struct{}), requests: map[string]*soakRequest{}, drained: map[*fakeserver.Member]time.Time{}}
 	s.wait = []time.Duration{600 * time.Millisecond, time.Second, 2 * time.Second, 3 * time.Second}[s.rand.IntN(4)]
 	s.window = []time.Duration{500 * time.Millisecond, 2 * time.Second}[s.rand.IntN(2)]
 	s.grace = []time.Duration{500 * time.Millisecond, 2 * time.Second}[s.rand.IntN(2)]
@@ -317,7 +317,7 @@
 	breaks := rand.New(rand.NewPCG(seed, 47))
 	var lock sync.Mutex
 	for _, m := range s.g.Members {
-		m.Break(func(int, string) (f store.Fault) {
+		m.Break(func(int, string) (f fakeserver.Fault) {
 			lock.Lock()
 			defer lock.Unlock()
 			switch breaks.IntN(60) {
--- a/cmd/dapplerouter/system_calls_test.go
+++ b/cmd/dapplerouter/system_calls_test.go
@@ -13,13 +13,13 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"dapplerouter/standin/store"
+	"dapplerouter/testsupport/fakeserver"
 )
 
 // TERMS.md: "System calls fail in all the ways that Linux documents [...] may fail for a moment". Here with the built program.
 
 // tell writes what the process is told, without starting it.
-func tell(t *testing.T, g *store.Group, discovery string) *process {
+func tell(t *testing.T, g *fakeserver.Group, discovery string) *process {
 	p := &process{t: t, address: reserveAddress(t), config: t.TempDir() + "/config.json"}
 	text := fmt.Appendf(nil, strings.Replace(told, "127.0.0.1:0", p.address, 1), discovery, g.Listed())
 	require.NoError(t, os.WriteFile(p.config, text, 0o600))
--- a/lab/rig/load.go
+++ b/lab/rig/load.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"dapplerouter/standin/store"
+	"dapplerouter/testsupport/fakeserver"
 )
 
 // request is one that a client asked for.
@@ -43,7 +43,7 @@
 // client keeps a connection to one front, as a session does, and goes to the next one when that ends.
 func (l *load) client(i int) {
 	at := i
-	var c *store.Client
+	var c *fakeserver.Client
 	var front *Front
 	defer func() {
 		if c != nil {
@@ -60,7 +60,7 @@
 			front = l.r.fronts[at%len(l.r.fronts)]
 			at++
 			var err error
-			if c, err = store.Dial(front.clients); err != nil {
+			if c, err = fakeserver.Dial(front.clients); err != nil {
 				c = nil
 				time.Sleep(20 * time.Millisecond)
 				continue
--- a/lab/rig/processes.go
+++ b/lab/rig/processes.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"dapplerouter/adminapi"
-	"dapplerouter/standin/store"
+	"dapplerouter/testsupport/fakeserver"
 )
 
 // Processes: their starts, their signals, what they take.
@@ -54,7 +54,7 @@
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		bad := ""
 		for _, f := range r.fronts {
-			c, err := store.Dial(f.clients)
+			c, err := fakeserver.Dial(f.clients)
 			if err != nil {
 				bad = f.Name + " does not listen"
 				break
--- a/lab/rig/rig.go
+++ b/lab/rig/rig.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"dapplerouter/standin/hop"
-	"dapplerouter/standin/store"
+	"dapplerouter/testsupport/fakeserver"
 )
 
 // Front is one process of the program.
@@ -49,10 +49,10 @@
 	Out       io.Writer // what happens, as it happens
 	fronts    []*Front
 	hops      map[[2]int]*hop.Hop
-	group     *store.Group
-	other     *store.Group // that may be given up
-	mustBy    []uint64     // versions that give it up for all
-	cutAudit  int          // torn tails of audits that were made
+	group     *fakeserver.Group
+	other     *fakeserver.Group // that may be given up
+	mustBy    []uint64          // versions that give it up for all
+	cutAudit  int               // torn tails of audits that were made
 	lists     *lists
 	rnd       *rand.Rand
 	born      time.Time
@@ -126,12 +126,12 @@
 	if r.Out == nil {
 		r.Out = io.Discard
 	}
-	if r.group, err = store.Start(store.Restaurants(5, 20, 50), s.Members, 8, time.Millisecond, 0); err != nil {
+	if r.group, err = fakeserver.Start(fakeserver.Restaurants(5, 20, 50), s.Members, 8, time.Millisecond, 0); err != nil {
 		return nil, err
 	}
 	defer r.group.Close()
 	if s.Right > 0 {
-		if r.other, err = store.Start(store.Restaurants(5, 20, 50), 2, 8, time.Millisecond, 0); err != nil {
+		if r.other, err = fakeserver.Start(fakeserver.Restaurants(5, 20, 50), 2, 8, time.Millisecond, 0); err != nil {
 			return nil, err
 		}
 		defer r.other.Close()
--- a/lab/scale/databases.go
+++ b/lab/scale/databases.go
@@ -4,14 +4,14 @@
 	"fmt"
 	"time"
 
-	"dapplerouter/standin/store"
+	"dapplerouter/testsupport/fakeserver"
 )
 
 // databaseWork is what a fake database takes for a statement.
 const databaseWork = time.Millisecond
 
 // databases is a worker that holds fake databases, in groups of a primary and its replicas.
-type databases struct{ groups []*store.Group }
+type databases struct{ groups []*fakeserver.Group }
 
 func (d *databases) answer(q Request) (r Reply, err error) {
 	switch q.Do {
@@ -29,9 +29,9 @@
 }
 
 func (d *databases) start(n int) (addresses []string, err error) {
-	data := store.Restaurants(1, 1, 1)
+	data := fakeserver.Restaurants(1, 1, 1)
 	for n > 0 {
-		g, err := store.Start(data, min(n, groupSize), 1, databaseWork, 0)
+		g, err := fakeserver.Start(data, min(n, groupSize), 1, databaseWork, 0)
 		if err != nil {
 			return nil, err
 		}
--- a/standin/store/client.go
+++ b/testsupport/fakeserver/client.go
@@ -1,4 +1,4 @@
-package store
+package fakeserver
 
 import (
 	"encoding/binary"
--- a/standin/store/engine.go
+++ b/testsupport/fakeserver/engine.go
@@ -1,7 +1,7 @@
-// Package store is a stand-in for database members on loopback: it speaks version 3 of PostgreSQL's protocol, plays
+// Package fakeserver is a stand-in for database members on loopback: it speaks version 3 of PostgreSQL's protocol, plays
 // a primary and its replicas, counts what reached whom, and takes time by the work that a statement really makes
 // in tables held in memory. For tests and measurements only; nothing in service imports it.
-package store
+package fakeserver
 
 import (
 	"fmt"
