--- a/cmd/dapplerouter/gateway_bench_test.go
+++ b/cmd/dapplerouter/gateway_bench_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"dapplerouter/standin/hop"
 	"dapplerouter/testsupport/fakeserver"
+	"dapplerouter/testsupport/faultproxy"
 )
 
 func quantile(all []time.Duration, q float64) float64 {
@@ -29,7 +29,7 @@
 			b.Run(fmt.Sprintf("%s/%v", way, delay), func(b *testing.B) {
 				s := startSites(b, [2]string{})
 				s.far.Each = 0
-				bare, err := hop.New(s.there.address, 3)
+				bare, err := faultproxy.New(s.there.address, 3)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -38,8 +38,8 @@
 				if way != "link" {
 					used = bare
 				}
-				used.Set(hop.Out, hop.Weather{Delay: delay})
-				used.Set(hop.Back, hop.Weather{Delay: delay})
+				used.Set(faultproxy.Out, faultproxy.Weather{Delay: delay})
+				used.Set(faultproxy.Back, faultproxy.Weather{Delay: delay})
 				time.Sleep(50 * time.Millisecond)
 				var n, no atomic.Int64
 				var mu sync.Mutex
@@ -134,12 +134,12 @@
 			return float64(m.HeapAlloc) / (1 << 20)
 		}
 		calm := memory()
-		s.hop.Set(hop.Out, hop.Weather{Stall: true})
+		s.hop.Set(faultproxy.Out, faultproxy.Weather{Stall: true})
 		time.Sleep(5 * time.Second)
 		half := memory()
 		time.Sleep(5 * time.Second)
 		full := memory()
-		s.hop.Set(hop.Out, hop.Weather{})
+		s.hop.Set(faultproxy.Out, faultproxy.Weather{})
 		back := time.Now()
 		time.Sleep(3 * time.Second)
 		close(stop)
--- a/cmd/dapplerouter/gateway_test.go
+++ b/cmd/dapplerouter/gateway_test.go
@@ -16,8 +16,8 @@
 	"github.com/stretchr/testify/require"
 
 	"dapplerouter/framing"
-	"dapplerouter/standin/hop"
 	"dapplerouter/testsupport/fakeserver"
+	"dapplerouter/testsupport/faultproxy"
 )
 
 // sites are two gateways with a hop between them, each with a group of its own: 0 at kathmandu, 1 at pokhara.
@@ -27,7 +27,7 @@
 	there   *instance
 	near    *fakeserver.Group
 	far     *fakeserver.Group
-	hop     *hop.Hop
+	hop     *faultproxy.Hop
 	farFile string
 }
 
@@ -52,7 +52,7 @@
 	}
 	s.there = startInstance(t, s.far, s.farFile)
 	var err error
-	s.hop, err = hop.New(address, 7)
+	s.hop, err = faultproxy.New(address, 7)
 	require.NoError(t, err)
 	s.here = startInstance(t, s.near, strings.Replace(nearFile, "HOP", s.hop.Address(), 1))
 	t.Cleanup(func() {
@@ -111,7 +111,7 @@
 }
 
 // trouble breaks the hop in ways drawn by a seed until stop; it leaves fair weather behind.
-func trouble(h *hop.Hop, seed uint64, stop <-chan struct{}) {
+func trouble(h *faultproxy.Hop, seed uint64, stop <-chan struct{}) {
 	r := rand.New(rand.NewPCG(seed, 2))
 	for {
 		fair := time.Duration(10+r.IntN(60)) * time.Millisecond
@@ -119,15 +119,15 @@
 		case 0:
 			h.Break()
 		case 1:
-			h.Set(hop.Out, hop.Weather{Stall: true})
+			h.Set(faultproxy.Out, faultproxy.Weather{Stall: true})
 		case 2:
-			h.Set(hop.Back, hop.Weather{Swallow: true})
+			h.Set(faultproxy.Back, faultproxy.Weather{Swallow: true})
 		case 3:
-			h.Set(hop.Way(r.IntN(2)), hop.Weather{BreakAfter: 1 + r.Int64N(3000)})
+			h.Set(faultproxy.Way(r.IntN(2)), faultproxy.Weather{BreakAfter: 1 + r.Int64N(3000)})
 		case 4:
-			h.Set(hop.Back, hop.Weather{Delay: 30 * time.Millisecond, Jitter: 60 * time.Millisecond})
+			h.Set(faultproxy.Back, faultproxy.Weather{Delay: 30 * time.Millisecond, Jitter: 60 * time.Millisecond})
 		case 5:
-			h.Set(hop.Way(r.IntN(2)), hop.Weather{Spoil: 0.02})
+			h.Set(faultproxy.Way(r.IntN(2)), faultproxy.Weather{Spoil: 0.02})
 		case 6: // ten breaks a second
 			for range 5 {
 				h.Break()
@@ -138,13 +138,13 @@
 		for _, d := range []time.Duration{bad, fair} {
 			select {
 			case <-stop:
-				h.Set(hop.Out, hop.Weather{})
-				h.Set(hop.Back, hop.Weather{})
+				h.Set(faultproxy.Out, faultproxy.Weather{})
+				h.Set(faultproxy.Back, faultproxy.Weather{})
 				return
 			case <-time.After(d):
 			}
-			h.Set(hop.Out, hop.Weather{})
-			h.Set(hop.Back, hop.Weather{})
+			h.Set(faultproxy.Out, faultproxy.Weather{})
+			h.Set(faultproxy.Back, faultproxy.Weather{})
 		}
 	}
 }
@@ -270,7 +270,7 @@
 func TestNoReadAcrossTheLinkIsOlderThanItsBound(t *testing.T) {
 	s := startSites(t, [2]string{})
 	s.far.Lag.Store(int64(400 * time.Millisecond))
-	s.hop.Set(hop.Back, hop.Weather{Delay: 500 * time.Millisecond, Jitter: 200 * time.Millisecond})
+	s.hop.Set(faultproxy.Back, faultproxy.Weather{Delay: 500 * time.Millisecond, Jitter: 200 * time.Millisecond})
 	time.Sleep(300 * time.Millisecond) // the first gap ends the link, which comes up again behind it
 	s.up()
 	served, late := 0, 0
--- a/lab/rig/actions.go
+++ b/lab/rig/actions.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"dapplerouter/adminapi"
-	"dapplerouter/standin/hop"
+	"dapplerouter/testsupport/faultproxy"
 )
 
 // What the lines of a script do.
@@ -93,19 +93,19 @@
 	if len(st.Spans) > 0 {
 		span = st.Spans[len(st.Spans)-1]
 	}
-	ways := func(pass func(a, b int) bool, to hop.Weather) {
+	ways := func(pass func(a, b int) bool, to faultproxy.Weather) {
 		for k, h := range r.hops {
 			if pass(k[0], k[1]) {
-				h.Set(hop.Out, to)
+				h.Set(faultproxy.Out, to)
 			}
 			if pass(k[1], k[0]) {
-				h.Set(hop.Back, to)
+				h.Set(faultproxy.Back, to)
 			}
 		}
 	}
 	cut := func(pass func(a, b int) bool) {
-		ways(pass, hop.Weather{Stall: true})
-		r.after(span, func() { ways(pass, hop.Weather{}); r.say("-", "%s of %s is over", st.What, names(who)) })
+		ways(pass, faultproxy.Weather{Stall: true})
+		r.after(span, func() { ways(pass, faultproxy.Weather{}); r.say("-", "%s of %s is over", st.What, names(who)) })
 	}
 	if len(who) > 0 {
 		r.say(who[0].Name, "%s %s for %v", st.What, names(who), span)
@@ -179,12 +179,12 @@
 		cut(func(x, y int) bool { return x == a && st.What != "deaf" || y == a && st.What != "mute" })
 	case "slow":
 		all := func(int, int) bool { return true }
-		ways(all, hop.Weather{Delay: st.Spans[0], Jitter: st.Spans[0]})
-		r.after(span, func() { ways(all, hop.Weather{}) })
+		ways(all, faultproxy.Weather{Delay: st.Spans[0], Jitter: st.Spans[0]})
+		r.after(span, func() { ways(all, faultproxy.Weather{}) })
 	case "spoil":
 		all := func(int, int) bool { return true }
-		ways(all, hop.Weather{Spoil: 0.05})
-		r.after(span, func() { ways(all, hop.Weather{}) })
+		ways(all, faultproxy.Weather{Spoil: 0.05})
+		r.after(span, func() { ways(all, faultproxy.Weather{}) })
 	case "reset":
 		for _, k := range slices.SortedFunc(maps.Keys(r.hops), func(a, b [2]int) int { return cmp.Or(a[0]-b[0], a[1]-b[1]) }) {
 			r.hops[k].Break()
--- a/lab/rig/rig.go
+++ b/lab/rig/rig.go
@@ -17,8 +17,8 @@
 	"syscall"
 	"time"
 
-	"dapplerouter/standin/hop"
 	"dapplerouter/testsupport/fakeserver"
+	"dapplerouter/testsupport/faultproxy"
 )
 
 // Front is one process of the program.
@@ -48,7 +48,7 @@
 	Dir       string
 	Out       io.Writer // what happens, as it happens
 	fronts    []*Front
-	hops      map[[2]int]*hop.Hop
+	hops      map[[2]int]*faultproxy.Hop
 	group     *fakeserver.Group
 	other     *fakeserver.Group // that may be given up
 	mustBy    []uint64          // versions that give it up for all
@@ -122,7 +122,7 @@
 func (r *Rig) Run() (v *Verdict, err error) {
 	s := r.Script
 	r.rnd = rand.New(rand.NewPCG(r.Seed, 5))
-	r.hops = map[[2]int]*hop.Hop{}
+	r.hops = map[[2]int]*faultproxy.Hop{}
 	if r.Out == nil {
 		r.Out = io.Discard
 	}
@@ -160,7 +160,7 @@
 	for i := range r.fronts {
 		for j, to := range r.fronts {
 			if i != j && !s.Off {
-				h, err := hop.New(to.mesh, r.Seed+uint64(i*100+j))
+				h, err := faultproxy.New(to.mesh, r.Seed+uint64(i*100+j))
 				if err != nil {
 					return nil, err
 				}
--- a/standin/hop/hop.go
+++ b/testsupport/faultproxy/hop.go
@@ -1,6 +1,6 @@
-// Package hop is a stand-in for the network between two sites: a TCP hop on loopback that delays, stalls, swallows,
+// Package faultproxy is a stand-in for the network between two sites: a TCP hop on loopback that delays, stalls, swallows,
 // spoils or breaks what passes, by calls or by a seeded script. For tests and measurements only.
-package hop
+package faultproxy
 
 import (
 	"math/rand/v2"
