--- a/cmd/dapplerouter/endings_test.go
+++ b/cmd/dapplerouter/endings_test.go
@@ -15,8 +15,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"dapplerouter/standin/loopback"
 	"dapplerouter/testsupport/fakeserver"
+	"dapplerouter/testsupport/testports"
 )
 
 var built = sync.OnceValues(func() (string, error) {
@@ -64,7 +64,7 @@
 
 // reserveAddress is an address that a process of the test may listen on, again after a restart, and that nobody else is given.
 func reserveAddress(t testing.TB) string {
-	r, err := loopback.Reserve()
+	r, err := testports.Reserve()
 	require.NoError(t, err)
 	t.Cleanup(r.Release)
 	return r.Address
--- a/discovery/deadline_test.go
+++ b/discovery/deadline_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 
 	"dapplerouter/routing"
-	"dapplerouter/standin/loopback"
+	"dapplerouter/testsupport/testports"
 )
 
 // told is by when a change counts as told, in heartbeats from when the service had it; toldMoved is the same from a new configuration.
@@ -166,7 +166,7 @@
 func TestAChangeIsHeardInTimeAfterALongOutage(t *testing.T) {
 	t.Parallel()
 	s := &changing{}
-	reserved, err := loopback.Reserve()
+	reserved, err := testports.Reserve()
 	require.NoError(t, err)
 	t.Cleanup(reserved.Release)
 	address := reserved.Address
--- a/standin/loopback/loopback.go
+++ b/testsupport/testports/loopback.go
@@ -1,5 +1,5 @@
-// Package loopback reserves loopback addresses for the processes of tests.
-package loopback
+// Package testports reserves loopback addresses for the processes of tests.
+package testports
 
 import (
 	"errors"
--- a/standin/loopback/loopback_test.go
+++ b/testsupport/testports/loopback_test.go
@@ -1,4 +1,4 @@
-package loopback
+package testports
 
 import (
 	"net"
