--- a/cmd/dapplerlab/main.go
+++ b/cmd/dapplerlab/main.go
@@ -15,8 +15,8 @@
 	"dapplerouter/config"
 	"dapplerouter/fleet/audit"
 	"dapplerouter/fleet/disk"
+	"dapplerouter/lab/processtest"
 	"dapplerouter/lab/report"
-	"dapplerouter/lab/rig"
 )
 
 // Exit codes, as bin/dapplerouter's.
@@ -105,7 +105,7 @@
 	}
 	exit := done
 	for _, path := range c.Scripts {
-		s, err := rig.Load(path)
+		s, err := processtest.Load(path)
 		if err != nil {
 			return faults(err)
 		}
@@ -134,7 +134,7 @@
 	return unable
 }
 
-func (c *rigCall) one(s *rig.Script, seed uint64) (held bool, err error) {
+func (c *rigCall) one(s *processtest.Script, seed uint64) (held bool, err error) {
 	dir := c.Keep
 	if dir == "" {
 		if dir, err = os.MkdirTemp("", "rig"); err != nil {
@@ -150,7 +150,7 @@
 	if c.JSON || c.Quiet {
 		out = io.Discard
 	}
-	r := &rig.Rig{Script: s, Seed: seed, Program: c.Program, Dir: dir, Out: out}
+	r := &processtest.Rig{Script: s, Seed: seed, Program: c.Program, Dir: dir, Out: out}
 	v, err := r.Run()
 	if err != nil {
 		return false, err
--- a/fleet/history.go
+++ b/fleet/history.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Names of events in the history. Operators' tools and the checkers of lab/rig read them: they change only with a format version.
+// Names of events in the history. Operators' tools and the checkers of lab/processtest read them: they change only with a format version.
 const (
 	historyLeaseAcquired      = "held"
 	historyLeaseRenewed       = "kept"
@@ -34,7 +34,7 @@
 // HistoryEntry is a line of the history file. At, Since and Until are wall-clock times in Unix microseconds; durations between
 // them are the monotonic clock's.
 //
-// Operators' tools and the checkers of lab/rig read these names: they change only with a format version.
+// Operators' tools and the checkers of lab/processtest read these names: they change only with a format version.
 type HistoryEntry struct {
 	At          int64  `json:"at"`
 	Front       string `json:"front"`
--- a/lab/rig/norace_test.go
+++ b/lab/processtest/norace_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package rig
+package processtest
 
 const raceOn = false
--- a/lab/rig/rig_test.go
+++ b/lab/processtest/rig_test.go
@@ -1,4 +1,4 @@
-package rig
+package processtest
 
 import (
 	"bytes"
--- a/lab/rig/script.go
+++ b/lab/processtest/script.go
@@ -1,7 +1,7 @@
-// Package rig starts several processes of the built program with stand-in members, a list's service and clients on
+// Package processtest starts several processes of the built program with stand-in members, a list's service and clients on
 // loopback, puts a hop on every pair of fronts, breaks what a script says, and reads what all of them told against what must
 // always hold. One script and one seed give one course of faults and one verdict. For tests and measurements only.
-package rig
+package processtest
 
 import (
 	"fmt"
