--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -3,7 +3,7 @@
 // It is a core without I/O, clock or goroutine. Its owner hands a Node the peers' messages and the time of the front's own clock,
 // and carries out what the Node asks for: messages to send (Outgoing), disk writes (PendingWrite), links to open (WantedLinks)
 // and to close (LinksToClose), and events (Events). Package fleet/mesh does this over TCP, fleet/disk stores a voter's log, and
-// lab/sim runs many nodes in virtual time.
+// lab/fleetsim runs many nodes in virtual time.
 //
 // # How it works
 //
--- a/lab/sim/norace_test.go
+++ b/lab/fleetsim/norace_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package sim
+package fleetsim
 
 const raceOn = false
--- a/lab/sim/rest_test.go
+++ b/lab/fleetsim/rest_test.go
@@ -1,4 +1,4 @@
-package sim
+package fleetsim
 
 import (
 	"fmt"
--- a/lab/sim/sim.go
+++ b/lab/fleetsim/sim.go
@@ -1,7 +1,7 @@
-// Package sim hosts the fleet's real core in virtual time: many fronts, links that delay, cut and break, clocks of their own
+// Package fleetsim hosts the fleet's real core in virtual time: many fronts, links that delay, cut and break, clocks of their own
 // paces, machines that stop, crash and come back, disks that fill up or are restored from old copies. One seed gives one
 // run. After each step it asserts what must always hold. For tests and measurements only.
-package sim
+package fleetsim
 
 import (
 	"container/heap"
--- a/lab/model/chaos.go
+++ b/lab/model/chaos.go
@@ -6,18 +6,18 @@
 
 	"dapplerouter/fleet"
 	"dapplerouter/fleet/rollout"
-	"dapplerouter/lab/sim"
+	"dapplerouter/lab/fleetsim"
 )
 
 // Fault is one thing that goes wrong with a machine of a town, and what mends it.
 type Fault struct {
 	Name string
-	Do   func(t *Town, h *sim.Host)
+	Do   func(t *Town, h *fleetsim.Host)
 }
 
 // Faults are those that walks and rough runs take from.
 var Faults = []Fault{
-	{"crash", func(t *Town, h *sim.Host) {
+	{"crash", func(t *Town, h *fleetsim.Host) {
 		h.Crash()
 		t.After(2*time.Second, func() {
 			if !h.Up() {
@@ -25,21 +25,21 @@
 			}
 		})
 	}},
-	{"stop", func(t *Town, h *sim.Host) { h.Stop(); t.After(9*time.Second, h.Continue) }},
-	{"blink", func(t *Town, h *sim.Host) { h.Stop(); t.After(700*time.Millisecond, h.Continue) }},
-	{"mute", func(t *Town, h *sim.Host) { t.apart(h, true, false); t.After(5*time.Second, t.Heal) }},
-	{"deaf", func(t *Town, h *sim.Host) { t.apart(h, false, true); t.After(5*time.Second, t.Heal) }},
-	{"apart", func(t *Town, h *sim.Host) { t.apart(h, true, true); t.After(10*time.Second, t.Heal) }},
-	{"late", func(t *Town, _ *sim.Host) {
+	{"stop", func(t *Town, h *fleetsim.Host) { h.Stop(); t.After(9*time.Second, h.Continue) }},
+	{"blink", func(t *Town, h *fleetsim.Host) { h.Stop(); t.After(700*time.Millisecond, h.Continue) }},
+	{"mute", func(t *Town, h *fleetsim.Host) { t.apart(h, true, false); t.After(5*time.Second, t.Heal) }},
+	{"deaf", func(t *Town, h *fleetsim.Host) { t.apart(h, false, true); t.After(5*time.Second, t.Heal) }},
+	{"apart", func(t *Town, h *fleetsim.Host) { t.apart(h, true, true); t.After(10*time.Second, t.Heal) }},
+	{"late", func(t *Town, _ *fleetsim.Host) {
 		t.Jitter = 1700 * time.Millisecond
 		t.After(7*time.Second, func() { t.Jitter = 300 * time.Microsecond })
 	}},
-	{"hand", func(t *Town, h *sim.Host) {
+	{"hand", func(t *Town, h *fleetsim.Host) {
 		h.Do(func(n *fleet.Node, now time.Duration) { n.TransferLease(now, rollout.Lease, "") })
 	}},
 }
 
-func (t *Town) apart(h *sim.Host, out, in bool) {
+func (t *Town) apart(h *fleetsim.Host, out, in bool) {
 	for _, o := range t.Hosts {
 		if o != h && out {
 			t.Cut(h.Name, o.Name)
--- a/lab/model/model.go
+++ b/lab/model/model.go
@@ -13,7 +13,7 @@
 	"dapplerouter/fleet/agent"
 	"dapplerouter/fleet/rollout"
 	"dapplerouter/front"
-	"dapplerouter/lab/sim"
+	"dapplerouter/lab/fleetsim"
 	"dapplerouter/pgwire"
 	"dapplerouter/router"
 	"dapplerouter/routing"
@@ -41,7 +41,7 @@
 
 // Town is fronts, members, clients and the list's service in one world.
 type Town struct {
-	*sim.World
+	*fleetsim.World
 	O        Options
 	Fronts   []*Front
 	Members  []*Member
@@ -54,7 +54,7 @@
 
 	checkedTurn uint64 // the turn and the time at which all fronts' versions were looked at last
 	checkedAt   time.Duration
-	byHost      map[*sim.Host]*Front
+	byHost      map[*fleetsim.Host]*Front
 	outcomes    map[uint64]string // of operators' actions, by ID, as the record took them first
 }
 
@@ -87,7 +87,7 @@
 type Front struct {
 	Name      string
 	t         *Town
-	host      *sim.Host
+	host      *fleetsim.Host
 	number    int // its place among all
 	Core      *front.Core
 	prober    *agent.Prober
@@ -129,8 +129,8 @@
 	if o.Deadline == 0 {
 		o.Deadline, o.TargetLatency = 2*time.Second, 250*time.Millisecond
 	}
-	t := &Town{World: sim.New(o.Seed, o.Fronts, o.Voters, fleet.Timing{LeaseDuration: o.Span}, map[string]time.Duration{fleet.EndpointListLease: 2 * o.Span}), O: o,
-		byName: map[string]*Member{}, byHost: map[*sim.Host]*Front{}, outcomes: map[uint64]string{}}
+	t := &Town{World: fleetsim.New(o.Seed, o.Fronts, o.Voters, fleet.Timing{LeaseDuration: o.Span}, map[string]time.Duration{fleet.EndpointListLease: 2 * o.Span}), O: o,
+		byName: map[string]*Member{}, byHost: map[*fleetsim.Host]*Front{}, outcomes: map[uint64]string{}}
 	t.Lists.Index = 10
 	for g := range o.Groups {
 		for i := range o.PerGroup {
@@ -145,8 +145,8 @@
 		f := &Front{Name: h.Name, t: t, host: h, number: len(t.Fronts), Asked: map[string]int{}, Served: map[string]int{}}
 		t.Fronts, t.byHost[h] = append(t.Fronts, f), f
 	}
-	t.Born = func(h *sim.Host) { t.byHost[h].begin() }
-	t.Watch = func(h *sim.Host, e fleet.Event) { t.byHost[h].told(e) }
+	t.Born = func(h *fleetsim.Host) { t.byHost[h].begin() }
+	t.Watch = func(h *fleetsim.Host, e fleet.Event) { t.byHost[h].told(e) }
 	return t
 }
 
