--- a/lab/model/model.go
+++ b/lab/proxysim/model.go
@@ -1,7 +1,7 @@
-// Package model hosts real fronts in virtual time: front.Core with the module, the fleet's node, scouts and the list's mirror,
+// Package proxysim hosts real fronts in virtual time: front.Core with the module, the fleet's node, scouts and the list's mirror,
 // before modelled members and a modelled list's service. Nothing here is a copy of what runs in service but the links, the
 // members and the service of the list. One seed gives one run. For measurements and tests only.
-package model
+package proxysim
 
 import (
 	"fmt"
--- a/lab/model/norace_test.go
+++ b/lab/proxysim/norace_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package model
+package proxysim
 
 const raceOn = false
--- a/lab/model/rolls.go
+++ b/lab/proxysim/rolls.go
@@ -1,4 +1,4 @@
-package model
+package proxysim
 
 import (
 	"fmt"
