--- a/cmd/dapplerlab/scale.go
+++ b/cmd/dapplerlab/scale.go
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"dapplerouter/lab/scale"
+	"dapplerouter/lab/capacity"
 )
 
 type scaleCall struct {
@@ -51,10 +51,10 @@
 	}
 	out := bufio.NewWriter(os.Stdout)
 	defer out.Flush()
-	size := scale.Size{Fronts: c.Fronts, HollowPerProcess: c.HollowPerProcess, Databases: c.Databases, Zones: c.Zones,
+	size := capacity.Size{Fronts: c.Fronts, HollowPerProcess: c.HollowPerProcess, Databases: c.Databases, Zones: c.Zones,
 		ChangesPerHour: c.ChangesPerHour, Duration: c.Duration, Span: c.Span, Must: c.Must, CutOff: c.CutOff}
 	if c.JSON {
-		header, err := scale.NewHeader("bin/dapplerlab "+strings.Join(os.Args[1:], " "), size)
+		header, err := capacity.NewHeader("bin/dapplerlab "+strings.Join(os.Args[1:], " "), size)
 		if err == nil {
 			err = json.NewEncoder(out).Encode(header)
 		}
@@ -62,18 +62,18 @@
 			return faults(err)
 		}
 	}
-	records, err := scale.Run(ctx, scale.Options{
+	records, err := capacity.Run(ctx, capacity.Options{
 		Size:    size,
 		Program: c.Program, Dir: dir, Progress: c.progress(),
 		Worker: func(kind string) []string { return []string{self, "scale-worker", kind} },
-		Emit: func(r scale.Record) error {
+		Emit: func(r capacity.Record) error {
 			if !c.JSON {
 				return nil
 			}
 			return errors.Join(json.NewEncoder(out).Encode(r), out.Flush())
 		}})
 	if !c.JSON && len(records) > 0 {
-		err = errors.Join(err, scale.Print(out, records))
+		err = errors.Join(err, capacity.Print(out, records))
 	}
 	out.Flush()
 	return c.ended(err, dir, remove)
@@ -90,8 +90,8 @@
 
 // ended tells what became of a run, and gives the exit code.
 func (c *scaleCall) ended(err error, dir string, remove func()) int {
-	var refusal scale.Refusal
-	var death *scale.Death
+	var refusal capacity.Refusal
+	var death *capacity.Death
 	switch {
 	case err == nil:
 		remove()
@@ -125,7 +125,7 @@
 }
 
 func (c *scaleWorkerCall) run() int {
-	if err := scale.Work(c.Kind, os.Stdin, os.Stdout); err != nil {
+	if err := capacity.Work(c.Kind, os.Stdin, os.Stdout); err != nil {
 		return faults(err)
 	}
 	return done
--- a/lab/scale/doc.go
+++ b/lab/capacity/doc.go
@@ -1,4 +1,4 @@
-// Package scale measures what a fleet of a given size costs, on one machine and over loopback: a few processes of the built
+// Package capacity measures what a fleet of a given size costs, on one machine and over loopback: a few processes of the built
 // program, many hollow fronts (the real core, fleet agent and mesh with their sockets, without clients) in a few processes of
 // their own, a fake discovery server and fake databases.
 //
@@ -11,4 +11,4 @@
 //
 // Capacity: the supervisor holds one pipe a worker process and two times a front and change; nothing grows with fronts times
 // databases. For measurements and tests only.
-package scale
+package capacity
--- a/lab/scale/phases.go
+++ b/lab/capacity/phases.go
@@ -1,4 +1,4 @@
-package scale
+package capacity
 
 import (
 	"context"
--- a/lab/scale/race_test.go
+++ b/lab/capacity/race_test.go
@@ -1,5 +1,5 @@
 //go:build race
 
-package scale
+package capacity
 
 const raceOn = true
--- a/lab/fleetsim/measure_test.go
+++ b/lab/fleetsim/measure_test.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 
 	"dapplerouter/fleet"
-	"dapplerouter/lab/scale/fit"
+	"dapplerouter/lab/capacity/fit"
 )
 
 // rest is a fleet at rest: what it costs follows from these numbers.
