--- a/Makefile
+++ b/Makefile
@@ -36,7 +36,7 @@
 
 # Every script of the rig with 200 seeds; hours.
 rig-soak: build
-	bin/dapplerlab rig --quiet --seeds 200 lab/scripts/*.sexp
+	bin/routertest process --quiet --seeds 200 lab/scripts/*.sexp
 
 # What a fleet costs at rest, and how long nobody holds a duty.
 fleet-bench:
@@ -44,7 +44,7 @@
 
 # What a fleet of 540 fronts before 650 databases costs, over loopback: some minutes, 2 to 3 cores, 5 GiB.
 scale: build
-	bin/dapplerlab scale --fronts 540 --databases 650 --zones 8 --duration 60s
+	bin/routertest capacity --fronts 540 --databases 650 --zones 8 --duration 60s
 
 # One front, as told by EDGE_CONFIG=file.json; docs/example.json shows the form.
 run: build
--- a/cmd/dapplerlab/scale.go
+++ b/cmd/routertest/capacity.go
@@ -16,7 +16,7 @@
 	"dapplerouter/lab/capacity"
 )
 
-type scaleCall struct {
+type capacityCall struct {
 	Fronts           int           `default:"540" help:"Fronts, real and hollow together."`
 	HollowPerProcess int           `default:"48" help:"Hollow fronts in one process."`
 	Databases        int           `default:"650" help:"Databases that discovery lists."`
@@ -32,7 +32,7 @@
 	Quiet            bool          `help:"No progress on standard error."`
 }
 
-func (c *scaleCall) run() int {
+func (c *capacityCall) run() int {
 	self, err := os.Executable()
 	if err != nil {
 		return faults(err)
@@ -54,7 +54,7 @@
 	size := capacity.Size{Fronts: c.Fronts, HollowPerProcess: c.HollowPerProcess, Databases: c.Databases, Zones: c.Zones,
 		ChangesPerHour: c.ChangesPerHour, Duration: c.Duration, Span: c.Span, Must: c.Must, CutOff: c.CutOff}
 	if c.JSON {
-		header, err := capacity.NewHeader("bin/dapplerlab "+strings.Join(os.Args[1:], " "), size)
+		header, err := capacity.NewHeader("bin/routertest "+strings.Join(os.Args[1:], " "), size)
 		if err == nil {
 			err = json.NewEncoder(out).Encode(header)
 		}
@@ -65,7 +65,7 @@
 	records, err := capacity.Run(ctx, capacity.Options{
 		Size:    size,
 		Program: c.Program, Dir: dir, Progress: c.progress(),
-		Worker: func(kind string) []string { return []string{self, "scale-worker", kind} },
+		Worker: func(kind string) []string { return []string{self, "capacity-worker", kind} },
 		Emit: func(r capacity.Record) error {
 			if !c.JSON {
 				return nil
@@ -80,7 +80,7 @@
 }
 
 // folder gives where files go; Unix sockets need a short name.
-func (c *scaleCall) folder() (dir string, remove func(), err error) {
+func (c *capacityCall) folder() (dir string, remove func(), err error) {
 	if c.Keep != "" {
 		return c.Keep, func() {}, os.MkdirAll(c.Keep, 0o700)
 	}
@@ -89,27 +89,27 @@
 }
 
 // ended tells what became of a run, and gives the exit code.
-func (c *scaleCall) ended(err error, dir string, remove func()) int {
+func (c *capacityCall) ended(err error, dir string, remove func()) int {
 	var refusal capacity.Refusal
 	var death *capacity.Death
 	switch {
 	case err == nil:
 		remove()
-		return done
+		return exitDone
 	case errors.As(err, &refusal):
 		remove()
 		return faults(err)
 	case errors.As(err, &death):
-		fmt.Fprintf(os.Stderr, "dapplerlab: %v\n", err)
+		fmt.Fprintf(os.Stderr, "routertest: %v\n", err)
 		fmt.Fprintf(os.Stderr, "logs: %s\n", dir)
-		return notSo
+		return exitNegative
 	}
-	fmt.Fprintf(os.Stderr, "dapplerlab: %v\nlogs: %s\n", err, dir)
-	return unable
+	fmt.Fprintf(os.Stderr, "routertest: %v\nlogs: %s\n", err, dir)
+	return exitUsage
 }
 
 // progress writes to standard error where that is a terminal.
-func (c *scaleCall) progress() func(string, ...any) {
+func (c *capacityCall) progress() func(string, ...any) {
 	info, err := os.Stderr.Stat()
 	if c.Quiet || err != nil || info.Mode()&os.ModeCharDevice == 0 {
 		return nil
@@ -120,13 +120,13 @@
 	}
 }
 
-type scaleWorkerCall struct {
+type capacityWorkerCall struct {
 	Kind string `arg:""`
 }
 
-func (c *scaleWorkerCall) run() int {
+func (c *capacityWorkerCall) run() int {
 	if err := capacity.Work(c.Kind, os.Stdin, os.Stdout); err != nil {
 		return faults(err)
 	}
-	return done
+	return exitDone
 }
--- a/cmd/dapplerlab/main.go
+++ b/cmd/routertest/main.go
@@ -1,4 +1,4 @@
-// Command dapplerlab tries designs out: processes of the program under scripted faults. It may be heavy and is never needed
+// Command routertest runs the process test harness and the capacity measurements, and joins audit logs. It is never needed
 // in service.
 package main
 
@@ -21,31 +21,31 @@
 
 // Exit codes, as bin/dapplerouter's.
 const (
-	done   = 0
-	notSo  = 1
-	unable = 2
+	exitDone     = 0
+	exitNegative = 1
+	exitUsage    = 2
 )
 
 type commands struct {
-	Rig   rigCall   `cmd:"" help:"Start a fleet of processes on loopback, break what a script says, and judge what came of it."`
-	Audit auditCall `cmd:"" help:"Join many fronts' audits on one page."`
-	Scale scaleCall `cmd:"" help:"Measure what a fleet of a given size costs, on this machine over loopback."`
+	Process  processCall  `cmd:"" aliases:"rig" help:"Start a fleet of processes on loopback, break what a script says, and judge what came of it."`
+	Audit    auditCall    `cmd:"" help:"Join many fronts' audits on one page."`
+	Capacity capacityCall `cmd:"" aliases:"scale" help:"Measure what a fleet of a given size costs, on this machine over loopback."`
 
-	ScaleWorker scaleWorkerCall `cmd:"" hidden:"" help:"One worker process of scale."`
+	CapacityWorker capacityWorkerCall `cmd:"" hidden:"" help:"One worker process of capacity."`
 }
 
 func main() {
 	var all commands
-	exit, asked := unable, false
-	p := kong.Must(&all, kong.Name("dapplerlab"), kong.Description("Designs of dapplerouter, tried."),
+	exit, asked := exitUsage, false
+	p := kong.Must(&all, kong.Name("routertest"), kong.Description("Test harnesses and measurements of dapplerouter."),
 		kong.Exit(func(code int) { exit, asked = code, true }))
 	k, err := p.Parse(os.Args[1:])
 	if asked {
 		os.Exit(exit)
 	}
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "dapplerlab: %v; see dapplerlab --help\n", err)
-		os.Exit(unable)
+		fmt.Fprintf(os.Stderr, "routertest: %v; see routertest --help\n", err)
+		os.Exit(exitUsage)
 	}
 	os.Exit(k.Selected().Target.Addr().Interface().(interface{ run() int }).run())
 }
@@ -74,13 +74,13 @@
 	fmt.Println(c.Out)
 	for _, x := range append(found, l.Conflicts...) {
 		if x.Violation {
-			return notSo
+			return exitNegative
 		}
 	}
-	return done
+	return exitDone
 }
 
-type rigCall struct {
+type processCall struct {
 	Scripts []string `arg:"" type:"existingfile" help:"Scripts, played one after the other."`
 	Seed    uint64   `default:"1" help:"Of what a script leaves to chance."`
 	Seeds   uint64   `default:"1" help:"How many seeds, from --seed on."`
@@ -90,20 +90,20 @@
 	Quiet   bool     `help:"Only the verdicts."`
 }
 
-func (c *rigCall) run() int {
+func (c *processCall) run() int {
 	if c.Program == "" {
 		self, err := os.Executable()
 		if err != nil {
-			fmt.Fprintf(os.Stderr, "dapplerlab: %v\n", err)
-			return unable
+			fmt.Fprintf(os.Stderr, "routertest: %v\n", err)
+			return exitUsage
 		}
 		c.Program = filepath.Join(filepath.Dir(self), "dapplerouter")
 	}
 	if _, err := os.Stat(c.Program); err != nil {
-		fmt.Fprintf(os.Stderr, "dapplerlab: %v: build it by make build, or name it by --program\n", err)
-		return unable
+		fmt.Fprintf(os.Stderr, "routertest: %v: build it by make build, or name it by --program\n", err)
+		return exitUsage
 	}
-	exit := done
+	exit := exitDone
 	for _, path := range c.Scripts {
 		s, err := processtest.Load(path)
 		if err != nil {
@@ -112,11 +112,11 @@
 		for seed := c.Seed; seed < c.Seed+c.Seeds; seed++ {
 			held, err := c.one(s, seed)
 			if err != nil {
-				fmt.Fprintf(os.Stderr, "dapplerlab: %s, seed %d: %v\n", path, seed, err)
-				return unable
+				fmt.Fprintf(os.Stderr, "routertest: %s, seed %d: %v\n", path, seed, err)
+				return exitUsage
 			}
 			if !held {
-				exit = notSo
+				exit = exitNegative
 			}
 		}
 	}
@@ -126,15 +126,15 @@
 func faults(err error) int {
 	var fs config.ErrorList
 	if !errors.As(err, &fs) {
-		fmt.Fprintf(os.Stderr, "dapplerlab: %v\n", err)
+		fmt.Fprintf(os.Stderr, "routertest: %v\n", err)
 	}
 	for _, f := range fs {
 		fmt.Fprintln(os.Stderr, f)
 	}
-	return unable
+	return exitUsage
 }
 
-func (c *rigCall) one(s *processtest.Script, seed uint64) (held bool, err error) {
+func (c *processCall) one(s *processtest.Script, seed uint64) (held bool, err error) {
 	dir := c.Keep
 	if dir == "" {
 		if dir, err = os.MkdirTemp("", "rig"); err != nil {
--- a/lab/capacity/fit/fit_test.go
+++ b/lab/capacity/fit/fit_test.go
@@ -62,7 +62,7 @@
 	assert.True(t, line.Straight())
 }
 
-// record is a line of dapplerlab scale --json, as far as it is of use here.
+// record is a line of routertest capacity --json, as far as it is of use here.
 type record struct {
 	Fleet, Databases      float64
 	Phase, Role, Resource string
@@ -71,12 +71,12 @@
 	Partial               any
 }
 
-// BenchmarkRecords fits what dapplerlab scale measured: CAPACITY_RECORDS names the file, CAPACITY_BY is fleet (the usual) or
+// BenchmarkRecords fits what routertest capacity measured: CAPACITY_RECORDS names the file, CAPACITY_BY is fleet (the usual) or
 // databases. Records that were partial are left out.
 func BenchmarkRecords(b *testing.B) {
 	file, err := os.Open(os.Getenv("CAPACITY_RECORDS"))
 	if err != nil {
-		b.Skip("CAPACITY_RECORDS=FILE names what dapplerlab scale --json wrote")
+		b.Skip("CAPACITY_RECORDS=FILE names what routertest capacity --json wrote")
 	}
 	defer file.Close()
 	series := Series{}
--- a/lab/report/audit.go
+++ b/lab/report/audit.go
@@ -1,4 +1,4 @@
-// Package report writes what was measured or told as pages for people, by templates. For bin/dapplerlab only.
+// Package report writes what was measured or told as pages for people, by templates. For bin/routertest only.
 package report
 
 import (
