--- a/testsupport/testports/loopback.go
+++ b/testsupport/testports/reserve.go
@@ -2,7 +2,6 @@
 package testports
 
 import (
-	"errors"
 	"fmt"
 	"os"
 	"sync"
@@ -30,7 +29,7 @@
 	}
 	address, err := bind(descriptor)
 	if err != nil {
-		syscall.Close(descriptor)
+		_ = syscall.Close(descriptor) // the first error is the one to report
 		return nil, err
 	}
 	return &Reservation{Address: address, descriptor: descriptor}, nil
@@ -51,12 +50,12 @@
 	}
 	here, ok := name.(*syscall.SockaddrInet4)
 	if !ok {
-		return "", errors.New("a socket of IPv4 has a name of another family")
+		return "", fmt.Errorf("getsockname of an IPv4 socket: %w", syscall.EAFNOSUPPORT)
 	}
 	return fmt.Sprintf("127.0.0.1:%d", here.Port), nil
 }
 
 // Release gives the port back; further calls do nothing.
 func (r *Reservation) Release() {
-	r.once.Do(func() { syscall.Close(r.descriptor) })
+	r.once.Do(func() { _ = syscall.Close(r.descriptor) })
 }
