--- a/testsupport/fakeserver/client.go
+++ b/testsupport/fakeserver/client.go
@@ -1,24 +1,21 @@
 package fakeserver
 
 import (
+	"bytes"
 	"encoding/binary"
-	"encoding/json"
-	"fmt"
 	"net"
-	"net/http"
-	"net/http/httptest"
 	"time"
 
 	"dapplerouter/pgwire"
 )
 
-// Client speaks the protocol as a simple client does, one statement at a time.
+// Client is a client of the protocol that sends one statement at a time.
 type Client struct {
 	conn net.Conn
 	r    *pgwire.Reader
 }
 
-// Answer is what came back for a statement.
+// Answer is the response to a statement.
 type Answer struct {
 	Rows          [][]string
 	Tag           string
@@ -26,7 +23,7 @@
 	Detail        string
 }
 
-// Dial connects and says hello.
+// Dial connects and waits for the greeting.
 func Dial(address string) (*Client, error) {
 	c, err := net.DialTimeout("tcp", address, 5*time.Second)
 	if err != nil {
@@ -34,17 +31,17 @@
 	}
 	cl := &Client{c, pgwire.NewReader(c, 4096, 1<<24)}
 	if _, err := c.Write(pgwire.AppendStartup(nil, "portal", "crm")); err != nil {
-		c.Close()
+		_ = c.Close()
 		return nil, err
 	}
 	if _, err := cl.answer(); err != nil {
-		c.Close()
+		_ = c.Close()
 		return nil, err
 	}
 	return cl, nil
 }
 
-// DialAndQuery connects, says hello and sends a statement right behind it, as clients may, and waits for both answers.
+// DialAndQuery connects and sends the startup message and a statement in one write, and waits for both answers.
 func DialAndQuery(address, sql string) (*Client, Answer, error) {
 	c, err := net.DialTimeout("tcp", address, 5*time.Second)
 	if err != nil {
@@ -55,17 +52,17 @@
 		_, err = cl.answer()
 	}
 	if err != nil {
-		c.Close()
+		_ = c.Close()
 		return nil, Answer{}, err
 	}
 	a, err := cl.answer()
 	return cl, a, err
 }
 
-// Close ends the connection.
-func (c *Client) Close() { c.conn.Close() }
+// Close closes the connection.
+func (c *Client) Close() { _ = c.conn.Close() }
 
-// Query sends a statement and waits for its whole answer.
+// Query sends a statement and waits for its answer.
 func (c *Client) Query(sql string) (Answer, error) {
 	if err := c.Send(sql); err != nil {
 		return Answer{}, err
@@ -73,23 +70,34 @@
 	return c.answer()
 }
 
-// Send sends a statement and waits for nothing.
+// Send sends a statement and does not wait.
 func (c *Client) Send(sql string) error {
 	_, err := c.conn.Write(pgwire.AppendQuery(nil, sql))
 	return err
 }
 
-// Answer waits for the whole answer of the first statement that has none yet.
+// Answer waits for the answer of the first statement that has none yet.
 func (c *Client) Answer() (Answer, error) { return c.answer() }
 
-// AwaitEnd waits until the other side ends the connection, for 30 s at most.
+// AwaitEnd waits until the other side sends a message or closes the connection, at most answerTimeout.
 func (c *Client) AwaitEnd() {
-	c.conn.SetReadDeadline(time.Now().Add(30 * time.Second))
-	c.r.Next()
+	if c.setAnswerDeadline() != nil {
+		return // it is closed
+	}
+	_, _, _ = c.r.Next()
+}
+
+// answerTimeout is how long a client waits for an answer.
+const answerTimeout = 30 * time.Second
+
+func (c *Client) setAnswerDeadline() error {
+	return c.conn.SetReadDeadline(time.Now().Add(answerTimeout))
 }
 
 func (c *Client) answer() (a Answer, err error) {
-	c.conn.SetReadDeadline(time.Now().Add(30 * time.Second))
+	if err := c.setAnswerDeadline(); err != nil {
+		return a, err
+	}
 	for {
 		typ, body, err := c.r.Next()
 		if err != nil {
@@ -100,85 +108,41 @@
 		}
 		switch typ {
 		case 'D':
-			var row []string
-			for n, at := int(binary.BigEndian.Uint16(body)), 2; n > 0; n-- {
-				size := int(int32(binary.BigEndian.Uint32(body[at:])))
-				at += 4
-				row = append(row, string(body[at:at+max(size, 0)]))
-				at += max(size, 0)
-			}
-			a.Rows = append(a.Rows, row)
+			a.Rows = append(a.Rows, parseRow(body))
 		case 'C':
 			a.Tag = string(body[:len(body)-1])
 		case 'E':
-			for b := body; len(b) > 1; {
-				end := 1
-				for end < len(b) && b[end] != 0 {
-					end++
-				}
-				switch v := string(b[1:end]); b[0] {
-				case 'C':
-					a.Code = v
-				case 'M':
-					a.Message = v
-				case 'D':
-					a.Detail = v
-				}
-				b = b[min(end+1, len(b)):]
-			}
+			a.parseError(body)
 		case 'Z':
 			return a, nil
 		}
 	}
 }
 
-// List serves the list of members over HTTP as the list's service does: whole, and a watch that stays open.
-func (g *Group) List() *httptest.Server {
-	return httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		w.Write(g.Listed())
-		if r.URL.Query().Get("watch") == "" {
-			return
-		}
-		for {
-			w.Write([]byte("\n"))
-			w.(http.Flusher).Flush()
-			select {
-			case <-r.Context().Done():
-				return
-			case <-time.After(time.Second):
-			}
-		}
-	}))
+// parseRow reads a DataRow message; a NULL is an empty string.
+func parseRow(body []byte) (row []string) {
+	at := 2
+	for range binary.BigEndian.Uint16(body) {
+		size := max(0, int(int32(binary.BigEndian.Uint32(body[at:]))))
+		at += 4
+		row = append(row, string(body[at:at+size]))
+		at += size
+	}
+	return row
 }
 
-// Listed is the whole list in the service's form.
-func (g *Group) Listed() []byte {
-	type entry struct {
-		Name    string  `json:"name"`
-		Address string  `json:"address"`
-		Zone    string  `json:"zone"`
-		Type    string  `json:"type"`
-		Group   int     `json:"group"`
-		Status  string  `json:"status"`
-		Weight  float64 `json:"weight"`
-		Since   int64   `json:"since_ms"`
-		Role    string  `json:"role"`
-	}
-	var all []entry
-	for _, m := range append(append([]*Member{}, g.Members...), g.Guests...) {
-		role := "replica"
-		if m.primary() {
-			role = "primary"
-		}
-		name := m.Name
-		if m.g != g { // groups name their members alike
-			name = fmt.Sprintf("guest-%d-%s", m.g.ID, name)
+// parseError reads the fields of an ErrorResponse message: a type byte and a string each.
+func (a *Answer) parseError(fields []byte) {
+	for len(fields) > 1 {
+		text, rest, _ := bytes.Cut(fields[1:], []byte{0})
+		switch fields[0] {
+		case 'C':
+			a.Code = string(text)
+		case 'M':
+			a.Message = string(text)
+		case 'D':
+			a.Detail = string(text)
 		}
-		all = append(all, entry{name, m.Address(), "a", "m", m.g.ID, "up", 1, 0, role})
-	}
-	b, err := json.Marshal(map[string]any{"index": 1, "snapshot": true, "endpoints": all})
-	if err != nil {
-		panic(fmt.Sprint("a list that is no JSON: ", err))
+		fields = rest
 	}
-	return b
 }
--- a/testsupport/fakeserver/tokens.go
+++ b/testsupport/fakeserver/parse.go
@@ -5,8 +5,7 @@
 	"unicode"
 )
 
-// The words of a statement.
-
+// tokens splits a statement into words, without its comments.
 func tokens(sql string) (words []string) {
 	for i := 0; i < len(sql); {
 		c := rune(sql[i])
@@ -44,6 +43,7 @@
 	return words
 }
 
+// parser reads the words of a statement one after the other.
 type parser struct {
 	words []string
 	at    int
@@ -62,6 +62,7 @@
 	return w
 }
 
+// take reads words, in any case, if they come next.
 func (p *parser) take(words ...string) bool {
 	for i, w := range words {
 		if p.at+i >= len(p.words) || !strings.EqualFold(p.words[p.at+i], w) {
@@ -72,4 +73,5 @@
 	return true
 }
 
+// value is a literal without its quotes.
 func value(word string) string { return strings.Trim(word, "'") }
--- a/testsupport/fakeserver/store.go
+++ b/testsupport/fakeserver/server.go
@@ -16,43 +16,44 @@
 
 // Group is a primary and its replicas over the same data.
 type Group struct {
-	ID      int // of the group, as lists have it
+	ID      int // as endpoint lists have it
 	Data    *Data
-	PerRow  time.Duration // a row touched takes so long
-	Each    time.Duration // and a statement at least so long
-	Cores   int           // statements that run at once at a member; more wait
+	PerRow  time.Duration // time that a touched row takes
+	Each    time.Duration // time that a statement takes at least
+	Cores   int           // statements that a server runs at once; more wait
 	Members []*Member
-	Guests  []*Member    // of other groups, that this group's list tells of too
+	Guests  []*Member    // servers of other groups that this group's endpoint list names too
 	Primary atomic.Int64 // index of the primary
 	Lag     atomic.Int64 // nanoseconds by which replicas are behind
-	Wall    atomic.Int64 // nanoseconds by which the members' wall clocks are ahead of this process's
+	Wall    atomic.Int64 // nanoseconds by which the servers' wall clocks are ahead of this process's
 
-	Probes    atomic.Int64 // questions after a member's load
-	Swallowed atomic.Int64 // statements that a member which hangs took
+	Probes    atomic.Int64 // health checks received
+	Swallowed atomic.Int64 // statements that a hanging server received
 
-	mu        sync.Mutex
+	Window time.Duration // how long an idempotency key is remembered
+
+	mu        sync.Mutex           // guards what follows
 	committed map[string]int       // by id: changes that took effect
-	marks     map[string]time.Time // by mark (k): when its change took effect
-	Window    time.Duration        // for which a mark is remembered
+	marks     map[string]time.Time // by idempotency key (k): when its statement came
 }
 
-// Seen is a statement that reached a member, noted before anything is done about it.
+// Seen is a statement that reached a server, recorded before it is run.
 type Seen struct {
 	ID, SQL string
-	Primary bool // what the member was then
+	Primary bool // the server was the primary then
 	At      time.Time
 }
 
-// Fault is what is to go wrong with a statement.
+// Fault is what goes wrong with a statement; the zero value is no fault.
 type Fault struct {
-	Code        string // answer with this code, nothing runs
-	BreakBefore bool   // close the connection, nothing runs
-	BreakAfter  bool   // run it and close the connection without an answer
+	Code        string // respond with this code, run nothing
+	BreakBefore bool   // close the connection, run nothing
+	BreakAfter  bool   // run it and close the connection without a response
 	Delay       time.Duration
-	Raw         []byte // answer with these bytes in place of the result
+	Raw         []byte // respond with these bytes in place of the result
 }
 
-// Member is one listener.
+// Member is one server of a group.
 type Member struct {
 	Name string
 	g    *Group
@@ -60,17 +61,18 @@
 	l    net.Listener
 	work chan struct{}
 
-	mu     sync.Mutex
+	mu     sync.Mutex // guards what follows
 	seen   []Seen
 	fault  func(n int, sql string) Fault
 	conns  map[net.Conn]struct{}
 	closed bool
 	hangs  bool
-	greets time.Duration // after which a new connection is welcomed
+	greets time.Duration // delay of the greeting of a new connection
 	done   sync.WaitGroup
 }
 
-// Start starts a group of so many members on loopback; the first is the primary.
+// Start starts a group on loopback whose first server is the primary. Each server runs cores statements at once; a statement takes each,
+// and perRow for each row that it touches. The error is that of a listener.
 func Start(d *Data, members, cores int, each, perRow time.Duration) (*Group, error) {
 	g := &Group{Data: d, Each: each, PerRow: perRow, Cores: cores, committed: map[string]int{},
 		marks: map[string]time.Time{}, Window: 2 * time.Second}
@@ -87,50 +89,50 @@
 	return g, nil
 }
 
-// Close ends the members and their connections.
+// Close closes the servers and their connections and waits for their goroutines.
 func (g *Group) Close() {
 	for _, m := range g.Members {
-		m.l.Close()
+		_ = m.l.Close()
 		m.mu.Lock()
 		m.closed = true
 		for c := range m.conns {
-			c.Close()
+			_ = c.Close()
 		}
 		m.mu.Unlock()
 		m.done.Wait()
 	}
 }
 
-// Committed says how often the change of an id took effect.
+// Succeeded returns how often the change of an id took effect.
 func (g *Group) Succeeded(id string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.committed[id]
 }
 
-// Address is where the member listens.
+// Address returns the host and port that the server listens on.
 func (m *Member) Address() string { return m.l.Addr().String() }
 
-// Seen gives what reached the member so far.
+// Seen returns the statements that have reached the server.
 func (m *Member) Seen() []Seen {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return append([]Seen{}, m.seen...)
 }
 
-// Hang makes it take connections and say nothing, until it is called off; what it was at is never answered.
+// Hang makes the server accept connections and respond to nothing while it is on; switching it off closes its connections.
 func (m *Member) Hang(on bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.hangs = on
 	if !on {
 		for c := range m.conns {
-			c.Close()
+			_ = c.Close()
 		}
 	}
 }
 
-// WelcomeAfter has it welcome new connections so much later.
+// WelcomeAfter delays the greeting of new connections.
 func (m *Member) WelcomeAfter(delay time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -149,7 +151,7 @@
 	return m.hangs
 }
 
-// Break sets what goes wrong from now on; n counts the member's statements from 0.
+// Break sets the fault of each statement from now on; n counts the server's statements from 0.
 func (m *Member) Break(f func(n int, sql string) Fault) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -167,14 +169,14 @@
 		m.mu.Lock()
 		if m.closed {
 			m.mu.Unlock()
-			c.Close()
+			_ = c.Close()
 			return
 		}
 		m.conns[c] = struct{}{}
 		m.mu.Unlock()
 		m.done.Go(func() {
 			defer func() {
-				c.Close()
+				_ = c.Close()
 				m.mu.Lock()
 				delete(m.conns, c)
 				m.mu.Unlock()
@@ -194,7 +196,9 @@
 		if !s.EncryptionRequest {
 			break
 		}
-		c.Write([]byte{'N'})
+		if _, err := c.Write([]byte{'N'}); err != nil {
+			return
+		}
 	}
 	time.Sleep(m.welcomeDelay())
 	if _, err := c.Write(pgwire.AppendGreeting(nil)); err != nil {
@@ -206,7 +210,7 @@
 			return
 		}
 		if m.hung() {
-			if q := string(body[:len(body)-1]); q == "SELECT 1" || q == "SHOW load" {
+			if isHealthCheck(string(body[:len(body)-1])) {
 				m.g.Probes.Add(1)
 			} else {
 				m.g.Swallowed.Add(1)
@@ -230,10 +234,10 @@
 	plainMark = regexp.MustCompile(`(?is)^\s*(/\*.*?\*/\s*)*(insert|update|delete|merge|truncate)\b`)
 )
 
-// Now is the members' wall clock.
+// Now returns the servers' wall clock.
 func (g *Group) Now() time.Time { return time.Now().Add(time.Duration(g.Wall.Load())) }
 
-// applied is the position in Unix milliseconds: the moment up to which all changes are here.
+// applied is the log position in Unix milliseconds: the time up to which all changes are applied here.
 func (m *Member) applied(now time.Time) int64 {
 	now = now.Add(time.Duration(m.g.Wall.Load()))
 	if m.primary() {
@@ -242,29 +246,19 @@
 	return now.Add(-time.Duration(m.g.Lag.Load())).UnixMilli()
 }
 
-func (m *Member) answer(sql string) (b []byte, ok bool) {
-	primary := m.primary()
+// answer runs a statement and returns the response; without ok the connection is closed in its place.
+func (m *Member) answer(sql string) (response []byte, ok bool) {
 	now := time.Now()
-	if plain := strings.TrimSpace(sql); plain == "SELECT 1" || plain == "SHOW load" {
+	if isHealthCheck(sql) {
 		m.g.Probes.Add(1)
-		role := 0
-		if primary {
-			role = 1
-		}
-		return m.end(rows(b, [][]string{{fmt.Sprintf("x0=%.3f,x1=%d,inflight=0", float64(m.applied(now))/1e3, role)}}, "SHOW"), primary, now), true
+		return m.loadReport(now), true
 	}
 	id := ""
 	if f := idWord.FindAllStringSubmatch(sql, -1); f != nil { // the last comment is the client's own
 		id = f[len(f)-1][1]
 	}
-	m.mu.Lock()
-	n := len(m.seen)
-	m.seen = append(m.seen, Seen{id, sql, primary, now})
-	var fault Fault
-	if m.fault != nil {
-		fault = m.fault(n, sql)
-	}
-	m.mu.Unlock()
+	primary := m.primary()
+	fault := m.record(Seen{id, sql, primary, now})
 	time.Sleep(fault.Delay)
 	switch {
 	case fault.BreakBefore:
@@ -273,17 +267,56 @@
 		return m.refuse(fault.Code, "scripted"), true
 	case !primary && plainMark.MatchString(sql):
 		return m.refuse(pgwire.CodeReadOnlyTransaction, "cannot execute a change in a read-only transaction"), true
+	case !primary && m.isBehind(sql, now):
+		return m.refuse(pgwire.CodeSnapshotTooOld, "too far behind"), true
 	}
-	if f := afterWord.FindStringSubmatch(sql); f != nil && !primary {
-		if after, _ := strconv.ParseInt(f[1], 10, 64); after > m.applied(now) {
-			return m.refuse(pgwire.CodeSnapshotTooOld, "too far behind"), true
-		}
+	return m.execute(sql, id, primary, now, fault)
+}
+
+func isHealthCheck(sql string) bool {
+	plain := strings.TrimSpace(sql)
+	return plain == "SELECT 1" || plain == "SHOW load"
+}
+
+// loadReport is the response to a health check.
+func (m *Member) loadReport(now time.Time) []byte {
+	primary, role := m.primary(), 0
+	if primary {
+		role = 1
 	}
+	report := fmt.Sprintf("x0=%.3f,x1=%d,inflight=0", float64(m.applied(now))/1e3, role)
+	return m.end(rows(nil, [][]string{{report}}, "SHOW"), primary, now)
+}
+
+// record notes a statement and returns the fault that is set for it.
+func (m *Member) record(s Seen) (f Fault) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	n := len(m.seen)
+	m.seen = append(m.seen, s)
+	if m.fault != nil {
+		f = m.fault(n, s.SQL)
+	}
+	return f
+}
+
+// isBehind reports whether the position that a statement asks for is not applied here yet.
+func (m *Member) isBehind(sql string, now time.Time) bool {
+	f := afterWord.FindStringSubmatch(sql)
+	if f == nil {
+		return false
+	}
+	after, _ := strconv.ParseInt(f[1], 10, 64) // digits; one too long is the greatest
+	return after > m.applied(now)
+}
+
+// execute runs a statement once one of the server's cores is free, and takes as long as its work does.
+func (m *Member) execute(sql, id string, primary bool, received time.Time, fault Fault) (response []byte, ok bool) {
 	m.work <- struct{}{}
 	began := time.Now()
-	if m.known(primary, sql, now) { // a repeat: answered as before, without an effect
+	if m.known(primary, sql, received) { // a repeat: answered as before, without an effect
 		<-m.work
-		return m.end(rows(b, [][]string{{id}}, "INSERT 0 1"), primary, time.Now()), true
+		return m.end(rows(nil, [][]string{{id}}, "INSERT 0 1"), primary, time.Now()), true
 	}
 	snapshot := m.applied(time.Now())
 	res := m.g.Data.Run(sql)
@@ -295,7 +328,7 @@
 		m.g.committed[id]++
 		m.g.mu.Unlock()
 	}
-	if strings.Contains(sql, "age_of_data") { // what the client may hold the answer against
+	if strings.Contains(sql, "age_of_data") { // what the client may compare the answer with
 		res.Rows = [][]string{{strconv.FormatInt(snapshot, 10)}}
 	}
 	if fault.BreakAfter {
@@ -304,17 +337,22 @@
 	if fault.Raw != nil {
 		return fault.Raw, true
 	}
+	return m.end(encodeResult(res, sql, id), primary, time.Now()), true
+}
+
+// encodeResult is a result as messages; a change returns its id where it asks for RETURNING.
+func encodeResult(res Result, sql, id string) []byte {
 	if res.Changed && !strings.Contains(strings.ToLower(sql), "returning") {
-		return m.end(complete(b, "UPDATE 1"), primary, time.Now()), true
+		return complete(nil, "UPDATE 1")
 	}
 	if res.Changed {
 		res.Rows = [][]string{{id}}
 	}
-	return m.end(rows(b, res.Rows, "SELECT "+strconv.Itoa(len(res.Rows))), primary, time.Now()), true
+	return rows(nil, res.Rows, "SELECT "+strconv.Itoa(len(res.Rows)))
 }
 
-// known tells whether a mark's change came within the window before, and notes it where it is the first. A window runs from when a
-// statement came, however long it had to wait for its turn.
+// known reports whether a statement with the same idempotency key came within the window before, and records the first. The window
+// begins when a statement comes, however long it waits to be run.
 func (m *Member) known(primary bool, sql string, came time.Time) bool {
 	f := markWord.FindStringSubmatch(sql)
 	if f == nil || !primary || !plainMark.MatchString(sql) {
@@ -333,7 +371,7 @@
 	return m.end(pgwire.AppendErrorResponse(nil, "ERROR", code, what, ""), m.primary(), time.Now())
 }
 
-// end tells role and position, as members do, and that the connection is ready.
+// end appends role and position, as servers report them, and that the connection is ready.
 func (m *Member) end(b []byte, primary bool, now time.Time) []byte {
 	role := "replica"
 	if primary {
@@ -351,7 +389,7 @@
 
 func complete(b []byte, tag string) []byte { return message(b, 'C', append([]byte(tag), 0)) }
 
-// rows is an answer of text columns.
+// rows appends a result of text columns.
 func rows(b []byte, rows [][]string, tag string) []byte {
 	width := 1
 	if len(rows) > 0 {
--- a/testsupport/fakeserver/engine.go
+++ b/testsupport/fakeserver/tables.go
@@ -1,6 +1,8 @@
-// Package fakeserver is a stand-in for database members on loopback: it speaks version 3 of PostgreSQL's protocol, plays
-// a primary and its replicas, counts what reached whom, and takes time by the work that a statement really makes
-// in tables held in memory. For tests and measurements only; nothing in service imports it.
+// Package fakeserver is a group of fake database servers on loopback: it speaks version 3 of PostgreSQL's protocol, acts as a
+// primary and its replicas, records which statements reached which server, and takes as long as the work of a statement in
+// tables held in memory would. For tests and measurements only; nothing in service imports it.
+//
+// A Group owns its servers, and a server its listener and connections, each served by one goroutine; Group.Close ends them all.
 package fakeserver
 
 import (
@@ -66,13 +68,13 @@
 	r, ok := Result{}, false
 	switch strings.ToLower(p.next()) {
 	case "select":
-		r, ok = d.find(p)
+		r, ok = d.runSelect(p)
 	case "insert":
 		r, ok = d.insert(p)
 	case "update":
-		r, ok = d.change(p, true)
+		r, ok = d.update(p)
 	case "delete":
-		r, ok = d.change(p, false)
+		r, ok = d.remove(p)
 	}
 	if !ok {
 		return Result{Rows: [][]string{{"1"}}}
