--- a/adapter/adapter.go
+++ b/adapter/adapter.go
@@ -101,8 +101,8 @@
 		a.fronts[e.Front] = f
 		a.guard(f.id, func() {
 			s := e.Site
-			f.decider = a.make(f, e.Seed, s.Topology, s.RequestTypes, s.CustomerQuotas, s.Replication, s.Guardrails,
-				s.Limits, s.CostWeights)
+			f.decider = a.make(f, routing.Options{Seed: e.Seed, Topology: s.Topology, RequestTypes: s.RequestTypes, Customers: s.CustomerQuotas,
+				Replication: s.Replication, Guardrails: s.Guardrails, Limits: s.Limits, CostWeights: s.CostWeights})
 		})
 	}
 	f := a.fronts[e.Front]
--- a/adapter/adapter_test.go
+++ b/adapter/adapter_test.go
@@ -31,8 +31,7 @@
 func (e *echo) HealthCheckFinished(time.Duration, int, routing.AttemptResult, time.Duration, routing.LoadReport) {
 }
 
-func made(h routing.Host, _ uint64, _ routing.Topology, _ []routing.RequestType, _ []routing.Customer, _ routing.Replication,
-	_ routing.Guardrails, _ routing.Limits, _ routing.CostWeights) routing.Router {
+func made(h routing.Host, _ routing.Options) routing.Router {
 	return &echo{Host: h}
 }
 
--- a/adapter/answers_test.go
+++ b/adapter/answers_test.go
@@ -22,9 +22,8 @@
 	recorded, err := os.ReadFile("testdata/answers.txt")
 	require.NoError(t, err)
 	var answers strings.Builder
-	require.NoError(t, Run(batches, &answers, func(h routing.Host, seed uint64, at routing.Topology, types []routing.RequestType, customers []routing.Customer,
-		_ routing.Replication, _ routing.Guardrails, allowed routing.Limits, _ routing.CostWeights) routing.Router {
-		h.Log(fmt.Sprint("new ", seed, at.Zone, at.ZoneCount, len(types), len(customers), allowed.MaxAttempts))
+	require.NoError(t, Run(batches, &answers, func(h routing.Host, o routing.Options) routing.Router {
+		h.Log(fmt.Sprint("new ", o.Seed, o.Topology.Zone, o.Topology.ZoneCount, len(o.RequestTypes), len(o.Customers), o.Limits.MaxAttempts))
 		return &transcript{host: h}
 	}))
 	assert.Equal(t, string(recorded), answers.String())
--- a/front/core.go
+++ b/front/core.go
@@ -16,9 +16,8 @@
 	"dapplerouter/routing"
 )
 
-// RouterFactory makes the Decider of an instance.
-type RouterFactory func(h routing.Host, seed uint64, at routing.Topology, types []routing.RequestType, customers []routing.Customer,
-	copies routing.Replication, rules routing.Guardrails, allowed routing.Limits, costs routing.CostWeights) routing.Router
+// RouterFactory makes the Router of an instance.
+type RouterFactory func(h routing.Host, o routing.Options) routing.Router
 
 // Event is something that came in; the types stand with the stages that take them.
 type Event interface {
@@ -108,7 +107,8 @@
 	}
 	c.comeBack = s.Limits.MaxRetryAfter
 	c.terms = &terms{types: c.types}
-	c.decider = decide(c, seed, s.Topology, c.types, s.CustomerQuotas, s.Replication, s.Guardrails, s.Limits, s.CostWeights)
+	c.decider = decide(c, routing.Options{Seed: seed, Topology: s.Topology, RequestTypes: c.types, Customers: s.CustomerQuotas,
+		Replication: s.Replication, Guardrails: s.Guardrails, Limits: s.Limits, CostWeights: s.CostWeights})
 	return c
 }
 
--- a/front/front_test.go
+++ b/front/front_test.go
@@ -76,8 +76,7 @@
 	s := &deployment.Settings{TypeNames: []string{"browse", "order"}, ZoneNames: []string{"a"}, CustomerNames: []string{"acme"},
 		RequestTypes: []routing.RequestType{{Consistency: routing.ReadYourWrites, Deadline: time.Second}, {Consistency: routing.Write, Deadline: time.Second}},
 		Limits:       routing.Limits{MaxAttempts: 2, DialTimeout: 250 * ms}}
-	c := NewCore(born, 1, s, func(h routing.Host, _ uint64, _ routing.Topology, _ []routing.RequestType, _ []routing.Customer,
-		_ routing.Replication, _ routing.Guardrails, _ routing.Limits, _ routing.CostWeights) routing.Router {
+	c := NewCore(born, 1, s, func(h routing.Host, _ routing.Options) routing.Router {
 		m.Host = h
 		return m
 	}, w, w, nil)
--- a/front/script_test.go
+++ b/front/script_test.go
@@ -47,8 +47,7 @@
 			{Consistency: routing.Write, Idempotency: routing.IdempotencyKey, DedupWindow: 400 * ms, Deadline: 2 * time.Second},
 			{Consistency: routing.ReadYourWrites, Deadline: time.Second}},
 		Limits: routing.Limits{MaxAttempts: 5, DialTimeout: 250 * ms, MaxRetryAfter: 700 * ms}}
-	s.core = NewCore(born, 1, st, func(h routing.Host, _ uint64, _ routing.Topology, _ []routing.RequestType, _ []routing.Customer,
-		_ routing.Replication, _ routing.Guardrails, _ routing.Limits, _ routing.CostWeights) routing.Router {
+	s.core = NewCore(born, 1, st, func(h routing.Host, _ routing.Options) routing.Router {
 		s.host = h
 		return scriptRouter{s}
 	}, scriptPools{s}, scriptPools{s}, classing)
--- a/router/host_test.go
+++ b/router/host_test.go
@@ -20,34 +20,26 @@
 	onceOnly
 )
 
-// site is what a story may vary before it begins.
-type site struct {
-	at      routing.Topology
-	types   []routing.RequestType
-	copies  routing.Replication
-	rules   routing.Guardrails
-	allowed routing.Limits
-}
-
-func littleSite() site {
+func littleSite() routing.Options {
 	read := routing.RequestType{LatencyObjective: 200 * ms, Deadline: 800 * ms, PriorityWeight: 1, Idempotency: routing.Idempotent}
-	s := site{
-		at:     routing.Topology{ZoneCount: 2, FleetSize: 1, TickInterval: 5 * ms, RoleListing: routing.RolesDelayed},
-		copies: routing.Replication{StalenessCheck: routing.WaitUntilFresh, FreshnessWait: 50 * ms, PositionInResponses: true},
-		rules: routing.Guardrails{AnswerSlack: 20 * ms, DrainGrace: time.Second, MaxPollInterval: 10 * time.Second,
+	s := routing.Options{
+		Seed:        7,
+		Topology:    routing.Topology{ZoneCount: 2, FleetSize: 1, TickInterval: 5 * ms, RoleListing: routing.RolesDelayed},
+		Replication: routing.Replication{StalenessCheck: routing.WaitUntilFresh, FreshnessWait: 50 * ms, PositionInResponses: true},
+		Guardrails: routing.Guardrails{AnswerSlack: 20 * ms, DrainGrace: time.Second, MaxPollInterval: 10 * time.Second,
 			InitialCapacity: 0.2, OverloadMultiple: 2.5, SlowStartDuration: 10 * time.Second, OverloadWindow: 2 * time.Second},
-		allowed: routing.Limits{MaxAttempts: 6, HealthChecks: true, Cancellation: true,
+		Limits: routing.Limits{MaxAttempts: 6, HealthChecks: true, Cancellation: true,
 			MaxRetryAfter: 400 * ms},
 	}
 	for _, level := range []routing.Consistency{routing.Eventual, routing.BoundedStaleness, routing.ReadYourWrites, routing.Strong} {
 		read.Consistency, read.MaxStaleness = level, 300*ms
-		s.types = append(s.types, read)
+		s.RequestTypes = append(s.RequestTypes, read)
 	}
 	w := routing.RequestType{LatencyObjective: 600 * ms, Deadline: 2 * time.Second, PriorityWeight: 6, LateFraction: 0.3, Consistency: routing.Write,
 		Idempotency: routing.IdempotencyKey, DedupScope: routing.ScopeGroup, DedupWindow: 2 * time.Second}
 	once := w
 	once.Idempotency = routing.NonIdempotent
-	s.types = append(s.types, w, once)
+	s.RequestTypes = append(s.RequestTypes, w, once)
 	return s
 }
 
@@ -61,9 +53,9 @@
 	where map[routing.RequestRef]int
 }
 
-func tell(_ *testing.T, s site) *story {
+func tell(_ *testing.T, s routing.Options) *story {
 	y := &story{subs: map[routing.RequestRef]int{}, where: map[routing.RequestRef]int{}}
-	y.Router = New(y, 7, s.at, s.types, nil, s.copies, s.rules, s.allowed, routing.CostWeights{}).(*Router)
+	y.Router = New(y, s).(*Router)
 	return y
 }
 
--- a/router/identity_test.go
+++ b/router/identity_test.go
@@ -117,7 +117,7 @@
 		InitialCapacity: 0.2, OverloadMultiple: 2.5, SlowStartDuration: 4 * time.Second, OverloadWindow: time.Second}
 	allowed := routing.Limits{MaxAttempts: 2 + random.IntN(6), HealthChecks: d.chance(0.7), Cancellation: d.chance(0.7), MaxRetryAfter: 400 * time.Millisecond,
 		IdleConnTimeout: time.Second}
-	d.router = router.New(d, seed, at, d.types, nil, copies, rules, allowed, routing.CostWeights{})
+	d.router = router.New(d, routing.Options{Seed: seed, Topology: at, RequestTypes: d.types, Replication: copies, Guardrails: rules, Limits: allowed})
 	for i := range daysGroups * daysGroupSize {
 		d.members = append(d.members, server{group: i / daysGroupSize, primary: i%daysGroupSize == 0, lag: time.Duration(random.IntN(200)) * time.Millisecond})
 	}
--- a/router/router.go
+++ b/router/router.go
@@ -64,21 +64,20 @@
 }
 
 // New makes an instance that knows nothing yet.
-func New(h routing.Host, seed uint64, at routing.Topology, types []routing.RequestType, _ []routing.Customer,
-	copies routing.Replication, rules routing.Guardrails, allowed routing.Limits, _ routing.CostWeights) routing.Router {
+func New(h routing.Host, o routing.Options) routing.Router {
 	return &Router{
 		host:           h,
-		chance:         chance{seed: seed},
-		latencies:      newLatencies(types, at.TickInterval),
-		sessions:       newSessions(copies.ClientCarriesToken),
-		loads:          loads{growth: 1 / float64(max(1, at.FleetSize))},
-		slowStartRules: newSlowStartRules(rules),
-		selection:      newSelection(seed, at, copies, allowed),
-		requestTable:   requestTable{types: types, mayCancel: allowed.Cancellation},
-		admission:      newAdmission(types, at, allowed),
-		retries:        retries{maxAttempts: allowed.MaxAttempts, retryBudget: retryReserve},
-		endpointList:   newEndpointList(at, rules),
-		reports:        reports{positionsByReport: copies.LoadInResponses && !copies.PositionInResponses, mayProbe: allowed.HealthChecks},
+		chance:         chance{seed: o.Seed},
+		latencies:      newLatencies(o.RequestTypes, o.Topology.TickInterval),
+		sessions:       newSessions(o.Replication.ClientCarriesToken),
+		loads:          loads{growth: 1 / float64(max(1, o.Topology.FleetSize))},
+		slowStartRules: newSlowStartRules(o.Guardrails),
+		selection:      newSelection(o.Seed, o.Topology, o.Replication, o.Limits),
+		requestTable:   requestTable{types: o.RequestTypes, mayCancel: o.Limits.Cancellation},
+		admission:      newAdmission(o.RequestTypes, o.Topology, o.Limits),
+		retries:        retries{maxAttempts: o.Limits.MaxAttempts, retryBudget: retryReserve},
+		endpointList:   newEndpointList(o.Topology, o.Guardrails),
+		reports:        reports{positionsByReport: o.Replication.LoadInResponses && !o.Replication.PositionInResponses, mayProbe: o.Limits.HealthChecks},
 		clock:          clock{wakeAt: never, resumedAt: never},
 	}
 }
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -83,7 +83,7 @@
 
 func TestWhereNothingIsCheckedOnlyAProofWillDo(t *testing.T) {
 	p := littleSite()
-	p.copies.StalenessCheck = routing.NoStalenessCheck
+	p.Replication.StalenessCheck = routing.NoStalenessCheck
 	y := tell(t, p).group(3)
 	y.now = time.Second
 	y.ends(y.begin(write), routing.Succeeded, routing.Primary, y.now)
@@ -107,7 +107,7 @@
 
 func TestWritesWaitForAPrimaryAndGoOutWhenOneShows(t *testing.T) {
 	p := littleSite()
-	p.at.RoleListing = routing.RolesNotListed
+	p.Topology.RoleListing = routing.RolesNotListed
 	y := tell(t, p).group(3)
 	y.begin(write)
 	assert.Empty(t, y.last("submit"), "none is sent blindly")
@@ -118,7 +118,7 @@
 
 func TestWithoutProbesAWriteAsksForThePrimaryItself(t *testing.T) {
 	p := littleSite()
-	p.at.RoleListing, p.allowed.HealthChecks = routing.RolesNotListed, false
+	p.Topology.RoleListing, p.Limits.HealthChecks = routing.RolesNotListed, false
 	y := tell(t, p).group(2)
 	w := y.begin(write)
 	first := y.where[w]
@@ -175,7 +175,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := littleSite()
-			p.at.RoleListing = routing.RolesNotListed
+			p.Topology.RoleListing = routing.RolesNotListed
 			y := tell(t, p).group(3)
 			why(y)
 			n := y.count("decline")
@@ -192,7 +192,7 @@
 
 func TestARetryThatIsKeptIsDeclinedAtHalfOfWhatIsLeftToIt(t *testing.T) {
 	p := littleSite()
-	p.at.RetriesMarked, p.types[anyRead].LateFraction = true, 0.5
+	p.Topology.RetriesMarked, p.RequestTypes[anyRead].LateFraction = true, 0.5
 	y := tell(t, p).group(1)
 	y.members[0].out = 9
 	y.begin(anyRead, func(in *routing.Request) { in.Retry, in.Timeout = true, 120*ms })
@@ -216,7 +216,7 @@
 func TestFewFrontsDoNotLeaveASlowMembersCoresIdle(t *testing.T) {
 	for fronts, want := range map[int]int{1: 4, 2: 2, 3: 2, 4: 1, 9: 1} {
 		p := littleSite()
-		p.at.FleetSize = fronts
+		p.Topology.FleetSize = fronts
 		y := tell(t, p).group(1)
 		y.members[0].limit = 0.1
 		for range 9 {
@@ -228,7 +228,7 @@
 
 func TestAReferencedTxnThatMayHaveRunStaysWithinItsWindowAndIsRolledBack(t *testing.T) {
 	p := littleSite()
-	p.types[write].DedupWindow = time.Second
+	p.RequestTypes[write].DedupWindow = time.Second
 	y := tell(t, p).group(3)
 	w := y.begin(write)
 	y.dies(w, routing.ConnectionLost)
@@ -246,7 +246,7 @@
 
 func TestATxnThatOnlyItsZoneKnowsIsNotRepeated(t *testing.T) {
 	p := littleSite()
-	p.types[write].DedupScope = routing.ScopeZone
+	p.RequestTypes[write].DedupScope = routing.ScopeZone
 	y := tell(t, p).group(3)
 	y.ends(y.begin(write), routing.ConnectionLost, routing.UnknownRole, 0)
 	y.pass(100 * ms)
@@ -299,7 +299,7 @@
 
 func TestAMissedReadDoesNotCircleAmongReplicas(t *testing.T) {
 	p := littleSite()
-	p.at.RoleListing = routing.RolesNotListed
+	p.Topology.RoleListing = routing.RolesNotListed
 	y := tell(t, p).group(4)
 	y.now = time.Second
 	for i := range 4 {
@@ -374,7 +374,7 @@
 
 func TestAColdMemberThatTurnsReadsAwayIsNotFloodedWithThem(t *testing.T) {
 	p := littleSite()
-	p.at.RoleListing = routing.RolesNotListed
+	p.Topology.RoleListing = routing.RolesNotListed
 	y := tell(t, p).group(2)
 	y.now = 20 * time.Second
 	y.list(routing.Delta, routing.Endpoint{Server: 1, HasStartTime: true, StartedAt: y.now})
@@ -405,7 +405,7 @@
 
 func TestTheListIsSubscribedToFromTheStartAndAgainAfterAFailure(t *testing.T) {
 	p := littleSite()
-	p.at.PullEndpoints = true
+	p.Topology.PullEndpoints = true
 	y := tell(t, p).group(2)
 	assert.Equal(t, 1, y.count("watch"))
 	y.list(routing.UpdateFailed)
@@ -465,7 +465,7 @@
 
 func TestLateAnswersNarrowTheWindowAndTheRestWaitsHere(t *testing.T) {
 	p := littleSite()
-	p.at.FleetSize = 4
+	p.Topology.FleetSize = 4
 	y := tell(t, p).group(1)
 	for range 20 {
 		y.pass(100 * ms)
@@ -577,12 +577,12 @@
 
 func TestManyQuietFrontsTogetherDoNotPushAColdMemberOver(t *testing.T) {
 	p := littleSite()
-	p.at.FleetSize = 100
+	p.Topology.FleetSize = 100
 	y := tell(t, p).group(2)
 	y.now = 20 * time.Second
 	y.list(routing.Delta, routing.Endpoint{Server: 1, HasStartTime: true, StartedAt: y.now})
 	assert.True(t, y.members[1].cold)
-	y.now += p.rules.OverloadWindow
+	y.now += p.Guardrails.OverloadWindow
 	assert.False(t, y.slowStartAdmits(y.now, &y.members[1], 0.05), "a front that sent nothing has a hundredth of one")
 }
 
@@ -655,7 +655,7 @@
 
 func TestWhatIsWorthMostGoesFirst(t *testing.T) {
 	p := littleSite()
-	p.at.RetriesMarked = true
+	p.Topology.RetriesMarked = true
 	y := tell(t, p).group(1)
 	y.members[0].limit = 1
 	first := y.begin(write)
@@ -742,7 +742,7 @@
 func ordinaryPath() (round func()) {
 	q := quiet{}
 	p := littleSite()
-	r := New(&q, 7, p.at, p.types, nil, p.copies, p.rules, p.allowed, routing.CostWeights{})
+	r := New(&q, p)
 	var entries []routing.Endpoint
 	for i := range 4 {
 		entries = append(entries, routing.Endpoint{Server: i, Primary: i == 0})
@@ -792,7 +792,7 @@
 
 func TestWhereOnlyReportsTellPositionsTheirAgeIsTakenOff(t *testing.T) {
 	p := littleSite()
-	p.copies = routing.Replication{StalenessCheck: routing.RejectIfStale, LoadInResponses: true}
+	p.Replication = routing.Replication{StalenessCheck: routing.RejectIfStale, LoadInResponses: true}
 	y := tell(t, p).group(3)
 	y.begin(anyRead)
 	answers := func(member int, role routing.Role, reported time.Duration) {
@@ -815,7 +815,7 @@
 
 func TestATxnThatFailsAtTwoMembersIsAnsweredAtOnceWithNoTimeToComeBackWhereNoneMayBeNamed(t *testing.T) {
 	p := littleSite()
-	p.allowed.MaxRetryAfter = 0
+	p.Limits.MaxRetryAfter = 0
 	y := tell(t, p).group(4)
 	r := y.begin(anyRead)
 	y.ends(r, routing.ServerError, routing.Replica, 0)
@@ -860,7 +860,7 @@
 
 func TestAMemberThatAnswersProbesButTakesNoLinksIsNotDown(t *testing.T) {
 	p := littleSite()
-	p.at.TickInterval = 50 * ms
+	p.Topology.TickInterval = 50 * ms
 	y := tell(t, p).group(1)
 	y.pass(time.Second)
 	again := y.retryBudget
@@ -883,7 +883,7 @@
 		sent := 0
 		for seed := range fronts {
 			p := littleSite()
-			p.at.FleetSize = fronts
+			p.Topology.FleetSize = fronts
 			y := tell(t, p).group(6)
 			y.seed = uint64(seed)
 			y.now, y.warmMembers = 20*time.Second, 5
@@ -907,8 +907,8 @@
 // The first seconds after a switch: an instance that starts afresh at the new deployment believes nothing of the old.
 func TestTheFirstSecondsAfterASwitchAreSafe(t *testing.T) {
 	p := littleSite()
-	p.at.FleetSize = 250
-	p.copies = routing.Replication{StalenessCheck: routing.RejectIfStale, LoadInResponses: true}
+	p.Topology.FleetSize = 250
+	p.Replication = routing.Replication{StalenessCheck: routing.RejectIfStale, LoadInResponses: true}
 	y := tell(t, p)
 	list := []routing.Endpoint{{Server: 0, Primary: true}, {Server: 1}, {Server: 2, HasStartTime: true, StartedAt: -time.Second},
 		{Server: 3, Group: 1, Primary: true}, {Server: 4, Group: 1}}
--- a/routing/port.go
+++ b/routing/port.go
@@ -230,6 +230,18 @@
 	CrossZone, WastedWork, HealthCheck, LateFailure, Gossip, OverQuota float64
 }
 
+// Options is what a Router is made with; it doesn't change while the Router lives.
+type Options struct {
+	Seed         uint64 // of the Router's random numbers: the same seed and the same events give the same actions
+	Topology     Topology
+	RequestTypes []RequestType // by Request.Type
+	Customers    []Customer    // by Request.Customer
+	Replication  Replication
+	Guardrails   Guardrails
+	Limits       Limits
+	CostWeights  CostWeights
+}
+
 // Router takes what comes in. Reconcile follows the last event of each batch.
 type Router interface {
 	EndpointsChanged(now time.Duration, kind UpdateKind, version int64, entries []Endpoint)
