--- a/cmd/dapplerouter/permute_test.go
+++ b/cmd/dapplerouter/permute_test.go
@@ -89,7 +89,8 @@
 	start, err := deployment.Load(func(name string) string { return map[string]string{deployment.FileVariable: "x"}[name] }, func(string) ([]byte, error) { return data, nil })
 	require.NoError(t, err)
 	s := &stage{due: map[time.Duration][]front.Event{}}
-	s.core = front.NewCore(time.UnixMilli(1_000_000), 5, start.Settings, router.New, s, s, nil)
+	s.core = front.NewCore(front.Options{StartedAt: time.UnixMilli(1_000_000), Seed: 5, Settings: start.Settings,
+		NewRouter: router.New, Pools: s, Endpoints: s})
 	var members []discovery.Endpoint
 	for i := range 3 {
 		members = append(members, discovery.Endpoint{Name: fmt.Sprint("s", i), Address: "x", Zone: "a", Weight: 1, Primary: i == 0})
--- a/cmd/dapplerouter/serve.go
+++ b/cmd/dapplerouter/serve.go
@@ -135,7 +135,8 @@
 		ways = fellows.Prober
 		all = append(all, fellows)
 	}
-	core = front.NewCore(clock.StartedAt, told.Seed, told.Settings, router.New, ways, directory, classing)
+	core = front.NewCore(front.Options{StartedAt: clock.StartedAt, Seed: told.Seed, Settings: told.Settings,
+		NewRouter: router.New, Pools: ways, Endpoints: directory, Classifier: classing})
 	if fellows != nil {
 		core.JoinFleet(fellows.CoreHooks())
 	} else if operator.rules != nil {
--- a/front/core.go
+++ b/front/core.go
@@ -92,10 +92,21 @@
 	entries    []routing.Endpoint
 }
 
-// NewCore makes a Core; born is the moment from which its clock counts. Where classing is nil, statements are served in
-// the one form that the users' protocol has.
-func NewCore(born time.Time, seed uint64, s *deployment.Settings, decide RouterFactory, links Pools, ask EndpointSource, classing *Classifier) *Core {
-	c := &Core{pools: links, ask: ask, events: make(chan Event, queued), timeline: timeline{zero: born.Round(0)}, types: s.RequestTypes,
+// Options are what a Core is made with.
+type Options struct {
+	StartedAt  time.Time // the wall clock's time at 0 of the core's clock
+	Seed       uint64    // of the router
+	Settings   *deployment.Settings
+	NewRouter  RouterFactory
+	Pools      Pools
+	Endpoints  EndpointSource
+	Classifier *Classifier // nil where statements are in the one form of the clients' protocol
+}
+
+// NewCore makes a Core. The rules of the classifier must have passed ValidateClassification.
+func NewCore(o Options) *Core {
+	s, classing := o.Settings, o.Classifier
+	c := &Core{pools: o.Pools, ask: o.Endpoints, events: make(chan Event, queued), timeline: timeline{zero: o.StartedAt.Round(0)}, types: s.RequestTypes,
 		most: s.Limits.MaxAttempts, patience: s.Limits.DialTimeout,
 		typeIDs: NewIndex(s.TypeNames...), customers: NewIndex(s.CustomerNames...), zones: NewIndex(s.ZoneNames...),
 		kinds: NewIndex[string](), members: NewIndex[string](), groups: NewIndex[int64](), ids: map[string]struct{}{}, far: map[int]bool{}, turns: map[int]uint32{}}
@@ -108,7 +119,7 @@
 	}
 	c.comeBack = s.Limits.MaxRetryAfter
 	c.terms = &terms{types: c.types}
-	c.decider = decide(c, seed, s.Topology, c.types, s.CustomerQuotas, s.Replication, s.Guardrails, s.Limits, s.CostWeights)
+	c.decider = o.NewRouter(c, o.Seed, s.Topology, c.types, s.CustomerQuotas, s.Replication, s.Guardrails, s.Limits, s.CostWeights)
 	return c
 }
 
--- a/front/front_test.go
+++ b/front/front_test.go
@@ -76,11 +76,11 @@
 	s := &deployment.Settings{TypeNames: []string{"browse", "order"}, ZoneNames: []string{"a"}, CustomerNames: []string{"acme"},
 		RequestTypes: []routing.RequestType{{Consistency: routing.ReadYourWrites, Deadline: time.Second}, {Consistency: routing.Write, Deadline: time.Second}},
 		Limits:       routing.Limits{MaxAttempts: 2, DialTimeout: 250 * ms}}
-	c := NewCore(born, 1, s, func(h routing.Host, _ uint64, _ routing.Topology, _ []routing.RequestType, _ []routing.Customer,
+	c := NewCore(Options{StartedAt: born, Seed: 1, Settings: s, Pools: w, Endpoints: w, NewRouter: func(h routing.Host, _ uint64, _ routing.Topology, _ []routing.RequestType, _ []routing.Customer,
 		_ routing.Replication, _ routing.Guardrails, _ routing.Limits, _ routing.CostWeights) routing.Router {
 		m.Host = h
 		return m
-	}, w, w, nil)
+	}})
 	c.confirmed = true // as by a primary's answer; timeline_test.go has what comes before
 	c.Post(EndpointsChanged{Kind: routing.CachedSnapshot, List: discovery.List{Endpoints: []discovery.Endpoint{
 		{Name: "s-1", Address: "x", Zone: "a", Group: 9, StartedAtMillis: 999_500},
--- a/front/script_test.go
+++ b/front/script_test.go
@@ -47,11 +47,11 @@
 			{Consistency: routing.Write, Idempotency: routing.IdempotencyKey, DedupWindow: 400 * ms, Deadline: 2 * time.Second},
 			{Consistency: routing.ReadYourWrites, Deadline: time.Second}},
 		Limits: routing.Limits{MaxAttempts: 5, DialTimeout: 250 * ms, MaxRetryAfter: 700 * ms}}
-	s.core = NewCore(born, 1, st, func(h routing.Host, _ uint64, _ routing.Topology, _ []routing.RequestType, _ []routing.Customer,
+	s.core = NewCore(Options{StartedAt: born, Seed: 1, Settings: st, Pools: scriptPools{s}, Endpoints: scriptPools{s}, Classifier: classing, NewRouter: func(h routing.Host, _ uint64, _ routing.Topology, _ []routing.RequestType, _ []routing.Customer,
 		_ routing.Replication, _ routing.Guardrails, _ routing.Limits, _ routing.CostWeights) routing.Router {
 		s.host = h
 		return scriptRouter{s}
-	}, scriptPools{s}, scriptPools{s}, classing)
+	}})
 	s.core.JoinFleet(FleetOptions{Clock: func() time.Duration { return s.now }, Auditor: scriptAudit{s}, OnStandby: func(on bool) { s.line("standby %v", on) }})
 	s.core.clock = func() time.Duration { return s.now }
 	s.core.SetStaticEndpoints([]discovery.Endpoint{{Name: "remote", Address: RemoteSitePrefix + "west/9", Zone: "b", ServerType: "site", Group: 9}})
--- a/lab/capacity/hollow.go
+++ b/lab/capacity/hollow.go
@@ -72,7 +72,8 @@
 	}
 	h.agent.Clock, h.agent.StartedAt, h.agent.Post = clock.Now, clock.StartedAt, post
 	h.agent.Prober.Pools, h.agent.Prober.Post = links, post
-	core = front.NewCore(clock.StartedAt, told.Seed, told.Settings, router.New, h.agent.Prober, directory, nil)
+	core = front.NewCore(front.Options{StartedAt: clock.StartedAt, Seed: told.Seed, Settings: told.Settings,
+		NewRouter: router.New, Pools: h.agent.Prober, Endpoints: directory})
 	core.JoinFleet(h.agent.CoreHooks())
 	seen(front.EndpointsChanged{Kind: routing.CachedSnapshot, List: told.CachedList})
 	go core.Run(clock, ctx.Done())
--- a/lab/proxysim/model.go
+++ b/lab/proxysim/model.go
@@ -206,7 +206,8 @@
 		ways = f.prober
 	}
 	born := time.UnixMilli(t.wall(t.Now)).Add(-f.host.Clock())
-	f.Core = front.NewCore(born, t.Rnd.Uint64(), s, router.New, ways, f.dir, nil)
+	f.Core = front.NewCore(front.Options{StartedAt: born, Seed: t.Rnd.Uint64(), Settings: s,
+		NewRouter: router.New, Pools: ways, Endpoints: f.dir})
 	if t.O.Right > 0 && f.host.Node != nil {
 		f.participate(s)
 	}
--- a/sockets/sockets_test.go
+++ b/sockets/sockets_test.go
@@ -87,11 +87,11 @@
 	s := &deployment.Settings{TypeNames: []string{"read", "write"}, ZoneNames: []string{"a"},
 		RequestTypes: []routing.RequestType{{Deadline: time.Minute}, {Deadline: time.Minute, Consistency: routing.Write}},
 		Limits:       routing.Limits{MaxAttempts: 9, DialTimeout: 5 * time.Second}}
-	g.core = front.NewCore(clock.StartedAt, 1, s, func(h routing.Host, _ uint64, _ routing.Topology, _ []routing.RequestType,
+	g.core = front.NewCore(front.Options{StartedAt: clock.StartedAt, Seed: 1, Settings: s, Pools: g.links, Endpoints: nobody{}, NewRouter: func(h routing.Host, _ uint64, _ routing.Topology, _ []routing.RequestType,
 		_ []routing.Customer, _ routing.Replication, _ routing.Guardrails, _ routing.Limits, _ routing.CostWeights) routing.Router {
 		g.d.Host = h
 		return g.d
-	}, g.links, nobody{}, nil)
+	}})
 	g.list(g.member.Addr().String(), 0)
 	g.server = NewServer(post, g.room, clock, 5*time.Second, 32<<20)
 	g.server.idle = time.Minute
