--- a/front/classing.go
+++ b/front/classing.go
@@ -11,15 +11,15 @@
 	"dapplerouter/sqlclass"
 )
 
-// classes is what a core knows of classing, where the operator's file turns it on: which request type a rule names,
+// classifier is what a core knows of classing, where the operator's file turns it on: which request type a rule names,
 // and the type under which a write of a reading type goes to the module.
-type classes struct {
-	by         *sqlclass.Classifier
-	types      []int // by rule
-	undeclared []int // by request type: the same but writing, itself where it writes anyway
+type classifier struct {
+	statements *sqlclass.Classifier
+	ruleTypes  []int // by rule
+	writeTypes []int // by request type: the same but writing, itself where it writes anyway
 
-	found, byRule, noRule int
-	undeclaredWrites      int // under a type that reads
+	classified, byRule, unmatched int
+	undeclaredWrites              int // under a type that reads
 }
 
 // Classifier is what the operator's settings made.
@@ -48,17 +48,17 @@
 	return faults
 }
 
-// withUndeclared adds to the types, for each that reads, one like it that writes with the effect that the operator
+// addWriteTypes adds to the types, for each that reads, one like it that writes with the effect that the operator
 // gave to writes that their type does not tell of. So the module decides these as it does all others: to the
 // primary only, and again only as far as the effect allows.
-func (k *classes) withUndeclared(types []routing.RequestType, effect routing.Idempotency) []routing.RequestType {
+func (k *classifier) addWriteTypes(types []routing.RequestType, effect routing.Idempotency) []routing.RequestType {
 	all := slices.Clone(types)
 	for i, ty := range types {
-		k.undeclared = append(k.undeclared, i)
+		k.writeTypes = append(k.writeTypes, i)
 		if ty.Consistency == routing.Write {
 			continue
 		}
-		k.undeclared[i] = len(all)
+		k.writeTypes[i] = len(all)
 		ty.Consistency, ty.Idempotency, ty.MaxStaleness = routing.Write, effect, 0
 		if effect == routing.IdempotencyKey && ty.DedupWindow == 0 {
 			ty.Idempotency = routing.NonIdempotent // nothing says for how long a mark is remembered
@@ -68,30 +68,30 @@
 	return all
 }
 
-// class gives an arrival that was classed its request type, or says why it has none.
-func (a *Request) class(c *Core, t *routing.Request) (refusal string) {
+// classify gives an arrival that was classed its request type, or says why it has none.
+func (a *Request) classify(c *Core, t *routing.Request) (refusal string) {
 	s, k := &a.Statement, c.classes
-	k.found++
-	t.ExpectedWork = k.by.Estimate(s.Normalized, &s.Details)
+	k.classified++
+	t.ExpectedWork = k.statements.Estimate(s.Normalized, &s.Details)
 	if len(s.RequestType) > 0 {
 		var ok bool
 		if t.Type, ok = c.typeIDs.Lookup(string(s.RequestType)); !ok {
 			return "c names no request type of this site"
 		}
 	} else {
-		rule := k.by.MatchRule(s.Normalized, t.ExpectedWork)
+		rule := k.statements.MatchRule(s.Normalized, t.ExpectedWork)
 		if rule < 0 {
-			k.noRule++
+			k.unmatched++
 			return "the comment names no request type, and no rule of the operator's file fits the statement"
 		}
 		k.byRule++
-		t.Type = k.types[rule]
+		t.Type = k.ruleTypes[rule]
 	}
 	if s.Write && c.types[t.Type].Consistency != routing.Write {
 		slog.Debug("undeclared write", "id", string(s.ID), "type", c.typeIDs.Key(t.Type), "class", s.Normalized.Class,
 			"why", s.Normalized.Reason, "fingerprint", s.Normalized.Fingerprint())
 		k.undeclaredWrites++
-		t.Type = k.undeclared[t.Type]
+		t.Type = k.writeTypes[t.Type]
 	}
 	ty := &c.types[t.Type]
 	t.Write = ty.Consistency == routing.Write // a read under a writing type runs where its type says
@@ -101,22 +101,22 @@
 	return ""
 }
 
-// learns tells what a statement took at a member.
-func (c *Core) learns(s *Attempt) {
+// recordExecutionTime tells what a statement took at a member.
+func (c *Core) recordExecutionTime(s *Attempt) {
 	if d := c.slab.Get(s.ref); c.classes != nil && d != nil && d.Value.Statement.Normalized != nil {
 		st := &d.Value.Statement
-		c.classes.by.Observe(st.Normalized, &st.Details, c.now-s.sent)
+		c.classes.statements.Observe(st.Normalized, &st.Details, c.now-s.startedAt)
 	}
 }
 
-// classReport adds what classing did to the totals.
-func (c *Core) classReport() []any {
+// classifierTotals adds what classing did to the totals.
+func (c *Core) classifierTotals() []any {
 	k := c.classes
 	if k == nil {
 		return nil
 	}
-	t := k.by.Stats()
-	return []any{"classed", k.found, "by_rule", k.byRule, "no_rule", k.noRule, "undeclared_writes", k.undeclaredWrites,
+	t := k.statements.Stats()
+	return []any{"classed", k.classified, "by_rule", k.byRule, "no_rule", k.unmatched, "undeclared_writes", k.undeclaredWrites,
 		"shapes", t.Entries, "shape_bytes", t.Bytes, "shape_hits", t.Hits, "shape_misses", t.Misses,
 		"shape_collisions", t.Collisions, "shape_too_long", t.TooLong}
 }
--- a/front/core.go
+++ b/front/core.go
@@ -22,7 +22,7 @@
 
 // Event is something that came in; the types stand with the stages that take them.
 type Event interface {
-	take(c *Core, now time.Duration)
+	apply(c *Core, now time.Duration)
 }
 
 // Pools carries attempts to members. No call blocks.
@@ -46,19 +46,19 @@
 }
 
 const (
-	queued    = 4096 // events that may wait; those who bring more wait themselves
-	batchMost = 1024 // events in a batch, so that a flood delays no alarm for long
+	eventQueueLength = 4096 // events that may wait; those who bring more wait themselves
+	maxBatch         = 1024 // events in a batch, so that a flood delays no alarm for long
 )
 
 // Core owns the module.
 type Core struct {
-	decider routing.Router
-	pools   Pools
-	ask     EndpointSource
-	events  chan Event
-	now     time.Duration // of the batch in hand
-	timeline
-	places  []place              // by member
+	router         routing.Router
+	pools          Pools
+	endpointSource EndpointSource
+	events         chan Event
+	now            time.Duration // of the batch in hand
+	wallClock
+	places  []serverAddress      // by member
 	serving []bool               // by member: the list lets new work go there
 	clock   func() time.Duration // nil where a host steps the core
 
@@ -73,21 +73,21 @@
 	groups     *Index[int64]
 	slab       RequestTable[*Request]
 	ids        map[string]struct{} // of the requests in hand
-	alarms     alarms
-	later      []Event // came of the batch in hand; they open the next one
-	metrics    Metrics
+	alarms     timerHeap
+	pending    []Event // came of the batch in hand; they open the next one
+	metrics    metrics
 	far        map[int]bool         // members that stand for another site
 	turns      map[int]uint32       // by member: how often its place was given back
 	standing   []discovery.Endpoint // members that no list tells of
-	classes    *classes             // nil where statements are not classed
-	bound      FleetOptions
-	terms      *terms   // in force
-	past       []*terms // of which requests are in hand still
-	unanswered int      // requests in hand without their final answer
-	older      int      // of these, on another version than the newest
-	alone      func()   // hears when there are none
-	lapsed     bool     // the right has run out, and what was in hand is ended
-	shut       bool     // no request is taken any more
+	classes    *classifier          // nil where statements are not classed
+	fleet      FleetOptions
+	terms      *configVersion   // in force
+	past       []*configVersion // of which requests are in hand still
+	unanswered int              // requests in hand without their final answer
+	older      int              // of these, on another version than the newest
+	alone      func()           // hears when there are none
+	lapsed     bool             // the right has run out, and what was in hand is ended
+	shut       bool             // no request is taken any more
 	comeBack   time.Duration
 	entries    []routing.Endpoint
 }
@@ -106,20 +106,20 @@
 // NewCore makes a Core. The rules of the classifier must have passed ValidateClassification.
 func NewCore(o Options) *Core {
 	s, classing := o.Settings, o.Classifier
-	c := &Core{pools: o.Pools, ask: o.Endpoints, events: make(chan Event, queued), timeline: timeline{zero: o.StartedAt.Round(0)}, types: s.RequestTypes,
+	c := &Core{pools: o.Pools, endpointSource: o.Endpoints, events: make(chan Event, eventQueueLength), wallClock: wallClock{epoch: o.StartedAt.Round(0)}, types: s.RequestTypes,
 		most: s.Limits.MaxAttempts, patience: s.Limits.DialTimeout,
 		typeIDs: NewIndex(s.TypeNames...), customers: NewIndex(s.CustomerNames...), zones: NewIndex(s.ZoneNames...),
 		kinds: NewIndex[string](), members: NewIndex[string](), groups: NewIndex[int64](), ids: map[string]struct{}{}, far: map[int]bool{}, turns: map[int]uint32{}}
 	if classing != nil {
-		c.classes = &classes{by: classing.Classifier}
+		c.classes = &classifier{statements: classing.Classifier}
 		for _, r := range classing.Rules() {
-			c.classes.types = append(c.classes.types, c.typeIDs.Intern(r.Type)) // checked before: CheckClassing
+			c.classes.ruleTypes = append(c.classes.ruleTypes, c.typeIDs.Intern(r.Type)) // checked before: CheckClassing
 		}
-		c.types = c.classes.withUndeclared(c.types, classing.UndeclaredWriteEffect)
+		c.types = c.classes.addWriteTypes(c.types, classing.UndeclaredWriteEffect)
 	}
 	c.comeBack = s.Limits.MaxRetryAfter
-	c.terms = &terms{types: c.types}
-	c.decider = o.NewRouter(c, o.Seed, s.Topology, c.types, s.CustomerQuotas, s.Replication, s.Guardrails, s.Limits, s.CostWeights)
+	c.terms = &configVersion{types: c.types}
+	c.router = o.NewRouter(c, o.Seed, s.Topology, c.types, s.CustomerQuotas, s.Replication, s.Guardrails, s.Limits, s.CostWeights)
 	return c
 }
 
@@ -148,19 +148,19 @@
 		}
 		select {
 		case e := <-c.events:
-			c.later = append(c.later, e)
+			c.pending = append(c.pending, e)
 		case <-clock.TimerC():
 		case <-stop:
 			return
 		}
 		c.batch(clock.Now())
-		c.metrics.took(clock.Now() - c.now)
+		c.metrics.batchDone(clock.Now() - c.now)
 	}
 }
 
 // next says when something falls due.
 func (c *Core) next() (time.Duration, bool) {
-	if len(c.later) > 0 {
+	if len(c.pending) > 0 {
 		return c.now, true
 	}
 	if len(c.alarms) > 0 {
@@ -172,56 +172,56 @@
 // batch takes all at hand in the order of arrival, then what has fallen due, then settles.
 func (c *Core) batch(now time.Duration) {
 	c.now = now
-	c.lapse(now)
-	first := c.later
-	c.later = nil
+	c.expireLeases(now)
+	first := c.pending
+	c.pending = nil
 	for _, e := range first {
-		e.take(c, now)
+		e.apply(c, now)
 	}
-	for n := 0; n < batchMost; n++ {
+	for n := 0; n < maxBatch; n++ {
 		select {
 		case e := <-c.events:
-			e.take(c, now)
+			e.apply(c, now)
 			continue
 		default:
 		}
 		break
 	}
 	for len(c.alarms) > 0 && c.alarms[0].at <= now {
-		a := heap.Pop(&c.alarms).(alarm)
-		c.metrics.late(now - a.at)
+		a := heap.Pop(&c.alarms).(timer)
+		c.metrics.timerFired(now - a.at)
 		switch {
-		case a.right:
-			c.lapse(now)
-		case a.s == nil:
-			c.decider.TimerFired(now)
-		case a.unbegun:
-			c.cancelUnsent(a.s)
+		case a.leaseExpiry:
+			c.expireLeases(now)
+		case a.attempt == nil:
+			c.router.TimerFired(now)
+		case a.onlyIfUnsent:
+			c.cancelUnsent(a.attempt)
 		default:
-			c.expire(a.s)
+			c.expire(a.attempt)
 		}
 	}
-	c.decider.Reconcile(now)
+	c.router.Reconcile(now)
 }
 
-// alarm falls due for an attempt, or without one for the module.
-type alarm struct {
-	at      time.Duration
-	s       *Attempt
-	right   bool // the core's own right may have run out
-	unbegun bool // it matters only where nothing of the attempt went out
+// timer falls due for an attempt, or without one for the module.
+type timer struct {
+	at           time.Duration
+	attempt      *Attempt
+	leaseExpiry  bool // the core's own right may have run out
+	onlyIfUnsent bool // it matters only where nothing of the attempt went out
 }
 
-type alarms []alarm
+type timerHeap []timer
 
-func (a alarms) Len() int           { return len(a) }
-func (a alarms) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a alarms) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *alarms) Push(x any)        { *a = append(*a, x.(alarm)) }
-func (a *alarms) Pop() any {
+func (a timerHeap) Len() int           { return len(a) }
+func (a timerHeap) Less(i, j int) bool { return a[i].at < a[j].at }
+func (a timerHeap) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a *timerHeap) Push(x any)        { *a = append(*a, x.(timer)) }
+func (a *timerHeap) Pop() any {
 	old := *a
 	x := old[len(old)-1]
-	old[len(old)-1] = alarm{}
+	old[len(old)-1] = timer{}
 	*a = old[:len(old)-1]
 	return x
 }
@@ -232,7 +232,7 @@
 	List discovery.List
 }
 
-func (l EndpointsChanged) take(c *Core, now time.Duration) {
+func (l EndpointsChanged) apply(c *Core, now time.Duration) {
 	c.entries = c.entries[:0]
 	all := l.List.Endpoints
 	if l.Kind == routing.Snapshot || l.Kind == routing.CachedSnapshot {
@@ -242,7 +242,7 @@
 		clear(c.serving)
 	}
 	for _, e := range all { // a start lies in the past
-		c.moved(c.timeline.past(e.StartedAtMillis, now))
+		c.clockCorrected(c.wallClock.observePast(e.StartedAtMillis, now))
 	}
 	for _, e := range all {
 		zone, ok := c.zones.Lookup(e.Zone)
@@ -257,12 +257,12 @@
 			delete(c.far, m) // the place may have been another's
 		}
 		if e.Address != "" {
-			c.place(m, place{e.Address, e.StartedAtMillis})
+			c.setAddress(m, serverAddress{e.Address, e.StartedAtMillis})
 		}
-		c.serves(m, e.State == routing.Serving)
+		c.setServing(m, e.State == routing.Serving)
 		c.entries = append(c.entries, routing.Endpoint{Server: m, Zone: zone, Kind: c.kinds.Intern(e.ServerType),
 			Group: c.groups.Intern(e.Group), State: e.State, Weight: e.Weight, Primary: e.Primary,
-			StartedAt: c.since(e.StartedAtMillis), HasStartTime: e.StartedAtMillis != 0})
+			StartedAt: c.fromUnix(e.StartedAtMillis), HasStartTime: e.StartedAtMillis != 0})
 		if l.Kind == routing.Delta {
 			for i := range c.standing { // as the next whole list will have it
 				if c.standing[i].Name == e.Name {
@@ -276,11 +276,11 @@
 	if l.Kind == routing.Snapshot {
 		slog.Info("listed whole", "members", len(c.entries), "index", l.List.Index)
 	}
-	if c.bound.Auditor != nil && l.Kind != routing.UpdateFailed {
-		c.bound.Auditor.EndpointsChanged(now, l.List.Index)
+	if c.fleet.Auditor != nil && l.Kind != routing.UpdateFailed {
+		c.fleet.Auditor.EndpointsChanged(now, l.List.Index)
 	}
-	c.decider.EndpointsChanged(now, l.Kind, l.List.Index, c.entries)
+	c.router.EndpointsChanged(now, l.Kind, l.List.Index, c.entries)
 	if l.Kind != routing.UpdateFailed {
-		c.cancelDrained()
+		c.cancelUnsentToDraining()
 	}
 }
--- a/front/endings_test.go
+++ b/front/endings_test.go
@@ -135,7 +135,7 @@
 	out(t, c, m, w)
 	for now, want := range map[time.Duration]string{10 * ms: "d=81,", 60 * ms: "d=36,", 90 * ms: "d=9,", 100 * ms: "d=1,"} {
 		c.clock = func() time.Duration { return now }
-		s := &Attempt{query: w.sent[0].query, until: w.sent[0].until, clock: c.clock}
+		s := &Attempt{query: w.sent[0].query, deadline: w.sent[0].deadline, clock: c.clock}
 		s.query.Message = slices.Clone(s.query.Message)
 		assert.Contains(t, string(s.Message()), want)
 	}
--- a/front/ids.go
+++ b/front/ids.go
@@ -9,14 +9,14 @@
 
 // Index hands out small indices, one that was given back first, else the next.
 type Index[K comparable] struct {
-	at   map[K]int
-	keys []K
-	free []int
+	byKey map[K]int
+	keys  []K
+	free  []int
 }
 
 // NewIndex makes an Index that knows some keys already.
 func NewIndex[K comparable](keys ...K) *Index[K] {
-	x := &Index[K]{at: make(map[K]int, len(keys))}
+	x := &Index[K]{byKey: make(map[K]int, len(keys))}
 	for _, k := range keys {
 		x.Intern(k)
 	}
@@ -25,7 +25,7 @@
 
 // Intern gives a key's index, a new one if need be.
 func (x *Index[K]) Intern(k K) int {
-	i, ok := x.at[k]
+	i, ok := x.byKey[k]
 	if ok {
 		return i
 	}
@@ -35,19 +35,19 @@
 	} else {
 		i, x.keys = len(x.keys), append(x.keys, k)
 	}
-	x.at[k] = i
+	x.byKey[k] = i
 	return i
 }
 
 // Release gives an index back; it may stand for another key from now on.
 func (x *Index[K]) Release(i int) {
-	delete(x.at, x.keys[i])
+	delete(x.byKey, x.keys[i])
 	x.free = append(x.free, i)
 }
 
 // Lookup gives the index of a key that is known.
 func (x *Index[K]) Lookup(k K) (int, bool) {
-	i, ok := x.at[k]
+	i, ok := x.byKey[k]
 	return i, ok
 }
 
@@ -55,7 +55,7 @@
 func (x *Index[K]) Key(i int) K { return x.keys[i] }
 
 // Len is the number of indices in use.
-func (x *Index[K]) Len() int { return len(x.at) }
+func (x *Index[K]) Len() int { return len(x.byKey) }
 
 // SessionHash is the fingerprint of a session's name, never 0.
 func SessionHash(name []byte) uint64 {
@@ -66,19 +66,19 @@
 
 // RequestEntry is the host's side of a request in hand.
 type RequestEntry[T any] struct {
-	Value    T
-	InFlight int  // attempts without an ending
-	Attempts int  // attempts so far
-	Finished bool // finally answered
-	held     bool
-	turn     uint32
+	Value      T
+	InFlight   int  // attempts without an ending
+	Attempts   int  // attempts so far
+	Finished   bool // finally answered
+	inUse      bool
+	generation uint32
 }
 
 // RequestTable is a slab of slots whose places are reused.
 type RequestTable[T any] struct {
 	slots []RequestEntry[T]
 	free  []uint32
-	held  int
+	inUse int
 }
 
 // Add takes a place for a request.
@@ -90,9 +90,9 @@
 		place = uint32(len(d.slots))
 		d.slots = append(d.slots, RequestEntry[T]{})
 	}
-	turn := d.slots[place].turn + 1
-	d.slots[place] = RequestEntry[T]{Value: what, held: true, turn: turn}
-	d.held++
+	turn := d.slots[place].generation + 1
+	d.slots[place] = RequestEntry[T]{Value: what, inUse: true, generation: turn}
+	d.inUse++
 	return routing.RequestRef{Slot: place, Generation: turn}
 }
 
@@ -101,7 +101,7 @@
 	if int(r.Slot) >= len(d.slots) {
 		return nil
 	}
-	if o := &d.slots[r.Slot]; o.held && o.turn == r.Generation {
+	if o := &d.slots[r.Slot]; o.inUse && o.generation == r.Generation {
 		return o
 	}
 	return nil
@@ -110,8 +110,8 @@
 // Each calls with every slot in hand; the call may release its own.
 func (d *RequestTable[T]) Each(call func(routing.RequestRef, *RequestEntry[T])) {
 	for i := range d.slots {
-		if o := &d.slots[i]; o.held {
-			call(routing.RequestRef{Slot: uint32(i), Generation: o.turn}, o)
+		if o := &d.slots[i]; o.inUse {
+			call(routing.RequestRef{Slot: uint32(i), Generation: o.generation}, o)
 		}
 	}
 }
@@ -131,12 +131,12 @@
 	if o == nil || !o.Finished || o.InFlight > 0 {
 		return false
 	}
-	turn := o.turn
-	*o = RequestEntry[T]{turn: turn}
+	turn := o.generation
+	*o = RequestEntry[T]{generation: turn}
 	d.free = append(d.free, r.Slot)
-	d.held--
+	d.inUse--
 	return true
 }
 
 // Len is the number of requests in hand.
-func (d *RequestTable[T]) Len() int { return d.held }
+func (d *RequestTable[T]) Len() int { return d.inUse }
--- a/front/relay.go
+++ b/front/relay.go
@@ -47,59 +47,59 @@
 	Release func() // where set, is called once the answer has been passed on or dropped; it must not block
 }
 
-func (e *AttemptFinished) take(c *Core, _ time.Duration) {
+func (e *AttemptFinished) apply(c *Core, _ time.Duration) {
 	if e.Release != nil {
 		defer e.Release()
 	}
-	if e.Attempt.done {
+	if e.Attempt.finished {
 		return // given up before; that ending was told
 	}
-	e.Attempt.done = true
-	o := routing.AttemptOutcome{Result: ending(&e.Answer, e.Err), Load: deployment.EmptyLoad}
+	e.Attempt.finished = true
+	o := routing.AttemptOutcome{Result: attemptResult(&e.Answer, e.Err), Load: deployment.EmptyLoad}
 	if a := &e.Answer; e.Err == nil {
 		o.Role = roles[a.Role]
 		if a.HasApplied && o.Role == routing.Primary && a.Code == "" && !e.Remote {
-			c.moved(c.timeline.present(a.AppliedMillis, e.Attempt.sent, c.now))
+			c.clockCorrected(c.wallClock.observePresent(a.AppliedMillis, e.Attempt.startedAt, c.now))
 		}
 		report := a.LoadReport
-		if e.Attempt.probe && o.Result == routing.Succeeded {
+		if e.Attempt.healthCheck && o.Result == routing.Succeeded {
 			report = a.Value()
 		}
-		o.Load = c.report(report, e.Attempt.sent)
-		if a.HasApplied && c.believes(o.Role, c.since(a.AppliedMillis)) {
-			o.Position, o.HasPosition = c.since(a.AppliedMillis), true
+		o.Load = c.loadReport(report, e.Attempt.startedAt)
+		if a.HasApplied && c.trustsPosition(o.Role, c.fromUnix(a.AppliedMillis)) {
+			o.Position, o.HasPosition = c.fromUnix(a.AppliedMillis), true
 		}
 	}
 	if d := c.slab.Get(e.Attempt.ref); d != nil {
-		ty := &d.Value.terms.types[d.Value.typ]
+		ty := &d.Value.version.types[d.Value.typeIndex]
 		if o.Result == routing.Succeeded && e.Remote && ty.Consistency == routing.BoundedStaleness && (!e.DataAgeKnown || e.DataAge > ty.MaxStaleness) {
 			o.Result, o.HasPosition = routing.Misrouted, false // a read that is older than its bound by now is nobody's answer
 		}
 		switch {
 		case o.Result == routing.Succeeded:
-			c.learns(e.Attempt)
-			c.answer(d, c.served(e, &o))
+			c.recordExecutionTime(e.Attempt)
+			c.respond(d, c.successResponse(e, &o))
 		case e.Answer.IsStatementError(): // as it would be anywhere: other members are spared it
-			c.answer(d, Response{Status: StatusInvalid, Code: e.Answer.Code, Reason: cmp.Or(e.Answer.ErrorMessage, "the statement cannot be served")})
+			c.respond(d, Response{Status: StatusInvalid, Code: e.Answer.Code, Reason: cmp.Or(e.Answer.ErrorMessage, "the statement cannot be served")})
 		case e.Answer.TooLong: // it ran; another member would answer as much
-			c.answer(d, Response{Status: StatusInvalid, Code: pgwire.CodeProgramLimitExceeded, Reason: e.Answer.ErrorMessage})
+			c.respond(d, Response{Status: StatusInvalid, Code: pgwire.CodeProgramLimitExceeded, Reason: e.Answer.ErrorMessage})
 		}
 	}
 	var why error
 	if e.Err != nil {
 		why = e.Err
 		if e.Err.Stage == StageDecode {
-			c.metrics.spoilt++
+			c.metrics.unreadable++
 		}
 	}
-	slog.Debug("ended", "member", c.members.Key(e.Attempt.member), "probe", e.Attempt.probe, "ending", o.Result,
+	slog.Debug("ended", "member", c.members.Key(e.Attempt.server), "probe", e.Attempt.healthCheck, "ending", o.Result,
 		"why", why, "report", o.Load)
-	c.ended(e.Attempt, o, why)
+	c.attemptFinished(e.Attempt, o, why)
 }
 
-// served is the final answer of what a member committed, with how old its data may be for a further site: since the
+// successResponse is the final answer of what a member committed, with how old its data may be for a further site: since the
 // attempt went out, and what the member was behind when it answered. Only clocks of one site are compared.
-func (c *Core) served(e *AttemptFinished, o *routing.AttemptOutcome) Response {
+func (c *Core) successResponse(e *AttemptFinished, o *routing.AttemptOutcome) Response {
 	f := Response{Status: StatusSucceeded, Rows: e.Answer.Rows, FromPrimary: o.Role == routing.Primary}
 	if e.Answer.HasApplied {
 		f.Position = e.Answer.AppliedMillis
@@ -108,17 +108,17 @@
 	case e.Remote:
 		f.DataAge, f.DataAgeKnown = e.DataAge, e.DataAgeKnown
 	case f.FromPrimary:
-		f.DataAge, f.DataAgeKnown = c.now-e.Attempt.sent, true
+		f.DataAge, f.DataAgeKnown = c.now-e.Attempt.startedAt, true
 	case o.HasPosition:
-		f.DataAge, f.DataAgeKnown = c.now-e.Attempt.sent+max(0, c.now-o.Position), true
+		f.DataAge, f.DataAgeKnown = c.now-e.Attempt.startedAt+max(0, c.now-o.Position), true
 	}
 	return f
 }
 
 var roles = map[string]routing.Role{"primary": routing.Primary, "replica": routing.Replica}
 
-// ending is the protocol's table.
-func ending(a *pgwire.QueryResult, f *ConnectionError) routing.AttemptResult {
+// attemptResult is the protocol's table.
+func attemptResult(a *pgwire.QueryResult, f *ConnectionError) routing.AttemptResult {
 	switch {
 	case f != nil && f.Stage == StageDecode:
 		return routing.ServerError // the member is there, and it may have run
@@ -142,18 +142,18 @@
 	return routing.ServerError // an answer without a row: it may have run
 }
 
-// report reads a member's report of its load. Where a primary's is the first that tells of the present, times move by it.
-func (c *Core) report(pairs []byte, sent time.Duration) routing.LoadReport {
+// loadReport reads a member's report of its load. Where a primary's is the first that tells of the present, times move by it.
+func (c *Core) loadReport(pairs []byte, sent time.Duration) routing.LoadReport {
 	l := deployment.EmptyLoad
-	zero := c.since(0)
+	zero := c.fromUnix(0)
 	if !pgwire.ParseLoadReport(pairs, func(name string, v float64) { deployment.SetLoadField(&l, name, v, zero) }) {
 		return deployment.EmptyLoad
 	}
 	if l.HasPosition && l.Role == routing.Primary && !c.confirmed {
 		told := (l.Position - zero).Milliseconds()
-		c.moved(c.timeline.present(told, sent-oldestLoadReport, c.now))
-		l.Position = c.since(told)
+		c.clockCorrected(c.wallClock.observePresent(told, sent-maxLoadReportAge, c.now))
+		l.Position = c.fromUnix(told)
 	}
-	l.HasPosition = l.HasPosition && c.believes(l.Role, l.Position)
+	l.HasPosition = l.HasPosition && c.trustsPosition(l.Role, l.Position)
 	return l
 }
--- a/front/route.go
+++ b/front/route.go
@@ -11,10 +11,10 @@
 // StartAttempt and the rest are the module's wishes; each is carried out as it stands.
 func (c *Core) StartAttempt(r routing.RequestRef, member int, giveUpAfter time.Duration) {
 	d := c.slab.MustGet(r)
-	s := &Attempt{ref: r, member: member, hop: d.Attempts, sent: c.now}
+	s := &Attempt{ref: r, server: member, number: d.Attempts, startedAt: c.now}
 	d.InFlight++
 	d.Attempts++
-	until := d.Value.expiry
+	until := d.Value.deadline
 	if giveUpAfter != 0 {
 		until = min(until, c.now+giveUpAfter)
 	}
@@ -24,20 +24,20 @@
 		most = min(most, a.MaxAttempts)
 	}
 	if far { // it may make several attempts there: half of what is left, so that a further try has some too
-		grant = max(1, (most-a.spent)/2)
+		grant = max(1, (most-a.attemptsUsed)/2)
 	}
-	a.spent += grant
-	if d.Finished || until <= c.now || a.spent > most {
-		c.later = append(c.later, settled{s, routing.NotSent})
+	a.attemptsUsed += grant
+	if d.Finished || until <= c.now || a.attemptsUsed > most {
+		c.pending = append(c.pending, deferredResult{s, routing.NotSent})
 		return
 	}
 	s.query = a.Statement.QueryWithTimeout(until - c.now)
 	if far {
-		s.way = ForwardedAttempt{RequestID: uint64(r.Slot)<<32 | uint64(r.Generation), AttemptNumber: s.hop, Group: a.Statement.Group, Deadline: until, MaxAttempts: grant,
+		s.forwarded = ForwardedAttempt{RequestID: uint64(r.Slot)<<32 | uint64(r.Generation), AttemptNumber: s.number, Group: a.Statement.Group, Deadline: until, MaxAttempts: grant,
 			Write: a.Statement.Write, MinPosition: a.Statement.After}
-		if pos, ok := c.decider.RequiredPosition(r); ok {
-			at := c.zero.Add(pos + time.Millisecond - 1) // rounded up: never too low
-			s.way.MinPosition = max(s.way.MinPosition, at.UnixMilli())
+		if pos, ok := c.router.RequiredPosition(r); ok {
+			at := c.epoch.Add(pos + time.Millisecond - 1) // rounded up: never too low
+			s.forwarded.MinPosition = max(s.forwarded.MinPosition, at.UnixMilli())
 		}
 	}
 	c.send(s, until)
@@ -45,13 +45,13 @@
 
 // CancelAttempt takes one attempt back.
 func (c *Core) CancelAttempt(r routing.RequestRef, hop int) {
-	for _, s := range c.slab.MustGet(r).Value.out {
-		if s.hop == hop && !s.done {
+	for _, s := range c.slab.MustGet(r).Value.inFlight {
+		if s.number == hop && !s.finished {
 			ending := routing.NotSent
 			if s.cancel() {
 				ending = routing.Cancelled
 			}
-			c.later = append(c.later, settled{s, ending})
+			c.pending = append(c.pending, deferredResult{s, ending})
 		}
 	}
 }
@@ -59,23 +59,23 @@
 // Reject and Fail are final answers.
 func (c *Core) Reject(r routing.RequestRef, comeBackIn time.Duration) {
 	a := c.slab.MustGet(r).Value
-	c.conclude(r, Response{Status: StatusRejected, RetryAfter: comeBackIn, MayHaveRun: a.mayRun && c.types[a.typ].Idempotency != routing.Idempotent})
+	c.finishRequest(r, Response{Status: StatusRejected, RetryAfter: comeBackIn, MayHaveRun: a.mayHaveRun && c.types[a.typeIndex].Idempotency != routing.Idempotent})
 }
 
-func (c *Core) Fail(r routing.RequestRef) { c.conclude(r, Response{Status: StatusFailed}) }
+func (c *Core) Fail(r routing.RequestRef) { c.finishRequest(r, Response{Status: StatusFailed}) }
 
 // StartHealthCheck asks a member for its report.
 func (c *Core) StartHealthCheck(member int) {
-	s := NewHealthCheck(probeMessage)
-	s.member, s.sent, s.turn = member, c.now, c.turns[member]
-	c.metrics.probes++
+	s := NewHealthCheck(healthCheckMessage)
+	s.server, s.startedAt, s.generation = member, c.now, c.turns[member]
+	c.metrics.healthChecks++
 	c.send(s, c.now+c.patience)
 }
 
 // HealthCheckRequested is an event that has a member asked after, since the module of another front in the fleet wanted to know.
 type HealthCheckRequested struct{ Server string }
 
-func (l HealthCheckRequested) take(c *Core, _ time.Duration) {
+func (l HealthCheckRequested) apply(c *Core, _ time.Duration) {
 	if m, ok := c.members.Lookup(l.Server); ok {
 		c.StartHealthCheck(m)
 	}
@@ -88,20 +88,20 @@
 	c.turns[member]++
 	c.pools.Remove(member)
 	if member < len(c.places) {
-		c.places[member] = place{}
+		c.places[member] = serverAddress{}
 	}
 	if member < len(c.metrics.failing) {
 		c.metrics.failing[member] = false
 	}
 }
 
-func (c *Core) WatchEndpoints(on bool) { c.ask.Watch(on) }
-func (c *Core) FetchEndpoints()        { c.ask.Fetch() }
+func (c *Core) WatchEndpoints(on bool) { c.endpointSource.Watch(on) }
+func (c *Core) FetchEndpoints()        { c.endpointSource.Fetch() }
 
 // SendGossip has nowhere to go: the protocol gives fronts no way to speak to each other.
 func (c *Core) SendGossip(int, []byte) {}
 
 // SetTimer sets the module's alarm.
-func (c *Core) SetTimer(after time.Duration) { heap.Push(&c.alarms, alarm{at: c.now + after}) }
+func (c *Core) SetTimer(after time.Duration) { heap.Push(&c.alarms, timer{at: c.now + after}) }
 
 func (c *Core) Log(message string) { slog.Info("module", "says", message) }
--- a/front/script_test.go
+++ b/front/script_test.go
@@ -162,7 +162,7 @@
 	w.s.line("address %d %s age %v", server, address, age)
 }
 func (w scriptPools) Send(server int, a *Attempt) {
-	w.s.line("send %d to %d until %v", len(w.s.sent), server, a.until)
+	w.s.line("send %d to %d until %v", len(w.s.sent), server, a.deadline)
 	if way, probe := a.Forwarded(); way.RequestID != 0 || probe {
 		w.s.line("  forwarded %x try %d group %d until %v grant %d write %v after %d probe %v", way.RequestID, way.AttemptNumber, way.Group, way.Deadline, way.MaxAttempts, way.Write, way.MinPosition, probe)
 	}
--- a/front/takein.go
+++ b/front/takein.go
@@ -47,25 +47,25 @@
 
 // Request is a statement in the core. NewArrival makes it.
 type Request struct {
-	Client      Client
-	Statement   pgwire.Statement
-	ReceivedAt  time.Duration
-	MaxAttempts int // attempts, where fewer than the site allows; 0: as the site does
-	ref         routing.RequestRef
-	expiry      time.Duration
-	out         []*Attempt    // without an ending
-	spent       int           // attempts made and granted to another site
-	mayRun      bool          // something of it may have run:
-	ranSince    time.Duration // what went out then
-	gone        *atomic.Bool  // the client has left; by itself, since attempts keep it and outlive their request
-	typ         int
-	terms       *terms // that were in force when it was taken
-	span        uint32 // the audit's
+	Client       Client
+	Statement    pgwire.Statement
+	ReceivedAt   time.Duration
+	MaxAttempts  int // attempts, where fewer than the site allows; 0: as the site does
+	ref          routing.RequestRef
+	deadline     time.Duration
+	inFlight     []*Attempt    // without an ending
+	attemptsUsed int           // attempts made and granted to another site
+	mayHaveRun   bool          // something of it may have run:
+	firstRunAt   time.Duration // what went out then
+	clientGone   *atomic.Bool  // the client has left; by itself, since attempts keep it and outlive their request
+	typeIndex    int
+	version      *configVersion // that were in force when it was taken
+	auditSpan    uint32         // the audit's
 }
 
 // NewRequest makes an Arrival of a statement that came in whole at a moment of the core's clock.
 func NewRequest(client Client, statement pgwire.Statement, at time.Duration) *Request {
-	return &Request{Client: client, Statement: statement, ReceivedAt: at, gone: new(atomic.Bool)}
+	return &Request{Client: client, Statement: statement, ReceivedAt: at, clientGone: new(atomic.Bool)}
 }
 
 // ClientGone tells that the client of an arrival went away.
@@ -73,69 +73,69 @@
 
 // MarkClientGone is what tells it: from here on nothing of the request begins to go out, however busy the core is.
 func (a *Request) MarkClientGone() ClientGone {
-	a.gone.Store(true)
+	a.clientGone.Store(true)
 	return ClientGone{a}
 }
 
-// take turns names into indices; what names nothing known is answered at once.
-func (a *Request) take(c *Core, now time.Duration) {
+// apply turns names into indices; what names nothing known is answered at once.
+func (a *Request) apply(c *Core, now time.Duration) {
 	if c.lapsed || c.shut {
 		c.metrics.rejected++
 		a.Client.Respond(Response{Status: StatusRejected, RetryAfter: c.comeBack})
 		return
 	}
-	a.terms = c.terms
+	a.version = c.terms
 	s := &a.Statement
 	t := routing.Request{Customer: routing.None, Retry: s.Retry, Write: s.Write}
 	var ok bool
 	if s.Normalized != nil {
-		if why := a.class(c, &t); why != "" {
-			a.refuse(c, why)
+		if why := a.classify(c, &t); why != "" {
+			a.respondInvalid(c, why)
 			return
 		}
 	} else if t.Type, ok = c.typeIDs.Lookup(string(s.RequestType)); !ok {
-		a.refuse(c, "c names no request type of this site")
+		a.respondInvalid(c, "c names no request type of this site")
 		return
 	}
 	ty := &c.types[t.Type]
 	if s.Normalized == nil && s.Write != (ty.Consistency == routing.Write) {
-		a.refuse(c, "the statement does not fit its request type")
+		a.respondInvalid(c, "the statement does not fit its request type")
 		return
 	}
 	if len(s.Customer) > 0 && c.customers.Len() > 0 {
 		if t.Customer, ok = c.customers.Lookup(string(s.Customer)); !ok {
-			a.refuse(c, "t names no customer of this site")
+			a.respondInvalid(c, "t names no customer of this site")
 			return
 		}
 	}
 	if _, taken := c.ids[string(s.ID)]; taken {
-		a.refuse(c, "id names a request in hand")
+		a.respondInvalid(c, "id names a request in hand")
 		return
 	}
 	if t.Group, ok = c.groups.Lookup(s.Group); !ok {
-		a.refuse(c, "cluster names no group on the list")
+		a.respondInvalid(c, "cluster names no group on the list")
 		return
 	}
-	if _, gone := a.terms.givenUp[s.Group]; gone {
-		a.refuse(c, "cluster names a group that is given up")
+	if _, gone := a.version.rejectedGroups[s.Group]; gone {
+		a.respondInvalid(c, "cluster names a group that is given up")
 		return
 	}
-	t.MaxStaleness, t.DedupWindow = a.terms.types[t.Type].MaxStaleness, a.terms.types[t.Type].DedupWindow
+	t.MaxStaleness, t.DedupWindow = a.version.types[t.Type].MaxStaleness, a.version.types[t.Type].DedupWindow
 	if (ty.Consistency == routing.Write || ty.Consistency == routing.ReadYourWrites) && (s.Normalized == nil || len(s.Key) > 0) {
 		t.Session = SessionHash(s.Key)
 	}
 	if s.After > 0 {
-		t.TokenAge = max(1, now-c.since(s.After))
+		t.TokenAge = max(1, now-c.fromUnix(s.After))
 	}
 	if now >= a.ReceivedAt+s.Timeout { // it waited for so long behind others of its connection, or for the core
 		c.metrics.rejected++
 		a.Client.Respond(Response{Status: StatusRejected})
 		return
 	}
-	c.admit(a, t)
+	c.accept(a, t)
 }
 
-func (a *Request) refuse(c *Core, why string) {
-	c.metrics.senseless++
+func (a *Request) respondInvalid(c *Core, why string) {
+	c.metrics.invalid++
 	a.Client.Respond(Response{Status: StatusInvalid, Code: pgwire.CodeInvalidParameterValue, Reason: why})
 }
--- a/front/terms.go
+++ b/front/terms.go
@@ -32,40 +32,40 @@
 // AuditTick is an event that gives the audit its time.
 type AuditTick struct{}
 
-func (AuditTick) take(c *Core, now time.Duration) {
-	if c.bound.Auditor != nil {
-		c.bound.Auditor.Tick(now)
+func (AuditTick) apply(c *Core, now time.Duration) {
+	if c.fleet.Auditor != nil {
+		c.fleet.Auditor.Tick(now)
 	}
 }
 
 // CloseAudit is an event that ends the audit's book, behind all that was posted before. Done is called then.
 type CloseAudit struct{ OnClosed func() }
 
-func (e CloseAudit) take(c *Core, now time.Duration) {
-	if c.bound.Auditor != nil {
-		c.bound.Auditor.Close(now)
+func (e CloseAudit) apply(c *Core, now time.Duration) {
+	if c.fleet.Auditor != nil {
+		c.fleet.Auditor.Close(now)
 	}
 	e.OnClosed()
 }
 
 // JoinFleet sets what a core stands on. It is called before Run.
 func (c *Core) JoinFleet(b FleetOptions) {
-	c.bound = b
+	c.fleet = b
 	c.lapsed = b.Clock != nil // until the first right comes
-	c.terms.right = c.newRight()
+	c.terms.lease = c.newLease()
 }
 
-// terms are the bounds and windows of types by index, and the groups given up, of one version. They never change: a request keeps
+// configVersion are the bounds and windows of types by index, and the groups given up, of one version. They never change: a request keeps
 // those that it was taken on.
-type terms struct {
-	version uint64
-	types   []routing.RequestType
-	givenUp map[int64]struct{}
-	right   *ConfigLease // to act on it; nil where none is needed
+type configVersion struct {
+	number         uint64
+	types          []routing.RequestType
+	rejectedGroups map[int64]struct{}
+	lease          *ConfigLease // to act on it; nil where none is needed
 }
 
 // ConfigVersion is that of the rules in force. For hosts that step the core themselves; elsewhere Adopt's Done tells it.
-func (c *Core) ConfigVersion() uint64 { return c.terms.version }
+func (c *Core) ConfigVersion() uint64 { return c.terms.number }
 
 // Standby tells the same way whether the core stands by without a right.
 func (c *Core) Standby() bool { return c.lapsed }
@@ -81,15 +81,15 @@
 	OnOlderFinished func()
 }
 
-func (e AdoptConfig) take(c *Core, now time.Duration) {
-	t := &terms{version: e.Version, types: c.types, givenUp: map[int64]struct{}{}, right: c.newRight()}
+func (e AdoptConfig) apply(c *Core, now time.Duration) {
+	t := &configVersion{number: e.Version, types: c.types, rejectedGroups: map[int64]struct{}{}, lease: c.newLease()}
 	if r := e.Rules; r != nil {
 		t.types = append([]routing.RequestType{}, c.types...)
 		put := func(name string, set func(*routing.RequestType)) {
 			if i, ok := c.typeIDs.Lookup(name); ok {
 				set(&t.types[i])
-				if c.classes != nil && c.classes.undeclared[i] != i { // a write of a reading type, by another index
-					set(&t.types[c.classes.undeclared[i]])
+				if c.classes != nil && c.classes.writeTypes[i] != i { // a write of a reading type, by another index
+					set(&t.types[c.classes.writeTypes[i]])
 				}
 			}
 		}
@@ -100,7 +100,7 @@
 			put(name, func(ty *routing.RequestType) { ty.DedupWindow = min(ty.DedupWindow, d) })
 		}
 		for _, g := range r.RejectedGroups {
-			t.givenUp[g] = struct{}{}
+			t.rejectedGroups[g] = struct{}{}
 		}
 	}
 	if c.unanswered > c.older { // requests of the version before go on under its right
@@ -108,24 +108,24 @@
 	}
 	c.terms = t
 	c.older, c.alone = c.unanswered, e.OnOlderFinished
-	if c.bound.Auditor != nil {
-		c.bound.Auditor.ConfigAdopted(now, e.Version)
+	if c.fleet.Auditor != nil {
+		c.fleet.Auditor.ConfigAdopted(now, e.Version)
 	}
-	slog.Info("version in force", "version", e.Version, "given_up", len(t.givenUp))
+	slog.Info("version in force", "version", e.Version, "given_up", len(t.rejectedGroups))
 	if e.OnAdopted != nil {
 		e.OnAdopted(now)
 	}
-	if t.right != nil {
-		c.renew(now, t, e.LeaseExpiry)
+	if t.lease != nil {
+		c.renewLease(now, t, e.LeaseExpiry)
 		if e.LeaseExpiry <= now && !c.lapsed {
-			c.lapse(now)
+			c.expireLeases(now)
 		}
 	}
-	c.onlyNewest()
+	c.releaseOlder()
 }
 
-// onlyNewest tells, once, when no request of an older version is in hand any more.
-func (c *Core) onlyNewest() {
+// releaseOlder tells, once, when no request of an older version is in hand any more.
+func (c *Core) releaseOlder() {
 	if c.older == 0 {
 		c.past = nil
 	}
@@ -139,9 +139,9 @@
 // ConfigLease is until when a front may act on what it has. Behind it no attempt begins, whoever is about to write it: the
 // front may have stood still since the core looked. The core alone renews it.
 type ConfigLease struct {
-	now   func() time.Duration
-	until atomic.Int64
-	ended atomic.Bool // it was found to have run out
+	now          func() time.Duration
+	expiry       atomic.Int64
+	foundExpired atomic.Bool // it was found to have run out
 }
 
 // NewConfigLease makes one that has run out; now is the core's clock.
@@ -149,23 +149,23 @@
 
 // Valid tells whether it does, and notes where it does not.
 func (r *ConfigLease) Valid() bool {
-	if int64(r.now()) < r.until.Load() {
+	if int64(r.now()) < r.expiry.Load() {
 		return true
 	}
-	r.ended.Store(true)
+	r.foundExpired.Store(true)
 	return false
 }
 
-func (c *Core) newRight() *ConfigLease {
-	if c.bound.Clock == nil {
+func (c *Core) newLease() *ConfigLease {
+	if c.fleet.Clock == nil {
 		return nil
 	}
-	return NewConfigLease(c.bound.Clock)
+	return NewConfigLease(c.fleet.Clock)
 }
 
-// over tells whether it has run out, or an attempt found it so.
-func (r *ConfigLease) over(now time.Duration) bool {
-	return int64(now) >= r.until.Load() || r.ended.Load()
+// expired tells whether it has run out, or an attempt found it so.
+func (r *ConfigLease) expired(now time.Duration) bool {
+	return int64(now) >= r.expiry.Load() || r.foundExpired.Load()
 }
 
 // RenewLease is an event that lets the core act on a version until a moment of its clock. One that comes behind the end of the last
@@ -175,126 +175,126 @@
 	Expiry  time.Duration
 }
 
-func (e RenewLease) take(c *Core, now time.Duration) {
-	c.lapse(now)
+func (e RenewLease) apply(c *Core, now time.Duration) {
+	c.expireLeases(now)
 	for _, t := range append(c.past, c.terms) {
-		if t.version == e.Version && t.right != nil {
-			c.renew(now, t, e.Expiry)
+		if t.number == e.Version && t.lease != nil {
+			c.renewLease(now, t, e.Expiry)
 		}
 	}
 }
 
-func (c *Core) renew(now time.Duration, t *terms, until time.Duration) {
-	r := t.right
-	if until <= now || int64(until) <= r.until.Load() || r.ended.Load() && t != c.terms {
+func (c *Core) renewLease(now time.Duration, t *configVersion, until time.Duration) {
+	r := t.lease
+	if until <= now || int64(until) <= r.expiry.Load() || r.foundExpired.Load() && t != c.terms {
 		return
 	}
-	r.until.Store(int64(until))
-	r.ended.Store(false)
-	heap.Push(&c.alarms, alarm{at: until, right: true})
+	r.expiry.Store(int64(until))
+	r.foundExpired.Store(false)
+	heap.Push(&c.alarms, timer{at: until, leaseExpiry: true})
 	if t != c.terms {
 		return
 	}
-	if c.bound.Auditor != nil {
-		c.bound.Auditor.LeaseChanged(now, until, false)
+	if c.fleet.Auditor != nil {
+		c.fleet.Auditor.LeaseChanged(now, until, false)
 	}
 	if c.lapsed {
 		c.lapsed = false
-		c.stands(false)
+		c.setStandby(false)
 	}
 }
 
 // ExpireLease is an event that ends the right to a version now.
 type ExpireLease struct{ Version uint64 }
 
-func (e ExpireLease) take(c *Core, now time.Duration) {
+func (e ExpireLease) apply(c *Core, now time.Duration) {
 	for _, t := range append(c.past, c.terms) {
-		if t.version == e.Version && t.right != nil {
-			t.right.until.Store(min(t.right.until.Load(), int64(now)))
+		if t.number == e.Version && t.lease != nil {
+			t.lease.expiry.Store(min(t.lease.expiry.Load(), int64(now)))
 		}
 	}
-	c.lapse(now)
+	c.expireLeases(now)
 }
 
 // ActiveVersions are the versions on which the core may begin something at this moment. For hosts that step the core themselves.
 func (c *Core) ActiveVersions() (all []uint64) {
 	for _, t := range append(c.past, c.terms) {
-		if t.right == nil || int64(t.right.now()) < t.right.until.Load() {
-			all = append(all, t.version)
+		if t.lease == nil || int64(t.lease.now()) < t.lease.expiry.Load() {
+			all = append(all, t.number)
 		}
 	}
 	return all
 }
 
-func (c *Core) stands(on bool) {
+func (c *Core) setStandby(on bool) {
 	if on {
 		slog.Warn("the right to act has run out: no requests are taken until it is renewed")
 	} else {
 		slog.Info("requests are taken: there is a right to act")
 	}
-	if c.bound.OnStandby != nil {
-		c.bound.OnStandby(on)
+	if c.fleet.OnStandby != nil {
+		c.fleet.OnStandby(on)
 	}
 }
 
-// lapse ends all that is in hand on a version whose right has run out: each request gets its final answer at once, and nothing more goes
+// expireLeases ends all that is in hand on a version whose right has run out: each request gets its final answer at once, and nothing more goes
 // out for it. A request of which something may have run promises nothing; of the others trying again is harmless.
-func (c *Core) lapse(now time.Duration) {
+func (c *Core) expireLeases(now time.Duration) {
 	gone := false
 	for _, t := range c.past {
-		gone = gone || t.right != nil && t.right.over(now)
+		gone = gone || t.lease != nil && t.lease.expired(now)
 	}
-	if t := c.terms; t.right != nil && !c.lapsed && t.right.over(now) {
+	if t := c.terms; t.lease != nil && !c.lapsed && t.lease.expired(now) {
 		gone, c.lapsed = true, true
-		if c.bound.Auditor != nil {
-			c.bound.Auditor.LeaseChanged(now, time.Duration(t.right.until.Load()), true)
+		if c.fleet.Auditor != nil {
+			c.fleet.Auditor.LeaseChanged(now, time.Duration(t.lease.expiry.Load()), true)
 		}
-		t.right.until.Store(0)
-		c.stands(true)
+		t.lease.expiry.Store(0)
+		c.setStandby(true)
 	}
 	if !gone {
 		return
 	}
-	c.endAll(now, func(t *terms) bool { return t.right.over(now) })
+	c.finishAll(now, func(t *configVersion) bool { return t.lease.expired(now) })
 }
 
 // Shutdown is an event that ends all that is in hand: whoever waits for it will be gone soon. No request is taken behind it.
 type Shutdown struct{}
 
-func (Shutdown) take(c *Core, now time.Duration) {
+func (Shutdown) apply(c *Core, now time.Duration) {
 	c.shut = true
-	c.endAll(now, func(*terms) bool { return true })
+	c.finishAll(now, func(*configVersion) bool { return true })
 }
 
-// endAll gives each request in hand on some terms its final answer, and takes back what is out for it.
-func (c *Core) endAll(now time.Duration, on func(*terms) bool) {
+// finishAll gives each request in hand on some terms its final answer, and takes back what is out for it.
+func (c *Core) finishAll(now time.Duration, on func(*configVersion) bool) {
 	c.slab.Each(func(ref routing.RequestRef, d *RequestEntry[*Request]) {
-		if d.Finished || !on(d.Value.terms) {
+		if d.Finished || !on(d.Value.version) {
 			return
 		}
 		a := d.Value
-		outs := append([]*Attempt{}, a.out...)
+		outs := append([]*Attempt{}, a.inFlight...)
 		endings := make([]routing.AttemptResult, len(outs))
 		for i, s := range outs {
-			if !s.done {
+			if !s.finished {
 				endings[i] = routing.NotSent
 				if s.cancel() {
-					endings[i], a.mayRun = routing.Cancelled, true
+					endings[i], a.mayHaveRun = routing.Cancelled, true
 				}
 			}
 		}
-		f := Response{Status: StatusRejected, RetryAfter: c.comeBack, MayHaveRun: a.mayRun}
-		if a.mayRun && c.types[a.typ].Idempotency != routing.Idempotent {
+		f := Response{Status: StatusRejected, RetryAfter: c.comeBack, MayHaveRun: a.mayHaveRun}
+		if a.mayHaveRun && c.types[a.typeIndex].Idempotency != routing.Idempotent {
 			f = Response{Status: StatusFailed}
 		}
-		c.answer(d, f)
+		c.respond(d, f)
 		if len(outs) == 0 {
-			c.decider.ClientGone(now, ref)
+			c.router.ClientGone(now, ref)
 			c.slab.Release(ref)
 		}
 		for i, s := range outs {
 			if endings[i] != routing.Succeeded { // it was out until now
-				c.ended(s, routing.AttemptOutcome{Result: endings[i], Load: deployment.EmptyLoad}, nil)
+				c.attemptFinished(s, routing.AttemptOutcome{Result: endings[i], Load: deployment.EmptyLoad}, nil)
 			}
 		}
 	})
--- a/front/terms_test.go
+++ b/front/terms_test.go
@@ -46,7 +46,7 @@
 func TestATxnKeepsTheTermsItWasTakenOn(t *testing.T) {
 	c, m, w := newFront(t)
 	c.types[0].Consistency, c.types[0].MaxStaleness = routing.BoundedStaleness, 3*time.Second
-	c.terms = &terms{types: c.types}
+	c.terms = &configVersion{types: c.types}
 	arrive(t, c, w, browse)
 	c.batch(10 * ms)
 	at := time.Duration(-1)
@@ -59,8 +59,8 @@
 	require.Len(t, m.begun, 2)
 	assert.Equal(t, []time.Duration{3 * time.Second, time.Second}, []time.Duration{m.begun[0].MaxStaleness, m.begun[1].MaxStaleness})
 	old := c.slab.MustGet(m.begun[0].Ref).Value
-	assert.EqualValues(t, 0, old.terms.version)
-	assert.Equal(t, 3*time.Second, old.terms.types[0].MaxStaleness, "those in hand keep theirs")
+	assert.EqualValues(t, 0, old.version.number)
+	assert.Equal(t, 3*time.Second, old.version.types[0].MaxStaleness, "those in hand keep theirs")
 
 	alone := 0
 	c.Post(AdoptConfig{Version: 2, OnOlderFinished: func() { alone++ }})
@@ -84,7 +84,7 @@
 func TestBehindTheEndOfItsRightAFrontTakesNothingAndOwesNothing(t *testing.T) {
 	c, m, w, l, now := righted(t)
 	stood := []bool{}
-	c.bound.OnStandby = func(on bool) { stood = append(stood, on) }
+	c.fleet.OnStandby = func(on bool) { stood = append(stood, on) }
 	out(t, c, m, w)
 	w.begin(t, 0)
 	*now = 100 * ms
--- a/front/timeline.go
+++ b/front/timeline.go
@@ -6,7 +6,7 @@
 	"dapplerouter/routing"
 )
 
-// timeline puts Unix times that others tell, in milliseconds, on the core's clock.
+// wallClock puts Unix times that others tell, in milliseconds, on the core's clock.
 //
 // The wall clock is read once, at the start, and may be an hour off then: a machine's wall clock may be stepped. What was heard,
 // and when by the monotonic clock, tells more: a primary's position is the present, so it lies between the moments in which its
@@ -15,8 +15,8 @@
 //
 // Invariant: a time told by others moves on the core's clock only by a shift that is returned, so that whoever keeps such times can
 // move them too.
-type timeline struct {
-	zero      time.Time // by the others' wall clock, at 0 of the core's
+type wallClock struct {
+	epoch     time.Time // by the others' wall clock, at 0 of the core's
 	confirmed bool      // by a primary's answer
 
 	earliest, latest time.Duration // shifts that the last contradicting answers agree on
@@ -24,94 +24,94 @@
 }
 
 const (
-	timelineSlack    = 20 * time.Millisecond // what clocks of milliseconds and of several machines may differ by
-	timelineQuorum   = 3                     // contradicting answers, one behind the other, that are believed
-	oldestLoadReport = 10 * time.Second      // how old the position in a load report may be
+	clockSlack       = 20 * time.Millisecond // what clocks of milliseconds and of several machines may differ by
+	correctionQuorum = 3                     // contradicting answers, one behind the other, that are believed
+	maxLoadReportAge = 10 * time.Second      // how old the position in a load report may be
 )
 
 // at is a Unix time in milliseconds on the core's clock.
-func (l *timeline) at(ms int64) time.Duration { return time.UnixMilli(ms).Sub(l.zero) }
+func (l *wallClock) at(ms int64) time.Duration { return time.UnixMilli(ms).Sub(l.epoch) }
 
-// present takes a time that was the present at some moment between two. It returns by how much times have moved since, mostly 0.
-func (l *timeline) present(ms int64, from, until time.Duration) (shift time.Duration) {
+// observePresent takes a time that was the present at some moment between two. It returns by how much times have moved since, mostly 0.
+func (l *wallClock) observePresent(ms int64, from, until time.Duration) (shift time.Duration) {
 	told := l.at(ms)
-	if told >= from-timelineSlack && told <= until+timelineSlack {
+	if told >= from-clockSlack && told <= until+clockSlack {
 		l.confirmed, l.contradicting = true, 0
 		return 0
 	}
 	earliest, latest := from-told, until-told
-	if l.contradicting > 0 && earliest <= l.latest+timelineSlack && latest >= l.earliest-timelineSlack {
+	if l.contradicting > 0 && earliest <= l.latest+clockSlack && latest >= l.earliest-clockSlack {
 		earliest, latest = max(earliest, l.earliest), min(latest, l.latest)
 		l.contradicting++
 	} else {
 		l.contradicting = 1
 	}
 	l.earliest, l.latest = earliest, latest
-	if l.confirmed && l.contradicting < timelineQuorum {
+	if l.confirmed && l.contradicting < correctionQuorum {
 		return 0
 	}
 	l.confirmed = true
-	return l.move(earliest) // positions look as old as they can be
+	return l.shiftBy(earliest) // positions look as old as they can be
 }
 
-// past takes a time that lies in the past. Until the present is confirmed, it tells that the clock is behind.
-func (l *timeline) past(ms int64, now time.Duration) (shift time.Duration) {
-	if told := l.at(ms); !l.confirmed && told > now+timelineSlack {
-		return l.move(now - told)
+// observePast takes a time that lies in the past. Until the present is confirmed, it tells that the clock is behind.
+func (l *wallClock) observePast(ms int64, now time.Duration) (shift time.Duration) {
+	if told := l.at(ms); !l.confirmed && told > now+clockSlack {
+		return l.shiftBy(now - told)
 	}
 	return 0
 }
 
-func (l *timeline) move(by time.Duration) time.Duration {
-	l.zero = l.zero.Add(-by)
+func (l *wallClock) shiftBy(by time.Duration) time.Duration {
+	l.epoch = l.epoch.Add(-by)
 	l.contradicting = 0
 	return by
 }
 
-// believes tells whether a position that a member tells may count. A primary's is the present. Another's counts only once the present
+// trustsPosition tells whether a position that a member tells may count. A primary's is the present. Another's counts only once the present
 // is known, and never where it lies ahead of it: then a clock was stepped, and it tells nothing of how far that member is behind.
-func (c *Core) believes(role routing.Role, position time.Duration) bool {
-	return role == routing.Primary || c.confirmed && position <= c.now+timelineSlack
+func (c *Core) trustsPosition(role routing.Role, position time.Duration) bool {
+	return role == routing.Primary || c.confirmed && position <= c.now+clockSlack
 }
 
-// place is where a member is reached, and when it started last.
-type place struct {
-	address string
-	since   int64 // Unix milliseconds, 0 for long ago
+// serverAddress is where a member is reached, and when it started last.
+type serverAddress struct {
+	address   string
+	startedAt int64 // Unix milliseconds, 0 for long ago
 }
 
-// since puts a Unix time in milliseconds on the clock of this instance.
-func (c *Core) since(ms int64) time.Duration { return c.timeline.at(ms) }
+// fromUnix puts a Unix time in milliseconds on the clock of this instance.
+func (c *Core) fromUnix(ms int64) time.Duration { return c.wallClock.at(ms) }
 
-// place tells the pools where a member is reached.
-func (c *Core) place(member int, p place) {
+// setAddress tells the pools where a member is reached.
+func (c *Core) setAddress(member int, p serverAddress) {
 	for len(c.places) <= member {
-		c.places = append(c.places, place{})
+		c.places = append(c.places, serverAddress{})
 	}
 	c.places[member] = p
-	c.pools.SetAddress(member, p.address, c.age(p.since))
+	c.pools.SetAddress(member, p.address, c.uptime(p.startedAt))
 }
 
-// age is how long ago a member started.
-func (c *Core) age(since int64) time.Duration {
+// uptime is how long ago a member started.
+func (c *Core) uptime(since int64) time.Duration {
 	if since == 0 {
-		return longAgo
+		return unknownUptime
 	}
-	return max(0, c.now-c.since(since))
+	return max(0, c.now-c.fromUnix(since))
 }
 
-// longAgo is the age of a member that started before anyone can say.
-const longAgo = 100 * 365 * 24 * time.Hour
+// unknownUptime is the age of a member that started before anyone can say.
+const unknownUptime = 100 * 365 * 24 * time.Hour
 
-// moved tells all who keep times of others that these have moved.
-func (c *Core) moved(shift time.Duration) {
+// clockCorrected tells all who keep times of others that these have moved.
+func (c *Core) clockCorrected(shift time.Duration) {
 	if shift == 0 {
 		return
 	}
-	c.decider.ClockCorrected(c.now, shift)
+	c.router.ClockCorrected(c.now, shift)
 	for member, p := range c.places {
-		if p.since != 0 && p.address != "" {
-			c.pools.SetAddress(member, p.address, c.age(p.since))
+		if p.startedAt != 0 && p.address != "" {
+			c.pools.SetAddress(member, p.address, c.uptime(p.startedAt))
 		}
 	}
 }
