--- a/front/script_test.go
+++ b/front/script_test.go
@@ -47,10 +47,10 @@
 			{Consistency: routing.Write, Idempotency: routing.IdempotencyKey, DedupWindow: 400 * ms, Deadline: 2 * time.Second},
 			{Consistency: routing.ReadYourWrites, Deadline: time.Second}},
 		Limits: routing.Limits{MaxAttempts: 5, DialTimeout: 250 * ms, MaxRetryAfter: 700 * ms}}
-	s.core = NewCore(born, 1, st, func(h routing.Host, _ routing.Options) routing.Router {
+	s.core = NewCore(Options{StartedAt: born, Seed: 1, Settings: st, Pools: scriptPools{s}, Endpoints: scriptPools{s}, Classifier: classing, NewRouter: func(h routing.Host, _ routing.Options) routing.Router {
 		s.host = h
 		return scriptRouter{s}
-	}, scriptPools{s}, scriptPools{s}, classing)
+	}})
 	s.core.JoinFleet(FleetOptions{Clock: func() time.Duration { return s.now }, Auditor: scriptAudit{s}, OnStandby: func(on bool) { s.line("standby %v", on) }})
 	s.core.clock = func() time.Duration { return s.now }
 	s.core.SetStaticEndpoints([]discovery.Endpoint{{Name: "remote", Address: RemoteSitePrefix + "west/9", Zone: "b", ServerType: "site", Group: 9}})
@@ -161,7 +161,7 @@
 	w.s.line("address %d %s age %v", server, address, age)
 }
 func (w scriptPools) Send(server int, a *Attempt) {
-	w.s.line("send %d to %d until %v", len(w.s.sent), server, a.until)
+	w.s.line("send %d to %d until %v", len(w.s.sent), server, a.deadline)
 	if way, probe := a.Forwarded(); way.RequestID != 0 || probe {
 		w.s.line("  forwarded %x try %d group %d until %v grant %d write %v after %d probe %v", way.RequestID, way.AttemptNumber, way.Group, way.Deadline, way.MaxAttempts, way.Write, way.MinPosition, probe)
 	}
--- a/sockets/sockets_test.go
+++ b/sockets/sockets_test.go
@@ -87,10 +87,10 @@
 	s := &deployment.Settings{TypeNames: []string{"read", "write"}, ZoneNames: []string{"a"},
 		RequestTypes: []routing.RequestType{{Deadline: time.Minute}, {Deadline: time.Minute, Consistency: routing.Write}},
 		Limits:       routing.Limits{MaxAttempts: 9, DialTimeout: 5 * time.Second}}
-	g.core = front.NewCore(clock.StartedAt, 1, s, func(h routing.Host, _ routing.Options) routing.Router {
+	g.core = front.NewCore(front.Options{StartedAt: clock.StartedAt, Seed: 1, Settings: s, Pools: g.links, Endpoints: nobody{}, NewRouter: func(h routing.Host, _ routing.Options) routing.Router {
 		g.d.Host = h
 		return g.d
-	}, g.links, nobody{}, nil)
+	}})
 	g.list(g.member.Addr().String(), 0)
 	g.server = NewServer(post, g.room, clock, 5*time.Second, 32<<20)
 	g.server.idle = time.Minute
