--- a/cmd/dapplerouter/clock_readings_test.go
+++ b/cmd/dapplerouter/clock_readings_test.go
@@ -21,14 +21,14 @@
 	"front/core.go: timeline: timeline{zero: born.Round(0)}": "the guess that primaries' answers correct (front/timeline.go)",
 	"front/timeline.go: time.UnixMilli(ms).Sub(l.zero)":      "times that others tell, against that guess",
 	"front/route.go: at.UnixMilli()":                         "a position told to a far site's front; off in run",
-	"sockets/limiter.go: var past = time.Unix(1, 0)":         "a deadline that has passed by any clock",
+	"tcpconn/tcpconn.go: var Past = time.Unix(1, 0)":         "a deadline that has passed by any clock",
 }
 
 // TERMS.md: "Deadlines, windows, waits and graces are spans of real time." No machine's clock is stepped here: in the packages of
 // service a time without its monotonic reading stands only where the table says why.
 func TestDatesStandOnlyWhereAStepDoesNoHarm(t *testing.T) {
 	found := map[string]bool{}
-	for _, dir := range strings.Fields("adapter discovery front pgwire port router site sockets") {
+	for _, dir := range strings.Fields("adapter discovery front pgwire routing router deployment server upstream limits tcpconn monotonic") {
 		files, err := filepath.Glob(filepath.Join("../..", dir, "*.go"))
 		require.NoError(t, err)
 		require.NotEmpty(t, files)
--- a/cmd/dapplerouter/gateway.go
+++ b/cmd/dapplerouter/gateway.go
@@ -12,8 +12,8 @@
 	"dapplerouter/front"
 	"dapplerouter/gateway"
 	"dapplerouter/gateway/link"
+	"dapplerouter/monotonic"
 	"dapplerouter/pgwire"
-	"dapplerouter/sockets"
 )
 
 // gatewayCall is one site's instance of a gateway between two: a front with a link to its peer.
@@ -31,7 +31,7 @@
 }
 
 // bridgeOf makes the link that a gateway form tells of, nil for none, and gives the site the peer's zone.
-func bridgeOf(c *gateway.Config, told *deployment.Instance, clock *sockets.Clock, post func(front.Event), local front.Pools,
+func bridgeOf(c *gateway.Config, told *deployment.Instance, clock *monotonic.Clock, post func(front.Event), local front.Pools,
 	parse func([]byte) (pgwire.Statement, error)) (*bridge, error) {
 	if c == nil {
 		return nil, nil
--- a/cmd/dapplerouter/serve.go
+++ b/cmd/dapplerouter/serve.go
@@ -19,10 +19,13 @@
 	"dapplerouter/front"
 	"dapplerouter/gateway"
 	"dapplerouter/gateway/link"
+	"dapplerouter/limits"
+	"dapplerouter/monotonic"
 	"dapplerouter/pgwire"
 	"dapplerouter/router"
 	"dapplerouter/routing"
-	"dapplerouter/sockets"
+	"dapplerouter/server"
+	"dapplerouter/upstream"
 )
 
 // The user and database that members are greeted with.
@@ -38,7 +41,7 @@
 	longestCounted = 3 * time.Second
 	killAfter      = 700 * time.Millisecond
 	longestHoldUp  = 150 * time.Millisecond
-	drainMargin    = 2*longestHoldUp + sockets.MaxCloseLinger
+	drainMargin    = 2*longestHoldUp + server.MaxCloseLinger
 )
 
 // drainFor is how long after SIGTERM requests may stay out, for a longest deadline.
@@ -97,8 +100,8 @@
 func serve(told *deployment.Instance, operator *operator, stopAsked, rereadAsked <-chan os.Signal, ready func(net.Addr, *bridge)) error {
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
-	clock := sockets.NewClock()
-	room := sockets.NewDescriptors(told.MaxDescriptors, deployment.ReservedDescriptors)
+	clock := monotonic.NewClock()
+	room := limits.NewDescriptors(limits.SharesOf(told.MaxDescriptors, deployment.ReservedDescriptors))
 	allowed := told.Settings.Limits
 	var core *front.Core
 	post := func(e front.Event) { core.Post(e) }
@@ -107,10 +110,10 @@
 	if operator.fleet != nil {
 		seen = func(e front.Event) { fellows.Prober.OnFrontEvent(e) }
 	}
-	links := sockets.NewPools(seen, room, user, database, allowed.DialTimeout, allowed.IdleConnTimeout,
-		told.MemoryBytes)
-	directory := sockets.NewWatcher(ctx, discovery.NewClient(told.Discovery, told.CachedList.Index), seen,
-		sockets.NewJitter(told.Seed))
+	links := upstream.NewPools(upstream.Options{Post: seen, Limiter: room, User: user, Database: database,
+		DialTimeout: allowed.DialTimeout, IdleTimeout: allowed.IdleConnTimeout, MemoryBytes: told.MemoryBytes})
+	directory := discovery.NewWatcher(ctx, discovery.NewClient(told.Discovery, told.CachedList.Index), func(u discovery.Update) { seen(front.EndpointsChanged{Kind: u.Kind, List: u.List}) },
+		discovery.NewJitter(told.Seed))
 	classing, parse := operator.classes(), pgwire.ParseStatement
 	if classing != nil {
 		parse = func(body []byte) (pgwire.Statement, error) { return pgwire.ParseClassified(body, classing.Classifier) }
@@ -152,9 +155,9 @@
 	for _, ty := range told.Settings.RequestTypes {
 		longest = max(longest, ty.Deadline)
 	}
-	server := sockets.NewServer(post, room, clock, longest, told.MemoryBytes)
+	clients := server.New(server.Options{Post: post, Limiter: room, Clock: clock, WriteTimeout: longest, MemoryBytes: told.MemoryBytes})
 	if fellows != nil {
-		fellows.OnStandby = func(on bool) { server.SetStandby(on, operator.fleet.LeaseDuration) }
+		fellows.OnStandby = func(on bool) { clients.SetStandby(on, operator.fleet.LeaseDuration) }
 	}
 	go core.Run(clock, ctx.Done())
 	if err := all.start(); err != nil {
@@ -171,7 +174,7 @@
 	}
 	if classing != nil {
 		links.AllowAnyResult()
-		server.SetParser(parse)
+		clients.SetParser(parse)
 		slog.Info("statements are classed", "cache", operator.classing.CacheBytes, "rules", len(classing.Rules()))
 	}
 	ready(listener.Addr(), across)
@@ -183,7 +186,7 @@
 	}
 	go reread(ctx, rereadAsked, told, func(address string) { directory.SetAddress(address); all.moved(address) })
 	served := make(chan error, 1)
-	go func() { served <- server.Serve(listener) }()
+	go func() { served <- clients.Serve(listener) }()
 	var failed error
 	select {
 	case failed = <-served: // what was taken is owed its answer all the same
@@ -193,19 +196,19 @@
 	}
 	until := time.Now().Add(drainFor(longest))
 	slog.Info("draining")
-	server.Drain(listener)
+	clients.Drain(listener)
 	all.drain(time.Second)
 	if err := <-served; err != nil && failed == nil {
 		failed = err
 	}
-	whole := server.Wait(time.Until(until))
+	whole := clients.Wait(time.Until(until))
 	if !whole { // what is still out gets its answer now: whoever asked for the stop will not wait for ever
 		core.Post(front.Shutdown{})
-		server.Close()
-		whole = server.Wait(2 * time.Second)
+		clients.Close()
+		whole = clients.Wait(2 * time.Second)
 	}
 	core.Post(front.LogTotals{Extra: usage(room)})
-	slog.Info("drained", "all", whole, "refused", server.RejectedWhileDraining())
+	slog.Info("drained", "all", whole, "refused", clients.RejectedWhileDraining())
 	return failed
 }
 
@@ -251,7 +254,7 @@
 }
 
 // totals writes what passed and what is held to the log at intervals.
-func totals(ctx context.Context, core *front.Core, room *sockets.Descriptors) {
+func totals(ctx context.Context, core *front.Core, room *limits.Descriptors) {
 	reports(ctx, func() { core.Post(front.LogTotals{Extra: usage(room)}) })
 }
 
@@ -269,7 +272,7 @@
 	}
 }
 
-func usage(room *sockets.Descriptors) []any {
+func usage(room *limits.Descriptors) []any {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	clients, links, peak := room.InUse()
--- a/sockets/directory.go
+++ b/discovery/watcher.go
@@ -1,4 +1,4 @@
-package sockets
+package discovery
 
 import (
 	"context"
@@ -7,40 +7,44 @@
 	"sync"
 	"time"
 
-	"dapplerouter/discovery"
-	"dapplerouter/front"
 	"dapplerouter/routing"
 )
 
 // Watcher brings the list to the core: unasked, or on the module's word where the site wants to be asked.
 type Watcher struct {
-	post   func(front.Event)
+	post   func(Update)
 	ctx    context.Context
 	spread func() float64
 
 	mu      sync.Mutex
-	client  *discovery.Client // of the newest address
-	told    bool              // it has brought a list
+	client  *Client // of the newest address
+	told    bool    // it has brought a list
 	follows bool
 	watches bool
-	end     func()                // ends what runs for it, and returns when it has
-	earlier []followed            // addresses of before, oldest first, until a later one has brought its list
-	lean    func() discovery.List // what others who follow the list know; nil where this front follows by itself
+	end     func()      // ends what runs for it, and returns when it has
+	earlier []followed  // addresses of before, oldest first, until a later one has brought its list
+	lean    func() List // what others who follow the list know; nil where this front follows by itself
 	turn    int
-	passing []front.EndpointsChanged // to the core, in order
+	passing []Update // to the core, in order
+}
+
+// Update is an endpoint list, or changes of one, or that it could not be read.
+type Update struct {
+	Kind routing.UpdateKind
+	List List // empty where Kind says that the update failed
 }
 
 // followed is an address at which the list is followed.
 type followed struct {
-	client *discovery.Client
+	client *Client
 	end    func()
 }
 
 // maxEarlier bounds how many addresses of before are followed; each takes two descriptors at most.
 const maxEarlier = 4
 
-// NewWatcher makes a Directory that lasts as long as ctx; spread keeps fronts from asking all at once.
-func NewWatcher(ctx context.Context, client *discovery.Client, post func(front.Event), spread func() float64) *Watcher {
+// NewWatcher makes a Watcher that lasts as long as ctx; spread keeps fronts from asking all at once.
+func NewWatcher(ctx context.Context, client *Client, post func(Update), spread func() float64) *Watcher {
 	return &Watcher{client: client, post: post, ctx: ctx, spread: spread, end: func() {}}
 }
 
@@ -141,7 +145,7 @@
 
 // UseSharedList ends this front's own watch: others follow the list, and from gives all that they know. What they know must not be
 // older than what this front has heard; ok is false then.
-func (d *Watcher) UseSharedList(from func() discovery.List) (ok bool) {
+func (d *Watcher) UseSharedList(from func() List) (ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.turn++
@@ -168,7 +172,7 @@
 }
 
 // SharedListChanged passes on what others heard of the list.
-func (d *Watcher) SharedListChanged(l discovery.List) {
+func (d *Watcher) SharedListChanged(l List) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.lean != nil && (d.follows || d.watches) {
@@ -197,7 +201,7 @@
 	})
 }
 
-func (d *Watcher) fetch(client *discovery.Client) {
+func (d *Watcher) fetch(client *Client) {
 	go func() {
 		l, err := client.FetchSnapshot(d.ctx)
 		if err != nil {
@@ -210,21 +214,21 @@
 }
 
 // failed is what the core hears where the list did not come.
-var failed = front.EndpointsChanged{Kind: routing.UpdateFailed}
+var failed = Update{Kind: routing.UpdateFailed}
 
-func listed(l discovery.List) front.EndpointsChanged {
+func listed(l List) Update {
 	if l.Snapshot {
-		return front.EndpointsChanged{Kind: routing.Snapshot, List: l}
+		return Update{Kind: routing.Snapshot, List: l}
 	}
-	return front.EndpointsChanged{Kind: routing.Delta, List: l}
+	return Update{Kind: routing.Delta, List: l}
 }
 
-func (d *Watcher) from(client *discovery.Client) func(discovery.List) {
-	return func(l discovery.List) { d.passFrom(client, listed(l)) }
+func (d *Watcher) from(client *Client) func(List) {
+	return func(l List) { d.passFrom(client, listed(l)) }
 }
 
 // passFrom passes on what came from an address, unless a later one has brought its list: that says all.
-func (d *Watcher) passFrom(client *discovery.Client, e front.EndpointsChanged) {
+func (d *Watcher) passFrom(client *Client, e Update) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.client == client {
@@ -246,7 +250,7 @@
 
 // pass tells the core in the order of the calls, without waiting for it: who calls may be the core itself, or hold the lock
 // that it wants.
-func (d *Watcher) pass(e front.EndpointsChanged) {
+func (d *Watcher) pass(e Update) {
 	d.passing = append(d.passing, e)
 	if len(d.passing) > 1 {
 		return // somebody is at it
--- a/sockets/directory_test.go
+++ b/discovery/watcher_test.go
@@ -1,4 +1,4 @@
-package sockets
+package discovery
 
 import (
 	"context"
@@ -13,8 +13,6 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"dapplerouter/discovery"
-	"dapplerouter/front"
 	"dapplerouter/routing"
 )
 
@@ -42,9 +40,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			ctx, end := context.WithCancel(context.Background())
-			asked, left, told := make(chan string, 9), make(chan string, 9), make(chan front.EndpointsChanged, 9)
+			asked, left, told := make(chan string, 9), make(chan string, 9), make(chan Update, 9)
 			old := listing(t, `{"index":4,"snapshot":true,"endpoints":[]}`, asked, left)
-			d := NewWatcher(ctx, discovery.NewClient(old, 4), func(e front.Event) { told <- e.(front.EndpointsChanged) },
+			d := NewWatcher(ctx, NewClient(old, 4), func(e Update) { told <- e },
 				func() float64 { return 0 })
 			defer end() // before the services are closed, which wait for the watch that is left
 			start(d)
@@ -71,7 +69,7 @@
 // old list came after the new one and took back what that told.
 func TestNoListOfTheOldAddressComesAfterTheNewOnes(t *testing.T) {
 	asked, left, late := make(chan string, 9), make(chan string, 9), make(chan struct{})
-	hung, seen, told := make(chan struct{}), make(chan front.EndpointsChanged, 9), make(chan front.EndpointsChanged, 9)
+	hung, seen, told := make(chan struct{}), make(chan Update, 9), make(chan Update, 9)
 	var calls atomic.Int32
 	old := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if calls.Add(1) == 2 {
@@ -84,10 +82,10 @@
 	free := sync.OnceFunc(func() { close(late) })
 	t.Cleanup(free)
 	release := make(chan struct{})
-	d := NewWatcher(t.Context(), discovery.NewClient(strings.TrimPrefix(old.URL, "http://"), 4), func(e front.Event) {
-		seen <- e.(front.EndpointsChanged)
+	d := NewWatcher(t.Context(), NewClient(strings.TrimPrefix(old.URL, "http://"), 4), func(e Update) {
+		seen <- e
 		<-release
-		told <- e.(front.EndpointsChanged)
+		told <- e
 	}, func() float64 { return 0 })
 	d.Fetch()
 	assert.Equal(t, int64(4), (<-seen).List.Index) // not in force yet
@@ -111,21 +109,21 @@
 // A front leans on the list that another follows, and goes back to its own watch; what is older never comes after what is newer.
 func TestAFrontLeansOnTheListThatAnotherFollowsAndGoesBackToItsOwn(t *testing.T) {
 	ctx, end := context.WithCancel(context.Background())
-	asked, left, told := make(chan string, 9), make(chan string, 9), make(chan front.EndpointsChanged, 9)
+	asked, left, told := make(chan string, 9), make(chan string, 9), make(chan Update, 9)
 	address := listing(t, `{"index":4,"snapshot":true,"endpoints":[]}`, asked, left)
-	d := NewWatcher(ctx, discovery.NewClient(address, 4), func(e front.Event) { told <- e.(front.EndpointsChanged) }, func() float64 { return 0 })
+	d := NewWatcher(ctx, NewClient(address, 4), func(e Update) { told <- e }, func() float64 { return 0 })
 	t.Cleanup(end)
 	d.Follow()
 	assert.Equal(t, int64(4), (<-told).List.Index)
 	assert.ElementsMatch(t, []string{"", "watch=1&after=4"}, []string{<-asked, <-asked})
-	known := discovery.List{Index: 3, Snapshot: true}
-	from := func() discovery.List { return known }
+	known := List{Index: 3, Snapshot: true}
+	from := func() List { return known }
 	assert.False(t, d.UseSharedList(from), "what others know is older than what this front heard")
 	known.Index = 6
 	require.True(t, d.UseSharedList(from))
 	assert.Equal(t, "watch=1&after=4", <-left, "its own watch ends")
 	assert.Equal(t, int64(6), (<-told).List.Index)
-	d.SharedListChanged(discovery.List{Index: 7})
+	d.SharedListChanged(List{Index: 7})
 	l := <-told
 	assert.Equal(t, int64(7), l.List.Index)
 	assert.Equal(t, routing.Delta, l.Kind)
@@ -135,6 +133,6 @@
 	d.WatchDirectly(0)
 	assert.Equal(t, "", <-asked, "alone, it asks for the whole list and watches again")
 	assert.False(t, d.UsesSharedList())
-	d.SharedListChanged(discovery.List{Index: 8})
+	d.SharedListChanged(List{Index: 8})
 	assert.Equal(t, int64(4), (<-told).List.Index, "and hears its own service only")
 }
--- a/fleet/agent/admin_test.go
+++ b/fleet/agent/admin_test.go
@@ -19,7 +19,6 @@
 	"dapplerouter/discovery"
 	"dapplerouter/fleet"
 	"dapplerouter/front"
-	"dapplerouter/sockets"
 )
 
 // startVoter starts the agent of a fleet's only voter n1, with an admin API, and waits until it holds the endpoint list's lease.
@@ -29,7 +28,7 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { os.RemoveAll(dir) })
 	post := func(front.Event) {}
-	directory := sockets.NewWatcher(t.Context(), discovery.NewClient("127.0.0.1:1", 0), post, sockets.NewJitter(1))
+	directory := discovery.NewWatcher(t.Context(), discovery.NewClient("127.0.0.1:1", 0), func(u discovery.Update) { post(front.EndpointsChanged{Kind: u.Kind, List: u.List}) }, discovery.NewJitter(1))
 	start := &deployment.Instance{Name: "n1", Discovery: "127.0.0.1:1", Settings: &deployment.Settings{}}
 	config := &fleet.Config{ID: "f", Listen: "127.0.0.1:0", Address: "127.0.0.1:1", InitialVoters: []fleet.Voter{{Name: "n1", Address: "127.0.0.1:1"}},
 		VoterPath: filepath.Join(dir, "fleet.db"), LeaseDuration: 600 * time.Millisecond, AcceptsLeases: true, Control: filepath.Join(dir, "s")}
--- a/fleet/agent/agent.go
+++ b/fleet/agent/agent.go
@@ -17,6 +17,7 @@
 
 	"dapplerouter/adminapi"
 	"dapplerouter/deployment"
+	"dapplerouter/discovery"
 	"dapplerouter/fleet"
 	"dapplerouter/fleet/audit"
 	"dapplerouter/fleet/disk"
@@ -24,7 +25,6 @@
 	"dapplerouter/fleet/rollout"
 	"dapplerouter/framing"
 	"dapplerouter/front"
-	"dapplerouter/sockets"
 )
 
 // Agent is a front's part in a fleet.
@@ -33,7 +33,7 @@
 	mesh      *mesh.Mesh
 	disk      *disk.VoterFile
 	endpoints *fleet.EndpointList
-	directory *sockets.Watcher
+	directory *discovery.Watcher
 	control   *adminapi.Server
 	history   *history
 	Prober    *Prober
@@ -77,7 +77,7 @@
 
 // New makes the agent that the forms describe; version is the program's. Set Clock, StartedAt and Post before Start. The error is a
 // file, a socket or an address that can't be used.
-func New(forms Config, start *deployment.Instance, directory *sockets.Watcher, version string) (*Agent, error) {
+func New(forms Config, start *deployment.Instance, directory *discovery.Watcher, version string) (*Agent, error) {
 	c := forms.Fleet
 	a := &Agent{
 		config:           c,
--- a/fleet/agent/endpoints.go
+++ b/fleet/agent/endpoints.go
@@ -7,7 +7,6 @@
 
 	"dapplerouter/discovery"
 	"dapplerouter/fleet"
-	"dapplerouter/sockets"
 )
 
 // endpointListBound is how long the holder of the endpoint list's lease may hear nothing of the discovery service before another
@@ -59,7 +58,7 @@
 				n.ReportProgress(fleet.EndpointListLease)
 				n.Broadcast(now, fleet.EndpointListLease, act)
 			})
-		}, func() {}, sockets.NewJitter(a.seed))
+		}, func() {}, discovery.NewJitter(a.seed))
 		client.CloseIdleConnections()
 	})
 }
--- a/lab/capacity/hollow.go
+++ b/lab/capacity/hollow.go
@@ -11,9 +11,11 @@
 	"dapplerouter/discovery"
 	"dapplerouter/fleet/agent"
 	"dapplerouter/front"
+	"dapplerouter/limits"
+	"dapplerouter/monotonic"
 	"dapplerouter/router"
 	"dapplerouter/routing"
-	"dapplerouter/sockets"
+	"dapplerouter/upstream"
 )
 
 // What databases are greeted with, as the program does.
@@ -59,14 +61,16 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	h.stop = stop
-	clock := sockets.NewClock()
-	room := sockets.NewDescriptors(told.MaxDescriptors, deployment.ReservedDescriptors)
+	clock := monotonic.NewClock()
+	room := limits.NewDescriptors(limits.SharesOf(told.MaxDescriptors, deployment.ReservedDescriptors))
 	allowed := told.Settings.Limits
 	var core *front.Core
 	post := func(e front.Event) { core.Post(h.noted(e)) }
 	seen := func(e front.Event) { h.agent.Prober.OnFrontEvent(e) }
-	links := sockets.NewPools(seen, room, databaseUser, databaseName, allowed.DialTimeout, allowed.IdleConnTimeout, told.MemoryBytes)
-	directory := sockets.NewWatcher(ctx, discovery.NewClient(told.Discovery, told.CachedList.Index), seen, sockets.NewJitter(told.Seed))
+	links := upstream.NewPools(upstream.Options{Post: seen, Limiter: room, User: databaseUser, Database: databaseName,
+		DialTimeout: allowed.DialTimeout, IdleTimeout: allowed.IdleConnTimeout, MemoryBytes: told.MemoryBytes})
+	directory := discovery.NewWatcher(ctx, discovery.NewClient(told.Discovery, told.CachedList.Index), func(u discovery.Update) { seen(front.EndpointsChanged{Kind: u.Kind, List: u.List}) },
+		discovery.NewJitter(told.Seed))
 	if h.agent, err = agent.New(agent.Config{Fleet: of, Rollout: ro}, told, directory, "hollow"); err != nil {
 		return err
 	}
--- a/sockets/clock.go
+++ b/monotonic/clock.go
@@ -1,10 +1,6 @@
-package sockets
+package monotonic
 
-import (
-	"hash/crc32"
-	"strconv"
-	"time"
-)
+import "time"
 
 // Clock counts from when it was made, on the machine's monotonic clock.
 type Clock struct {
@@ -25,13 +21,3 @@
 func (c *Clock) SetTimer(at time.Duration) { c.timer.Reset(at - c.Now()) }
 
 func (c *Clock) TimerC() <-chan time.Time { return c.timer.C }
-
-// NewJitter gives even numbers between 0 and 1 that differ from front to front.
-func NewJitter(seed uint64) func() float64 {
-	n := uint64(0)
-	return func() float64 {
-		n++
-		sum := crc32.ChecksumIEEE([]byte(strconv.FormatUint(seed, 16) + "." + strconv.FormatUint(n, 10)))
-		return float64(sum) / (1 << 32)
-	}
-}
--- a/sockets/client.go
+++ b/server/client.go
@@ -1,4 +1,4 @@
-package sockets
+package server
 
 import (
 	"errors"
@@ -11,6 +11,7 @@
 
 	"dapplerouter/front"
 	"dapplerouter/pgwire"
+	"dapplerouter/tcpconn"
 )
 
 // client is a client's connection, served by one goroutine: what it sends is read in server.go's stages, its requests are
@@ -18,7 +19,7 @@
 type client struct {
 	sv       *Server
 	conn     *net.TCPConn
-	presence *presence
+	presence *tcpconn.Presence
 	r        *pgwire.Reader
 	idle     atomic.Int64 // since when it has nothing to do, as the clock says, 0 while it has
 	evicted  atomic.Bool  // makes way for another
@@ -70,11 +71,11 @@
 		c.sv.mu.Lock()
 		delete(c.sv.clients, c)
 		c.sv.mu.Unlock()
-		c.sv.limiter.releaseClient()
+		c.sv.limiter.ReleaseClient()
 	}()
 	defer c.answerAfterPanic()
 	err := c.watch(c.until)
-	if err == nil || timedOut(err) {
+	if err == nil || tcpconn.IsTimeout(err) {
 		c.conn.SetReadDeadline(c.until)
 		err = c.start()
 	}
@@ -137,7 +138,7 @@
 	for {
 		s, err := c.r.ReadStartup()
 		switch {
-		case err != nil && timedOut(err):
+		case err != nil && tcpconn.IsTimeout(err):
 			if c.sv.stage.Load() == closing {
 				return errLeaving
 			}
@@ -147,7 +148,7 @@
 			if !time.Now().Before(c.until) {
 				return errSilent
 			}
-			if err := c.watch(c.until); err != nil && !timedOut(err) {
+			if err := c.watch(c.until); err != nil && !tcpconn.IsTimeout(err) {
 				return err
 			}
 		case err != nil:
@@ -203,7 +204,7 @@
 		}
 		typ, body, err := c.r.Next()
 		switch {
-		case err == nil || !timedOut(err):
+		case err == nil || !tcpconn.IsTimeout(err):
 			return typ, body, err
 		case time.Now().Before(until): // the wake was meant for another wait
 		case closed:
@@ -226,14 +227,14 @@
 		if err == nil {
 			continue
 		}
-		if !timedOut(err) {
+		if !tcpconn.IsTimeout(err) {
 			return err
 		}
 		stage := c.sv.stage.Load()
 		silent := !time.Now().Before(until)
 		switch {
 		case !silent && !c.evicted.Load() && stage < closing && !(c.answered && c.leaving()): // the wake was meant for another wait
-		case (stage < refusing || stage < closing && !c.answered) && peek(c.conn) > 0:
+		case (stage < refusing || stage < closing && !c.answered) && tcpconn.Peek(c.conn) > 0:
 			c.conn.SetReadDeadline(time.Now().Add(messageTimeout)) // a read past its deadline does not look at all
 			c.r.WaitForInput()
 		case c.answered || stage == closing:
@@ -253,7 +254,7 @@
 	c.idle.Store(int64(c.sv.clock.Now()))
 	defer c.idle.Store(0)
 	if c.evicted.Load() || c.answered && c.leaving() || c.sv.stage.Load() == closing { // looked at after the setting: a wake after it sets it anew
-		c.conn.SetReadDeadline(past)
+		c.conn.SetReadDeadline(tcpconn.Past)
 	}
 	_, err := c.r.WaitForInput()
 	return err
--- a/sockets/reject.go
+++ b/server/reject.go
@@ -1,4 +1,4 @@
-package sockets
+package server
 
 import (
 	"net"
--- a/sockets/requests.go
+++ b/server/requests.go
@@ -1,4 +1,4 @@
-package sockets
+package server
 
 import (
 	"errors"
@@ -7,6 +7,7 @@
 
 	"dapplerouter/front"
 	"dapplerouter/pgwire"
+	"dapplerouter/tcpconn"
 )
 
 // What a connection may have read ahead: its requests that are not answered yet. Beyond it nothing is read, so its client waits.
@@ -58,7 +59,7 @@
 	}
 	held := 0
 	if len(f.Rows) > shortAnswer || q.behind && len(f.Rows) > 0 {
-		if c.sv.answers.reserve(len(f.Rows)) {
+		if c.sv.answers.Reserve(len(f.Rows)) {
 			held = len(f.Rows)
 		} else {
 			f = withoutRows(f, q.arrival.Statement.Write)
@@ -66,7 +67,7 @@
 	}
 	c.responses = append(c.responses, response{q, f, held})
 	c.mu.Unlock()
-	c.conn.SetReadDeadline(past)
+	c.conn.SetReadDeadline(tcpconn.Past)
 }
 
 // withoutRows is what a client is told in place of rows that find no room: a read may be tried again, a write has run.
@@ -134,8 +135,8 @@
 // release gives back what a request holds.
 func (c *client) release(q *request) {
 	c.readAhead -= len(q.body)
-	c.sv.bodies.reserve(-q.reserved)
-	c.sv.answers.reserve(-q.held)
+	c.sv.bodies.Reserve(-q.reserved)
+	c.sv.answers.Reserve(-q.held)
 	if q.reserved == 0 && cap(q.body) <= bodyKept && q.body != nil {
 		c.r.Reuse(q.body[:0])
 	}
@@ -167,7 +168,7 @@
 	var err error
 	switch {
 	case !reads:
-		err = awaitHangup(c.conn)
+		err = tcpconn.AwaitHangup(c.conn)
 		if err == nil {
 			return false
 		}
@@ -208,7 +209,7 @@
 	switch {
 	case err == nil:
 		return true
-	case timedOut(err):
+	case tcpconn.IsTimeout(err):
 		if !c.partUntil.IsZero() && !time.Now().Before(c.partUntil) {
 			c.end(errSilent)
 		}
@@ -319,8 +320,8 @@
 		c.sv.post(gone)
 	}
 	for _, q := range append(running, rest...) {
-		c.sv.bodies.reserve(-q.reserved)
-		c.sv.answers.reserve(-q.held)
+		c.sv.bodies.Reserve(-q.reserved)
+		c.sv.answers.Reserve(-q.held)
 	}
 }
 
--- /dev/null
+++ b/server/rig_test.go
@@ -0,0 +1,42 @@
+package server
+
+import (
+	"net"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"dapplerouter/limits"
+	"dapplerouter/testsupport/conntest"
+	"dapplerouter/upstream"
+)
+
+// rig is a Server between the connections of a test's clients and a fake server.
+type rig struct {
+	*conntest.Rig
+	pools  *upstream.Pools
+	server *Server
+}
+
+func newRig(t *testing.T, descriptors int) *rig {
+	return newRigWith(t, limits.SharesOf(descriptors, 0))
+}
+
+func newRigWith(t *testing.T, shares limits.DescriptorShares) *rig {
+	g := &rig{Rig: conntest.New(t, limits.NewDescriptors(shares))}
+	g.pools = upstream.NewPools(upstream.Options{Post: g.Post, Limiter: g.Limiter, User: "portal", Database: "crm",
+		DialTimeout: 5 * time.Second, IdleTimeout: time.Minute, MemoryBytes: 32 << 20})
+	g.server = New(Options{Post: g.Post, Limiter: g.Limiter, Clock: g.Clock, WriteTimeout: 5 * time.Second, IdleTimeout: time.Minute,
+		MemoryBytes: 32 << 20})
+	g.Start(g.pools, func(l *net.TCPListener) error { return g.server.Serve(l) })
+	return g
+}
+
+// serve takes one request through and leaves its connections idle.
+func (g *rig) serve() (c, m *conntest.Peer) {
+	c, m = g.Serve()
+	clients, servers, _ := g.Limiter.InUse()
+	require.True(g.T, clients > 0 && servers == 1)
+	return c, m
+}
--- a/sockets/server.go
+++ b/server/server.go
@@ -1,4 +1,4 @@
-package sockets
+package server
 
 import (
 	"errors"
@@ -11,11 +11,15 @@
 	"time"
 
 	"dapplerouter/front"
+	"dapplerouter/limits"
+	"dapplerouter/monotonic"
 	"dapplerouter/pgwire"
+	"dapplerouter/tcpconn"
 )
 
 const (
 	clientBuffer   = 4 << 10
+	bodyKept       = 16 << 10               // longest body whose buffer is used again
 	longestQuery   = 256 << 10              // a value of 64 KiB in hex, and its statement
 	maxDiscarded   = longestQuery           // bytes that are read behind the front's half-close, to be thrown away
 	maxRejecting   = 8                      // newcomers for whom there is no room and who are being told
@@ -34,19 +38,19 @@
 // Server serves clients.
 type Server struct {
 	post         func(front.Event)
-	limiter      *Descriptors
-	clock        *Clock
+	limiter      *limits.Descriptors
+	clock        *monotonic.Clock
 	writeTimeout time.Duration // with a client that does not read
 	linger       time.Duration // for the other side to read the last of what it was sent
 	idle         time.Duration // after which a connection with nothing to do is closed
 	parse        func(body []byte) (pgwire.Statement, error)
 
 	stage     atomic.Int32
-	refused   atomic.Int64 // requests since the server refuses
-	bodies    bodies       // of long messages, and of requests read ahead
-	answers   bodies       // of answers that are not written yet
-	standby   atomic.Int64 // newcomers are rejected: standsBy, or the moment since when they are taken again
-	pace      atomic.Int64 // over which they are, once the front is back
+	refused   atomic.Int64   // requests since the server refuses
+	bodies    *limits.Memory // of long messages, and of requests read ahead
+	answers   *limits.Memory // of answers that are not written yet
+	standby   atomic.Int64   // newcomers are rejected: standsBy, or the moment since when they are taken again
+	pace      atomic.Int64   // over which they are, once the front is back
 	came      atomic.Int64
 	rejecting chan struct{}
 	mu        sync.Mutex
@@ -64,12 +68,25 @@
 	closing        // connections end where nothing is owed
 )
 
-// NewServer makes a Server; writeTimeout is the longest that a request may take.
-func NewServer(post func(front.Event), room *Descriptors, clock *Clock, writeTimeout time.Duration, memory int64) *Server {
-	sv := &Server{post: post, limiter: room, clock: clock, writeTimeout: writeTimeout, linger: time.Second, idle: idleTimeout,
-		bodies: bodies{most: memory / longPart}, answers: bodies{most: memory / answersPart},
+// Options are what a Server is made of.
+type Options struct {
+	Post         func(front.Event) // passes events to the core
+	Limiter      *limits.Descriptors
+	Clock        *monotonic.Clock
+	WriteTimeout time.Duration // for a client that does not read: at least the longest that a request may take
+	IdleTimeout  time.Duration // after which a connection with nothing to do is closed; 0 for 2 s
+	MemoryBytes  int64         // of the process: messages and answers may hold a part of it
+}
+
+// New makes a Server.
+func New(o Options) *Server {
+	if o.IdleTimeout == 0 {
+		o.IdleTimeout = idleTimeout
+	}
+	sv := &Server{post: o.Post, limiter: o.Limiter, clock: o.Clock, writeTimeout: o.WriteTimeout, linger: time.Second, idle: o.IdleTimeout,
+		bodies: limits.NewMemory(o.MemoryBytes / limits.LongMessagesPart), answers: limits.NewMemory(o.MemoryBytes / answersPart),
 		clients: map[*client]struct{}{}, rejecting: make(chan struct{}, maxRejecting), parse: pgwire.ParseStatement}
-	room.onEvict(sv.evictIdle)
+	o.Limiter.OnEvict(sv.evictIdle)
 	return sv
 }
 
@@ -77,7 +94,7 @@
 func (sv *Server) reader(conn *net.TCPConn, buffer int) *pgwire.Reader {
 	r := pgwire.NewReader(conn, buffer, longestQuery)
 	r.RetainedBytes = bodyKept
-	r.Reserve = sv.bodies.reserve
+	r.Reserve = sv.bodies.Reserve
 	return r
 }
 
@@ -101,13 +118,13 @@
 		switch {
 		case err == nil:
 			sv.begin(conn)
-		case timedOut(err) && sv.stage.Load() >= draining:
+		case tcpconn.IsTimeout(err) && sv.stage.Load() >= draining:
 			if over {
 				return nil
 			}
 			over = true
 			l.SetDeadline(time.Now().Add(acceptGrace / 10))
-		case timedOut(err) || errors.Is(err, net.ErrClosed):
+		case tcpconn.IsTimeout(err) || errors.Is(err, net.ErrClosed):
 			return err
 		default: // out of descriptors, or gone before it was accepted
 			slog.Warn("a client could not be accepted", "why", err)
@@ -137,7 +154,7 @@
 	}
 	sv.stage.Store(stage)
 	for c := range sv.clients {
-		c.conn.SetReadDeadline(past)
+		c.conn.SetReadDeadline(tcpconn.Past)
 	}
 }
 
@@ -169,7 +186,7 @@
 	for c := range sv.clients {
 		if c.idle.Load() > 0 {
 			c.evicted.Store(true)
-			c.conn.SetReadDeadline(past)
+			c.conn.SetReadDeadline(tcpconn.Past)
 		}
 	}
 }
@@ -199,16 +216,16 @@
 		sv.reject(conn)
 		return
 	}
-	if !sv.limiter.admitClient(sv.evictIdle) {
+	if !sv.limiter.AdmitClient(sv.evictIdle) {
 		sv.reject(conn)
 		return
 	}
 	raw, err := conn.SyscallConn()
 	if err != nil { // it is closed
-		sv.limiter.releaseClient()
+		sv.limiter.ReleaseClient()
 		return
 	}
-	c := &client{sv: sv, conn: conn, presence: &presence{raw}, until: time.Now().Add(messageTimeout), r: sv.reader(conn, clientBuffer)}
+	c := &client{sv: sv, conn: conn, presence: tcpconn.NewPresence(raw), until: time.Now().Add(messageTimeout), r: sv.reader(conn, clientBuffer)}
 	sv.mu.Lock()
 	sv.clients[c] = struct{}{}
 	sv.mu.Unlock()
@@ -231,6 +248,6 @@
 		return false
 	}
 	oldest.evicted.Store(true)
-	oldest.conn.SetReadDeadline(past)
+	oldest.conn.SetReadDeadline(tcpconn.Past)
 	return true
 }
--- a/sockets/look.go
+++ b/tcpconn/tcpconn.go
@@ -1,15 +1,18 @@
-package sockets
+package tcpconn
 
 import (
+	"errors"
 	"net"
+	"os"
 	"syscall"
+	"time"
 
 	"golang.org/x/sys/unix"
 )
 
-// peek looks whether something has come in, whatever the deadline: 1 for bytes, 0 for the end of the
+// Peek looks whether something has come in, whatever the deadline: 1 for bytes, 0 for the end of the
 // connection, -1 for neither. Between a deadline and what follows it a busy machine lets time pass.
-func peek(conn *net.TCPConn) int {
+func Peek(conn *net.TCPConn) int {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return 0
@@ -31,9 +34,9 @@
 	return n
 }
 
-// awaitHangup blocks until the other side has closed a connection, whatever it sent before and nobody has read; then it
+// AwaitHangup blocks until the other side has closed a connection, whatever it sent before and nobody has read; then it
 // returns nil. It wakes for each change of the connection and returns an error at the read deadline.
-func awaitHangup(conn *net.TCPConn) error {
+func AwaitHangup(conn *net.TCPConn) error {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return err
@@ -41,11 +44,14 @@
 	return raw.Read(hungUp)
 }
 
-// presence tells whether the other side of a connection has closed it, whatever it sent before and nobody has read.
-type presence struct{ raw syscall.RawConn }
+// Presence tells whether the other side of a connection has closed it, whatever it sent before and nobody has read.
+type Presence struct{ raw syscall.RawConn }
+
+// NewPresence watches a connection.
+func NewPresence(raw syscall.RawConn) *Presence { return &Presence{raw} }
 
 // Disconnected implements front.Presence.
-func (p *presence) Disconnected() bool {
+func (p *Presence) Disconnected() bool {
 	gone := true // where the descriptor is closed already
 	p.raw.Control(func(fd uintptr) { gone = hungUp(fd) })
 	return gone
@@ -66,3 +72,10 @@
 		}
 	}
 }
+
+// IsTimeout tells whether a wait ended by a deadline that was set here. net.Error's Timeout would be true of ETIMEDOUT and EAGAIN
+// too, by which a broken connection or a call that failed for a moment may show.
+func IsTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
+
+// Past is a deadline that wakes a blocked read at once.
+var Past = time.Unix(1, 0)
--- a/sockets/dial.go
+++ b/upstream/dial.go
@@ -1,4 +1,4 @@
-package sockets
+package upstream
 
 import (
 	"context"
@@ -9,6 +9,7 @@
 
 	"dapplerouter/front"
 	"dapplerouter/pgwire"
+	"dapplerouter/tcpconn"
 )
 
 // localPause lies between two tries of what failed for want of something that this machine lacks for a moment.
@@ -18,7 +19,7 @@
 // take a moment to leave.
 func (ls *Pools) awaitDescriptor() bool {
 	for until := time.Now().Add(ls.dial); ; time.Sleep(localPause) {
-		if ls.limiter.admitMember(ls.evictIdle) {
+		if ls.limiter.AdmitServer(ls.EvictIdle) {
 			return true
 		}
 		if !time.Now().Before(until) {
@@ -56,7 +57,7 @@
 
 // dialTimedOut tells whether the deadline of our own ended a dial: by the context, or by the wait for the connection.
 func dialTimedOut(err error) bool {
-	return errors.Is(err, context.DeadlineExceeded) || timedOut(err)
+	return errors.Is(err, context.DeadlineExceeded) || tcpconn.IsTimeout(err)
 }
 
 // localFailure tells whether a dial failed for want of something of this machine, which says nothing of the member.
@@ -86,7 +87,7 @@
 		return err
 	}
 	l.r = pgwire.NewReader(l.conn, linkBuffer, l.ls.longest)
-	l.r.RetainedBytes, l.r.SpareBytes, l.r.Reserve = bodyKept, rowSpare, l.ls.bodies.reserve
+	l.r.RetainedBytes, l.r.SpareBytes, l.r.Reserve = bodyKept, rowSpare, l.ls.bodies.Reserve
 	var a pgwire.QueryResult
 	l.r.CheckMessage = a.CheckMessage
 	for done := false; !done; {
--- /dev/null
+++ b/upstream/dial_test.go
@@ -0,0 +1,93 @@
+package upstream
+
+import (
+	"os"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"dapplerouter/routing"
+	"dapplerouter/testsupport/conntest"
+)
+
+// ofThisMachine are errors of socket and connect for want of something that this machine lacks for a moment.
+var ofThisMachine = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
+	syscall.ENETUNREACH, syscall.EAGAIN, syscall.EINTR}
+
+// A dial that fails for a moment for want of this machine's own is tried again: the request is served, and the member is not blamed.
+func TestADialThatFailsHereIsTriedAgain(t *testing.T) {
+	for _, number := range ofThisMachine {
+		t.Run(number.Error(), func(t *testing.T) {
+			g := newRig(t, 40)
+			var tries atomic.Int64
+			g.pools.control = func(string, string, syscall.RawConn) error {
+				if tries.Add(1) <= 3 {
+					return os.NewSyscallError("connect", number)
+				}
+				return nil
+			}
+			g.AnswerAll()
+			c := g.Client()
+			c.Send(conntest.ReadQuery("4000")...)
+			assert.Equal(t, routing.Succeeded, (<-g.Router.Finished).Result)
+			assert.EqualValues(t, 4, tries.Load())
+		})
+	}
+	t.Run("and goes on failing", func(t *testing.T) { // it tells nothing of the member
+		g := newRig(t, 40)
+		g.pools.dial = 400 * time.Millisecond // a hold-up of 0.15 s is shorter than half of it
+		g.pools.control = func(string, string, syscall.RawConn) error { return os.NewSyscallError("connect", syscall.ENOBUFS) }
+		c := g.Client()
+		c.Send(conntest.ReadQuery("4000")...)
+		assert.Equal(t, routing.NotSent, (<-g.Router.Finished).Result)
+		c.Expect("EZ")
+	})
+}
+
+// A last try that has next to no time left ends at the deadline, whoever is to blame: it is not held against the member.
+func TestADeadlineAfterFailuresOfThisMachineIsNotHeldAgainstTheMember(t *testing.T) {
+	g := newRig(t, 40)
+	g.pools.dial = 50 * time.Millisecond
+	var tries atomic.Int64
+	g.pools.control = func(string, string, syscall.RawConn) error {
+		if tries.Add(1) == 1 {
+			time.Sleep(40 * time.Millisecond)
+			return os.NewSyscallError("connect", syscall.ENOBUFS)
+		}
+		time.Sleep(20 * time.Millisecond) // the machine is late as well: the deadline goes by before the connect
+		return nil
+	}
+	c := g.Client()
+	c.Send(conntest.ReadQuery("4000")...)
+	assert.Equal(t, routing.NotSent, (<-g.Router.Finished).Result)
+	c.Expect("EZ")
+}
+
+// A single failure here does not excuse a member that then has most of the time and does not answer.
+func TestAMemberThatDoesNotAnswerAfterOneFailureHereIsBlamed(t *testing.T) {
+	g := newRig(t, 40)
+	g.pools.dial = time.Second
+	var tries atomic.Int64
+	g.pools.control = func(string, string, syscall.RawConn) error {
+		if tries.Add(1) == 1 {
+			return os.NewSyscallError("connect", syscall.ENOBUFS)
+		}
+		time.Sleep(1020 * time.Millisecond)
+		return nil
+	}
+	g.Client().Send(conntest.ReadQuery("4000")...)
+	assert.Equal(t, routing.Unreachable, (<-g.Router.Finished).Result)
+}
+
+// What says of the member that it is not there still does.
+func TestADialThatTheMemberDoesNotAnswerIsHeldAgainstIt(t *testing.T) {
+	for _, number := range []syscall.Errno{syscall.ECONNREFUSED, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET} {
+		g := newRig(t, 40)
+		g.pools.control = func(string, string, syscall.RawConn) error { return os.NewSyscallError("connect", number) }
+		g.Client().Send(conntest.ReadQuery("4000")...)
+		assert.Equal(t, routing.Unreachable, (<-g.Router.Finished).Result, number.Error())
+	}
+}
--- a/sockets/pools.go
+++ b/upstream/pools.go
@@ -1,11 +1,10 @@
-package sockets
+package upstream
 
 import (
 	"errors"
 	"fmt"
 	"log/slog"
 	"net"
-	"os"
 	"runtime/debug"
 	"slices"
 	"sync"
@@ -14,7 +13,9 @@
 	"time"
 
 	"dapplerouter/front"
+	"dapplerouter/limits"
 	"dapplerouter/pgwire"
+	"dapplerouter/tcpconn"
 )
 
 // Sizes of buffers.
@@ -27,25 +28,34 @@
 // Pools holds a pool for each member.
 type Pools struct {
 	post           func(front.Event)
-	limiter        *Descriptors
+	limiter        *limits.Descriptors
 	user, database string
 	dial, idle     time.Duration
 	longest        int                                                    // message that a member may send
 	any            bool                                                   // answers may be those of any statement
 	control        func(network, address string, c syscall.RawConn) error // of net.Dialer; nil but in tests
 
-	bodies bodies
+	bodies *limits.Memory
 
 	mu    sync.Mutex
 	pools []*pool
 }
 
-// NewPools makes the pools. A connection is not used again after idle, less a margin for what is on its way.
-// Members' values are longer on some days than the protocol's page has it: a message may be a part of the
-// memory told that leaves room for all that are out at once.
-func NewPools(post func(front.Event), room *Descriptors, user, database string, dial, idle time.Duration, memory int64) *Pools {
-	return &Pools{post: post, limiter: room, user: user, database: database, dial: dial, idle: idle - idle/20,
-		longest: int(memory / messages), bodies: bodies{most: memory / longPart}}
+// Options are what Pools are made of.
+type Options struct {
+	Post           func(front.Event) // passes events to the core
+	Limiter        *limits.Descriptors
+	User, Database string
+	DialTimeout    time.Duration // for dialling and the server's greeting together
+	IdleTimeout    time.Duration // a connection is not used again after it, less a margin for what is on its way
+	MemoryBytes    int64         // of the process: servers' messages may hold a part of it
+}
+
+// NewPools makes the pools. Servers' values are longer on some days than the protocol's page has it: a message may be a part of the
+// memory that leaves room for all that are in flight at once.
+func NewPools(o Options) *Pools {
+	return &Pools{post: o.Post, limiter: o.Limiter, user: o.User, database: o.Database, dial: o.DialTimeout, idle: o.IdleTimeout - o.IdleTimeout/20,
+		longest: int(o.MemoryBytes / messages), bodies: limits.NewMemory(o.MemoryBytes / limits.LongMessagesPart)}
 }
 
 // AllowAnyResult lets members answer as any statement is answered: rows of any number and width, up to the longest message in all.
@@ -132,11 +142,11 @@
 // assign hands a connection that was taken from its pool what it is to do next: nil is to end. It never blocks.
 func (l *memberConn) assign(s *front.Attempt) {
 	l.job <- s
-	l.conn.SetReadDeadline(past)
+	l.conn.SetReadDeadline(tcpconn.Past)
 }
 
-// evictIdle ends the connection that has been idle longest in some pool.
-func (ls *Pools) evictIdle() bool {
+// EvictIdle ends the connection that has been idle longest in some pool.
+func (ls *Pools) EvictIdle() bool {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	for _, p := range ls.pools {
@@ -155,7 +165,7 @@
 		ls.failed(s, front.StageLocal, errors.New("no descriptor is free"))
 		return
 	}
-	defer ls.limiter.releaseMember()
+	defer ls.limiter.ReleaseServer()
 	defer func() {
 		if p := recover(); p != nil {
 			slog.Error("panic in a member's connection", "member", l.address, "panic", p, "trace", string(debug.Stack()))
@@ -169,7 +179,7 @@
 		if l.r != nil {
 			l.r.Close()
 		}
-		ls.bodies.reserve(-l.reserved)
+		ls.bodies.Reserve(-l.reserved)
 	}()
 	if err := l.connect(); err != nil {
 		ls.connectFailed(s, err)
@@ -185,7 +195,7 @@
 
 // disturbed says whether something came in on a connection that nobody has asked anything: what a member says there would be
 // taken for the answer of the next attempt, and of one written behind its close nobody knows whether it ran.
-func (l *memberConn) disturbed() bool { return l.r.MessageStarted() || peek(l.conn) >= 0 }
+func (l *memberConn) disturbed() bool { return l.r.MessageStarted() || tcpconn.Peek(l.conn) >= 0 }
 
 // readMessage adds the next message to an answer; done means that it has ended.
 func (l *memberConn) readMessage(a *pgwire.QueryResult) (done bool, err error) {
@@ -213,7 +223,7 @@
 func (l *memberConn) cancel() {
 	l.canceled.Store(true)
 	l.conn.CloseWrite()
-	l.conn.SetDeadline(past)
+	l.conn.SetDeadline(tcpconn.Past)
 }
 
 // submit sends one and brings its answer; false when the connection cannot be used again.
@@ -238,7 +248,7 @@
 	for {
 		done, err := l.readMessage(&e.Answer)
 		switch {
-		case timedOut(err) && l.goOn():
+		case tcpconn.IsTimeout(err) && l.goOn():
 			continue
 		case done && err == nil && (l.r.MessageStarted() || e.Answer.InTransaction): // more than was asked for must not answer the next attempt
 		case done && err == nil:
@@ -273,8 +283,8 @@
 	if reserved == 0 {
 		return nil
 	}
-	bodies := &l.ls.bodies
-	return func() { bodies.reserve(-reserved) }
+	bodies := l.ls.bodies
+	return func() { bodies.Reserve(-reserved) }
 }
 
 // goOn clears a deadline that was meant for the wait before; false where the attempt was canceled.
@@ -331,7 +341,3 @@
 	var t *pgwire.ResultTooLargeError
 	return errors.As(err, &t)
 }
-
-// timedOut tells whether a wait ended by a deadline that was set here. net.Error's Timeout would be true of ETIMEDOUT and EAGAIN
-// too, by which a broken connection or a call that failed for a moment may show.
-func timedOut(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
--- /dev/null
+++ b/upstream/pools_test.go
@@ -0,0 +1,289 @@
+package upstream
+
+import (
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"golang.org/x/sys/unix"
+
+	"dapplerouter/front"
+	"dapplerouter/limits"
+	"dapplerouter/pgwire"
+	"dapplerouter/routing"
+	"dapplerouter/tcpconn"
+	"dapplerouter/testsupport/conntest"
+)
+
+// A member's connection that comes up late must not carry a request whose client has left meanwhile, also where the site lets
+// nothing be taken back; nor while the core is at something else.
+func TestNothingIsSentForAClientThatLeftWhileAConnectionCameUp(t *testing.T) {
+	g := newRig(t, 40)
+	c := g.Client()
+	c.Send(conntest.ReadQuery("4000")...)
+	m := g.AcceptStartup() // no welcome yet
+	<-g.Router.Received
+	c.Close()
+	<-g.Router.Gone // which takes nothing back
+	m.Send(pgwire.AppendGreeting(nil)...)
+	assert.Equal(t, routing.NotSent, (<-g.Router.Finished).Result)
+	g.settled(1) // the connection is kept for others
+	c = g.Client()
+	c.Send(conntest.ReadQuery("4000")...)
+	second := <-g.Router.Received
+	m.Expect("Q")
+	m.Send(conntest.RowResponse("v")...)
+	c.Expect("TDCZ")
+	assert.Equal(t, second.Ref, (<-g.Router.Finished).Ref, "the first word that the member got is another client's")
+}
+
+// A member's connection that comes up behind its request's end carries nothing of it, and is kept for others.
+func TestAConnectionThatComesUpTooLateCarriesNothing(t *testing.T) {
+	g := newRig(t, 40)
+	c := g.Client()
+	c.Send(conntest.ReadQuery("60")...)
+	m := g.AcceptStartup()
+	assert.Contains(t, string(c.Expect("EZ")), pgwire.CodeTransactionRollback)
+	m.Send(pgwire.AppendGreeting(nil)...)
+	g.settled(1)
+	c.Send(conntest.ReadQuery("4000")...)
+	m.Expect("Q")
+	m.Send(conntest.RowResponse("v")...)
+	c.Expect("TDCZ")
+	assert.Equal(t, 1, g.idle(), "one connection, used by the second alone")
+}
+
+// So do members' long messages. One that finds no room counts as an answer that cannot be read.
+func TestALongAnswerThatFindsNoRoomIsAnError(t *testing.T) {
+	g := newRig(t, 60)
+	held := func() int64 { return g.pools.bodies.Held() }
+	g.pools.bodies = limits.NewMemory(300 << 10)
+	long := conntest.RowResponse(strings.Repeat("v", 200<<10))
+	first, second := g.Client(), g.Client()
+	first.Send(conntest.ReadQuery("4000")...)
+	m := g.AcceptServer()
+	m.Expect("Q")
+	m.Send(long[:len(long)-20]...)
+	g.Eventually(func() bool { return held() > 200<<10 })
+	second.Send(conntest.ReadQuery("4000")...)
+	n := g.AcceptServer()
+	n.Expect("Q")
+	n.Write(long) // it may be cut off midway
+	assert.Equal(t, routing.ServerError, (<-g.Router.Finished).Result)
+	assert.Contains(t, string(second.Expect("EZ")), pgwire.CodeTransactionRollback)
+	m.Send(long[len(long)-20:]...)
+	first.Expect("TDCZ")
+	g.Eventually(func() bool { return held() == 0 })
+}
+
+// The room of a long row is given back as well where its answer never ends.
+func TestALongAnswerThatBreaksOffGivesItsRoomBack(t *testing.T) {
+	g := newRig(t, 60)
+	held := func() int64 { return g.pools.bodies.Held() }
+	long := conntest.RowResponse(strings.Repeat("v", 200<<10))
+	c := g.Client()
+	c.Send(conntest.ReadQuery("4000")...)
+	m := g.AcceptServer()
+	m.Expect("Q")
+	m.Send(long[:len(long)-20]...) // all of the row, nothing of its end
+	g.Eventually(func() bool { return held() > 200<<10 })
+	m.Close()
+	c.Expect("EZ")
+	g.Eventually(func() bool { return held() == 0 })
+}
+
+func TestWhatIsGivenUpIsCutAtTheMember(t *testing.T) {
+	g := newRig(t, 40)
+	c := g.Client()
+	c.Send(conntest.ReadQuery("60")...)
+	m := g.AcceptServer()
+	m.Expect("Q")
+	m.ExpectClosed()
+	assert.Equal(t, routing.TimedOut, (<-g.Router.Finished).Result)
+	assert.Contains(t, string(c.Expect("EZ")), pgwire.CodeTransactionRollback)
+	c.Send(conntest.ReadQuery("4000")...)
+	m = g.AcceptServer()
+	m.Expect("Q")
+	m.Send(conntest.RowResponse("v")...)
+	c.Expect("TDCZ")
+}
+
+func TestHowFarASubmissionHadCome(t *testing.T) {
+	for name, x := range map[string]struct {
+		act  func(g *rig)
+		want routing.AttemptResult
+	}{
+		"refused":               {func(g *rig) { g.Upstream.Close() }, routing.Unreachable},
+		"closed before welcome": {func(g *rig) { g.AcceptStartup().Close() }, routing.Unreachable},
+		"no sense as welcome":   {func(g *rig) { g.AcceptStartup().Send(conntest.Message('?', "")...) }, routing.Unreachable},
+		"an answer with the welcome": {func(g *rig) {
+			g.AcceptStartup().Send(append(pgwire.AppendGreeting(nil), conntest.RowResponse("v")...)...)
+		}, routing.Unreachable},
+		"half a line with the welcome": {func(g *rig) { g.AcceptStartup().Send(append(pgwire.AppendGreeting(nil), conntest.Row("v")[:20]...)...) }, routing.Unreachable},
+		"the end with the welcome": {func(g *rig) { // in one piece, however busy the machine is
+			m := g.AcceptStartup()
+			raw, err := m.Conn.(*net.TCPConn).SyscallConn()
+			require.NoError(g.T, err)
+			raw.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_CORK, 1) })
+			require.NoError(g.T, err)
+			m.Send(pgwire.AppendGreeting(nil)...)
+			m.Close()
+		}, routing.Unreachable},
+		"turned away at welcome": {func(g *rig) { g.AcceptStartup().Send(pgwire.AppendErrorResponse(nil, "FATAL", "53300", "full", "")...) }, routing.Overloaded},
+		"closed after the query": {func(g *rig) { m := g.AcceptServer(); m.Expect("Q"); m.Close() }, routing.ConnectionLost},
+		"closed within the row":  {func(g *rig) { m := g.AcceptServer(); m.Expect("Q"); m.Send(conntest.Row("v")[:40]...); m.Close() }, routing.ConnectionLost},
+		"two rows": {func(g *rig) {
+			m := g.AcceptServer()
+			m.Expect("Q")
+			m.Send(append(conntest.Row("v"), conntest.RowResponse("w")...)...)
+		}, routing.ServerError},
+		"a row's wrong length, the rest never sent": {func(g *rig) {
+			m := g.AcceptServer()
+			m.Expect("Q")
+			m.Send(conntest.Row("v")[:len(conntest.Row(""))-25]...)
+			m.Send('D', 0, 0, 9, 0, 0, 1, 0, 0, 0, 1)
+		}, routing.ServerError},
+		"noise":     {func(g *rig) { m := g.AcceptServer(); m.Expect("Q"); m.Send([]byte("zzzz\x00")...) }, routing.ServerError},
+		"oversized": {func(g *rig) { m := g.AcceptServer(); m.Expect("Q"); m.Send('D', 127, 0, 0, 0) }, routing.ServerError},
+		"a fatal error": {func(g *rig) {
+			m := g.AcceptServer()
+			m.Expect("Q")
+			m.Send(pgwire.AppendErrorResponse(nil, "FATAL", "72000", "behind", "")...)
+			m.Close()
+		}, routing.Misrouted},
+	} {
+		t.Run(name, func(t *testing.T) {
+			g := newRig(t, 40)
+			c := g.Client()
+			if x.want == routing.Unreachable && name == "refused" {
+				x.act(g)
+				c.Send(conntest.ReadQuery("4000")...)
+			} else {
+				c.Send(conntest.ReadQuery("4000")...)
+				x.act(g)
+			}
+			assert.Equal(t, x.want, (<-g.Router.Finished).Result)
+			assert.Contains(t, string(c.Expect("EZ")), pgwire.CodeTransactionRollback, "no part of a value reaches the client")
+		})
+	}
+}
+
+func TestAnIdleConnectionThatEndedIsNotUsed(t *testing.T) {
+	g := newRig(t, 40)
+	c, m := g.serve()
+	m.Close()
+	g.Eventually(func() bool { return g.idle() == 0 })
+	c.Send(conntest.ReadQuery("4000")...)
+	m = g.AcceptServer()
+	m.Expect("Q")
+	m.Send(conntest.RowResponse("v")...)
+	c.Expect("TDCZ")
+	assert.Equal(t, routing.Succeeded, (<-g.Router.Finished).Result)
+}
+
+// The day of bad members: what came unasked answered the next attempt of the link, and so on, 416 times.
+func TestSurplusBytesSpoilTheLinkAndNothingElse(t *testing.T) {
+	for name, after := range map[string]func(g *rig, m *conntest.Peer){
+		"with the answer": func(g *rig, m *conntest.Peer) {
+			m.Send(append(conntest.RowResponse("v"), conntest.RowResponse("stale")...)...)
+		},
+		"on an idle link": func(g *rig, m *conntest.Peer) {
+			m.Send(conntest.RowResponse("v")...)
+			g.settled(1)
+			m.Send(conntest.RowResponse("stale")...)
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			g := newRig(t, 40)
+			c := g.Client()
+			c.Send(conntest.ReadQuery("4000")...)
+			m := g.AcceptServer()
+			m.Expect("Q")
+			after(g, m)
+			c.Expect("TDCZ")
+			g.settled(0)
+			c.Send(conntest.ReadQuery("4000")...)
+			m = g.AcceptServer()
+			m.Expect("Q")
+			m.Send(conntest.RowResponse("w")...)
+			c.Expect("T")
+			assert.Equal(t, "w", string(c.Expect("D")[6:]))
+		})
+	}
+}
+
+// A link that was taken just as its member spoke or ended is left unused: nothing of the attempt was sent.
+func TestASubmissionOnASpoiltLinkTakesAnother(t *testing.T) {
+	for name, spoil := range map[string]func(m *conntest.Peer){
+		"bytes": func(m *conntest.Peer) { m.Send(conntest.RowResponse("stale")...) },
+		"end":   func(m *conntest.Peer) { m.Close() },
+	} {
+		t.Run(name, func(t *testing.T) {
+			g := newRig(t, 40)
+			ended := make(chan front.Event, 1)
+			g.pools.post = func(e front.Event) { ended <- e }
+			g.Eventually(func() bool { return g.address() != "" })
+			conn, err := net.Dial("tcp", g.Upstream.Addr().String())
+			require.NoError(t, err)
+			l := &memberConn{ls: g.pools, pool: g.pools.pool(0), address: g.address(), conn: conn.(*net.TCPConn), job: make(chan *front.Attempt, 1),
+				r: pgwire.NewReader(conn, 4096, 4096)}
+			c, err := g.Upstream.Accept()
+			require.NoError(t, err)
+			spoil(conntest.NewPeer(t, c))
+			g.Eventually(func() bool { return tcpconn.Peek(l.conn) >= 0 })
+			s := front.NewHealthCheck(pgwire.AppendQuery(nil, "SELECT 2"))
+			l.job <- s
+			assert.Nil(t, l.awaitJob())
+			m := g.AcceptServer()
+			m.Expect("Q")
+			m.Send(conntest.RowResponse("w")...)
+			assert.Nil(t, (<-ended).(*front.AttemptFinished).Err)
+		})
+	}
+}
+
+// What takes the place of a failed attempt must not be out beside it.
+func TestALinkIsClosedBeforeItsFailureIsTold(t *testing.T) {
+	g := newRig(t, 40)
+	post, m, seen := g.pools.post, make(chan *conntest.Peer, 1), make(chan error, 1)
+	g.pools.post = func(e front.Event) {
+		_, _, err := (<-m).Reader.Next()
+		seen <- err
+		post(e)
+	}
+	g.Client().Send(conntest.ReadQuery("4000")...)
+	up := g.AcceptServer()
+	up.Expect("Q")
+	up.Send(conntest.Message('?', "")...)
+	m <- up
+	assert.ErrorIs(t, <-seen, io.EOF)
+	assert.Equal(t, routing.ServerError, (<-g.Router.Finished).Result, "the member is there")
+}
+
+func TestConnectionsFromBeforeAMembersStartAreClosed(t *testing.T) {
+	g := newRig(t, 40)
+	_, m := g.serve()
+	g.List(g.Upstream.Addr().String(), time.Now().Add(time.Hour).UnixMilli())
+	m.ExpectClosed()
+	g = newRig(t, 40)
+	_, m = g.serve()
+	g.List("127.0.0.1:1", 0)
+	m.ExpectClosed() // it moved
+}
+
+func TestAForgottenMembersLinksEndAndItsPlaceStartsAnew(t *testing.T) {
+	g := newRig(t, 40)
+	_, idle := g.serve()
+	g.pools.mu.Lock()
+	l := g.pools.pools[0].idle[0]
+	g.pools.mu.Unlock()
+	g.pools.Remove(0)
+	idle.ExpectClosed()
+	g.pools.SetAddress(0, g.Upstream.Addr().String(), 0)
+	l.release() // one that was at work meanwhile
+	assert.Zero(t, g.idle(), "it is the old member's")
+}
--- a/sockets/server_bytes_test.go
+++ b/upstream/server_bytes_test.go
@@ -1,4 +1,4 @@
-package sockets
+package upstream
 
 import (
 	"bytes"
@@ -14,6 +14,7 @@
 
 	"dapplerouter/front"
 	"dapplerouter/pgwire"
+	"dapplerouter/testsupport/conntest"
 )
 
 // rawMessage reads one message as it came, with its head, whose last four bytes are the message's length.
@@ -33,21 +34,21 @@
 func TestBytesSentToServers(t *testing.T) {
 	const file = "testdata/server_messages.txt"
 	g := newRig(t, 40)
-	g.events()
-	c := g.client()
-	c.say(pgwire.AppendQuery(nil, "SELECT data FROM facts WHERE code = 'k' /* id=r1,c=read,d=60000,cluster=2 */")...)
-	conn, err := g.member.Accept()
+	g.DiscardEvents()
+	c := g.Client()
+	c.Send(pgwire.AppendQuery(nil, "SELECT data FROM facts WHERE code = 'k' /* id=r1,c=read,d=60000,cluster=2 */")...)
+	conn, err := g.Upstream.Accept()
 	require.NoError(t, err)
-	m := newPeer(t, conn)
-	assertRecorded(t, file, "startup", string(rawMessage(t, m, 4)))
-	m.say(pgwire.AppendGreeting(nil)...)
+	m := conntest.NewPeer(t, conn)
+	conntest.AssertRecorded(t, file, "startup", string(rawMessage(t, m, 4)))
+	m.Send(pgwire.AppendGreeting(nil)...)
 	deadline := regexp.MustCompile(`\bd=(\d+)`)
 	for i, statement := range []string{"",
 		`SELECT data  FROM facts WHERE code = 'it''s' /* id=r2,c=read,t=acme,d=60000,k=5c,cluster=2,after=17,new=1 */ ; `,
 		`INSERT INTO facts (code, data) VALUES ('k', '\x00ff') RETURNING data /* id=w1,c=write,d=60000,cluster=2 */`,
 	} {
 		if i > 0 {
-			c.say(pgwire.AppendQuery(nil, statement)...)
+			c.Send(pgwire.AppendQuery(nil, statement)...)
 		}
 		sent := rawMessage(t, m, 5)
 		d := deadline.FindSubmatchIndex(sent)
@@ -56,11 +57,11 @@
 		require.NoError(t, err)
 		assert.True(t, ms >= 10000 && ms <= 59980, "%d ms: 20 ms less than the client's, and what passed meanwhile", ms)
 		copy(sent[d[2]:d[3]], bytes.Repeat([]byte{'#'}, d[3]-d[2]))
-		assertRecorded(t, file, fmt.Sprint("statement ", i), string(sent))
-		m.say(whole("v")...)
-		c.hear("TDCZ")
+		conntest.AssertRecorded(t, file, fmt.Sprint("statement ", i), string(sent))
+		m.Send(conntest.RowResponse("v")...)
+		c.Expect("TDCZ")
 		g.settled(1)
 	}
-	g.links.Send(0, front.NewHealthCheck(pgwire.AppendQuery(nil, "SHOW load")))
-	assertRecorded(t, file, "probe", string(rawMessage(t, m, 5)))
+	g.pools.Send(0, front.NewHealthCheck(pgwire.AppendQuery(nil, "SHOW load")))
+	conntest.AssertRecorded(t, file, "probe", string(rawMessage(t, m, 5)))
 }
