--- a/limits/memory.go
+++ b/limits/memory.go
@@ -2,10 +2,11 @@
 
 import "sync/atomic"
 
-// LongMessagesPart is the part of the memory that clients' long messages may hold together, and that members' may.
+// LongMessagesPart is the part of the memory, as its denominator, that clients' long messages may hold together, and that servers'
+// may.
 const LongMessagesPart = 8
 
-// Memory shares it out: a flood of long messages must not end the front.
+// Memory is a budget of bytes: a flood of long messages must not end the process.
 type Memory struct {
 	held atomic.Int64
 	most int64
@@ -14,13 +15,14 @@
 // NewMemory returns a budget of a number of bytes.
 func NewMemory(most int64) *Memory { return &Memory{most: most} }
 
-// Held is how much is taken.
-func (b *Memory) Held() int64 { return b.held.Load() }
+// Held returns how many bytes are reserved.
+func (m *Memory) Held() int64 { return m.held.Load() }
 
-// Reserve takes room, or gives it back by a number below 0, and says whether there was some.
-func (b *Memory) Reserve(bytes int) bool {
-	if b.held.Add(int64(bytes)) > b.most && bytes > 0 {
-		b.held.Add(-int64(bytes))
+// Reserve takes bytes from the budget, and returns false where there are too few. A number below 0 gives bytes back and always
+// succeeds.
+func (m *Memory) Reserve(bytes int) bool {
+	if m.held.Add(int64(bytes)) > m.most && bytes > 0 {
+		m.held.Add(-int64(bytes))
 		return false
 	}
 	return true
--- a/server/client.go
+++ b/server/client.go
@@ -234,7 +234,7 @@
 		silent := !time.Now().Before(until)
 		switch {
 		case !silent && !c.evicted.Load() && stage < closing && !(c.answered && c.leaving()): // the wake was meant for another wait
-		case (stage < refusing || stage < closing && !c.answered) && tcpconn.Peek(c.conn) > 0:
+		case (stage < refusing || stage < closing && !c.answered) && tcpconn.Peek(c.conn) == tcpconn.DataPending:
 			c.conn.SetReadDeadline(time.Now().Add(messageTimeout)) // a read past its deadline does not look at all
 			c.r.WaitForInput()
 		case c.answered || stage == closing:
--- a/server/endings_test.go
+++ b/server/endings_test.go
@@ -143,7 +143,7 @@
 	p, c := g.pair()
 	c.answered = true
 	p.Send(conntest.ReadQuery("4000")...)
-	g.Eventually(func() bool { return tcpconn.Peek(c.conn) > 0 }) // and nobody has read it
+	g.Eventually(func() bool { return tcpconn.Peek(c.conn) == tcpconn.DataPending }) // and nobody has read it
 	end(c)
 	require.NoError(t, c.awaitMessage(), "it is served")
 	typ, _, err := c.next()
@@ -246,13 +246,13 @@
 	_, err := c.r.WaitForInput()
 	require.NoError(t, err)
 	p.Send(q[20:]...)
-	g.Eventually(func() bool { return tcpconn.Peek(c.conn) > 0 })
+	g.Eventually(func() bool { return tcpconn.Peek(c.conn) == tcpconn.DataPending })
 	g.server.stage.Store(closing)
 	typ, _, err := c.next()
 	assert.True(t, err == nil && typ == 'Q', "%v", err)
 	c.answered = true
 	p.Send(q[:20]...)
-	g.Eventually(func() bool { return tcpconn.Peek(c.conn) > 0 })
+	g.Eventually(func() bool { return tcpconn.Peek(c.conn) == tcpconn.DataPending })
 	_, _, err = c.next()
 	assert.ErrorIs(t, err, errLeaving, "of one that was not read the client knows that it was not taken")
 	c = &client{sv: g.server, conn: c.conn, answered: true, r: g.server.reader(c.conn, clientBuffer)}
--- a/upstream/dial.go
+++ b/upstream/dial.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"net"
 	"syscall"
 	"time"
@@ -12,113 +13,119 @@
 	"dapplerouter/tcpconn"
 )
 
-// localPause lies between two tries of what failed for want of something that this machine lacks for a moment.
-const localPause = 5 * time.Millisecond
+// localRetryPause lies between two attempts at what failed for want of a resource that this machine lacks for a moment.
+const localRetryPause = 5 * time.Millisecond
 
-// awaitDescriptor waits until a connection may be opened, as long as one may take to come up: clients that were asked to make way
-// take a moment to leave.
-func (ls *Pools) awaitDescriptor() bool {
-	for until := time.Now().Add(ls.dial); ; time.Sleep(localPause) {
-		if ls.limiter.AdmitServer(ls.EvictIdle) {
+// awaitDescriptor waits until a connection may be opened, for the dial timeout at most: evicted clients take a moment to leave.
+func (ps *Pools) awaitDescriptor() bool {
+	for deadline := time.Now().Add(ps.options.DialTimeout); ; time.Sleep(localRetryPause) {
+		if ps.options.Limiter.AdmitServer(ps.EvictIdle) {
 			return true
 		}
-		if !time.Now().Before(until) {
+		if !time.Now().Before(deadline) {
 			return false
 		}
 	}
 }
 
-// dialMember opens a connection until a moment at most. What fails for want of this machine's own is tried again; a last try that the
-// deadline ends says something of the member only when it had most of the time.
-func (l *memberConn) dialMember(until time.Time) (*net.TCPConn, error) {
-	ctx, cancel := context.WithDeadline(context.Background(), until)
+// open dials and waits for the server's greeting, within the limit for both together.
+func (c *conn) open() error {
+	deadline := time.Now().Add(c.pools.options.DialTimeout)
+	tcp, err := c.dial(deadline)
+	if err != nil {
+		return err
+	}
+	c.tcp, c.openedAt = tcp, time.Now()
+	tcpconn.SetDeadline(tcp, deadline)
+	if err := c.startup(); err != nil {
+		return fmt.Errorf("startup with %s: %w", c.address, err)
+	}
+	tcpconn.SetDeadline(tcp, time.Time{})
+	return nil
+}
+
+// dial opens a connection until a deadline. What fails for want of this machine's own resources is retried; the deadline of a last
+// dial counts against the server only when it had most of the time.
+func (c *conn) dial(deadline time.Time) (*net.TCPConn, error) {
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	d := net.Dialer{KeepAlive: -1, Control: l.ls.control}
-	var failedHere error
+	d := net.Dialer{KeepAlive: -1, Control: c.pools.dialControl}
+	var localErr error
 	for {
-		left := time.Until(until)
-		c, err := d.DialContext(ctx, "tcp", l.address)
+		left := time.Until(deadline)
+		dialled, err := d.DialContext(ctx, "tcp", c.address)
 		if err == nil {
-			return c.(*net.TCPConn), nil
+			return dialled.(*net.TCPConn), nil
 		}
-		if !localFailure(err) {
-			if failedHere != nil && dialTimedOut(err) && left < l.ls.dial/2 {
-				return nil, failedHere
+		if !isLocal(err) {
+			if localErr != nil && isDialTimeout(err) && left < c.pools.options.DialTimeout/2 {
+				return nil, localErr
 			}
 			return nil, err
 		}
-		failedHere = err
-		if !time.Now().Add(localPause).Before(until) {
+		localErr = err
+		if !time.Now().Add(localRetryPause).Before(deadline) {
 			return nil, err
 		}
-		time.Sleep(localPause)
+		time.Sleep(localRetryPause)
 	}
 }
 
-// dialTimedOut tells whether the deadline of our own ended a dial: by the context, or by the wait for the connection.
-func dialTimedOut(err error) bool {
-	return errors.Is(err, context.DeadlineExceeded) || tcpconn.IsTimeout(err)
-}
-
-// localFailure tells whether a dial failed for want of something of this machine, which says nothing of the member.
-func localFailure(err error) bool {
-	var number syscall.Errno
-	if !errors.As(err, &number) {
-		return false
-	}
-	switch number {
-	case syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE,
-		syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EAGAIN, syscall.EINTR:
-		return true
-	}
-	return false
-}
-
-// connect dials and waits for the member's welcome, within the limit for both together.
-func (l *memberConn) connect() error {
-	until := time.Now().Add(l.ls.dial)
-	conn, err := l.dialMember(until)
-	if err != nil {
+// startup sends the startup message and reads the server's greeting. The error is a *RejectedError where the server answered with an
+// error.
+func (c *conn) startup() error {
+	o := &c.pools.options
+	if _, err := c.tcp.Write(pgwire.AppendStartup(nil, o.User, o.Database)); err != nil {
 		return err
 	}
-	l.conn, l.opened = conn, time.Now()
-	l.conn.SetDeadline(until)
-	if _, err := l.conn.Write(pgwire.AppendStartup(nil, l.ls.user, l.ls.database)); err != nil {
-		return err
-	}
-	l.r = pgwire.NewReader(l.conn, linkBuffer, l.ls.longest)
-	l.r.RetainedBytes, l.r.SpareBytes, l.r.Reserve = bodyKept, rowSpare, l.ls.bodies.Reserve
-	var a pgwire.QueryResult
-	l.r.CheckMessage = a.CheckMessage
-	for done := false; !done; {
-		done, err = l.readMessage(&a)
-		if a.Code != "" {
-			return &rejectedConn{a}
+	c.reader = pgwire.NewReader(c.tcp, readBuffer, c.pools.maxMessage)
+	c.reader.RetainedBytes, c.reader.SpareBytes, c.reader.Reserve = maxReused, spareBehind, c.pools.bodies.Reserve
+	var greeting pgwire.QueryResult
+	c.reader.CheckMessage = greeting.CheckMessage
+	for complete := false; !complete; {
+		var err error
+		complete, err = c.readMessage(&greeting)
+		if greeting.Code != "" {
+			return &RejectedError{Answer: greeting}
 		}
 		if err != nil {
 			return err
 		}
 	}
-	if l.disturbed() {
-		return errors.New("it ended, or said more than a welcome, before it was asked anything")
+	if c.hasInput() {
+		return ErrUnexpectedInput
 	}
-	l.conn.SetDeadline(time.Time{})
 	return nil
 }
 
-// rejectedConn is an error answer in place of a welcome.
-type rejectedConn struct{ answer pgwire.QueryResult }
+// postOpenError tells the core that an attempt's connection did not come up.
+func (c *conn) postOpenError(a *front.Attempt, err error) {
+	var rejected *RejectedError
+	switch {
+	case errors.As(err, &rejected) && rejected.Answer.Code == pgwire.CodeTooManyConnections:
+		c.pools.options.Post(&front.AttemptFinished{Attempt: a, Answer: rejected.Answer})
+	case isLocal(err):
+		c.pools.postError(a, front.StageLocal, err)
+	default:
+		c.pools.postError(a, front.StageDial, err)
+	}
+}
 
-func (t *rejectedConn) Error() string { return "rejected with " + t.answer.Code }
+// isDialTimeout reports whether the deadline set here ended a dial: by the context, or by the wait for the connection.
+func isDialTimeout(err error) bool {
+	return errors.Is(err, context.DeadlineExceeded) || tcpconn.IsTimeout(err)
+}
 
-func (ls *Pools) connectFailed(s *front.Attempt, err error) {
-	if t, ok := err.(*rejectedConn); ok && t.answer.Code == pgwire.CodeTooManyConnections {
-		ls.post(&front.AttemptFinished{Attempt: s, Answer: t.answer})
-		return
+// isLocal reports whether a dial failed for want of a resource of this machine, which says nothing of the server.
+func isLocal(err error) bool {
+	var number syscall.Errno
+	if !errors.As(err, &number) {
+		return false
 	}
-	if localFailure(err) {
-		ls.failed(s, front.StageLocal, err)
-		return
+	switch number {
+	case syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE,
+		syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EAGAIN, syscall.EINTR:
+		return true
 	}
-	ls.failed(s, front.StageDial, err)
+	return false
 }
--- a/upstream/dial_test.go
+++ b/upstream/dial_test.go
@@ -23,7 +23,7 @@
 		t.Run(number.Error(), func(t *testing.T) {
 			g := newRig(t, 40)
 			var tries atomic.Int64
-			g.pools.control = func(string, string, syscall.RawConn) error {
+			g.pools.dialControl = func(string, string, syscall.RawConn) error {
 				if tries.Add(1) <= 3 {
 					return os.NewSyscallError("connect", number)
 				}
@@ -38,8 +38,8 @@
 	}
 	t.Run("and goes on failing", func(t *testing.T) { // it tells nothing of the member
 		g := newRig(t, 40)
-		g.pools.dial = 400 * time.Millisecond // a hold-up of 0.15 s is shorter than half of it
-		g.pools.control = func(string, string, syscall.RawConn) error { return os.NewSyscallError("connect", syscall.ENOBUFS) }
+		g.pools.options.DialTimeout = 400 * time.Millisecond // a hold-up of 0.15 s is shorter than half of it
+		g.pools.dialControl = func(string, string, syscall.RawConn) error { return os.NewSyscallError("connect", syscall.ENOBUFS) }
 		c := g.Client()
 		c.Send(conntest.ReadQuery("4000")...)
 		assert.Equal(t, routing.NotSent, (<-g.Router.Finished).Result)
@@ -50,9 +50,9 @@
 // A last try that has next to no time left ends at the deadline, whoever is to blame: it is not held against the member.
 func TestADeadlineAfterFailuresOfThisMachineIsNotHeldAgainstTheMember(t *testing.T) {
 	g := newRig(t, 40)
-	g.pools.dial = 50 * time.Millisecond
+	g.pools.options.DialTimeout = 50 * time.Millisecond
 	var tries atomic.Int64
-	g.pools.control = func(string, string, syscall.RawConn) error {
+	g.pools.dialControl = func(string, string, syscall.RawConn) error {
 		if tries.Add(1) == 1 {
 			time.Sleep(40 * time.Millisecond)
 			return os.NewSyscallError("connect", syscall.ENOBUFS)
@@ -69,9 +69,9 @@
 // A single failure here does not excuse a member that then has most of the time and does not answer.
 func TestAMemberThatDoesNotAnswerAfterOneFailureHereIsBlamed(t *testing.T) {
 	g := newRig(t, 40)
-	g.pools.dial = time.Second
+	g.pools.options.DialTimeout = time.Second
 	var tries atomic.Int64
-	g.pools.control = func(string, string, syscall.RawConn) error {
+	g.pools.dialControl = func(string, string, syscall.RawConn) error {
 		if tries.Add(1) == 1 {
 			return os.NewSyscallError("connect", syscall.ENOBUFS)
 		}
@@ -86,7 +86,7 @@
 func TestADialThatTheMemberDoesNotAnswerIsHeldAgainstIt(t *testing.T) {
 	for _, number := range []syscall.Errno{syscall.ECONNREFUSED, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET} {
 		g := newRig(t, 40)
-		g.pools.control = func(string, string, syscall.RawConn) error { return os.NewSyscallError("connect", number) }
+		g.pools.dialControl = func(string, string, syscall.RawConn) error { return os.NewSyscallError("connect", number) }
 		g.Client().Send(conntest.ReadQuery("4000")...)
 		assert.Equal(t, routing.Unreachable, (<-g.Router.Finished).Result, number.Error())
 	}
--- a/upstream/pools_test.go
+++ b/upstream/pools_test.go
@@ -225,19 +225,19 @@
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 40)
 			ended := make(chan front.Event, 1)
-			g.pools.post = func(e front.Event) { ended <- e }
+			g.pools.options.Post = func(e front.Event) { ended <- e }
 			g.Eventually(func() bool { return g.address() != "" })
-			conn, err := net.Dial("tcp", g.Upstream.Addr().String())
+			dialled, err := net.Dial("tcp", g.Upstream.Addr().String())
 			require.NoError(t, err)
-			l := &memberConn{ls: g.pools, pool: g.pools.pool(0), address: g.address(), conn: conn.(*net.TCPConn), job: make(chan *front.Attempt, 1),
-				r: pgwire.NewReader(conn, 4096, 4096)}
+			l := &conn{pools: g.pools, pool: g.pools.pool(0), address: g.address(), tcp: dialled.(*net.TCPConn), next: make(chan *front.Attempt, 1),
+				reader: pgwire.NewReader(dialled, 4096, 4096)}
 			c, err := g.Upstream.Accept()
 			require.NoError(t, err)
 			spoil(conntest.NewPeer(t, c))
-			g.Eventually(func() bool { return tcpconn.Peek(l.conn) >= 0 })
+			g.Eventually(func() bool { return tcpconn.Peek(l.tcp) != tcpconn.NoInput })
 			s := front.NewHealthCheck(pgwire.AppendQuery(nil, "SELECT 2"))
-			l.job <- s
-			assert.Nil(t, l.awaitJob())
+			l.next <- s
+			assert.Nil(t, l.awaitNext())
 			m := g.AcceptServer()
 			m.Expect("Q")
 			m.Send(conntest.RowResponse("w")...)
@@ -249,8 +249,8 @@
 // What takes the place of a failed attempt must not be out beside it.
 func TestALinkIsClosedBeforeItsFailureIsTold(t *testing.T) {
 	g := newRig(t, 40)
-	post, m, seen := g.pools.post, make(chan *conntest.Peer, 1), make(chan error, 1)
-	g.pools.post = func(e front.Event) {
+	post, m, seen := g.pools.options.Post, make(chan *conntest.Peer, 1), make(chan error, 1)
+	g.pools.options.Post = func(e front.Event) {
 		_, _, err := (<-m).Reader.Next()
 		seen <- err
 		post(e)
@@ -284,6 +284,6 @@
 	g.pools.Remove(0)
 	idle.ExpectClosed()
 	g.pools.SetAddress(0, g.Upstream.Addr().String(), 0)
-	l.release() // one that was at work meanwhile
+	l.putBack() // one that was at work meanwhile
 	assert.Zero(t, g.idle(), "it is the old member's")
 }
