--- a/cmd/dapplerouter/repeats.go
+++ b/cmd/dapplerouter/repeats.go
@@ -118,7 +118,7 @@
 		if len(text) > 200 {
 			text = text[:200]
 		}
-		if a.Key != "why" { // names of members and fronts tell lines apart
+		if a.Key != "err" && a.Key != "why" { // names of members and fronts tell lines apart
 			b.WriteString(text)
 			return true
 		}
--- a/cmd/dapplerouter/repeats_test.go
+++ b/cmd/dapplerouter/repeats_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"fmt"
+	"io"
 	"log/slog"
 	"strings"
 	"testing"
@@ -48,3 +49,13 @@
 	assert.Equal(t, 400, len(lines()), "what differs in a name is told, and the table is bounded")
 	assert.LessOrEqual(t, len(h.s.lines), repeatsMost)
 }
+
+func TestRepeatedErrorThatDiffersInNumbersIsOneLine(t *testing.T) {
+	var out bytes.Buffer
+	log := slog.New(newRepeats(slog.NewTextHandler(&out, nil)))
+	for i := range 100 {
+		log.Warn("endpoint watch ended", "err", fmt.Errorf("dial tcp 127.0.0.1:%d: connection refused", 40000+i))
+	}
+	log.Warn("endpoint watch ended", "err", io.EOF)
+	assert.Equal(t, 2, strings.Count(out.String(), "\n"), out.String())
+}
