--- a/fleet/broadcasts.go
+++ b/fleet/broadcasts.go
@@ -33,7 +33,7 @@
 	if !ok {
 		return false
 	}
-	held := n.heldLeases[leaseName]
+	held := n.ownLeases[leaseName]
 	held.broadcasts++
 	m := &Message{Kind: KindBroadcast, From: n.options.Name, Name: leaseName, Term: term, Number: held.broadcasts, Data: data}
 	n.acceptBroadcast(m)
@@ -71,7 +71,7 @@
 	if len(n.fences) >= maxKnownFronts && n.fences[m.Name] == (fence{}) || n.state.Leases[m.Name] == nil && n.mirrors[m.Name] == nil {
 		return // an unknown lease
 	}
-	if held := n.heldLeases[m.Name]; held != nil && m.Term > held.term {
+	if held := n.ownLeases[m.Name]; held != nil && m.Term > held.term {
 		n.dropLease(m.Name, "a later term acts")
 	}
 	if !n.acceptBroadcast(m) {
--- a/fleet/config_leases.go
+++ b/fleet/config_leases.go
@@ -41,19 +41,19 @@
 // onConfigLeases handles renewals on their way from the leader: those of this front, which count from when it asked, and those
 // of fronts behind it.
 func (n *Node) onConfigLeases(all []Position) {
-	next := map[string][]Position{}
+	byNextHop := map[string][]Position{}
 	for _, m := range all {
 		if m.Name != n.options.Name {
-			if w, ok := n.routes[m.Name]; ok && w.via != "" {
-				next[w.via] = append(next[w.via], m)
+			if route, ok := n.routes[m.Name]; ok && route.via != "" {
+				byNextHop[route.via] = append(byNextHop[route.via], m)
 			}
 			continue
 		}
-		if m.Term != n.options.Incarnation || m.Index > n.reportSeq || n.reportSeq-m.Index >= keptSendTimes || n.isDisplaced ||
+		if m.Term != n.options.Incarnation || m.Index > n.reportSeq || n.reportSeq-m.Index >= rememberedSendTimes || n.isDisplaced ||
 			m.Version != n.activeVersion && !(n.hasPending && m.Version == n.pendingVersion) {
 			continue
 		}
-		since := n.sentAt[m.Index%keptSendTimes]
+		since := n.sentAt[m.Index%rememberedSendTimes]
 		if until := since + lowerBound(n.options.ConfigLease); until > n.configExpiry[m.Version] {
 			for v := range n.configExpiry {
 				if v != n.activeVersion && !(n.hasPending && v == n.pendingVersion) {
@@ -64,8 +64,8 @@
 			n.emit(ConfigLeaseRenewed{Version: m.Version, Until: until, Since: since})
 		}
 	}
-	for _, via := range slices.Sorted(maps.Keys(next)) {
-		for part := range slices.Chunk(next[via], maxMembers) {
+	for _, via := range slices.Sorted(maps.Keys(byNextHop)) {
+		for part := range slices.Chunk(byNextHop[via], maxMembers) {
 			n.send(via, &Message{Kind: KindConfigLeases, Positions: part})
 		}
 	}
--- a/fleet/endpoint_list.go
+++ b/fleet/endpoint_list.go
@@ -19,7 +19,7 @@
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
 
-	Whole     bool
+	Complete  bool
 	After     int64
 	Index     int64
 	Endpoints []encodedEndpoint
@@ -87,24 +87,24 @@
 
 // Apply implements Mirror. An update that only says that the service was heard counts as news where nothing is missing.
 func (l *EndpointList) Apply(term uint64, data []byte) (news []byte, behind bool) {
-	var a endpointUpdate
-	if err := msgpack.Unmarshal(data, &a); err != nil || len(a.Endpoints) > maxEndpoints || a.Index < 0 {
+	var update endpointUpdate
+	if err := msgpack.Unmarshal(data, &update); err != nil || len(update.Endpoints) > maxEndpoints || update.Index < 0 {
 		return nil, false
 	}
 	l.term = max(l.term, term)
 	switch {
-	case a.Whole && (!l.known || a.Index > l.index):
+	case update.Complete && (!l.known || update.Index > l.index):
 		l.endpoints = map[string]discovery.Endpoint{}
-	case l.known && a.Index < l.index:
+	case l.known && update.Index < l.index:
 		l.StaleUpdates++
 		return nil, false
-	case !l.known || !a.Whole && a.After > l.index:
+	case !l.known || !update.Complete && update.After > l.index:
 		return nil, true
-	case a.Index == l.index:
+	case update.Index == l.index:
 		return l.EncodeHeartbeat(), false // nothing new, but the service is alive
 	}
-	l.known, l.index = true, a.Index
-	for _, e := range a.Endpoints {
+	l.known, l.index = true, update.Index
+	for _, e := range update.Endpoints {
 		if routing.ServerState(e.State) == routing.Removed {
 			delete(l.endpoints, e.Name)
 			continue
@@ -117,11 +117,11 @@
 
 // EncodeUpdate encodes what the discovery service said, as changes behind index after. It fails where the service returns an
 // older list than is known.
-func (l *EndpointList) EncodeUpdate(said discovery.List, after int64) ([]byte, error) {
-	if l.known && said.Index < l.index {
-		return nil, fmt.Errorf("the service hands back list %d, and %d is known", said.Index, l.index)
+func (l *EndpointList) EncodeUpdate(list discovery.List, after int64) ([]byte, error) {
+	if l.known && list.Index < l.index {
+		return nil, fmt.Errorf("the service hands back list %d, and %d is known", list.Index, l.index)
 	}
-	return encodeEndpointUpdate(said, after), nil
+	return encodeEndpointUpdate(list, after), nil
 }
 
 // EncodeHeartbeat encodes an update that says only that the discovery service was heard.
@@ -130,26 +130,26 @@
 }
 
 // DecodeEndpointUpdate decodes an update; changed reports whether it says more than that the service was heard.
-func DecodeEndpointUpdate(data []byte) (said discovery.List, changed bool) {
-	var a endpointUpdate
-	if err := msgpack.Unmarshal(data, &a); err != nil {
-		return said, false
+func DecodeEndpointUpdate(data []byte) (list discovery.List, changed bool) {
+	var update endpointUpdate
+	if err := msgpack.Unmarshal(data, &update); err != nil {
+		return list, false
 	}
-	said.Index, said.Snapshot = a.Index, a.Whole
-	for _, e := range a.Endpoints {
-		said.Endpoints = append(said.Endpoints, discovery.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, ServerType: e.Kind, Group: e.Group,
+	list.Index, list.Snapshot = update.Index, update.Complete
+	for _, e := range update.Endpoints {
+		list.Endpoints = append(list.Endpoints, discovery.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, ServerType: e.Kind, Group: e.Group,
 			State: routing.ServerState(e.State), Weight: e.Weight, Primary: e.Primary, StartedAtMillis: e.Since})
 	}
-	return said, a.Whole || len(a.Endpoints) > 0
+	return list, update.Complete || len(update.Endpoints) > 0
 }
 
-func encodeEndpointUpdate(said discovery.List, after int64) []byte {
-	a := endpointUpdate{Whole: said.Snapshot, After: after, Index: said.Index}
-	for _, e := range said.Endpoints {
-		a.Endpoints = append(a.Endpoints, encodedEndpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Kind: e.ServerType, Group: e.Group,
+func encodeEndpointUpdate(list discovery.List, after int64) []byte {
+	update := endpointUpdate{Complete: list.Snapshot, After: after, Index: list.Index}
+	for _, e := range list.Endpoints {
+		update.Endpoints = append(update.Endpoints, encodedEndpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Kind: e.ServerType, Group: e.Group,
 			State: uint8(e.State), Weight: e.Weight, Primary: e.Primary, Since: e.StartedAtMillis})
 	}
-	b, err := msgpack.Marshal(&a)
+	b, err := msgpack.Marshal(&update)
 	if err != nil {
 		panic(fmt.Sprint("a list that can't be written: ", err)) // cannot fail for our own types
 	}
--- a/fleet/leader.go
+++ b/fleet/leader.go
@@ -81,7 +81,7 @@
 
 // tick does what depends on time: it starts confirmation rounds, grants leases that expired, and removes fronts that left.
 func (l *leader) tick(now time.Duration) {
-	l.excusePause(now)
+	l.extendForPause(now)
 	l.startConfirmation(now)
 	recentlyConfirmed := now-l.voter.confirmedAt <= 2*l.node.options.Timing.HeartbeatInterval()
 	if l.node.leader != l || !l.ready || !recentlyConfirmed {
@@ -94,8 +94,8 @@
 	l.voter.process(now)
 }
 
-// excusePause extends all leases and members by a pause of this process, for which others must not pay.
-func (l *leader) excusePause(now time.Duration) {
+// extendForPause extends all leases and members by a pause of this process, for which others must not pay.
+func (l *leader) extendForPause(now time.Duration) {
 	pause := now - l.tickedAt
 	l.tickedAt = now
 	if pause <= 4*l.node.options.Timing.TickInterval() {
@@ -106,7 +106,7 @@
 		timer.progressAt += pause
 	}
 	for _, known := range l.members {
-		known.heardAt += pause
+		known.reportedAt += pause
 	}
 }
 
--- a/fleet/leader_leases.go
+++ b/fleet/leader_leases.go
@@ -26,7 +26,7 @@
 	incarnation uint64
 	seq         uint64
 	renewal     LeaseRenewal
-	heardAt     time.Duration
+	receivedAt  time.Duration
 	round       uint64
 
 	version uint64 // of a configuration lease
@@ -48,10 +48,10 @@
 // that are granted.
 func (l *leader) onQuorumConfirmed(now time.Duration, round uint64) {
 	renewed := map[string]*LeaderReply{}
-	rest := l.confirming[:0]
+	remaining := l.confirming[:0]
 	for _, pending := range l.confirming {
 		if pending.round > round {
-			rest = append(rest, pending)
+			remaining = append(remaining, pending)
 			continue
 		}
 		lease, timer := l.node.state.Leases[pending.renewal.Lease], l.timers[pending.renewal.Lease]
@@ -61,7 +61,7 @@
 		if !lease.heldBy(pending.name, pending.incarnation, pending.renewal.Term) {
 			continue
 		}
-		timer.expiresAt = max(timer.expiresAt, pending.heardAt+l.node.options.Timing.leaderLease())
+		timer.expiresAt = max(timer.expiresAt, pending.receivedAt+l.node.options.Timing.leaderLease())
 		if pending.renewal.Progress != timer.progress {
 			timer.progress, timer.progressAt = pending.renewal.Progress, now
 		}
@@ -74,7 +74,7 @@
 			reply.Renewed = append(reply.Renewed, pending.renewal)
 		}
 	}
-	l.confirming = rest
+	l.confirming = remaining
 	l.renewConfigLeases(now, round)
 	for _, name := range slices.Sorted(maps.Keys(renewed)) {
 		l.reply(now, name, renewed[name])
@@ -95,7 +95,7 @@
 // eligible reports whether a front can be granted a lease now.
 func (l *leader) eligible(now time.Duration, known *member) bool {
 	front := l.node.state.Fronts[known.Name]
-	recent := now-known.heardAt < 2*l.node.options.Timing.reportInterval()
+	recent := now-known.reportedAt < 2*l.node.options.Timing.reportInterval()
 	joined := front != nil && front.Incarnation == known.Incarnation
 	return known.AcceptsLeases && !known.Leaving && recent && joined
 }
@@ -229,24 +229,24 @@
 		return
 	}
 	leaseCounts := map[string]int{}
-	own := ""
+	ownName := ""
 	for name, lease := range l.node.state.Leases {
 		leaseCounts[lease.Leaseholder]++
-		if held := l.node.heldLeases[name]; lease.Leaseholder == l.node.options.Name && held != nil && held.announced && !held.releasing {
-			own = max(own, name)
+		if held := l.node.ownLeases[name]; lease.Leaseholder == l.node.options.Name && held != nil && held.announced && !held.releasing {
+			ownName = max(ownName, name)
 		}
 	}
-	if own == "" {
+	if ownName == "" {
 		return
 	}
 	self := l.node.options.Name
 	for name, known := range l.members {
-		if name == self || leaseCounts[name] > leaseCounts[self] || now < l.pausedUntil[pauseKey(own, name)] {
+		if name == self || leaseCounts[name] > leaseCounts[self] || now < l.pausedUntil[pauseKey(ownName, name)] {
 			continue
 		}
 		if l.eligible(now, known) {
 			l.offloadedAt = now
-			l.node.releaseLease(now, own, "", "its holder gives as well")
+			l.node.releaseLease(now, ownName, "", "its holder gives as well")
 			return
 		}
 	}
--- a/fleet/leader_members.go
+++ b/fleet/leader_members.go
@@ -5,14 +5,14 @@
 // member is a front's latest membership record.
 type member struct {
 	MembershipRecord
-	heardAt time.Duration
+	reportedAt time.Duration
 }
 
 // duplicate is a process that uses another live process's name: since when and when last that other was heard, and how often.
 type duplicate struct {
-	incarnation           uint64
-	firstHeardAt, heardAt time.Duration
-	reports               int
+	incarnation                 uint64
+	firstReportAt, lastReportAt time.Duration
+	reports                     int
 }
 
 // onMembership handles a front's membership record.
@@ -30,8 +30,8 @@
 		return
 	}
 	if d := l.duplicates[report.Name]; d != nil && d.incarnation != report.Incarnation {
-		if now-d.heardAt >= l.node.options.Timing.reportInterval()/2 { // records that were delayed arrive together, and count once
-			d.heardAt = now
+		if now-d.lastReportAt >= l.node.options.Timing.reportInterval()/2 { // records that were delayed arrive together, and count once
+			d.lastReportAt = now
 			d.reports++
 		}
 	}
@@ -59,7 +59,7 @@
 	if known == nil || known.Incarnation == report.Incarnation || known.Leaving {
 		return false
 	}
-	return now-known.heardAt < 3*l.node.options.Timing.reportInterval()
+	return now-known.reportedAt < 3*l.node.options.Timing.reportInterval()
 }
 
 // frontOf is a front's replicated membership as it reports it.
@@ -90,7 +90,7 @@
 		incarnation: report.Incarnation,
 		seq:         report.Seq,
 		round:       l.voter.readRounds + 1,
-		heardAt:     now,
+		receivedAt:  now,
 		version:     report.ActiveVersion,
 	}
 	l.configRenewals = append(l.configRenewals, pending)
@@ -112,7 +112,7 @@
 			incarnation: report.Incarnation,
 			seq:         report.Seq,
 			renewal:     renewal,
-			heardAt:     now,
+			receivedAt:  now,
 		})
 	}
 }
@@ -120,14 +120,14 @@
 // nameInUse reports whether a name still belongs to another process. A process that is heard keeps its name, so that neither a
 // late record of a process long gone nor a second process displaces it. A second process that keeps reporting is displaced.
 func (l *leader) nameInUse(now time.Duration, front *Front, known *member, report MembershipRecord) bool {
-	heard := l.since
+	lastContact := l.since
 	if known != nil && known.Incarnation == front.Incarnation {
 		if known.Leaving {
 			return false
 		}
-		heard = known.heardAt
+		lastContact = known.reportedAt
 	}
-	if now-heard >= 3*l.node.options.Timing.reportInterval() {
+	if now-lastContact >= 3*l.node.options.Timing.reportInterval() {
 		delete(l.duplicates, report.Name)
 		return false
 	}
@@ -137,7 +137,7 @@
 		if len(l.duplicates) < maxKnownFronts {
 			l.duplicates[report.Name] = &duplicate{report.Incarnation, now, now, 0}
 		}
-	case now-other.firstHeardAt > 3*l.node.options.Timing.LeaseDuration && other.reports > 3:
+	case now-other.firstReportAt > 3*l.node.options.Timing.LeaseDuration && other.reports > 3:
 		l.reply(now, report.Name, &LeaderReply{Displaced: report.Incarnation})
 	}
 	return true
@@ -156,12 +156,12 @@
 // hasDeparted reports whether a front has been silent for long, or for a while after it said that it leaves.
 func (l *leader) hasDeparted(now time.Duration, name string) bool {
 	leaseDuration := l.node.options.Timing.LeaseDuration
-	known := l.members[name]
+	member := l.members[name]
 	switch {
-	case known == nil:
+	case member == nil:
 		return now-l.since > 20*leaseDuration
-	case known.Leaving:
-		return now-known.heardAt > 2*leaseDuration
+	case member.Leaving:
+		return now-member.reportedAt > 2*leaseDuration
 	}
-	return now-known.heardAt > 20*leaseDuration
+	return now-member.reportedAt > 20*leaseDuration
 }
--- a/fleet/leader_proposals.go
+++ b/fleet/leader_proposals.go
@@ -10,32 +10,32 @@
 // repeats each unanswered request once in a heartbeat interval, so a request that was not heard for a whole lease duration
 // is not repeated any more and may be forgotten. Where the memory is full, further requests wait until it has room.
 type proposalMemory struct {
-	heard, heardBefore map[string]map[uint64]bool // in this lease duration, and in the one before
-	rotatedAt          time.Duration
+	recent, previous map[string]map[uint64]bool // in this lease duration, and in the one before
+	rotatedAt        time.Duration
 }
 
 func newProposalMemory(now time.Duration) proposalMemory {
-	return proposalMemory{heard: map[string]map[uint64]bool{}, rotatedAt: now}
+	return proposalMemory{recent: map[string]map[uint64]bool{}, rotatedAt: now}
 }
 
 // admit reports whether a request may be proposed: it is new, and there is room to remember it.
 func (m *proposalMemory) admit(requester string, id uint64) bool {
-	if m.heard[requester][id] || m.heardBefore[requester][id] {
+	if m.recent[requester][id] || m.previous[requester][id] {
 		m.add(requester, id)
 		return false
 	}
-	if m.heard[requester] == nil {
-		return len(m.heard) < maxKnownFronts
+	if m.recent[requester] == nil {
+		return len(m.recent) < maxKnownFronts
 	}
-	return len(m.heard[requester]) < maxRememberedProposals
+	return len(m.recent[requester]) < maxRememberedProposals
 }
 
 // add remembers a request, from now on for a lease duration at least.
 func (m *proposalMemory) add(requester string, id uint64) {
-	if m.heard[requester] == nil {
-		m.heard[requester] = map[uint64]bool{}
+	if m.recent[requester] == nil {
+		m.recent[requester] = map[uint64]bool{}
 	}
-	m.heard[requester][id] = true
+	m.recent[requester][id] = true
 }
 
 // rotate forgets what was not heard for a whole lease duration.
@@ -44,5 +44,5 @@
 		return
 	}
 	m.rotatedAt = now
-	m.heard, m.heardBefore = map[string]map[uint64]bool{}, m.heard
+	m.recent, m.previous = map[string]map[uint64]bool{}, m.recent
 }
--- a/fleet/leader_requests.go
+++ b/fleet/leader_requests.go
@@ -33,8 +33,8 @@
 }
 
 // fail answers a request that cannot be served; for why "" it answers that nothing is left to do.
-func (l *leader) fail(now time.Duration, requester string, q *Request, why string) {
-	l.reply(now, requester, &LeaderReply{RequestID: q.ID, Error: why})
+func (l *leader) fail(now time.Duration, requester string, q *Request, reason string) {
+	l.reply(now, requester, &LeaderReply{RequestID: q.ID, Error: reason})
 }
 
 // onProposal proposes a command for the log. Its answer follows when the command was applied, from each front's own state.
@@ -133,7 +133,7 @@
 			Front:            name,
 			Incarnation:      known.Incarnation,
 			Zone:             known.Zone,
-			Age:              now - known.heardAt,
+			Age:              now - known.reportedAt,
 			ActiveVersion:    known.ActiveVersion,
 			WantsConfigLease: known.WantsConfigLease,
 			Leaving:          known.Leaving,
--- a/fleet/leases.go
+++ b/fleet/leases.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// heldLease is a lease that this front holds.
-type heldLease struct {
+// ownLease is a lease that this front holds.
+type ownLease struct {
 	term, progress uint64
 	expiresAt      time.Duration
 	confirmedAt    time.Duration // when the report was sent that a leader confirmed last
@@ -21,13 +21,13 @@
 
 // leaseState is the leases that a Node holds, and those that it declares.
 type leaseState struct {
-	heldLeases     map[string]*heldLease
+	ownLeases      map[string]*ownLease
 	declaredLeases map[string]time.Duration // with the bound of their progress
 	missingLeases  map[string]uint64        // those of them that the replicated state lacks, with the latest request to declare them
 }
 
 func newLeaseState() leaseState {
-	return leaseState{heldLeases: map[string]*heldLease{}, declaredLeases: map[string]time.Duration{}, missingLeases: map[string]uint64{}}
+	return leaseState{ownLeases: map[string]*ownLease{}, declaredLeases: map[string]time.Duration{}, missingLeases: map[string]uint64{}}
 }
 
 // DeclareLease declares a lease that some front should hold, and report progress on within bound; 0 for no bound.
@@ -54,7 +54,7 @@
 // HoldsLease reports whether this front holds a lease now, and in which term. Call it directly before each action under the
 // lease.
 func (n *Node) HoldsLease(now time.Duration, leaseName string) (term uint64, ok bool) {
-	held := n.heldLeases[leaseName]
+	held := n.ownLeases[leaseName]
 	if held == nil || held.releasing || now >= held.expiresAt || n.isDisplaced {
 		return 0, false
 	}
@@ -63,7 +63,7 @@
 
 // LeaseExpiry returns until when this front holds a lease as far as it knows, on its own clock; 0 where it holds none.
 func (n *Node) LeaseExpiry(leaseName string) time.Duration {
-	if held := n.heldLeases[leaseName]; held != nil {
+	if held := n.ownLeases[leaseName]; held != nil {
 		return held.expiresAt
 	}
 	return 0
@@ -72,7 +72,7 @@
 // LeaseConfirmed returns the term of the leader that renewed a lease last, and a time of this front's clock after which that leader
 // was confirmed by a majority. The term is 0 where no renewal told it.
 func (n *Node) LeaseConfirmed(leaseName string) (leaderTerm uint64, after time.Duration) {
-	if held := n.heldLeases[leaseName]; held != nil {
+	if held := n.ownLeases[leaseName]; held != nil {
 		return held.confirmedTerm, held.confirmedAt
 	}
 	return 0, 0
@@ -80,7 +80,7 @@
 
 // ReportProgress records that the leaseholder made progress.
 func (n *Node) ReportProgress(leaseName string) {
-	if held := n.heldLeases[leaseName]; held != nil {
+	if held := n.ownLeases[leaseName]; held != nil {
 		held.progress++
 	}
 }
@@ -90,7 +90,7 @@
 	if f := n.fences[lease.Name]; lease.Term > f.term {
 		n.fences[lease.Name] = fence{term: lease.Term}
 	}
-	held := n.heldLeases[lease.Name]
+	held := n.ownLeases[lease.Name]
 	ours := lease.Leaseholder == n.options.Name && lease.Incarnation == n.options.Incarnation && !n.isDisplaced
 	if held != nil && (!ours || held.term != lease.Term) {
 		n.dropLease(lease.Name, "it passed to "+cmp.Or(lease.Leaseholder, "nobody"))
@@ -99,8 +99,8 @@
 	if !ours || held != nil {
 		return
 	}
-	held = &heldLease{term: lease.Term}
-	n.heldLeases[lease.Name] = held
+	held = &ownLease{term: lease.Term}
+	n.ownLeases[lease.Name] = held
 	if n.leaving || n.idle {
 		n.releaseLease(now, lease.Name, "", "this front takes no duty")
 		return
@@ -110,11 +110,11 @@
 }
 
 // extendLease extends a lease, less the margin, from when this front sent the report that the leader confirmed.
-func (n *Node) extendLease(now time.Duration, leaseName string, held *heldLease, seq, leaderTerm uint64) {
-	if seq > n.reportSeq || n.reportSeq-seq >= keptSendTimes || held.releasing {
+func (n *Node) extendLease(now time.Duration, leaseName string, held *ownLease, seq, leaderTerm uint64) {
+	if seq > n.reportSeq || n.reportSeq-seq >= rememberedSendTimes || held.releasing {
 		return
 	}
-	since := n.sentAt[seq%keptSendTimes]
+	since := n.sentAt[seq%rememberedSendTimes]
 	until := since + n.options.Timing.holderLease()
 	if until <= held.expiresAt || until <= now {
 		return
@@ -129,30 +129,30 @@
 }
 
 // dropLease ends a lease that another front holds now.
-func (n *Node) dropLease(leaseName, why string) {
-	held := n.heldLeases[leaseName]
-	delete(n.heldLeases, leaseName)
+func (n *Node) dropLease(leaseName, reason string) {
+	held := n.ownLeases[leaseName]
+	delete(n.ownLeases, leaseName)
 	if held != nil {
-		n.announceEnd(leaseName, held, why)
+		n.announceEnd(leaseName, held, reason)
 	}
 }
 
 // releaseLease stops using a lease first, and tells the leader then.
-func (n *Node) releaseLease(now time.Duration, leaseName, to, why string) {
-	held := n.heldLeases[leaseName]
+func (n *Node) releaseLease(now time.Duration, leaseName, to, reason string) {
+	held := n.ownLeases[leaseName]
 	if held == nil || held.releasing {
 		return
 	}
 	held.releasing = true
-	n.announceEnd(leaseName, held, why)
+	n.announceEnd(leaseName, held, reason)
 	n.Request(now, Request{Type: RequestRelease, Lease: leaseName, Term: held.term, To: to})
 }
 
 // Leave begins this front's shutdown: it releases its leases, reports that it leaves, and takes no new leases.
 func (n *Node) Leave(now time.Duration) {
 	n.leaving = true
-	for _, d := range slices.Sorted(maps.Keys(n.heldLeases)) {
-		n.releaseLease(now, d, "", "this front ends")
+	for _, leaseName := range slices.Sorted(maps.Keys(n.ownLeases)) {
+		n.releaseLease(now, leaseName, "", "this front ends")
 	}
 	n.reportMembership(now)
 	if n.voter != nil {
@@ -163,7 +163,7 @@
 
 // HasLeft reports whether all leases, and the leadership, are transferred.
 func (n *Node) HasLeft() bool {
-	return len(n.heldLeases) == 0 && (n.voter == nil || !n.voter.isLeader())
+	return len(n.ownLeases) == 0 && (n.voter == nil || !n.voter.isLeader())
 }
 
 // LeaseKind is the part of a lease's name before the slash: "scout" of "scout/3".
@@ -174,17 +174,17 @@
 
 // endExpiredLeases stops using leases that expired.
 func (n *Node) endExpiredLeases(now time.Duration) {
-	expired := func(_ string, held *heldLease) bool { return held.announced && now >= held.expiresAt }
-	for _, name := range sortedMatches(n.heldLeases, expired) {
-		n.announceEnd(name, n.heldLeases[name], "it ran out")
+	expired := func(_ string, held *ownLease) bool { return held.announced && now >= held.expiresAt }
+	for _, name := range sortedMatches(n.ownLeases, expired) {
+		n.announceEnd(name, n.ownLeases[name], "it ran out")
 	}
 }
 
 // announceEnd emits the end of a lease whose acquisition was emitted.
-func (n *Node) announceEnd(leaseName string, held *heldLease, why string) {
+func (n *Node) announceEnd(leaseName string, held *ownLease, reason string) {
 	if !held.announced {
 		return
 	}
 	held.announced = false
-	n.emit(LeaseEnded{Lease: leaseName, Term: held.term, Until: held.expiresAt, Broadcasts: held.broadcasts, Reason: why})
+	n.emit(LeaseEnded{Lease: leaseName, Term: held.term, Until: held.expiresAt, Broadcasts: held.broadcasts, Reason: reason})
 }
--- a/fleet/links.go
+++ b/fleet/links.go
@@ -14,8 +14,8 @@
 // peer is a front that this one is linked to.
 type peer struct {
 	Handshake
-	heardAt, sentAt time.Duration
-	index           uint64 // of the replicated state that it is known to have
+	lastReceivedAt, lastSentAt time.Duration
+	index                      uint64 // of the replicated state that it is known to have
 }
 
 // Reasons of a rejection. Peers act on them: they are part of the protocol.
@@ -50,7 +50,7 @@
 
 // Hello is the first message on a new link to a peer; to is "" where its name is not known yet.
 func (n *Node) Hello(to string, dialled bool) *Message {
-	g := &Handshake{
+	hello := &Handshake{
 		Fleet:       n.options.Fleet,
 		Name:        n.options.Name,
 		Incarnation: n.options.Incarnation,
@@ -61,9 +61,9 @@
 		Dialled:     dialled,
 	}
 	if n.isActiveVoter() {
-		g.Floor, g.KnownFloor = n.voter.floor, n.voter.peerFloors[to]
+		hello.Floor, hello.KnownFloor = n.voter.floor, n.voter.peerFloors[to]
 	}
-	return &Message{Kind: KindHello, From: n.options.Name, Index: n.state.Index, Hello: g}
+	return &Message{Kind: KindHello, From: n.options.Name, Index: n.state.Index, Hello: hello}
 }
 
 // CheckHello checks a peer's first message; the error is the reason to reject the link. An accepted link takes the place of an
@@ -72,32 +72,32 @@
 	if err := m.check(); err != nil {
 		return err
 	}
-	g := m.Hello
-	if m.Kind != KindHello || g == nil {
+	hello := m.Hello
+	if m.Kind != KindHello || hello == nil {
 		return ProtocolError("the first message is no hello")
 	}
-	old := n.peers[g.Name]
-	front := n.state.Fronts[g.Name]
+	existing := n.peers[hello.Name]
+	front := n.state.Fronts[hello.Name]
 	switch {
-	case g.Fleet != n.options.Fleet:
+	case hello.Fleet != n.options.Fleet:
 		return ProtocolError("it is of another fleet")
-	case g.Name == n.options.Name:
+	case hello.Name == n.options.Name:
 		return ProtocolError("it has this front's own name")
 	case n.isDisplaced:
 		return ProtocolError("this front stays out: another has its name")
-	case front != nil && front.isPast(g.Incarnation):
+	case front != nil && front.isPast(hello.Incarnation):
 		return ProtocolError(reasonDisplaced)
-	case old != nil && n.keepsLink(now, old, g):
+	case existing != nil && n.keepsLink(now, existing, hello):
 		return ProtocolError(reasonDuplicateLink) // both dialled: the link of the lesser name stays
 	}
-	if old == nil && g.Dialled && !g.Voter && !n.isVoter(g.Name) {
-		in := 0
+	if existing == nil && hello.Dialled && !hello.Voter && !n.isVoter(hello.Name) {
+		inbound := 0
 		for _, p := range n.peers {
 			if p.Dialled && !p.Voter {
-				in++
+				inbound++
 			}
 		}
-		if in >= n.options.MaxFollowers {
+		if inbound >= n.options.MaxFollowers {
 			return ProtocolError(reasonFull)
 		}
 	}
@@ -105,17 +105,17 @@
 }
 
 // keepsLink reports whether a live link to a peer takes precedence over a new one.
-func (n *Node) keepsLink(now time.Duration, old *peer, g *Handshake) bool {
-	alive := old.Incarnation == g.Incarnation && now-old.heardAt < n.options.Timing.LinkTimeout()
-	bothDialled := old.Dialled != g.Dialled
-	newIsOfLesserName := g.Dialled == (g.Name < n.options.Name)
-	return alive && bothDialled && !newIsOfLesserName
+func (n *Node) keepsLink(now time.Duration, existing *peer, hello *Handshake) bool {
+	alive := existing.Incarnation == hello.Incarnation && now-existing.lastReceivedAt < n.options.Timing.LinkTimeout()
+	bothDialled := existing.Dialled != hello.Dialled
+	newHasLesserName := hello.Dialled == (hello.Name < n.options.Name)
+	return alive && bothDialled && !newHasLesserName
 }
 
 // Rejection is the message to a peer that CheckHello rejected. Where this front is full it suggests those that it is linked to.
-func (n *Node) Rejection(why error) *Message {
-	m := &Message{Kind: KindReject, Reason: why.Error()}
-	if why == ProtocolError(reasonFull) {
+func (n *Node) Rejection(err error) *Message {
+	m := &Message{Kind: KindReject, Reason: err.Error()}
+	if err == ProtocolError(reasonFull) {
 		for _, name := range slices.Sorted(maps.Keys(n.peers)) {
 			if p := n.peers[name]; !p.Voter && p.Address != "" && len(m.Members) < 2*defaultMaxFollowers {
 				m.Members = append(m.Members, MembershipRecord{Name: name, Address: p.Address})
@@ -127,29 +127,29 @@
 
 // LinkUp adds a link to a peer that passed CheckHello; it takes the place of an existing one.
 func (n *Node) LinkUp(now time.Duration, m *Message) {
-	g := m.Hello
-	n.peers[g.Name] = &peer{Handshake: *g, heardAt: now, sentAt: now, index: m.Index}
-	delete(n.retryAt, g.Name)
-	delete(n.failures, g.Name)
+	hello := m.Hello
+	n.peers[hello.Name] = &peer{Handshake: *hello, lastReceivedAt: now, lastSentAt: now, index: m.Index}
+	delete(n.retryAt, hello.Name)
+	delete(n.failures, hello.Name)
 	switch {
 	case !n.isActiveVoter():
-	case g.Voter:
-		n.voter.checkHello(now, g.Name, g)
-		n.voter.onLinkChange(g.Name)
+	case hello.Voter:
+		n.voter.checkHello(now, hello.Name, hello)
+		n.voter.onLinkChange(hello.Name)
 	default:
-		n.voter.checkOther(g.Name, m.Index)
+		n.voter.checkOther(hello.Name, m.Index)
 	}
-	seen := []Position{}
-	for _, d := range slices.Sorted(maps.Keys(n.mirrors)) {
-		term, index := n.mirrors[d].Position()
-		seen = append(seen, Position{Name: d, Term: term, Index: index})
+	positions := []Position{}
+	for _, leaseName := range slices.Sorted(maps.Keys(n.mirrors)) {
+		term, index := n.mirrors[leaseName].Position()
+		positions = append(positions, Position{Name: leaseName, Term: term, Index: index})
 	}
-	if len(seen) > 0 {
-		n.send(g.Name, &Message{Kind: KindMirrorPositions, From: n.options.Name, Positions: seen})
+	if len(positions) > 0 {
+		n.send(hello.Name, &Message{Kind: KindMirrorPositions, From: n.options.Name, Positions: positions})
 	}
-	n.catchUp(g.Name)
+	n.catchUp(hello.Name)
 	if n.upstream == "" {
-		n.upstream = g.Name
+		n.upstream = hello.Name
 	}
 }
 
@@ -173,13 +173,13 @@
 
 // DialFailed handles a wanted link that was not established. why is the peer's reason, "" where there was no answer; instead are
 // fronts that it suggested.
-func (n *Node) DialFailed(now time.Duration, name, why string, instead []MembershipRecord) {
-	for _, report := range instead {
+func (n *Node) DialFailed(now time.Duration, name, reason string, suggestions []MembershipRecord) {
+	for _, report := range suggestions {
 		if len(n.suggested) < maxMembers && report.Name != n.options.Name && report.Address != "" {
 			n.suggested[report.Name] = report.Address
 		}
 	}
-	switch why {
+	switch reason {
 	case reasonDisplaced:
 		n.markDisplaced("another front of the fleet has this name")
 		return
@@ -190,21 +190,21 @@
 	wait := n.options.Timing.HeartbeatInterval() << n.failures[name]
 	if n.voter != nil && n.isVoter(name) {
 		wait = n.options.Timing.electionTimeout() // voters depend on each other
-	} else if why == reasonFull {
+	} else if reason == reasonFull {
 		wait = 10 * n.options.Timing.LeaseDuration
 	}
 	n.retryAt[name] = now + wait
 }
 
 // markDisplaced takes this front out of the fleet for good: another process has its name.
-func (n *Node) markDisplaced(why string) {
+func (n *Node) markDisplaced(reason string) {
 	if n.isDisplaced {
 		return
 	}
 	n.isDisplaced = true
-	n.emit(FrontDisplaced{Name: n.options.Name, Reason: why})
-	for _, d := range slices.Sorted(maps.Keys(n.heldLeases)) {
-		n.dropLease(d, "another front has this one's name")
+	n.emit(FrontDisplaced{Name: n.options.Name, Reason: reason})
+	for _, leaseName := range slices.Sorted(maps.Keys(n.ownLeases)) {
+		n.dropLease(leaseName, "another front has this one's name")
 	}
 	if n.voter != nil {
 		n.voter.halt("another front has this keeper's name")
@@ -257,14 +257,14 @@
 // wantedByFollower returns the links that bring a follower to followerLinks of its own, one of them to a voter. With enough links
 // but none to a voter it tries one now and then.
 func (n *Node) wantedByFollower(now time.Duration) []DialTarget {
-	own, hasVoter := 0, false
+	dialled, hasVoter := 0, false
 	for name, p := range n.peers {
 		if !p.Dialled { // by this front
-			own++
+			dialled++
 			hasVoter = hasVoter || n.isVoter(name)
 		}
 	}
-	if own >= followerLinks && (hasVoter || now < n.searchedAt+n.options.Timing.LeaseDuration) {
+	if dialled >= followerLinks && (hasVoter || now < n.searchedAt+n.options.Timing.LeaseDuration) {
 		return nil
 	}
 	n.searchedAt = now
@@ -275,8 +275,8 @@
 		}
 	}
 	dials, missing := n.pickLinks(now, voters, 1)
-	more, _ := n.pickLinks(now, n.knownFollowers(), followerLinks-1+missing)
-	return append(dials, more...)
+	others, _ := n.pickLinks(now, n.knownFollowers(), followerLinks-1+missing)
+	return append(dials, others...)
 }
 
 // knownFollowers returns the fronts other than voters that this one could link to, in no order.
@@ -330,10 +330,10 @@
 	timing := n.options.Timing
 	for _, name := range slices.Sorted(maps.Keys(n.peers)) {
 		p := n.peers[name]
-		if now-p.heardAt > timing.LinkTimeout() {
+		if now-p.lastReceivedAt > timing.LinkTimeout() {
 			n.closing = append(n.closing, name)
 			n.emit(LinkClosed{Peer: name, Reason: "it was silent"})
-			p.heardAt = now
+			p.lastReceivedAt = now
 			n.retryAt[name] = now + timing.HeartbeatInterval()
 			continue
 		}
@@ -351,8 +351,8 @@
 // each heartbeat interval, which tells them each other's Floor.
 func (n *Node) pingDue(now time.Duration, p *peer) bool {
 	tick, interval := n.options.Timing.TickInterval(), n.options.Timing.HeartbeatInterval()
-	if now-p.sentAt >= interval {
+	if now-p.lastSentAt >= interval {
 		return true
 	}
-	return n.voter != nil && p.Voter && now-p.sentAt >= tick && now/interval != (now-tick)/interval
+	return n.voter != nil && p.Voter && now-p.lastSentAt >= tick && now/interval != (now-tick)/interval
 }
--- a/fleet/membership.go
+++ b/fleet/membership.go
@@ -16,8 +16,8 @@
 type membershipState struct {
 	reportSeq      uint64
 	reportedAt     time.Duration
-	sentAt         [keptSendTimes]time.Duration // by Seq
-	pendingReports map[string]MembershipRecord  // to be forwarded with the next tick
+	sentAt         [rememberedSendTimes]time.Duration // by Seq
+	pendingReports map[string]MembershipRecord        // to be forwarded with the next tick
 	latestReports  map[string]reportVersion
 	digests        []Digest
 	leaving        bool
@@ -35,7 +35,7 @@
 	}
 	n.reportSeq++
 	n.reportedAt = now
-	n.sentAt[n.reportSeq%keptSendTimes] = now
+	n.sentAt[n.reportSeq%rememberedSendTimes] = now
 	report := MembershipRecord{
 		Name:             n.options.Name,
 		Incarnation:      n.options.Incarnation,
@@ -52,12 +52,12 @@
 		HasPending:       n.hasPending,
 		Digests:          n.digests,
 	}
-	for _, d := range slices.Sorted(maps.Keys(n.heldLeases)) {
+	for _, leaseName := range slices.Sorted(maps.Keys(n.ownLeases)) {
 		if len(report.Renewals) == maxRenewals {
 			break // a leader of an older program granted more: peers refuse a longer record, so the others expire
 		}
-		if held := n.heldLeases[d]; !held.releasing {
-			report.Renewals = append(report.Renewals, LeaseRenewal{Lease: d, Term: held.term, Progress: held.progress})
+		if held := n.ownLeases[leaseName]; !held.releasing {
+			report.Renewals = append(report.Renewals, LeaseRenewal{Lease: leaseName, Term: held.term, Progress: held.progress})
 		}
 	}
 	n.forwardMembership(now, "", report)
@@ -65,8 +65,8 @@
 
 // forwardMembership forwards a membership record towards the leader. Only newer records than the last one pass, so none can loop.
 func (n *Node) forwardMembership(now time.Duration, from string, report MembershipRecord) {
-	s, ok := n.latestReports[report.Name]
-	if ok && s.incarnation == report.Incarnation && report.Seq <= s.seq || !ok && len(n.latestReports) >= maxKnownFronts {
+	latest, ok := n.latestReports[report.Name]
+	if ok && latest.incarnation == report.Incarnation && report.Seq <= latest.seq || !ok && len(n.latestReports) >= maxKnownFronts {
 		return
 	}
 	n.latestReports[report.Name] = reportVersion{report.Incarnation, report.Seq, now}
@@ -90,14 +90,14 @@
 }
 
 // SetIdle releases all leases and takes none until it is reset: for a front that may not act.
-func (n *Node) SetIdle(now time.Duration, on bool) {
-	if n.idle == on {
+func (n *Node) SetIdle(now time.Duration, idle bool) {
+	if n.idle == idle {
 		return
 	}
-	n.idle = on
-	for _, d := range slices.Sorted(maps.Keys(n.heldLeases)) {
-		if on {
-			n.releaseLease(now, d, "", "this front has no right to act")
+	n.idle = idle
+	for _, leaseName := range slices.Sorted(maps.Keys(n.ownLeases)) {
+		if idle {
+			n.releaseLease(now, leaseName, "", "this front has no right to act")
 		}
 	}
 	n.reportMembership(now)
@@ -106,13 +106,13 @@
 // forgetSilent forgets routes and report versions of fronts that have been silent for long.
 func (n *Node) forgetSilent(now time.Duration) {
 	old := now - 40*n.options.Timing.LeaseDuration
-	for name, w := range n.routes {
-		if w.at < old {
+	for name, route := range n.routes {
+		if route.at < old {
 			delete(n.routes, name)
 		}
 	}
-	for name, s := range n.latestReports {
-		if s.at < old {
+	for name, version := range n.latestReports {
+		if version.at < old {
 			delete(n.latestReports, name)
 		}
 	}
@@ -121,7 +121,7 @@
 // reportWhenDue sends this front's membership record, more often while it holds leases.
 func (n *Node) reportWhenDue(now time.Duration) {
 	interval := n.options.Timing.reportInterval()
-	if len(n.heldLeases) > 0 {
+	if len(n.ownLeases) > 0 {
 		interval = min(interval, n.options.Timing.HeartbeatInterval())
 	}
 	if now-n.reportedAt >= interval {
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -78,7 +78,7 @@
 	if err := m.check(); err != nil {
 		return err
 	}
-	p.heardAt = now
+	p.lastReceivedAt = now
 	switch m.Kind {
 	case KindHello, KindReject:
 		return ProtocolError("a second greeting")
@@ -110,18 +110,18 @@
 			n.forwardMembership(now, from, m.Members[i])
 		}
 	case KindRequest:
-		if m.Number++; m.Number <= maxHops {
+		if m.Number++; m.Number <= maxForwards {
 			n.learnRoute(now, m.From, from)
 			n.toLeader(now, m)
 		}
 	case KindReply:
-		if m.Number++; m.Number <= maxHops {
+		if m.Number++; m.Number <= maxForwards {
 			n.toFront(now, m)
 		}
 	case KindBroadcast:
 		n.onBroadcast(now, from, m)
 	case KindDatagram:
-		if m.Number++; m.Number <= maxHops {
+		if m.Number++; m.Number <= maxForwards {
 			n.learnRoute(now, m.From, from)
 			n.routeDatagram(now, from, m)
 		}
@@ -196,7 +196,7 @@
 	if p == nil {
 		return
 	}
-	p.sentAt = n.tickedAt
+	p.lastSentAt = n.tickedAt
 	n.outgoing = append(n.outgoing, OutgoingMessage{to, m})
 }
 
--- a/fleet/options.go
+++ b/fleet/options.go
@@ -26,9 +26,9 @@
 const (
 	defaultMaxFollowers = 16
 	followerLinks       = 3 // links that a follower keeps open: one to a voter where there is room, the others to fronts
-	maxHops             = 16
+	maxForwards         = 16
 	maxKnownFronts      = 4096 // fronts of which a route or a report version is kept
 	maxRecentEntries    = 1024 // log entries kept for peers that are a little behind
-	keptSendTimes       = 64   // own reports of which the sending time is kept
+	rememberedSendTimes = 64   // own reports of which the sending time is kept
 	maxPendingRequests  = 256  // own requests without an answer
 )
--- a/fleet/probe_cache.go
+++ b/fleet/probe_cache.go
@@ -88,13 +88,13 @@
 )
 
 // Decide says what to do with a probe of a server. mayWait is false for the prober itself, and for an isolated front.
-func (s *ProbeCache[Q]) Decide(now time.Duration, server string, query Q, mayWait bool) (what ProbeDecision, result ProbeResult) {
+func (s *ProbeCache[Q]) Decide(now time.Duration, server string, query Q, mayWait bool) (decision ProbeDecision, result ProbeResult) {
 	if !mayWait {
 		return ProbeNow, result
 	}
-	if l, ok := s.results[server]; ok && now-l.receivedAt < s.FreshFor+min(l.interval, 4*s.FreshFor) {
+	if cached, ok := s.results[server]; ok && now-cached.receivedAt < s.FreshFor+min(cached.interval, 4*s.FreshFor) {
 		s.ProbesAvoided++
-		return UseResult, l.ProbeResult
+		return UseResult, cached.ProbeResult
 	}
 	if len(s.waiting) >= maxKnownFronts {
 		return ProbeNow, result
@@ -110,8 +110,8 @@
 // AddResult adds a prober's result of a lease term, and returns the probes that it answers. A result of an older term than the
 // last one's is ignored.
 func (s *ProbeCache[Q]) AddResult(now time.Duration, term uint64, result ProbeResult) (answers []Q) {
-	was, ok := s.results[result.Server]
-	if ok && term < was.term || !ok && len(s.results) >= maxKnownFronts {
+	previous, ok := s.results[result.Server]
+	if ok && term < previous.term || !ok && len(s.results) >= maxKnownFronts {
 		return nil
 	}
 	if result.Pending { // waiting probes go on waiting
@@ -124,11 +124,11 @@
 	delete(s.pending, result.Server)
 	next := cachedResult{result, term, now, 0}
 	if ok {
-		next.interval = now - was.receivedAt
+		next.interval = now - previous.receivedAt
 	}
 	s.results[result.Server] = next
-	for _, h := range s.waiting[result.Server] {
-		answers = append(answers, h.query)
+	for _, query := range s.waiting[result.Server] {
+		answers = append(answers, query.query)
 	}
 	s.ProbesAvoided += len(answers)
 	delete(s.waiting, result.Server)
@@ -147,16 +147,16 @@
 
 // Expired returns the probes that have waited for long enough, by server.
 func (s *ProbeCache[Q]) Expired(now time.Duration) (out []Q) {
-	for server, all := range s.waiting {
-		rest := all[:0]
-		for _, h := range all {
-			if now >= h.until {
-				out = append(out, h.query)
+	for server, queries := range s.waiting {
+		remaining := queries[:0]
+		for _, query := range queries {
+			if now >= query.until {
+				out = append(out, query.query)
 			} else {
-				rest = append(rest, h)
+				remaining = append(remaining, query)
 			}
 		}
-		if s.waiting[server] = rest; len(rest) == 0 {
+		if s.waiting[server] = remaining; len(remaining) == 0 {
 			delete(s.waiting, server)
 		}
 	}
--- a/fleet/replicated_state.go
+++ b/fleet/replicated_state.go
@@ -247,17 +247,17 @@
 
 // AllowedVersions returns the versions in force and the index of their value; the index is 0 where there is none, and all versions
 // may be used.
-func (state *ReplicatedState) AllowedVersions() (x AllowedVersions, index uint64) {
-	e := state.Values[AllowedVersionsKey]
-	if e == nil || msgpack.Unmarshal(e.Value, &x) != nil {
+func (state *ReplicatedState) AllowedVersions() (allowed AllowedVersions, index uint64) {
+	stored := state.Values[AllowedVersionsKey]
+	if stored == nil || msgpack.Unmarshal(stored.Value, &allowed) != nil {
 		return AllowedVersions{}, 0
 	}
-	return x, e.Index
+	return allowed, stored.Index
 }
 
 func (state *ReplicatedState) allowsVersion(version uint64) bool {
-	x, index := state.AllowedVersions()
-	return index == 0 || x.Allows(version)
+	allowed, index := state.AllowedVersions()
+	return index == 0 || allowed.Allows(version)
 }
 
 // encodedState is the encoded form of a ReplicatedState, sorted: equal states have equal bytes.
@@ -279,53 +279,53 @@
 func (state *ReplicatedState) Encoded() []byte { return state.encode() }
 
 func (state *ReplicatedState) encode() []byte {
-	w := encodedState{Format: Format, Index: state.Index, Keys: slices.Sorted(maps.Keys(state.Values)), NeededFormat: state.NeededFormat}
+	encoded := encodedState{Format: Format, Index: state.Index, Keys: slices.Sorted(maps.Keys(state.Values)), NeededFormat: state.NeededFormat}
 	for _, k := range slices.Sorted(maps.Keys(state.Leases)) {
-		w.Leases = append(w.Leases, state.Leases[k])
+		encoded.Leases = append(encoded.Leases, state.Leases[k])
 	}
 	for _, k := range slices.Sorted(maps.Keys(state.Fronts)) {
-		w.Fronts = append(w.Fronts, state.Fronts[k])
+		encoded.Fronts = append(encoded.Fronts, state.Fronts[k])
 	}
 	for _, k := range slices.Sorted(maps.Keys(state.Voters)) {
-		w.Voters = append(w.Voters, k, state.Voters[k])
+		encoded.Voters = append(encoded.Voters, k, state.Voters[k])
 	}
-	for _, k := range w.Keys {
-		w.Values = append(w.Values, state.Values[k])
+	for _, k := range encoded.Keys {
+		encoded.Values = append(encoded.Values, state.Values[k])
 	}
 	var out bytes.Buffer
 	enc := msgpack.NewEncoder(&out)
 	enc.SetSortMapKeys(true)
 	enc.UseCompactInts(true)
-	if err := enc.Encode(&w); err != nil {
+	if err := enc.Encode(&encoded); err != nil {
 		panic(fmt.Sprint("a replicated state that can't be written: ", err)) // cannot fail for our own types
 	}
 	return out.Bytes()
 }
 
 func decodeReplicatedState(data []byte) (*ReplicatedState, error) {
-	var w encodedState
-	if err := msgpack.Unmarshal(data, &w); err != nil {
+	var encoded encodedState
+	if err := msgpack.Unmarshal(data, &encoded); err != nil {
 		return nil, fmt.Errorf("a record that can't be read: %w", err)
 	}
-	if w.Format > Format {
-		return nil, fmt.Errorf("a record of format %d, and this program knows %d: bring the program up to date", w.Format, Format)
+	if encoded.Format > Format {
+		return nil, fmt.Errorf("a record of format %d, and this program knows %d: bring the program up to date", encoded.Format, Format)
 	}
-	if len(w.Keys) != len(w.Values) || len(w.Voters)%2 != 0 {
+	if len(encoded.Keys) != len(encoded.Values) || len(encoded.Voters)%2 != 0 {
 		return nil, fmt.Errorf("a record whose parts don't fit")
 	}
 	state := newReplicatedState()
-	state.Index, state.NeededFormat = w.Index, w.NeededFormat
-	for _, lease := range w.Leases {
+	state.Index, state.NeededFormat = encoded.Index, encoded.NeededFormat
+	for _, lease := range encoded.Leases {
 		state.Leases[lease.Name] = lease
 	}
-	for _, front := range w.Fronts {
+	for _, front := range encoded.Fronts {
 		state.Fronts[front.Name] = front
 	}
-	for i := 0; i < len(w.Voters); i += 2 {
-		state.Voters[w.Voters[i]] = w.Voters[i+1]
+	for i := 0; i < len(encoded.Voters); i += 2 {
+		state.Voters[encoded.Voters[i]] = encoded.Voters[i+1]
 	}
-	for i, k := range w.Keys {
-		state.Values[k] = w.Values[i]
+	for i, k := range encoded.Keys {
+		state.Values[k] = encoded.Values[i]
 	}
 	return state, nil
 }
--- a/fleet/requests.go
+++ b/fleet/requests.go
@@ -86,12 +86,12 @@
 		n.completeRequest(reply.RequestID, reply.Error, leaderTerm, reply.Reports...)
 	}
 	if reply.Release != "" {
-		if held := n.heldLeases[reply.Release]; held != nil && held.term == reply.Term {
+		if held := n.ownLeases[reply.Release]; held != nil && held.term == reply.Term {
 			n.releaseLease(now, reply.Release, reply.TransferTo, "it was asked to hand it on")
 		}
 	}
 	for _, renewal := range reply.Renewed {
-		if held := n.heldLeases[renewal.Lease]; held != nil && held.term == renewal.Term {
+		if held := n.ownLeases[renewal.Lease]; held != nil && held.term == renewal.Term {
 			n.extendLease(now, renewal.Lease, held, reply.RenewedSeq, leaderTerm)
 		}
 	}
@@ -108,21 +108,21 @@
 	timing := n.options.Timing
 	n.completeDeclarations()
 	for _, id := range slices.Sorted(maps.Keys(n.pendingRequests)) {
-		a := n.pendingRequests[id]
-		if q := a.message.Request; q.Type == RequestRelease {
-			if held := n.heldLeases[q.Lease]; held == nil || held.term != q.Term {
+		pending := n.pendingRequests[id]
+		if request := pending.message.Request; request.Type == RequestRelease {
+			if held := n.ownLeases[request.Lease]; held == nil || held.term != request.Term {
 				delete(n.pendingRequests, id)
 				continue
 			}
 		}
-		if now-a.startedAt > 4*timing.LeaseDuration {
+		if now-pending.startedAt > 4*timing.LeaseDuration {
 			n.completeRequest(id, "no answer came", 0)
 			continue
 		}
-		if now-a.sentAt >= timing.HeartbeatInterval() {
-			a.sentAt = now
-			a.message.Number = 0
-			n.toLeader(now, a.message)
+		if now-pending.sentAt >= timing.HeartbeatInterval() {
+			pending.sentAt = now
+			pending.message.Number = 0
+			n.toLeader(now, pending.message)
 		}
 	}
 	n.declareMissingLeases(now)
--- a/fleet/routing.go
+++ b/fleet/routing.go
@@ -44,9 +44,9 @@
 		n.onReply(now, m.Reply, m.Term)
 		return
 	}
-	if w, ok := n.routes[m.Name]; ok {
+	if route, ok := n.routes[m.Name]; ok {
 		c := *m
-		n.send(w.via, &c)
+		n.send(route.via, &c)
 	}
 }
 
@@ -62,15 +62,15 @@
 		n.emit(DatagramReceived{From: m.From, Subsystem: m.Reason, Data: m.Data})
 		return
 	}
-	next := n.upstream
-	if w, ok := n.routes[m.Name]; ok {
-		next = w.via
+	nextHop := n.upstream
+	if route, ok := n.routes[m.Name]; ok {
+		nextHop = route.via
 	}
 	if n.peers[m.Name] != nil {
-		next = m.Name
+		nextHop = m.Name
 	}
-	if next != "" && next != from {
+	if nextHop != "" && nextHop != from {
 		c := *m
-		n.send(next, &c)
+		n.send(nextHop, &c)
 	}
 }
--- a/fleet/snapshot_chunks.go
+++ b/fleet/snapshot_chunks.go
@@ -28,11 +28,11 @@
 
 // snapshotState is the snapshots that a Node sends and receives in chunks.
 type snapshotState struct {
-	outgoingSnapshots map[string]*outgoingSnapshot // by peer
-	incomingSnapshots map[string]*incomingSnapshot // by peer
-	chunkBudget       float64                      // bytes that may be sent, as of chunkBudgetAt
-	chunkBudgetAt     time.Duration
-	missingAskedAt    time.Duration // a peer was asked for the state, or sent a chunk of it, last
+	outgoingSnapshots  map[string]*outgoingSnapshot // by peer
+	incomingSnapshots  map[string]*incomingSnapshot // by peer
+	chunkBudget        float64                      // bytes that may be sent, as of chunkBudgetAt
+	chunkBudgetAt      time.Duration
+	missingRequestedAt time.Duration // a peer was asked for the state, or sent a chunk of it, last
 }
 
 func newSnapshotState() snapshotState {
@@ -62,7 +62,7 @@
 	n.chunkBudgetAt = now
 	for n.chunkBudget >= chunkBytes && len(n.outgoingSnapshots) > 0 {
 		for _, name := range slices.Sorted(maps.Keys(n.outgoingSnapshots)) {
-			b, p := n.outgoingSnapshots[name], n.peers[name]
+			outgoing, p := n.outgoingSnapshots[name], n.peers[name]
 			if p == nil || p.index >= n.state.Index {
 				delete(n.outgoingSnapshots, name)
 				continue
@@ -71,18 +71,18 @@
 				break
 			}
 			n.chunkBudget -= chunkBytes
-			end := min(b.sent+chunkBytes, len(b.data))
+			end := min(outgoing.sent+chunkBytes, len(outgoing.data))
 			n.send(name, &Message{
 				Kind:   KindSnapshotChunk,
 				From:   n.options.Name,
-				Index:  b.index,
-				Number: uint64(b.sent),
-				Term:   uint64(len(b.data)),
-				Data:   b.data[b.sent:end],
+				Index:  outgoing.index,
+				Number: uint64(outgoing.sent),
+				Term:   uint64(len(outgoing.data)),
+				Data:   outgoing.data[outgoing.sent:end],
 			})
-			if b.sent = end; b.sent == len(b.data) {
+			if outgoing.sent = end; outgoing.sent == len(outgoing.data) {
 				delete(n.outgoingSnapshots, name)
-				p.index = max(p.index, b.index)
+				p.index = max(p.index, outgoing.index)
 			}
 		}
 	}
@@ -91,7 +91,7 @@
 // requestMissing asks one peer for the state, where peers are known to be ahead and nothing of it arrives: the next hop to the
 // leader if it is ahead, else any.
 func (n *Node) requestMissing(now time.Duration) {
-	if n.isActiveVoter() || now-n.missingAskedAt < n.options.Timing.HeartbeatInterval() {
+	if n.isActiveVoter() || now-n.missingRequestedAt < n.options.Timing.HeartbeatInterval() {
 		return
 	}
 	best := ""
@@ -101,7 +101,7 @@
 		}
 	}
 	if best != "" {
-		n.missingAskedAt = now
+		n.missingRequestedAt = now
 		n.send(best, &Message{Kind: KindEntriesRequest, Index: n.state.Index, Number: 1})
 	}
 }
@@ -115,22 +115,22 @@
 		delete(n.incomingSnapshots, from)
 		return nil
 	}
-	n.missingAskedAt = now
-	b := n.incomingSnapshots[from]
+	n.missingRequestedAt = now
+	incoming := n.incomingSnapshots[from]
 	if m.Number == 0 {
-		b = &incomingSnapshot{index: m.Index}
-		n.incomingSnapshots[from] = b
+		incoming = &incomingSnapshot{index: m.Index}
+		n.incomingSnapshots[from] = incoming
 	}
-	if b == nil || b.index != m.Index || int(m.Number) != len(b.data) {
+	if incoming == nil || incoming.index != m.Index || int(m.Number) != len(incoming.data) {
 		delete(n.incomingSnapshots, from)
 		return nil // the peer starts again
 	}
-	if b.data = append(b.data, m.Data...); uint64(len(b.data)) < m.Term {
+	if incoming.data = append(incoming.data, m.Data...); uint64(len(incoming.data)) < m.Term {
 		return nil
 	}
 	delete(n.incomingSnapshots, from)
 	p.index = max(p.index, m.Index)
-	state, err := decodeReplicatedState(b.data)
+	state, err := decodeReplicatedState(incoming.data)
 	if err != nil {
 		return ProtocolError(err.Error())
 	}
--- a/fleet/voter.go
+++ b/fleet/voter.go
@@ -27,7 +27,7 @@
 	nameByID  map[uint64]string
 	applied   uint64
 
-	leaderHeardAt   time.Duration // when a leader's message was received last
+	leaderContactAt time.Duration // when a leader's message was received last
 	electionTimeout time.Duration
 	timeoutDraws    int
 	leaderID        uint64
@@ -160,20 +160,20 @@
 func (n *Node) isActiveVoter() bool { return n.voter != nil && n.voter.haltReason == "" }
 
 // halt stops this voter for good; the front goes on as a follower.
-func (v *voter) halt(why string) {
+func (v *voter) halt(reason string) {
 	if v.haltReason == "" {
-		v.haltReason = why
+		v.haltReason = reason
 		v.ready, v.pendingWrite, v.leaderID = nil, nil, 0
 		v.node.leader = nil
-		v.node.emit(VoterHalted{Reason: why})
-		v.node.refuseRecovery(why)
+		v.node.emit(VoterHalted{Reason: reason})
+		v.node.refuseRecovery(reason)
 		v.node.closing = append(v.node.closing, v.node.Peers()...) // it greets its peers again, as a follower
 	}
 }
 
-// guarded runs a call of the library. The library panics where a guarantee is broken, such as a log that lost committed entries:
+// callRaft runs a call of the library. The library panics where a guarantee is broken, such as a log that lost committed entries:
 // the voter halts, and the front goes on as a follower.
-func (v *voter) guarded(call func()) {
+func (v *voter) callRaft(call func()) {
 	defer func() {
 		if p := recover(); p != nil {
 			v.halt(fmt.Sprint("consensus can't go on: ", p))
@@ -197,18 +197,18 @@
 	switch m.GetType() {
 	case pb.MsgApp, pb.MsgHeartbeat, pb.MsgSnap:
 		if m.GetTerm() >= v.term {
-			v.leaderHeardAt = now
+			v.leaderContactAt = now
 		}
 	case pb.MsgPreVote: // a voter that lost only its own link to the leader must not unseat it
-		heard := v.leaderHeardAt
+		lastContact := v.leaderContactAt
 		if v.isLeader() {
-			heard = v.confirmedAt
+			lastContact = v.confirmedAt
 		}
-		if v.leaderID != 0 && now-heard < v.node.options.Timing.electionTimeout() {
+		if v.leaderID != 0 && now-lastContact < v.node.options.Timing.electionTimeout() {
 			return nil
 		}
 	}
-	v.guarded(func() { v.rawNode.Step(m) })
+	v.callRaft(func() { v.rawNode.Step(m) })
 	v.process(now)
 	return nil
 }
@@ -226,10 +226,10 @@
 	switch {
 	case v.isLeader():
 		v.lead(now)
-	case now-v.leaderHeardAt > v.electionTimeout:
-		v.leaderHeardAt = now
+	case now-v.leaderContactAt > v.electionTimeout:
+		v.leaderContactAt = now
 		v.drawElectionTimeout()
-		v.guarded(func() { v.rawNode.Campaign() })
+		v.callRaft(func() { v.rawNode.Campaign() })
 	}
 	v.process(now)
 	if v.floorsDirty && v.pendingWrite == nil && now-v.floorsSavedAt >= timing.reportInterval() {
@@ -251,7 +251,7 @@
 		}
 		return
 	}
-	v.guarded(v.rawNode.Tick)
+	v.callRaft(v.rawNode.Tick)
 	if now-v.readAt >= timing.HeartbeatInterval() || v.node.leader.hasUnconfirmed() {
 		v.confirm(now)
 	}
@@ -263,14 +263,14 @@
 	v.readAt = now
 	var mark [8]byte
 	binary.BigEndian.PutUint64(mark[:], v.readRounds)
-	v.guarded(func() { v.rawNode.ReadIndex(mark[:]) })
+	v.callRaft(func() { v.rawNode.ReadIndex(mark[:]) })
 }
 
 // propose proposes a command for the log; it fails unless this voter leads.
 func (v *voter) propose(c *Command) bool {
 	ok := false
 	data := c.Encode()
-	v.guarded(func() { ok = v.isLeader() && v.rawNode.Propose(data) == nil })
+	v.callRaft(func() { ok = v.isLeader() && v.rawNode.Propose(data) == nil })
 	return ok
 }
 
@@ -278,7 +278,7 @@
 func (v *voter) onSoftState(now time.Duration, s *raft.SoftState) {
 	was := v.isLeader()
 	if s.Lead != v.leaderID {
-		v.leaderHeardAt = now
+		v.leaderContactAt = now
 	}
 	v.leaderID = s.Lead
 	switch {
@@ -300,7 +300,7 @@
 	}
 	ok := false
 	cc := &pb.ConfChange{Type: typ.Enum(), NodeId: proto.Uint64(voterID(c.Target)), Context: c.Encode()}
-	v.guarded(func() { ok = v.isLeader() && v.rawNode.ProposeConfChange(cc) == nil })
+	v.callRaft(func() { ok = v.isLeader() && v.rawNode.ProposeConfChange(cc) == nil })
 	return ok
 }
 
@@ -312,7 +312,7 @@
 	if v.haltReason != "" || v.nameByID[id] != name {
 		return
 	}
-	v.guarded(func() {
+	v.callRaft(func() {
 		v.rawNode.ReportUnreachable(id)
 		v.rawNode.ReportSnapshot(id, raft.SnapshotFailure)
 	})
@@ -324,7 +324,7 @@
 		return
 	}
 	best, at := uint64(0), uint64(0)
-	v.guarded(func() {
+	v.callRaft(func() {
 		for id, pr := range v.rawNode.Status().Progress {
 			if name := v.nameByID[id]; id != v.id && v.node.peers[name] != nil && (pr.Match > at || pr.Match == at && (best == 0 || id < best)) {
 				best, at = id, pr.Match
--- a/fleet/voter_admission.go
+++ b/fleet/voter_admission.go
@@ -11,18 +11,18 @@
 // what they know of the other's disk. A voter takes part once a majority, itself included, has vouched that its disk is not older
 // than they know it. A voter whose own disk holds nothing (it is new, or its disk was lost) knows nothing and vouches for nobody.
 type admission struct {
-	vouched    map[string]bool // by voter: it has taken part in consensus, and knows no more of this disk than it holds
-	foundBlank map[string]bool // by voter: its disk held nothing while this one held nothing either
-	isBlank    bool            // this disk held nothing when it was opened
-	fleetBegan bool            // while this disk held nothing, a front had entries of the log: the fleet has begun without it
+	vouchedBy    map[string]bool // by voter: it has taken part in consensus, and knows no more of this disk than it holds
+	emptyDisks   map[string]bool // by voter: its disk held nothing while this one held nothing either
+	startedEmpty bool            // this disk held nothing when it was opened
+	fleetBegan   bool            // while this disk held nothing, a front had entries of the log: the fleet has begun without it
 }
 
 func newAdmission(isBlank bool) admission {
-	return admission{vouched: map[string]bool{}, foundBlank: map[string]bool{}, isBlank: isBlank}
+	return admission{vouchedBy: map[string]bool{}, emptyDisks: map[string]bool{}, startedEmpty: isBlank}
 }
 
-// hasTakenPart reports whether a disk with this floor has been used by consensus.
-func (f Floor) hasTakenPart() bool { return f.Term > 0 }
+// usedByConsensus reports whether a disk with this floor has been used by consensus.
+func (f Floor) usedByConsensus() bool { return f.Term > 0 }
 
 // checkHello compares what another voter knows of this one's disk with what it holds, and records whether the other vouches for it.
 func (v *voter) checkHello(now time.Duration, from string, h *Handshake) {
@@ -30,20 +30,20 @@
 		v.halt(oldCopyReason(from, v.floor, h.KnownFloor))
 		return
 	}
-	if h.Floor.hasTakenPart() {
+	if h.Floor.usedByConsensus() {
 		v.vouch(now, from)
-	} else if !v.floor.hasTakenPart() {
-		v.foundBlank[from] = true
-		v.leaderHeardAt = now // followers get time to report that the fleet has begun
+	} else if !v.floor.usedByConsensus() {
+		v.emptyDisks[from] = true
+		v.leaderContactAt = now // followers get time to report that the fleet has begun
 	}
 	v.learnFloor(from, h.Floor)
 }
 
 // vouch records that another voter vouches for this one's disk.
 func (v *voter) vouch(now time.Duration, from string) {
-	if !v.vouched[from] {
-		v.vouched[from] = true
-		v.leaderHeardAt = now // a present leader gets time to report
+	if !v.vouchedBy[from] {
+		v.vouchedBy[from] = true
+		v.leaderContactAt = now // a present leader gets time to report
 	}
 }
 
@@ -54,7 +54,7 @@
 		return
 	}
 	v.learnFloor(from, h.Floor)
-	if h.Floor.hasTakenPart() {
+	if h.Floor.usedByConsensus() {
 		v.vouch(now, from)
 	}
 }
@@ -62,9 +62,9 @@
 // checkOther handles a new link to a front that is no voter, or one no more.
 func (v *voter) checkOther(from string, index uint64) {
 	if !v.isLeader() {
-		delete(v.vouched, from) // its own disk was refused
+		delete(v.vouchedBy, from) // its own disk was refused
 	}
-	if !v.floor.hasTakenPart() && index > initialIndex {
+	if !v.floor.usedByConsensus() && index > initialIndex {
 		v.fleetBegan = true
 	}
 }
@@ -82,7 +82,7 @@
 	if v.haltReason != "" {
 		return false
 	}
-	return v.hasMajority(func(name string) bool { return v.vouched[name] }) || v.mayFound()
+	return v.hasMajority(func(name string) bool { return v.vouchedBy[name] }) || v.mayBootstrap()
 }
 
 // hasMajority reports whether the others that count are a majority together with this voter.
@@ -96,15 +96,15 @@
 	return n > v.voterCount()/2
 }
 
-// mayFound reports whether this voter and all other initial voters begin a new fleet. One of them that is away could be the only
+// mayBootstrap reports whether this voter and all other initial voters begin a new fleet. One of them that is away could be the only
 // one that knows that the fleet has begun, and the others could have lost their disks: so all must have been found without
 // anything on their disks.
-func (v *voter) mayFound() bool {
-	if !v.isBlank || v.fleetBegan || v.node.options.JoinsExistingFleet {
+func (v *voter) mayBootstrap() bool {
+	if !v.startedEmpty || v.fleetBegan || v.node.options.JoinsExistingFleet {
 		return false
 	}
 	for _, initial := range v.node.options.InitialVoters {
-		if initial.Name != v.node.options.Name && !v.foundBlank[initial.Name] {
+		if initial.Name != v.node.options.Name && !v.emptyDisks[initial.Name] {
 			return false
 		}
 	}
--- a/fleet/voter_disk.go
+++ b/fleet/voter_disk.go
@@ -28,8 +28,8 @@
 
 // When the log is compacted: entriesKept entries stay behind a snapshot, for voters and followers that are a little behind.
 const (
-	entriesKept   = 256
-	snapshotEvery = 512
+	catchUpEntries    = 256
+	snapshotThreshold = 512
 )
 
 // PendingWrite returns what must be on disk before anything more is sent. Call WriteDone or WriteFailed after it.
@@ -44,7 +44,7 @@
 func (n *Node) WriteDone(now time.Duration) { n.voter.writeDone(now) }
 
 // WriteFailed reports that a write failed: the voter halts, and the front goes on as a follower.
-func (n *Node) WriteFailed(why error) { n.voter.halt("its disk can't be written: " + why.Error()) }
+func (n *Node) WriteFailed(err error) { n.voter.halt("its disk can't be written: " + err.Error()) }
 
 func (v *voter) copyFloors() map[string]Floor {
 	m := make(map[string]Floor, len(v.peerFloors))
@@ -58,7 +58,7 @@
 func (v *voter) process(now time.Duration) {
 	for v.haltReason == "" && v.pendingWrite == nil && v.rawNode.HasReady() {
 		var rd raft.Ready
-		v.guarded(func() { rd = v.rawNode.Ready() })
+		v.callRaft(func() { rd = v.rawNode.Ready() })
 		if v.haltReason != "" {
 			return
 		}
@@ -102,7 +102,7 @@
 func (v *voter) handleReady(now time.Duration) {
 	rd := *v.ready
 	v.ready = nil
-	v.guarded(func() {
+	v.callRaft(func() {
 		if !raft.IsEmptySnap(rd.Snapshot) {
 			v.restore(now, rd.Snapshot)
 		}
@@ -181,7 +181,7 @@
 	}
 	old, err := v.storage.Snapshot()
 	at := old.GetMetadata().GetIndex()
-	if err != nil || v.applied < at+snapshotEvery && !(v.confChanged && v.applied > at) {
+	if err != nil || v.applied < at+snapshotThreshold && !(v.confChanged && v.applied > at) {
 		return
 	}
 	v.confChanged = false
@@ -189,8 +189,8 @@
 	if err != nil {
 		return
 	}
-	if first, err := v.storage.FirstIndex(); err == nil && v.applied > first+entriesKept {
-		v.storage.Compact(v.applied - entriesKept)
+	if first, err := v.storage.FirstIndex(); err == nil && v.applied > first+catchUpEntries {
+		v.storage.Compact(v.applied - catchUpEntries)
 	}
 	v.pendingWrite = &DiskWrite{Snapshot: s}
 }
--- a/fleet/voter_recovery.go
+++ b/fleet/voter_recovery.go
@@ -103,7 +103,7 @@
 		return errors.New("this front is no voter: recover at a voter whose disk survived")
 	case n.voter.haltReason != "":
 		return fmt.Errorf("this voter has stopped (%s): recover at the voter that knows more", n.voter.haltReason)
-	case !n.voter.floor.hasTakenPart():
+	case !n.voter.floor.usedByConsensus():
 		return errors.New("this voter's disk holds nothing of the fleet: recover at a voter whose disk survived")
 	case !n.Isolated():
 		return fmt.Errorf("the fleet has a leader, %s: nothing is to be recovered", n.heartbeatFrom)
@@ -116,7 +116,7 @@
 // knowsFleet reports whether a voter is linked to this one and has taken part in consensus.
 func (n *Node) knowsFleet(name string) bool {
 	p := n.peers[name]
-	return p != nil && p.Voter && n.voter.vouched[name]
+	return p != nil && p.Voter && n.voter.vouchedBy[name]
 }
 
 // others returns the names of the other voters, sorted.
@@ -153,13 +153,13 @@
 }
 
 // refuseRecovery ends a recovery that is under way without a change.
-func (n *Node) refuseRecovery(fault string) {
+func (n *Node) refuseRecovery(reason string) {
 	r := n.recovery
 	if r == nil || r.State != RecoveryWaiting && r.State != RecoveryWriting {
 		return
 	}
-	r.State, r.Refusal = RecoveryRefused, fault
-	n.emit(VotersRecovered{Reason: r.Reason, Refusal: fault})
+	r.State, r.Refusal = RecoveryRefused, reason
+	n.emit(VotersRecovered{Reason: r.Reason, Refusal: reason})
 }
 
 // recoveredDisk returns what this voter's disk holds once it is the only voter: the replicated state with all entries of its log,
@@ -231,7 +231,7 @@
 		v.halt("the recovered state can't be used: " + err.Error())
 		return
 	}
-	fresh.leaderHeardAt = now
+	fresh.leaderContactAt = now
 	n.voter = fresh
 	n.restore(now, n.state)
 	n.closing = append(n.closing, n.Peers()...)
