--- a/fleet/encoding_test.go
+++ b/fleet/encoding_test.go
@@ -42,7 +42,7 @@
 	return []Message{
 		{Kind: KindHello, From: "n1", Index: 12, Hello: &Handshake{Fleet: "6f0c", Name: "n1", Incarnation: 1790000000000000000, Zone: "a",
 			Address: "10.0.0.1:7500", Format: 1, Voter: true, Dialled: true, Floor: floor, KnownFloor: Floor{Term: 2, Vote: 5, Commit: 6, OpenCount: 1}}},
-		{Kind: KindReject, Reason: reasonFull, Members: []MembershipRecord{{Name: "n2", Address: "10.0.0.2:7500"}}},
+		{Kind: KindReject, Reason: string(errTooManyFollowers), Members: []MembershipRecord{{Name: "n2", Address: "10.0.0.2:7500"}}},
 		{Kind: KindPing, Index: 12, Hello: &Handshake{Name: "n1", Floor: floor, KnownFloor: excludedFloor}},
 		{Kind: KindConsensus, Data: []byte{8, 1, 16, 2}},
 		{Kind: KindHeartbeat, From: "n1", Index: 12, Term: 3, Number: 400},
--- a/fleet/endpoint_list.go
+++ b/fleet/endpoint_list.go
@@ -119,7 +119,7 @@
 // older list than is known.
 func (l *EndpointList) EncodeUpdate(list discovery.List, after int64) ([]byte, error) {
 	if l.known && list.Index < l.index {
-		return nil, fmt.Errorf("the service hands back list %d, and %d is known", list.Index, l.index)
+		return nil, &OlderListError{Received: list.Index, Known: l.index}
 	}
 	return encodeEndpointUpdate(list, after), nil
 }
--- a/fleet/event.go
+++ b/fleet/event.go
@@ -111,7 +111,7 @@
 // RequestDone is the end of one of this front's requests.
 type RequestDone struct {
 	ID         uint64
-	Error      string         // "" where it succeeded
+	Error      string         // as the leader sent it; "" where it succeeded
 	LeaderTerm uint64         // term of the leader that answered, 0 where it is not known
 	Reports    []MemberReport // answer to CollectDigests
 }
--- a/fleet/leader.go
+++ b/fleet/leader.go
@@ -170,8 +170,8 @@
 }
 
 // onApplied updates the timers after a command was applied.
-func (l *leader) onApplied(now time.Duration, c *Command, fault string) {
-	if !l.ready || fault != "" {
+func (l *leader) onApplied(now time.Duration, c *Command, err error) {
+	if !l.ready || err != nil {
 		return
 	}
 	switch c.Op {
--- a/fleet/leader_requests.go
+++ b/fleet/leader_requests.go
@@ -1,6 +1,7 @@
 package fleet
 
 import (
+	"fmt"
 	"maps"
 	"slices"
 	"time"
@@ -32,9 +33,9 @@
 	}
 }
 
-// fail answers a request that cannot be served; for why "" it answers that nothing is left to do.
-func (l *leader) fail(now time.Duration, requester string, q *Request, reason string) {
-	l.reply(now, requester, &LeaderReply{RequestID: q.ID, Error: reason})
+// answer answers a request: with why it cannot be served, or with nil where nothing is left to do.
+func (l *leader) answer(now time.Duration, requester string, q *Request, err error) {
+	l.reply(now, requester, &LeaderReply{RequestID: q.ID, Error: errorText(err)})
 }
 
 // onProposal proposes a command for the log. Its answer follows when the command was applied, from each front's own state.
@@ -44,16 +45,16 @@
 	}
 	var c Command
 	if err := msgpack.Unmarshal(q.Command, &c); err != nil || c.Requester != requester {
-		l.fail(now, requester, q, "a command that can't be read")
+		l.answer(now, requester, q, errUnreadableCommand)
 		return
 	}
 	ok := false
 	switch _, isVoter := l.node.state.Voters[c.Target]; {
 	case c.Op == opAddVoter && isVoter:
-		l.fail(now, requester, q, c.Target+" is a keeper already")
+		l.answer(now, requester, q, fmt.Errorf("%s %w", c.Target, errAlreadyVoter))
 		return
 	case c.Op == opRemoveVoter && !isVoter:
-		l.fail(now, requester, q, c.Target+" is no keeper")
+		l.answer(now, requester, q, fmt.Errorf("%s %w", c.Target, errNotAVoter))
 		return
 	case c.Op == opAddVoter, c.Op == opRemoveVoter:
 		ok = l.voter.proposeVoterChange(&c)
@@ -62,7 +63,7 @@
 	case c.Op == opPutValue:
 		ok = l.voter.propose(&c)
 	default:
-		l.fail(now, requester, q, "only the giver says that")
+		l.answer(now, requester, q, errLeaderCommand)
 		return
 	}
 	if ok {
@@ -72,7 +73,7 @@
 
 // onDeclarations declares the leases of a request that neither the replicated state has nor a declaration on its way. Fronts
 // declare the same leases at the same time: the log's entries are as many as leases, however many fronts ask. The answer is
-// each front's own state; one that asks for what is declared already has not seen it yet, and is told.
+// each front's own state; one that asks for what is declared already has not seen it yet, and is answered.
 func (l *leader) onDeclarations(now time.Duration, requester string, q *Request, c *Command) {
 	all := append([]Declaration{{Lease: c.Lease, Bound: c.Bound}}, q.Declarations...)
 	declared := true
@@ -89,7 +90,7 @@
 		}
 	}
 	if declared {
-		l.fail(now, requester, q, "")
+		l.answer(now, requester, q, nil)
 	}
 }
 
@@ -112,13 +113,13 @@
 	lease, timer := l.node.state.Leases[q.Lease], l.timers[q.Lease]
 	switch known := l.members[q.To]; {
 	case lease == nil || timer == nil:
-		l.fail(now, requester, q, "there is no duty of that name")
+		l.answer(now, requester, q, errUnknownLease)
 	case lease.Leaseholder == "":
-		l.fail(now, requester, q, "nobody holds it")
+		l.answer(now, requester, q, errNotHeld)
 	case q.To == lease.Leaseholder:
-		l.fail(now, requester, q, "")
+		l.answer(now, requester, q, nil)
 	case q.To != "" && (known == nil || !l.eligible(now, known)):
-		l.fail(now, requester, q, q.To+" can't take it: it is not there, goes, or takes no duties")
+		l.answer(now, requester, q, fmt.Errorf("%s %w", q.To, errNotEligible))
 	default:
 		l.transfers[q.Lease] = transfer{requester, q.ID, lease.Term}
 		l.reply(now, lease.Leaseholder, &LeaderReply{Release: lease.Name, Term: lease.Term, TransferTo: q.To})
--- a/fleet/links.go
+++ b/fleet/links.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"errors"
 	"hash/crc32"
 	"maps"
 	"slices"
@@ -18,13 +19,6 @@
 	index                      uint64 // of the replicated state that it is known to have
 }
 
-// Reasons of a rejection. Peers act on them: they are part of the protocol.
-const (
-	reasonDisplaced     = "another front has its name"
-	reasonDuplicateLink = "there is a link already"
-	reasonFull          = "it has as many followers as it takes"
-)
-
 // linkState is what a Node knows of its links, and of fronts that it could link to.
 type linkState struct {
 	peers        map[string]*peer
@@ -74,21 +68,21 @@
 	}
 	hello := m.Hello
 	if m.Kind != KindHello || hello == nil {
-		return ProtocolError("the first message is no hello")
+		return errNoHello
 	}
 	existing := n.peers[hello.Name]
 	front := n.state.Fronts[hello.Name]
 	switch {
 	case hello.Fleet != n.options.Fleet:
-		return ProtocolError("it is of another fleet")
+		return errOtherFleet
 	case hello.Name == n.options.Name:
-		return ProtocolError("it has this front's own name")
+		return errOwnName
 	case n.isDisplaced:
-		return ProtocolError("this front stays out: another has its name")
+		return errSelfDisplaced
 	case front != nil && front.isPast(hello.Incarnation):
-		return ProtocolError(reasonDisplaced)
+		return errDisplacedName
 	case existing != nil && n.keepsLink(now, existing, hello):
-		return ProtocolError(reasonDuplicateLink) // both dialled: the link of the lesser name stays
+		return errDuplicateLink // both dialled: the link of the lesser name stays
 	}
 	if existing == nil && hello.Dialled && !hello.Voter && !n.isVoter(hello.Name) {
 		inbound := 0
@@ -98,7 +92,7 @@
 			}
 		}
 		if inbound >= n.options.MaxFollowers {
-			return ProtocolError(reasonFull)
+			return errTooManyFollowers
 		}
 	}
 	return nil
@@ -115,7 +109,7 @@
 // Rejection is the message to a peer that CheckHello rejected. Where this front is full it suggests those that it is linked to.
 func (n *Node) Rejection(err error) *Message {
 	m := &Message{Kind: KindReject, Reason: err.Error()}
-	if err == ProtocolError(reasonFull) {
+	if errors.Is(err, errTooManyFollowers) {
 		for _, name := range slices.Sorted(maps.Keys(n.peers)) {
 			if p := n.peers[name]; !p.Voter && p.Address != "" && len(m.Members) < 2*defaultMaxFollowers {
 				m.Members = append(m.Members, MembershipRecord{Name: name, Address: p.Address})
@@ -179,18 +173,18 @@
 			n.suggested[report.Name] = report.Address
 		}
 	}
-	switch reason {
-	case reasonDisplaced:
+	switch ProtocolError(reason) {
+	case errDisplacedName:
 		n.markDisplaced("another front of the fleet has this name")
 		return
-	case reasonDuplicateLink:
+	case errDuplicateLink:
 		return
 	}
 	n.failures[name] = min(n.failures[name]+1, 6)
 	wait := n.options.Timing.HeartbeatInterval() << n.failures[name]
 	if n.voter != nil && n.isVoter(name) {
 		wait = n.options.Timing.electionTimeout() // voters depend on each other
-	} else if reason == reasonFull {
+	} else if ProtocolError(reason) == errTooManyFollowers {
 		wait = 10 * n.options.Timing.LeaseDuration
 	}
 	n.retryAt[name] = now + wait
--- a/fleet/message.go
+++ b/fleet/message.go
@@ -5,6 +5,7 @@
 // Kind is the type of a message.
 type Kind uint8
 
+// Kinds of messages. Their numbers are part of the protocol: new ones are added at the end.
 const (
 	KindHello           Kind = iota // the first on a link, in both directions
 	KindReject                      // the link is rejected; Reason says why
@@ -237,50 +238,55 @@
 	maxDeclarations = 512     // leases that a request declares
 )
 
-// ProtocolError is a violation of the protocol by a peer: its link must be closed.
-type ProtocolError string
-
-// Error implements error.
-func (f ProtocolError) Error() string { return string(f) }
-
 // check bounds what came from outside before any of it is kept.
 func (m *Message) check() error {
 	if m.Kind >= kindCount {
-		return ProtocolError("a message of a kind that is not known")
+		return errUnknownKind
 	}
 	tooLong := len(m.From) > maxNameBytes || len(m.Name) > maxNameBytes || len(m.Reason) > maxReasonBytes
 	if tooLong || len(m.Members) > maxMembers || len(m.Positions) > maxMembers {
-		return ProtocolError("a message with too much in it")
+		return errMessageTooLarge
 	}
 	for i := range m.Members {
-		report := &m.Members[i]
-		if report.Name == "" || len(report.Name) > maxNameBytes || len(report.Zone) > maxNameBytes || len(report.Address) > maxNameBytes ||
-			len(report.Version) > maxNameBytes || len(report.Renewals) > maxRenewals || len(report.Digests) > maxDigests {
-			return ProtocolError("a membership record without sense")
+		if err := m.Members[i].check(); err != nil {
+			return err
 		}
-		for _, d := range report.Digests {
-			if len(d.Subsystem) > maxNameBytes || len(d.Data) > maxDigestBytes {
-				return ProtocolError("a digest that is too long")
-			}
+	}
+	if !m.hasRequiredFields() {
+		return missingField(m.Kind)
+	}
+	return nil
+}
+
+// check bounds a membership record.
+func (report *MembershipRecord) check() error {
+	if report.Name == "" || len(report.Name) > maxNameBytes || len(report.Zone) > maxNameBytes || len(report.Address) > maxNameBytes ||
+		len(report.Version) > maxNameBytes || len(report.Renewals) > maxRenewals || len(report.Digests) > maxDigests {
+		return errInvalidRecord
+	}
+	for _, d := range report.Digests {
+		if len(d.Subsystem) > maxNameBytes || len(d.Data) > maxDigestBytes {
+			return errDigestTooLong
 		}
 	}
-	bad := false
+	return nil
+}
+
+// hasRequiredFields reports whether a message has the fields of its kind, within their bounds.
+func (m *Message) hasRequiredFields() bool {
 	switch m.Kind {
 	case KindHello:
-		bad = m.Hello == nil || m.Hello.Name == "" || len(m.Hello.Name) > maxNameBytes || len(m.Hello.Address) > maxNameBytes
+		return m.Hello != nil && m.Hello.Name != "" && len(m.Hello.Name) <= maxNameBytes && len(m.Hello.Address) <= maxNameBytes
 	case KindRequest:
-		bad = m.Request == nil || m.From == "" || !m.Request.validDeclarations()
+		return m.Request != nil && m.From != "" && m.Request.validDeclarations()
 	case KindReply:
-		bad = m.Reply == nil || m.Name == ""
+		return m.Reply != nil && m.Name != ""
 	case KindDatagram:
-		bad = m.Name == "" || m.From == "" || len(m.Reason) > maxNameBytes
+		return m.Name != "" && m.From != "" && len(m.Reason) <= maxNameBytes
 	case KindBroadcast:
-		bad = m.Name == "" || m.From == ""
+		return m.Name != "" && m.From != ""
 	}
-	if bad {
-		return ProtocolError("a " + m.Kind.String() + " without its part")
-	}
-	return nil
+	return true
 }
 
 // validDeclarations reports whether the declarations are within their bounds.
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -81,7 +81,7 @@
 	p.lastReceivedAt = now
 	switch m.Kind {
 	case KindHello, KindReject:
-		return ProtocolError("a second greeting")
+		return errSecondHello
 	case KindPing:
 		if m.Hello != nil && n.voter != nil && p.Voter {
 			n.voter.checkPing(now, from, m.Hello)
--- a/fleet/replicated_state.go
+++ b/fleet/replicated_state.go
@@ -105,26 +105,26 @@
 	}
 }
 
-// apply applies the command at an index. fault is why it had no effect, "" where it did what it was for.
-func (state *ReplicatedState) apply(index uint64, data []byte) (c Command, fault string) {
+// apply applies the command at an index. The error is why the command had no effect.
+func (state *ReplicatedState) apply(index uint64, data []byte) (c Command, err error) {
 	state.Index = index
 	if len(data) == 0 {
-		return Command{}, ""
+		return Command{}, nil
 	}
 	if err := msgpack.Unmarshal(data, &c); err != nil {
-		return c, "a command that can't be read: " + err.Error()
+		return c, fmt.Errorf("%w: %w", errUnreadableCommand, err)
 	}
 	if c.Format > Format || c.Op > opPutValue {
 		state.NeededFormat = max(c.Format, Format+1)
-		return c, fmt.Sprintf("a command of format %d, and this program knows %d", c.Format, Format)
+		return c, &FormatError{What: "command", Needed: c.Format, Known: Format}
 	}
 	switch c.Op {
 	case opDeclareLease:
 		state.declareLease(&c)
 	case opGrantLease, opVacateLease:
-		fault = state.applyLeaseChange(index, &c)
+		err = state.applyLeaseChange(index, &c)
 	case opJoin:
-		fault = state.applyJoin(&c)
+		err = state.applyJoin(&c)
 	case opLeave:
 		if front := state.Fronts[c.Target]; front != nil && front.Incarnation == c.Incarnation {
 			delete(state.Fronts, c.Target)
@@ -134,14 +134,11 @@
 	case opRemoveVoter:
 		delete(state.Voters, c.Target)
 	case opPutValue:
-		fault = state.applyPut(index, &c)
+		err = state.applyPut(index, &c)
 	}
-	return c, fault
+	return c, err
 }
 
-// faultOtherTerm is the answer to a command for a term of a lease that is not the present one.
-const faultOtherTerm = "the duty is in another term"
-
 func (state *ReplicatedState) declareLease(c *Command) {
 	if lease := state.Leases[c.Lease]; lease != nil {
 		lease.Bound = c.Bound
@@ -157,10 +154,10 @@
 }
 
 // applyLeaseChange applies opGrantLease and opVacateLease.
-func (state *ReplicatedState) applyLeaseChange(index uint64, c *Command) (fault string) {
+func (state *ReplicatedState) applyLeaseChange(index uint64, c *Command) error {
 	lease := state.Leases[c.Lease]
 	if lease == nil || lease.Term != c.Term {
-		return faultOtherTerm
+		return errOtherTerm
 	}
 	if c.LostBy != "" {
 		lease.Losses = slices.DeleteFunc(slices.Clone(lease.Losses), func(l Loss) bool { return l.Front == c.LostBy })
@@ -171,22 +168,22 @@
 	lease.Reason = c.Reason
 	if c.Op == opVacateLease {
 		lease.Leaseholder = ""
-		return ""
+		return nil
 	}
 	lease.Term++
 	lease.Leaseholder = c.Target
 	lease.Incarnation = c.Incarnation
 	lease.RequestSeq = c.RequestSeq
 	lease.GrantIndex = index
-	return ""
+	return nil
 }
 
 // applyJoin applies opJoin: a front is new, has started anew, or has moved.
-func (state *ReplicatedState) applyJoin(c *Command) (fault string) {
+func (state *ReplicatedState) applyJoin(c *Command) error {
 	front := *c.Front
 	if old := state.Fronts[front.Name]; old != nil {
 		if old.isPast(front.Incarnation) {
-			return "the front was displaced by another of its name"
+			return errFrontDisplaced
 		}
 		front.PastIncarnations = old.PastIncarnations
 		if old.Incarnation != front.Incarnation {
@@ -195,11 +192,11 @@
 		}
 	}
 	state.Fronts[front.Name] = &front
-	return ""
+	return nil
 }
 
 // applyPut applies opPutValue; an empty value deletes the key.
-func (state *ReplicatedState) applyPut(index uint64, c *Command) (fault string) {
+func (state *ReplicatedState) applyPut(index uint64, c *Command) error {
 	lease, stored := state.Leases[c.Lease], state.Values[c.Key]
 	storedIndex := uint64(0)
 	if stored != nil {
@@ -207,18 +204,18 @@
 	}
 	switch {
 	case lease == nil || lease.Term != c.Term:
-		return faultOtherTerm
+		return errOtherTerm
 	case storedIndex != c.PrevIndex:
 		if stored != nil && stored.Term == c.Term && bytes.Equal(stored.Value, c.Value) {
-			return "" // a repeated request
+			return nil // a repeated request
 		}
-		return "the entry has changed meanwhile"
+		return errValueChanged
 	case len(c.Value) == 0:
 		delete(state.Values, c.Key)
 	default:
 		state.Values[c.Key] = &StoredValue{Lease: c.Lease, Term: c.Term, Index: index, Value: c.Value}
 	}
-	return ""
+	return nil
 }
 
 // AllowedVersionsKey is the key of the value that says which configuration versions may be used; where it is absent, all may.
@@ -305,13 +302,13 @@
 func decodeReplicatedState(data []byte) (*ReplicatedState, error) {
 	var encoded encodedState
 	if err := msgpack.Unmarshal(data, &encoded); err != nil {
-		return nil, fmt.Errorf("a record that can't be read: %w", err)
+		return nil, fmt.Errorf("%w: %w", errUnreadableState, err)
 	}
 	if encoded.Format > Format {
-		return nil, fmt.Errorf("a record of format %d, and this program knows %d: bring the program up to date", encoded.Format, Format)
+		return nil, &FormatError{What: "record", Needed: encoded.Format, Known: Format, Remedy: ": bring the program up to date"}
 	}
 	if len(encoded.Keys) != len(encoded.Values) || len(encoded.Voters)%2 != 0 {
-		return nil, fmt.Errorf("a record whose parts don't fit")
+		return nil, errInconsistentState
 	}
 	state := newReplicatedState()
 	state.Index, state.NeededFormat = encoded.Index, encoded.NeededFormat
--- a/fleet/replication.go
+++ b/fleet/replication.go
@@ -92,22 +92,22 @@
 		n.state.Index = entry.Index // this program can't read what follows
 		return
 	}
-	c, fault := n.state.apply(entry.Index, entry.Data)
+	c, err := n.state.apply(entry.Index, entry.Data)
 	n.recentEntries = append(n.recentEntries, entry)
 	if len(n.recentEntries) > 2*maxRecentEntries {
 		n.recentEntries = append([]LogEntry{}, n.recentEntries[len(n.recentEntries)-maxRecentEntries:]...)
 	}
 	if n.state.NeededFormat != 0 {
-		n.emit(StateUnreadable{Index: entry.Index, Reason: fault})
+		n.emit(StateUnreadable{Index: entry.Index, Reason: err.Error()})
 		return
 	}
 	if c.Requester == n.options.Name && n.pendingRequests[c.RequestID] != nil {
-		n.completeRequest(c.RequestID, fault, 0)
+		n.completeRequest(RequestDone{ID: c.RequestID, Error: errorText(err)})
 	}
 	if n.leader != nil {
-		n.leader.onApplied(now, &c, fault)
+		n.leader.onApplied(now, &c, err)
 	}
-	if fault != "" {
+	if err != nil {
 		return
 	}
 	switch c.Op {
--- a/fleet/requests.go
+++ b/fleet/requests.go
@@ -30,7 +30,7 @@
 	n.lastRequestID++
 	q.ID = n.lastRequestID
 	if len(n.pendingRequests) >= maxPendingRequests {
-		n.emit(RequestDone{ID: q.ID, Error: "too many questions wait"})
+		n.emit(RequestDone{ID: q.ID, Error: errTooManyRequests.Error()})
 		return q.ID
 	}
 	m := &Message{Kind: KindRequest, From: n.options.Name, Request: &q}
@@ -83,7 +83,7 @@
 	}
 	pending := n.pendingRequests[reply.RequestID]
 	if pending != nil && (reply.Error != "" || !pending.declares) {
-		n.completeRequest(reply.RequestID, reply.Error, leaderTerm, reply.Reports...)
+		n.completeRequest(RequestDone{ID: reply.RequestID, Error: reply.Error, LeaderTerm: leaderTerm, Reports: reply.Reports})
 	}
 	if reply.Release != "" {
 		if held := n.ownLeases[reply.Release]; held != nil && held.term == reply.Term {
@@ -97,10 +97,10 @@
 	}
 }
 
-// completeRequest ends a request; fault is "" where it succeeded.
-func (n *Node) completeRequest(id uint64, fault string, leaderTerm uint64, reports ...MemberReport) {
-	delete(n.pendingRequests, id)
-	n.emit(RequestDone{ID: id, Error: fault, LeaderTerm: leaderTerm, Reports: reports})
+// completeRequest ends a request.
+func (n *Node) completeRequest(done RequestDone) {
+	delete(n.pendingRequests, done.ID)
+	n.emit(done)
 }
 
 // retryRequests repeats requests without an answer, and declares leases that the replicated state lacks.
@@ -116,7 +116,7 @@
 			}
 		}
 		if now-pending.startedAt > 4*timing.LeaseDuration {
-			n.completeRequest(id, "no answer came", 0)
+			n.completeRequest(RequestDone{ID: id, Error: errNoAnswer.Error()})
 			continue
 		}
 		if now-pending.sentAt >= timing.HeartbeatInterval() {
@@ -174,7 +174,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(n.pendingRequests)) {
 		if n.pendingRequests[id].declares && !unanswered[id] {
-			n.completeRequest(id, "", 0)
+			n.completeRequest(RequestDone{ID: id})
 		}
 	}
 }
--- a/fleet/snapshot_chunks.go
+++ b/fleet/snapshot_chunks.go
@@ -109,7 +109,7 @@
 // onChunk adds a chunk; the last one completes the state.
 func (n *Node) onChunk(now time.Duration, from string, p *peer, m *Message) error {
 	if m.Term > MaxMessageBytes*4 || m.Number > m.Term || len(m.Data) > chunkBytes {
-		return ProtocolError("a piece without sense")
+		return errInvalidChunk
 	}
 	if n.isActiveVoter() || m.Index <= n.state.Index {
 		delete(n.incomingSnapshots, from)
--- a/fleet/voter.go
+++ b/fleet/voter.go
@@ -186,10 +186,10 @@
 func (v *voter) step(now time.Duration, from string, data []byte) error {
 	m := &pb.Message{}
 	if err := proto.Unmarshal(data, m); err != nil {
-		return ProtocolError("consensus that can't be read")
+		return errInvalidConsensus
 	}
 	if m.GetFrom() != voterID(from) {
-		return ProtocolError("consensus in another's name")
+		return errForeignConsensus
 	}
 	if !v.mayVote() || m.GetTo() != v.id {
 		return nil
--- a/fleet/voter_recovery.go
+++ b/fleet/voter_recovery.go
@@ -1,7 +1,6 @@
 package fleet
 
 import (
-	"errors"
 	"fmt"
 	"maps"
 	"math"
@@ -16,6 +15,7 @@
 // RecoveryState is how far a recovery of the voters has come.
 type RecoveryState string
 
+// States of a Recovery.
 const (
 	RecoveryWaiting RecoveryState = "waiting" // until leases have expired that the lost voters may have granted
 	RecoveryWriting RecoveryState = "writing" // the recovered state, to the disk
@@ -57,13 +57,13 @@
 // how it goes on.
 func (n *Node) RecoverVoters(now time.Duration, reason string) error {
 	if strings.TrimSpace(reason) == "" {
-		return errors.New("a recovery needs a reason, for the log")
+		return ErrRecoveryWithoutReason
 	}
 	if err := n.checkRecovery(); err != nil {
 		return err
 	}
 	if r := n.recovery; r != nil && (r.State == RecoveryWaiting || r.State == RecoveryWriting) {
-		return errors.New("a recovery is under way already")
+		return ErrRecoveryUnderWay
 	}
 	n.recovery = &Recovery{State: RecoveryWaiting, Reason: reason, DueAt: now + n.recoveryWait(), Lost: n.voter.others()}
 	return nil
@@ -100,15 +100,15 @@
 func (n *Node) checkRecovery() error {
 	switch {
 	case n.voter == nil:
-		return errors.New("this front is no voter: recover at a voter whose disk survived")
+		return ErrNoVoter
 	case n.voter.haltReason != "":
-		return fmt.Errorf("this voter has stopped (%s): recover at the voter that knows more", n.voter.haltReason)
+		return fmt.Errorf("%w (%s): recover at the voter that knows more", ErrVoterHalted, n.voter.haltReason)
 	case !n.voter.floor.usedByConsensus():
-		return errors.New("this voter's disk holds nothing of the fleet: recover at a voter whose disk survived")
+		return ErrEmptyDisk
 	case !n.Isolated():
-		return fmt.Errorf("the fleet has a leader, %s: nothing is to be recovered", n.heartbeatFrom)
+		return fmt.Errorf("%w, %s: nothing is to be recovered", ErrLeaderPresent, n.heartbeatFrom)
 	case n.voter.hasMajority(n.knowsFleet):
-		return errors.New("a majority of voters that know the fleet is here: it elects a leader by itself")
+		return ErrMajorityPresent
 	}
 	return nil
 }
