--- a/fleet/broadcasts.go
+++ b/fleet/broadcasts.go
@@ -52,7 +52,7 @@
 	f := n.fences[m.Name]
 	switch {
 	case m.Term < f.term:
-		n.emit(BroadcastRejected{Lease: m.Name, Term: m.Term, From: m.From, Reason: "an act of an older term"})
+		n.emit(BroadcastRejected{Lease: m.Name, Term: m.Term, From: m.From, Reason: reasonStaleBroadcast})
 		return false
 	case m.Number == 0: // a neighbour's whole mirror
 		if m.Term > f.term {
@@ -72,7 +72,7 @@
 		return // an unknown lease
 	}
 	if held := n.ownLeases[m.Name]; held != nil && m.Term > held.term {
-		n.dropLease(m.Name, "a later term acts")
+		n.dropLease(m.Name, reasonLaterTerm)
 	}
 	if !n.acceptBroadcast(m) {
 		return
--- a/fleet/heartbeat.go
+++ b/fleet/heartbeat.go
@@ -56,7 +56,7 @@
 	timing := n.options.Timing
 	if !n.isolated && now-n.heartbeatAt > timing.isolationTimeout() {
 		n.isolated = true
-		n.emit(FleetLost{Reason: "no pulse of the fleet"})
+		n.emit(FleetLost{Reason: reasonNoHeartbeat})
 	}
 	if n.isolated && now-n.rankSaltedAt > 2*timing.LeaseDuration {
 		n.rankSaltedAt = now
--- a/fleet/history_test.go
+++ b/fleet/history_test.go
@@ -38,3 +38,29 @@
 		assert.Equal(t, c.want, c.event.Fields())
 	}
 }
+
+func TestHistoryKeepsItsReasons(t *testing.T) {
+	for reason, text := range map[string]string{
+		reasonVacant:            "nobody held it",
+		reasonExpired:           "it ran out",
+		reasonTransferred:       "handed on",
+		reasonReleased:          "let go",
+		reasonNoProgress:        "it got nothing done",
+		reasonVotersRecovered:   "the voters were recovered",
+		reasonLaterTerm:         "a later term acts",
+		reasonGrantedTo:         "it passed to ",
+		reasonTransferRequested: "it was asked to hand it on",
+		reasonAcceptsNoLeases:   "this front takes no duty",
+		reasonShutdown:          "this front ends",
+		reasonNoConfigLease:     "this front has no right to act",
+		reasonLeaderOffloads:    "its holder gives as well",
+		reasonFrontDisplaced:    "another front has this one's name",
+		reasonNameTaken:         "another front of the fleet has this name",
+		reasonVoterNameTaken:    "another front has this keeper's name",
+		reasonStaleBroadcast:    "an act of an older term",
+		reasonNoHeartbeat:       "no pulse of the fleet",
+		reasonSilentLink:        "it was silent",
+	} {
+		assert.Equal(t, text, reason)
+	}
+}
--- a/fleet/leader.go
+++ b/fleet/leader.go
@@ -134,9 +134,9 @@
 		lease, timer := l.node.state.Leases[name], l.timers[name]
 		switch l.conditionOf(now, lease, timer) {
 		case leaseVacant:
-			l.grant(now, lease, timer, "", "nobody held it", false)
+			l.grant(now, lease, timer, "", reasonVacant, false)
 		case leaseExpired:
-			l.grant(now, lease, timer, "", "it ran out", true)
+			l.grant(now, lease, timer, "", reasonExpired, true)
 		case leaseIdle:
 			l.requestRelease(now, lease, timer)
 		}
--- a/fleet/leader_leases.go
+++ b/fleet/leader_leases.go
@@ -128,7 +128,7 @@
 	case lease.Leaseholder == "" || !lost && !idle:
 		return "", 0, why
 	case !lost:
-		why = "it got nothing done"
+		why = reasonNoProgress
 	}
 	if now-timer.grantedAt > 32*l.node.options.Timing.LeaseDuration {
 		return lease.Leaseholder, 1, why
@@ -246,7 +246,7 @@
 		}
 		if l.eligible(now, known) {
 			l.offloadedAt = now
-			l.node.releaseLease(now, ownName, "", "its holder gives as well")
+			l.node.releaseLease(now, ownName, "", reasonLeaderOffloads)
 			return
 		}
 	}
--- a/fleet/leader_requests.go
+++ b/fleet/leader_requests.go
@@ -100,8 +100,8 @@
 	if lease == nil || timer == nil || lease.Term != q.Term || lease.Leaseholder != requester || timer.transferring {
 		return // transferred already, or proposed
 	}
-	l.grant(now, lease, timer, q.To, "handed on", false)
-	c := &Command{Op: opVacateLease, Lease: lease.Name, Term: lease.Term, Reason: "let go"}
+	l.grant(now, lease, timer, q.To, reasonTransferred, false)
+	c := &Command{Op: opVacateLease, Lease: lease.Name, Term: lease.Term, Reason: reasonReleased}
 	c.LostBy, c.LossCount, c.Reason = l.countLoss(now, lease, timer, false, c.Reason)
 	if !timer.transferring && l.voter.propose(c) {
 		timer.transferring, timer.transferringAt, timer.transferringTo = true, now, ""
--- a/fleet/leases.go
+++ b/fleet/leases.go
@@ -93,7 +93,7 @@
 	held := n.ownLeases[lease.Name]
 	ours := lease.Leaseholder == n.options.Name && lease.Incarnation == n.options.Incarnation && !n.isDisplaced
 	if held != nil && (!ours || held.term != lease.Term) {
-		n.dropLease(lease.Name, "it passed to "+cmp.Or(lease.Leaseholder, "nobody"))
+		n.dropLease(lease.Name, reasonGrantedTo+cmp.Or(lease.Leaseholder, "nobody"))
 		held = nil
 	}
 	if !ours || held != nil {
@@ -102,7 +102,7 @@
 	held = &ownLease{term: lease.Term}
 	n.ownLeases[lease.Name] = held
 	if n.leaving || n.idle {
-		n.releaseLease(now, lease.Name, "", "this front takes no duty")
+		n.releaseLease(now, lease.Name, "", reasonAcceptsNoLeases)
 		return
 	}
 	n.extendLease(now, lease.Name, held, lease.RequestSeq, 0)
@@ -152,7 +152,7 @@
 func (n *Node) Leave(now time.Duration) {
 	n.leaving = true
 	for _, leaseName := range slices.Sorted(maps.Keys(n.ownLeases)) {
-		n.releaseLease(now, leaseName, "", "this front ends")
+		n.releaseLease(now, leaseName, "", reasonShutdown)
 	}
 	n.reportMembership(now)
 	if n.voter != nil {
@@ -176,7 +176,7 @@
 func (n *Node) endExpiredLeases(now time.Duration) {
 	expired := func(_ string, held *ownLease) bool { return held.announced && now >= held.expiresAt }
 	for _, name := range sortedMatches(n.ownLeases, expired) {
-		n.announceEnd(name, n.ownLeases[name], "it ran out")
+		n.announceEnd(name, n.ownLeases[name], reasonExpired)
 	}
 }
 
--- a/fleet/links.go
+++ b/fleet/links.go
@@ -175,7 +175,7 @@
 	}
 	switch ProtocolError(reason) {
 	case errDisplacedName:
-		n.markDisplaced("another front of the fleet has this name")
+		n.markDisplaced(reasonNameTaken)
 		return
 	case errDuplicateLink:
 		return
@@ -198,10 +198,10 @@
 	n.isDisplaced = true
 	n.emit(FrontDisplaced{Name: n.options.Name, Reason: reason})
 	for _, leaseName := range slices.Sorted(maps.Keys(n.ownLeases)) {
-		n.dropLease(leaseName, "another front has this one's name")
+		n.dropLease(leaseName, reasonFrontDisplaced)
 	}
 	if n.voter != nil {
-		n.voter.halt("another front has this keeper's name")
+		n.voter.halt(reasonVoterNameTaken)
 	}
 	n.closing = append(n.closing, n.Peers()...)
 }
@@ -326,7 +326,7 @@
 		p := n.peers[name]
 		if now-p.lastReceivedAt > timing.LinkTimeout() {
 			n.closing = append(n.closing, name)
-			n.emit(LinkClosed{Peer: name, Reason: "it was silent"})
+			n.emit(LinkClosed{Peer: name, Reason: reasonSilentLink})
 			p.lastReceivedAt = now
 			n.retryAt[name] = now + timing.HeartbeatInterval()
 			continue
--- a/fleet/membership.go
+++ b/fleet/membership.go
@@ -97,7 +97,7 @@
 	n.idle = idle
 	for _, leaseName := range slices.Sorted(maps.Keys(n.ownLeases)) {
 		if idle {
-			n.releaseLease(now, leaseName, "", "this front has no right to act")
+			n.releaseLease(now, leaseName, "", reasonNoConfigLease)
 		}
 	}
 	n.reportMembership(now)
--- a/fleet/replication.go
+++ b/fleet/replication.go
@@ -143,6 +143,6 @@
 // checkName marks this front as displaced where another process has its name.
 func (n *Node) checkName() {
 	if front := n.state.Fronts[n.options.Name]; front != nil && front.isPast(n.options.Incarnation) {
-		n.markDisplaced("another front of the fleet has this name")
+		n.markDisplaced(reasonNameTaken)
 	}
 }
--- a/fleet/requests.go
+++ b/fleet/requests.go
@@ -78,7 +78,7 @@
 // onReply handles a reply of the leader to this front; leaderTerm is 0 where an older program leads.
 func (n *Node) onReply(now time.Duration, reply *LeaderReply, leaderTerm uint64) {
 	if reply.Displaced == n.options.Incarnation && reply.Displaced != 0 {
-		n.markDisplaced("another front of the fleet has this name")
+		n.markDisplaced(reasonNameTaken)
 		return
 	}
 	pending := n.pendingRequests[reply.RequestID]
@@ -87,7 +87,7 @@
 	}
 	if reply.Release != "" {
 		if held := n.ownLeases[reply.Release]; held != nil && held.term == reply.Term {
-			n.releaseLease(now, reply.Release, reply.TransferTo, "it was asked to hand it on")
+			n.releaseLease(now, reply.Release, reply.TransferTo, reasonTransferRequested)
 		}
 	}
 	for _, renewal := range reply.Renewed {
--- a/fleet/voter_recovery.go
+++ b/fleet/voter_recovery.go
@@ -181,7 +181,7 @@
 	for _, lease := range state.Leases {
 		lease.Term += recoveryTermGap
 		lease.Leaseholder, lease.Incarnation, lease.GrantIndex = "", 0, state.Index
-		lease.Reason = "the voters were recovered"
+		lease.Reason = reasonVotersRecovered
 	}
 	term := max(v.term, v.node.heartbeat.term)
 	floors := v.copyFloors()
