--- a/fleet/config.go
+++ b/fleet/config.go
@@ -1,6 +1,7 @@
 package fleet
 
 import (
+	"log/slog"
 	"strings"
 	"time"
 
@@ -13,14 +14,14 @@
 //	  (id "6f0c2a...")                    ; the same at all fronts; made once by dapplerouter fleet id new
 //	  (listen "10.0.0.4:7500")            ; for the others
 //	  (address "10.0.0.4:7500")           ; where they reach it; what it listens at where left out
-//	  (keepers (n1 "10.0.0.1:7500") (n2 "10.0.0.2:7500") (n3 "10.0.0.3:7500"))
-//	  (keeper "/var/lib/dapplerouter/fleet.db")  ; where this front is a voter; (joins) beside it for one that is added later
-//	  (span 3s)                           ; for which a lease is held without renewal; the same at all fronts
-//	  (duties take)                       ; or none: this front takes no leases
+//	  (voters (n1 "10.0.0.1:7500") (n2 "10.0.0.2:7500") (n3 "10.0.0.3:7500")) ; the initial ones
+//	  (voter "/var/lib/dapplerouter/fleet.db")   ; its file, where this front is a voter; (joins) beside it for one that is added later
+//	  (lease-duration 3s)                 ; for which a lease is held without renewal; the same at all fronts
+//	  (leases take)                       ; or none: this front takes no leases
 //	  (key "n4.key") (certificate "n4.crt") (trust "root.crt")   ; or (plain loopback)
 //	  (control "/run/dapplerouter/n4.sock")      ; for dapplerouter fleet; nobody listens where left out
 //	  (history "/var/log/dapplerouter/n4.jsonl") ; what happened, a line of JSON each
-//	  (reach (n2 "127.0.0.1:9002")))      ; addresses that stand above what the others say of themselves
+//	  (reach (n2 "127.0.0.1:9002")))      ; addresses of others, in place of those that they report
 const FormName = "fleet"
 
 // Config is what the form says.
@@ -47,8 +48,9 @@
 // ReadConfig reads the form. Faults are recorded with the form's reading, each with its place and remedy.
 func ReadConfig(f *config.Form) *Config {
 	c := &Config{LeaseDuration: DefaultLeaseDuration, AcceptsLeases: true, AddressOverrides: map[string]string{}, Place: f.Position}
-	forms := f.Forms("id", "listen", "address", "keepers", "keeper", "joins", "span", "duties", "key", "certificate", "trust", "plain",
-		"control", "history", "reach")
+	forms := f.Forms("id", "listen", "address", "voters", "voter", "joins", "lease-duration", "leases", "key", "certificate", "trust", "plain",
+		"control", "history", "reach", "keepers", "keeper", "span", "duties")
+	readDeprecated(f, forms)
 	c.readTexts(f, forms)
 	c.readVoters(f, forms)
 	c.readLeases(f, forms)
@@ -62,13 +64,42 @@
 	return c
 }
 
+// deprecatedForms are forms by their names of earlier versions, which this version still reads.
+var deprecatedForms = []struct{ name, replacement string }{
+	{"keepers", "voters"},
+	{"keeper", "voter"},
+	{"span", "lease-duration"},
+	{"duties", "leases"},
+}
+
+// readDeprecated takes deprecated forms for their replacements, and logs one warning that names all of them.
+func readDeprecated(f *config.Form, forms map[string]*config.Form) {
+	var found, replacements []string
+	for _, d := range deprecatedForms {
+		deprecated := forms[d.name]
+		if deprecated == nil {
+			continue
+		}
+		if forms[d.replacement] != nil {
+			f.Errorf(deprecated.Position, "keep ("+d.replacement+" ...)", "%s is the deprecated name of %s, which stands beside it", d.name, d.replacement)
+			continue
+		}
+		forms[d.replacement] = deprecated
+		found, replacements = append(found, d.name), append(replacements, d.replacement)
+	}
+	if len(found) > 0 {
+		slog.Warn("deprecated forms in the operator's file: the next version does not read them", "file", f.File, "line", f.Line,
+			"forms", strings.Join(found, " "), "use", strings.Join(replacements, " "))
+	}
+}
+
 // readTexts reads what is a single text each.
 func (c *Config) readTexts(f *config.Form, forms map[string]*config.Form) {
 	texts := map[string]*string{
 		"id":          &c.ID,
 		"listen":      &c.Listen,
 		"address":     &c.Address,
-		"keeper":      &c.VoterPath,
+		"voter":       &c.VoterPath,
 		"key":         &c.Key,
 		"certificate": &c.Certificate,
 		"trust":       &c.Trust,
@@ -96,38 +127,37 @@
 func (c *Config) readVoters(f *config.Form, forms map[string]*config.Form) {
 	place := f.Position
 	named := map[string]bool{}
-	if voters := forms["keepers"]; voters != nil {
+	if voters := forms["voters"]; voters != nil {
 		place = voters.Position
 		for _, g := range voters.Subforms() {
 			address, _ := g.Value()
 			if named[g.Name] {
-				f.Errorf(g.Position, "keep one of the two", "keeper %s is named twice", g.Name)
+				f.Errorf(g.Position, "keep one of the two", "voter %s is named twice", g.Name)
 			}
 			named[g.Name] = true
 			c.InitialVoters = append(c.InitialVoters, Voter{g.Name, address.Name})
 		}
 	}
 	if n := len(c.InitialVoters); n != 1 && n != 3 && n != 5 {
-		f.Errorf(place, "name three, or five: (keepers (n1 \"HOST:PORT\") ...); one for a trial",
-			"%d keepers can't keep a record that outlives one of them", n)
+		f.Errorf(place, "name three, or five: (voters (n1 \"HOST:PORT\") ...); one for a trial", "the number of voters is %d", n)
 	}
 	if joins := forms["joins"]; joins != nil {
 		c.JoinsExistingFleet = true
 		if c.VoterPath == "" {
-			f.Errorf(joins.Position, "(keeper \"FILE\") beside it", "joins is for a keeper")
+			f.Errorf(joins.Position, "(voter \"FILE\") beside it", "joins is for a voter")
 		}
 	}
 }
 
 // readLeases reads the lease duration, and whether this front takes leases.
 func (c *Config) readLeases(f *config.Form, forms map[string]*config.Form) {
-	if duration := forms["span"]; duration != nil {
+	if duration := forms["lease-duration"]; duration != nil {
 		c.LeaseDuration = duration.Duration()
 		if c.LeaseDuration != 0 && (c.LeaseDuration < minLeaseDuration || c.LeaseDuration > maxLeaseDuration) {
-			f.Errorf(duration.Position, "between 300ms and 5m; 3s is usual", "%v is no span for a duty", c.LeaseDuration)
+			f.Errorf(duration.Position, "between 300ms and 5m; 3s is usual", "a lease duration of %v is out of range", c.LeaseDuration)
 		}
 	}
-	if leases := forms["duties"]; leases != nil {
+	if leases := forms["leases"]; leases != nil {
 		c.AcceptsLeases = leases.Choice("take", "none") != "none"
 	}
 }
@@ -162,10 +192,10 @@
 	}
 	switch {
 	case is && c.VoterPath == "":
-		return config.ErrorList{{Position: c.Place, Message: name + " is named as a keeper and has no file", Remedy: "(keeper \"FILE\")"}}
+		return config.ErrorList{{Position: c.Place, Message: name + " is named as a voter and has no file", Remedy: "(voter \"FILE\")"}}
 	case !is && c.VoterPath != "" && !c.JoinsExistingFleet:
-		return config.ErrorList{{Position: c.Place, Message: name + " has a keeper's file and is not among the keepers",
-			Remedy: "name it there, or add (joins) for a keeper that comes to a fleet which has a record"}}
+		return config.ErrorList{{Position: c.Place, Message: name + " has a voter's file and is not among the voters",
+			Remedy: "name it there, or add (joins) for a voter that joins an existing fleet"}}
 	}
 	return nil
 }
