--- a/fleet/broadcasts.go
+++ b/fleet/broadcasts.go
@@ -33,7 +33,7 @@
 	if !ok {
 		return false
 	}
-	held := n.heldLeases[leaseName]
+	held := n.ownLeases[leaseName]
 	held.broadcasts++
 	m := &Message{Kind: KindBroadcast, From: n.options.Name, Name: leaseName, Term: term, Number: held.broadcasts, Data: data}
 	n.acceptBroadcast(m)
@@ -52,7 +52,7 @@
 	f := n.fences[m.Name]
 	switch {
 	case m.Term < f.term:
-		n.emit(BroadcastRejected{Lease: m.Name, Term: m.Term, From: m.From, Reason: "an act of an older term"})
+		n.emit(BroadcastRejected{Lease: m.Name, Term: m.Term, From: m.From, Reason: reasonStaleBroadcast})
 		return false
 	case m.Number == 0: // a neighbour's whole mirror
 		if m.Term > f.term {
@@ -71,8 +71,8 @@
 	if len(n.fences) >= maxKnownFronts && n.fences[m.Name] == (fence{}) || n.state.Leases[m.Name] == nil && n.mirrors[m.Name] == nil {
 		return // an unknown lease
 	}
-	if held := n.heldLeases[m.Name]; held != nil && m.Term > held.term {
-		n.dropLease(m.Name, "a later term acts")
+	if held := n.ownLeases[m.Name]; held != nil && m.Term > held.term {
+		n.dropLease(m.Name, reasonLaterTerm)
 	}
 	if !n.acceptBroadcast(m) {
 		return
--- a/fleet/voter_recovery.go
+++ b/fleet/voter_recovery.go
@@ -1,7 +1,6 @@
 package fleet
 
 import (
-	"errors"
 	"fmt"
 	"maps"
 	"math"
@@ -16,6 +15,7 @@
 // RecoveryState is how far a recovery of the voters has come.
 type RecoveryState string
 
+// States of a Recovery.
 const (
 	RecoveryWaiting RecoveryState = "waiting" // until leases have expired that the lost voters may have granted
 	RecoveryWriting RecoveryState = "writing" // the recovered state, to the disk
@@ -57,13 +57,13 @@
 // how it goes on.
 func (n *Node) RecoverVoters(now time.Duration, reason string) error {
 	if strings.TrimSpace(reason) == "" {
-		return errors.New("a recovery needs a reason, for the log")
+		return ErrRecoveryWithoutReason
 	}
 	if err := n.checkRecovery(); err != nil {
 		return err
 	}
 	if r := n.recovery; r != nil && (r.State == RecoveryWaiting || r.State == RecoveryWriting) {
-		return errors.New("a recovery is under way already")
+		return ErrRecoveryUnderWay
 	}
 	n.recovery = &Recovery{State: RecoveryWaiting, Reason: reason, DueAt: now + n.recoveryWait(), Lost: n.voter.others()}
 	return nil
@@ -100,15 +100,15 @@
 func (n *Node) checkRecovery() error {
 	switch {
 	case n.voter == nil:
-		return errors.New("this front is no voter: recover at a voter whose disk survived")
+		return ErrNoVoter
 	case n.voter.haltReason != "":
-		return fmt.Errorf("this voter has stopped (%s): recover at the voter that knows more", n.voter.haltReason)
-	case !n.voter.floor.hasTakenPart():
-		return errors.New("this voter's disk holds nothing of the fleet: recover at a voter whose disk survived")
+		return fmt.Errorf("%w (%s): recover at the voter that knows more", ErrVoterHalted, n.voter.haltReason)
+	case !n.voter.floor.usedByConsensus():
+		return ErrEmptyDisk
 	case !n.Isolated():
-		return fmt.Errorf("the fleet has a leader, %s: nothing is to be recovered", n.heartbeatFrom)
+		return fmt.Errorf("%w, %s: nothing is to be recovered", ErrLeaderPresent, n.heartbeatFrom)
 	case n.voter.hasMajority(n.knowsFleet):
-		return errors.New("a majority of voters that know the fleet is here: it elects a leader by itself")
+		return ErrMajorityPresent
 	}
 	return nil
 }
@@ -116,7 +116,7 @@
 // knowsFleet reports whether a voter is linked to this one and has taken part in consensus.
 func (n *Node) knowsFleet(name string) bool {
 	p := n.peers[name]
-	return p != nil && p.Voter && n.voter.vouched[name]
+	return p != nil && p.Voter && n.voter.vouchedBy[name]
 }
 
 // others returns the names of the other voters, sorted.
@@ -153,13 +153,13 @@
 }
 
 // refuseRecovery ends a recovery that is under way without a change.
-func (n *Node) refuseRecovery(fault string) {
+func (n *Node) refuseRecovery(reason string) {
 	r := n.recovery
 	if r == nil || r.State != RecoveryWaiting && r.State != RecoveryWriting {
 		return
 	}
-	r.State, r.Refusal = RecoveryRefused, fault
-	n.emit(VotersRecovered{Reason: r.Reason, Refusal: fault})
+	r.State, r.Refusal = RecoveryRefused, reason
+	n.emit(VotersRecovered{Reason: r.Reason, Refusal: reason})
 }
 
 // recoveredDisk returns what this voter's disk holds once it is the only voter: the replicated state with all entries of its log,
@@ -181,7 +181,7 @@
 	for _, lease := range state.Leases {
 		lease.Term += recoveryTermGap
 		lease.Leaseholder, lease.Incarnation, lease.GrantIndex = "", 0, state.Index
-		lease.Reason = "the voters were recovered"
+		lease.Reason = reasonVotersRecovered
 	}
 	term := max(v.term, v.node.heartbeat.term)
 	floors := v.copyFloors()
@@ -231,7 +231,7 @@
 		v.halt("the recovered state can't be used: " + err.Error())
 		return
 	}
-	fresh.leaderHeardAt = now
+	fresh.leaderContactAt = now
 	n.voter = fresh
 	n.restore(now, n.state)
 	n.closing = append(n.closing, n.Peers()...)
