--- a/fleet/agent/control.go
+++ b/fleet/agent/admin.go
@@ -57,63 +57,38 @@
 	RemainingSeconds float64 `json:"left_s,omitempty"` // at the leaseholder only: until the lease expires
 }
 
-// serveControl registers the handlers of the admin API.
-func (a *Agent) serveControl(s *adminapi.Server) {
+// registerHandlers registers the handlers of the admin API. Bodies of answers keep the field names of the first version, since
+// operators' tools read them.
+func (a *Agent) registerHandlers(s *adminapi.Server) {
+	s.HandleGet("/v1/fleet", func(url.Values) (any, error) { return a.status(), nil })
+	s.HandleGet("/v1/fleet/counters", func(url.Values) (any, error) { return a.Counters(), nil })
+	s.HandlePost("/v1/fleet/transfer", func(q url.Values) (any, error) { return a.transferLease(q.Get("lease"), q.Get("to")) })
+	s.HandlePost("/v1/fleet/voters/add", a.addVoter)
+	s.HandlePost("/v1/fleet/voters/remove", a.removeVoter)
+	a.registerRecovery(s)
 	if a.rollout != nil {
-		a.serveRollout(s)
+		a.registerRollout(s)
 	}
-	a.serveRecovery(s)
-	s.HandleGet("/v1/fleet", func(url.Values) (any, error) { return a.status(), nil })
-	a.serveCounters(s)
-	s.HandlePost("/v1/fleet/hand", func(q url.Values) (any, error) {
-		leaseName, to := q.Get("duty"), q.Get("to")
-		return a.request(func(n *fleet.Node, now time.Duration) uint64 { return n.TransferLease(now, leaseName, to) })
-	})
-	s.HandlePost("/v1/fleet/keepers/add", func(q url.Values) (any, error) {
-		return a.request(func(n *fleet.Node, now time.Duration) uint64 { return n.AddVoter(now, q.Get("name"), q.Get("address")) })
-	})
-	s.HandlePost("/v1/fleet/keepers/remove", func(q url.Values) (any, error) {
-		return a.request(func(n *fleet.Node, now time.Duration) uint64 { return n.RemoveVoter(now, q.Get("name")) })
-	})
+	// Of version 0.3.0, to be removed with the next one.
+	s.HandleDeprecatedPost("/v1/fleet/hand", "/v1/fleet/transfer", func(q url.Values) (any, error) { return a.transferLease(q.Get("duty"), q.Get("to")) })
+	s.HandleDeprecatedPost("/v1/fleet/keepers/add", "/v1/fleet/voters/add", a.addVoter)
+	s.HandleDeprecatedPost("/v1/fleet/keepers/remove", "/v1/fleet/voters/remove", a.removeVoter)
 }
 
-// request sends a request to the leader and waits for its answer.
-func (a *Agent) request(ask func(n *fleet.Node, now time.Duration) uint64) (any, error) {
-	e, ok := a.awaitRequest(ask)
-	if !ok {
-		return nil, adminapi.RejectedError("no answer of the fleet")
-	}
-	if e.Error != "" {
-		return nil, adminapi.RejectedError(e.Error)
-	}
-	return map[string]bool{"done": true}, nil
+// done is the answer to a request that was carried out.
+var done = map[string]bool{"done": true}
+
+// transferLease transfers a lease to a front; for "" the leader chooses one.
+func (a *Agent) transferLease(leaseName, to string) (any, error) {
+	return done, a.requestLeader(func(n *fleet.Node, now time.Duration) uint64 { return n.TransferLease(now, leaseName, to) })
 }
 
-// awaitRequest sends a request to the leader and waits for its end; ok is false where none came in time.
-func (a *Agent) awaitRequest(ask func(n *fleet.Node, now time.Duration) uint64) (e fleet.RequestDone, ok bool) {
-	answer := make(chan fleet.RequestDone, 1)
-	var number uint64
-	a.mesh.Do(func(n *fleet.Node, now time.Duration) {
-		number = ask(n, now)
-		a.mu.Lock()
-		a.pendingRequests[number] = answer
-		a.mu.Unlock()
-	})
-	select {
-	case e := <-answer:
-		return e, true
-	case <-time.After(5 * a.config.LeaseDuration):
-		a.mu.Lock()
-		delete(a.pendingRequests, number)
-		a.mu.Unlock()
-		return e, false
-	}
+func (a *Agent) addVoter(q url.Values) (any, error) {
+	return done, a.requestLeader(func(n *fleet.Node, now time.Duration) uint64 { return n.AddVoter(now, q.Get("name"), q.Get("address")) })
 }
 
-// collectDigests returns all fronts' digests of a part, none without a leader.
-func (a *Agent) collectDigests(part string) []fleet.MemberReport {
-	e, _ := a.awaitRequest(func(n *fleet.Node, now time.Duration) uint64 { return n.CollectDigests(now, part) })
-	return e.Reports
+func (a *Agent) removeVoter(q url.Values) (any, error) {
+	return done, a.requestLeader(func(n *fleet.Node, now time.Duration) uint64 { return n.RemoveVoter(now, q.Get("name")) })
 }
 
 // hexIncarnation is an incarnation as operators see it.
@@ -121,26 +96,27 @@
 
 // status returns the admin API's view of the fleet, sorted by name.
 func (a *Agent) status() (s Status) {
-	s.FollowsFleet = a.directory.UsesSharedList()
+	s.Name, s.Fleet, s.FollowsFleet = a.name, a.config.ID, a.endpoints.watcher.UsesSharedList()
 	a.mesh.Do(func(n *fleet.Node, now time.Duration) {
-		r := n.State()
-		by, ago := n.LastHeartbeat(now)
-		s.Name, s.Fleet, s.Incarnation, s.Index, s.Isolated, s.Leader = a.name, a.config.ID, hexIncarnation(n.Incarnation()), r.Index, n.Isolated(), by
-		s.HeartbeatAgeSeconds, s.VoterHaltReason, s.Peers, s.ListIndex = ago.Seconds(), n.VoterHaltReason(), n.Peers(), a.endpoints.Index()
+		state := n.State()
+		leader, age := n.LastHeartbeat(now)
+		s.Incarnation, s.Index, s.Isolated = hexIncarnation(n.Incarnation()), state.Index, n.Isolated()
+		s.Leader, s.HeartbeatAgeSeconds, s.VoterHaltReason = leader, age.Seconds(), n.VoterHaltReason()
+		s.Peers, s.ListIndex = n.Peers(), a.endpoints.list.Index()
 		if p, ok := n.VoterDiskPosition(); ok {
 			s.VoterDisk = &DiskStatus{LastTerm: p.LastTerm, LastIndex: p.LastIndex}
 		}
-		for name, address := range r.Voters {
+		for name, address := range state.Voters {
 			s.Voters = append(s.Voters, fleet.Voter{Name: name, Address: address})
 		}
-		for _, x := range r.Fronts {
-			_, isVoter := r.Voters[x.Name]
+		for _, x := range state.Fronts {
+			_, isVoter := state.Voters[x.Name]
 			s.Fronts = append(s.Fronts, FrontStatus{x.Name, x.Zone, x.Version, hexIncarnation(x.Incarnation), x.Address, isVoter, len(x.PastIncarnations)})
 		}
-		for _, d := range r.Leases {
-			x := LeaseStatus{Lease: d.Name, Term: d.Term, Leaseholder: d.Leaseholder, Since: d.GrantIndex, Reason: d.Reason}
-			if _, ok := n.HoldsLease(now, d.Name); ok {
-				x.RemainingSeconds = (n.LeaseExpiry(d.Name) - now).Seconds()
+		for _, lease := range state.Leases {
+			x := LeaseStatus{Lease: lease.Name, Term: lease.Term, Leaseholder: lease.Leaseholder, Since: lease.GrantIndex, Reason: lease.Reason}
+			if _, ok := n.HoldsLease(now, lease.Name); ok {
+				x.RemainingSeconds = (n.LeaseExpiry(lease.Name) - now).Seconds()
 			}
 			s.Leases = append(s.Leases, x)
 		}
--- a/fleet/agent/counters.go
+++ b/fleet/agent/admin_counters.go
@@ -1,11 +1,9 @@
 package agent
 
 import (
-	"net/url"
 	"syscall"
 	"time"
 
-	"dapplerouter/adminapi"
 	"dapplerouter/fleet"
 	"dapplerouter/fleet/mesh"
 )
@@ -27,19 +25,15 @@
 	Kinds []mesh.KindTotals `json:"kinds"` // of messages that were sent
 }
 
-// Counters reads them; CPU is 0 where the system does not tell it.
+// Counters returns the counts since the start; CPUSeconds is 0 where the system does not report it.
 func (a *Agent) Counters() Counters {
 	t := a.mesh.Totals()
 	c := Counters{Links: t.Links, Sent: t.Sent, Received: t.Received, SentBytes: t.SentBytes, ReceivedBytes: t.ReceivedBytes, Shed: t.Shed,
-		Dials: t.Dials, FollowsFleet: a.directory.UsesSharedList(), Kinds: t.Kinds}
-	a.mesh.Do(func(n *fleet.Node, _ time.Duration) { c.ListIndex, c.Index = a.endpoints.Index(), n.State().Index })
+		Dials: t.Dials, FollowsFleet: a.endpoints.watcher.UsesSharedList(), Kinds: t.Kinds}
+	a.mesh.Do(func(n *fleet.Node, _ time.Duration) { c.ListIndex, c.Index = a.endpoints.list.Index(), n.State().Index })
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) == nil {
 		c.CPUSeconds = time.Duration(u.Utime.Nano() + u.Stime.Nano()).Seconds()
 	}
 	return c
 }
-
-func (a *Agent) serveCounters(s *adminapi.Server) {
-	s.HandleGet("/v1/fleet/counters", func(url.Values) (any, error) { return a.Counters(), nil })
-}
--- a/fleet/agent/recovery_control.go
+++ b/fleet/agent/admin_recovery.go
@@ -9,23 +9,23 @@
 	"dapplerouter/fleet"
 )
 
-// RecoveryStatus is what a front reports of a recovery of the voters over the admin API.
+// RecoveryStatus is a recovery of the voters as the admin API shows it.
 type RecoveryStatus struct {
 	State       fleet.RecoveryState `json:"state"`
 	Reason      string              `json:"reason"`
-	Fault       string              `json:"fault,omitempty"` // why it was refused
+	Fault       string              `json:"fault,omitempty"` // why it was rejected
 	WaitSeconds float64             `json:"wait_s"`          // until leases of the lost voters have expired
-	Lost        []string            `json:"lost"`            // the voters that are voters no more
+	Lost        []string            `json:"lost"`            // the voters that are removed
 	Index       uint64              `json:"index"`           // of this front's replicated state
 }
 
-// serveRecovery registers the handlers that recover the voters from this front's disk.
-func (a *Agent) serveRecovery(s *adminapi.Server) {
+// registerRecovery registers the handlers that recover the voters from this front's disk.
+func (a *Agent) registerRecovery(s *adminapi.Server) {
 	s.HandlePost("/v1/fleet/voters/recover", a.startRecovery)
 	s.HandleGet("/v1/fleet/voters/recovery", func(url.Values) (any, error) { return a.recoveryStatus() })
 }
 
-// startRecovery starts a recovery; recoveryStatus tells how it goes on.
+// startRecovery starts a recovery, and returns its first status.
 func (a *Agent) startRecovery(q url.Values) (any, error) {
 	if q.Get("confirm") != "yes" {
 		return nil, adminapi.RejectedError("a recovery needs confirm=yes: it may lose what the lost voters acknowledged")
@@ -34,14 +34,14 @@
 	var err error
 	a.mesh.Do(func(n *fleet.Node, now time.Duration) { err = n.RecoverVoters(now, reason) })
 	if err != nil {
-		slog.Warn("fleet: a recovery of the voters is refused", "reason", reason, "why", err)
+		slog.Warn("fleet: voter recovery rejected", "reason", reason, "err", err)
 		return nil, adminapi.RejectedError(err.Error())
 	}
-	slog.Warn("fleet: a recovery of the voters begins, from this front's disk", "reason", reason)
+	slog.Warn("fleet: voter recovery started from this front's disk", "reason", reason)
 	return a.recoveryStatus()
 }
 
-// recoveryStatus returns how far the recovery has come that was asked for last.
+// recoveryStatus returns how far the last recovery has come.
 func (a *Agent) recoveryStatus() (s RecoveryStatus, err error) {
 	err = adminapi.RejectedError("no recovery was asked for since this front started")
 	a.mesh.Do(func(n *fleet.Node, now time.Duration) {
--- a/fleet/agent/rollout_control.go
+++ b/fleet/agent/admin_rollout.go
@@ -15,7 +15,7 @@
 	"dapplerouter/fleet/rollout"
 )
 
-// RolloutStatus is what a front reports of rollouts over the admin API.
+// RolloutStatus is the state of rollouts as the admin API shows it. Its fields are flat, since they are those of the JSON object.
 type RolloutStatus struct {
 	Phase              string              `json:"phase"`
 	Base               uint64              `json:"base"`
@@ -25,14 +25,14 @@
 	Stage              int                 `json:"wave,omitempty"`
 	Stages             []uint16            `json:"waves,omitempty"`
 	Watch              string              `json:"watch,omitempty"`
-	Within             string              `json:"within,omitempty"` // by which the version on its way has to be in force
+	Within             string              `json:"within,omitempty"` // by which Next has to be in force
 	Reason             string              `json:"why"`
 	Meaning            [2]string           `json:"meaning"`
 	Waiting            []WaitingStatus     `json:"waiting,omitempty"` // publications for the next version
 	Unproven           []string            `json:"unproven,omitempty"`
-	ActiveVersion      uint64              `json:"acts"`         // of the front that was asked
+	ActiveVersion      uint64              `json:"acts"`         // of the front that answers
 	ConfigLeaseSeconds float64             `json:"right_left_s"` // until its configuration lease expires
-	Fronts             []ParticipantStatus `json:"fronts"`       // as the leader heard of them; none without a leader
+	Fronts             []ParticipantStatus `json:"fronts"`       // as reported to the leader; none without a leader
 }
 
 // WaitingStatus is a publication that waits for the next version.
@@ -54,59 +54,85 @@
 	Participates    bool    `json:"takes_part"`
 }
 
-// serveRollout registers the handlers for rollouts.
-func (a *Agent) serveRollout(s *adminapi.Server) {
+// registerRollout registers the handlers for rollouts.
+func (a *Agent) registerRollout(s *adminapi.Server) {
 	s.HandleGet("/v1/fleet/roll", func(url.Values) (any, error) { return a.rolloutStatus(), nil })
-	s.HandlePost("/v1/fleet/roll", func(q url.Values) (any, error) { return a.requestRollout(q) })
+	s.HandlePost("/v1/fleet/roll", a.requestRollout)
 }
 
 // rolloutStatus returns the admin API's view of rollouts.
 func (a *Agent) rolloutStatus() (s RolloutStatus) {
 	reports := a.collectDigests(rollout.Part)
 	a.mesh.Do(func(n *fleet.Node, now time.Duration) {
-		st, _ := rollout.ReadState(n.State())
-		s = RolloutStatus{Phase: st.Phase.String(), Base: st.Base, Next: st.Next, Must: st.Mandatory, Paused: st.Paused, Stage: st.Stage + 1, Stages: st.Stages,
-			Reason: st.Reason, Meaning: st.RulesHashes, Unproven: st.UnconfirmedFronts, ActiveVersion: a.rollout.participant.Adopter.Active(), ConfigLeaseSeconds: max(0, (n.ConfigLeaseExpiry(a.rollout.participant.Adopter.Active()) - now).Seconds())}
+		state, _ := rollout.ReadState(n.State())
+		active := a.rollout.participant.Adopter.Active()
+		s = RolloutStatus{
+			Phase:              state.Phase.String(),
+			Base:               state.Base,
+			Next:               state.Next,
+			Must:               state.Mandatory,
+			Paused:             state.Paused,
+			Stage:              state.Stage + 1,
+			Stages:             state.Stages,
+			Reason:             state.Reason,
+			Meaning:            state.RulesHashes,
+			Unproven:           state.UnconfirmedFronts,
+			ActiveVersion:      active,
+			ConfigLeaseSeconds: max(0, (n.ConfigLeaseExpiry(active) - now).Seconds()),
+		}
 		if within := rollout.InForceWithin(n.State()); within > 0 {
 			s.Within = within.String()
 		}
 		for _, w := range rollout.QueuedPublications(n.State()) {
 			s.Waiting = append(s.Waiting, WaitingStatus{Front: w.Front, Base: w.Base, Changes: w.Changes})
 		}
-		if st.ObservationTime > 0 {
-			s.Watch = st.ObservationTime.String()
+		if state.ObservationTime > 0 {
+			s.Watch = state.ObservationTime.String()
 		}
 	})
-	for _, t := range reports {
-		w, _ := rollout.DecodeReport(t.Data)
-		x := ParticipantStatus{Front: t.Front, Zone: t.Zone, ActiveVersion: t.ActiveVersion, AgeSeconds: t.Age.Seconds(), RejectedVersion: w.RejectedVersion, Reason: w.RejectedReason, Participates: t.WantsConfigLease}
-		if w.AdoptedAt > 0 {
-			x.Adopted = time.UnixMicro(w.AdoptedAt).UTC().Format("2006-01-02T15:04:05.000Z")
-		}
-		s.Fronts = append(s.Fronts, x)
+	for _, report := range reports {
+		s.Fronts = append(s.Fronts, participantStatus(report))
 	}
 	return s
 }
 
+// participantStatus is a front's report to the leader as the admin API shows it.
+func participantStatus(report fleet.MemberReport) ParticipantStatus {
+	digest, _ := rollout.DecodeReport(report.Data) // zero for a front of another version
+	p := ParticipantStatus{
+		Front:           report.Front,
+		Zone:            report.Zone,
+		ActiveVersion:   report.ActiveVersion,
+		AgeSeconds:      report.Age.Seconds(),
+		RejectedVersion: digest.RejectedVersion,
+		Reason:          digest.RejectedReason,
+		Participates:    report.WantsConfigLease,
+	}
+	if digest.AdoptedAt > 0 {
+		p.Adopted = time.UnixMicro(digest.AdoptedAt).UTC().Format("2006-01-02T15:04:05.000Z")
+	}
+	return p
+}
+
 // requestRollout handles an operator's action and waits for its outcome.
 func (a *Agent) requestRollout(q url.Values) (any, error) {
 	action, err := a.parseAction(q)
 	if err != nil {
 		return nil, err
 	}
-	outcome := make(chan string, 1)
-	patience := max(8*a.config.LeaseDuration, max(action.InForceWithin, a.rollout.config.InForceWithin)+2*a.config.LeaseDuration)
+	outcome := make(chan string, 1) // "" for success, else why not
+	timeout := max(8*a.config.LeaseDuration, max(action.InForceWithin, a.rollout.config.InForceWithin)+2*a.config.LeaseDuration)
 	a.mesh.Do(func(n *fleet.Node, now time.Duration) {
-		a.rollout.participant.Submit(now, action, patience, func(fault string) { outcome <- fault })
+		a.rollout.participant.Submit(now, action, timeout, func(rejection string) { outcome <- rejection })
 	})
 	select {
-	case why := <-outcome:
-		if why != "" {
-			return nil, adminapi.RejectedError(why)
+	case rejection := <-outcome:
+		if rejection != "" {
+			return nil, adminapi.RejectedError(rejection)
 		}
 		return map[string]any{"done": true, "version": a.rolloutState().Next}, nil
-	case <-time.After(patience + 2*a.config.LeaseDuration):
-		return nil, adminapi.RejectedError("no answer of the fleet")
+	case <-time.After(timeout + 2*a.config.LeaseDuration):
+		return nil, errNoAnswer
 	}
 }
 
@@ -116,15 +142,15 @@
 	return state
 }
 
-// parseAction reads an action from a request of the admin API. The error is what is wrong with the request.
+// parseAction reads an action from a request of the admin API. The error is a RejectedError that says what is wrong with the request.
 func (a *Agent) parseAction(q url.Values) (action rollout.Action, err error) {
 	var id [8]byte
-	rand.Read(id[:])
+	_, _ = rand.Read(id[:]) // never fails: it ends the process instead
 	action = rollout.Action{ID: binary.LittleEndian.Uint64(id[:]) | 1, Reason: q.Get("why"), Mandatory: q.Get("must") == "true"}
 	switch q.Get("do") {
 	case "publish":
 		action.Type = rollout.ActionPublish
-		return action, a.parsePublish(q, &action)
+		err = a.parsePublish(q, &action)
 	case "back":
 		action.Type = rollout.ActionRollBack
 	case "hold":
@@ -132,25 +158,63 @@
 	case "resume":
 		action.Type = rollout.ActionResume
 	default:
-		return action, adminapi.RejectedError("unknown: " + q.Get("do"))
+		err = adminapi.RejectedError("unknown: " + q.Get("do"))
 	}
-	return action, nil
+	return action, err
 }
 
-// parsePublish reads what a publication needs. Rules that this front can't use are refused.
+// parsePublish reads what a publication needs. Rules that this front can't use are rejected.
 func (a *Agent) parsePublish(q url.Values, action *rollout.Action) error {
-	action.Text = []byte(q.Get("text"))
+	if err := a.parsePublishedRules(q.Get("text"), action); err != nil {
+		return err
+	}
+	if err := parseStages(q, action); err != nil {
+		return err
+	}
+	switch q.Get("no_evidence") {
+	case "", "go":
+	case "hold":
+		action.OnUndecided = rollout.UndecidedPause
+	case "back":
+		action.OnUndecided = rollout.UndecidedRollBack
+	default:
+		return adminapi.RejectedError("no_evidence is go, hold or back, not " + q.Get("no_evidence"))
+	}
+	permille, err := strconv.ParseUint(q.Get("shut_out"), 10, 16)
+	if err != nil || permille > 1000 {
+		return adminapi.RejectedError("shut_out is thousandths: " + q.Get("shut_out"))
+	}
+	action.MaxFenced = uint16(permille)
+	base := q.Get("on")
+	if base == "" {
+		action.Base = a.rolloutState().Base
+		return nil
+	}
+	if action.Base, err = strconv.ParseUint(base, 10, 64); err != nil {
+		return adminapi.RejectedError("on is no version: " + base)
+	}
+	return nil
+}
+
+// parsePublishedRules reads the published file, and checks it as each front will.
+func (a *Agent) parsePublishedRules(text string, action *rollout.Action) error {
+	action.Text = []byte(text)
 	rules, err := deployment.ParseRules("the file", action.Text)
 	if err != nil {
 		return adminapi.RejectedError(err.Error())
 	}
-	if err := rules.Validate(a.site); err != nil {
+	if err := rules.Validate(a.settings); err != nil {
 		return adminapi.RejectedError(err.Error())
 	}
 	if len(action.Text) > rollout.MaxTextBytes {
 		return adminapi.RejectedError(fmt.Sprintf("the file has %d bytes, and %d are the most", len(action.Text), rollout.MaxTextBytes))
 	}
 	action.RulesHash = rules.Digest()
+	return nil
+}
+
+// parseStages reads the stages, in thousandths of the fleet, and their times.
+func parseStages(q url.Values, action *rollout.Action) (err error) {
 	for _, p := range strings.Split(q.Get("waves"), ",") {
 		permille, err := strconv.ParseUint(p, 10, 16)
 		if err != nil {
@@ -167,26 +231,5 @@
 			return adminapi.RejectedError("within is no time: " + within)
 		}
 	}
-	switch q.Get("no_evidence") {
-	case "", "go":
-	case "hold":
-		action.OnUndecided = rollout.UndecidedPause
-	case "back":
-		action.OnUndecided = rollout.UndecidedRollBack
-	default:
-		return adminapi.RejectedError("no_evidence is go, hold or back, not " + q.Get("no_evidence"))
-	}
-	permille, err := strconv.ParseUint(q.Get("shut_out"), 10, 16)
-	if err != nil || permille > 1000 {
-		return adminapi.RejectedError("shut_out is thousandths: " + q.Get("shut_out"))
-	}
-	action.MaxFenced = uint16(permille)
-	if base := q.Get("on"); base != "" {
-		if action.Base, err = strconv.ParseUint(base, 10, 64); err != nil {
-			return adminapi.RejectedError("on is no version: " + base)
-		}
-		return nil
-	}
-	action.Base = a.rolloutState().Base
 	return nil
 }
--- a/fleet/agent/admin_test.go
+++ b/fleet/agent/admin_test.go
@@ -4,11 +4,14 @@
 	"context"
 	"encoding/json"
 	"io"
+	"log/slog"
 	"net"
 	"net/http"
 	"net/url"
 	"os"
 	"path/filepath"
+	"strings"
+	"sync"
 	"testing"
 	"time"
 
@@ -22,7 +25,7 @@
 	"dapplerouter/sockets"
 )
 
-// startVoter starts the agent of a fleet's only voter n1, with an admin API, and waits until it holds the endpoint list's lease.
+// startVoter starts the agent of a fleet's only voter n1, with an admin API, and waits until it holds the lease of the endpoint list.
 func startVoter(t *testing.T) *Agent {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "agent") // short: a Unix socket's path has its limit
@@ -64,33 +67,104 @@
 	return res.StatusCode, string(b)
 }
 
-// The paths, the statuses and the shapes of answers are those of version 0.3.0; a fault's text is for people.
-func TestAdminAPIPathsAnswerAsInVersion030(t *testing.T) {
+// The shapes of answers are those of version 0.3.0; a fault's text is for people.
+const (
+	doneAnswer  = `^{"done":true}\n$`
+	faultAnswer = `^{"fault":"[^"]+"}\n$`
+)
+
+// captureLog collects the log's lines until the test ends.
+func captureLog(t *testing.T) *lockedBuffer {
+	t.Helper()
+	log, before := &lockedBuffer{}, slog.Default()
+	slog.SetDefault(slog.New(slog.NewTextHandler(log, nil)))
+	t.Cleanup(func() { slog.SetDefault(before) })
+	return log
+}
+
+// lockedBuffer is a buffer that several goroutines write to.
+type lockedBuffer struct {
+	mu sync.Mutex
+	b  strings.Builder
+}
+
+func (b *lockedBuffer) Write(p []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.b.Write(p)
+}
+
+func (b *lockedBuffer) String() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.b.String()
+}
+
+// A path that was replaced answers as in version 0.3.0, as the new one does, and its first use is logged.
+func TestReplacedAdminAPIPathsAnswerAsInVersion030(t *testing.T) {
+	for _, paths := range []struct{ transfer, leaseParameter, add, remove string }{
+		{"/v1/fleet/hand", "duty", "/v1/fleet/keepers/add", "/v1/fleet/keepers/remove"},
+		{"/v1/fleet/transfer", "lease", "/v1/fleet/voters/add", "/v1/fleet/voters/remove"},
+	} {
+		t.Run(paths.transfer, func(t *testing.T) {
+			log := captureLog(t)
+			a := startVoter(t)
+			for _, c := range []struct {
+				method, path string
+				q            url.Values
+				status       int
+				body         string
+			}{
+				{"POST", paths.transfer, url.Values{paths.leaseParameter: {"other"}}, 409, faultAnswer},
+				{"POST", paths.transfer, url.Values{paths.leaseParameter: {"list"}, "to": {"n9"}}, 409, faultAnswer},
+				{"POST", paths.transfer, url.Values{paths.leaseParameter: {"list"}}, 200, doneAnswer},
+				{"POST", paths.add, url.Values{"name": {"n1"}, "address": {"127.0.0.1:1"}}, 409, faultAnswer},
+				{"POST", paths.remove, url.Values{"name": {"n9"}}, 409, faultAnswer},
+				{"POST", paths.add, url.Values{"name": {"n2"}, "address": {"127.0.0.1:2"}}, 200, doneAnswer},
+				{"GET", paths.transfer, nil, 405, "^Method Not Allowed\n$"},
+			} {
+				status, body := answerOf(t, a, c.method, c.path, c.q)
+				assert.Equal(t, c.status, status, "%s %s %v", c.method, c.path, c.q)
+				assert.Regexp(t, c.body, body, "%s %s %v", c.method, c.path, c.q)
+			}
+			warnings := 0
+			if paths.transfer == "/v1/fleet/hand" {
+				warnings = 1
+			}
+			for _, warning := range []string{"path=/v1/fleet/hand replacement=/v1/fleet/transfer", "path=/v1/fleet/keepers/add replacement=/v1/fleet/voters/add",
+				"path=/v1/fleet/keepers/remove replacement=/v1/fleet/voters/remove"} {
+				assert.Equal(t, warnings, strings.Count(log.String(), "deprecated admin API path requested\" "+warning), warning)
+			}
+		})
+	}
+}
+
+func TestOtherAdminAPIPathsAnswerAsInVersion030(t *testing.T) {
 	a := startVoter(t)
-	const done, fault = `^{"done":true}\n$`, `^{"fault":"[^"]+"}\n$`
 	for _, c := range []struct {
 		method, path string
-		q            url.Values
 		status       int
 		body         string
 	}{
-		{"POST", "/v1/fleet/hand", url.Values{"duty": {"other"}}, 409, fault},
-		{"POST", "/v1/fleet/hand", url.Values{"duty": {"list"}, "to": {"n9"}}, 409, fault},
-		{"POST", "/v1/fleet/hand", url.Values{"duty": {"list"}}, 200, done},
-		{"POST", "/v1/fleet/keepers/add", url.Values{"name": {"n1"}, "address": {"127.0.0.1:1"}}, 409, fault},
-		{"POST", "/v1/fleet/keepers/remove", url.Values{"name": {"n9"}}, 409, fault},
-		{"POST", "/v1/fleet/keepers/add", url.Values{"name": {"n2"}, "address": {"127.0.0.1:2"}}, 200, done},
-		{"POST", "/v1/fleet/voters/recover", nil, 409, fault},
-		{"GET", "/v1/fleet/voters/recovery", nil, 409, fault},
-		{"GET", "/v1/fleet/hand", nil, 405, "^Method Not Allowed\n$"},
-		{"GET", "/v1/fleet/roll", nil, 404, "^404 page not found\n$"},
+		{"POST", "/v1/fleet/voters/recover", 409, faultAnswer},
+		{"GET", "/v1/fleet/voters/recovery", 409, faultAnswer},
+		{"GET", "/v1/fleet/roll", 404, "^404 page not found\n$"}, // without the form
 	} {
-		status, body := answerOf(t, a, c.method, c.path, c.q)
-		assert.Equal(t, c.status, status, "%s %s %v", c.method, c.path, c.q)
-		assert.Regexp(t, c.body, body, "%s %s %v", c.method, c.path, c.q)
+		status, body := answerOf(t, a, c.method, c.path, nil)
+		assert.Equal(t, c.status, status, "%s %s", c.method, c.path)
+		assert.Regexp(t, c.body, body, "%s %s", c.method, c.path)
 	}
 	for _, path := range []string{"/v1/fleet", "/v1/fleet/counters"} {
 		_, body := answerOf(t, a, "GET", path, nil)
 		assert.True(t, json.Valid([]byte(body)), path)
 	}
 }
+
+// A request to the leader that nobody answers ends by itself, and its late end goes nowhere.
+func TestRequestWithoutAnswerIsRejected(t *testing.T) {
+	a := startVoter(t)
+	err := a.requestLeader(func(*fleet.Node, time.Duration) uint64 { return 1 << 40 })
+	assert.ErrorIs(t, err, errNoAnswer)
+	a.requests.finish(fleet.RequestDone{ID: 1 << 40})
+	assert.Empty(t, a.requests.byID)
+}
--- a/fleet/agent/agent.go
+++ b/fleet/agent/agent.go
@@ -1,17 +1,18 @@
-// Package agent makes a front one of a fleet: it runs the fleet's cores (fleet.Node, rollout.Participant, audit) on its mesh, its
-// disk and its audit files, does the work of the leases that the front holds, and serves the admin API on a Unix socket. It carries
-// things between the cores and the front, and decides nothing.
+// Package agent makes a front a member of a fleet. It runs the fleet's state machines (fleet.Node, rollout.Participant, package
+// audit) on sockets and files, does the work of the leases that the front holds, and serves the admin API. It decides nothing: what
+// to send, whom to grant a lease and when to adopt a version is decided in those packages.
 //
-// The mesh's lock guards the cores: whoever holds it must not wait for the front's core, and the front's core never waits for it.
-// No client's request passes here, and a front whose fleet is out of reach serves on without it.
+// Ownership: the mesh's lock guards the Node and all that is changed by its events (the endpoint list, the rollout's participant);
+// Mesh.Do takes it. A goroutine that has it must not wait for the front's core, and the core never waits for it: a call of the core
+// that needs the fleet is answered from a copy, or continues in another goroutine. Each further mutex says what it guards.
+//
+// No client's request passes through this package. A front whose fleet is out of reach serves on without it.
 package agent
 
 import (
 	"context"
 	"crypto/rand"
-	"crypto/tls"
 	"encoding/binary"
-	"log/slog"
 	"sync"
 	"time"
 
@@ -27,45 +28,57 @@
 	"dapplerouter/sockets"
 )
 
-// Agent is a front's part in a fleet.
+// Agent is a front's membership in a fleet. New opens its files, Start starts its goroutines, Close ends them.
 type Agent struct {
+	CoreAccess
+	identity
+	subsystems
+	lifetime
+
+	Prober    *Prober
 	config    *fleet.Config
+	settings  *deployment.Settings
 	mesh      *mesh.Mesh
-	disk      *disk.VoterFile
-	endpoints *fleet.EndpointList
-	directory *sockets.Watcher
-	control   *adminapi.Server
-	history   *history
-	Prober    *Prober
-	name      string
-	seed      uint64
+	disk      *disk.VoterFile  // nil for a follower
+	admin     *adminapi.Server // nil without a control socket
+	history   *history         // nil where none is written
+	endpoints *endpointFollower
+	requests  pendingRequests
+}
 
-	Clock     func() time.Duration // of the front's core
-	StartedAt time.Time            // Clock's zero
-	Post      func(front.Event)    // hands an event to the front's core
-	OnStandby func(standby bool)   // the front begins or ends its standby; nil to ignore it
+// CoreAccess is how the agent reaches the front's core. Set it before Start.
+type CoreAccess struct {
+	Clock     func() time.Duration // of the core
+	StartedAt time.Time            // the wall clock at Clock's zero
+	Post      func(front.Event)    // sends an event to the core; never blocks
+	OnStandby func(standby bool)   // called when the front's standby begins or ends; nil to ignore it
+}
 
-	site        *deployment.Settings
-	ownRules    *deployment.Rules // of the operator's file
-	program     string
-	incarnation uint64
-	initial     front.AdoptConfig
-	rollout     *rolloutHost    // nil without its form
-	audit       *auditor        // nil without its form
-	auditLog    *audit.Recorder // nil without either form
+// identity is what the front is in the fleet.
+type identity struct {
+	name        string
+	program     string // its version
+	incarnation uint64 // of this start
+	seed        uint64
+}
 
-	ctx              context.Context
-	cancel           context.CancelFunc
-	mu               sync.Mutex
-	discoveryAddress string // of the discovery service
-	stopFollowing    context.CancelFunc
-	endpointsHeardAt time.Time // when the leaseholder last said that the service is alive
-	pendingRequests  map[uint64]chan fleet.RequestDone
-	goroutines       sync.WaitGroup
+// subsystems run on top of the fleet where the operator's file has their forms.
+type subsystems struct {
+	rollout  *rolloutHost      // nil without its form
+	audit    *auditWriter      // nil without its form
+	recorder *audit.Recorder   // nil without either form
+	initial  front.AdoptConfig // the version that the core starts with
 }
 
-// probePart is the part of a front that takes probe requests; see fleet.DatagramReceived.
-const probePart = "scout"
+// lifetime is that of the agent's goroutines: they end with ctx, and Close waits for them.
+type lifetime struct {
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+}
+
+// probeSubsystem is the part of a front that takes probe requests; see fleet.DatagramReceived.
+const probeSubsystem = "scout"
 
 // Config are the forms of the operator's file; all but Fleet may be nil.
 type Config struct {
@@ -75,34 +88,26 @@
 	Rules   *deployment.Rules
 }
 
-// New makes the agent that the forms describe; version is the program's. Set Clock, StartedAt and Post before Start. The error is a
-// file, a socket or an address that can't be used.
-func New(forms Config, start *deployment.Instance, directory *sockets.Watcher, version string) (*Agent, error) {
-	c := forms.Fleet
+// New makes the agent that the forms describe; version is the program's. Set CoreAccess before Start. The error names the file or
+// the address that can't be used.
+func New(forms Config, start *deployment.Instance, watcher *sockets.Watcher, version string) (*Agent, error) {
 	a := &Agent{
-		config:           c,
-		site:             start.Settings,
-		ownRules:         forms.Rules,
-		program:          version,
-		incarnation:      newIncarnation(),
-		seed:             start.Seed,
-		endpoints:        fleet.NewEndpointList(),
-		directory:        directory,
-		name:             start.Name,
-		discoveryAddress: start.Discovery,
-		pendingRequests:  map[uint64]chan fleet.RequestDone{},
+		identity: identity{name: start.Name, program: version, incarnation: newIncarnation(), seed: start.Seed},
+		config:   forms.Fleet,
+		settings: start.Settings,
 	}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
+	a.endpoints = newEndpointFollower(a, watcher, start.Discovery)
 	a.Prober = a.newProber(start.Settings.Limits.DialTimeout)
 	options := a.nodeOptions()
-	if err := a.makeParts(forms, &options); err != nil {
+	if err := a.newSubsystems(forms, &options); err != nil {
 		return nil, err
 	}
 	node, err := a.newNode(options)
 	if err != nil {
 		return nil, err
 	}
-	if a.history, err = openHistory(c.History, a.name, a.incarnation); err != nil {
+	if a.history, err = openHistory(a.config.History, a.name, a.incarnation); err != nil {
 		return nil, err
 	}
 	a.mesh, err = mesh.New(a.meshOptions(node))
@@ -112,7 +117,7 @@
 // newIncarnation draws the number of this start: 40 bits, odd, so never 0.
 func newIncarnation() uint64 {
 	var b [8]byte
-	rand.Read(b[:])
+	_, _ = rand.Read(b[:]) // never fails: it ends the process instead
 	return binary.LittleEndian.Uint64(b[:])>>24 | 1
 }
 
@@ -124,7 +129,7 @@
 	}
 	p.Broadcast = func(leaseName string, data []byte) bool { return a.mesh.Broadcast(leaseName, data) }
 	p.RequestProbe = func(front, server string) {
-		a.mesh.Do(func(n *fleet.Node, now time.Duration) { n.SendDatagram(now, front, probePart, []byte(server)) })
+		a.mesh.Do(func(n *fleet.Node, now time.Duration) { n.SendDatagram(now, front, probeSubsystem, []byte(server)) })
 	}
 	p.Now = func() time.Duration { return a.mesh.Now() }
 	return p
@@ -133,7 +138,7 @@
 // timing is that of the fleet.
 func (a *Agent) timing() fleet.Timing { return fleet.Timing{LeaseDuration: a.config.LeaseDuration} }
 
-// nodeOptions are the node's, as far as the form fleet and the site say them.
+// nodeOptions are the node's, as far as the operator's form and the deployment's settings give them.
 func (a *Agent) nodeOptions() fleet.Options {
 	c := a.config
 	o := fleet.Options{
@@ -148,8 +153,8 @@
 		Seed:               a.seed,
 		AcceptsLeases:      c.AcceptsLeases,
 	}
-	if z := a.site.Topology.Zone; z >= 0 && z < len(a.site.ZoneNames) {
-		o.Zone = a.site.ZoneNames[z]
+	if z := a.settings.Topology.Zone; z >= 0 && z < len(a.settings.ZoneNames) {
+		o.Zone = a.settings.ZoneNames[z]
 	}
 	return o
 }
@@ -165,11 +170,11 @@
 	if node, err = fleet.New(o, state); err != nil {
 		return nil, err
 	}
-	node.DeclareLease(fleet.EndpointListLease, endpointListBound)
+	node.DeclareLease(fleet.EndpointListLease, maxDiscoverySilence)
 	if a.rollout != nil {
 		a.rollout.participant.DeclareLeases(node)
 	}
-	node.SetMirror(fleet.EndpointListLease, a.endpoints)
+	node.SetMirror(fleet.EndpointListLease, a.endpoints.list)
 	return node, nil
 }
 
@@ -182,128 +187,33 @@
 	}
 	if c.Key != "" {
 		files := framing.KeyFiles{Key: c.Key, Certificate: c.Certificate, Trust: c.Trust}
-		o.Keys = func(peer string) (*tls.Config, error) { return files.TLSConfig(peer) }
+		o.Keys = files.TLSConfig
 	}
 	return o
 }
 
-// makeParts makes the parts of the forms roll and audit.
-func (a *Agent) makeParts(forms Config, o *fleet.Options) (err error) {
+// newSubsystems makes the subsystems that have a form, and completes the node's options with what they need.
+func (a *Agent) newSubsystems(forms Config, o *fleet.Options) (err error) {
 	a.initial = front.AdoptConfig{Rules: forms.Rules}
 	if forms.Rollout == nil && forms.Audit == nil {
 		return nil
 	}
 	var sink func(audit.Interval)
 	if forms.Audit != nil {
-		if a.audit, err = newAuditor(a, forms.Audit); err != nil {
+		if a.audit, err = newAuditWriter(a, forms.Audit); err != nil {
 			return err
 		}
-		sink = func(s audit.Interval) { a.audit.enqueue(queueEntry{span: &s}) }
+		sink = func(s audit.Interval) { a.audit.enqueue(queueEntry{interval: &s}) }
 	}
 	if forms.Rollout != nil {
 		if o.ConfigLease, err = forms.Rollout.ConfigLeaseFor(a.config.LeaseDuration); err != nil {
 			return err
 		}
-		if a.rollout, a.initial, err = newRolloutHost(a, forms.Rollout, o.ConfigLease); err != nil {
+		a.rollout = newRolloutHost(a, forms.Rollout, forms.Rules)
+		if a.initial, err = a.rollout.restore(o.ConfigLease); err != nil {
 			return err
 		}
 	}
-	a.auditLog = audit.NewRecorder(len(a.site.TypeNames), forms.Rollout != nil, a.initial.Version, sink)
+	a.recorder = audit.NewRecorder(len(a.settings.TypeNames), forms.Rollout != nil, a.initial.Version, sink)
 	return nil
 }
-
-// Name is the part's name in the front's list of parts.
-func (a *Agent) Name() string { return "fleet" }
-
-// Start listens for other fronts and operators, and starts all goroutines. The error is a socket that can't be used.
-func (a *Agent) Start() error {
-	if a.config.Control != "" {
-		s, err := adminapi.Listen(a.config.Control)
-		if err != nil {
-			return err
-		}
-		a.control = s
-		a.serveControl(s)
-		s.Start()
-	}
-	a.startParts()
-	a.mesh.Run()
-	a.goroutines.Go(a.watchLeaseholder)
-	slog.Info("one of a fleet", "listen", a.mesh.Addr().String(), "keeper", a.config.VoterPath != "", "span", a.config.LeaseDuration)
-	return nil
-}
-
-// Totals returns the counts since the start, as attributes of a log line.
-func (a *Agent) Totals() []any {
-	t := a.mesh.Totals()
-	out := []any{"links", t.Links, "sent", t.Sent, "received", t.Received, "sent_bytes", t.SentBytes, "received_bytes", t.ReceivedBytes,
-		"shed", t.Shed, "refused", t.Rejected, "dials", t.Dials, "leans", a.directory.UsesSharedList(),
-		"probes_saved", a.Prober.AvoidedProbes()}
-	if a.audit != nil {
-		out = append(out, "audited", a.audit.written.Load(), "unaudited", a.audit.missed.Load(), "exported", a.audit.exported.Load())
-	}
-	a.mesh.Do(func(n *fleet.Node, now time.Duration) {
-		if a.rollout != nil {
-			v := a.rollout.participant.Adopter.Active()
-			out = append(out, "version", v, "right_left", max(0, n.ConfigLeaseExpiry(v)-now))
-		}
-		out = append(out, "fronts", len(n.State().Fronts), "index", n.State().Index, "alone", n.Isolated(), "gives", n.IsLeader())
-	})
-	return out
-}
-
-// DiscoveryMoved tells that the discovery service has another address.
-func (a *Agent) DiscoveryMoved(address string) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.discoveryAddress != address {
-		a.discoveryAddress = address
-		if a.stopFollowing != nil { // it goes on at the new address
-			a.stopFollowing()
-			a.followEndpoints()
-		}
-	}
-}
-
-// Drain transfers the front's leases to others, within a time.
-func (a *Agent) Drain(within time.Duration) {
-	if !a.mesh.Leave(within) {
-		slog.Warn("fleet: duties were not handed on in time; they run out", "within", within)
-	}
-}
-
-// Close ends the agent: audit lines are written, links and files are closed.
-func (a *Agent) Close() {
-	if a.rollout != nil {
-		var acts uint64
-		a.mesh.Do(func(*fleet.Node, time.Duration) { acts = a.rollout.participant.Adopter.Active() })
-		a.rollout.confirm(acts)
-	}
-	if a.audit != nil { // what the core has counted, before it ends
-		closed := make(chan struct{})
-		a.Post(front.CloseAudit{OnClosed: func() { close(closed) }})
-		select {
-		case <-closed:
-			a.writeAudit(&audit.Line{Event: audit.EventProcessStopped})
-		case <-time.After(time.Second):
-		}
-	}
-	a.cancel()
-	if a.control != nil {
-		a.control.Close()
-	}
-	a.mesh.Close()
-	a.mu.Lock()
-	if a.stopFollowing != nil {
-		a.stopFollowing()
-	}
-	a.mu.Unlock()
-	a.goroutines.Wait()
-	if a.disk != nil {
-		a.disk.Close()
-	}
-	if a.audit != nil {
-		a.audit.close()
-	}
-	a.history.close()
-}
--- /dev/null
+++ b/fleet/agent/audit_collector.go
@@ -0,0 +1,152 @@
+package agent
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"time"
+
+	"dapplerouter/fleet"
+	"dapplerouter/fleet/audit"
+	"dapplerouter/fleet/disk"
+)
+
+// auditCollector fetches other fronts' audit segments into this one's folder, and serves its own to those that ask.
+type auditCollector struct {
+	writer    *auditWriter
+	fetches   *audit.Collector // nil where nothing is collected here; used by run only
+	requests  chan fetchRequest
+	responses chan fetchResponse
+}
+
+// fetchRequest is another front's request for a part of this front's segments.
+type fetchRequest struct {
+	from    string
+	request *audit.FetchRequest
+}
+
+// fetchResponse is another front's response to this front's request.
+type fetchResponse struct {
+	from     string
+	response *audit.FetchResponse
+}
+
+const collectorQueueLength = 64
+
+func newAuditCollector(w *auditWriter) (*auditCollector, error) {
+	c := &auditCollector{writer: w, requests: make(chan fetchRequest, collectorQueueLength), responses: make(chan fetchResponse, collectorQueueLength)}
+	if w.config.CollectDir == "" {
+		return c, nil
+	}
+	if err := os.MkdirAll(w.config.CollectDir, 0o700); err != nil {
+		return nil, fmt.Errorf("folder of collected audits: %w", err)
+	}
+	collected, err := disk.ListSegments(w.config.CollectDir, "")
+	if err != nil {
+		return nil, err
+	}
+	c.fetches = audit.NewCollector(w.config.CollectBytesPerSecond, w.agent.config.LeaseDuration, collected)
+	return c, nil
+}
+
+// onDatagram queues another front's message; it is dropped where the queue is full, and requested again.
+func (c *auditCollector) onDatagram(e fleet.DatagramReceived) {
+	request, response := audit.DecodeDatagram(e.Data)
+	switch {
+	case response != nil:
+		select {
+		case c.responses <- fetchResponse{e.From, response}:
+		default:
+		}
+	case request != nil:
+		select {
+		case c.requests <- fetchRequest{e.From, request}:
+		default:
+		}
+	}
+}
+
+// serve responds to requests, one after the other.
+func (c *auditCollector) serve() {
+	a := c.writer.agent
+	for {
+		select {
+		case <-a.ctx.Done():
+			return
+		case r := <-c.requests:
+			response := c.respond(*r.request)
+			a.mesh.Do(func(n *fleet.Node, now time.Duration) { n.SendDatagram(now, r.from, audit.Part, response.Encode()) })
+		}
+	}
+}
+
+// respond reads the requested part of this front's closed segments.
+func (c *auditCollector) respond(q audit.FetchRequest) audit.FetchResponse {
+	r := audit.FetchResponse{Request: q}
+	sealed := c.writer.segments.Sealed()
+	if q.Name == "" {
+		r.Names = audit.SegmentsAfter(sealed, q.After)
+		return r
+	}
+	if !slices.Contains(sealed, q.Name) {
+		r.Removed = true
+		return r
+	}
+	suffix := audit.LogSuffix
+	if q.Index {
+		suffix = audit.IndexSuffix
+	}
+	f, err := os.Open(filepath.Join(c.writer.config.LogDir, q.Name+suffix))
+	if err != nil {
+		r.Removed = true
+		return r
+	}
+	defer func() { _ = f.Close() }() // it was read
+	if info, err := f.Stat(); err == nil {
+		r.Total = info.Size()
+	}
+	b := make([]byte, audit.ChunkBytes)
+	n, err := f.ReadAt(b, q.Offset)
+	if err != nil && !errors.Is(err, io.EOF) {
+		r.Removed = true
+	}
+	r.Data = b[:n]
+	return r
+}
+
+// run requests other fronts' segments, and stores those that arrived complete.
+func (c *auditCollector) run() {
+	a := c.writer.agent
+	t := time.NewTicker(a.config.LeaseDuration / 6)
+	defer t.Stop()
+	failing := false
+	for {
+		select {
+		case <-a.ctx.Done():
+			return
+		case <-t.C:
+		case r := <-c.responses:
+			for _, f := range c.fetches.OnResponse(a.mesh.Now(), r.from, r.response) {
+				err := disk.WriteOnce(c.writer.config.CollectDir, f.Name, f.Data)
+				if err != nil && !failing {
+					slog.Error("audit: collected segment not stored", "file", f.Name, "err", err)
+				}
+				failing = err != nil
+			}
+		}
+		a.mesh.Do(c.sendRequests)
+	}
+}
+
+// sendRequests sends the requests that are due.
+func (c *auditCollector) sendRequests(n *fleet.Node, now time.Duration) {
+	fronts := slices.Collect(maps.Keys(n.State().Fronts))
+	for _, fetch := range c.fetches.Step(now, fronts) {
+		n.SendDatagram(now, fetch.Front, audit.Part, fetch.Request.Encode())
+	}
+}
--- a/fleet/agent/auditor_test.go
+++ b/fleet/agent/audit_writer_test.go
@@ -17,12 +17,12 @@
 	"dapplerouter/front"
 )
 
-// Lines of many goroutines, and spans between them, are written late by a busy machine: their dates follow the order in which they are
-// written, or the audit's reader takes it for a clock that was set back.
-func TestAuditLinesAreDatedInTheOrderInWhichTheyAreWritten(t *testing.T) {
+// Lines of many goroutines, and intervals between them, are written late by a busy machine: their dates follow the order in which they
+// are written, or the audit's reader takes it for a clock that was set back.
+func TestAuditLineDatesFollowWriteOrder(t *testing.T) {
 	dir, began := t.TempDir(), time.Now()
-	a := &Agent{name: "n1", StartedAt: began, Clock: func() time.Duration { return time.Since(began) }}
-	w, err := newAuditor(a, &audit.Config{LogDir: dir, SegmentBytes: disk.DefaultSegmentBytes, MaxTotalBytes: 1 << 24})
+	a := &Agent{identity: identity{name: "n1"}, CoreAccess: CoreAccess{StartedAt: began, Clock: func() time.Duration { return time.Since(began) }}}
+	w, err := newAuditWriter(a, &audit.Config{LogDir: dir, SegmentBytes: disk.DefaultSegmentBytes, MaxTotalBytes: 1 << 24})
 	require.NoError(t, err)
 	a.audit = w
 	var writers sync.WaitGroup
@@ -30,7 +30,7 @@
 		writers.Go(func() {
 			for n := range 100 {
 				if n%10 == 0 {
-					w.enqueue(queueEntry{span: &audit.Interval{Number: 1, Outcomes: make([][front.StatusCount]uint32, 1)}})
+					w.enqueue(queueEntry{interval: &audit.Interval{Number: 1, Outcomes: make([][front.StatusCount]uint32, 1)}})
 				}
 				a.writeAudit(&audit.Line{Event: audit.EventLeaseAcquired, Lease: "list"})
 			}
--- a/fleet/agent/events.go
+++ b/fleet/agent/events.go
@@ -8,9 +8,9 @@
 	"dapplerouter/fleet/audit"
 )
 
-// onEvent handles an event of the fleet's core; events come in their order.
+// onEvent handles an event of the fleet's node; events come in their order.
 func (a *Agent) onEvent(at time.Duration, e fleet.Event) {
-	a.history.note(a.mesh, at, e.Fields())
+	a.history.record(a.mesh, at, e.Fields())
 	logEvent(e)
 	a.auditEvent(e)
 	switch e.(type) {
@@ -23,25 +23,25 @@
 	switch e := e.(type) {
 	case fleet.LeaseAcquired:
 		if e.Lease == fleet.EndpointListLease {
-			a.startFollowing()
+			a.endpoints.startFollowing()
 		}
 	case fleet.LeaseEnded:
 		if e.Lease == fleet.EndpointListLease {
-			a.endFollowing()
+			a.endpoints.stopFollowing()
 		}
 	case fleet.BroadcastReceived:
 		a.onBroadcast(e)
 	case fleet.DatagramReceived:
 		a.onDatagram(e)
 	case fleet.RequestDone:
-		a.onRequestDone(e)
+		a.requests.finish(e)
 	}
 }
 
 func (a *Agent) onBroadcast(e fleet.BroadcastReceived) {
 	switch {
 	case e.Lease == fleet.EndpointListLease:
-		a.onEndpoints(e.Data)
+		a.endpoints.onUpdate(e.Data)
 	case fleet.LeaseKind(e.Lease) == "scout" && e.From != a.name:
 		a.Prober.OnProbeResult(e.Term, e.Data)
 	}
@@ -49,55 +49,49 @@
 
 func (a *Agent) onDatagram(e fleet.DatagramReceived) {
 	switch {
-	case e.Subsystem == probePart:
+	case e.Subsystem == probeSubsystem:
 		a.Prober.OnProbeRequest(string(e.Data))
 	case e.Subsystem == audit.Part && a.audit != nil:
 		a.audit.collector.onDatagram(e)
 	}
 }
 
-// onRequestDone hands the end of a request to whoever waits for it.
-func (a *Agent) onRequestDone(e fleet.RequestDone) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if c := a.pendingRequests[e.ID]; c != nil {
-		c <- e
-		delete(a.pendingRequests, e.ID)
-	}
-}
-
-// logEvent logs what an operator acts on.
+// logEvent logs what an operator acts on. The messages' prefix is the part of the program, as in all logs of the agent.
 func logEvent(e fleet.Event) {
 	switch e := e.(type) {
 	case fleet.LeaseAcquired:
-		slog.Info("fleet: duty held", "duty", e.Lease, "term", e.Term)
+		slog.Info("fleet: lease acquired", "lease", e.Lease, "term", e.Term)
 	case fleet.LeaseEnded:
-		slog.Info("fleet: duty ended", "duty", e.Lease, "term", e.Term, "why", e.Reason)
+		slog.Info("fleet: lease ended", "lease", e.Lease, "term", e.Term, "reason", e.Reason)
 	case fleet.LeaseGranted:
-		slog.Debug("fleet: duty granted", "duty", e.Lease, "term", e.Term, "to", e.Leaseholder, "why", e.Reason)
+		slog.Debug("fleet: lease granted", "lease", e.Lease, "term", e.Term, "leaseholder", e.Leaseholder, "reason", e.Reason)
 	case fleet.FleetReached:
-		slog.Info("fleet: heard")
+		slog.Info("fleet: leader reached", "term", e.Term)
 	case fleet.FleetLost:
-		slog.Warn("fleet: nothing is heard of it; this front goes on alone", "why", e.Reason)
+		slog.Warn("fleet: leader lost; this front is isolated", "reason", e.Reason)
 	case fleet.VoterHalted:
-		slog.Error("fleet: this keeper keeps no more", "why", e.Reason)
+		slog.Error("fleet: voter halted; this front continues as a follower", "reason", e.Reason)
 	case fleet.VotersRecovered:
 		if e.Refusal != "" {
-			slog.Warn("fleet: the voters were not recovered", "reason", e.Reason, "why", e.Refusal)
+			slog.Warn("fleet: voter recovery rejected", "reason", e.Reason, "err", e.Refusal)
 		} else {
-			slog.Warn("fleet: the voters were recovered from this front's disk", "voters no more", e.Lost, "index", e.Index, "term", e.Term, "reason", e.Reason)
+			slog.Warn("fleet: voters recovered from this front's disk", "removed", e.Lost, "index", e.Index, "term", e.Term, "reason", e.Reason)
 		}
 	case fleet.FrontDisplaced:
-		slog.Error("fleet: this front stays out of it; end one of the two and start this one again", "why", e.Reason)
+		slog.Error("fleet: front displaced by another process of its name; stop one of them and restart this one", "reason", e.Reason)
 	case fleet.StateUnreadable:
-		slog.Error("fleet: the record can't be read further; bring the program up to date", "index", e.Index, "why", e.Reason)
+		slog.Error("fleet: replicated state has a newer format; upgrade this program", "index", e.Index, "reason", e.Reason)
 	case fleet.BroadcastRejected:
-		slog.Warn("fleet: refused", "duty", e.Lease, "term", e.Term, "of", e.From, "why", e.Reason)
-	case fleet.BecameLeader, fleet.LostLeadership:
-		slog.Info("fleet: this keeper "+e.Fields().Kind, "term", e.Fields().Term)
-	case fleet.FrontJoined, fleet.FrontLeft:
-		slog.Debug("fleet: "+e.Fields().Kind, "front", e.Fields().Name)
+		slog.Warn("fleet: broadcast rejected", "lease", e.Lease, "term", e.Term, "from", e.From, "reason", e.Reason)
+	case fleet.BecameLeader:
+		slog.Info("fleet: became leader", "term", e.Term)
+	case fleet.LostLeadership:
+		slog.Info("fleet: lost leadership")
+	case fleet.FrontJoined:
+		slog.Debug("fleet: front joined", "front", e.Name)
+	case fleet.FrontLeft:
+		slog.Debug("fleet: front left", "front", e.Name)
 	case fleet.LinkClosed:
-		slog.Info("fleet: a link is let go", "peer", e.Peer, "why", e.Reason)
+		slog.Info("fleet: link closed", "peer", e.Peer, "reason", e.Reason)
 	}
 }
--- a/fleet/agent/format_test.go
+++ b/fleet/agent/format_test.go
@@ -88,10 +88,10 @@
 		fleet.RequestDone{ID: 6, Error: "no", LeaderTerm: 4}, fleet.LinkClosed{Peer: "n2", Reason: "crowded"}, fleet.StateUnreadable{Index: 44, Reason: "format 2"},
 		fleet.DatagramReceived{From: "n2", Subsystem: "scout", Data: []byte("x")}, fleet.ConfigLeaseRenewed{Version: 5, Until: until, Since: since},
 	} {
-		h.note(m, at, e.Fields())
+		h.record(m, at, e.Fields())
 	}
-	h.noteVersion(m, "adopted", 5)
-	h.noteTurn(m, rollout.State{Base: 4, Next: 5, Phase: rollout.PhaseRolling, Reason: "w"}, 44)
+	h.recordVersion(m, versionAdopted, 5)
+	h.recordRollout(m, rollout.State{Base: 4, Next: 5, Phase: rollout.PhaseRolling, Reason: "w"}, 44)
 	h.close()
 	got, err := os.ReadFile(path)
 	require.NoError(t, err)
--- a/fleet/agent/history.go
+++ b/fleet/agent/history.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"log/slog"
 	"os"
 	"sync"
@@ -12,48 +13,72 @@
 	"dapplerouter/fleet/rollout"
 )
 
+// Names of the agent's own entries in the history, beside the events of package fleet. Operators' tools and the checkers of
+// lab/processtest read them: they change only with a format version.
+const (
+	versionAdopted = "adopted"
+	versionInForce = "acts" // all requests in flight are of this version
+	standbyBegan   = "stands by"
+	standbyEnded   = "acts again"
+	rolloutChanged = "turned"
+)
+
 // history writes a line of JSON for each event; a nil history writes nothing.
 type history struct {
 	file        *os.File
 	front       string
 	incarnation uint64
-	mu          sync.Mutex
-	failing     bool
+
+	mu      sync.Mutex // held while a line is written
+	failing bool       // the last write failed
 }
 
-func openHistory(path, who string, incarnation uint64) (*history, error) {
+// openHistory opens the history's file to be appended to; it is nil for no path.
+func openHistory(path, front string, incarnation uint64) (*history, error) {
 	if path == "" {
 		return nil, nil
 	}
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o600)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("history: %w", err)
 	}
-	return &history{file: f, front: who, incarnation: incarnation}, nil
+	return &history{file: f, front: front, incarnation: incarnation}, nil
 }
 
-// noteVersion and noteTurn record what became of versions.
-func (h *history) noteVersion(m *mesh.Mesh, what string, version uint64) {
-	h.note(m, m.Now(), fleet.EventFields{Kind: what, Number: version})
+// recordVersion writes what became of a configuration version.
+func (h *history) recordVersion(m *mesh.Mesh, change string, version uint64) {
+	h.record(m, m.Now(), fleet.EventFields{Kind: change, Number: version})
 }
 
-func (h *history) noteTurn(m *mesh.Mesh, s rollout.State, index uint64) {
-	h.note(m, m.Now(), fleet.EventFields{Kind: "turned", Number: s.Base, Term: s.Next, Name: s.Phase.String(), Index: index, Reason: s.Reason})
+// recordRollout writes a change of the rollout's state.
+func (h *history) recordRollout(m *mesh.Mesh, s rollout.State, index uint64) {
+	h.record(m, m.Now(), fleet.EventFields{Kind: rolloutChanged, Number: s.Base, Term: s.Next, Name: s.Phase.String(), Index: index, Reason: s.Reason})
 }
 
-func (h *history) note(m *mesh.Mesh, at time.Duration, e fleet.EventFields) {
+// record writes an event that happened at a time of the mesh's clock.
+func (h *history) record(m *mesh.Mesh, at time.Duration, e fleet.EventFields) {
 	if h == nil {
 		return
 	}
-	x := fleet.HistoryEntry{At: m.WallTime(at).UnixMicro(), Front: h.front, Incarnation: h.incarnation, Kind: e.Kind, Lease: e.Lease, Term: e.Term, Name: e.Name,
-		Number: e.Number, Index: e.Index, Reason: e.Reason}
+	entry := fleet.HistoryEntry{
+		At:          m.WallTime(at).UnixMicro(),
+		Front:       h.front,
+		Incarnation: h.incarnation,
+		Kind:        e.Kind,
+		Lease:       e.Lease,
+		Term:        e.Term,
+		Name:        e.Name,
+		Number:      e.Number,
+		Index:       e.Index,
+		Reason:      e.Reason,
+	}
 	if e.Until != 0 {
-		x.Until = m.WallTime(e.Until).UnixMicro()
+		entry.Until = m.WallTime(e.Until).UnixMicro()
 	}
 	if e.Since != 0 {
-		x.Since = m.WallTime(e.Since).UnixMicro()
+		entry.Since = m.WallTime(e.Since).UnixMicro()
 	}
-	b, err := json.Marshal(x)
+	b, err := json.Marshal(entry)
 	if err != nil {
 		return
 	}
@@ -62,13 +87,13 @@
 	if _, err := h.file.Write(append(b, '\n')); (err != nil) != h.failing {
 		h.failing = err != nil
 		if h.failing {
-			slog.Warn("fleet: the history can't be written", "why", err)
+			slog.Warn("fleet: history not written", "err", err)
 		}
 	}
 }
 
 func (h *history) close() {
 	if h != nil {
-		h.file.Close()
+		_ = h.file.Close() // each line is written at once
 	}
 }
--- a/fleet/agent/prober.go
+++ b/fleet/agent/prober.go
@@ -11,11 +11,12 @@
 	"dapplerouter/pgwire"
 )
 
-// Prober lets one front of a fleet probe a group's servers for all. It stands before the links to servers and looks at nothing but
-// probes. What is probed, and when, the decision module says; the holder of the lease scout/GROUP broadcasts how its probes ended.
+// Prober lets one front of a fleet run a group's health checks for all. It stands before the pools of connections to servers and
+// looks at nothing but probes. What is probed, and when, is the routing module's decision; the holder of a group's probe lease
+// broadcasts how its probes ended, and the other fronts' probes are answered from that.
 type Prober struct {
 	front.Pools
-	Post         func(front.Event)                        // hands an event to the front's core
+	Post         func(front.Event)                        // sends an event to the front's core
 	Broadcast    func(leaseName string, data []byte) bool // sends a broadcast under a lease, where this front holds it
 	DeclareLease func(leaseName string)                   // declares a lease
 	Now          func() time.Duration                     // the front's clock in the fleet
@@ -23,15 +24,18 @@
 	RequestProbe func(front, server string)               // asks another front to probe a server; unreliable
 	probeTimeout time.Duration                            // after which the core ends a probe by itself
 
-	mu            sync.Mutex
-	cache         *fleet.ProbeCache[*front.Attempt]
-	addresses     []string // by the core's index of servers
-	servers       map[string]probedServer
-	groups        map[int64]bool
-	ownLeases     map[string]bool   // that this front holds
-	leaseholders  map[string]string // other fronts, by lease
-	isolated      bool
-	pendingProbes map[*front.Attempt]probedServer // own probes as the leaseholder, not answered yet
+	mu      sync.Mutex // guards the fields below
+	cache   *fleet.ProbeCache[*front.Attempt]
+	servers serverTable
+	leases  probeLeases
+	pending map[*front.Attempt]probedServer // own probes as the leaseholder, not answered yet
+}
+
+// serverTable are the servers that the core knows, as the endpoint list names them.
+type serverTable struct {
+	addresses []string // by the core's index of servers
+	byAddress map[string]probedServer
+	groups    map[int64]bool // whose probe lease is declared
 }
 
 // probedServer is a server as the endpoint list names it.
@@ -40,181 +44,207 @@
 	group int64
 }
 
-var errProbeResult = errors.New("a scout found it so")
+// add adds the servers of an endpoint list, and returns the groups that are new.
+func (t *serverTable) add(l discovery.List) (newGroups []int64) {
+	for _, e := range l.Endpoints {
+		if e.Address == "" {
+			continue
+		}
+		t.byAddress[e.Address] = probedServer{e.Name, e.Group}
+		if !t.groups[e.Group] {
+			t.groups[e.Group] = true
+			newGroups = append(newGroups, e.Group)
+		}
+	}
+	return newGroups
+}
+
+// probeLeases are the probe leases and their holders, by the fleet's events so far.
+type probeLeases struct {
+	own      map[string]bool   // that this front holds
+	holders  map[string]string // other fronts, by lease
+	isolated bool              // what others hold is not known
+}
+
+// onEvent follows the fleet's events; self is this front's name.
+func (l *probeLeases) onEvent(e fleet.Event, self string) {
+	switch e := e.(type) {
+	case fleet.LeaseAcquired:
+		l.own[e.Lease] = true
+	case fleet.LeaseEnded:
+		delete(l.own, e.Lease)
+	case fleet.LeaseGranted:
+		if l.holders[e.Lease] = e.Leaseholder; e.Leaseholder == "" || e.Leaseholder == self {
+			delete(l.holders, e.Lease)
+		}
+	case fleet.FleetLost, fleet.FrontDisplaced:
+		l.isolated = true
+	case fleet.FleetReached:
+		l.isolated = false
+	}
+}
+
+// errSharedProbe is the cause of a probe's failure that another front's probe showed.
+var errSharedProbe = errors.New("probe of another front failed")
 
 // NewProber makes a Prober for a fleet's lease duration; probeTimeout is how long the core waits for a probe.
 func NewProber(leaseDuration, probeTimeout time.Duration) *Prober {
-	return &Prober{probeTimeout: probeTimeout, After: func(d time.Duration, call func()) { time.AfterFunc(d, call) },
-		cache: fleet.NewProbeCache[*front.Attempt](leaseDuration, probeTimeout/2), servers: map[string]probedServer{}, groups: map[int64]bool{},
-		ownLeases: map[string]bool{}, leaseholders: map[string]string{}, isolated: true, pendingProbes: map[*front.Attempt]probedServer{}}
+	return &Prober{
+		After:        func(d time.Duration, call func()) { time.AfterFunc(d, call) },
+		probeTimeout: probeTimeout,
+		cache:        fleet.NewProbeCache[*front.Attempt](leaseDuration, probeTimeout/2),
+		servers:      serverTable{byAddress: map[string]probedServer{}, groups: map[int64]bool{}},
+		leases:       probeLeases{own: map[string]bool{}, holders: map[string]string{}, isolated: true},
+		pending:      map[*front.Attempt]probedServer{},
+	}
 }
 
-// SetAddress implements front.Links.
-func (s *Prober) SetAddress(server int, address string, age time.Duration) {
-	s.mu.Lock()
-	for len(s.addresses) <= server {
-		s.addresses = append(s.addresses, "")
+// SetAddress implements front.Pools.
+func (p *Prober) SetAddress(server int, address string, age time.Duration) {
+	p.mu.Lock()
+	for len(p.servers.addresses) <= server {
+		p.servers.addresses = append(p.servers.addresses, "")
 	}
-	s.addresses[server] = address
-	s.mu.Unlock()
-	s.Pools.SetAddress(server, address, age)
+	p.servers.addresses[server] = address
+	p.mu.Unlock()
+	p.Pools.SetAddress(server, address, age)
 }
 
-// Send implements front.Links.
-func (s *Prober) Send(server int, sub *front.Attempt) {
-	if _, probe := sub.Forwarded(); !probe {
-		s.Pools.Send(server, sub)
+// Send implements front.Pools. A probe is sent, answered with another front's result, or held back until that comes.
+func (p *Prober) Send(server int, attempt *front.Attempt) {
+	if _, probe := attempt.Forwarded(); !probe {
+		p.Pools.Send(server, attempt)
 		return
 	}
-	s.mu.Lock() // the core must not wait for the mesh: what the fleet's events said last is enough here
-	m, ok := s.servers[s.addresses[server]]
-	leaseName := fleet.ProbeLease(m.group)
-	ours := ok && s.ownLeases[leaseName]
-	prober := s.leaseholders[leaseName]
-	what, result := s.cache.Decide(s.Now(), m.name, sub, ok && !ours && prober != "" && !s.isolated)
+	p.mu.Lock() // the core must not wait for the mesh: the state as of the fleet's last event is enough here
+	target, ok := p.servers.byAddress[p.servers.addresses[server]]
+	leaseName := fleet.ProbeLease(target.group)
+	ours := ok && p.leases.own[leaseName]
+	holder := p.leases.holders[leaseName]
+	decision, result := p.cache.Decide(p.Now(), target.name, attempt, ok && !ours && holder != "" && !p.leases.isolated)
 	if ours {
-		s.pendingProbes[sub] = m
-		s.cache.AcceptRequest(s.Now(), m.name)
+		p.pending[attempt] = target
+		p.cache.AcceptRequest(p.Now(), target.name)
 	}
-	s.mu.Unlock()
-	switch what {
+	p.mu.Unlock()
+	switch decision {
 	case fleet.ProbeNow:
-		s.Pools.Send(server, sub)
+		p.Pools.Send(server, attempt)
 		if ours {
-			s.After(s.probeTimeout/4, func() { s.publishResult(sub, fleet.ProbeResult{Pending: true}) })
-			s.After(s.probeTimeout, func() { s.publishResult(sub, fleet.ProbeResult{}) }) // no answer
+			p.After(p.probeTimeout/4, func() { p.publishResult(attempt, fleet.ProbeResult{Pending: true}) })
+			p.After(p.probeTimeout, func() { p.publishResult(attempt, fleet.ProbeResult{}) }) // no answer
 		}
 	case fleet.UseResult:
-		s.After(0, func() { s.Post(endOf(sub, result)) }) // the caller is the core, which reads what is posted
+		p.After(0, func() { p.Post(probeFinished(attempt, result)) }) // the caller is the core, which reads what is posted
 	case fleet.AwaitResult:
-		s.After(0, func() { s.RequestProbe(prober, m.name) })
-		due := func() {
-			s.mu.Lock()
-			due := s.cache.Expired(s.Now())
-			s.mu.Unlock()
-			for _, sub := range due {
-				s.Pools.Send(server, sub)
-			}
-		}
-		s.After(s.cache.MaxWait, due)
-		s.After(2*s.cache.MaxWait, due)
+		p.After(0, func() { p.RequestProbe(holder, target.name) })
+		sendExpired := func() { p.sendExpired(server) }
+		p.After(p.cache.MaxWait, sendExpired)
+		p.After(2*p.cache.MaxWait, sendExpired)
+	}
+}
+
+// sendExpired sends the probes for which no result came in time.
+func (p *Prober) sendExpired(server int) {
+	p.mu.Lock()
+	expired := p.cache.Expired(p.Now())
+	p.mu.Unlock()
+	for _, attempt := range expired {
+		p.Pools.Send(server, attempt)
 	}
 }
 
-// OnFrontEvent sees what is posted to the core: the list, and how own probes end.
-func (s *Prober) OnFrontEvent(e front.Event) {
+// OnFrontEvent passes an event on to the core, and takes from it the endpoint list and how own probes ended.
+func (p *Prober) OnFrontEvent(e front.Event) {
 	switch e := e.(type) {
 	case front.EndpointsChanged:
-		s.onList(e.List)
+		p.onList(e.List)
 	case *front.AttemptFinished:
 		if _, probe := e.Attempt.Forwarded(); probe {
-			l := fleet.ProbeResult{Healthy: e.Err == nil && e.Answer.Code == "" && e.Answer.Complete, Code: e.Answer.Code}
-			l.ConnectionLost = e.Err != nil && e.Err.Stage == front.StageRead
-			s.Post(e)
-			s.publishResult(e.Attempt, l)
+			result := fleet.ProbeResult{Healthy: e.Err == nil && e.Answer.Code == "" && e.Answer.Complete, Code: e.Answer.Code}
+			result.ConnectionLost = e.Err != nil && e.Err.Stage == front.StageRead
+			p.Post(e)
+			p.publishResult(e.Attempt, result)
 			return
 		}
 	}
-	s.Post(e)
+	p.Post(e)
 }
 
 // OnFleetEvent handles an event of the fleet; self is this front's name.
-func (s *Prober) OnFleetEvent(e fleet.Event, self string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	switch e := e.(type) {
-	case fleet.LeaseAcquired:
-		s.ownLeases[e.Lease] = true
-	case fleet.LeaseEnded:
-		delete(s.ownLeases, e.Lease)
-	case fleet.LeaseGranted:
-		if s.leaseholders[e.Lease] = e.Leaseholder; e.Leaseholder == "" || e.Leaseholder == self {
-			delete(s.leaseholders, e.Lease)
-		}
-	case fleet.FleetLost, fleet.FrontDisplaced:
-		s.isolated = true
-	case fleet.FleetReached:
-		s.isolated = false
-	}
+func (p *Prober) OnFleetEvent(e fleet.Event, self string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.leases.onEvent(e, self)
 }
 
-func (s *Prober) onList(l discovery.List) {
-	var fresh []int64
-	s.mu.Lock()
-	for _, e := range l.Endpoints {
-		if e.Address == "" {
-			continue
-		}
-		s.servers[e.Address] = probedServer{e.Name, e.Group}
-		if !s.groups[e.Group] {
-			s.groups[e.Group] = true
-			fresh = append(fresh, e.Group)
-		}
-	}
-	s.mu.Unlock()
-	for _, g := range fresh {
-		s.DeclareLease(fleet.ProbeLease(g))
+func (p *Prober) onList(l discovery.List) {
+	p.mu.Lock()
+	newGroups := p.servers.add(l)
+	p.mu.Unlock()
+	for _, g := range newGroups {
+		p.DeclareLease(fleet.ProbeLease(g))
 	}
 }
 
 // publishResult broadcasts that a probe is pending, and how it ended, each once.
-func (s *Prober) publishResult(sub *front.Attempt, l fleet.ProbeResult) {
-	s.mu.Lock()
-	m, ok := s.pendingProbes[sub]
-	if !l.Pending {
-		delete(s.pendingProbes, sub)
+func (p *Prober) publishResult(attempt *front.Attempt, result fleet.ProbeResult) {
+	p.mu.Lock()
+	target, ok := p.pending[attempt]
+	if !result.Pending {
+		delete(p.pending, attempt)
 	}
-	s.mu.Unlock()
+	p.mu.Unlock()
 	if ok {
-		l.Server = m.name
-		s.Broadcast(fleet.ProbeLease(m.group), l.Encode())
+		result.Server = target.name
+		p.Broadcast(fleet.ProbeLease(target.group), result.Encode())
 	}
 }
 
-// OnProbeRequest handles another front's request to probe a server: the decision module is asked to, unless it just did.
-func (s *Prober) OnProbeRequest(server string) {
-	s.mu.Lock()
-	ask := false
-	for _, m := range s.servers {
-		ask = ask || m.name == server && s.ownLeases[fleet.ProbeLease(m.group)]
+// OnProbeRequest handles another front's request to probe a server: the routing module is asked to, unless it just did.
+func (p *Prober) OnProbeRequest(server string) {
+	p.mu.Lock()
+	ours := false
+	for _, s := range p.servers.byAddress {
+		ours = ours || s.name == server && p.leases.own[fleet.ProbeLease(s.group)]
 	}
-	ask = ask && s.cache.AcceptRequest(s.Now(), server)
-	s.mu.Unlock()
-	if ask {
-		s.Post(front.HealthCheckRequested{Server: server})
+	accepted := ours && p.cache.AcceptRequest(p.Now(), server)
+	p.mu.Unlock()
+	if accepted {
+		p.Post(front.HealthCheckRequested{Server: server})
 	}
 }
 
-// OnProbeResult handles another prober's result.
-func (s *Prober) OnProbeResult(term uint64, data []byte) {
-	l, ok := fleet.DecodeProbeResult(data)
+// OnProbeResult handles the result that a leaseholder broadcast in a term of its lease.
+func (p *Prober) OnProbeResult(term uint64, data []byte) {
+	result, ok := fleet.DecodeProbeResult(data)
 	if !ok {
 		return
 	}
-	s.mu.Lock()
-	answers := s.cache.AddResult(s.Now(), term, l)
-	s.mu.Unlock()
-	for _, sub := range answers {
-		s.Post(endOf(sub, l))
+	p.mu.Lock()
+	answered := p.cache.AddResult(p.Now(), term, result)
+	p.mu.Unlock()
+	for _, attempt := range answered {
+		p.Post(probeFinished(attempt, result))
 	}
 }
 
-// AvoidedProbes is how many probes a result made needless.
-func (s *Prober) AvoidedProbes() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.cache.ProbesAvoided
+// AvoidedProbes is how many probes were answered from another front's result.
+func (p *Prober) AvoidedProbes() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.cache.ProbesAvoided
 }
 
-// endOf is a result as the end of a probe: without position, role or load, whatever the prober received.
-func endOf(sub *front.Attempt, l fleet.ProbeResult) *front.AttemptFinished {
+// probeFinished is a shared result as the end of a probe: without position, role or load, whatever the leaseholder received.
+func probeFinished(attempt *front.Attempt, result fleet.ProbeResult) *front.AttemptFinished {
 	switch {
-	case l.Healthy:
-		return &front.AttemptFinished{Attempt: sub, Answer: pgwire.SingleValueResult(nil)}
-	case l.Code != "":
-		return &front.AttemptFinished{Attempt: sub, Answer: pgwire.QueryResult{Code: l.Code}}
-	case l.ConnectionLost:
-		return &front.AttemptFinished{Attempt: sub, Err: &front.ConnectionError{Stage: front.StageRead, Err: errProbeResult}}
-	}
-	return &front.AttemptFinished{Attempt: sub, Err: &front.ConnectionError{Stage: front.StageDial, Err: errProbeResult}}
+	case result.Healthy:
+		return &front.AttemptFinished{Attempt: attempt, Answer: pgwire.SingleValueResult(nil)}
+	case result.Code != "":
+		return &front.AttemptFinished{Attempt: attempt, Answer: pgwire.QueryResult{Code: result.Code}}
+	case result.ConnectionLost:
+		return &front.AttemptFinished{Attempt: attempt, Err: &front.ConnectionError{Stage: front.StageRead, Err: errSharedProbe}}
+	}
+	return &front.AttemptFinished{Attempt: attempt, Err: &front.ConnectionError{Stage: front.StageDial, Err: errSharedProbe}}
 }
--- /dev/null
+++ b/fleet/agent/rollout_host.go
@@ -0,0 +1,240 @@
+package agent
+
+import (
+	"fmt"
+	"hash/crc32"
+	"log/slog"
+	"strings"
+	"sync"
+	"time"
+
+	"dapplerouter/deployment"
+	"dapplerouter/fleet"
+	"dapplerouter/fleet/audit"
+	"dapplerouter/fleet/rollout"
+	"dapplerouter/front"
+)
+
+// rolloutHost runs a front's part in rollouts: it connects the participant with the front's core and with the disk.
+type rolloutHost struct {
+	agent       *Agent
+	config      *rollout.Config
+	ownRules    *deployment.Rules    // of the operator's file
+	typesSum    uint32               // checksum of the request types' names
+	participant *rollout.Participant // guarded by the mesh's lock
+	lastIndex   uint64               // index of the rollout's state that was logged last; guarded by the mesh's lock
+	renewals    chan leaseRenewal    // the latest one only
+
+	mu      sync.Mutex    // guards the fields below, and the version file
+	current storedVersion // the version in use
+	trying  uint64        // a version that is being adopted, or was and is not confirmed yet
+}
+
+// leaseRenewal is until when the front may use a version, on the mesh's clock.
+type leaseRenewal struct {
+	version uint64
+	until   time.Duration
+}
+
+// newRolloutHost makes the host; restore completes it.
+func newRolloutHost(a *Agent, c *rollout.Config, ownRules *deployment.Rules) *rolloutHost {
+	return &rolloutHost{
+		agent:    a,
+		config:   c,
+		ownRules: ownRules,
+		typesSum: crc32.ChecksumIEEE([]byte(strings.Join(a.settings.TypeNames, ","))),
+		renewals: make(chan leaseRenewal, 1),
+	}
+}
+
+// restore makes the participant, and returns the version that the front used last: the one that its core starts with.
+func (h *rolloutHost) restore(configLease time.Duration) (initial front.AdoptConfig, err error) {
+	stored, err := h.load()
+	if err != nil {
+		return initial, err
+	}
+	h.current = storedVersion{Version: stored.Version, Text: stored.Text}
+	initial = front.AdoptConfig{Version: stored.Version, Rules: h.ownRules}
+	participantVersion := stored.Version
+	if stored.Version != 0 {
+		rules, err := h.parseRules(h.path(), []byte(stored.Text))
+		if err != nil { // the deployment's own settings have changed
+			slog.Warn("fleet: stored configuration version does not fit; starting with the operator's file", "version", stored.Version, "err", err)
+			participantVersion, h.current = 0, storedVersion{} // the core's number stays
+		} else {
+			initial.Rules = rules
+		}
+	}
+	h.participant = rollout.NewParticipant(rollout.Options{
+		Name:               h.agent.name,
+		Timing:             h.agent.timing(),
+		ConfigLease:        configLease,
+		StopWhenIsolated:   h.config.StopWhenIsolated,
+		InForceWithin:      h.config.InForceWithin,
+		Rules:              deployment.RulesText{},
+		InitialVersion:     participantVersion,
+		UnconfirmedVersion: stored.Tried,
+	}, rollout.Hooks{
+		Adopt:     func(adoption rollout.Adoption) { go h.adopt(adoption) }, // the mesh's lock is held
+		Renew:     h.onRenewal,
+		Counts:    h.counts,
+		WallClock: h.agent.wallNow,
+	})
+	return initial, nil
+}
+
+// parseRules reads rules, and checks them against the deployment's settings.
+func (h *rolloutHost) parseRules(name string, text []byte) (*deployment.Rules, error) {
+	rules, err := deployment.ParseRules(name, text)
+	if err != nil {
+		return nil, err
+	}
+	return rules, rules.Validate(h.agent.settings)
+}
+
+// counts returns the front's counts on its version, and a checksum of its request types.
+func (h *rolloutHost) counts() (typesSum uint32, counts []rollout.Counts) {
+	h.agent.recorder.Totals(func(_ int, finished, succeeded uint64) {
+		counts = append(counts, rollout.Counts{Finished: finished, Succeeded: succeeded})
+	})
+	return h.typesSum, counts
+}
+
+// onRenewal replaces the renewal that waits for the core; the caller holds the mesh's lock.
+func (h *rolloutHost) onRenewal(version uint64, until time.Duration) {
+	for {
+		select {
+		case h.renewals <- leaseRenewal{version, until}:
+			return
+		default:
+		}
+		select {
+		case <-h.renewals:
+		default:
+		}
+	}
+}
+
+// run calls the participant's ticks, and hands renewals to the core.
+func (h *rolloutHost) run() {
+	a := h.agent
+	t := time.NewTicker(a.timing().TickInterval())
+	defer t.Stop()
+	for {
+		select {
+		case <-a.ctx.Done():
+			return
+		case <-t.C:
+			a.mesh.Do(func(n *fleet.Node, now time.Duration) {
+				h.participant.Tick(now, n)
+				h.logChange(n)
+				a.noteIndex(n)
+			})
+		case r := <-h.renewals:
+			if leaseExpiry, left := h.coreTime(r.until); left {
+				a.Post(front.RenewLease{Version: r.version, Expiry: leaseExpiry})
+			} else {
+				a.Post(front.ExpireLease{Version: r.version})
+			}
+		}
+	}
+}
+
+// coreTime converts a time of the mesh's clock to the core's; left reports whether it is still to come.
+func (h *rolloutHost) coreTime(until time.Duration) (at time.Duration, left bool) {
+	now := h.agent.Clock() // read first: a pause between the two readings makes the lease shorter, never longer
+	ahead := until - h.agent.mesh.Now()
+	return now + ahead, ahead > 0
+}
+
+// logChange logs a change of the rollout's state, once; the caller holds the mesh's lock.
+func (h *rolloutHost) logChange(n *fleet.Node) {
+	e := n.State().Values["roll"]
+	if e == nil || e.Index <= h.lastIndex {
+		return
+	}
+	h.lastIndex = e.Index
+	s, ok := rollout.ReadState(n.State())
+	if !ok {
+		return
+	}
+	slog.Info("fleet: rollout changed", "phase", s.Phase, "base", s.Base, "next", s.Next, "stage", s.Stage+1, "of", len(s.Stages), "paused", s.Paused, "reason", s.Reason)
+	h.agent.writeAudit(&audit.Line{Event: audit.EventRolloutChanged, Version: s.Next, Reason: fmt.Sprintf("%v of %d to %d: %s", s.Phase, s.Base, s.Next, s.Reason)})
+	h.agent.history.recordRollout(h.agent.mesh, s, e.Index)
+}
+
+// adopt adopts a version, or rejects it. The version being tried is stored first: a front that crashes on it does not try it again
+// after its restart.
+func (h *rolloutHost) adopt(adoption rollout.Adoption) {
+	a := h.agent
+	rules := h.ownRules
+	if adoption.Text != nil {
+		var err error
+		if rules, err = h.parseRules("published", adoption.Text); err != nil {
+			slog.Error("fleet: published configuration version rejected", "version", adoption.Version, "err", err)
+			a.writeAudit(&audit.Line{Event: audit.EventVersionRejected, Version: adoption.Version, Reason: err.Error()})
+			a.mesh.Do(func(n *fleet.Node, now time.Duration) { h.participant.Rejected(now, n, adoption.Version, err.Error()) })
+			return
+		}
+	}
+	h.mu.Lock()
+	h.trying = adoption.Version
+	h.save(storedVersion{Version: h.current.Version, Text: h.current.Text, Tried: h.trying})
+	h.mu.Unlock()
+	leaseExpiry, _ := h.coreTime(adoption.Until)
+	adopted := make(chan struct{})
+	a.Post(front.AdoptConfig{
+		Version:     adoption.Version,
+		Rules:       rules,
+		LeaseExpiry: leaseExpiry,
+		OnAdopted: func(at time.Duration) {
+			a.writeAudit(&audit.Line{Event: audit.EventVersionAdopted, At: a.wallMicros(at), Version: adoption.Version, RulesHash: rules.Digest()})
+			go h.onAdopted(adoption, adopted) // the core must not wait
+		},
+		OnOlderFinished: func() {
+			go h.acknowledge(adoption.Version, adopted)
+		},
+	})
+}
+
+// onAdopted reports that the core uses a version, closes adopted, and later confirms the version. The audit line comes first, before
+// any interval of the version.
+func (h *rolloutHost) onAdopted(adoption rollout.Adoption, adopted chan<- struct{}) {
+	a := h.agent
+	a.syncAudit()
+	h.mu.Lock()
+	h.current = storedVersion{Version: adoption.Version, Text: string(adoption.Text)}
+	h.mu.Unlock()
+	a.mesh.Do(func(*fleet.Node, time.Duration) { h.participant.Adopted(adoption.Version) })
+	a.history.recordVersion(a.mesh, versionAdopted, adoption.Version)
+	close(adopted)
+	select {
+	case <-time.After(2 * a.config.LeaseDuration):
+		h.confirm(adoption.Version)
+	case <-a.ctx.Done():
+	}
+}
+
+// acknowledge reports that all requests in flight are of the version that was adopted.
+func (h *rolloutHost) acknowledge(version uint64, adopted <-chan struct{}) {
+	<-adopted
+	h.agent.mesh.Do(func(n *fleet.Node, now time.Duration) {
+		h.participant.Acknowledge(now, n, version)
+		h.agent.history.recordVersion(h.agent.mesh, versionInForce, version)
+	})
+}
+
+// onStandby is called by the core when the front's standby begins or ends.
+func (a *Agent) onStandby(on bool) {
+	if a.OnStandby != nil {
+		a.OnStandby(on)
+	}
+	event, change := audit.EventConfigLeaseAcquired, standbyEnded
+	if on {
+		event, change = audit.EventConfigLeaseExpired, standbyBegan
+	}
+	go func() { // the core must not wait
+		a.writeAudit(&audit.Line{Event: event})
+		a.history.recordVersion(a.mesh, change, 0)
+	}()
+}
