--- a/gateway/model_test.go
+++ b/gateway/model_test.go
@@ -13,258 +13,258 @@
 
 const ms = time.Millisecond
 
-var small = Settings{HeartbeatInterval: 100 * ms, PeerTimeout: 300 * ms, RecoveryTimeout: 500 * ms, OutcomeRetention: 1500 * ms, MaxInFlight: 8,
-	CreditBytes: MaxDataBytes + frameCost, RetainedBytes: 8 * MaxDataBytes}
+var smallSettings = Settings{HeartbeatInterval: 100 * ms, PeerTimeout: 300 * ms, RecoveryTimeout: 500 * ms, OutcomeRetention: 1500 * ms, MaxInFlight: 8,
+	CreditBytes: MaxDataBytes + frameOverhead, RetainedBytes: 8 * MaxDataBytes}
 
-// pipe is a connection: what is on its way in each direction.
-type pipe struct{ toFar, toNear []Frame }
+// connection holds the frames in flight in each direction.
+type connection struct{ toFar, toNear []Frame }
 
-// job is a run at the far site's stores; it outlives the far instance.
-type job struct {
+// serverExecution is an execution at the remote site's servers; it outlives the remote instance.
+type serverExecution struct {
 	request   uint64
-	run       uint64
+	execution uint64
 	epoch     uint64
 	committed bool
-	dead      bool // concluded, or its instance is gone and it will not commit any more
+	reported  bool // reported to its instance, or that is gone and it will not commit any more
 }
 
-// world is two instances, the connections between them, and the stores behind the far one. The near one plays the
-// module of once-only requests: it sends again only what is proven not to have run.
-type world struct {
-	now        time.Duration
-	near, far  *Endpoint
-	cn, cf     *pipe // the connection that each believes in
-	number     uint64
-	epoch      uint64
-	jobs       []*job
-	effects    map[uint64]int
-	ended      map[uint64]int // by request: final answers
-	rejected   map[uint64]bool
-	tries      map[uint64]uint32
-	next       uint64
-	breaks     int
-	restarts   int
-	violations []string
+// model is two instances, near and far, the connections between them, and the servers of the far one. The near one acts
+// as the router does for non-idempotent requests: it retries only what is proven not to have been executed.
+type model struct {
+	now               time.Duration
+	near, far         *Endpoint
+	nearConn, farConn *connection // what each takes for the present connection
+	number            uint64
+	epoch             uint64
+	executions        []*serverExecution
+	effects           map[uint64]int
+	finished          map[uint64]int // by request: final responses
+	rejected          map[uint64]bool
+	attempts          map[uint64]uint32
+	next              uint64
+	disconnects       int
+	restarts          int
+	violations        []string
 }
 
-func newWorld() *world {
-	return &world{near: New(small, 1), far: New(small, 100), epoch: 100, effects: map[uint64]int{}, ended: map[uint64]int{},
-		rejected: map[uint64]bool{}, tries: map[uint64]uint32{}}
+func newModel() *model {
+	return &model{near: New(smallSettings, 1), far: New(smallSettings, 100), epoch: 100, effects: map[uint64]int{}, finished: map[uint64]int{},
+		rejected: map[uint64]bool{}, attempts: map[uint64]uint32{}}
 }
 
-func (w *world) fail(format string, args ...any) {
-	w.violations = append(w.violations, fmt.Sprintf(format, args...))
+func (m *model) fail(format string, args ...any) {
+	m.violations = append(m.violations, fmt.Sprintf(format, args...))
 }
 
-// pump moves what each side wants to send, and acts on its wishes.
-func (w *world) pump() {
+// pump sends the frames of both endpoints and carries out what they return.
+func (m *model) pump() {
 	for again := true; again; {
 		again = false
-		for f, ok := w.near.NextFrame(w.now); ok && w.cn != nil; f, ok = w.near.NextFrame(w.now) {
-			w.cn.toFar = append(w.cn.toFar, f)
+		for f, ok := m.near.NextFrame(m.now); ok && m.nearConn != nil; f, ok = m.near.NextFrame(m.now) {
+			m.nearConn.toFar = append(m.nearConn.toFar, f)
 		}
-		for f, ok := w.far.NextFrame(w.now); ok && w.cf != nil; f, ok = w.far.NextFrame(w.now) {
-			w.cf.toNear = append(w.cf.toNear, f)
+		for f, ok := m.far.NextFrame(m.now); ok && m.farConn != nil; f, ok = m.far.NextFrame(m.now) {
+			m.farConn.toNear = append(m.farConn.toNear, f)
 		}
-		for _, s := range w.far.TakePeerRequests() {
+		for _, s := range m.far.TakePeerRequests() {
 			if s.Canceled {
 				continue // what went out to a store may commit all the same
 			}
-			w.jobs = append(w.jobs, &job{request: uint64(s.Data[0]), run: s.Execution, epoch: w.epoch})
+			m.executions = append(m.executions, &serverExecution{request: uint64(s.Data[0]), execution: s.Execution, epoch: m.epoch})
 		}
-		for _, e := range w.near.TakeOutcomes() {
+		for _, e := range m.near.TakeOutcomes() {
 			again = true
-			w.took(e)
+			m.handleOutcome(e)
 		}
 	}
 }
 
-func (w *world) took(e Outcome) {
+func (m *model) handleOutcome(e Outcome) {
 	switch {
 	case e.NotExecuted:
-		for _, j := range w.jobs {
-			if j.request == e.ID && !(e.Result != nil) {
-				w.fail("request %d ended as never run, and ran", e.ID)
+		for _, j := range m.executions {
+			if j.request == e.ID && e.Result == nil {
+				m.fail("request %d ended as not executed, and was executed", e.ID)
 			}
 		}
-		w.tries[e.ID]++
-		if w.tries[e.ID] < 3 && w.near.State() == Up {
-			w.near.Forward(w.now, w.crossing(e.ID))
+		m.attempts[e.ID]++
+		if m.attempts[e.ID] < 3 && m.near.State() == Up {
+			m.near.Forward(m.now, m.request(e.ID))
 			return
 		}
-		w.ended[e.ID]++
-		w.rejected[e.ID] = true
+		m.finished[e.ID]++
+		m.rejected[e.ID] = true
 	case e.Result != nil && e.Result.Status == StatusServed:
-		if w.effects[e.ID] != 1 {
-			w.fail("request %d served with %d effects", e.ID, w.effects[e.ID])
+		if m.effects[e.ID] != 1 {
+			m.fail("request %d served with %d effects", e.ID, m.effects[e.ID])
 		}
-		w.ended[e.ID]++
+		m.finished[e.ID]++
 	default:
-		w.ended[e.ID]++ // rolled back
+		m.finished[e.ID]++ // failed or unknown
 	}
-	if w.ended[e.ID] > 1 {
-		w.fail("request %d ended twice", e.ID)
+	if m.finished[e.ID] > 1 {
+		m.fail("request %d ended twice", e.ID)
 	}
 }
 
-func (w *world) crossing(id uint64) ForwardedRequest {
-	return ForwardedRequest{ID: id, AttemptNumber: w.tries[id], Group: int64(id % 2), Deadline: w.now + 3*time.Second, MaxAttempts: 1, Write: true,
+func (m *model) request(id uint64) ForwardedRequest {
+	return ForwardedRequest{ID: id, AttemptNumber: m.attempts[id], Group: int64(id % 2), Deadline: m.now + 3*time.Second, MaxAttempts: 1, Write: true,
 		Message: []byte{byte(id)}}
 }
 
 const steps = 9
 
-// step does the k-th thing that may happen; false where it can't now.
-func (w *world) step(k int, requests, breaks, restarts int) bool {
+// step makes the k-th event happen; false where it cannot now.
+func (m *model) step(k int, requests, disconnects, restarts int) bool {
 	switch k {
 	case 0:
-		if int(w.next) >= requests {
+		if int(m.next) >= requests {
 			return false
 		}
-		w.next++
-		w.near.Forward(w.now, w.crossing(w.next))
-	case 1: // a frame reaches the far site, on the connection that it believes in
-		if w.cf == nil || len(w.cf.toFar) == 0 {
+		m.next++
+		m.near.Forward(m.now, m.request(m.next))
+	case 1: // a frame arrives at the far site, on its present connection
+		if m.farConn == nil || len(m.farConn.toFar) == 0 {
 			return false
 		}
-		f := w.cf.toFar[0]
-		w.cf.toFar = w.cf.toFar[1:]
-		if err := w.far.Receive(w.now, &f); err != nil {
-			w.fail("the far side: %v", err)
+		f := m.farConn.toFar[0]
+		m.farConn.toFar = m.farConn.toFar[1:]
+		if err := m.far.Receive(m.now, &f); err != nil {
+			m.fail("far endpoint: %v", err)
 		}
 	case 2:
-		if w.cn == nil || len(w.cn.toNear) == 0 {
+		if m.nearConn == nil || len(m.nearConn.toNear) == 0 {
 			return false
 		}
-		f := w.cn.toNear[0]
-		w.cn.toNear = w.cn.toNear[1:]
-		if err := w.near.Receive(w.now, &f); err != nil {
-			w.fail("the near side: %v", err)
+		f := m.nearConn.toNear[0]
+		m.nearConn.toNear = m.nearConn.toNear[1:]
+		if err := m.near.Receive(m.now, &f); err != nil {
+			m.fail("near endpoint: %v", err)
 		}
-	case 3: // the near side sees the link break; the far one goes on reading what is under way
-		if w.cn == nil || w.breaks >= breaks {
+	case 3: // the near site loses the connection; the far one goes on reading what is in flight
+		if m.nearConn == nil || m.disconnects >= disconnects {
 			return false
 		}
-		w.breaks++
-		w.cn = nil
-		w.near.ConnectionLost(w.now)
-	case 4: // the far side sees it break
-		if w.cf == nil || w.breaks >= breaks {
+		m.disconnects++
+		m.nearConn = nil
+		m.near.ConnectionLost(m.now)
+	case 4: // the far site loses it
+		if m.farConn == nil || m.disconnects >= disconnects {
 			return false
 		}
-		w.breaks++
-		w.cf = nil
-		w.far.ConnectionLost(w.now)
+		m.disconnects++
+		m.farConn = nil
+		m.far.ConnectionLost(m.now)
 	case 5:
-		if w.cn != nil && w.cn == w.cf {
+		if m.nearConn != nil && m.nearConn == m.farConn {
 			return false
 		}
-		w.number++
-		p := &pipe{}
-		nh, fh := w.near.Hello("n", w.number), w.far.Hello("f", w.number)
-		if w.far.AcceptHello(w.now, &nh, w.number, false) != nil || w.near.AcceptHello(w.now, &fh, w.number, true) != nil {
-			w.fail("no greeting")
+		m.number++
+		p := &connection{}
+		nh, fh := m.near.Hello("n", m.number), m.far.Hello("f", m.number)
+		if m.far.AcceptHello(m.now, &nh, m.number, false) != nil || m.near.AcceptHello(m.now, &fh, m.number, true) != nil {
+			m.fail("hello rejected")
 		}
-		w.cn, w.cf = p, p
-	case 6: // a store commits
-		for _, j := range w.jobs {
-			if !j.committed && !j.dead {
+		m.nearConn, m.farConn = p, p
+	case 6: // a server commits
+		for _, j := range m.executions {
+			if !j.committed && !j.reported {
 				j.committed = true
-				w.effects[j.request]++
-				if w.rejected[j.request] {
-					w.fail("request %d was declined, and took effect", j.request)
+				m.effects[j.request]++
+				if m.rejected[j.request] {
+					m.fail("request %d was rejected, and took effect", j.request)
 				}
-				if w.effects[j.request] > 1 {
-					w.fail("request %d took effect twice", j.request)
+				if m.effects[j.request] > 1 {
+					m.fail("request %d took effect twice", j.request)
 				}
-				w.pump()
+				m.pump()
 				return true
 			}
 		}
 		return false
-	case 7: // and the far instance hears of it
-		for _, j := range w.jobs {
-			if j.committed && !j.dead && j.epoch == w.epoch {
-				j.dead = true
-				w.far.ExecutionFinished(w.now, j.run, Frame{Status: StatusServed, Data: []byte("row")})
-				w.pump()
+	case 7: // and the far instance receives the result
+		for _, j := range m.executions {
+			if j.committed && !j.reported && j.epoch == m.epoch {
+				j.reported = true
+				m.far.ExecutionFinished(m.now, j.execution, Frame{Status: StatusServed, Data: []byte("row")})
+				m.pump()
 				return true
 			}
 		}
 		return false
-	case 8: // the far instance starts anew; what it sent to stores goes on
-		if w.restarts >= restarts {
+	case 8: // the far instance restarts; what it sent to servers continues
+		if m.restarts >= restarts {
 			return false
 		}
-		w.restarts++
-		w.epoch++
-		w.far, w.cf = New(small, w.epoch), nil
+		m.restarts++
+		m.epoch++
+		m.far, m.farConn = New(smallSettings, m.epoch), nil
 	default: // time passes
-		w.now += 300 * ms
-		if w.near.Tick(w.now) != nil {
-			w.cn = nil
+		m.now += 300 * ms
+		if m.near.Tick(m.now) != nil {
+			m.nearConn = nil
 		}
-		if w.far.Tick(w.now) != nil {
-			w.cf = nil
+		if m.far.Tick(m.now) != nil {
+			m.farConn = nil
 		}
 	}
-	w.pump()
+	m.pump()
 	return true
 }
 
-// finish lets time pass until all is ended, and looks whether it is.
-func (w *world) finish() {
+// finish lets time pass until all requests must have an outcome, and checks that they have.
+func (m *model) finish() {
 	for range 20 {
-		w.step(steps, 0, 0, 0)
+		m.step(steps, 0, 0, 0)
 	}
-	for id := uint64(1); id <= w.next; id++ {
-		if w.ended[id] != 1 {
-			w.fail("request %d ended %d times", id, w.ended[id])
+	for id := uint64(1); id <= m.next; id++ {
+		if m.finished[id] != 1 {
+			m.fail("request %d ended %d times", id, m.finished[id])
 		}
 	}
 }
 
-// key tells worlds apart as far as what may still happen goes.
-func (w *world) key() string {
+// key distinguishes states as far as what may still happen goes.
+func (m *model) key() string {
 	var b strings.Builder
-	fmt.Fprint(&b, w.now/(300*ms), w.breaks, w.restarts, w.next, w.cn == nil, w.cf == nil, w.cn == w.cf, w.effects, w.ended, w.tries)
-	for _, p := range []*pipe{w.cn, w.cf} {
+	fmt.Fprint(&b, m.now/(300*ms), m.disconnects, m.restarts, m.next, m.nearConn == nil, m.farConn == nil, m.nearConn == m.farConn, m.effects, m.finished, m.attempts)
+	for _, p := range []*connection{m.nearConn, m.farConn} {
 		if p != nil {
 			for _, f := range append(append([]Frame{}, p.toFar...), p.toNear...) {
 				fmt.Fprint(&b, "|", f.Kind, f.ID, f.AttemptNumber, f.Status)
 			}
 		}
 	}
-	for _, s := range []*Endpoint{w.near, w.far} {
+	for _, s := range []*Endpoint{m.near, m.far} {
 		var lines []string
-		for _, x := range s.ours {
-			lines = append(lines, fmt.Sprint(x.ID, x.AttemptNumber, x.stage, x.epoch, (w.now-x.doubted)/(300*ms)))
+		for _, x := range s.forwards.pending {
+			lines = append(lines, fmt.Sprint(x.ID, x.AttemptNumber, x.state, x.peerEpoch, (m.now-x.unknownSince)/(300*ms)))
 		}
-		for _, r := range s.runs {
-			lines = append(lines, fmt.Sprint("r", r.id, r.try, r.outcome == nil))
+		for _, r := range s.execs.byRequest {
+			lines = append(lines, fmt.Sprint("r", r.id, r.attemptNumber, r.result == nil))
 		}
 		sort.Strings(lines)
-		fmt.Fprint(&b, s.state, lines, s.forgotten, len(s.results), len(s.control))
+		fmt.Fprint(&b, s.state, lines, s.execs.forgottenSerial, len(s.unsentResults), len(s.controlFrames))
 	}
-	for _, j := range w.jobs {
-		fmt.Fprint(&b, j.request, j.committed, j.dead, j.epoch == w.epoch)
+	for _, j := range m.executions {
+		fmt.Fprint(&b, j.request, j.committed, j.reported, j.epoch == m.epoch)
 	}
 	return b.String()
 }
 
-func replay(path []byte, requests, breaks, restarts int) (*world, bool) {
-	w := newWorld()
-	w.step(5, 0, 0, 0)
+func replay(path []byte, requests, disconnects, restarts int) (*model, bool) {
+	m := newModel()
+	m.step(5, 0, 0, 0)
 	for _, k := range path {
-		if !w.step(int(k), requests, breaks, restarts) {
-			return w, false
+		if !m.step(int(k), requests, disconnects, restarts) {
+			return m, false
 		}
 	}
-	return w, true
+	return m, true
 }
 
-// explore walks every order of what may happen, up to a depth, each world once.
-func explore(t *testing.T, depth, requests, breaks, restarts, most int) (worlds int) {
+// explore tries every order of events up to a depth, from each state once.
+func explore(t *testing.T, depth, requests, disconnects, restarts, maxStates int) (states int) {
 	seen := map[string]bool{}
 	level := [][]byte{nil}
 	for d := 0; d < depth && len(level) > 0; d++ {
@@ -272,19 +272,19 @@
 		for _, path := range level {
 			for k := range steps + 1 {
 				to := append(append([]byte{}, path...), byte(k))
-				w, ok := replay(to, requests, breaks, restarts)
+				m, ok := replay(to, requests, disconnects, restarts)
 				if !ok {
 					continue
 				}
-				key := w.key()
+				key := m.key()
 				if seen[key] {
 					continue
 				}
 				seen[key] = true
 				next = append(next, to)
-				w.finish()
-				require.Empty(t, w.violations, "after %v", to)
-				if len(seen) >= most {
+				m.finish()
+				require.Empty(t, m.violations, "after %v", to)
+				if len(seen) >= maxStates {
 					return len(seen)
 				}
 			}
@@ -294,29 +294,29 @@
 	return len(seen)
 }
 
-func TestEveryOrderOfSmallCasesKeepsTheRules(t *testing.T) {
+func TestInvariantsHoldForEveryOrderOfEventsInSmallCases(t *testing.T) {
 	depth, most := 12, 30_000
 	if testing.Short() {
 		most = 5_000
 	}
-	for _, c := range []struct{ requests, breaks, restarts int }{{1, 2, 1}, {2, 1, 1}, {2, 2, 0}, {3, 1, 0}} {
-		n := explore(t, depth, c.requests, c.breaks, c.restarts, most)
-		t.Logf("%d requests, %d breaks, %d restarts: %d worlds", c.requests, c.breaks, c.restarts, n)
+	for _, c := range []struct{ requests, disconnects, restarts int }{{1, 2, 1}, {2, 1, 1}, {2, 2, 0}, {3, 1, 0}} {
+		n := explore(t, depth, c.requests, c.disconnects, c.restarts, most)
+		t.Logf("%d requests, %d disconnects, %d restarts: %d states", c.requests, c.disconnects, c.restarts, n)
 	}
 }
 
-func TestLongRunsKeepTheRules(t *testing.T) {
+func TestInvariantsHoldInLongRandomRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld()
+		m := newModel()
 		for range 150 {
-			w.step(rapid.IntRange(0, steps).Draw(t, "step"), 12, 20, 3)
-			if len(w.violations) > 0 {
-				t.Fatalf("%v", w.violations)
+			m.step(rapid.IntRange(0, steps).Draw(t, "step"), 12, 20, 3)
+			if len(m.violations) > 0 {
+				t.Fatalf("%v", m.violations)
 			}
 		}
-		w.finish()
-		if len(w.violations) > 0 {
-			t.Fatalf("%v", w.violations)
+		m.finish()
+		if len(m.violations) > 0 {
+			t.Fatalf("%v", m.violations)
 		}
 	})
 }
--- /dev/null
+++ b/gateway/send.go
@@ -0,0 +1,91 @@
+package gateway
+
+import (
+	"time"
+)
+
+// NextFrame returns the next frame to be written on the present connection; ok is false where there is none, or no
+// credit. Credit goes first, then control frames, results, and requests.
+func (e *Endpoint) NextFrame(now time.Duration) (f Frame, ok bool) {
+	if e.state != Up {
+		return Frame{}, false
+	}
+	f, ok = e.nextCredit()
+	if !ok {
+		f, ok = e.nextControl()
+	}
+	if !ok {
+		f, ok = e.nextResult(now)
+	}
+	if !ok {
+		f, ok = e.nextForward(now)
+	}
+	if ok {
+		e.conn.lastSent = now
+	}
+	return f, ok
+}
+
+// nextCredit gives the peer credit once a quarter of it is used.
+func (e *Endpoint) nextCredit() (Frame, bool) {
+	if e.credit.uncredited <= e.set.CreditBytes/4 {
+		return Frame{}, false
+	}
+	f := Frame{Kind: FrameCredit, CreditBytes: e.credit.uncredited}
+	e.credit.uncredited = 0
+	return f, true
+}
+
+func (e *Endpoint) nextControl() (Frame, bool) {
+	if len(e.controlFrames) == 0 {
+		return Frame{}, false
+	}
+	f := e.controlFrames[0]
+	e.controlFrames = e.controlFrames[1:]
+	return f, true
+}
+
+func (e *Endpoint) nextResult(now time.Duration) (Frame, bool) {
+	for len(e.unsentResults) > 0 {
+		x := e.unsentResults[0]
+		if x.result == nil || e.execs.byRequest[x.requestKey] != x { // executed again, or evicted meanwhile
+			e.unsentResults = e.unsentResults[1:]
+			continue
+		}
+		f := *x.result
+		f.AttemptNumber = x.attemptNumber
+		f.Age += now - x.finishedAt // it grew older while it was kept
+		if !e.credit.allows(f.creditCost()) {
+			return Frame{}, false
+		}
+		e.unsentResults = e.unsentResults[1:]
+		e.credit.bytesInFlight += f.creditCost()
+		return f, true
+	}
+	return Frame{}, false
+}
+
+// nextForward returns the next request of ours. None is sent before the peer is known to receive.
+func (e *Endpoint) nextForward(now time.Duration) (Frame, bool) {
+	if e.conn.unconfirmed {
+		return Frame{}, false
+	}
+	for p := e.forwards.next(); p != nil; p = e.forwards.next() {
+		f := Frame{Kind: FrameForward, ID: p.ID, AttemptNumber: p.AttemptNumber, Serial: e.forwards.lastSerial + 1, Group: p.Group,
+			Timeout: p.Deadline - now, MaxAttempts: p.MaxAttempts, Write: p.Write, After: p.After, Data: p.Message}
+		if !e.credit.allows(f.creditCost()) {
+			return Frame{}, false
+		}
+		e.forwards.dequeue(p)
+		if f.Timeout <= 0 {
+			e.finish(p, Outcome{NotExecuted: true})
+			continue
+		}
+		e.forwards.lastSerial++
+		p.state, p.sentAt, p.peerEpoch, p.serial = forwardSent, now, e.conn.peerEpoch, f.Serial
+		e.credit.bytesInFlight += f.creditCost()
+		e.Counters.Forwarded++
+		return f, true
+	}
+	return Frame{}, false
+}
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -1,115 +1,40 @@
 package gateway
 
 import (
-	"strconv"
+	"errors"
+	"fmt"
 	"time"
-
-	"dapplerouter/config"
 )
 
-// FormName is the operator's form that makes an instance a gateway:
-//
-//	(gateway
-//	  (here kathmandu)
-//	  (peer pokhara
-//	    (address "192.0.2.7:7443")        ; where the peer listens; or (listen "0.0.0.0:7443") and the peer dials
-//	    (groups 3 4)                      ; that live there
-//	    (key "here.key") (certificate "here.crt") (trust "pokhara.crt") ; or (plain loopback)
-//	    (heartbeat 200ms) (silence 700ms) (recover 1s) (retain 5s)
-//	    (crossings 1024) (credit 1MiB) (kept 4MiB)))
-const FormName = "gateway"
-
-// Config is what the form says.
-type Config struct {
-	LocalSite, PeerSite                 string
-	Address, Listen                     string
-	Groups                              []int64
-	Settings                            Settings
-	KeyFile, CertificateFile, TrustFile string // files; all "" where the link is plain
-	Position                            config.Position
+// Settings are what an operator may set for a link; each field has the name of its form in the operator's file.
+type Settings struct {
+	HeartbeatInterval time.Duration // heartbeat: the longest time without a frame sent
+	PeerTimeout       time.Duration // silence: without a frame for so long, the link is down
+	RecoveryTimeout   time.Duration // recover: how long a request's outcome may stay unknown
+	OutcomeRetention  time.Duration // retain: how long outcomes are kept at least; no idempotency window may be longer
+	MaxInFlight       int           // crossings: requests in flight, for each direction
+	CreditBytes       int64         // credit: bytes of requests and results that the peer may have in flight to us
+	RetainedBytes     int64         // kept: bytes of retained outcomes
 }
 
-// ReadConfig reads the form; what is wrong with it is noted with its reading.
-func ReadConfig(f *config.Form) *Config {
-	c := &Config{Settings: DefaultSettings, Position: f.Position}
-	forms := f.Forms("here", "peer")
-	if h := forms["here"]; h != nil {
-		w, _ := h.Value()
-		c.LocalSite = w.Name
-	} else {
-		f.Errorf(f.Position, "(here NAME)", "the gateway does not say where it stands")
-	}
-	p := forms["peer"]
-	if p == nil {
-		f.Errorf(f.Position, "(peer NAME (address ...) (groups ...) ...)", "the gateway names no peer")
-		return c
-	}
-	name, ok := p.TakeName()
-	if !ok {
-		return c
-	}
-	c.PeerSite = name.Name
-	if c.PeerSite == c.LocalSite {
-		f.Errorf(name.Position, "the other site's name", "%s is its own peer", c.PeerSite)
-	}
-	is := p.Forms("address", "listen", "groups", "key", "certificate", "trust", "plain", "heartbeat", "silence", "recover", "retain",
-		"crossings", "credit", "kept")
-	text := func(name string, to *string) {
-		if g := is[name]; g != nil {
-			w, _ := g.Value()
-			*to = w.Name
-		}
-	}
-	text("address", &c.Address)
-	text("listen", &c.Listen)
-	text("key", &c.KeyFile)
-	text("certificate", &c.CertificateFile)
-	text("trust", &c.TrustFile)
-	if (c.Address == "") == (c.Listen == "") {
-		f.Errorf(p.Position, "(address \"HOST:PORT\") at one site, (listen \"HOST:PORT\") at the other", "one of address and listen belongs here")
-	}
-	if g := is["groups"]; g != nil {
-		for _, w := range g.Atoms() {
-			n, err := strconv.ParseInt(w.Name, 10, 64)
-			if err != nil {
-				f.Errorf(w.Position, "a group is a whole number, as the list has it", "%s is no group", w.Name)
-			}
-			c.Groups = append(c.Groups, n)
-		}
-	}
-	plain := is["plain"]
-	if plain != nil {
-		plain.Choice("loopback")
-	}
-	if all := c.KeyFile != "" && c.CertificateFile != "" && c.TrustFile != ""; all == (plain != nil) || plain != nil && c.KeyFile+c.CertificateFile+c.TrustFile != "" {
-		f.Errorf(p.Position, "(key FILE) (certificate FILE) (trust FILE), made by dapplerouter keys; or (plain loopback) for a trial",
-			"the link's keys are not all named")
-	}
-	span := func(name string, to *time.Duration) {
-		if g := is[name]; g != nil {
-			*to = g.Duration()
-		}
-	}
-	span("heartbeat", &c.Settings.HeartbeatInterval)
-	span("silence", &c.Settings.PeerTimeout)
-	span("recover", &c.Settings.RecoveryTimeout)
-	span("retain", &c.Settings.OutcomeRetention)
-	if g := is["credit"]; g != nil {
-		c.Settings.CreditBytes = g.Size(MaxDataBytes+frameCost, 1<<30)
-	}
-	if g := is["kept"]; g != nil {
-		c.Settings.RetainedBytes = g.Size(MaxDataBytes, 1<<30)
-	}
-	if g := is["crossings"]; g != nil {
-		w, _ := g.Value()
-		n, err := strconv.Atoi(w.Name)
-		if err != nil || n < 1 || n > 1<<16 {
-			f.Errorf(w.Position, "between 1 and 65536", "%s is no count of crossings", w.Name)
-		}
-		c.Settings.MaxInFlight = n
-	}
-	if err := c.Settings.Check(); err != nil {
-		f.Errorf(p.Position, "see docs/operate/gateway.md", "the link's times contradict each other: %v", err)
-	}
-	return c
+// DefaultSettings suit a link with a round trip of up to some 100 ms.
+var DefaultSettings = Settings{HeartbeatInterval: 200 * time.Millisecond, PeerTimeout: 700 * time.Millisecond,
+	RecoveryTimeout: time.Second, OutcomeRetention: 5 * time.Second, MaxInFlight: 1024, CreditBytes: 1 << 20, RetainedBytes: 4 << 20}
+
+// ErrInvalidSettings is wrapped by the errors of Settings.Check.
+var ErrInvalidSettings = errors.New("invalid link settings")
+
+// Check returns an error that wraps ErrInvalidSettings where settings contradict each other.
+func (s *Settings) Check() error {
+	switch {
+	case s.HeartbeatInterval <= 0 || s.PeerTimeout < 2*s.HeartbeatInterval:
+		return fmt.Errorf("%w: silence (%v) must be at least twice the heartbeat (%v), or one late heartbeat ends the link",
+			ErrInvalidSettings, s.PeerTimeout, s.HeartbeatInterval)
+	case s.OutcomeRetention < 2*s.RecoveryTimeout+s.PeerTimeout:
+		return fmt.Errorf("%w: retain (%v) must be at least twice recover (%v) plus silence (%v), or an outcome may be forgotten before it is requested",
+			ErrInvalidSettings, s.OutcomeRetention, s.RecoveryTimeout, s.PeerTimeout)
+	case s.MaxInFlight < 1 || s.CreditBytes < MaxDataBytes+frameOverhead || s.RetainedBytes < MaxDataBytes:
+		return fmt.Errorf("%w: crossings, credit and kept must allow one request of %d bytes", ErrInvalidSettings, MaxDataBytes)
+	}
+	return nil
 }
