--- a/fleet/voter.go
+++ b/fleet/voter.go
@@ -1,14 +1,11 @@
 package fleet
 
 import (
-	"encoding/binary"
 	"fmt"
-	"hash/crc32"
 	"hash/crc64"
 	"io"
 	"log"
 	"slices"
-	"strconv"
 	"time"
 
 	"go.etcd.io/raft/v3"
@@ -19,35 +16,25 @@
 // voter is a member of the consensus group, which is the raft library's. The library's own election clock is not used, since its
 // randomness can't be seeded: a voter campaigns by itself when it has heard no leader for its election timeout.
 type voter struct {
-	node      *Node
-	id        uint64
-	rawNode   *raft.RawNode
-	storage   *raft.MemoryStorage
-	confState *pb.ConfState
-	nameByID  map[uint64]string
-	applied   uint64
-
-	leaderContactAt time.Duration // when a leader's message was received last
-	electionTimeout time.Duration
-	timeoutDraws    int
-	leaderID        uint64
-	term            uint64
-
-	floor         Floor // as it is on disk
-	peerFloors    map[string]Floor
-	floorsSavedAt time.Duration
-	floorsDirty   bool
+	node       *Node
+	id         uint64
+	nameByID   map[uint64]string
+	haltReason string // "" while it runs
+	consensusLog
+	election
+	confirmation
+	diskOutput
+	diskFloors
 	admission
-	haltReason string
-
-	ready        *raft.Ready // waiting for its disk write
-	pendingWrite *DiskWrite
-	confChanged  bool // the voters differ from those in the last snapshot
+}
 
-	readRounds  uint64 // rounds by which a leader confirms that it still leads
-	readAt      time.Duration
-	confirmedAt time.Duration
-	silenced    bool
+// consensusLog is the raft library's state of the log.
+type consensusLog struct {
+	rawNode   *raft.RawNode
+	storage   *raft.MemoryStorage
+	confState *pb.ConfState // the voters as of the last applied entry, nil before a first snapshot
+	applied   uint64        // index of the last applied entry
+	term      uint64        // as it is on disk
 }
 
 // raftLogger discards the library's log: what matters of it is emitted as events.
@@ -62,10 +49,13 @@
 }
 
 func newVoter(n *Node, s *DiskState) (*voter, error) {
-	v := &voter{node: n, id: voterID(n.options.Name), storage: raft.NewMemoryStorage(), nameByID: map[uint64]string{},
-		peerFloors: map[string]Floor{}, admission: newAdmission(s.Hard == nil)}
-	for name, f := range s.Floors {
-		v.peerFloors[name] = f
+	v := &voter{
+		node:         n,
+		id:           voterID(n.options.Name),
+		nameByID:     map[uint64]string{},
+		consensusLog: consensusLog{storage: raft.NewMemoryStorage()},
+		diskFloors:   newDiskFloors(s.Floors),
+		admission:    newAdmission(s.Hard == nil),
 	}
 	first := s.Snapshot
 	if s.Hard == nil && first == nil && !n.options.JoinsExistingFleet {
@@ -129,14 +119,6 @@
 	}
 }
 
-// drawElectionTimeout draws the next election timeout, once to twice the minimum, so that voters don't campaign in step.
-func (v *voter) drawElectionTimeout() {
-	v.timeoutDraws++
-	sum := crc32.ChecksumIEEE([]byte(strconv.FormatUint(v.node.options.Seed, 16) + "." + strconv.Itoa(v.timeoutDraws)))
-	least := v.node.options.Timing.electionTimeout()
-	v.electionTimeout = least + time.Duration(float64(least)*float64(sum)/(1<<32))
-}
-
 // voterCount is the size of the consensus group.
 func (v *voter) voterCount() int {
 	if v.confState == nil {
@@ -145,9 +127,6 @@
 	return len(v.confState.GetVoters())
 }
 
-// IsLeader reports whether this front is the leader.
-func (n *Node) IsLeader() bool { return n.leader != nil }
-
 // VoterHaltReason returns why this front's voter stopped, "" where it runs or there is none.
 func (n *Node) VoterHaltReason() string {
 	if n.voter == nil {
@@ -199,12 +178,8 @@
 		if m.GetTerm() >= v.term {
 			v.leaderContactAt = now
 		}
-	case pb.MsgPreVote: // a voter that lost only its own link to the leader must not unseat it
-		lastContact := v.leaderContactAt
-		if v.isLeader() {
-			lastContact = v.confirmedAt
-		}
-		if v.leaderID != 0 && now-lastContact < v.node.options.Timing.electionTimeout() {
+	case pb.MsgPreVote:
+		if v.hasLiveLeader(now) { // a voter that lost only its own link to the leader must not unseat it
 			return nil
 		}
 	}
@@ -213,16 +188,12 @@
 	return nil
 }
 
-// isLeader reports whether this voter leads the consensus group.
-func (v *voter) isLeader() bool { return v.leaderID == v.id }
-
 // tick does what depends on time.
 func (v *voter) tick(now time.Duration) {
 	v.continueRecovery(now)
 	if !v.mayVote() {
 		return
 	}
-	timing := v.node.options.Timing
 	switch {
 	case v.isLeader():
 		v.lead(now)
@@ -232,40 +203,11 @@
 		v.callRaft(func() { v.rawNode.Campaign() })
 	}
 	v.process(now)
-	if v.floorsDirty && v.pendingWrite == nil && now-v.floorsSavedAt >= timing.reportInterval() {
-		v.floorsSavedAt, v.floorsDirty = now, false
+	if v.pendingWrite == nil && v.floorsDue(now, v.node.options.Timing.reportInterval()) {
 		v.pendingWrite = &DiskWrite{Floors: v.copyFloors()}
 	}
 }
 
-// lead keeps the consensus group's heartbeats and confirmation rounds going. A leader without a confirmation is silenced: its
-// followers may hear it, but it hears none, so they must elect another. It tries a round now and then.
-func (v *voter) lead(now time.Duration) {
-	timing := v.node.options.Timing
-	if now-v.confirmedAt > 2*timing.electionTimeout() {
-		v.silenced = true
-	}
-	if v.silenced {
-		if now-v.readAt >= 6*timing.electionTimeout() {
-			v.confirm(now)
-		}
-		return
-	}
-	v.callRaft(v.rawNode.Tick)
-	if now-v.readAt >= timing.HeartbeatInterval() || v.node.leader.hasUnconfirmed() {
-		v.confirm(now)
-	}
-}
-
-// confirm asks a majority whether this voter still leads. The answer confirms renewals that were received before the question.
-func (v *voter) confirm(now time.Duration) {
-	v.readRounds++
-	v.readAt = now
-	var mark [8]byte
-	binary.BigEndian.PutUint64(mark[:], v.readRounds)
-	v.callRaft(func() { v.rawNode.ReadIndex(mark[:]) })
-}
-
 // propose proposes a command for the log; it fails unless this voter leads.
 func (v *voter) propose(c *Command) bool {
 	ok := false
@@ -274,24 +216,6 @@
 	return ok
 }
 
-// onSoftState handles a change of leadership.
-func (v *voter) onSoftState(now time.Duration, s *raft.SoftState) {
-	was := v.isLeader()
-	if s.Lead != v.leaderID {
-		v.leaderContactAt = now
-	}
-	v.leaderID = s.Lead
-	switch {
-	case v.isLeader() && !was:
-		v.confirmedAt, v.silenced, v.readAt = now, false, now
-		v.node.leader = newLeader(v.node, v, now)
-		v.node.emit(BecameLeader{Term: v.rawNode.BasicStatus().HardState.GetTerm()})
-	case was && !v.isLeader():
-		v.node.leader = nil
-		v.node.emit(LostLeadership{})
-	}
-}
-
 // proposeVoterChange proposes to add or remove a voter.
 func (v *voter) proposeVoterChange(c *Command) bool {
 	typ := pb.ConfChangeAddNode
@@ -317,21 +241,3 @@
 		v.rawNode.ReportSnapshot(id, raft.SnapshotFailure)
 	})
 }
-
-// transferLeadership transfers the leadership to the most advanced linked voter, for a leader that shuts down.
-func (v *voter) transferLeadership() {
-	if !v.isLeader() {
-		return
-	}
-	best, at := uint64(0), uint64(0)
-	v.callRaft(func() {
-		for id, pr := range v.rawNode.Status().Progress {
-			if name := v.nameByID[id]; id != v.id && v.node.peers[name] != nil && (pr.Match > at || pr.Match == at && (best == 0 || id < best)) {
-				best, at = id, pr.Match
-			}
-		}
-		if best != 0 {
-			v.rawNode.TransferLeader(best)
-		}
-	})
-}
--- a/fleet/voter_admission.go
+++ b/fleet/voter_admission.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"time"
 )
 
@@ -21,6 +22,51 @@
 	return admission{vouchedBy: map[string]bool{}, emptyDisks: map[string]bool{}, startedEmpty: isBlank}
 }
 
+// diskFloors is what this voter's disk holds, and what it knows of the others' disks.
+type diskFloors struct {
+	floor         Floor // as it is on disk
+	peerFloors    map[string]Floor
+	floorsSavedAt time.Duration
+	floorsDirty   bool // peerFloors differs from what is on disk
+}
+
+func newDiskFloors(peerFloors map[string]Floor) diskFloors {
+	all := maps.Clone(peerFloors)
+	if all == nil {
+		all = map[string]Floor{}
+	}
+	return diskFloors{peerFloors: all}
+}
+
+// copyFloors returns the others' floors for a disk write.
+func (f *diskFloors) copyFloors() map[string]Floor { return maps.Clone(f.peerFloors) }
+
+// floorsDue reports whether the others' floors should be written to disk now, and notes that they are.
+func (f *diskFloors) floorsDue(now, interval time.Duration) bool {
+	if !f.floorsDirty || now-f.floorsSavedAt < interval {
+		return false
+	}
+	f.floorsSavedAt, f.floorsDirty = now, false
+	return true
+}
+
+// learnFloor records what another voter's disk holds.
+func (f *diskFloors) learnFloor(from string, holds Floor) {
+	known := f.peerFloors[from]
+	if next := known.or(holds); holds != (Floor{}) && known != next {
+		f.peerFloors[from] = next
+		f.floorsDirty = true
+	}
+}
+
+// exclusion returns excludedFloor where a voter was excluded by a recovery, and nothing elsewhere.
+func (f *diskFloors) exclusion(name string) Floor {
+	if f.peerFloors[name] == excludedFloor {
+		return excludedFloor
+	}
+	return Floor{}
+}
+
 // usedByConsensus reports whether a disk with this floor has been used by consensus.
 func (f Floor) usedByConsensus() bool { return f.Term > 0 }
 
@@ -69,14 +115,6 @@
 	}
 }
 
-// learnFloor records what another voter's disk holds.
-func (v *voter) learnFloor(from string, f Floor) {
-	if f != (Floor{}) && v.peerFloors[from] != v.peerFloors[from].or(f) {
-		v.peerFloors[from] = v.peerFloors[from].or(f)
-		v.floorsDirty = true
-	}
-}
-
 // mayVote reports whether this voter takes part in consensus.
 func (v *voter) mayVote() bool {
 	if v.haltReason != "" {
--- a/fleet/voter_disk.go
+++ b/fleet/voter_disk.go
@@ -26,6 +26,13 @@
 	Floors   map[string]Floor
 }
 
+// diskOutput is the library's output on its way to the disk.
+type diskOutput struct {
+	ready        *raft.Ready // waiting for its disk write
+	pendingWrite *DiskWrite
+	confChanged  bool // the voters differ from those in the last snapshot
+}
+
 // When the log is compacted: entriesKept entries stay behind a snapshot, for voters and followers that are a little behind.
 const (
 	catchUpEntries    = 256
@@ -46,14 +53,6 @@
 // WriteFailed reports that a write failed: the voter halts, and the front goes on as a follower.
 func (n *Node) WriteFailed(err error) { n.voter.halt("its disk can't be written: " + err.Error()) }
 
-func (v *voter) copyFloors() map[string]Floor {
-	m := make(map[string]Floor, len(v.peerFloors))
-	for n, f := range v.peerFloors {
-		m[n] = f
-	}
-	return m
-}
-
 // process handles the library's output until something must be written to disk first.
 func (v *voter) process(now time.Duration) {
 	for v.haltReason == "" && v.pendingWrite == nil && v.rawNode.HasReady() {
--- a/fleet/voter_recovery.go
+++ b/fleet/voter_recovery.go
@@ -43,14 +43,6 @@
 // refused for good.
 var excludedFloor = Floor{Term: math.MaxUint64, Vote: math.MaxUint64, Commit: math.MaxUint64, OpenCount: math.MaxUint64}
 
-// exclusion returns excludedFloor where a voter was excluded by a recovery, and nothing elsewhere.
-func (v *voter) exclusion(name string) Floor {
-	if v.peerFloors[name] == excludedFloor {
-		return excludedFloor
-	}
-	return Floor{}
-}
-
 // RecoverVoters makes this voter the only one, from its own disk, where a majority of the voters has lost its disks and no leader can
 // be elected any more. Log entries that the lost voters acknowledged and that are not on this disk are lost. Leases that they granted
 // may still be in use: nothing is changed until the longest of them has expired. The error says why it is refused; Recovery returns
