--- a/fleet/leader.go
+++ b/fleet/leader.go
@@ -8,25 +8,16 @@
 // A renewal counts from when it was received, and only once a majority has confirmed, later than that, that this voter still
 // leads: a leader that was paused or cut off renews nothing that its successor has granted to another meanwhile.
 type leader struct {
-	node  *Node
-	voter *voter
-	since time.Duration // of its leadership
-	ready bool          // all that was committed before its term is applied
-
-	timers         map[string]*leaseTimer
-	members        map[string]*member
-	unconfirmed    []pendingRenewal // received since the last confirmation round began
-	confirming     []pendingRenewal // waiting for a confirmation round
-	heartbeats     uint64
-	tickedAt       time.Duration
-	offloadedAt    time.Duration
-	transfers      map[string]transfer // by lease: transfers that were asked for
-	proposals      proposalMemory
-	declaring      map[string]time.Duration // declarations on their way through the log, with their bounds
-	retryAt        map[string]time.Duration // by front: no join or leave of it is proposed before
-	pausedUntil    map[string]time.Duration // by pauseKey, see backoffEnd
-	duplicates     map[string]*duplicate    // processes that use another process's name
-	configRenewals []pendingRenewal         // received, not confirmed yet
+	node       *Node
+	voter      *voter
+	since      time.Duration // of its leadership
+	ready      bool          // all that was committed before its term is applied
+	heartbeats uint64        // that were sent in its term
+	tickedAt   time.Duration
+	leaseTable
+	memberTable
+	renewalQueue
+	proposals proposalMemory
 }
 
 func newLeader(n *Node, v *voter, now time.Duration) *leader {
@@ -35,14 +26,9 @@
 		voter:       v,
 		since:       now,
 		tickedAt:    now,
-		timers:      map[string]*leaseTimer{},
-		members:     map[string]*member{},
-		transfers:   map[string]transfer{},
+		leaseTable:  newLeaseTable(),
+		memberTable: newMemberTable(),
 		proposals:   newProposalMemory(now),
-		declaring:   map[string]time.Duration{},
-		retryAt:     map[string]time.Duration{},
-		pausedUntil: map[string]time.Duration{},
-		duplicates:  map[string]*duplicate{},
 	}
 }
 
--- a/fleet/leader_leases.go
+++ b/fleet/leader_leases.go
@@ -20,6 +20,31 @@
 	transferringTo string // the front of that grant
 }
 
+// leaseTable is what the leader knows of leases beyond the replicated state.
+type leaseTable struct {
+	timers      map[string]*leaseTimer
+	transfers   map[string]transfer      // by lease: transfers that were asked for
+	declaring   map[string]time.Duration // declarations on their way through the log, with their bounds
+	pausedUntil map[string]time.Duration // by pauseKey, see backoffEnd
+	offloadedAt time.Duration            // when it released a lease of its own last
+}
+
+func newLeaseTable() leaseTable {
+	return leaseTable{
+		timers:      map[string]*leaseTimer{},
+		transfers:   map[string]transfer{},
+		declaring:   map[string]time.Duration{},
+		pausedUntil: map[string]time.Duration{},
+	}
+}
+
+// renewalQueue is the renewals that wait for a majority to confirm that this voter still leads.
+type renewalQueue struct {
+	unconfirmed    []pendingRenewal // of leases, received since the last confirmation round began
+	confirming     []pendingRenewal // of leases, waiting for a confirmation round
+	configRenewals []pendingRenewal // of configuration leases
+}
+
 // pendingRenewal is a renewal of a lease, or of a configuration lease, that waits for a confirmation round.
 type pendingRenewal struct {
 	name        string
--- a/fleet/leader_members.go
+++ b/fleet/leader_members.go
@@ -8,6 +8,21 @@
 	reportedAt time.Duration
 }
 
+// memberTable is the fronts as the leader hears of them.
+type memberTable struct {
+	members    map[string]*member
+	retryAt    map[string]time.Duration // by front: no join or leave of it is proposed before
+	duplicates map[string]*duplicate    // processes that use another process's name
+}
+
+func newMemberTable() memberTable {
+	return memberTable{
+		members:    map[string]*member{},
+		retryAt:    map[string]time.Duration{},
+		duplicates: map[string]*duplicate{},
+	}
+}
+
 // duplicate is a process that uses another live process's name: since when and when last that other was heard, and how often.
 type duplicate struct {
 	incarnation                 uint64
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -10,15 +10,12 @@
 // is declared beside the functions that own it.
 type Node struct {
 	options     Options
-	voter       *voter
-	leader      *leader   // where this front is the leader
-	recovery    *Recovery // that was asked for at this front, nil for none
-	isDisplaced bool      // another process has this front's name: it stays out
+	isDisplaced bool // another process has this front's name: it stays out
+	voterRole
 
 	linkState
 	heartbeatState
 	replicationState
-	snapshotState
 	membershipState
 	routingState
 	requestState
@@ -26,10 +23,22 @@
 	mirrorState
 	configLeaseState
 
+	tickedAt time.Duration
+	outbox
+}
+
+// voterRole is the part of a front in consensus; a follower has none.
+type voterRole struct {
+	voter    *voter    // where this front has a voter's disk
+	leader   *leader   // where its voter leads
+	recovery *Recovery // that was asked for at this front
+}
+
+// outbox is what the owner of a Node has to carry out.
+type outbox struct {
 	outgoing []OutgoingMessage
 	events   []Event
-	closing  []string
-	tickedAt time.Duration
+	closing  []string // peers whose links must be closed
 }
 
 // New makes a Node. disk is what a voter's disk holds, nil for a follower.
@@ -42,7 +51,6 @@
 		linkState:        newLinkState(),
 		heartbeatState:   newHeartbeatState(o.Timing),
 		replicationState: newReplicationState(),
-		snapshotState:    newSnapshotState(),
 		membershipState:  newMembershipState(),
 		routingState:     newRoutingState(),
 		requestState:     newRequestState(o.Incarnation),
--- a/fleet/replication.go
+++ b/fleet/replication.go
@@ -11,10 +11,11 @@
 	state         *ReplicatedState
 	recentEntries []LogEntry // the last ones applied
 	updatedTo     uint64     // index up to which neighbours were updated
+	snapshotState
 }
 
 func newReplicationState() replicationState {
-	return replicationState{state: newReplicatedState()}
+	return replicationState{state: newReplicatedState(), snapshotState: newSnapshotState()}
 }
 
 // State returns this front's copy of the replicated state. It belongs to the Node: read it between calls only.
