--- a/router/scale_bench_test.go
+++ b/router/bench_test.go
@@ -11,7 +11,7 @@
 func BenchmarkAQuietSecondByMembers(b *testing.B) {
 	for _, members := range []int{200, 3200} {
 		b.Run(fmt.Sprint(members), func(b *testing.B) {
-			y := tell(nil, littleSite())
+			y := newHarness(nil, testDeployment())
 			var list []routing.Endpoint
 			for i := range members {
 				list = append(list, routing.Endpoint{Server: i, Group: i / 5, Zone: i % 2, Primary: i%5 == 0})
--- a/router/freshness.go
+++ b/router/freshness.go
@@ -11,44 +11,44 @@
 
 // position is a member's, in the log.
 type position struct {
-	role  routing.Role
-	pos   time.Duration // highest log position known; it stays valid
-	lag   time.Duration // how far it was behind
-	lagAt time.Duration // never: no position is known
+	role          routing.Role
+	applied       time.Duration // highest log position known; it stays valid
+	lag           time.Duration // how far it was behind
+	lagMeasuredAt time.Duration // never: no position is known
 }
 
-var unknownPosition = position{pos: never, lagAt: never}
+var unknownPosition = position{applied: never, lagMeasuredAt: never}
 
-// estimate is the position as far behind as it was recently, less as that grows old.
-func (r *Router) estimate(m *member, now time.Duration) time.Duration {
+// estimatedPosition is the position as far behind as it was recently, less as that grows old.
+func (r *Router) estimatedPosition(m *server, now time.Duration) time.Duration {
 	if m.role == routing.Primary {
 		return now
 	}
-	f := r.fade(now - m.lagAt)
+	f := r.decay(now - m.lagMeasuredAt)
 	return now - time.Duration(float64(m.lag)*f/(f+1/priorWeight))
 }
 
 // observe takes a position as old as its report.
 func (p *position) observe(now, pos, age time.Duration) {
-	p.pos = max(p.pos, pos)
-	p.lag, p.lagAt = max(now-age-p.pos, 0), now
+	p.applied = max(p.applied, pos)
+	p.lag, p.lagMeasuredAt = max(now-age-p.applied, 0), now
 }
 
-// reports are what members tell of themselves.
-type reports struct {
-	positionsByReport bool          // positions stand in reports alone
-	reportAge         time.Duration // how old those are
-	mayProbe          bool
-	presentTold       bool // by some primary's position
-	startsTold        bool // by the list
+// reporting are what members tell of themselves.
+type reporting struct {
+	positionsInReports  bool          // positions stand in reports alone
+	reportAge           time.Duration // how old those are
+	healthChecksAllowed bool
+	primaryPositionSeen bool // by some primary's position
+	startTimesListed    bool // by the list
 }
 
 // observePosition takes the position of an outcome, or of the report that rode on it.
-func (r *Router) observePosition(now time.Duration, m *member, o *routing.AttemptOutcome) {
+func (r *Router) observePosition(now time.Duration, m *server, o *routing.AttemptOutcome) {
 	switch l := &o.Load; {
 	case o.HasPosition:
 		m.observe(now, o.Position, 0)
-	case r.positionsByReport && l.HasPosition: // a primary's position is the present: its report tells how old they are
+	case r.positionsInReports && l.HasPosition: // a primary's position is the present: its report tells how old they are
 		if l.Role == routing.Primary && m.role == routing.Primary {
 			r.reportAge += (now - l.Position - r.reportAge) / 4
 		}
--- a/router/planning.go
+++ b/router/planning.go
@@ -11,11 +11,11 @@
 
 // plan decides what should be out for a request: nothing, if it is held or ends here.
 func (r *Router) plan(now time.Duration, t *request) {
-	if t.end != open || t.at != none {
+	if t.state != pending || t.sentTo != none {
 		return
 	}
 	ty := &r.types[t.Type]
-	if r.pastHope(now, t, ty) {
+	if r.shouldGiveUp(now, t, ty) {
 		t.giveUp(ty)
 		return
 	}
@@ -23,26 +23,26 @@
 	to := r.destination(now, t, ty, g)
 	if to == none {
 		// A primary behind a cut way is there still, and no new one can come up here: waiting brings nothing.
-		if g.away && g.primary == none && (ty.Consistency >= routing.Strong || t.missed || len(g.members) == 1) {
+		if g.partitioned && g.primary == none && (ty.Consistency >= routing.Strong || t.misrouted || len(g.servers) == 1) {
 			t.giveUp(ty)
 		}
-		g.probeWanted = g.probeWanted || g.primary == none
+		g.healthCheckWanted = g.healthCheckWanted || g.primary == none
 		return
 	}
-	if t.attempts > 0 && !(t.missed && to == g.primary) && !r.takeRetry() {
+	if t.attempts > 0 && !(t.misrouted && to == g.primary) && !r.takeRetry() {
 		t.giveUp(ty)
 		return
 	}
-	t.want = to
+	t.planned = to
 }
 
 // destination is the member that a request should go to now, none for none.
 func (r *Router) destination(now time.Duration, t *request, ty *routing.RequestType, g *group) int {
-	blind := ty.Consistency == routing.Write && g.primary == none && !r.mayProbe // a miss is the only way to ask
+	blind := ty.Consistency == routing.Write && g.primary == none && !r.healthChecksAllowed // a miss is the only way to ask
 	if blind || ty.Consistency != routing.Write && ty.Consistency != routing.Strong {
-		return r.pick(now, t, ty)
+		return r.selectServer(now, t, ty)
 	}
-	if g.primary != none && r.admits(now, &r.members[g.primary], t) {
+	if g.primary != none && r.admits(now, &r.servers[g.primary], t) {
 		return g.primary
 	}
 	return none
--- a/router/router.go
+++ b/router/router.go
@@ -30,55 +30,55 @@
 	none  = routing.None
 )
 
-// member is what is known of a member; all is unknown at birth.
-type member struct {
+// server is what is known of a member; all is unknown at birth.
+type server struct {
 	group, zone int
-	endpoint
+	endpointState
 	position
 	concurrency
 	health
 	slowStart
-	probing
+	checkState
 }
 
-var unknownMember = member{group: none, position: unknownPosition, concurrency: unknownConcurrency, health: unknownHealth,
-	slowStart: unknownStart, probing: neverProbed}
+var unknownServer = server{group: none, position: unknownPosition, concurrency: unknownConcurrency, health: unknownHealth,
+	slowStart: unknownStart, checkState: neverChecked}
 
 // Router is one instance: its parts.
 type Router struct {
 	host routing.Host
-	chance
+	randomSource
 	latencies
-	members []member
+	servers []server
 	groups  []group
 	sessions
-	loads
+	fleetLoad
 	slowStartRules
 	selection
 	requestTable
 	admission
-	retries
-	endpointList
-	reports
-	clock
+	retryPolicy
+	endpointWatch
+	reporting
+	stallDetector
 }
 
 // New makes an instance that knows nothing yet.
 func New(h routing.Host, o routing.Options) routing.Router {
 	return &Router{
 		host:           h,
-		chance:         chance{seed: o.Seed},
+		randomSource:   randomSource{seed: o.Seed},
 		latencies:      newLatencies(o.RequestTypes, o.Topology.TickInterval),
 		sessions:       newSessions(o.Replication.ClientCarriesToken),
-		loads:          loads{growth: 1 / float64(max(1, o.Topology.FleetSize))},
+		fleetLoad:      fleetLoad{limitGrowth: 1 / float64(max(1, o.Topology.FleetSize))},
 		slowStartRules: newSlowStartRules(o.Guardrails),
 		selection:      newSelection(o.Seed, o.Topology, o.Replication, o.Limits),
 		requestTable:   requestTable{types: o.RequestTypes, mayCancel: o.Limits.Cancellation},
 		admission:      newAdmission(o.RequestTypes, o.Topology, o.Limits),
-		retries:        retries{maxAttempts: o.Limits.MaxAttempts, retryBudget: retryReserve},
-		endpointList:   newEndpointList(o.Topology, o.Guardrails),
-		reports:        reports{positionsByReport: o.Replication.LoadInResponses && !o.Replication.PositionInResponses, mayProbe: o.Limits.HealthChecks},
-		clock:          clock{wakeAt: never, resumedAt: never},
+		retryPolicy:    retryPolicy{maxAttempts: o.Limits.MaxAttempts, retryBudget: retryReserve},
+		endpointWatch:  newEndpointWatch(o.Topology, o.Guardrails),
+		reporting:      reporting{positionsInReports: o.Replication.LoadInResponses && !o.Replication.PositionInResponses, healthChecksAllowed: o.Limits.HealthChecks},
+		stallDetector:  stallDetector{nextTickAt: never, resumedAt: never},
 	}
 }
 
@@ -88,76 +88,76 @@
 // TimerFired is the tick: what is out at a member that fell silent is taken back and goes elsewhere; so is,
 // once, what looks lost at a member that loses some and answers the rest.
 func (r *Router) TimerFired(now time.Duration) {
-	for p := range r.slab {
-		if t := &r.slab[p]; r.looksLost(now, t) {
+	for p := range r.slots {
+		if t := &r.slots[p]; r.probablyLost(now, t) {
 			r.cancel(t)
 		}
 	}
-	r.warmMembers = 0
-	for i := range r.members {
-		m := &r.members[i]
-		if r.silent(now, m) {
+	r.warmServers = 0
+	for i := range r.servers {
+		m := &r.servers[i]
+		if r.unresponsive(now, m) {
 			r.eject(now, i)
 		}
 		if !m.draining && !m.ejected && r.capacityShare(now, m) == 1 {
-			r.warmMembers++
+			r.warmServers++
 		}
-		r.forget(now, i)
+		r.releaseIfGone(now, i)
 	}
 }
 
 // Reconcile plans what came in or is held, and emits the difference between what should be and what is.
 func (r *Router) Reconcile(now time.Duration) {
 	// First among the held is what is worth most for its work, among equals the newest (most hope).
-	slices.SortStableFunc(r.held, func(a, b uint32) int {
-		x, y := &r.slab[a], &r.slab[b]
-		return cmp.Or(cmp.Compare(r.valueDensity(y), r.valueDensity(x)), cmp.Compare(y.begun, x.begun))
+	slices.SortStableFunc(r.queue, func(a, b uint32) int {
+		x, y := &r.slots[a], &r.slots[b]
+		return cmp.Or(cmp.Compare(r.valueDensity(y), r.valueDensity(x)), cmp.Compare(y.receivedAt, x.receivedAt))
 	})
-	kept := r.held[:0]
-	for _, p := range r.held {
-		t := &r.slab[p]
+	kept := r.queue[:0]
+	for _, p := range r.queue {
+		t := &r.slots[p]
 		r.plan(now, t)
 		r.emit(now, t)
-		if t.held = t.end == open && t.at == none; t.held {
+		if t.queued = t.state == pending && t.sentTo == none; t.queued {
 			kept = append(kept, p)
 		}
 	}
-	r.held = kept
-	for _, p := range r.cancelled {
-		r.emit(now, &r.slab[p])
+	r.queue = kept
+	for _, p := range r.toCancel {
+		r.emit(now, &r.slots[p])
 	}
-	r.cancelled = r.cancelled[:0]
-	r.sendProbes(now)
+	r.toCancel = r.toCancel[:0]
+	r.startHealthChecks(now)
 	if r.subscriptionDue(now) {
 		r.host.WatchEndpoints(true)
 	}
-	if r.wakeAt <= now {
-		r.wakeAt = now + r.tick
-		r.host.SetTimer(r.tick)
+	if r.nextTickAt <= now {
+		r.nextTickAt = now + r.tickInterval
+		r.host.SetTimer(r.tickInterval)
 	}
 }
 
 // emit brings a request from what is to what should be.
 func (r *Router) emit(now time.Duration, t *request) {
-	if t.at != none && t.want != t.at && !t.cancelling {
+	if t.sentTo != none && t.planned != t.sentTo && !t.cancelling {
 		t.cancelling = true
 		r.host.CancelAttempt(t.Ref, t.attempts-1)
 	}
 	switch {
-	case t.end == rejected:
-		t.end = closed
+	case t.state == rejected:
+		t.state = finished
 		r.host.Reject(t.Ref, r.retryAfter)
-	case t.end == failed:
-		t.end = closed
+	case t.state == failed:
+		t.state = finished
 		r.host.Fail(t.Ref)
-	case t.end == open && t.at == none && t.want != none:
-		m := &r.members[t.want]
-		m.sent(now)
-		m.spend(r.usual[t.Type])
+	case t.state == pending && t.sentTo == none && t.planned != none:
+		m := &r.servers[t.planned]
+		m.attemptStarted(now)
+		m.spend(r.typical[t.Type])
 		if m.ejected {
-			m.retryAt = now + r.ejectionTime(m)
+			m.trialAt = now + r.ejectionTime(m)
 		}
-		t.sentTo(now, t.want)
-		r.host.StartAttempt(t.Ref, t.at, 0)
+		t.attemptStarted(now, t.planned)
+		r.host.StartAttempt(t.Ref, t.sentTo, 0)
 	}
 }
--- a/router/slow_start.go
+++ b/router/slow_start.go
@@ -13,78 +13,78 @@
 
 // slowStartRules are those of the site.
 type slowStartRules struct {
-	initialShare  float64 // least part of its capacity with which a member starts
-	shareMultiple float64 // what a cold member is sent, as a multiple of its part by warmth
-	warmUp        time.Duration
-	fallTime      time.Duration
-	served        decayingMean // attempts that succeeded, in seconds of usual latency
-	warmMembers   int          // members that bear their full part
+	initialCapacity   float64 // least part of its capacity with which a member starts
+	trafficMultiple   float64 // what a cold member is sent, as a multiple of its part by warmth
+	slowStartDuration time.Duration
+	overloadWindow    time.Duration
+	servedWork        decayingMean // attempts that succeeded, in seconds of usual latency
+	warmServers       int          // members that bear their full part
 }
 
-const safeShare = 0.6 // of the multiple of its part at which a cold member falls
+const safetyFactor = 0.6 // of the multiple of its part at which a cold member falls
 
 func newSlowStartRules(rules routing.Guardrails) slowStartRules {
-	return slowStartRules{initialShare: rules.InitialCapacity, shareMultiple: safeShare * rules.OverloadMultiple, warmUp: rules.SlowStartDuration,
-		fallTime: rules.OverloadWindow}
+	return slowStartRules{initialCapacity: rules.InitialCapacity, trafficMultiple: safetyFactor * rules.OverloadMultiple, slowStartDuration: rules.SlowStartDuration,
+		overloadWindow: rules.OverloadWindow}
 }
 
 // slowStart is a member's.
 type slowStart struct {
-	started     time.Duration // latest start known
-	startListed bool          // started is what the list told
-	cold        bool
-	budget      float64 // what a cold member may still be sent, in seconds of usual latency
-	budgetAt    time.Duration
+	startedAt       time.Duration // latest start known
+	startTimeListed bool          // started is what the list told
+	warmingUp       bool
+	budget          float64 // what a cold member may still be sent, in seconds of usual latency
+	budgetUpdatedAt time.Duration
 }
 
-var unknownStart = slowStart{started: never}
+var unknownStart = slowStart{startedAt: never}
 
 // beginSlowStart has a member cold from a moment on.
-func (r *Router) beginSlowStart(now time.Duration, m *member, at time.Duration) {
-	m.started, m.cold, m.startListed = at, now-at < r.warmUp, false
-	m.budget, m.budgetAt = r.draw()*slices.Min(r.usual).Seconds(), now
+func (r *Router) beginSlowStart(now time.Duration, m *server, at time.Duration) {
+	m.startedAt, m.warmingUp, m.startTimeListed = at, now-at < r.slowStartDuration, false
+	m.budget, m.budgetUpdatedAt = r.randomFloat()*slices.Min(r.typical).Seconds(), now
 }
 
-// listStart takes a start that the list tells.
-func (r *Router) listStart(now time.Duration, m *member, at time.Duration) {
-	if at > m.started {
+// updateListedStart takes a start that the list tells.
+func (r *Router) updateListedStart(now time.Duration, m *server, at time.Duration) {
+	if at > m.startedAt {
 		r.beginSlowStart(now, m, at)
-		m.startListed = true
+		m.startTimeListed = true
 	}
 }
 
 // capacityShare is the least part of its capacity that a member has by now.
-func (r *Router) capacityShare(now time.Duration, m *member) float64 {
-	if m.cold = m.cold && now-m.started < r.warmUp; !m.cold {
+func (r *Router) capacityShare(now time.Duration, m *server) float64 {
+	if m.warmingUp = m.warmingUp && now-m.startedAt < r.slowStartDuration; !m.warmingUp {
 		return 1
 	}
-	return r.initialShare + (1-r.initialShare)*float64(max(0, now-m.started))/float64(r.warmUp)
+	return r.initialCapacity + (1-r.initialCapacity)*float64(max(0, now-m.startedAt))/float64(r.slowStartDuration)
 }
 
 // slowStartAdmits tells whether a cold member can take one more. Its part, by least warmth, of what a warm one bears
 // from us keeps all fronts together at what it can do; three fifths of the multiple at which it falls leave
 // room for chance. What it turns away counts too. A front that sent little has its part of one request a span.
-func (r *Router) slowStartAdmits(now time.Duration, m *member, work float64) bool {
+func (r *Router) slowStartAdmits(now time.Duration, m *server, work float64) bool {
 	share := r.capacityShare(now, m)
-	if !m.cold {
+	if !m.warmingUp {
 		return true
 	}
-	part := r.served.sum * r.fade(now-r.served.at) / float64(max(r.warmMembers, 1)) / (recent * r.shortest).Seconds()
-	rate := max(r.shareMultiple*share*part, work*r.growth/r.fallTime.Seconds())
-	m.budget = min(m.budget+rate*(now-m.budgetAt).Seconds(), max(work, rate*r.fallTime.Seconds()/4))
-	m.budgetAt = now
+	part := r.servedWork.sum * r.decay(now-r.servedWork.at) / float64(max(r.warmServers, 1)) / (decayObjectives * r.shortestObjective).Seconds()
+	rate := max(r.trafficMultiple*share*part, work*r.limitGrowth/r.overloadWindow.Seconds())
+	m.budget = min(m.budget+rate*(now-m.budgetUpdatedAt).Seconds(), max(work, rate*r.overloadWindow.Seconds()/4))
+	m.budgetUpdatedAt = now
 	return m.budget >= work
 }
 
 // spend takes an attempt of a usual latency off the budget.
 func (s *slowStart) spend(usual time.Duration) { s.budget -= usual.Seconds() }
 
-// correctStart corrects when a member started; its budget begins anew only where it was taken for a warm one.
-func (r *Router) correctStart(now time.Duration, m *member, at time.Duration) {
-	if !m.cold && now-at < r.warmUp {
+// correctStartTime corrects when a member started; its budget begins anew only where it was taken for a warm one.
+func (r *Router) correctStartTime(now time.Duration, m *server, at time.Duration) {
+	if !m.warmingUp && now-at < r.slowStartDuration {
 		r.beginSlowStart(now, m, at)
-		m.startListed = true
+		m.startTimeListed = true
 		return
 	}
-	m.started = at
+	m.startedAt = at
 }
