--- a/front/core.go
+++ b/front/core.go
@@ -1,14 +1,21 @@
-// Package front is the core between the sockets and the module. It does no I/O: events come in by a
-// channel, wishes go out by calls that never block. One goroutine owns the module and every table here.
+// Package front is the core of a front: it carries events between the network (client connections, server pools, the endpoint watch)
+// and the router, which makes all decisions.
 //
-// A request passes stages, a file each: take in, admit, route, send, relay, metrics. None of them decides.
+// The core does no I/O. Events come in through Post; everything that goes out does so by calls that never block (Pools, Client,
+// EndpointSource, Auditor). One goroutine, that of Run or the caller of Step, owns the router and all state of the core:
+//
+//	requests  the requests that are not finished, their ids and their attempts (requests.go, request.go, attempt.go)
+//	servers   the endpoint list as the router was given it (servers.go, endpoints.go)
+//	timers    what falls due, for the router, for attempts and for leases (timers.go)
+//	versions  configuration versions and the leases to act on them (versions.go, lease.go)
+//	metrics   counts for the log (metrics.go)
+//
+// Invariants: an accepted request gets exactly one response, unless its client has gone. The router is notified of the result of every
+// attempt that it started exactly once; by then the attempt is complete or cut off. No attempt begins for a request whose client has
+// gone or whose configuration lease has expired, and none is started for one that is finished.
 package front
 
 import (
-	"container/heap"
-	"log/slog"
-	"slices"
-	"strings"
 	"time"
 
 	"dapplerouter/deployment"
@@ -16,82 +23,35 @@
 	"dapplerouter/routing"
 )
 
-// RouterFactory makes the Decider of an instance.
+// RouterFactory makes the Router of an instance.
 type RouterFactory func(h routing.Host, seed uint64, at routing.Topology, types []routing.RequestType, customers []routing.Customer,
 	copies routing.Replication, rules routing.Guardrails, allowed routing.Limits, costs routing.CostWeights) routing.Router
 
-// Event is something that came in; the types stand with the stages that take them.
+// Event is something that happened outside the core; Post brings it in. The types are declared next to the code that handles them.
 type Event interface {
 	apply(c *Core, now time.Duration)
 }
 
-// Pools carries attempts to members. No call blocks.
+// Pools carries attempts to servers. No call blocks.
 type Pools interface {
-	SetAddress(member int, address string, age time.Duration) // since its last start
-	Send(member int, s *Attempt)
-	Remove(member int)
+	SetAddress(server int, address string, age time.Duration) // age is the time since the server's last start
+	Send(server int, a *Attempt)
+	Remove(server int)
 }
 
-// EndpointSource is asked for the list where it answers only when asked. No call blocks.
+// EndpointSource is asked for the endpoint list where it has to be polled or subscribed to. No call blocks.
 type EndpointSource interface {
 	Watch(on bool)
 	Fetch()
 }
 
-// Clock is the time since the start, and an alarm that is set anew each time.
+// Clock is the time since the start of the instance, with one timer that each SetTimer sets anew.
 type Clock interface {
 	Now() time.Duration
 	SetTimer(at time.Duration)
 	TimerC() <-chan time.Time
 }
 
-const (
-	eventQueueLength = 4096 // events that may wait; those who bring more wait themselves
-	maxBatch         = 1024 // events in a batch, so that a flood delays no alarm for long
-)
-
-// Core owns the module.
-type Core struct {
-	router         routing.Router
-	pools          Pools
-	endpointSource EndpointSource
-	events         chan Event
-	now            time.Duration // of the batch in hand
-	wallClock
-	places  []serverAddress      // by member
-	serving []bool               // by member: the list lets new work go there
-	clock   func() time.Duration // nil where a host steps the core
-
-	types      []routing.RequestType
-	most       int           // attempts a request
-	patience   time.Duration // for a probe
-	typeIDs    *Index[string]
-	customers  *Index[string]
-	zones      *Index[string]
-	kinds      *Index[string]
-	members    *Index[string]
-	groups     *Index[int64]
-	slab       RequestTable[*Request]
-	ids        map[string]struct{} // of the requests in hand
-	alarms     timerHeap
-	pending    []Event // came of the batch in hand; they open the next one
-	metrics    metrics
-	far        map[int]bool         // members that stand for another site
-	turns      map[int]uint32       // by member: how often its place was given back
-	standing   []discovery.Endpoint // members that no list tells of
-	classes    *classifier          // nil where statements are not classed
-	fleet      FleetOptions
-	terms      *configVersion   // in force
-	past       []*configVersion // of which requests are in hand still
-	unanswered int              // requests in hand without their final answer
-	older      int              // of these, on another version than the newest
-	alone      func()           // hears when there are none
-	lapsed     bool             // the right has run out, and what was in hand is ended
-	shut       bool             // no request is taken any more
-	comeBack   time.Duration
-	entries    []routing.Endpoint
-}
-
 // Options are what a Core is made with.
 type Options struct {
 	StartedAt  time.Time // the wall clock's time at 0 of the core's clock
@@ -103,52 +63,63 @@
 	Classifier *Classifier // nil where statements are in the one form of the clients' protocol
 }
 
+// Core owns the router. See the package comment for its parts.
+type Core struct {
+	router    routing.Router
+	pools     Pools
+	endpoints EndpointSource
+	fleet     FleetOptions
+	clock     func() time.Duration // for attempts; nil where the host steps the core
+
+	queue eventQueue
+	now   time.Duration // of the current batch
+
+	catalog    catalog
+	requests   requests
+	servers    servers
+	timers     timers
+	versions   versions
+	wall       wallClock
+	classifier *classifier // nil where statements are not classified
+	metrics    metrics
+}
+
 // NewCore makes a Core. The rules of the classifier must have passed ValidateClassification.
 func NewCore(o Options) *Core {
-	s, classing := o.Settings, o.Classifier
-	c := &Core{pools: o.Pools, endpointSource: o.Endpoints, events: make(chan Event, eventQueueLength), wallClock: wallClock{epoch: o.StartedAt.Round(0)}, types: s.RequestTypes,
-		most: s.Limits.MaxAttempts, patience: s.Limits.DialTimeout,
-		typeIDs: NewIndex(s.TypeNames...), customers: NewIndex(s.CustomerNames...), zones: NewIndex(s.ZoneNames...),
-		kinds: NewIndex[string](), members: NewIndex[string](), groups: NewIndex[int64](), ids: map[string]struct{}{}, far: map[int]bool{}, turns: map[int]uint32{}}
-	if classing != nil {
-		c.classes = &classifier{statements: classing.Classifier}
-		for _, r := range classing.Rules() {
-			c.classes.ruleTypes = append(c.classes.ruleTypes, c.typeIDs.Intern(r.Type)) // checked before: CheckClassing
-		}
-		c.types = c.classes.addWriteTypes(c.types, classing.UndeclaredWriteEffect)
+	s := o.Settings
+	c := &Core{pools: o.Pools, endpoints: o.Endpoints, queue: newEventQueue(), wall: wallClock{epoch: o.StartedAt.Round(0)},
+		catalog: newCatalog(s), requests: newRequests(), servers: newServers()}
+	if o.Classifier != nil {
+		c.classifier = newClassifier(o.Classifier, &c.catalog)
 	}
-	c.comeBack = s.Limits.MaxRetryAfter
-	c.terms = &configVersion{types: c.types}
-	c.router = o.NewRouter(c, o.Seed, s.Topology, c.types, s.CustomerQuotas, s.Replication, s.Guardrails, s.Limits, s.CostWeights)
+	c.versions.current = &configVersion{types: c.catalog.types}
+	c.router = o.NewRouter(c, o.Seed, s.Topology, c.catalog.types, s.CustomerQuotas, s.Replication, s.Guardrails, s.Limits, s.CostWeights)
 	return c
 }
 
-// RemoteSitePrefix begins the address of a member that stands for another site's part of a group.
-const RemoteSitePrefix = "site:"
+// SetStaticEndpoints sets endpoints that every snapshot of the list has beside its own. It is called before Run.
+func (c *Core) SetStaticEndpoints(endpoints []discovery.Endpoint) { c.servers.static = endpoints }
 
-// SetStaticEndpoints adds members that every whole list has beside its own. It is called before Run.
-func (c *Core) SetStaticEndpoints(entries []discovery.Endpoint) { c.standing = entries }
+// Post brings an event in; it blocks while too many wait.
+func (c *Core) Post(e Event) { c.queue.incoming <- e }
 
-// Post brings an event; it blocks while too many wait.
-func (c *Core) Post(e Event) { c.events <- e }
-
-// Step takes what was posted and what has fallen due, and says when something falls due next. It is for a host that has a
-// clock of its own, as the laboratory's; in service Run does the same.
+// Step handles what was posted and what has fallen due, and returns when something falls due next. It is for a host with a clock of
+// its own, as in simulations; in service Run does the same.
 func (c *Core) Step(now time.Duration) (next time.Duration, ok bool) {
 	c.batch(now)
-	return c.next()
+	return c.nextDue()
 }
 
 // Run serves until stop is closed.
 func (c *Core) Run(clock Clock, stop <-chan struct{}) {
 	c.clock = clock.Now
 	for {
-		if at, ok := c.next(); ok {
+		if at, ok := c.nextDue(); ok {
 			clock.SetTimer(at)
 		}
 		select {
-		case e := <-c.events:
-			c.pending = append(c.pending, e)
+		case e := <-c.queue.incoming:
+			c.queue.next = append(c.queue.next, e)
 		case <-clock.TimerC():
 		case <-stop:
 			return
@@ -158,129 +129,79 @@
 	}
 }
 
-// next says when something falls due.
-func (c *Core) next() (time.Duration, bool) {
-	if len(c.pending) > 0 {
+// nextDue returns when the next batch is due at the latest.
+func (c *Core) nextDue() (time.Duration, bool) {
+	if len(c.queue.next) > 0 {
 		return c.now, true
 	}
-	if len(c.alarms) > 0 {
-		return c.alarms[0].at, true
-	}
-	return 0, false
+	return c.timers.next()
 }
 
-// batch takes all at hand in the order of arrival, then what has fallen due, then settles.
+// batch handles all events at hand in the order of arrival, then what has fallen due, and lets the router reconcile once.
 func (c *Core) batch(now time.Duration) {
 	c.now = now
 	c.expireLeases(now)
-	first := c.pending
-	c.pending = nil
-	for _, e := range first {
+	for _, e := range c.queue.takeNext() {
 		e.apply(c, now)
 	}
-	for n := 0; n < maxBatch; n++ {
-		select {
-		case e := <-c.events:
-			e.apply(c, now)
-			continue
-		default:
+	for range maxBatch {
+		e, ok := c.queue.poll()
+		if !ok {
+			break
 		}
-		break
+		e.apply(c, now)
 	}
-	for len(c.alarms) > 0 && c.alarms[0].at <= now {
-		a := heap.Pop(&c.alarms).(timer)
-		c.metrics.timerFired(now - a.at)
-		switch {
-		case a.leaseExpiry:
-			c.expireLeases(now)
-		case a.attempt == nil:
-			c.router.TimerFired(now)
-		case a.onlyIfUnsent:
-			c.cancelUnsent(a.attempt)
-		default:
-			c.expire(a.attempt)
+	for {
+		t, ok := c.timers.popDue(now)
+		if !ok {
+			break
 		}
+		c.metrics.timerFired(now - t.at)
+		c.fire(t)
 	}
 	c.router.Reconcile(now)
 }
 
-// timer falls due for an attempt, or without one for the module.
-type timer struct {
-	at           time.Duration
-	attempt      *Attempt
-	leaseExpiry  bool // the core's own right may have run out
-	onlyIfUnsent bool // it matters only where nothing of the attempt went out
+// fire acts on a timer that has fallen due.
+func (c *Core) fire(t timer) {
+	switch t.kind {
+	case timerRouter:
+		c.router.TimerFired(c.now)
+	case timerAttemptTimeout:
+		c.timeOut(t.attempt)
+	case timerSendDeadline:
+		c.cancelUnsent(t.attempt)
+	case timerLeaseExpiry:
+		c.expireLeases(c.now)
+	}
 }
 
-type timerHeap []timer
+const (
+	eventQueueLength = 4096 // events that may wait; who posts more waits
+	maxBatch         = 1024 // events in a batch, so that a flood delays no timer for long
+)
 
-func (a timerHeap) Len() int           { return len(a) }
-func (a timerHeap) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a timerHeap) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *timerHeap) Push(x any)        { *a = append(*a, x.(timer)) }
-func (a *timerHeap) Pop() any {
-	old := *a
-	x := old[len(old)-1]
-	old[len(old)-1] = timer{}
-	*a = old[:len(old)-1]
-	return x
+// eventQueue holds the events that are not handled yet.
+type eventQueue struct {
+	incoming chan Event
+	next     []Event // came of the current batch, by the core itself or by Run; the next batch begins with them
 }
 
-// EndpointsChanged brings what the list says; Failed and Cached lists too.
-type EndpointsChanged struct {
-	Kind routing.UpdateKind
-	List discovery.List
+func newEventQueue() eventQueue { return eventQueue{incoming: make(chan Event, eventQueueLength)} }
+
+// takeNext returns the events with which a batch begins.
+func (q *eventQueue) takeNext() []Event {
+	first := q.next
+	q.next = nil
+	return first
 }
 
-func (l EndpointsChanged) apply(c *Core, now time.Duration) {
-	c.entries = c.entries[:0]
-	all := l.List.Endpoints
-	if l.Kind == routing.Snapshot || l.Kind == routing.CachedSnapshot {
-		all = slices.Concat(all, c.standing)
-	}
-	if l.Kind == routing.Snapshot || l.Kind == routing.CachedSnapshot {
-		clear(c.serving)
-	}
-	for _, e := range all { // a start lies in the past
-		c.clockCorrected(c.wallClock.observePast(e.StartedAtMillis, now))
-	}
-	for _, e := range all {
-		zone, ok := c.zones.Lookup(e.Zone)
-		if !ok {
-			slog.Warn("an entry is passed over: its zone is none of the site's", "member", e.Name, "zone", e.Zone)
-			continue
-		}
-		m := c.members.Intern(e.Name)
-		if strings.HasPrefix(e.Address, RemoteSitePrefix) {
-			c.far[m] = true
-		} else {
-			delete(c.far, m) // the place may have been another's
-		}
-		if e.Address != "" {
-			c.setAddress(m, serverAddress{e.Address, e.StartedAtMillis})
-		}
-		c.setServing(m, e.State == routing.Serving)
-		c.entries = append(c.entries, routing.Endpoint{Server: m, Zone: zone, Kind: c.kinds.Intern(e.ServerType),
-			Group: c.groups.Intern(e.Group), State: e.State, Weight: e.Weight, Primary: e.Primary,
-			StartedAt: c.fromUnix(e.StartedAtMillis), HasStartTime: e.StartedAtMillis != 0})
-		if l.Kind == routing.Delta {
-			for i := range c.standing { // as the next whole list will have it
-				if c.standing[i].Name == e.Name {
-					c.standing[i] = e
-				}
-			}
-			slog.Info("listed", "member", e.Name, "state", e.State, "primary", e.Primary,
-				"index", l.List.Index)
-		}
-	}
-	if l.Kind == routing.Snapshot {
-		slog.Info("listed whole", "members", len(c.entries), "index", l.List.Index)
-	}
-	if c.fleet.Auditor != nil && l.Kind != routing.UpdateFailed {
-		c.fleet.Auditor.EndpointsChanged(now, l.List.Index)
-	}
-	c.router.EndpointsChanged(now, l.Kind, l.List.Index, c.entries)
-	if l.Kind != routing.UpdateFailed {
-		c.cancelUnsentToDraining()
+// poll returns an event that has been posted, if there is one.
+func (q *eventQueue) poll() (Event, bool) {
+	select {
+	case e := <-q.incoming:
+		return e, true
+	default:
+		return nil, false
 	}
 }
--- a/front/endings_test.go
+++ b/front/endings_test.go
@@ -19,7 +19,7 @@
 // repeated brings a referenced request to where its repeat waits for a connection: the first was out from 10 ms on and may have run.
 func repeated(t *testing.T) (*Core, *module, *wires) {
 	c, m, w := newFront(t)
-	c.types[1].Idempotency, c.types[1].DedupWindow = routing.IdempotencyKey, 300*ms
+	c.catalog.types[1].Idempotency, c.catalog.types[1].DedupWindow = routing.IdempotencyKey, 300*ms
 	arrive(t, c, w, order)
 	m.wish = func(m *module) { m.StartAttempt(m.begun[0].Ref, 0, 0) }
 	c.batch(10 * ms)
@@ -46,7 +46,7 @@
 	c.batch(310 * ms)
 	assert.Len(t, m.ended, 1, "one that began in time is waited for")
 	c, _, w = repeated(t)
-	w.sent[1].clock = func() time.Duration { return 310 * ms } // the core is at something else
+	w.sent[1].conditions.clock = func() time.Duration { return 310 * ms } // the core is at something else
 	assert.False(t, w.sent[1].Begin(func() {}))
 	c.batch(311 * ms)
 	assert.Zero(t, w.cuts)
@@ -62,7 +62,7 @@
 	c.batch(20 * ms)
 	assert.Equal(t, routing.NotSent, m.ended[0].Result)
 	assert.True(t, m.ended[0].RequestFinished)
-	assert.Zero(t, c.slab.Len())
+	assert.Zero(t, c.requests.table.Len())
 	assert.Empty(t, w.final)
 }
 
@@ -80,13 +80,13 @@
 	c.Post(gone)
 	c.batch(30 * ms)
 	assert.Equal(t, []routing.AttemptResult{routing.ConnectionLost, routing.NotSent}, []routing.AttemptResult{m.ended[0].Result, m.ended[1].Result})
-	assert.Zero(t, c.slab.Len())
+	assert.Zero(t, c.requests.table.Len())
 	assert.Empty(t, w.final)
 }
 
 func TestAShutdownGivesEachTxnWhatIsTrueOfIt(t *testing.T) {
 	c, m, w := newFront(t)
-	c.types[1].Idempotency = routing.NonIdempotent
+	c.catalog.types[1].Idempotency = routing.NonIdempotent
 	for i, text := range []string{browse, strings.Replace(order, "id=1", "id=2", 1), strings.Replace(order, "id=1", "id=3", 1)} {
 		arrive(t, c, w, text)
 		m.wish = func(m *module) { m.StartAttempt(m.begun[i].Ref, 0, 0) }
@@ -105,7 +105,7 @@
 		"a read; a write that may have run; one that cannot have; one that came behind")
 	assert.Equal(t, 2, w.cuts)
 	assert.Len(t, m.begun, 3)
-	assert.Zero(t, c.slab.Len())
+	assert.Zero(t, c.requests.table.Len())
 	c.Post(&AttemptFinished{Attempt: w.sent[1], Answer: pgwire.QueryResult{Complete: true}})
 	c.batch(30 * ms)
 	assert.Len(t, w.final, 4, "and only once")
@@ -135,7 +135,7 @@
 	out(t, c, m, w)
 	for now, want := range map[time.Duration]string{10 * ms: "d=81,", 60 * ms: "d=36,", 90 * ms: "d=9,", 100 * ms: "d=1,"} {
 		c.clock = func() time.Duration { return now }
-		s := &Attempt{query: w.sent[0].query, deadline: w.sent[0].deadline, clock: c.clock}
+		s := &Attempt{query: w.sent[0].query, deadline: w.sent[0].deadline, conditions: sendConditions{clock: c.clock}}
 		s.query.Message = slices.Clone(s.query.Message)
 		assert.Contains(t, string(s.Message()), want)
 	}
--- a/front/far_test.go
+++ b/front/far_test.go
@@ -14,7 +14,7 @@
 // far makes member 0 stand for another site, behind a site that allows so many attempts.
 func far(t *testing.T, most int) (*Core, *module, *wires) {
 	c, m, w := newFront(t)
-	c.most = most
+	c.catalog.limits.MaxAttempts = most
 	c.Post(EndpointsChanged{Kind: routing.Delta, List: discovery.List{Endpoints: []discovery.Endpoint{
 		{Name: "s-1", Address: RemoteSitePrefix + "b/9", Zone: "a", Group: 9}}}})
 	c.batch(ms)
@@ -77,7 +77,7 @@
 		final int
 	}{{200 * ms, true, 1}, {301 * ms, true, 0}, {0, false, 0}} {
 		c, m, w := far(t, 9)
-		c.types[0].Consistency, c.types[0].MaxStaleness = routing.BoundedStaleness, 300*ms
+		c.catalog.types[0].Consistency, c.catalog.types[0].MaxStaleness = routing.BoundedStaleness, 300*ms
 		out(t, c, m, w)
 		w.begin(t, 0)
 		c.Post(&AttemptFinished{Attempt: w.sent[0], Answer: pgwire.QueryResult{Complete: true, Rows: []byte("r")}, Remote: true,
--- a/front/front_test.go
+++ b/front/front_test.go
@@ -81,7 +81,7 @@
 		m.Host = h
 		return m
 	}})
-	c.confirmed = true // as by a primary's answer; timeline_test.go has what comes before
+	c.wall.confirmed = true // as by a primary's answer; timeline_test.go has what comes before
 	c.Post(EndpointsChanged{Kind: routing.CachedSnapshot, List: discovery.List{Endpoints: []discovery.Endpoint{
 		{Name: "s-1", Address: "x", Zone: "a", Group: 9, StartedAtMillis: 999_500},
 		{Name: "s-2", Address: "x", Zone: "nowhere", Group: 9}}}})
@@ -128,7 +128,7 @@
 	assert.True(t, o.RequestFinished && o.HasPosition && o.Role == routing.Replica)
 	assert.Equal(t, 30*ms, o.Position, "Unix milliseconds become a span since the start")
 	assert.Equal(t, 20*ms, o.Latency)
-	assert.Zero(t, c.slab.Len())
+	assert.Zero(t, c.requests.table.Len())
 }
 
 func TestTheLineBetweenNeverRanAndMayHaveRun(t *testing.T) {
@@ -208,7 +208,7 @@
 	c.batch(20 * ms)
 	assert.True(t, m.ended[0].RequestFinished)
 	assert.Empty(t, w.final)
-	assert.Zero(t, c.slab.Len())
+	assert.Zero(t, c.requests.table.Len())
 }
 
 func TestAPlaceIsNotReusedWhileSomethingIsOut(t *testing.T) {
@@ -345,5 +345,5 @@
 		places = append(places, e.Server)
 	}
 	assert.Equal(t, []int{0, 1, 2}, places)
-	assert.Equal(t, "s-3", c.members.Key(0))
+	assert.Equal(t, "s-3", c.servers.names.Key(0))
 }
--- a/front/pipeline_test.go
+++ b/front/pipeline_test.go
@@ -52,7 +52,7 @@
 					running = append(running, n)
 					for i, earlier := range entries[:n] {
 						if dependent(earlier.statement, entries[n].statement) {
-							assert.Equal(t, pipelinedAnswered, earlier.state, "%d before %d", i, n)
+							assert.Equal(t, pipelineAnswered, earlier.state, "%d before %d", i, n)
 						}
 					}
 				}
--- /dev/null
+++ b/front/requesttable.go
@@ -0,0 +1,85 @@
+package front
+
+import (
+	"fmt"
+
+	"dapplerouter/routing"
+)
+
+// RequestEntry is a request in a RequestTable, with what a host of a router counts of it.
+type RequestEntry[T any] struct {
+	Value    T
+	InFlight int  // attempts that have not finished
+	Attempts int  // attempts started so far
+	Finished bool // the request has its response, or its client has gone
+
+	inUse      bool
+	generation uint32
+}
+
+// RequestTable holds requests in slots that are reused. A reference has the slot and its generation, so that one to a request that
+// was released is never taken for a later one's.
+type RequestTable[T any] struct {
+	slots []RequestEntry[T]
+	free  []uint32
+	inUse int
+}
+
+// Add puts a request into a slot.
+func (t *RequestTable[T]) Add(value T) routing.RequestRef {
+	var slot uint32
+	if n := len(t.free); n > 0 {
+		slot, t.free = t.free[n-1], t.free[:n-1]
+	} else {
+		slot = uint32(len(t.slots))
+		t.slots = append(t.slots, RequestEntry[T]{})
+	}
+	generation := t.slots[slot].generation + 1
+	t.slots[slot] = RequestEntry[T]{Value: value, inUse: true, generation: generation}
+	t.inUse++
+	return routing.RequestRef{Slot: slot, Generation: generation}
+}
+
+// Get returns the entry of a request, or nil once it was released. The zero reference has no entry.
+func (t *RequestTable[T]) Get(ref routing.RequestRef) *RequestEntry[T] {
+	if int(ref.Slot) >= len(t.slots) {
+		return nil
+	}
+	if e := &t.slots[ref.Slot]; e.inUse && e.generation == ref.Generation {
+		return e
+	}
+	return nil
+}
+
+// MustGet returns the entry of a request that the router names; one that was released is a fault of the program.
+func (t *RequestTable[T]) MustGet(ref routing.RequestRef) *RequestEntry[T] {
+	e := t.Get(ref)
+	if e == nil {
+		panic(fmt.Sprintf("front: request %d.%d is not in the request table", ref.Slot, ref.Generation))
+	}
+	return e
+}
+
+// Each calls with every entry; the call may release it.
+func (t *RequestTable[T]) Each(call func(routing.RequestRef, *RequestEntry[T])) {
+	for i := range t.slots {
+		if e := &t.slots[i]; e.inUse {
+			call(routing.RequestRef{Slot: uint32(i), Generation: e.generation}, e)
+		}
+	}
+}
+
+// Release frees the slot of a request that is finished and has no attempt in flight, and reports whether it did.
+func (t *RequestTable[T]) Release(ref routing.RequestRef) bool {
+	e := t.Get(ref)
+	if e == nil || !e.Finished || e.InFlight > 0 {
+		return false
+	}
+	*e = RequestEntry[T]{generation: e.generation}
+	t.free = append(t.free, ref.Slot)
+	t.inUse--
+	return true
+}
+
+// Len is the number of requests in the table.
+func (t *RequestTable[T]) Len() int { return t.inUse }
--- a/front/script_test.go
+++ b/front/script_test.go
@@ -86,7 +86,7 @@
 // reject has the router reject the newest request, unless it is answered.
 func (s *script) reject() func() {
 	return func() {
-		if ref := s.refs[len(s.refs)-1]; s.core.slab.Get(ref) != nil {
+		if ref := s.refs[len(s.refs)-1]; s.core.requests.table.Get(ref) != nil {
 			s.host.Reject(ref, 0)
 		}
 	}
--- /dev/null
+++ b/front/shutdown.go
@@ -0,0 +1,63 @@
+package front
+
+import (
+	"slices"
+	"time"
+
+	"dapplerouter/routing"
+)
+
+// Shutdown is the event that finishes all requests, since their clients' connections will be closed soon. No request is accepted
+// afterwards.
+type Shutdown struct{}
+
+func (Shutdown) apply(c *Core, now time.Duration) {
+	c.requests.shutdown = true
+	c.finishAll(now, func(*configVersion) bool { return true })
+}
+
+// finishAll gives each unfinished request under some versions its response at once and ends its attempts: a request that may have run
+// and is not idempotent fails, the others are rejected.
+func (c *Core) finishAll(now time.Duration, under func(*configVersion) bool) {
+	c.requests.table.Each(func(ref routing.RequestRef, e *RequestEntry[*Request]) {
+		r := e.Value
+		if e.Finished || !under(r.version) {
+			return
+		}
+		attempts := slices.Clone(r.inFlight)
+		results := r.cancelAttempts(attempts)
+		response := Response{Status: StatusRejected, RetryAfter: c.catalog.limits.MaxRetryAfter, MayHaveRun: r.mayHaveRun}
+		if r.mayHaveRun && c.catalog.types[r.typeIndex].Idempotency != routing.Idempotent {
+			response = Response{Status: StatusFailed}
+		}
+		c.respond(e, response)
+		if len(attempts) == 0 {
+			c.router.ClientGone(now, ref)
+			c.requests.table.Release(ref)
+		}
+		for i, a := range attempts {
+			if results[i] != alreadyFinished {
+				c.finishWithout(a, results[i])
+			}
+		}
+	})
+}
+
+// alreadyFinished stands, among the results of cancelAttempts, for an attempt that was not cancelled.
+const alreadyFinished = routing.Succeeded
+
+// cancelAttempts gives attempts of a request up and returns their results.
+func (r *Request) cancelAttempts(attempts []*Attempt) []routing.AttemptResult {
+	results := make([]routing.AttemptResult, len(attempts))
+	for i, a := range attempts {
+		switch {
+		case a.finished:
+			results[i] = alreadyFinished
+		case a.cancel():
+			results[i], r.mayHaveRun = routing.Cancelled, true
+		default:
+			results[i] = routing.NotSent
+		}
+	}
+	return results
+}
--- a/front/terms_test.go
+++ b/front/terms_test.go
@@ -45,8 +45,8 @@
 
 func TestATxnKeepsTheTermsItWasTakenOn(t *testing.T) {
 	c, m, w := newFront(t)
-	c.types[0].Consistency, c.types[0].MaxStaleness = routing.BoundedStaleness, 3*time.Second
-	c.terms = &configVersion{types: c.types}
+	c.catalog.types[0].Consistency, c.catalog.types[0].MaxStaleness = routing.BoundedStaleness, 3*time.Second
+	c.versions.current = &configVersion{types: c.catalog.types}
 	arrive(t, c, w, browse)
 	c.batch(10 * ms)
 	at := time.Duration(-1)
@@ -58,7 +58,7 @@
 	c.batch(30 * ms)
 	require.Len(t, m.begun, 2)
 	assert.Equal(t, []time.Duration{3 * time.Second, time.Second}, []time.Duration{m.begun[0].MaxStaleness, m.begun[1].MaxStaleness})
-	old := c.slab.MustGet(m.begun[0].Ref).Value
+	old := c.requests.table.MustGet(m.begun[0].Ref).Value
 	assert.EqualValues(t, 0, old.version.number)
 	assert.Equal(t, 3*time.Second, old.version.types[0].MaxStaleness, "those in hand keep theirs")
 
@@ -94,7 +94,7 @@
 	assert.Equal(t, 1, w.cuts)
 	assert.Equal(t, routing.Cancelled, m.ended[0].Result)
 	assert.True(t, m.ended[0].RequestFinished)
-	assert.Zero(t, c.slab.Len())
+	assert.Zero(t, c.requests.table.Len())
 	arrive(t, c, w, browse)
 	c.batch(110 * ms)
 	assert.Len(t, m.begun, 1, "no new request is taken")
@@ -112,7 +112,7 @@
 func TestAWriteThatMayHaveRunIsRolledBackAndOneThatDidNotIsDeclined(t *testing.T) {
 	for _, begun := range []bool{true, false} {
 		c, m, w, _, _ := righted(t)
-		c.types[1].Idempotency = routing.IdempotencyKey
+		c.catalog.types[1].Idempotency = routing.IdempotencyKey
 		arrive(t, c, w, "INSERT INTO facts (id) VALUES ('k') /* id=1,c=order,k=9,d=500,cluster=9 */")
 		m.wish = func(m *module) { m.StartAttempt(m.begun[0].Ref, 0, 0) }
 		c.batch(10 * ms)
@@ -179,5 +179,5 @@
 	c.batch(100 * ms)
 	require.Len(t, w.final, 1, "the right to version 0 is over")
 	assert.False(t, c.Standby())
-	assert.Equal(t, 1, c.slab.Len(), "the other goes on")
+	assert.Equal(t, 1, c.requests.table.Len(), "the other goes on")
 }
--- a/front/timeline_test.go
+++ b/front/timeline_test.go
@@ -77,7 +77,7 @@
 // The module and the pools hear of it, and until then no replica's position counts.
 func TestWhoKeepsTimesOfOthersHearsThatTheyMoved(t *testing.T) {
 	c, m, w := newFront(t)
-	c.confirmed = false
+	c.wall.confirmed = false
 	out(t, c, m, w)
 	w.begin(t, 0)
 	c.Post(&AttemptFinished{Attempt: w.sent[0], Answer: row()})
