--- a/front/pipeline_test.go
+++ b/front/pipeline_test.go
@@ -11,30 +11,30 @@
 	"dapplerouter/sqlclass"
 )
 
-func TestWhichRequestsOfOneConnectionDependOnOneAnother(t *testing.T) {
+func TestPipelineDependencies(t *testing.T) {
 	read := func(key string) *pgwire.Statement { return &pgwire.Statement{Key: []byte(key)} }
 	write := func(key string) *pgwire.Statement { return &pgwire.Statement{Key: []byte(key), Write: true} }
 	elsewhere := &pgwire.Statement{Key: []byte("a"), Group: 1, Write: true}
-	classed := &pgwire.Statement{Normalized: &sqlclass.NormalizedStatement{}, Write: true}
+	classified := &pgwire.Statement{Normalized: &sqlclass.NormalizedStatement{}, Write: true}
 	for name, x := range map[string]struct {
 		earlier, later *pgwire.Statement
 		want           bool
 	}{
-		"reads of one row":               {read("a"), read("a"), false},
-		"a read behind a write":          {write("a"), read("a"), true},
-		"a write behind a read":          {read("a"), write("a"), true},
-		"writes of one row":              {write("a"), write("a"), true},
-		"another row":                    {write("a"), read("b"), false},
-		"another group":                  {elsewhere, read("a"), false},
-		"a classed write, whatever rows": {classed, read("a"), true},
-		"behind a read, a classed write": {read("a"), classed, true},
+		"reads of one row":                  {read("a"), read("a"), false},
+		"a read behind a write":             {write("a"), read("a"), true},
+		"a write behind a read":             {read("a"), write("a"), true},
+		"writes of one row":                 {write("a"), write("a"), true},
+		"another row":                       {write("a"), read("b"), false},
+		"another group":                     {elsewhere, read("a"), false},
+		"a classified write, whatever rows": {classified, read("a"), true},
+		"a classified write behind a read":  {read("a"), classified, true},
 	} {
-		assert.Equal(t, x.want, dependent(x.earlier, x.later), name)
+		t.Run(name, func(t *testing.T) { assert.Equal(t, x.want, dependent(x.earlier, x.later)) })
 	}
 }
 
-// Whatever comes and ends in whatever order: a request begins once, behind all on which it depends, and answers keep the order.
-func TestAPipelineKeepsItsOrder(t *testing.T) {
+// Whatever comes and ends in whatever order: a request is started once, after all on which it depends, and responses keep the order.
+func TestPipelineOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var p Pipeline[int]
 		var entries []*PipelineEntry[int]
@@ -47,7 +47,7 @@
 				entries = append(entries, p.Add(len(entries), s))
 			case 1:
 				for n, ok := p.StartNext(); ok; n, ok = p.StartNext() {
-					assert.False(t, began[n], "it begins once")
+					assert.False(t, began[n], "started once")
 					began[n] = true
 					running = append(running, n)
 					for i, earlier := range entries[:n] {
@@ -70,7 +70,7 @@
 			}
 		}
 		assert.Equal(t, len(entries)-len(written), p.Len())
-		for p.Len() > 0 { // nothing is stuck
+		for p.Len() > 0 { // no request is stuck
 			for n, ok := p.StartNext(); ok; n, ok = p.StartNext() {
 				running = append(running, n)
 			}
@@ -87,16 +87,16 @@
 	})
 }
 
-func TestAnAbandonedPipelineTellsWhatRan(t *testing.T) {
+func TestPipelineAbandon(t *testing.T) {
 	var p Pipeline[string]
 	write := func() *pgwire.Statement { return &pgwire.Statement{Key: []byte("a"), Write: true} }
 	p.Add("runs", write())
 	p.Add("waits", write())
 	p.Add("is answered", nil)
 	p.StartNext()
-	running, rest := p.Abandon()
+	running, others := p.Abandon()
 	assert.Equal(t, []string{"runs"}, running)
-	assert.Equal(t, []string{"waits", "is answered"}, rest)
+	assert.Equal(t, []string{"waits", "is answered"}, others)
 	_, ok := p.StartNext()
 	assert.False(t, ok)
 }
--- a/front/script_test.go
+++ b/front/scripted_test.go
@@ -19,13 +19,13 @@
 	"dapplerouter/sqlclass"
 )
 
-// script drives a core step by step and writes down, in order, all that the core asks of its surroundings: attempts with the bytes that
-// their servers read, cuts, addresses, responses, audit calls and what the router is told.
+// script drives a core step by step and records, in order, all that leaves the core: attempts with the bytes that their servers read,
+// aborts, addresses, responses, calls of the auditor and of the router.
 type script struct {
 	t    *testing.T
 	core *Core
 	host routing.Host
-	do   func() // what the router asks for at the next reconciling
+	do   func() // what the router asks for at the next Reconcile
 	refs []routing.RequestRef
 	sent []*Attempt
 	now  time.Duration
@@ -47,7 +47,7 @@
 			{Consistency: routing.Write, Idempotency: routing.IdempotencyKey, DedupWindow: 400 * ms, Deadline: 2 * time.Second},
 			{Consistency: routing.ReadYourWrites, Deadline: time.Second}},
 		Limits: routing.Limits{MaxAttempts: 5, DialTimeout: 250 * ms, MaxRetryAfter: 700 * ms}}
-	s.core = NewCore(Options{StartedAt: born, Seed: 1, Settings: st, Pools: scriptPools{s}, Endpoints: scriptPools{s}, Classifier: classing, NewRouter: func(h routing.Host, _ uint64, _ routing.Topology, _ []routing.RequestType, _ []routing.Customer,
+	s.core = NewCore(Options{StartedAt: testEpoch, Seed: 1, Settings: st, Pools: scriptPools{s}, Endpoints: scriptPools{s}, Classifier: classing, NewRouter: func(h routing.Host, _ uint64, _ routing.Topology, _ []routing.RequestType, _ []routing.Customer,
 		_ routing.Replication, _ routing.Guardrails, _ routing.Limits, _ routing.CostWeights) routing.Router {
 		s.host = h
 		return scriptRouter{s}
@@ -110,7 +110,7 @@
 	s.core.Post(&e)
 }
 
-// answer is a server's answer as it comes over the wire.
+// answer is a server's result.
 func (s *script) answer(role string, applied int64) pgwire.QueryResult {
 	return pgwire.QueryResult{Complete: true, Rows: []byte("rows"), Role: role, AppliedMillis: applied, HasApplied: true,
 		LoadReport: []byte("x0=1000.5,inflight=3,waiting=1")}
@@ -203,8 +203,8 @@
 	scriptCart  = "SELECT data FROM facts WHERE code = 'q' /* id=c%d,c=cart,d=500,cluster=9,after=999990 */"
 )
 
-// What the core sends, answers and tells in a scripted run is the same, byte for byte, as when the committed file was written.
-func TestAScriptedRunSendsAndAnswersTheSameBytes(t *testing.T) {
+// All that leaves the core in a scripted run equals the committed file, byte for byte.
+func TestScriptedRun(t *testing.T) {
 	s := newScript(t, nil)
 
 	s.line("# a read that a replica serves, whose first server refuses, and that is forwarded")
@@ -341,8 +341,8 @@
 	assertScript(t, s, "testdata/scripted_run.txt")
 }
 
-// The same holds where statements are classed: types by rule and by comment, undeclared writes, and refusals.
-func TestAScriptedRunOfClassedStatementsIsTheSame(t *testing.T) {
+// The same where statements are classified: types by rule and by comment, undeclared writes, and invalid requests.
+func TestScriptedRunOfClassifiedStatements(t *testing.T) {
 	settings := &sqlclass.Settings{CacheBytes: 1 << 20, Rules: []sqlclass.Rule{{Type: "order", Class: sqlclass.Write, Tables: []string{"facts"}},
 		{Type: "browse", Class: sqlclass.Read, Tables: []string{"facts"}}}}
 	classing := settings.NewClassifier()
