--- a/cmd/dapplerouter/clock_readings_test.go
+++ b/cmd/dapplerouter/clock_readings_test.go
@@ -18,10 +18,10 @@
 // datesInService are the places where packages that `run` starts have dates, and why a step there does no harm. A new one has to say so
 // here, or do without.
 var datesInService = map[string]string{
-	"front/core.go: timeline: timeline{zero: born.Round(0)}": "the guess that primaries' answers correct (front/timeline.go)",
-	"front/timeline.go: time.UnixMilli(ms).Sub(l.zero)":      "times that others tell, against that guess",
-	"front/route.go: at.UnixMilli()":                         "a position told to a far site's front; off in run",
-	"sockets/limiter.go: var past = time.Unix(1, 0)":         "a deadline that has passed by any clock",
+	"front/core.go: wall: wallClock{epoch: o.StartedAt.Round(0)}": "the guess that primaries' responses correct (front/wallclock.go)",
+	"front/wallclock.go: time.UnixMilli(ms).Sub(w.epoch)":         "times that others report, against that guess",
+	"front/attempts.go: at.UnixMilli()":                           "a position sent to another site's front; off in run",
+	"sockets/limiter.go: var past = time.Unix(1, 0)":              "a deadline that has passed by any clock",
 }
 
 // TERMS.md: "Deadlines, windows, waits and graces are spans of real time." No machine's clock is stepped here: in the packages of
