--- a/server/client_bytes_test.go
+++ b/server/client_bytes_test.go
@@ -117,8 +117,8 @@
 		"response rejected, may run":        {Status: front.StatusRejected, MayHaveRun: true},
 		"response failed":                   {Status: front.StatusFailed},
 		"response senseless":                {Status: front.StatusInvalid, Code: pgwire.CodeInvalidParameterValue, Reason: "a reason"},
-		"response without room for a read":  withoutRows(front.Response{Status: front.StatusSucceeded, Rows: conntest.Row("v")}, false),
-		"response without room for a write": withoutRows(front.Response{Status: front.StatusSucceeded, Rows: conntest.Row("v")}, true),
+		"response without room for a read":  withoutRows(false),
+		"response without room for a write": withoutRows(true),
 	} {
 		conntest.AssertRecorded(t, "testdata/client_sessions.txt", name, string(encode(&r)))
 	}
--- a/server/endings_test.go
+++ b/server/endings_test.go
@@ -120,8 +120,8 @@
 func TestAClientThatWasSendingWhenItWouldBeLetGoIsServed(t *testing.T) {
 	for name, end := range map[string]func(*client){
 		"eviction": func(c *client) { c.evicted.Store(true) },
-		"idle":     func(c *client) { c.sv.idle = 0 },
-		"stop":     func(c *client) { c.sv.stage.Store(draining) },
+		"idle":     func(c *client) { c.server.options.IdleTimeout = 0 },
+		"stop":     func(c *client) { c.server.stage.Store(draining) },
 	} {
 		t.Run(name, func(t *testing.T) { sending(t, end) })
 	}
@@ -135,7 +135,7 @@
 	in, err := l.AcceptTCP()
 	require.NoError(g.T, err)
 	g.T.Cleanup(func() { in.Close() })
-	return conntest.NewPeer(g.T, out), &client{sv: g.server, conn: in, until: time.Now().Add(time.Minute), r: g.server.reader(in, clientBuffer)}
+	return conntest.NewPeer(g.T, out), &client{server: g.server, tcp: in, startBy: time.Now().Add(time.Minute), reader: g.server.newReader(in, readBuffer)}
 }
 
 func sending(t *testing.T, end func(*client)) {
@@ -143,19 +143,19 @@
 	p, c := g.pair()
 	c.answered = true
 	p.Send(conntest.ReadQuery("4000")...)
-	g.Eventually(func() bool { return tcpconn.Peek(c.conn) == tcpconn.DataPending }) // and nobody has read it
+	g.Eventually(func() bool { return tcpconn.Peek(c.tcp) == tcpconn.DataPending }) // and nobody has read it
 	end(c)
 	require.NoError(t, c.awaitMessage(), "it is served")
-	typ, _, err := c.next()
+	typ, _, err := c.nextMessage()
 	assert.True(t, err == nil && typ == 'Q')
-	assert.ErrorIs(t, c.awaitMessage(), errLeaving, "and then it goes")
+	assert.ErrorIs(t, c.awaitMessage(), errDraining, "and then it goes")
 }
 
 // Of a client that had sent more than is read ahead nobody saw that it was gone, and its requests went on.
 func TestAClientThatSendsMuchAndLeavesIsNoticed(t *testing.T) {
 	g := newRig(t, 40)
 	c := g.Client()
-	c.Send(bytes.Repeat(conntest.ReadQuery("4000"), 3*clientBuffer/len(conntest.ReadQuery("4000")))...)
+	c.Send(bytes.Repeat(conntest.ReadQuery("4000"), 3*readBuffer/len(conntest.ReadQuery("4000")))...)
 	g.AcceptServer().Expect("Q")
 	c.Close()
 	select {
@@ -180,7 +180,7 @@
 	g.Client().Send(conntest.ReadQuery("4000")...)
 	<-g.Router.Received
 	var slow []*conntest.Peer
-	for range 3 * maxRejecting {
+	for range 3 * maxRefusals {
 		slow = append(slow, g.Dial())
 	}
 	c := g.Dial()
@@ -189,7 +189,7 @@
 	slow[0].Read(make([]byte, 1)) // cut off
 	g.server.mu.Lock()
 	defer g.server.mu.Unlock()
-	assert.LessOrEqual(t, len(g.server.rejected), maxRejecting+1, "they hold a bounded number of descriptors")
+	assert.LessOrEqual(t, len(g.server.refusals.oldest), maxRefusals+1, "they hold a bounded number of descriptors")
 }
 
 // What was read is owed an answer: so is a second request that came with the first of a newcomer for whom there is no room.
@@ -243,25 +243,25 @@
 	p, c := g.pair()
 	q := conntest.ReadQuery("4000")
 	p.Send(q[:20]...)
-	_, err := c.r.WaitForInput()
+	_, err := c.reader.WaitForInput()
 	require.NoError(t, err)
 	p.Send(q[20:]...)
-	g.Eventually(func() bool { return tcpconn.Peek(c.conn) == tcpconn.DataPending })
+	g.Eventually(func() bool { return tcpconn.Peek(c.tcp) == tcpconn.DataPending })
 	g.server.stage.Store(closing)
-	typ, _, err := c.next()
+	typ, _, err := c.nextMessage()
 	assert.True(t, err == nil && typ == 'Q', "%v", err)
 	c.answered = true
 	p.Send(q[:20]...)
-	g.Eventually(func() bool { return tcpconn.Peek(c.conn) == tcpconn.DataPending })
-	_, _, err = c.next()
-	assert.ErrorIs(t, err, errLeaving, "of one that was not read the client knows that it was not taken")
-	c = &client{sv: g.server, conn: c.conn, answered: true, r: g.server.reader(c.conn, clientBuffer)}
-	c.conn.SetReadDeadline(time.Time{})
-	_, err = c.r.WaitForInput()
+	g.Eventually(func() bool { return tcpconn.Peek(c.tcp) == tcpconn.DataPending })
+	_, _, err = c.nextMessage()
+	assert.ErrorIs(t, err, errDraining, "of one that was not read the client knows that it was not taken")
+	c = &client{server: g.server, tcp: c.tcp, answered: true, reader: g.server.newReader(c.tcp, readBuffer)}
+	c.tcp.SetReadDeadline(time.Time{})
+	_, err = c.reader.WaitForInput()
 	require.NoError(t, err)
 	g.server.linger = 0
-	_, _, err = c.next()
-	assert.ErrorIs(t, err, errLeaving, "the rest is waited for, but not long")
+	_, _, err = c.nextMessage()
+	assert.ErrorIs(t, err, errDraining, "the rest is waited for, but not long")
 }
 
 // A front that can no longer accept clients answers those that it has.
@@ -365,7 +365,7 @@
 	defer conn.Close()
 	raw, err := conn.SyscallConn()
 	require.NoError(t, err)
-	q := (&request{client: &client{conn: conn, presence: tcpconn.NewPresence(raw)}}).Connection()
+	q := (&request{client: &client{tcp: conn, presence: tcpconn.NewPresence(raw)}}).Connection()
 	_, err = c.Write(conntest.ReadQuery("4000"))
 	require.NoError(t, err)
 	assert.False(t, q.Disconnected())
--- /dev/null
+++ b/server/errors.go
@@ -0,0 +1,31 @@
+package server
+
+import (
+	"errors"
+
+	"dapplerouter/pgwire"
+)
+
+// Why a client's connection ends. What a client is told of it is fatalMessage's.
+var (
+	errDraining       = errors.New("connection ends between requests")
+	errCancelRequest  = errors.New("cancel request, which is not supported")
+	errIdle           = errors.New("nothing was asked in time") // the text is sent to clients
+	errTooManyClients = errors.New("too many clients")          // the text is sent to clients
+)
+
+// fatalMessage returns the message that tells a client why its connection ends, nil where it is told nothing.
+func fatalMessage(err error) []byte {
+	code := ""
+	switch {
+	case pgwire.IsProtocolError(err):
+		code = pgwire.CodeProtocolViolation
+	case errors.Is(err, errIdle):
+		code = pgwire.CodeIdleSessionTimeout
+	case errors.Is(err, errTooManyClients) || errors.Is(err, pgwire.ErrBufferLimit):
+		code = pgwire.CodeTooManyConnections
+	default:
+		return nil
+	}
+	return pgwire.AppendErrorResponse(nil, "FATAL", code, err.Error(), "")
+}
--- a/server/partial_messages_test.go
+++ b/server/partial_messages_test.go
@@ -18,7 +18,7 @@
 		g.server.mu.Lock()
 		defer g.server.mu.Unlock()
 		for c := range g.server.clients {
-			return c.idle.Load() == 0
+			return c.idleSince.Load() == 0
 		}
 		return false
 	})
@@ -36,7 +36,7 @@
 			g.server.mu.Lock()
 			defer g.server.mu.Unlock()
 			for c := range g.server.clients {
-				c.conn.SetReadDeadline(tcpconn.Past)
+				c.tcp.SetReadDeadline(tcpconn.Past)
 			}
 		},
 	} {
--- a/server/requests_test.go
+++ b/server/requests_test.go
@@ -101,7 +101,7 @@
 		members[conntest.IDOf(m.Expect("Q"))] = m
 		<-g.Router.Received
 	}
-	g.Eventually(func() bool { return g.waitingClients(func(c *client) bool { return !c.readsAhead() }) })
+	g.Eventually(func() bool { return g.waitingClients(func(c *client) bool { return !c.mayReadAhead() }) })
 	assert.Empty(t, g.Router.Received)
 	first := conntest.IDs.Load() - maxPipelined - 2
 	m := members[strconv.FormatInt(first, 10)]
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -81,7 +81,7 @@
 		g.server.mu.Lock()
 		defer g.server.mu.Unlock()
 		for c := range g.server.clients {
-			if c.idle.Load() > 0 {
+			if c.idleSince.Load() > 0 {
 				return true
 			}
 		}
@@ -168,7 +168,7 @@
 func TestAClientThatRestsTooLongIsLetGo(t *testing.T) {
 	g := newRig(t, 40)
 	g.server.mu.Lock()
-	g.server.idle = time.Millisecond
+	g.server.options.IdleTimeout = time.Millisecond
 	g.server.mu.Unlock()
 	c, _ := g.serve()
 	c.ExpectClosed()
@@ -233,13 +233,13 @@
 	g.server.SetStandby(false, time.Hour)
 	turned := 0
 	for range 80 {
-		if g.server.rejects() {
+		if g.server.standby.refuses(g.Clock.Now()) {
 			turned++
 		}
 	}
 	assert.InDelta(t, 70, turned, 8, "every eighth at first")
-	g.server.pace.Store(1)
-	assert.False(t, g.server.rejects())
-	assert.Zero(t, g.server.standby.Load(), "all again")
+	g.server.standby.recovery.Store(1)
+	assert.False(t, g.server.standby.refuses(g.Clock.Now()))
+	assert.Zero(t, g.server.standby.state.Load(), "all again")
 	g.Client()
 }
