--- /dev/null
+++ b/testsupport/conntest/peer.go
@@ -0,0 +1,68 @@
+package conntest
+
+import (
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"dapplerouter/pgwire"
+)
+
+const (
+	peerBuffer     = 4 << 10
+	peerMaxMessage = 1 << 20
+)
+
+// Peer is one end of a connection, as the test plays it.
+type Peer struct {
+	net.Conn
+	Reader *pgwire.Reader
+	t      *testing.T
+}
+
+// NewPeer returns a Peer of a connection, which is closed when the test ends. Its reads and writes fail after 20 s, so that a
+// failing test ends.
+func NewPeer(t *testing.T, c net.Conn) *Peer {
+	t.Cleanup(func() { _ = c.Close() }) // the test may have closed it
+	require.NoError(t, c.SetDeadline(time.Now().Add(20*time.Second)))
+	return &Peer{Conn: c, Reader: pgwire.NewReader(c, peerBuffer, peerMaxMessage), t: t}
+}
+
+// Send sends bytes in one piece.
+func (p *Peer) Send(b ...byte) {
+	p.t.Helper()
+	_, err := p.Write(b)
+	require.NoError(p.t, err)
+}
+
+// SendBytewise sends each byte by itself.
+func (p *Peer) SendBytewise(b []byte) {
+	p.t.Helper()
+	for i := range b {
+		p.Send(b[i])
+	}
+}
+
+// Expect reads a message of each type, and returns the body of the last one that is no ReadyForQuery.
+func (p *Peer) Expect(types string) (last []byte) {
+	p.t.Helper()
+	for _, want := range types {
+		typ, body, err := p.Reader.Next()
+		require.NoError(p.t, err)
+		require.Equal(p.t, string(want), string(typ), "%q", body)
+		if typ != 'Z' {
+			last = append(last[:0], body...)
+		}
+	}
+	return last
+}
+
+// ExpectClosed reads the end of the connection.
+func (p *Peer) ExpectClosed() {
+	p.t.Helper()
+	_, _, err := p.Reader.Next()
+	require.ErrorIs(p.t, err, io.EOF)
+}
