--- a/discovery/client.go
+++ b/discovery/client.go
@@ -15,37 +15,46 @@
 	"time"
 )
 
-// heartbeat is the service's own. A change counts as told three heartbeats after the service had it and could be reached, and two
-// after a new configuration, whatever failed meanwhile. So a watch ends after a heartbeat that was missed and three quarters; a
-// call that does not begin its answer within half a heartbeat, or whose answer pauses as long, is given up; and between two
-// calls lies a quarter at most. docs/endings.md adds up the worst cases.
+// The service sends a heartbeat on a watch at this interval. A change counts as notified three heartbeats after the service had it
+// and could be reached, and two after a new configuration, whatever failed meanwhile. So a watch ends after a silence of a heartbeat
+// and three quarters; a call that does not begin its answer within half a heartbeat, or whose answer pauses as long, is given up; and
+// between two calls lies a quarter at most. docs/endings.md adds up the worst cases.
 const (
-	heartbeat = 2 * time.Second
-	silentBy  = 7 // quarters of a heartbeat
+	heartbeat       = 2 * time.Second
+	silenceQuarters = 7 // quarters of a heartbeat
 )
 
-// longest is the longest object that is read.
-const longest = 4 << 20
+// maxObject is the length of the longest object that is read, in bytes.
+const maxObject = 4 << 20
 
+// Why a call or a watch ended.
 var (
-	errSilent     = errors.New("discovery is silent")
-	errUnanswered = errors.New("discovery does not answer")
+	ErrSilent     = errors.New("discovery service: no heartbeat")
+	ErrNoAnswer   = errors.New("discovery service: no answer in time")
+	ErrStatus     = errors.New("discovery service: unexpected status")
+	ErrIndexBack  = errors.New("discovery service: index goes back")
+	ErrBadChange  = errors.New("discovery service: change with unusable endpoints")
+	ErrLineLength = errors.New("discovery service: line too long")
 )
 
-// Client speaks to the list's service. It holds two connections at most.
+// Client reads the endpoint list from the discovery service. It holds two connections at most. Its methods may be called
+// concurrently.
 type Client struct {
-	address    string
-	base       string
-	http       *http.Client
-	heartbeat  time.Duration
-	index      atomic.Int64 // version last heard
-	gap        atomic.Bool  // something may have been missed that the next change would pass over: the whole list comes first
-	OnResponse func()       // called for each word of the service, be it that nothing changed; nil for nobody
+	// OnResponse is called for each answer of the service, also where nothing has changed; nil for nobody. It is set before the first
+	// call.
+	OnResponse func()
+
+	address   string
+	url       string
+	http      *http.Client
+	heartbeat time.Duration
+	index     atomic.Int64 // version read last
+	stale     atomic.Bool  // a change may have been missed, so that the next watch needs a snapshot first
 }
 
-// NewClient makes a client of the service at an address, which knows the list up to a version.
+// NewClient returns a client of the service at an address, which knows the list up to a version.
 func NewClient(address string, index int64) *Client {
-	c := &Client{address: address, base: "http://" + address + "/v1/endpoints", heartbeat: heartbeat}
+	c := &Client{address: address, url: "http://" + address + "/v1/endpoints", heartbeat: heartbeat}
 	c.index.Store(index)
 	c.http = &http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: heartbeat, KeepAlive: -1}).DialContext,
@@ -55,37 +64,32 @@
 	return c
 }
 
-// WithAddress makes a client of the service at another address, which knows what this one does, and asks for the whole list first.
+// WithAddress returns a client of the service at another address, which knows what this one does, and reads a snapshot first.
 func (c *Client) WithAddress(address string) *Client {
-	m := NewClient(address, c.index.Load())
-	m.heartbeat, m.OnResponse = c.heartbeat, c.OnResponse
-	m.gap.Store(true)
-	return m
+	moved := NewClient(address, c.index.Load())
+	moved.heartbeat, moved.OnResponse = c.heartbeat, c.OnResponse
+	moved.stale.Store(true)
+	return moved
 }
 
-// Address is where the service is.
+// Address returns where the service is.
 func (c *Client) Address() string { return c.address }
 
-// Index is the version last heard.
+// Index returns the version read last.
 func (c *Client) Index() int64 { return c.index.Load() }
 
-// AdvanceIndex notes that a version was heard by another way.
+// AdvanceIndex notes that a version was read by another way.
 func (c *Client) AdvanceIndex(index int64) { c.index.Store(max(index, c.index.Load())) }
 
-func (c *Client) heard() {
-	if c.OnResponse != nil {
-		c.OnResponse()
-	}
-}
-
-// CloseIdleConnections closes the connections that nobody uses.
+// CloseIdleConnections closes the connections without a call.
 func (c *Client) CloseIdleConnections() { c.http.CloseIdleConnections() }
 
-// FetchSnapshot asks for the whole list. One that a watch overtook while it came would take back what that told: it is asked for again.
+// FetchSnapshot reads the whole list. A snapshot that a watch has overtaken meanwhile would take back what that brought: it is read
+// again.
 func (c *Client) FetchSnapshot(ctx context.Context) (List, error) {
 	for {
 		before := c.index.Load()
-		l, err := c.whole(ctx)
+		l, err := c.fetch(ctx)
 		if err != nil {
 			return List{}, err
 		}
@@ -93,129 +97,121 @@
 			continue
 		}
 		c.index.Store(l.Index)
-		c.gap.Store(false)
-		c.heard()
+		c.stale.Store(false)
+		c.responded()
 		return l, nil
 	}
 }
 
-func (c *Client) whole(ctx context.Context) (l List, err error) {
+// fetch makes one call for the whole list.
+func (c *Client) fetch(ctx context.Context) (l List, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := c.answerTimeout(cancel)
-	defer silence.Stop()
+	pause := c.answerTimeout(cancel)
+	defer pause.Stop()
 	body, err := c.get(ctx, "")
 	if err != nil {
-		return l, why(ctx, err)
+		return l, causeOf(ctx, err)
 	}
-	defer body.Close()
-	late := time.AfterFunc(c.heartbeat*2, func() { cancel(errSilent) })
+	defer body.Close() //nolint:errcheck // it was read to its end, or the call has failed
+	late := time.AfterFunc(c.heartbeat*2, func() { cancel(ErrSilent) })
 	defer late.Stop()
-	data, err := io.ReadAll(&progress{from: io.LimitReader(body, longest), pause: silence, most: c.heartbeat / 2})
+	data, err := io.ReadAll(&pauseReader{from: io.LimitReader(body, maxObject), timer: pause, timeout: c.heartbeat / 2})
 	if err != nil {
-		return l, why(ctx, err)
+		return l, causeOf(ctx, err)
 	}
-	l, faults, err := Decode(data)
-	c.logFaults(faults)
+	l, skipped, err := Decode(data)
+	logSkipped(skipped)
 	return l, err
 }
 
-// Watch hands on what changes after the version last heard, until the watch ends; it always ends in an error. Behind a line
-// that cannot be used, in whole or in part, and behind an index that goes back, nothing more is taken: the next change would
-// pass over what was lost. The whole list comes first then when the watch is opened again.
+// Watch passes on what changes after the version read last, until the watch ends; it always ends in an error. Behind a line that
+// cannot be used, in whole or in part, and behind an index that goes back, nothing more is taken: the next change would pass over
+// what was lost. The next Watch begins with a snapshot then.
 func (c *Client) Watch(ctx context.Context, each func(List)) error {
-	if c.gap.Load() {
+	if c.stale.Load() {
 		l, err := c.FetchSnapshot(ctx)
 		if err != nil {
-			return fmt.Errorf("the whole list did not come: %w", err)
+			return fmt.Errorf("read snapshot: %w", err)
 		}
 		each(l)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := c.answerTimeout(cancel)
-	defer silence.Stop()
+	unanswered := c.answerTimeout(cancel)
+	defer unanswered.Stop()
 	body, err := c.get(ctx, "?watch=1&after="+strconv.FormatInt(c.index.Load(), 10))
 	if err != nil {
-		return why(ctx, err)
+		return causeOf(ctx, err)
 	}
-	defer body.Close()
-	silence.Stop()
-	silence = time.AfterFunc(c.heartbeat*silentBy/4, func() { cancel(errSilent) })
+	defer body.Close() //nolint:errcheck // the watch has failed
+	unanswered.Stop()
+	silence := time.AfterFunc(c.heartbeat*silenceQuarters/4, func() { cancel(ErrSilent) })
 	defer silence.Stop()
 	lines := bufio.NewReader(body)
 	for {
 		line, err := readLine(lines)
 		if err != nil {
-			return why(ctx, err)
+			return causeOf(ctx, err)
 		}
-		silence.Reset(c.heartbeat * silentBy / 4)
-		c.heard()
+		silence.Reset(c.heartbeat * silenceQuarters / 4)
+		c.responded()
 		if line = bytes.TrimSpace(line); len(line) == 0 {
-			continue
+			continue // a heartbeat
 		}
-		l, faults, err := Decode(line)
-		c.logFaults(faults)
-		if err == nil && !l.Snapshot && l.Index < c.index.Load() {
-			err = fmt.Errorf("index %d comes after %d", l.Index, c.index.Load())
-		}
-		if err != nil {
-			c.gap.Store(true)
-			return fmt.Errorf("a line that cannot be used: %w", err)
-		}
-		c.index.Store(l.Index)
-		each(l)
-		if len(faults) > 0 && !l.Snapshot {
-			c.gap.Store(true)
-			return fmt.Errorf("a change with %d entries that cannot be used", len(faults))
+		if err := c.takeLine(line, each); err != nil {
+			c.stale.Store(true)
+			return err
 		}
 	}
 }
 
-// progress reads an answer and sets the timer that ends its call anew with each part, so that a pause ends it.
-type progress struct {
-	from  io.Reader
-	pause *time.Timer
-	most  time.Duration
-}
-
-// Read reads the next part of the answer.
-func (p *progress) Read(b []byte) (int, error) {
-	p.pause.Reset(p.most)
-	return p.from.Read(b)
-}
-
-// answerTimeout ends a call that the service does not begin to answer.
-func (c *Client) answerTimeout(cancel context.CancelCauseFunc) *time.Timer {
-	return time.AfterFunc(c.heartbeat/2, func() { cancel(errUnanswered) })
+// takeLine passes on the list in a line of a watch. Of a change with unusable endpoints it passes on the rest.
+func (c *Client) takeLine(line []byte, each func(List)) error {
+	l, skipped, err := Decode(line)
+	logSkipped(skipped)
+	if err != nil {
+		return fmt.Errorf("decode line: %w", err)
+	}
+	if !l.Snapshot && l.Index < c.index.Load() {
+		return fmt.Errorf("%w: %d after %d", ErrIndexBack, l.Index, c.index.Load())
+	}
+	c.index.Store(l.Index)
+	each(l)
+	if len(skipped) > 0 && !l.Snapshot {
+		return fmt.Errorf("%w: %d of them", ErrBadChange, len(skipped))
+	}
+	return nil
 }
 
-// Follow keeps a watch open until ctx ends, after the whole list. Each end is told by failed; the watch is opened again
-// after a pause, the longer the more ended young, spread by what spread gives between 0 and 1.
-func (c *Client) Follow(ctx context.Context, each func(List), failed func(), spread func() float64) {
-	c.gap.Store(true)
+// Follow keeps a watch open until ctx ends, and begins with a snapshot. It calls failed for each watch that ended; the next one is
+// opened after a backoff that grows with the number of watches that ended young, and is spread by jitter, which returns numbers
+// between 0 and 1.
+func (c *Client) Follow(ctx context.Context, each func(List), failed func(), jitter func() float64) {
+	c.stale.Store(true)
 	for young := 0; ctx.Err() == nil; young++ {
 		opened := time.Now()
 		err := c.Watch(ctx, each)
 		if ctx.Err() != nil {
 			return
 		}
-		lived := time.Since(opened)
-		if lived > c.heartbeat {
+		age := time.Since(opened)
+		if age > c.heartbeat {
 			young = 0
 		}
-		slog.Warn("discovery: the watch ended", "why", err, "after", lived.Round(time.Millisecond))
+		slog.Warn("endpoint watch ended", "err", err, "age", age.Round(time.Millisecond))
 		failed()
-		pause := min(c.heartbeat/4, c.heartbeat/10<<min(young, 8))
+		backoff := min(c.heartbeat/4, c.heartbeat/10<<min(young, 8))
 		select {
-		case <-time.After(time.Duration(float64(pause) * (1 + spread()) / 2)):
+		case <-time.After(time.Duration(float64(backoff) * (1 + jitter()) / 2)):
 		case <-ctx.Done():
 		}
 	}
 }
 
+// get makes a call and returns the body of its answer.
 func (c *Client) get(ctx context.Context, query string) (io.ReadCloser, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+query, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url+query, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -224,19 +220,38 @@
 		return nil, err
 	}
 	if res.StatusCode != http.StatusOK {
-		res.Body.Close()
-		return nil, fmt.Errorf("discovery answered %s", res.Status)
+		_ = res.Body.Close() // the status is the error
+		return nil, fmt.Errorf("%w: %s", ErrStatus, res.Status)
 	}
 	return res.Body, nil
 }
 
-func (c *Client) logFaults(faults []error) {
-	for _, f := range faults {
-		slog.Warn("discovery: an entry is passed over", "why", f)
+// answerTimeout cancels a call whose answer does not begin in time.
+func (c *Client) answerTimeout(cancel context.CancelCauseFunc) *time.Timer {
+	return time.AfterFunc(c.heartbeat/2, func() { cancel(ErrNoAnswer) })
+}
+
+// responded reports an answer of the service.
+func (c *Client) responded() {
+	if c.OnResponse != nil {
+		c.OnResponse()
 	}
 }
 
-// readLine reads a line of at most longest bytes; one that is cut off is none.
+// pauseReader reads an answer and resets the timer that ends its call with each part, so that a pause ends it.
+type pauseReader struct {
+	from    io.Reader
+	timer   *time.Timer
+	timeout time.Duration
+}
+
+// Read implements io.Reader.
+func (p *pauseReader) Read(b []byte) (int, error) {
+	p.timer.Reset(p.timeout)
+	return p.from.Read(b)
+}
+
+// readLine reads a line of at most maxObject bytes. A line that is cut off is an error.
 func readLine(r *bufio.Reader) ([]byte, error) {
 	var long []byte
 	for {
@@ -248,16 +263,24 @@
 		if err == nil {
 			return long, nil
 		}
-		if err != bufio.ErrBufferFull {
+		if !errors.Is(err, bufio.ErrBufferFull) {
 			return nil, err
 		}
-		if len(long) > longest {
-			return nil, fmt.Errorf("a line of over %d bytes", longest)
+		if len(long) > maxObject {
+			return nil, fmt.Errorf("%w: over %d bytes", ErrLineLength, maxObject)
 		}
 	}
 }
 
-func why(ctx context.Context, err error) error {
+// logSkipped logs the endpoints that Decode has left out.
+func logSkipped(skipped []error) {
+	for _, err := range skipped {
+		slog.Warn("endpoint skipped", "err", err)
+	}
+}
+
+// causeOf returns why a call was cancelled, or else its error.
+func causeOf(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
 	}
--- a/discovery/discovery_test.go
+++ b/discovery/client_test.go
@@ -94,7 +94,7 @@
 		<-r.Context().Done()
 	})
 	c.heartbeat = 20 * time.Millisecond
-	assert.ErrorIs(t, c.Watch(context.Background(), func(List) {}), errSilent)
+	assert.ErrorIs(t, c.Watch(context.Background(), func(List) {}), ErrSilent)
 }
 
 func TestARefusedCallAndACutLineAreErrorsOnly(t *testing.T) {
--- a/discovery/jitter.go
+++ b/discovery/jitter.go
@@ -5,7 +5,8 @@
 	"strconv"
 )
 
-// NewJitter gives even numbers between 0 and 1 that differ from front to front.
+// NewJitter returns a function that gives numbers evenly spread between 0 and 1, other ones for each seed, so that instances do not
+// call a service all at once. It is not safe for concurrent use.
 func NewJitter(seed uint64) func() float64 {
 	n := uint64(0)
 	return func() float64 {
--- a/discovery/watcher.go
+++ b/discovery/watcher.go
@@ -10,260 +10,267 @@
 	"dapplerouter/routing"
 )
 
-// Watcher brings the list to the core: unasked, or on the module's word where the site wants to be asked.
-type Watcher struct {
-	post   func(Update)
-	ctx    context.Context
-	spread func() float64
-
-	mu      sync.Mutex
-	client  *Client // of the newest address
-	told    bool    // it has brought a list
-	follows bool
-	watches bool
-	end     func()      // ends what runs for it, and returns when it has
-	earlier []followed  // addresses of before, oldest first, until a later one has brought its list
-	lean    func() List // what others who follow the list know; nil where this front follows by itself
-	turn    int
-	passing []Update // to the core, in order
-}
-
 // Update is an endpoint list, or changes of one, or that it could not be read.
 type Update struct {
 	Kind routing.UpdateKind
 	List List // empty where Kind says that the update failed
 }
 
-// followed is an address at which the list is followed.
-type followed struct {
-	client *Client
-	end    func()
-}
+// Watcher brings the endpoint list to its receiver: by a watch of its own that goes on by itself, by single watches and snapshots that
+// are asked for, or from a list that other instances share. It implements front.EndpointSource.
+//
+// Invariants: the receiver gets one update at a time, in order; nothing of an address comes once a later address has brought its
+// snapshot; an address has one watch at a time.
+type Watcher struct {
+	receive func(Update)
+	ctx     context.Context // ends all that runs: who asks for it, by the methods below, has no context of its own
+	jitter  func() float64
 
-// maxEarlier bounds how many addresses of before are followed; each takes two descriptors at most.
-const maxEarlier = 4
+	mu       sync.Mutex // guards what follows
+	current  source     // of the newest address
+	answered bool       // it has brought a list
+	earlier  []source   // of addresses before, oldest first, until a later one has brought its list
+	follows  bool       // watches are opened again by themselves
+	watches  bool       // a watch is asked for
+	shared   sharedList
+	queue    []Update // to the receiver; the first one is being received
+}
 
-// NewWatcher makes a Watcher that lasts as long as ctx; spread keeps fronts from asking all at once.
-func NewWatcher(ctx context.Context, client *Client, post func(Update), spread func() float64) *Watcher {
-	return &Watcher{client: client, post: post, ctx: ctx, spread: spread, end: func() {}}
+// source is an address at which the list is read.
+type source struct {
+	client *Client
+	end    func() // ends its watch, and returns when that has ended
 }
 
-// Follow brings the whole list and then every change, for a site that does not wait to be asked.
-func (d *Watcher) Follow() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.follows = true
-	d.begin()
+// sharedList is the list that other instances watch for this one.
+type sharedList struct {
+	snapshot func() List // returns all that they know; nil where this instance watches by itself
+	turn     int         // how often that has changed, so that a return that was overtaken does nothing
 }
 
-// Watch opens a watch or ends it.
-func (d *Watcher) Watch(on bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.watches = on
-	if on && d.lean != nil {
-		d.pass(listed(d.lean()))
-	}
-	d.begin()
+// maxEarlier bounds how many earlier addresses are watched; each takes two descriptors at most.
+const maxEarlier = 4
+
+// NewWatcher returns a Watcher that lasts as long as ctx. It calls receive from one goroutine at a time, which may block; jitter
+// returns numbers between 0 and 1, and keeps instances from calling the service all at once.
+func NewWatcher(ctx context.Context, client *Client, receive func(Update), jitter func() float64) *Watcher {
+	return &Watcher{current: source{client, func() {}}, receive: receive, ctx: ctx, jitter: jitter}
 }
 
-// SetAddress goes on with the list at another address. What has changed since the last word of the old one is in the whole list, which
-// comes first; until then the old one is followed, and nothing of it comes afterwards. Configurations may come faster than the
-// service answers: the same address is not asked anew before it has answered, and of too many the one last begun makes way, so that
-// the others come to an end.
-func (d *Watcher) SetAddress(address string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if address == d.client.Address() && !d.told && d.lean == nil && (d.follows || d.watches) {
-		return
-	}
-	if len(d.earlier) < maxEarlier {
-		d.earlier = append(d.earlier, followed{d.client, d.end})
-	} else {
-		go d.end()
-	}
-	d.end = func() {}
-	d.client, d.told = d.client.WithAddress(address), false
-	d.begin()
+// Follow brings a snapshot and then every change, until the Watcher's context ends.
+func (w *Watcher) Follow() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.follows = true
+	w.restart()
 }
 
-// endEarlier ends the first addresses of before.
-func (d *Watcher) endEarlier(many int) {
-	for _, f := range d.earlier[:many] {
-		go f.end()
+// Watch opens a watch or ends it. One that ends by itself is reported as a failed update, and not opened again.
+func (w *Watcher) Watch(on bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.watches = on
+	if on && w.shared.snapshot != nil {
+		w.push(updateOf(w.shared.snapshot()))
 	}
-	d.earlier = d.earlier[many:]
+	w.restart()
 }
 
-// begin ends what runs and starts what is wanted; it does not wait for either.
-func (d *Watcher) begin() {
-	end, client := d.end, d.client
-	d.end = func() {}
-	var run func(ctx context.Context)
-	switch {
-	case d.lean != nil: // others follow it
-		go end()
-		d.endEarlier(len(d.earlier))
-		return
-	case d.follows:
-		run = func(ctx context.Context) {
-			client.Follow(ctx, d.from(client), func() { d.passFrom(client, failed) }, d.spread)
-		}
-	case d.watches:
-		run = func(ctx context.Context) {
-			if err := client.Watch(ctx, d.from(client)); ctx.Err() == nil {
-				slog.Warn("discovery: the watch ended", "why", err)
-				d.passFrom(client, failed)
-			}
-		}
-	default:
-		go end()
-		d.endEarlier(len(d.earlier))
+// Fetch reads a snapshot once.
+func (w *Watcher) Fetch() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.shared.snapshot != nil {
+		w.push(updateOf(w.shared.snapshot()))
 		return
 	}
-	ctx, cancel := context.WithCancel(d.ctx)
-	done := make(chan struct{})
-	d.end = func() { cancel(); <-done }
+	client := w.current.client
 	go func() {
-		defer close(done)
-		end()
-		run(ctx)
-		client.CloseIdleConnections()
+		l, err := client.FetchSnapshot(w.ctx)
+		if err != nil {
+			slog.Warn("endpoint snapshot failed", "err", err)
+			w.pushFrom(client, failedUpdate)
+			return
+		}
+		w.pushFrom(client, updateOf(l))
 	}()
 }
 
-// Fetch asks for the whole list once.
-func (d *Watcher) Fetch() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.lean != nil {
-		d.pass(listed(d.lean()))
+// SetAddress reads the list from another address from now on. What has changed since the last update of the old one is in the new
+// one's snapshot, which comes first; until then the old one is watched, and nothing of it comes afterwards. Configurations may come
+// faster than the service answers: the same address is not called again before it has answered, and of too many earlier ones the
+// latest is dropped, so that the others come to an end.
+func (w *Watcher) SetAddress(address string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if address == w.current.client.Address() && !w.answered && w.shared.snapshot == nil && (w.follows || w.watches) {
 		return
 	}
-	d.fetch(d.client)
+	if len(w.earlier) < maxEarlier {
+		w.earlier = append(w.earlier, w.current)
+	} else {
+		go w.current.end()
+	}
+	w.current, w.answered = source{w.current.client.WithAddress(address), func() {}}, false
+	w.restart()
 }
 
-// UseSharedList ends this front's own watch: others follow the list, and from gives all that they know. What they know must not be
-// older than what this front has heard; ok is false then.
-func (d *Watcher) UseSharedList(from func() List) (ok bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.turn++
-	whole := from()
-	if d.lean != nil {
+// UseSharedList ends this instance's own watch: others watch the list, and snapshot returns all that they know. It returns false,
+// and changes nothing, where that is older than what this instance has read.
+func (w *Watcher) UseSharedList(snapshot func() List) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.shared.turn++
+	l := snapshot()
+	if w.shared.snapshot != nil {
 		return true
 	}
-	if whole.Index < d.client.Index() {
+	if l.Index < w.current.client.Index() {
 		return false
 	}
-	d.lean = from
-	d.begin()
-	if d.follows || d.watches {
-		d.pass(listed(whole))
+	w.shared.snapshot = snapshot
+	w.restart()
+	if w.follows || w.watches {
+		w.push(updateOf(l))
 	}
 	return true
 }
 
-// UsesSharedList tells whether others follow the list for this front.
-func (d *Watcher) UsesSharedList() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.lean != nil
+// UsesSharedList reports whether others watch the list for this instance.
+func (w *Watcher) UsesSharedList() bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.shared.snapshot != nil
 }
 
-// SharedListChanged passes on what others heard of the list.
-func (d *Watcher) SharedListChanged(l List) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.lean != nil && (d.follows || d.watches) {
-		d.pass(listed(l))
+// SharedListChanged passes on an update of the shared list.
+func (w *Watcher) SharedListChanged(l List) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.shared.snapshot != nil && (w.follows || w.watches) {
+		w.push(updateOf(l))
 	}
 }
 
-// WatchDirectly goes back to this front's own watch, in a moment that differs from front to front.
-func (d *Watcher) WatchDirectly(within time.Duration) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.lean == nil {
+// WatchDirectly returns to this instance's own watch, after a part of a time that differs from instance to instance. A call of
+// UseSharedList meanwhile cancels it.
+func (w *Watcher) WatchDirectly(within time.Duration) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.shared.snapshot == nil {
 		return
 	}
-	d.turn++
-	turn := d.turn
-	time.AfterFunc(time.Duration(d.spread()*float64(within)), func() {
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		if d.lean == nil || d.turn != turn || d.ctx.Err() != nil {
+	w.shared.turn++
+	turn := w.shared.turn
+	time.AfterFunc(time.Duration(w.jitter()*float64(within)), func() {
+		w.mu.Lock()
+		defer w.mu.Unlock()
+		if w.shared.snapshot == nil || w.shared.turn != turn || w.ctx.Err() != nil {
 			return
 		}
-		d.client.AdvanceIndex(d.lean().Index)
-		d.lean = nil
-		d.begin()
+		w.current.client.AdvanceIndex(w.shared.snapshot().Index)
+		w.shared.snapshot = nil
+		w.restart()
 	})
 }
 
-func (d *Watcher) fetch(client *Client) {
+// restart ends the watch that runs and starts the one that is wanted, if any. It does not wait for either; w.mu must be held.
+func (w *Watcher) restart() {
+	end, client := w.current.end, w.current.client
+	w.current.end = func() {}
+	run := w.watchOf(client)
+	if run == nil {
+		go end()
+		w.endEarlier(len(w.earlier))
+		return
+	}
+	ctx, cancel := context.WithCancel(w.ctx)
+	done := make(chan struct{})
+	w.current.end = func() { cancel(); <-done }
 	go func() {
-		l, err := client.FetchSnapshot(d.ctx)
-		if err != nil {
-			slog.Warn("discovery: the whole list did not come", "why", err)
-			d.passFrom(client, failed)
-			return
-		}
-		d.passFrom(client, listed(l))
+		defer close(done)
+		end()
+		run(ctx)
+		client.CloseIdleConnections()
 	}()
 }
 
-// failed is what the core hears where the list did not come.
-var failed = Update{Kind: routing.UpdateFailed}
+// watchOf returns the watch that is wanted of a client, nil for none; w.mu must be held.
+func (w *Watcher) watchOf(client *Client) func(context.Context) {
+	each := func(l List) { w.pushFrom(client, updateOf(l)) }
+	switch {
+	case w.shared.snapshot != nil:
+		return nil
+	case w.follows:
+		return func(ctx context.Context) {
+			client.Follow(ctx, each, func() { w.pushFrom(client, failedUpdate) }, w.jitter)
+		}
+	case w.watches:
+		return func(ctx context.Context) {
+			if err := client.Watch(ctx, each); ctx.Err() == nil {
+				slog.Warn("endpoint watch ended", "err", err)
+				w.pushFrom(client, failedUpdate)
+			}
+		}
+	}
+	return nil
+}
+
+// endEarlier ends the watches of the first earlier addresses; w.mu must be held.
+func (w *Watcher) endEarlier(n int) {
+	for _, s := range w.earlier[:n] {
+		go s.end()
+	}
+	w.earlier = w.earlier[n:]
+}
 
-func listed(l List) Update {
+// failedUpdate says that the list could not be read.
+var failedUpdate = Update{Kind: routing.UpdateFailed}
+
+func updateOf(l List) Update {
 	if l.Snapshot {
 		return Update{Kind: routing.Snapshot, List: l}
 	}
 	return Update{Kind: routing.Delta, List: l}
 }
 
-func (d *Watcher) from(client *Client) func(List) {
-	return func(l List) { d.passFrom(client, listed(l)) }
-}
-
-// passFrom passes on what came from an address, unless a later one has brought its list: that says all.
-func (d *Watcher) passFrom(client *Client, e Update) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.client == client {
-		if e.Kind != routing.UpdateFailed {
-			d.told = true
-			d.endEarlier(len(d.earlier))
+// pushFrom passes on an update of an address, unless a later one has brought its list, which says all.
+func (w *Watcher) pushFrom(client *Client, u Update) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.current.client == client {
+		if u.Kind != routing.UpdateFailed {
+			w.answered = true
+			w.endEarlier(len(w.earlier))
 		}
-		d.pass(e)
+		w.push(u)
 		return
 	}
-	if e.Kind == routing.UpdateFailed { // of an address of before
+	if u.Kind == routing.UpdateFailed { // of an earlier address
 		return
 	}
-	if i := slices.IndexFunc(d.earlier, func(f followed) bool { return f.client == client }); i >= 0 {
-		d.endEarlier(i)
-		d.pass(e)
+	if i := slices.IndexFunc(w.earlier, func(s source) bool { return s.client == client }); i >= 0 {
+		w.endEarlier(i)
+		w.push(u)
 	}
 }
 
-// pass tells the core in the order of the calls, without waiting for it: who calls may be the core itself, or hold the lock
-// that it wants.
-func (d *Watcher) pass(e Update) {
-	d.passing = append(d.passing, e)
-	if len(d.passing) > 1 {
-		return // somebody is at it
+// push passes updates to the receiver in the order of the calls, without waiting for it: the caller may be the receiver itself, or
+// hold a lock that it needs. w.mu must be held.
+func (w *Watcher) push(u Update) {
+	w.queue = append(w.queue, u)
+	if len(w.queue) > 1 {
+		return // a goroutine is at it
 	}
 	go func() {
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		for len(d.passing) > 0 {
-			next := d.passing[0]
-			d.mu.Unlock()
-			d.post(next)
-			d.mu.Lock()
-			d.passing = d.passing[1:]
+		w.mu.Lock()
+		defer w.mu.Unlock()
+		for len(w.queue) > 0 {
+			next := w.queue[0]
+			w.mu.Unlock()
+			w.receive(next)
+			w.mu.Lock()
+			w.queue = w.queue[1:]
 		}
 	}()
 }
--- a/discovery/watcher_test.go
+++ b/discovery/watcher_test.go
@@ -96,7 +96,7 @@
 	require.Eventually(t, func() bool { // the new one has come, and stands behind the old one or beside it
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		return len(d.passing) == 2 || len(seen) > 0
+		return len(d.queue) == 2 || len(seen) > 0
 	}, 10*time.Second, time.Millisecond)
 	require.Empty(t, seen, "told while the old one still was")
 	free()
