--- a/deployment/rules_merge.go
+++ b/deployment/rules_text.go
@@ -11,7 +11,7 @@
 type RulesText struct{}
 
 // Split returns the text of each rule by its key: bound TYPE, window TYPE, given-up GROUP. No text has no rules. The error is
-// conf.Faults.
+// a config.ErrorList.
 func (RulesText) Split(text []byte) (map[string]string, error) {
 	rules := map[string]string{}
 	if len(text) == 0 {
@@ -44,7 +44,7 @@
 	return []byte(b.String())
 }
 
-// Meaning is the digest of what a text says, "" for a text that can't be read.
+// Meaning returns the digest of what a text says, "" for a text that can't be read.
 func (RulesText) Meaning(text []byte) string {
 	r, err := ParseRules("published", text)
 	if err != nil {
--- /dev/null
+++ b/deployment/settings.go
@@ -0,0 +1,160 @@
+// Package deployment reads and checks what an instance is configured with when it starts: its environment and its file (Instance), the
+// settings of its deployment in that file (Settings), and the rules that operators publish while it runs (Rules). Settings may come from
+// any Source; the wire protocol of the laboratory is another one. What it returns is never changed afterwards.
+//
+// Keys are those of the deployments, and stay as they are; an error names its key.
+package deployment
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+
+	"dapplerouter/routing"
+)
+
+// Settings are what an instance knows of its deployment, in the types of package routing, with the names that ids refer to.
+type Settings struct {
+	PositionOrigin                      int64 // clock time from which positions are measured
+	TypeNames, CustomerNames, ZoneNames []string
+	Topology                            routing.Topology
+	RequestTypes                        []routing.RequestType
+	CustomerQuotas                      []routing.Customer
+	Replication                         routing.Replication
+	Guardrails                          routing.Guardrails
+	Limits                              routing.Limits
+	CostWeights                         routing.CostWeights
+}
+
+var idempotencies = map[string]routing.Idempotency{
+	"read_like": routing.Idempotent, "idempotency_key": routing.IdempotencyKey, "non_idempotent": routing.NonIdempotent,
+}
+
+var dedupScopes = map[string]routing.DedupScope{"all": routing.ScopeAll, "zone": routing.ScopeZone, "cell": routing.ScopeGroup}
+
+var stalenessChecks = map[string]routing.StalenessCheck{"silent": routing.NoStalenessCheck, "bounce": routing.RejectIfStale, "await": routing.WaitUntilFresh}
+
+var consistencies = map[string]routing.Consistency{
+	"eventual": routing.Eventual, "lag_bound": routing.BoundedStaleness, "causal": routing.ReadYourWrites, "strong": routing.Strong,
+	"mutate": routing.Write,
+}
+
+var roleListings = map[string]routing.RoleListing{
+	"silent": routing.RolesNotListed, "static": routing.RolesAtStart, "trailing": routing.RolesDelayed,
+}
+
+var pullEndpoints = map[string]bool{"push": false, "ask": true}
+
+// loadInResponses says whether load reports come with responses; without the key they do not.
+var loadInResponses = map[string]bool{"": false, "silent": false, "pull": false, "piggyback": true}
+
+// ReadSettings reads the settings; unknown keys are ignored. The error is the *KeyError met first.
+func ReadSettings(from Source) (*Settings, error) {
+	r := &keyReader{get: from}
+	s := &Settings{PositionOrigin: r.optionalInteger("FamilyInfo.Zero"), ZoneNames: strings.Split(r.required("Zones"), ",")}
+	s.readRequestTypes(r)
+	s.readCustomers(r)
+	s.readTopology(r)
+	s.readReplication(r)
+	s.readGuardrails(r)
+	s.readLimits(r)
+	s.readCostWeights(r)
+	r.unique("Classes", s.TypeNames)
+	r.unique("Tenants", s.CustomerNames)
+	r.unique("Zones", s.ZoneNames)
+	if r.err != nil {
+		return nil, r.err
+	}
+	return s, nil
+}
+
+func (s *Settings) readRequestTypes(r *keyReader) {
+	levels := strings.Split(r.required("FamilyInfo.ReadLevel"), ",")
+	bounds := strings.Split(r.required("FamilyInfo.StalenessBound"), ",")
+	n := int(r.integer("Classes.count"))
+	if r.err == nil && (len(levels) != n || len(bounds) != n) {
+		r.fail("FamilyInfo.ReadLevel", "does not match Classes.count")
+	}
+	for i := 0; i < n && r.err == nil; i++ {
+		p := "Classes." + strconv.Itoa(i) + "."
+		s.TypeNames = append(s.TypeNames, r.required(p+"Name"))
+		s.RequestTypes = append(s.RequestTypes, routing.RequestType{
+			LatencyObjective: r.duration(p + "Aim"), Deadline: r.duration(p + "Deadline"), WorkMultiple: r.decimal(p+"AimStretch", 0),
+			PriorityWeight: r.decimal(p+"Worth", 1), LateFraction: r.decimal(p+"LateWorth", 0),
+			Idempotency:  choice(r, p+"Effect", idempotencies),
+			DedupScope:   choice(r, p+"Group", dedupScopes),
+			DedupWindow:  time.Duration(r.optionalInteger(p + "Window")),
+			Consistency:  word(r, "FamilyInfo.ReadLevel", levels[i], consistencies),
+			MaxStaleness: time.Duration(r.parse("FamilyInfo.StalenessBound", bounds[i])),
+		})
+	}
+}
+
+func (s *Settings) readCustomers(r *keyReader) {
+	n := int(r.optionalInteger("Tenants.count"))
+	for i := 0; i < n && r.err == nil; i++ {
+		p := "Tenants." + strconv.Itoa(i) + "."
+		s.CustomerNames = append(s.CustomerNames, r.required(p+"Name"))
+		s.CustomerQuotas = append(s.CustomerQuotas, routing.Customer{
+			RequestsPerSecond: r.decimal(p+"QuotaPerS", 0), Quota: r.decimal(p+"Share", 0)})
+	}
+}
+
+func (s *Settings) readTopology(r *keyReader) {
+	home := r.required("Locality")
+	s.Topology = routing.Topology{
+		Zone: routing.None, ZoneCount: len(s.ZoneNames), FleetSize: int(r.integer("FleetSize")), Ordinal: int(r.integer("Ordinal")),
+		PullEndpoints: choice(r, "Discovery", pullEndpoints), TickInterval: r.duration("Tick"),
+		RetriesMarked: r.boolean("Clients.MarksRetry"),
+		RoleListing:   choice(r, "FamilyInfo.RoleListed", roleListings),
+	}
+	for i, z := range s.ZoneNames {
+		if z == home {
+			s.Topology.Zone = i
+		}
+	}
+	if r.err == nil && s.Topology.Zone == routing.None {
+		r.fail("Locality", fmt.Sprintf("is none of Zones: %q", home))
+	}
+}
+
+func (s *Settings) readReplication(r *keyReader) {
+	s.Replication = routing.Replication{
+		StalenessCheck:      choice(r, "FamilyInfo.Checks", stalenessChecks),
+		FreshnessWait:       time.Duration(r.optionalInteger("FamilyInfo.HoldsFor")),
+		ClientCarriesToken:  r.required("FamilyInfo.WriteMarks") == "brought",
+		PositionInResponses: r.boolean("FamilyInfo.TellsPosition"),
+		SemiSyncWrites:      r.boolean("FamilyInfo.Synchronous"),
+		LoadInResponses:     word(r, "Stats.Source", r.get("Stats.Source"), loadInResponses),
+	}
+}
+
+func (s *Settings) readGuardrails(r *keyReader) {
+	s.Guardrails = routing.Guardrails{
+		AnswerSlack: r.duration("Rules.AnswerSlack"), DrainGrace: r.duration("Rules.StopSendingWithin"),
+		MaxPollInterval: time.Duration(r.optionalInteger("Rules.AskEvery")), InitialCapacity: r.decimal("Rules.StartCapacity", 1),
+		OverloadMultiple: r.decimal("Rules.FallMultiple", 1), SlowStartDuration: r.duration("Rules.Cold"), OverloadWindow: r.duration("Rules.Fall"),
+	}
+}
+
+func (s *Settings) readLimits(r *keyReader) {
+	s.Limits = routing.Limits{
+		MaxAttempts: int(r.integer("Limits.AttemptsCap")), HealthChecks: r.boolean("Limits.MayProbe"),
+		Gossip: r.boolean("Limits.Peers"), Cancellation: r.boolean("Limits.Cancel"), HedgedRequests: r.boolean("Limits.MayDuplicate"),
+		MaxRetryAfter:   time.Duration(r.optionalInteger("Limits.MaxRetryAfter")),
+		DialTimeout:     time.Duration(r.optionalInteger("Limits.DialTimeout")),
+		IdleConnTimeout: time.Duration(r.optionalInteger("Limits.ConnIdle")),
+	}
+	if !r.boolean("Limits.RetryAfter") {
+		s.Limits.MaxRetryAfter = 0
+	}
+}
+
+func (s *Settings) readCostWeights(r *keyReader) {
+	s.CostWeights = routing.CostWeights{
+		CrossZone: r.decimal("Deductions.CrossZone", 0), WastedWork: r.decimal("Deductions.Waste", 0),
+		HealthCheck: r.decimal("Deductions.Probe", 0), LateFailure: r.decimal("Deductions.LateFail", 0),
+		Gossip: r.decimal("Deductions.Peer", 0), OverQuota: r.decimal("OverShareWorth", 1),
+	}
+}
