--- a/Makefile
+++ b/Makefile
@@ -26,14 +26,14 @@
 
 # 20,000 rough runs of the fleet in virtual time; about half an hour on 6 cores.
 fleet-soak:
-	FLEET_SEEDS=20000 go test ./lab/sim -run Rough -timeout 3h
+	FLEET_SEEDS=20000 go test ./lab/fleetsim -run Rough -timeout 3h
 
 # 10,000 rough runs of versions in virtual time, and every pair of faults over two publishes; about a quarter of an hour each.
 roll-soak:
-	ROLL_SEEDS=10000 go test ./lab/model -run Rough -timeout 3h
+	ROLL_SEEDS=10000 go test ./lab/proxysim -run Rough -timeout 3h
 
 roll-walk:
-	ROLL_WALK=all go test ./lab/model -run EveryPair -timeout 3h
+	ROLL_WALK=all go test ./lab/proxysim -run EveryPair -timeout 3h
 
 # Every script of the rig with 200 seeds; hours.
 rig-soak: build
@@ -41,7 +41,7 @@
 
 # What a fleet costs at rest, and how long nobody holds a duty.
 fleet-bench:
-	go test ./lab/sim ./lab/model -run XXX -bench . -benchtime 1x
+	go test ./lab/fleetsim ./lab/proxysim -run XXX -bench . -benchtime 1x
 
 # What a fleet of 540 fronts before 650 databases costs, over loopback: some minutes, 2 to 3 cores, 5 GiB.
 scale: build
