--- a/fleet/broadcasts.go
+++ b/fleet/broadcasts.go
@@ -67,7 +67,7 @@
 }
 
 // onBroadcast forwards a broadcast that is new, and applies it to its mirror.
-func (n *Node) onBroadcast(now time.Duration, from string, m *Message) {
+func (n *Node) onBroadcast(from string, m *Message) {
 	if len(n.fences) >= maxKnownFronts && n.fences[m.Name] == (fence{}) || n.state.Leases[m.Name] == nil && n.mirrors[m.Name] == nil {
 		return // an unknown lease
 	}
--- a/fleet/compat_test.go
+++ b/fleet/compat_test.go
@@ -98,9 +98,9 @@
 	n.peers["p"] = &peer{}
 	ask := func(acts uint64) []OutgoingMessage {
 		l.onMembership(time.Second, MembershipRecord{Name: "n2", Incarnation: 4, Seq: acts + 1, ActiveVersion: acts, WantsConfigLease: true})
-		l.renewConfigLeases(time.Second, n.voter.readRounds)
+		l.renewConfigLeases(n.voter.readRounds)
 		require.Empty(t, n.Outgoing(), "not before a round that began behind the word")
-		l.renewConfigLeases(time.Second, n.voter.readRounds+1)
+		l.renewConfigLeases(n.voter.readRounds + 1)
 		return n.Outgoing()
 	}
 	n.state.Values[AllowedVersionsKey] = &StoredValue{Index: 3, Value: AllowedVersions{Min: 2, Max: 3}.Encode()}
--- a/fleet/config_leases.go
+++ b/fleet/config_leases.go
@@ -38,6 +38,11 @@
 // ConfigLeaseExpiry returns until when this front may use a version, on its own clock; 0 for never.
 func (n *Node) ConfigLeaseExpiry(version uint64) time.Duration { return n.configExpiry[version] }
 
+// usesVersion reports whether this front uses a version or is about to.
+func (n *Node) usesVersion(version uint64) bool {
+	return version == n.activeVersion || n.hasPending && version == n.pendingVersion
+}
+
 // onConfigLeases handles renewals on their way from the leader: those of this front, which count from when it asked, and those
 // of fronts behind it.
 func (n *Node) onConfigLeases(all []Position) {
@@ -50,13 +55,13 @@
 			continue
 		}
 		if m.Term != n.options.Incarnation || m.Index > n.reportSeq || n.reportSeq-m.Index >= rememberedSendTimes || n.isDisplaced ||
-			m.Version != n.activeVersion && !(n.hasPending && m.Version == n.pendingVersion) {
+			!n.usesVersion(m.Version) {
 			continue
 		}
 		since := n.sentAt[m.Index%rememberedSendTimes]
 		if until := since + lowerBound(n.options.ConfigLease); until > n.configExpiry[m.Version] {
 			for v := range n.configExpiry {
-				if v != n.activeVersion && !(n.hasPending && v == n.pendingVersion) {
+				if !n.usesVersion(v) {
 					delete(n.configExpiry, v)
 				}
 			}
--- a/fleet/event.go
+++ b/fleet/event.go
@@ -72,12 +72,12 @@
 }
 
 // FleetReached says that this front is not isolated any more.
-type FleetReached struct {
+type FleetReached struct { //nolint:revive // fleet.Reached would not say what was reached
 	Term uint64 // of the leader
 }
 
 // FleetLost says that this front is isolated: no heartbeat came for a while.
-type FleetLost struct {
+type FleetLost struct { //nolint:revive // fleet.Lost would not say what was lost
 	Reason string
 }
 
--- a/fleet/leader.go
+++ b/fleet/leader.go
@@ -120,9 +120,9 @@
 		lease, timer := l.node.state.Leases[name], l.timers[name]
 		switch l.conditionOf(now, lease, timer) {
 		case leaseVacant:
-			l.grant(now, lease, timer, "", reasonVacant, false)
+			l.grant(now, lease, timer, grantOptions{reason: reasonVacant})
 		case leaseExpired:
-			l.grant(now, lease, timer, "", reasonExpired, true)
+			l.grant(now, lease, timer, grantOptions{reason: reasonExpired, expired: true})
 		case leaseIdle:
 			l.requestRelease(now, lease, timer)
 		}
--- a/fleet/leader_leases.go
+++ b/fleet/leader_leases.go
@@ -100,7 +100,7 @@
 		}
 	}
 	l.confirming = remaining
-	l.renewConfigLeases(now, round)
+	l.renewConfigLeases(round)
 	for _, name := range slices.Sorted(maps.Keys(renewed)) {
 		l.reply(now, name, renewed[name])
 	}
@@ -146,24 +146,33 @@
 
 func pauseKey(leaseName, front string) string { return leaseName + "\x00" + front }
 
-// countLoss counts a loss against a leaseholder whose lease expired or that made no progress; after a long tenure it counts anew.
-func (l *leader) countLoss(now time.Duration, lease *Lease, timer *leaseTimer, lost bool, why string) (loser string, losses uint32, because string) {
+// recordLoss counts a loss in a command that ends a lease, where its holder let it expire or made no progress; after a long tenure the
+// count starts anew.
+func (l *leader) recordLoss(now time.Duration, c *Command, timer *leaseTimer, expired bool) {
+	lease := l.node.state.Leases[c.Lease]
 	idle := lease.Bound > 0 && now-timer.progressAt > lease.Bound
 	switch {
-	case lease.Leaseholder == "" || !lost && !idle:
-		return "", 0, why
-	case !lost:
-		why = reasonNoProgress
+	case lease.Leaseholder == "" || !expired && !idle:
+		return
+	case !expired:
+		c.Reason = reasonNoProgress
 	}
-	if now-timer.grantedAt > 32*l.node.options.Timing.LeaseDuration {
-		return lease.Leaseholder, 1, why
+	c.LostBy, c.LossCount = lease.Leaseholder, 1
+	if now-timer.grantedAt <= 32*l.node.options.Timing.LeaseDuration {
+		c.LossCount = lease.losses(lease.Leaseholder) + 1
 	}
-	return lease.Leaseholder, lease.losses(lease.Leaseholder) + 1, why
 }
 
-// grant proposes a leaseholder: the front that is asked for, if eligible, else the best candidate.
-func (l *leader) grant(now time.Duration, lease *Lease, timer *leaseTimer, to, why string, lost bool) {
-	best := l.bestCandidate(now, lease, to)
+// grantOptions say why a lease is granted, and to whom if there is a choice.
+type grantOptions struct {
+	preferred string // the front that is asked for, "" for none
+	reason    string
+	expired   bool // the last holder let it expire
+}
+
+// grant proposes a leaseholder: the preferred front, if eligible, else the best candidate.
+func (l *leader) grant(now time.Duration, lease *Lease, timer *leaseTimer, o grantOptions) {
+	best := l.bestCandidate(now, lease, o.preferred)
 	if best == nil {
 		return
 	}
@@ -174,8 +183,9 @@
 		Target:      best.Name,
 		Incarnation: best.Incarnation,
 		RequestSeq:  best.Seq,
+		Reason:      o.reason,
 	}
-	c.LostBy, c.LossCount, c.Reason = l.countLoss(now, lease, timer, lost, why)
+	l.recordLoss(now, c, timer, o.expired)
 	if l.voter.propose(c) {
 		timer.transferring, timer.transferringAt, timer.transferringTo = true, now, best.Name
 	}
@@ -279,7 +289,7 @@
 
 // renewConfigLeases renews the configuration leases that were asked for before a confirmed round. A version that the replicated
 // state does not allow is not renewed; earlier renewals of it are left to expire.
-func (l *leader) renewConfigLeases(now time.Duration, round uint64) {
+func (l *leader) renewConfigLeases(round uint64) {
 	type key struct {
 		name    string
 		version uint64
--- a/fleet/leader_members.go
+++ b/fleet/leader_members.go
@@ -89,9 +89,9 @@
 }
 
 // matches reports whether a front's replicated membership is what it reports.
-func (f *Front) matches(report *MembershipRecord) bool {
-	return f != nil && f.Incarnation == report.Incarnation && f.Address == report.Address &&
-		f.Zone == report.Zone && f.Version == report.Version
+func (front *Front) matches(report *MembershipRecord) bool {
+	return front != nil && front.Incarnation == report.Incarnation && front.Address == report.Address &&
+		front.Zone == report.Zone && front.Version == report.Version
 }
 
 // queueConfigLeases queues the configuration leases that a front asks for. They are confirmed by the next round, which begins
--- a/fleet/leader_requests.go
+++ b/fleet/leader_requests.go
@@ -100,9 +100,9 @@
 	if lease == nil || timer == nil || lease.Term != q.Term || lease.Leaseholder != requester || timer.transferring {
 		return // transferred already, or proposed
 	}
-	l.grant(now, lease, timer, q.To, reasonTransferred, false)
+	l.grant(now, lease, timer, grantOptions{preferred: q.To, reason: reasonTransferred})
 	c := &Command{Op: opVacateLease, Lease: lease.Name, Term: lease.Term, Reason: reasonReleased}
-	c.LostBy, c.LossCount, c.Reason = l.countLoss(now, lease, timer, false, c.Reason)
+	l.recordLoss(now, c, timer, false)
 	if !timer.transferring && l.voter.propose(c) {
 		timer.transferring, timer.transferringAt, timer.transferringTo = true, now, ""
 	}
--- a/fleet/leases.go
+++ b/fleet/leases.go
@@ -105,12 +105,13 @@
 		n.releaseLease(now, lease.Name, "", reasonAcceptsNoLeases)
 		return
 	}
-	n.extendLease(now, lease.Name, held, lease.RequestSeq, 0)
+	n.extendLease(now, lease.Name, lease.RequestSeq, 0)
 	n.reportMembership(now) // the request is old: renew at once
 }
 
 // extendLease extends a lease, less the margin, from when this front sent the report that the leader confirmed.
-func (n *Node) extendLease(now time.Duration, leaseName string, held *ownLease, seq, leaderTerm uint64) {
+func (n *Node) extendLease(now time.Duration, leaseName string, seq, leaderTerm uint64) {
+	held := n.ownLeases[leaseName]
 	if seq > n.reportSeq || n.reportSeq-seq >= rememberedSendTimes || held.releasing {
 		return
 	}
--- a/fleet/membership.go
+++ b/fleet/membership.go
@@ -80,13 +80,13 @@
 	}
 }
 
-// SetDigest sets the digest of a part, which is sent with this front's membership records; one that is too long is ignored.
-func (n *Node) SetDigest(part string, data []byte) {
+// SetDigest sets the digest of a subsystem, which is sent with this front's membership records; one that is too long is ignored.
+func (n *Node) SetDigest(subsystem string, data []byte) {
 	if len(data) > maxDigestBytes {
 		return
 	}
-	all := slices.DeleteFunc(slices.Clone(n.digests), func(d Digest) bool { return d.Subsystem == part })
-	n.digests = append(all, Digest{Subsystem: part, Data: data})
+	others := slices.DeleteFunc(slices.Clone(n.digests), func(d Digest) bool { return d.Subsystem == subsystem })
+	n.digests = slices.Concat(others, []Digest{{Subsystem: subsystem, Data: data}})
 }
 
 // SetIdle releases all leases and takes none until it is reset: for a front that may not act.
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -102,17 +102,43 @@
 	case KindHeartbeat:
 		n.noteIndex(p, m.Index)
 		n.onHeartbeat(now, from, m)
+	case KindEntries, KindSnapshot, KindSnapshotChunk, KindEntriesRequest:
+		return n.receiveState(now, from, p, m)
+	case KindBroadcast:
+		n.onBroadcast(from, m)
+	case KindMirrorPositions:
+		for _, position := range m.Positions {
+			n.sendMirror(from, position)
+		}
+	default:
+		n.receiveRouted(now, from, m)
+	}
+	return nil
+}
+
+// receiveState handles the messages by which the replicated state spreads.
+func (n *Node) receiveState(now time.Duration, from string, p *peer, m *Message) error {
+	switch m.Kind {
 	case KindEntries:
 		n.noteIndex(p, m.Index)
-		return n.onEntries(now, from, m)
+		n.onEntries(now, from, m)
 	case KindSnapshot:
 		n.noteIndex(p, m.Index)
 		return n.onSnapshot(now, m)
+	case KindSnapshotChunk:
+		return n.onChunk(now, from, p, m)
 	case KindEntriesRequest:
 		p.index = m.Index
 		if n.catchUp(from); m.Number != 0 && p.index < n.state.Index {
 			n.startSnapshot(from, n.state.encode())
 		}
+	}
+	return nil
+}
+
+// receiveRouted handles the messages that pass from front to front on their way to the leader or to a receiver.
+func (n *Node) receiveRouted(now time.Duration, from string, m *Message) {
+	switch m.Kind {
 	case KindMembership:
 		for i := range m.Members {
 			n.forwardMembership(now, from, m.Members[i])
@@ -126,23 +152,14 @@
 		if m.Number++; m.Number <= maxForwards {
 			n.toFront(now, m)
 		}
-	case KindBroadcast:
-		n.onBroadcast(now, from, m)
 	case KindDatagram:
 		if m.Number++; m.Number <= maxForwards {
 			n.learnRoute(now, m.From, from)
-			n.routeDatagram(now, from, m)
+			n.routeDatagram(from, m)
 		}
 	case KindConfigLeases:
 		n.onConfigLeases(m.Positions)
-	case KindSnapshotChunk:
-		return n.onChunk(now, from, p, m)
-	case KindMirrorPositions:
-		for _, s := range m.Positions {
-			n.sendMirror(from, s)
-		}
 	}
-	return nil
 }
 
 // Tick does what depends on time. Call it about every Timing.TickInterval.
--- a/fleet/replicated_state.go
+++ b/fleet/replicated_state.go
@@ -240,7 +240,7 @@
 }
 
 // Allows reports whether a version may be used.
-func (x AllowedVersions) Allows(version uint64) bool { return version == x.Min || version == x.Max }
+func (r AllowedVersions) Allows(version uint64) bool { return version == r.Min || version == r.Max }
 
 // AllowedVersions returns the versions in force and the index of their value; the index is 0 where there is none, and all versions
 // may be used.
--- a/fleet/replication.go
+++ b/fleet/replication.go
@@ -44,21 +44,20 @@
 }
 
 // onEntries applies log entries of a peer, and asks for the ones that are missing before them.
-func (n *Node) onEntries(now time.Duration, from string, m *Message) error {
+func (n *Node) onEntries(now time.Duration, from string, m *Message) {
 	if n.isActiveVoter() {
-		return nil
+		return
 	}
 	for _, entry := range m.Entries {
 		switch {
 		case entry.Index <= n.state.Index:
 		case entry.Index > n.state.Index+1 || n.state.Index == 0:
 			n.send(from, &Message{Kind: KindEntriesRequest, Index: n.state.Index})
-			return nil
+			return
 		default:
 			n.apply(now, entry)
 		}
 	}
-	return nil
 }
 
 // onSnapshot replaces the replicated state by a newer one.
--- a/fleet/requests.go
+++ b/fleet/requests.go
@@ -92,7 +92,7 @@
 	}
 	for _, renewal := range reply.Renewed {
 		if held := n.ownLeases[renewal.Lease]; held != nil && held.term == renewal.Term {
-			n.extendLease(now, renewal.Lease, held, reply.RenewedSeq, leaderTerm)
+			n.extendLease(now, renewal.Lease, reply.RenewedSeq, leaderTerm)
 		}
 	}
 }
--- a/fleet/routing.go
+++ b/fleet/routing.go
@@ -53,11 +53,11 @@
 // SendDatagram sends data to a subsystem of another front, along the tree of heartbeats. It is unreliable: a sender that needs an
 // answer must retry.
 func (n *Node) SendDatagram(now time.Duration, to, part string, data []byte) {
-	n.routeDatagram(now, "", &Message{Kind: KindDatagram, From: n.options.Name, Name: to, Reason: part, Data: data})
+	n.routeDatagram("", &Message{Kind: KindDatagram, From: n.options.Name, Name: to, Reason: part, Data: data})
 }
 
 // routeDatagram sends a datagram a hop towards its receiver, but not back.
-func (n *Node) routeDatagram(now time.Duration, from string, m *Message) {
+func (n *Node) routeDatagram(from string, m *Message) {
 	if m.Name == n.options.Name {
 		n.emit(DatagramReceived{From: m.From, Subsystem: m.Reason, Data: m.Data})
 		return
--- a/fleet/voter.go
+++ b/fleet/voter.go
@@ -74,7 +74,7 @@
 		v.confState = first.GetMetadata().GetConfState()
 	}
 	if s.Hard != nil {
-		v.storage.SetHardState(s.Hard)
+		_ = v.storage.SetHardState(s.Hard) // in memory: it cannot fail
 		v.term = s.Hard.GetTerm()
 		v.floor = Floor{Term: s.Hard.GetTerm(), Vote: s.Hard.GetVote(), Commit: s.Hard.GetCommit()}
 	}
@@ -183,7 +183,7 @@
 			return nil
 		}
 	}
-	v.callRaft(func() { v.rawNode.Step(m) })
+	v.callRaft(func() { _ = v.rawNode.Step(m) }) // a message that raft does not take counts as lost
 	v.process(now)
 	return nil
 }
@@ -200,7 +200,7 @@
 	case now-v.leaderContactAt > v.electionTimeout:
 		v.leaderContactAt = now
 		v.drawElectionTimeout()
-		v.callRaft(func() { v.rawNode.Campaign() })
+		v.callRaft(func() { _ = v.rawNode.Campaign() }) // it is repeated after the next election timeout
 	}
 	v.process(now)
 	if v.pendingWrite == nil && v.floorsDue(now, v.node.options.Timing.reportInterval()) {
--- a/fleet/voter_disk.go
+++ b/fleet/voter_disk.go
@@ -106,11 +106,11 @@
 			v.restore(now, rd.Snapshot)
 		}
 		if len(rd.Entries) > 0 {
-			v.storage.Append(rd.Entries)
+			_ = v.storage.Append(rd.Entries) // in memory: it panics, or succeeds
 		}
 		if !raft.IsEmptyHardState(rd.HardState) {
-			v.storage.SetHardState(rd.HardState)
-			v.term = rd.HardState.GetTerm()
+			_ = v.storage.SetHardState(rd.HardState) // in memory: it cannot fail
+			v.term = rd.GetTerm()
 		}
 		if rd.SoftState != nil {
 			v.onSoftState(now, rd.SoftState)
@@ -149,7 +149,7 @@
 		v.confChanged = true // a new voter can only be initialised by a snapshot that knows of it
 		data = cc.GetContext()
 	}
-	if v.isLeader() && e.GetTerm() == v.rawNode.BasicStatus().HardState.GetTerm() {
+	if v.isLeader() && e.GetTerm() == v.rawNode.BasicStatus().GetTerm() {
 		v.node.leader.activate(now)
 	}
 	v.node.apply(now, LogEntry{Index: e.GetIndex(), Data: data})
@@ -180,7 +180,8 @@
 	}
 	old, err := v.storage.Snapshot()
 	at := old.GetMetadata().GetIndex()
-	if err != nil || v.applied < at+snapshotThreshold && !(v.confChanged && v.applied > at) {
+	due := v.applied >= at+snapshotThreshold || v.confChanged && v.applied > at
+	if err != nil || !due {
 		return
 	}
 	v.confChanged = false
@@ -189,7 +190,7 @@
 		return
 	}
 	if first, err := v.storage.FirstIndex(); err == nil && v.applied > first+catchUpEntries {
-		v.storage.Compact(v.applied - catchUpEntries)
+		_ = v.storage.Compact(v.applied - catchUpEntries) // fails only for an index that is compacted already
 	}
 	v.pendingWrite = &DiskWrite{Snapshot: s}
 }
--- a/fleet/voter_election.go
+++ b/fleet/voter_election.go
@@ -50,7 +50,7 @@
 	case v.isLeader() && !was:
 		v.confirmedAt, v.silenced, v.readAt = now, false, now
 		v.node.leader = newLeader(v.node, v, now)
-		v.node.emit(BecameLeader{Term: v.rawNode.BasicStatus().HardState.GetTerm()})
+		v.node.emit(BecameLeader{Term: v.rawNode.BasicStatus().GetTerm()})
 	case was && !v.isLeader():
 		v.node.leader = nil
 		v.node.emit(LostLeadership{})
--- a/fleet/voter_recovery.go
+++ b/fleet/voter_recovery.go
@@ -209,7 +209,7 @@
 			}
 			data = change.GetContext()
 		}
-		state.apply(e.GetIndex(), data)
+		_, _ = state.apply(e.GetIndex(), data) // a command may be without effect, as where it is applied in order
 	}
 	return nil
 }
