--- a/fleet/broadcasts.go
+++ b/fleet/broadcasts.go
@@ -33,9 +33,9 @@
 	if !ok {
 		return false
 	}
-	held := n.ownLeases[leaseName]
-	held.broadcasts++
-	m := &Message{Kind: KindBroadcast, From: n.options.Name, Name: leaseName, Term: term, Number: held.broadcasts, Data: data}
+	own := n.ownLeases[leaseName]
+	own.broadcasts++
+	m := &Message{Kind: KindBroadcast, From: n.options.Name, Name: leaseName, Term: term, Number: own.broadcasts, Data: data}
 	n.acceptBroadcast(m)
 	n.flood(m, "")
 	if mirror := n.mirrors[leaseName]; mirror != nil {
@@ -43,7 +43,7 @@
 			return true
 		}
 	}
-	n.emit(BroadcastReceived{Lease: leaseName, Term: term, From: n.options.Name, Number: held.broadcasts, Data: data})
+	n.emit(BroadcastReceived{Lease: leaseName, Term: term, From: n.options.Name, Number: own.broadcasts, Data: data})
 	return true
 }
 
@@ -71,7 +71,7 @@
 	if len(n.fences) >= maxKnownFronts && n.fences[m.Name] == (fence{}) || n.state.Leases[m.Name] == nil && n.mirrors[m.Name] == nil {
 		return // an unknown lease
 	}
-	if held := n.ownLeases[m.Name]; held != nil && m.Term > held.term {
+	if own := n.ownLeases[m.Name]; own != nil && m.Term > own.term {
 		n.dropLease(m.Name, reasonLaterTerm)
 	}
 	if !n.acceptBroadcast(m) {
@@ -102,16 +102,16 @@
 }
 
 // sendMirror sends a peer this front's mirror where the peer's is older.
-func (n *Node) sendMirror(to string, s Position) {
-	m := n.mirrors[s.Name]
+func (n *Node) sendMirror(to string, position Position) {
+	m := n.mirrors[position.Name]
 	if m == nil {
 		return
 	}
 	term, index := m.Position()
-	if index <= s.Index {
+	if index <= position.Index {
 		return
 	}
 	if data := m.Snapshot(); data != nil {
-		n.send(to, &Message{Kind: KindBroadcast, From: n.options.Name, Name: s.Name, Term: term, Data: data})
+		n.send(to, &Message{Kind: KindBroadcast, From: n.options.Name, Name: position.Name, Term: term, Data: data})
 	}
 }
--- a/fleet/errors.go
+++ b/fleet/errors.go
@@ -60,7 +60,7 @@
 	errValueChanged      = errors.New("the entry has changed meanwhile")
 	errLeaderCommand     = errors.New("only the giver says that")
 	errUnknownLease      = errors.New("there is no duty of that name")
-	errNotHeld           = errors.New("nobody holds it")
+	errNoLeaseholder     = errors.New("nobody holds it")
 	errAlreadyVoter      = errors.New("is a keeper already")
 	errNotAVoter         = errors.New("is no keeper")
 	errNotEligible       = errors.New("can't take it: it is not there, goes, or takes no duties")
--- a/fleet/errors_test.go
+++ b/fleet/errors_test.go
@@ -29,7 +29,7 @@
 		errValueChanged:          "the entry has changed meanwhile",
 		errLeaderCommand:         "only the giver says that",
 		errUnknownLease:          "there is no duty of that name",
-		errNotHeld:               "nobody holds it",
+		errNoLeaseholder:         "nobody holds it",
 		errAlreadyVoter:          "is a keeper already",
 		errNotAVoter:             "is no keeper",
 		errNotEligible:           "can't take it: it is not there, goes, or takes no duties",
--- a/fleet/leader_leases.go
+++ b/fleet/leader_leases.go
@@ -83,7 +83,7 @@
 		if lease == nil || timer == nil || timer.transferring || timer.term != pending.renewal.Term {
 			continue
 		}
-		if !lease.heldBy(pending.name, pending.incarnation, pending.renewal.Term) {
+		if !lease.isHolder(pending.name, pending.incarnation, pending.renewal.Term) {
 			continue
 		}
 		timer.expiresAt = max(timer.expiresAt, pending.receivedAt+l.node.options.Timing.leaderLease())
@@ -200,8 +200,8 @@
 	var bestRank candidateRank
 	for _, name := range slices.Sorted(maps.Keys(l.members)) {
 		known := l.members[name]
-		isHolder := name == lease.Leaseholder && known.Incarnation == lease.Incarnation
-		if isHolder || !l.eligible(now, known) || now < l.backoffEnd(lease, name) {
+		isCurrentHolder := name == lease.Leaseholder && known.Incarnation == lease.Incarnation
+		if isCurrentHolder || !l.eligible(now, known) || now < l.backoffEnd(lease, name) {
 			continue
 		}
 		if byFront[name]+onTheirWay[name] >= maxRenewals {
@@ -267,7 +267,7 @@
 	ownName := ""
 	for name, lease := range l.node.state.Leases {
 		leaseCounts[lease.Leaseholder]++
-		if held := l.node.ownLeases[name]; lease.Leaseholder == l.node.options.Name && held != nil && held.announced && !held.releasing {
+		if ownLease := l.node.ownLeases[name]; lease.Leaseholder == l.node.options.Name && ownLease != nil && ownLease.announced && !ownLease.releasing {
 			ownName = max(ownName, name)
 		}
 	}
--- a/fleet/leader_members.go
+++ b/fleet/leader_members.go
@@ -119,7 +119,7 @@
 func (l *leader) queueRenewals(now time.Duration, report *MembershipRecord) {
 	for _, renewal := range report.Renewals {
 		lease, timer := l.node.state.Leases[renewal.Lease], l.timers[renewal.Lease]
-		if lease == nil || timer == nil || timer.transferring || !lease.heldBy(report.Name, report.Incarnation, renewal.Term) {
+		if lease == nil || timer == nil || timer.transferring || !lease.isHolder(report.Name, report.Incarnation, renewal.Term) {
 			continue
 		}
 		l.unconfirmed = append(l.unconfirmed, pendingRenewal{
--- a/fleet/leader_requests.go
+++ b/fleet/leader_requests.go
@@ -115,7 +115,7 @@
 	case lease == nil || timer == nil:
 		l.answer(now, requester, q, errUnknownLease)
 	case lease.Leaseholder == "":
-		l.answer(now, requester, q, errNotHeld)
+		l.answer(now, requester, q, errNoLeaseholder)
 	case q.To == lease.Leaseholder:
 		l.answer(now, requester, q, nil)
 	case q.To != "" && (known == nil || !l.eligible(now, known)):
@@ -127,7 +127,7 @@
 }
 
 // memberReports returns all fronts' digests of a part.
-func (l *leader) memberReports(now time.Duration, part string) (all []MemberReport) {
+func (l *leader) memberReports(now time.Duration, subsystem string) (all []MemberReport) {
 	for _, name := range slices.Sorted(maps.Keys(l.members)) {
 		known := l.members[name]
 		report := MemberReport{
@@ -141,7 +141,7 @@
 			Index:            known.Index,
 		}
 		for _, d := range known.Digests {
-			if d.Subsystem == part {
+			if d.Subsystem == subsystem {
 				report.Data = d.Data
 			}
 		}
--- a/fleet/leases.go
+++ b/fleet/leases.go
@@ -54,17 +54,17 @@
 // HoldsLease reports whether this front holds a lease now, and in which term. Call it directly before each action under the
 // lease.
 func (n *Node) HoldsLease(now time.Duration, leaseName string) (term uint64, ok bool) {
-	held := n.ownLeases[leaseName]
-	if held == nil || held.releasing || now >= held.expiresAt || n.isDisplaced {
+	own := n.ownLeases[leaseName]
+	if own == nil || own.releasing || now >= own.expiresAt || n.isDisplaced {
 		return 0, false
 	}
-	return held.term, true
+	return own.term, true
 }
 
 // LeaseExpiry returns until when this front holds a lease as far as it knows, on its own clock; 0 where it holds none.
 func (n *Node) LeaseExpiry(leaseName string) time.Duration {
-	if held := n.ownLeases[leaseName]; held != nil {
-		return held.expiresAt
+	if own := n.ownLeases[leaseName]; own != nil {
+		return own.expiresAt
 	}
 	return 0
 }
@@ -72,16 +72,16 @@
 // LeaseConfirmed returns the term of the leader that renewed a lease last, and a time of this front's clock after which that leader
 // was confirmed by a majority. The term is 0 where no renewal told it.
 func (n *Node) LeaseConfirmed(leaseName string) (leaderTerm uint64, after time.Duration) {
-	if held := n.ownLeases[leaseName]; held != nil {
-		return held.confirmedTerm, held.confirmedAt
+	if own := n.ownLeases[leaseName]; own != nil {
+		return own.confirmedTerm, own.confirmedAt
 	}
 	return 0, 0
 }
 
 // ReportProgress records that the leaseholder made progress.
 func (n *Node) ReportProgress(leaseName string) {
-	if held := n.ownLeases[leaseName]; held != nil {
-		held.progress++
+	if own := n.ownLeases[leaseName]; own != nil {
+		own.progress++
 	}
 }
 
@@ -90,17 +90,17 @@
 	if f := n.fences[lease.Name]; lease.Term > f.term {
 		n.fences[lease.Name] = fence{term: lease.Term}
 	}
-	held := n.ownLeases[lease.Name]
+	own := n.ownLeases[lease.Name]
 	ours := lease.Leaseholder == n.options.Name && lease.Incarnation == n.options.Incarnation && !n.isDisplaced
-	if held != nil && (!ours || held.term != lease.Term) {
+	if own != nil && (!ours || own.term != lease.Term) {
 		n.dropLease(lease.Name, reasonGrantedTo+cmp.Or(lease.Leaseholder, "nobody"))
-		held = nil
+		own = nil
 	}
-	if !ours || held != nil {
+	if !ours || own != nil {
 		return
 	}
-	held = &ownLease{term: lease.Term}
-	n.ownLeases[lease.Name] = held
+	own = &ownLease{term: lease.Term}
+	n.ownLeases[lease.Name] = own
 	if n.leaving || n.idle {
 		n.releaseLease(now, lease.Name, "", reasonAcceptsNoLeases)
 		return
@@ -111,42 +111,42 @@
 
 // extendLease extends a lease, less the margin, from when this front sent the report that the leader confirmed.
 func (n *Node) extendLease(now time.Duration, leaseName string, seq, leaderTerm uint64) {
-	held := n.ownLeases[leaseName]
-	if seq > n.reportSeq || n.reportSeq-seq >= rememberedSendTimes || held.releasing {
+	own := n.ownLeases[leaseName]
+	if seq > n.reportSeq || n.reportSeq-seq >= rememberedSendTimes || own.releasing {
 		return
 	}
 	since := n.sentAt[seq%rememberedSendTimes]
 	until := since + n.options.Timing.holderLease()
-	if until <= held.expiresAt || until <= now {
+	if until <= own.expiresAt || until <= now {
 		return
 	}
-	held.expiresAt, held.confirmedAt, held.confirmedTerm = until, since, leaderTerm
-	if held.announced {
-		n.emit(LeaseRenewed{Lease: leaseName, Term: held.term, Until: until, Since: since})
+	own.expiresAt, own.confirmedAt, own.confirmedTerm = until, since, leaderTerm
+	if own.announced {
+		n.emit(LeaseRenewed{Lease: leaseName, Term: own.term, Until: until, Since: since})
 		return
 	}
-	held.announced = true
-	n.emit(LeaseAcquired{Lease: leaseName, Term: held.term, Until: until, Since: since})
+	own.announced = true
+	n.emit(LeaseAcquired{Lease: leaseName, Term: own.term, Until: until, Since: since})
 }
 
 // dropLease ends a lease that another front holds now.
 func (n *Node) dropLease(leaseName, reason string) {
-	held := n.ownLeases[leaseName]
+	own := n.ownLeases[leaseName]
 	delete(n.ownLeases, leaseName)
-	if held != nil {
-		n.announceEnd(leaseName, held, reason)
+	if own != nil {
+		n.announceEnd(leaseName, own, reason)
 	}
 }
 
 // releaseLease stops using a lease first, and tells the leader then.
 func (n *Node) releaseLease(now time.Duration, leaseName, to, reason string) {
-	held := n.ownLeases[leaseName]
-	if held == nil || held.releasing {
+	own := n.ownLeases[leaseName]
+	if own == nil || own.releasing {
 		return
 	}
-	held.releasing = true
-	n.announceEnd(leaseName, held, reason)
-	n.Request(now, Request{Type: RequestRelease, Lease: leaseName, Term: held.term, To: to})
+	own.releasing = true
+	n.announceEnd(leaseName, own, reason)
+	n.Request(now, Request{Type: RequestRelease, Lease: leaseName, Term: own.term, To: to})
 }
 
 // Leave begins this front's shutdown: it releases its leases, reports that it leaves, and takes no new leases.
@@ -175,17 +175,17 @@
 
 // endExpiredLeases stops using leases that expired.
 func (n *Node) endExpiredLeases(now time.Duration) {
-	expired := func(_ string, held *ownLease) bool { return held.announced && now >= held.expiresAt }
+	expired := func(_ string, own *ownLease) bool { return own.announced && now >= own.expiresAt }
 	for _, name := range sortedMatches(n.ownLeases, expired) {
 		n.announceEnd(name, n.ownLeases[name], reasonExpired)
 	}
 }
 
 // announceEnd emits the end of a lease whose acquisition was emitted.
-func (n *Node) announceEnd(leaseName string, held *ownLease, reason string) {
-	if !held.announced {
+func (n *Node) announceEnd(leaseName string, own *ownLease, reason string) {
+	if !own.announced {
 		return
 	}
-	held.announced = false
-	n.emit(LeaseEnded{Lease: leaseName, Term: held.term, Until: held.expiresAt, Broadcasts: held.broadcasts, Reason: reason})
+	own.announced = false
+	n.emit(LeaseEnded{Lease: leaseName, Term: own.term, Until: own.expiresAt, Broadcasts: own.broadcasts, Reason: reason})
 }
--- a/fleet/membership.go
+++ b/fleet/membership.go
@@ -56,8 +56,8 @@
 		if len(report.Renewals) == maxRenewals {
 			break // a leader of an older program granted more: peers refuse a longer record, so the others expire
 		}
-		if held := n.ownLeases[leaseName]; !held.releasing {
-			report.Renewals = append(report.Renewals, LeaseRenewal{Lease: leaseName, Term: held.term, Progress: held.progress})
+		if own := n.ownLeases[leaseName]; !own.releasing {
+			report.Renewals = append(report.Renewals, LeaseRenewal{Lease: leaseName, Term: own.term, Progress: own.progress})
 		}
 	}
 	n.forwardMembership(now, "", report)
--- a/fleet/replicated_state.go
+++ b/fleet/replicated_state.go
@@ -39,8 +39,8 @@
 	Count uint32
 }
 
-// heldBy reports whether a front holds the lease in a term.
-func (lease *Lease) heldBy(front string, incarnation, term uint64) bool {
+// isHolder reports whether a front holds the lease in a term.
+func (lease *Lease) isHolder(front string, incarnation, term uint64) bool {
 	return lease.Leaseholder == front && lease.Incarnation == incarnation && lease.Term == term
 }
 
--- a/fleet/requests.go
+++ b/fleet/requests.go
@@ -26,7 +26,7 @@
 
 // Request sends a request to the leader. A RequestDone event with the returned number follows, after four lease durations at
 // the latest.
-func (n *Node) Request(now time.Duration, q Request) (number uint64) {
+func (n *Node) Request(now time.Duration, q Request) (id uint64) {
 	n.lastRequestID++
 	q.ID = n.lastRequestID
 	if len(n.pendingRequests) >= maxPendingRequests {
@@ -41,7 +41,7 @@
 
 // PutValue asks for a value to be stored under a lease that this front holds; prev is the value's index as known, 0 for none. ok
 // is false where the lease is not held.
-func (n *Node) PutValue(now time.Duration, leaseName, key string, prev uint64, value []byte) (number uint64, ok bool) {
+func (n *Node) PutValue(now time.Duration, leaseName, key string, prev uint64, value []byte) (id uint64, ok bool) {
 	term, ok := n.HoldsLease(now, leaseName)
 	if !ok {
 		return 0, false
@@ -71,8 +71,8 @@
 }
 
 // CollectDigests asks the leader for all fronts' digests of a part; a RequestDone event with them follows.
-func (n *Node) CollectDigests(now time.Duration, part string) uint64 {
-	return n.Request(now, Request{Type: RequestDigests, Lease: part})
+func (n *Node) CollectDigests(now time.Duration, subsystem string) uint64 {
+	return n.Request(now, Request{Type: RequestDigests, Lease: subsystem})
 }
 
 // onReply handles a reply of the leader to this front; leaderTerm is 0 where an older program leads.
@@ -86,12 +86,12 @@
 		n.completeRequest(RequestDone{ID: reply.RequestID, Error: reply.Error, LeaderTerm: leaderTerm, Reports: reply.Reports})
 	}
 	if reply.Release != "" {
-		if held := n.ownLeases[reply.Release]; held != nil && held.term == reply.Term {
+		if own := n.ownLeases[reply.Release]; own != nil && own.term == reply.Term {
 			n.releaseLease(now, reply.Release, reply.TransferTo, reasonTransferRequested)
 		}
 	}
 	for _, renewal := range reply.Renewed {
-		if held := n.ownLeases[renewal.Lease]; held != nil && held.term == renewal.Term {
+		if own := n.ownLeases[renewal.Lease]; own != nil && own.term == renewal.Term {
 			n.extendLease(now, renewal.Lease, reply.RenewedSeq, leaderTerm)
 		}
 	}
@@ -110,7 +110,7 @@
 	for _, id := range slices.Sorted(maps.Keys(n.pendingRequests)) {
 		pending := n.pendingRequests[id]
 		if request := pending.message.Request; request.Type == RequestRelease {
-			if held := n.ownLeases[request.Lease]; held == nil || held.term != request.Term {
+			if own := n.ownLeases[request.Lease]; own == nil || own.term != request.Term {
 				delete(n.pendingRequests, id)
 				continue
 			}
--- a/fleet/routing.go
+++ b/fleet/routing.go
@@ -52,8 +52,8 @@
 
 // SendDatagram sends data to a subsystem of another front, along the tree of heartbeats. It is unreliable: a sender that needs an
 // answer must retry.
-func (n *Node) SendDatagram(now time.Duration, to, part string, data []byte) {
-	n.routeDatagram("", &Message{Kind: KindDatagram, From: n.options.Name, Name: to, Reason: part, Data: data})
+func (n *Node) SendDatagram(now time.Duration, to, subsystem string, data []byte) {
+	n.routeDatagram("", &Message{Kind: KindDatagram, From: n.options.Name, Name: to, Reason: subsystem, Data: data})
 }
 
 // routeDatagram sends a datagram a hop towards its receiver, but not back.
