--- a/fleet/broadcasts.go
+++ b/fleet/broadcasts.go
@@ -54,7 +54,7 @@
 	case m.Term < f.term:
 		n.emit(BroadcastRejected{Lease: m.Name, Term: m.Term, From: m.From, Reason: reasonStaleBroadcast})
 		return false
-	case m.Number == 0: // a neighbour's whole mirror
+	case m.Number == 0: // a neighbour's complete mirror
 		if m.Term > f.term {
 			n.fences[m.Name] = fence{term: m.Term}
 		}
--- a/fleet/command.go
+++ b/fleet/command.go
@@ -20,7 +20,8 @@
 	opPutValue                  // Value under Key, by the holder of Lease in Term; Prev is the value's index before, 0 for none
 )
 
-// Command is one change of the replicated state.
+// Command is one change of the replicated state. It is one flat array for all operations, each of which uses the fields that are its
+// own: the log holds that encoding, so the fields can't be grouped.
 type Command struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -31,7 +32,7 @@
 	Term        uint64
 	Target      string
 	Incarnation uint64
-	RequestSeq  uint64 // the leaseholder's Seq at which it asked: its lease counts from when it sent that report
+	RequestSeq  uint64 // Seq of the leaseholder's report that was granted: its lease counts from when it sent that
 	Bound       time.Duration
 	LostBy      string // the front that lost the lease, and its recent losses
 	LossCount   uint32
@@ -45,14 +46,14 @@
 	RequestID   uint64
 }
 
-// Encode returns the command as it is kept in the log.
+// Encode encodes the command for the log.
 func (c *Command) Encode() []byte {
 	if c.Format == 0 {
 		c.Format = 1
 	}
 	b, err := msgpack.Marshal(c)
 	if err != nil {
-		panic(fmt.Sprint("a command that can't be written: ", err)) // cannot fail for our own types
+		panic(fmt.Sprint("encode a command: ", err)) // our own types always encode
 	}
 	return b
 }
--- a/fleet/config_leases.go
+++ b/fleet/config_leases.go
@@ -43,7 +43,7 @@
 	return version == n.activeVersion || n.hasPending && version == n.pendingVersion
 }
 
-// onConfigLeases handles renewals on their way from the leader: those of this front, which count from when it asked, and those
+// onConfigLeases handles renewals on their way from the leader: those of this front, which count from its request, and those
 // of fronts behind it.
 func (n *Node) onConfigLeases(all []Position) {
 	byNextHop := map[string][]Position{}
--- a/fleet/endpoint_list.go
+++ b/fleet/endpoint_list.go
@@ -14,7 +14,8 @@
 // EndpointListLease is the lease of the front that follows the discovery service for all.
 const EndpointListLease = "list"
 
-// endpointUpdate is a broadcast under that lease: the whole list, the changes behind index After, or that the service was heard.
+// endpointUpdate is a broadcast under that lease: the complete list, the changes since index After, or only that the
+// service answered.
 type endpointUpdate struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -44,7 +45,7 @@
 type EndpointList struct {
 	term         uint64
 	index        int64
-	known        bool // a whole list was received
+	known        bool // a complete list was received
 	endpoints    map[string]discovery.Endpoint
 	StaleUpdates int // updates that were older than the list here
 }
@@ -59,7 +60,7 @@
 	if !l.known {
 		return l.term, 0
 	}
-	return l.term, uint64(l.index) + 1 // a list's index may be 0
+	return l.term, uint64(l.index) + 1 // a list's index may be 0, a Position's 0 is none
 }
 
 // Snapshot implements Mirror.
@@ -82,10 +83,10 @@
 // Index is the list's version.
 func (l *EndpointList) Index() int64 { return l.index }
 
-// Known reports whether a whole list was received.
+// Known reports whether a complete list was received.
 func (l *EndpointList) Known() bool { return l.known }
 
-// Apply implements Mirror. An update that only says that the service was heard counts as news where nothing is missing.
+// Apply implements Mirror. An update that only says that the service answered is passed on where nothing is missing.
 func (l *EndpointList) Apply(term uint64, data []byte) (news []byte, behind bool) {
 	var update endpointUpdate
 	if err := msgpack.Unmarshal(data, &update); err != nil || len(update.Endpoints) > maxEndpoints || update.Index < 0 {
@@ -101,7 +102,7 @@
 	case !l.known || !update.Complete && update.After > l.index:
 		return nil, true
 	case update.Index == l.index:
-		return l.EncodeHeartbeat(), false // nothing new, but the service is alive
+		return l.EncodeHeartbeat(), false // no change, but the service answers
 	}
 	l.known, l.index = true, update.Index
 	for _, e := range update.Endpoints {
@@ -115,8 +116,8 @@
 	return data, false
 }
 
-// EncodeUpdate encodes what the discovery service said, as changes behind index after. It fails where the service returns an
-// older list than is known.
+// EncodeUpdate encodes an answer of the discovery service, as changes since index after. The error is an OlderListError where the
+// service returned an older list than is known.
 func (l *EndpointList) EncodeUpdate(list discovery.List, after int64) ([]byte, error) {
 	if l.known && list.Index < l.index {
 		return nil, &OlderListError{Received: list.Index, Known: l.index}
@@ -124,12 +125,12 @@
 	return encodeEndpointUpdate(list, after), nil
 }
 
-// EncodeHeartbeat encodes an update that says only that the discovery service was heard.
+// EncodeHeartbeat encodes an update that says only that the discovery service answered.
 func (l *EndpointList) EncodeHeartbeat() []byte {
 	return encodeEndpointUpdate(discovery.List{Index: l.index}, l.index)
 }
 
-// DecodeEndpointUpdate decodes an update; changed reports whether it says more than that the service was heard.
+// DecodeEndpointUpdate decodes an update; changed reports whether it says more than that the service answered.
 func DecodeEndpointUpdate(data []byte) (list discovery.List, changed bool) {
 	var update endpointUpdate
 	if err := msgpack.Unmarshal(data, &update); err != nil {
@@ -151,7 +152,7 @@
 	}
 	b, err := msgpack.Marshal(&update)
 	if err != nil {
-		panic(fmt.Sprint("a list that can't be written: ", err)) // cannot fail for our own types
+		panic(fmt.Sprint("encode an endpoint update: ", err)) // our own types always encode
 	}
 	return b
 }
--- a/fleet/event.go
+++ b/fleet/event.go
@@ -9,14 +9,14 @@
 	Fields() EventFields
 }
 
-// LeaseAcquired says that this front holds a lease until Until at least. It counts from Since, when it was asked for.
+// LeaseAcquired says that this front holds a lease until Until at least. It counts from Since, when it was requested.
 type LeaseAcquired struct {
 	Lease        string
 	Term         uint64
 	Until, Since time.Duration
 }
 
-// LeaseRenewed says that this front holds a lease until Until. It counts from Since, when the renewal was asked for.
+// LeaseRenewed says that this front holds a lease until Until. It counts from Since, when the renewal was requested.
 type LeaseRenewed struct {
 	Lease        string
 	Term         uint64
@@ -46,7 +46,7 @@
 	Lease  string
 	Term   uint64
 	From   string
-	Number uint64 // within the term; 0 for a neighbour's whole mirror
+	Number uint64 // within the term; 0 for a neighbour's complete mirror
 	Data   []byte
 }
 
@@ -89,7 +89,7 @@
 // LostLeadership says that this front's voter leads no more.
 type LostLeadership struct{}
 
-// VoterHalted says that this front's voter has stopped for good; the front goes on as a follower.
+// VoterHalted says that this front's voter has stopped for good; the front continues as a follower.
 type VoterHalted struct {
 	Reason string
 }
@@ -116,7 +116,7 @@
 	Reports    []MemberReport // answer to CollectDigests
 }
 
-// LinkClosed says that a link was closed because it was of no use.
+// LinkClosed says that a link was closed because the peer was silent.
 type LinkClosed struct {
 	Peer   string
 	Reason string
@@ -135,7 +135,7 @@
 	Data      []byte
 }
 
-// ConfigLeaseRenewed says that this front may use a configuration version until Until. It counts from Since, when it was asked for.
+// ConfigLeaseRenewed says that this front may use a configuration version until Until. It counts from Since, when it was requested.
 type ConfigLeaseRenewed struct {
 	Version      uint64
 	Until, Since time.Duration
--- a/fleet/leader.go
+++ b/fleet/leader.go
@@ -3,7 +3,7 @@
 import "time"
 
 // leader is what the leading voter knows beyond the replicated state: when leases expire, and which fronts are alive. All of it
-// is lost with the leader: its successor waits for a whole lease duration before it grants a lease that was not released.
+// is lost with the leader: its successor waits for a full lease duration before it grants a lease that was not released.
 //
 // A renewal counts from when it was received, and only once a majority has confirmed, later than that, that this voter still
 // leads: a leader that was paused or cut off renews nothing that its successor has granted to another meanwhile.
@@ -80,7 +80,7 @@
 	l.voter.process(now)
 }
 
-// extendForPause extends all leases and members by a pause of this process, for which others must not pay.
+// extendForPause extends all leases and members by a pause of this process, during which it could not receive renewals.
 func (l *leader) extendForPause(now time.Duration) {
 	pause := now - l.tickedAt
 	l.tickedAt = now
@@ -113,7 +113,7 @@
 	l.voter.process(now)
 }
 
-// checkLeases grants leases that nobody holds or that expired, and asks for those without progress.
+// checkLeases grants leases that nobody holds or that expired, and requests the release of those without progress.
 func (l *leader) checkLeases(now time.Duration) {
 	due := func(name string, lease *Lease) bool { return l.conditionOf(now, lease, l.timers[name]) != leaseInOrder }
 	for _, name := range sortedMatches(l.node.state.Leases, due) {
--- a/fleet/leader_leases.go
+++ b/fleet/leader_leases.go
@@ -23,7 +23,7 @@
 // leaseTable is what the leader knows of leases beyond the replicated state.
 type leaseTable struct {
 	timers      map[string]*leaseTimer
-	transfers   map[string]transfer      // by lease: transfers that were asked for
+	transfers   map[string]transfer      // by lease: transfers that were requested
 	declaring   map[string]time.Duration // declarations on their way through the log, with their bounds
 	pausedUntil map[string]time.Duration // by pauseKey, see backoffEnd
 	offloadedAt time.Duration            // when it released a lease of its own last
@@ -57,7 +57,7 @@
 	version uint64 // of a configuration lease
 }
 
-// newTimer returns the timer of a lease that runs from now for a whole lease duration, with the leader's margin.
+// newTimer returns the timer of a lease that runs from now for a full lease duration, with the leader's margin.
 func (l *leader) newTimer(lease *Lease, now time.Duration) *leaseTimer {
 	timer := &leaseTimer{term: lease.Term, grantedAt: now, progressAt: now, expiresAt: now + l.node.options.Timing.leaderLease()}
 	if lease.Leaseholder == "" {
@@ -107,8 +107,8 @@
 	l.heartbeat(now)
 }
 
-// requestRelease asks a leaseholder that is alive but makes no progress to release its lease. A lease that it does not release
-// expires, since it is not renewed any more.
+// requestRelease requests that a leaseholder which is alive but makes no progress releases its lease. A lease that it does not
+// release expires, since it is not renewed any more.
 func (l *leader) requestRelease(now time.Duration, lease *Lease, timer *leaseTimer) {
 	if timer.transferringAt != 0 && now-timer.transferringAt < l.node.options.Timing.HeartbeatInterval() {
 		return
@@ -165,7 +165,7 @@
 
 // grantOptions say why a lease is granted, and to whom if there is a choice.
 type grantOptions struct {
-	preferred string // the front that is asked for, "" for none
+	preferred string // the front that is requested, "" for none
 	reason    string
 	expired   bool // the last holder let it expire
 }
@@ -287,7 +287,7 @@
 	}
 }
 
-// renewConfigLeases renews the configuration leases that were asked for before a confirmed round. A version that the replicated
+// renewConfigLeases renews the configuration leases that were requested before a confirmed round. A version that the replicated
 // state does not allow is not renewed; earlier renewals of it are left to expire.
 func (l *leader) renewConfigLeases(round uint64) {
 	type key struct {
--- a/fleet/leader_members.go
+++ b/fleet/leader_members.go
@@ -8,7 +8,7 @@
 	reportedAt time.Duration
 }
 
-// memberTable is the fronts as the leader hears of them.
+// memberTable is the fronts as they report themselves to the leader.
 type memberTable struct {
 	members    map[string]*member
 	retryAt    map[string]time.Duration // by front: no join or leave of it is proposed before
@@ -23,7 +23,7 @@
 	}
 }
 
-// duplicate is a process that uses another live process's name: since when and when last that other was heard, and how often.
+// duplicate is a process that uses another live process's name: when it first and last reported, and how often.
 type duplicate struct {
 	incarnation                 uint64
 	firstReportAt, lastReportAt time.Duration
@@ -94,7 +94,7 @@
 		front.Zone == report.Zone && front.Version == report.Version
 }
 
-// queueConfigLeases queues the configuration leases that a front asks for. They are confirmed by the next round, which begins
+// queueConfigLeases queues the configuration leases that a front requests. They are confirmed by the next round, which begins
 // after this report.
 func (l *leader) queueConfigLeases(now time.Duration, report *MembershipRecord) {
 	if !report.WantsConfigLease || len(l.configRenewals) >= 4*maxKnownFronts {
@@ -115,7 +115,7 @@
 	}
 }
 
-// queueRenewals queues the leases that a front asks to renew, for the next confirmation round.
+// queueRenewals queues the leases that a front wants renewed, for the next confirmation round.
 func (l *leader) queueRenewals(now time.Duration, report *MembershipRecord) {
 	for _, renewal := range report.Renewals {
 		lease, timer := l.node.state.Leases[renewal.Lease], l.timers[renewal.Lease]
@@ -132,7 +132,7 @@
 	}
 }
 
-// nameInUse reports whether a name still belongs to another process. A process that is heard keeps its name, so that neither a
+// nameInUse reports whether a name still belongs to another process. A process that reports keeps its name, so that neither a
 // late record of a process long gone nor a second process displaces it. A second process that keeps reporting is displaced.
 func (l *leader) nameInUse(now time.Duration, front *Front, known *member, report MembershipRecord) bool {
 	lastContact := l.since
@@ -168,7 +168,7 @@
 	}
 }
 
-// hasDeparted reports whether a front has been silent for long, or for a while after it said that it leaves.
+// hasDeparted reports whether a front has been silent for long, or for a while after it reported that it leaves.
 func (l *leader) hasDeparted(now time.Duration, name string) bool {
 	leaseDuration := l.node.options.Timing.LeaseDuration
 	member := l.members[name]
--- a/fleet/leader_proposals.go
+++ b/fleet/leader_proposals.go
@@ -7,7 +7,7 @@
 const maxRememberedProposals = 4 * maxPendingRequests
 
 // proposalMemory is the requests that a leader has proposed, by requester: a repeated one must not be proposed again. A requester
-// repeats each unanswered request once in a heartbeat interval, so a request that was not heard for a whole lease duration
+// repeats each unanswered request once in a heartbeat interval, so a request that was not received for a full lease duration
 // is not repeated any more and may be forgotten. Where the memory is full, further requests wait until it has room.
 type proposalMemory struct {
 	recent, previous map[string]map[uint64]bool // in this lease duration, and in the one before
@@ -38,7 +38,7 @@
 	m.recent[requester][id] = true
 }
 
-// rotate forgets what was not heard for a whole lease duration.
+// rotate forgets what was not received for a full lease duration.
 func (m *proposalMemory) rotate(now, leaseDuration time.Duration) {
 	if now-m.rotatedAt < leaseDuration {
 		return
--- a/fleet/leases.go
+++ b/fleet/leases.go
@@ -70,7 +70,7 @@
 }
 
 // LeaseConfirmed returns the term of the leader that renewed a lease last, and a time of this front's clock after which that leader
-// was confirmed by a majority. The term is 0 where no renewal told it.
+// was confirmed by a majority. The term is 0 where no renewal named it.
 func (n *Node) LeaseConfirmed(leaseName string) (leaderTerm uint64, after time.Duration) {
 	if own := n.ownLeases[leaseName]; own != nil {
 		return own.confirmedTerm, own.confirmedAt
@@ -106,7 +106,7 @@
 		return
 	}
 	n.extendLease(now, lease.Name, lease.RequestSeq, 0)
-	n.reportMembership(now) // the request is old: renew at once
+	n.reportMembership(now) // the request is as old as the grant took: renew at once
 }
 
 // extendLease extends a lease, less the margin, from when this front sent the report that the leader confirmed.
@@ -138,7 +138,7 @@
 	}
 }
 
-// releaseLease stops using a lease first, and tells the leader then.
+// releaseLease stops using a lease, and notifies the leader after that.
 func (n *Node) releaseLease(now time.Duration, leaseName, to, reason string) {
 	own := n.ownLeases[leaseName]
 	if own == nil || own.releasing {
@@ -167,7 +167,7 @@
 	return len(n.ownLeases) == 0 && (n.voter == nil || !n.voter.isLeader())
 }
 
-// LeaseKind is the part of a lease's name before the slash: "scout" of "scout/3".
+// LeaseKind is the part of a lease's name before the slash, such as the prefix of ProbeLease.
 func LeaseKind(leaseName string) string {
 	kind, _, _ := strings.Cut(leaseName, "/")
 	return kind
--- a/fleet/links.go
+++ b/fleet/links.go
@@ -165,8 +165,8 @@
 	}
 }
 
-// DialFailed handles a wanted link that was not established. why is the peer's reason, "" where there was no answer; instead are
-// fronts that it suggested.
+// DialFailed handles a wanted link that was not established. reason is the text of the peer's rejection, "" where there was no
+// answer; suggestions are fronts to link to instead.
 func (n *Node) DialFailed(now time.Duration, name, reason string, suggestions []MembershipRecord) {
 	for _, report := range suggestions {
 		if len(n.suggested) < maxMembers && report.Name != n.options.Name && report.Address != "" {
@@ -342,7 +342,7 @@
 }
 
 // pingDue reports whether a peer should be sent a ping: after a heartbeat interval without a message, and between voters once in
-// each heartbeat interval, which tells them each other's Floor.
+// each heartbeat interval, which reports their Floors to each other.
 func (n *Node) pingDue(now time.Duration, p *peer) bool {
 	tick, interval := n.options.Timing.TickInterval(), n.options.Timing.HeartbeatInterval()
 	if now-p.lastSentAt >= interval {
--- a/fleet/message.go
+++ b/fleet/message.go
@@ -13,7 +13,7 @@
 	KindConsensus                   // a raft message between voters
 	KindHeartbeat                   // the leader is alive and has a majority; flooded
 	KindEntries                     // log entries, in their order
-	KindSnapshot                    // the whole replicated state
+	KindSnapshot                    // the complete replicated state
 	KindEntriesRequest              // asks for entries behind an index
 	KindMembership                  // membership records on their way to the leader
 	KindRequest                     // a Request on its way to the leader
@@ -47,9 +47,9 @@
 	From      string // the originator, not the forwarder
 	Index     uint64 // of the replicated state, at the forwarder
 	Term      uint64 // of the leader (KindHeartbeat, KindReply; 0 from older programs), of a lease (KindBroadcast)
-	Number    uint64 // of a heartbeat; of a broadcast within its term; hops (KindRequest, KindReply, KindDatagram)
+	Number    uint64 // of a heartbeat; of a broadcast within its term; how often it was forwarded (KindRequest, KindReply, KindDatagram)
 	Name      string // the receiver (KindReply, KindDatagram), the lease (KindBroadcast)
-	Reason    string // of a rejection; the part that a datagram is for
+	Reason    string // of a rejection; the subsystem that a datagram is for
 	Data      []byte
 	Hello     *Handshake
 	Members   []MembershipRecord
@@ -101,7 +101,8 @@
 	return f
 }
 
-// MembershipRecord is a front's report that it is alive; Seq rises by one with each report.
+// MembershipRecord is a front's report that it is alive; Seq rises by one with each report. It is encoded as one flat array, so its fields
+// can't be grouped.
 type MembershipRecord struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -238,7 +239,7 @@
 	maxDeclarations = 512     // leases that a request declares
 )
 
-// check bounds what came from outside before any of it is kept.
+// check bounds what came from outside before any of it is stored.
 func (m *Message) check() error {
 	if m.Kind >= kindCount {
 		return errUnknownKind
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -31,7 +31,7 @@
 type voterRole struct {
 	voter    *voter    // where this front has a voter's disk
 	leader   *leader   // where its voter leads
-	recovery *Recovery // that was asked for at this front
+	recovery *Recovery // that was requested at this front
 }
 
 // outbox is what the owner of a Node has to carry out.
@@ -41,7 +41,7 @@
 	closing  []string // peers whose links must be closed
 }
 
-// New makes a Node. disk is what a voter's disk holds, nil for a follower.
+// New returns a Node. disk is what a voter's disk holds, nil for a follower.
 func New(o Options, disk *DiskState) (*Node, error) {
 	if o.MaxFollowers == 0 {
 		o.MaxFollowers = defaultMaxFollowers
--- a/fleet/options.go
+++ b/fleet/options.go
@@ -27,8 +27,8 @@
 	defaultMaxFollowers = 16
 	followerLinks       = 3 // links that a follower keeps open: one to a voter where there is room, the others to fronts
 	maxForwards         = 16
-	maxKnownFronts      = 4096 // fronts of which a route or a report version is kept
-	maxRecentEntries    = 1024 // log entries kept for peers that are a little behind
-	rememberedSendTimes = 64   // own reports of which the sending time is kept
+	maxKnownFronts      = 4096 // fronts of which a route or a report version is stored
+	maxRecentEntries    = 1024 // log entries cached for peers that are a little behind
+	rememberedSendTimes = 64   // own reports of which the sending time is stored
 	maxPendingRequests  = 256  // own requests without an answer
 )
--- a/fleet/probe_cache.go
+++ b/fleet/probe_cache.go
@@ -27,12 +27,12 @@
 func (result ProbeResult) Encode() []byte {
 	b, err := msgpack.Marshal(&result)
 	if err != nil {
-		panic("a look that can't be written: " + err.Error()) // cannot fail for our own types
+		panic("encode a probe result: " + err.Error()) // our own types always encode
 	}
 	return b
 }
 
-// DecodeProbeResult decodes a prober's broadcast; ok is false where it makes no sense.
+// DecodeProbeResult decodes a prober's broadcast; ok is false where it is invalid.
 func DecodeProbeResult(data []byte) (result ProbeResult, ok bool) {
 	err := msgpack.Unmarshal(data, &result)
 	return result, err == nil && result.Server != "" && len(result.Server) <= maxNameBytes && len(result.Code) <= 5
@@ -45,7 +45,7 @@
 	MaxWait  time.Duration // a probe waits so long for a result; twice as long while the prober's own is pending
 
 	results       map[string]cachedResult
-	pending       map[string]time.Duration // by server: when the prober said that a probe is pending
+	pending       map[string]time.Duration // by server: when the prober reported that a probe is pending
 	waiting       map[string][]waitingQuery[Q]
 	requests      map[string]time.Duration
 	ProbesAvoided int // probes that a result made needless
--- a/fleet/replicated_state.go
+++ b/fleet/replicated_state.go
@@ -85,7 +85,7 @@
 	Value []byte
 }
 
-// ReplicatedState is what the whole fleet agrees on, as a state machine: the same commands in the same order make the same state
+// ReplicatedState is what all fronts of the fleet agree on, as a state machine: the same commands in the same order make the same state
 // at each front. It belongs to its Node and must not be used while that changes it.
 type ReplicatedState struct {
 	Index        uint64 // of the last command
@@ -234,7 +234,7 @@
 func (r AllowedVersions) Encode() []byte {
 	b, err := msgpack.Marshal(&r)
 	if err != nil {
-		panic("a range that can't be written: " + err.Error()) // cannot fail for our own types
+		panic("encode the allowed versions: " + err.Error()) // our own types always encode
 	}
 	return b
 }
@@ -294,7 +294,7 @@
 	enc.SetSortMapKeys(true)
 	enc.UseCompactInts(true)
 	if err := enc.Encode(&encoded); err != nil {
-		panic(fmt.Sprint("a replicated state that can't be written: ", err)) // cannot fail for our own types
+		panic(fmt.Sprint("encode the replicated state: ", err)) // our own types always encode
 	}
 	return out.Bytes()
 }
--- a/fleet/replication.go
+++ b/fleet/replication.go
@@ -33,7 +33,7 @@
 	if len(n.recentEntries) == 0 || n.recentEntries[0].Index > p.index+1 || p.index == 0 {
 		data := n.state.encode()
 		if len(data) > chunkBytes {
-			return // it asks one of its neighbours, which sends it in chunks
+			return // the peer requests it from one of its neighbours, which sends it in chunks
 		}
 		n.send(name, &Message{Kind: KindSnapshot, From: n.options.Name, Index: n.state.Index, Data: data})
 	} else {
@@ -43,7 +43,7 @@
 	p.index = n.state.Index
 }
 
-// onEntries applies log entries of a peer, and asks for the ones that are missing before them.
+// onEntries applies log entries of a peer, and requests the ones that are missing before them.
 func (n *Node) onEntries(now time.Duration, from string, m *Message) {
 	if n.isActiveVoter() {
 		return
--- a/fleet/requests.go
+++ b/fleet/requests.go
@@ -70,7 +70,7 @@
 	return n.Request(now, Request{Type: RequestTransfer, Lease: leaseName, To: to})
 }
 
-// CollectDigests asks the leader for all fronts' digests of a part; a RequestDone event with them follows.
+// CollectDigests asks the leader for all fronts' digests of a subsystem; a RequestDone event with them follows.
 func (n *Node) CollectDigests(now time.Duration, subsystem string) uint64 {
 	return n.Request(now, Request{Type: RequestDigests, Lease: subsystem})
 }
--- a/fleet/snapshot_chunks.go
+++ b/fleet/snapshot_chunks.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A large state is sent in chunks, within a budget of bytes a second: a front that comes back must not delay other messages on the
-// link, and a front that updates many others must not be overloaded.
+// A large state is sent in chunks, within a budget of bytes a second: the state for a front that reconnects must not delay other messages
+// on the link, and a front that updates many others must not be overloaded.
 const (
 	chunkBytes          = 32 << 10
 	defaultSnapshotRate = 1 << 20 // bytes a second
@@ -32,7 +32,7 @@
 	incomingSnapshots  map[string]*incomingSnapshot // by peer
 	chunkBudget        float64                      // bytes that may be sent, as of chunkBudgetAt
 	chunkBudgetAt      time.Duration
-	missingRequestedAt time.Duration // a peer was asked for the state, or sent a chunk of it, last
+	missingRequestedAt time.Duration // the state was requested from a peer, or sent a chunk of it, last
 }
 
 func newSnapshotState() snapshotState {
--- a/fleet/voter.go
+++ b/fleet/voter.go
@@ -14,7 +14,7 @@
 )
 
 // voter is a member of the consensus group, which is the raft library's. The library's own election clock is not used, since its
-// randomness can't be seeded: a voter campaigns by itself when it has heard no leader for its election timeout.
+// randomness can't be seeded: a voter campaigns by itself when it had no contact with a leader for its election timeout.
 type voter struct {
 	node       *Node
 	id         uint64
@@ -138,7 +138,7 @@
 // isActiveVoter reports whether this front takes part in consensus: the log comes by consensus then, and from peers elsewhere.
 func (n *Node) isActiveVoter() bool { return n.voter != nil && n.voter.haltReason == "" }
 
-// halt stops this voter for good; the front goes on as a follower.
+// halt stops this voter for good; the front continues as a follower.
 func (v *voter) halt(reason string) {
 	if v.haltReason == "" {
 		v.haltReason = reason
@@ -151,7 +151,7 @@
 }
 
 // callRaft runs a call of the library. The library panics where a guarantee is broken, such as a log that lost committed entries:
-// the voter halts, and the front goes on as a follower.
+// the voter halts, and the front continues as a follower.
 func (v *voter) callRaft(call func()) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/fleet/voter_confirmation.go
+++ b/fleet/voter_confirmation.go
@@ -14,7 +14,8 @@
 }
 
 // lead keeps the consensus group's heartbeats and confirmation rounds going. A leader without a confirmation is silenced: its
-// followers may hear it, but it hears none, so they must elect another. It tries a round now and then.
+// followers may receive its messages, but it receives none of theirs, so they must elect another. It retries a round after six
+// election timeouts.
 func (v *voter) lead(now time.Duration) {
 	timing := v.node.options.Timing
 	if now-v.confirmedAt > 2*timing.electionTimeout() {
--- a/fleet/voter_disk.go
+++ b/fleet/voter_disk.go
@@ -50,7 +50,7 @@
 // WriteDone reports that the pending write is on disk.
 func (n *Node) WriteDone(now time.Duration) { n.voter.writeDone(now) }
 
-// WriteFailed reports that a write failed: the voter halts, and the front goes on as a follower.
+// WriteFailed reports that a write failed: the voter halts, and the front continues as a follower.
 func (n *Node) WriteFailed(err error) { n.voter.halt("its disk can't be written: " + err.Error()) }
 
 // process handles the library's output until something must be written to disk first.
--- a/fleet/voter_recovery.go
+++ b/fleet/voter_recovery.go
@@ -33,7 +33,7 @@
 }
 
 // A recovered state skips indices and terms, so that none of its own is one that the lost voters may have used for something else.
-// Fronts that have entries beyond the surviving copy receive the recovered state whole, and reject what is sent under older terms.
+// Fronts that have entries beyond the surviving copy receive the complete recovered state, and reject what is sent under older terms.
 const (
 	recoveryIndexGap = 1 << 20
 	recoveryTermGap  = 1 << 20
@@ -46,7 +46,7 @@
 // RecoverVoters makes this voter the only one, from its own disk, where a majority of the voters has lost its disks and no leader can
 // be elected any more. Log entries that the lost voters acknowledged and that are not on this disk are lost. Leases that they granted
 // may still be in use: nothing is changed until the longest of them has expired. The error says why it is refused; Recovery returns
-// how it goes on.
+// its further course.
 func (n *Node) RecoverVoters(now time.Duration, reason string) error {
 	if strings.TrimSpace(reason) == "" {
 		return ErrRecoveryWithoutReason
