--- a/fleet/leader_leases.go
+++ b/fleet/leader_leases.go
@@ -23,7 +23,7 @@
 // leaseTable is what the leader knows of leases beyond the replicated state.
 type leaseTable struct {
 	timers      map[string]*leaseTimer
-	transfers   map[string]transfer      // by lease: transfers that were asked for
+	transfers   map[string]transfer      // by lease: transfers that were requested
 	declaring   map[string]time.Duration // declarations on their way through the log, with their bounds
 	pausedUntil map[string]time.Duration // by pauseKey, see backoffEnd
 	offloadedAt time.Duration            // when it released a lease of its own last
@@ -57,7 +57,7 @@
 	version uint64 // of a configuration lease
 }
 
-// newTimer returns the timer of a lease that runs from now for a whole lease duration, with the leader's margin.
+// newTimer returns the timer of a lease that runs from now for a full lease duration, with the leader's margin.
 func (l *leader) newTimer(lease *Lease, now time.Duration) *leaseTimer {
 	timer := &leaseTimer{term: lease.Term, grantedAt: now, progressAt: now, expiresAt: now + l.node.options.Timing.leaderLease()}
 	if lease.Leaseholder == "" {
@@ -83,7 +83,7 @@
 		if lease == nil || timer == nil || timer.transferring || timer.term != pending.renewal.Term {
 			continue
 		}
-		if !lease.heldBy(pending.name, pending.incarnation, pending.renewal.Term) {
+		if !lease.isHolder(pending.name, pending.incarnation, pending.renewal.Term) {
 			continue
 		}
 		timer.expiresAt = max(timer.expiresAt, pending.receivedAt+l.node.options.Timing.leaderLease())
@@ -100,15 +100,15 @@
 		}
 	}
 	l.confirming = remaining
-	l.renewConfigLeases(now, round)
+	l.renewConfigLeases(round)
 	for _, name := range slices.Sorted(maps.Keys(renewed)) {
 		l.reply(now, name, renewed[name])
 	}
 	l.heartbeat(now)
 }
 
-// requestRelease asks a leaseholder that is alive but makes no progress to release its lease. A lease that it does not release
-// expires, since it is not renewed any more.
+// requestRelease requests that a leaseholder which is alive but makes no progress releases its lease. A lease that it does not
+// release expires, since it is not renewed any more.
 func (l *leader) requestRelease(now time.Duration, lease *Lease, timer *leaseTimer) {
 	if timer.transferringAt != 0 && now-timer.transferringAt < l.node.options.Timing.HeartbeatInterval() {
 		return
@@ -146,24 +146,33 @@
 
 func pauseKey(leaseName, front string) string { return leaseName + "\x00" + front }
 
-// countLoss counts a loss against a leaseholder whose lease expired or that made no progress; after a long tenure it counts anew.
-func (l *leader) countLoss(now time.Duration, lease *Lease, timer *leaseTimer, lost bool, why string) (loser string, losses uint32, because string) {
+// recordLoss counts a loss in a command that ends a lease, where its holder let it expire or made no progress; after a long tenure the
+// count starts anew.
+func (l *leader) recordLoss(now time.Duration, c *Command, timer *leaseTimer, expired bool) {
+	lease := l.node.state.Leases[c.Lease]
 	idle := lease.Bound > 0 && now-timer.progressAt > lease.Bound
 	switch {
-	case lease.Leaseholder == "" || !lost && !idle:
-		return "", 0, why
-	case !lost:
-		why = reasonNoProgress
+	case lease.Leaseholder == "" || !expired && !idle:
+		return
+	case !expired:
+		c.Reason = reasonNoProgress
 	}
-	if now-timer.grantedAt > 32*l.node.options.Timing.LeaseDuration {
-		return lease.Leaseholder, 1, why
+	c.LostBy, c.LossCount = lease.Leaseholder, 1
+	if now-timer.grantedAt <= 32*l.node.options.Timing.LeaseDuration {
+		c.LossCount = lease.losses(lease.Leaseholder) + 1
 	}
-	return lease.Leaseholder, lease.losses(lease.Leaseholder) + 1, why
 }
 
-// grant proposes a leaseholder: the front that is asked for, if eligible, else the best candidate.
-func (l *leader) grant(now time.Duration, lease *Lease, timer *leaseTimer, to, why string, lost bool) {
-	best := l.bestCandidate(now, lease, to)
+// grantOptions say why a lease is granted, and to whom if there is a choice.
+type grantOptions struct {
+	preferred string // the front that is requested, "" for none
+	reason    string
+	expired   bool // the last holder let it expire
+}
+
+// grant proposes a leaseholder: the preferred front, if eligible, else the best candidate.
+func (l *leader) grant(now time.Duration, lease *Lease, timer *leaseTimer, o grantOptions) {
+	best := l.bestCandidate(now, lease, o.preferred)
 	if best == nil {
 		return
 	}
@@ -174,8 +183,9 @@
 		Target:      best.Name,
 		Incarnation: best.Incarnation,
 		RequestSeq:  best.Seq,
+		Reason:      o.reason,
 	}
-	c.LostBy, c.LossCount, c.Reason = l.countLoss(now, lease, timer, lost, why)
+	l.recordLoss(now, c, timer, o.expired)
 	if l.voter.propose(c) {
 		timer.transferring, timer.transferringAt, timer.transferringTo = true, now, best.Name
 	}
@@ -190,8 +200,8 @@
 	var bestRank candidateRank
 	for _, name := range slices.Sorted(maps.Keys(l.members)) {
 		known := l.members[name]
-		isHolder := name == lease.Leaseholder && known.Incarnation == lease.Incarnation
-		if isHolder || !l.eligible(now, known) || now < l.backoffEnd(lease, name) {
+		isCurrentHolder := name == lease.Leaseholder && known.Incarnation == lease.Incarnation
+		if isCurrentHolder || !l.eligible(now, known) || now < l.backoffEnd(lease, name) {
 			continue
 		}
 		if byFront[name]+onTheirWay[name] >= maxRenewals {
@@ -257,7 +267,7 @@
 	ownName := ""
 	for name, lease := range l.node.state.Leases {
 		leaseCounts[lease.Leaseholder]++
-		if held := l.node.ownLeases[name]; lease.Leaseholder == l.node.options.Name && held != nil && held.announced && !held.releasing {
+		if ownLease := l.node.ownLeases[name]; lease.Leaseholder == l.node.options.Name && ownLease != nil && ownLease.announced && !ownLease.releasing {
 			ownName = max(ownName, name)
 		}
 	}
@@ -277,9 +287,9 @@
 	}
 }
 
-// renewConfigLeases renews the configuration leases that were asked for before a confirmed round. A version that the replicated
+// renewConfigLeases renews the configuration leases that were requested before a confirmed round. A version that the replicated
 // state does not allow is not renewed; earlier renewals of it are left to expire.
-func (l *leader) renewConfigLeases(now time.Duration, round uint64) {
+func (l *leader) renewConfigLeases(round uint64) {
 	type key struct {
 		name    string
 		version uint64
--- a/fleet/replicated_state.go
+++ b/fleet/replicated_state.go
@@ -39,8 +39,8 @@
 	Count uint32
 }
 
-// heldBy reports whether a front holds the lease in a term.
-func (lease *Lease) heldBy(front string, incarnation, term uint64) bool {
+// isHolder reports whether a front holds the lease in a term.
+func (lease *Lease) isHolder(front string, incarnation, term uint64) bool {
 	return lease.Leaseholder == front && lease.Incarnation == incarnation && lease.Term == term
 }
 
@@ -85,7 +85,7 @@
 	Value []byte
 }
 
-// ReplicatedState is what the whole fleet agrees on, as a state machine: the same commands in the same order make the same state
+// ReplicatedState is what all fronts of the fleet agree on, as a state machine: the same commands in the same order make the same state
 // at each front. It belongs to its Node and must not be used while that changes it.
 type ReplicatedState struct {
 	Index        uint64 // of the last command
@@ -234,13 +234,13 @@
 func (r AllowedVersions) Encode() []byte {
 	b, err := msgpack.Marshal(&r)
 	if err != nil {
-		panic("a range that can't be written: " + err.Error()) // cannot fail for our own types
+		panic("encode the allowed versions: " + err.Error()) // our own types always encode
 	}
 	return b
 }
 
 // Allows reports whether a version may be used.
-func (x AllowedVersions) Allows(version uint64) bool { return version == x.Min || version == x.Max }
+func (r AllowedVersions) Allows(version uint64) bool { return version == r.Min || version == r.Max }
 
 // AllowedVersions returns the versions in force and the index of their value; the index is 0 where there is none, and all versions
 // may be used.
@@ -294,7 +294,7 @@
 	enc.SetSortMapKeys(true)
 	enc.UseCompactInts(true)
 	if err := enc.Encode(&encoded); err != nil {
-		panic(fmt.Sprint("a replicated state that can't be written: ", err)) // cannot fail for our own types
+		panic(fmt.Sprint("encode the replicated state: ", err)) // our own types always encode
 	}
 	return out.Bytes()
 }
