--- /dev/null
+++ b/fleet/mesh/handshake.go
@@ -0,0 +1,95 @@
+package mesh
+
+import (
+	"crypto/tls"
+	"fmt"
+	"net"
+	"slices"
+
+	"dapplerouter/fleet"
+	"dapplerouter/framing"
+)
+
+// codec carries the messages of a link.
+type codec = framing.Codec[fleet.Message]
+
+// nameCheck reports whether a peer may have a name.
+type nameCheck func(name string) bool
+
+// secure wraps a connection in TLS where there are keys. mayHaveName reports whether the peer's certificate is for a name.
+func (m *Mesh) secure(c net.Conn, to string) (secured net.Conn, mayHaveName nameCheck, err error) {
+	if m.options.Keys == nil {
+		return c, func(string) bool { return true }, nil
+	}
+	config, err := m.options.Keys(to)
+	if err != nil {
+		return nil, nil, err
+	}
+	t := tls.Server(c, config)
+	if to != "" {
+		t = tls.Client(c, config)
+	}
+	if err := t.Handshake(); err != nil {
+		return nil, nil, fmt.Errorf("TLS handshake: %w", err)
+	}
+	return t, func(name string) bool {
+		return slices.Contains(t.ConnectionState().PeerCertificates[0].DNSNames, name)
+	}, nil
+}
+
+// handshake exchanges the first messages, and returns the peer's; to is the peer that was dialled, "" for an accepted connection. The
+// side that dialled sends first. The error is a rejectedError where the peer rejects the link, else the reason why this front does.
+func (m *Mesh) handshake(k *codec, to string, mayHaveName nameCheck) (*fleet.Message, error) {
+	dialled := to != ""
+	if dialled {
+		if err := send(k, m.hello(to, true)); err != nil {
+			return nil, err
+		}
+	}
+	var first fleet.Message
+	if err := k.Read(&first); err != nil {
+		return nil, err
+	}
+	switch {
+	case first.Kind == fleet.KindReject:
+		return nil, rejectedError{first.Reason, first.Members}
+	case first.Hello != nil && !mayHaveName(first.Hello.Name):
+		return nil, m.reject(k, errCertificateName)
+	case first.Hello != nil && dialled && first.Hello.Name != to:
+		return nil, m.reject(k, peerNameError{first.Hello.Name, to})
+	case dialled:
+		return &first, nil
+	}
+	m.mu.Lock()
+	err := m.node.CheckHello(m.Now(), &first)
+	m.mu.Unlock()
+	if err != nil {
+		return nil, m.reject(k, err)
+	}
+	return &first, send(k, m.hello(first.Hello.Name, false))
+}
+
+// hello is this front's first message to a peer.
+func (m *Mesh) hello(to string, dialled bool) *fleet.Message {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.node.Hello(to, dialled)
+}
+
+// reject sends a peer the reason why its link is rejected, and returns it.
+func (m *Mesh) reject(k *codec, reason error) error {
+	m.counters.rejected.Add(1)
+	m.mu.Lock()
+	rejection := m.node.Rejection(reason)
+	m.mu.Unlock()
+	_ = send(k, rejection) // the connection is closed in any case
+	return reason
+}
+
+// send writes one message through.
+func send(k *codec, msg *fleet.Message) error {
+	if err := k.Append(msg); err != nil {
+		return err
+	}
+	return k.Flush()
+}
--- a/fleet/mesh/mesh_test.go
+++ b/fleet/mesh/mesh_test.go
@@ -1,6 +1,7 @@
 package mesh
 
 import (
+	"bytes"
 	"encoding/binary"
 	"fmt"
 	"io"
@@ -22,50 +23,53 @@
 
 func (noDisk) Save(*fleet.DiskWrite) error { return nil }
 
-var pace = fleet.Timing{LeaseDuration: 600 * time.Millisecond}
+var timing = fleet.Timing{LeaseDuration: 600 * time.Millisecond}
 
-// one is a front that keeps the record alone.
-func one(t *testing.T, slots int) (*Mesh, chan fleet.Event) { return oneOn(t, noDisk{}, slots) }
-
-// oneOn is one on a disk.
-func oneOn(t *testing.T, disk Disk, slots int) (*Mesh, chan fleet.Event) {
-	told := make(chan fleet.Event, 1000)
-	n, err := fleet.New(fleet.Options{Fleet: "x", Name: "a", Incarnation: 7, InitialVoters: []fleet.Voter{{Name: "a"}}, Timing: pace, Seed: 1, AcceptsLeases: true, MaxFollowers: slots},
+// startVoter starts the mesh of a fleet's only voter; events are what it delivers. Its node takes maxFollowers followers, any number
+// for 0.
+func startVoter(t *testing.T, disk Disk, maxFollowers int) (m *Mesh, events chan fleet.Event) {
+	t.Helper()
+	events = make(chan fleet.Event, 1000)
+	n, err := fleet.New(fleet.Options{Fleet: "x", Name: "a", Incarnation: 7, InitialVoters: []fleet.Voter{{Name: "a"}}, Timing: timing, Seed: 1, AcceptsLeases: true, MaxFollowers: maxFollowers},
 		&fleet.DiskState{OpenCount: 1})
 	require.NoError(t, err)
 	n.DeclareLease("list", 0)
-	m, err := New(Options{Listen: "127.0.0.1:0", Node: n, Timing: pace, Disk: disk, OnEvent: func(_ time.Duration, e fleet.Event) { told <- e }})
+	m, err = New(Options{Listen: "127.0.0.1:0", Node: n, Timing: timing, Disk: disk, OnEvent: func(_ time.Duration, e fleet.Event) { events <- e }})
 	require.NoError(t, err)
 	m.Run()
 	t.Cleanup(m.Close)
-	return m, told
+	return m, events
 }
 
-func until[E fleet.Event](t *testing.T, told <-chan fleet.Event) E {
+// awaitEvent returns the next event of a type; others are dropped.
+func awaitEvent[E fleet.Event](t *testing.T, events <-chan fleet.Event) E {
+	t.Helper()
 	end := time.After(20 * time.Second) // whatever else comes
 	for {
 		select {
-		case e := <-told:
+		case e := <-events:
 			if e, ok := e.(E); ok {
 				return e
 			}
 		case <-end:
-			var never E
-			t.Fatalf("not told among others: %T", never)
+			var missing E
+			t.Fatalf("only other events than %T", missing)
 		case <-time.After(10 * time.Second):
-			var never E
-			t.Fatalf("never told: %T", never)
+			var missing E
+			t.Fatalf("no event %T", missing)
 		}
 	}
 }
 
+// peer is the other end of a link.
 type peer struct {
 	net.Conn
 	*framing.Codec[fleet.Message]
 }
 
-// greeted dials a mesh and says who it is.
-func greeted(t *testing.T, m *Mesh, name, id string) (p peer, first fleet.Message) {
+// dialAs dials a mesh as a front of a fleet, and returns the link with the first message that comes.
+func dialAs(t *testing.T, m *Mesh, name, id string) (p peer, first fleet.Message) {
+	t.Helper()
 	c, err := net.Dial("tcp", m.Addr().String())
 	require.NoError(t, err)
 	t.Cleanup(func() { c.Close() })
@@ -73,99 +77,143 @@
 	require.NoError(t, p.Greet())
 	require.NoError(t, p.Append(&fleet.Message{Kind: fleet.KindHello, From: name, Hello: &fleet.Handshake{Fleet: id, Name: name, Incarnation: 9, Address: "there:1", Dialled: true}}))
 	require.NoError(t, p.Flush())
-	c.SetReadDeadline(time.Now().Add(10 * time.Second))
+	require.NoError(t, c.SetReadDeadline(time.Now().Add(10*time.Second)))
 	require.NoError(t, p.Codec.Read(&first))
 	return p, first
 }
 
-func TestAFrontThatKeepsAloneHoldsItsDuty(t *testing.T) {
-	m, told := one(t, 0)
-	e := until[fleet.LeaseAcquired](t, told)
+func TestOnlyVoterHoldsItsLease(t *testing.T) {
+	m, events := startVoter(t, noDisk{}, 0)
+	e := awaitEvent[fleet.LeaseAcquired](t, events)
 	assert.Equal(t, "list", e.Lease)
-	until[fleet.LeaseRenewed](t, told)
+	awaitEvent[fleet.LeaseRenewed](t, events)
 	assert.True(t, m.Broadcast("list", []byte("x")))
-	assert.EqualValues(t, 1, until[fleet.BroadcastReceived](t, told).Term)
+	assert.EqualValues(t, 1, awaitEvent[fleet.BroadcastReceived](t, events).Term)
 	assert.False(t, m.Broadcast("scout/1", nil), "what it does not hold")
 }
 
-func TestWhoDoesNotBelongIsToldWhy(t *testing.T) {
-	m, told := one(t, 1)
-	until[fleet.LeaseAcquired](t, told)
-	_, h := greeted(t, m, "b", "y")
+func TestRejectedHandshakeSaysWhy(t *testing.T) {
+	m, events := startVoter(t, noDisk{}, 1)
+	awaitEvent[fleet.LeaseAcquired](t, events)
+	_, h := dialAs(t, m, "b", "y")
 	assert.Equal(t, fleet.KindReject, h.Kind)
 	assert.Contains(t, h.Reason, "another fleet")
-	_, h = greeted(t, m, "a", "x")
+	_, h = dialAs(t, m, "a", "x")
 	assert.Contains(t, h.Reason, "own name")
-	_, h = greeted(t, m, "b", "x")
+	_, h = dialAs(t, m, "b", "x")
 	assert.Equal(t, fleet.KindHello, h.Kind)
-	_, h = greeted(t, m, "c", "x")
+	_, h = dialAs(t, m, "c", "x")
 	assert.Contains(t, h.Reason, "as many followers")
 	require.Len(t, h.Members, 1, "and who may have room")
 	assert.Equal(t, "b", h.Members[0].Name)
 }
 
-func TestAPeerThatSendsNonsenseHugeLengthsOrNothingLosesItsLinkOnly(t *testing.T) {
-	m, told := one(t, 0)
-	until[fleet.LeaseAcquired](t, told)
+func TestInvalidFramesCloseOnlyTheirLink(t *testing.T) {
+	m, events := startVoter(t, noDisk{}, 0)
+	awaitEvent[fleet.LeaseAcquired](t, events)
 	for name, send := range map[string]func(p peer){
-		"nothing":  func(peer) {},
-		"huge":     func(p peer) { p.Write(binary.BigEndian.AppendUint32(nil, 1<<31)); p.Write(make([]byte, 8)) },
-		"nonsense": func(p peer) { p.Write([]byte("\x00\x00\x00\x04\x00\x00\x00\x00abcd")) },
-		"senseless": func(p peer) {
+		"silence":        func(peer) {},
+		"huge length":    func(p peer) { p.Write(binary.BigEndian.AppendUint32(nil, 1<<31)); p.Write(make([]byte, 8)) },
+		"wrong checksum": func(p peer) { p.Write([]byte("\x00\x00\x00\x04\x00\x00\x00\x00abcd")) },
+		"invalid message": func(p peer) {
 			p.Append(&fleet.Message{Kind: fleet.KindRequest})
 			p.Flush()
 		},
 	} {
-		p, h := greeted(t, m, "b", "x")
+		p, h := dialAs(t, m, "b", "x")
 		require.Equal(t, fleet.KindHello, h.Kind, name)
 		send(p)
-		_, err := io.Copy(io.Discard, p.Conn) // until it is let go
+		_, err := io.Copy(io.Discard, p.Conn) // until the mesh closes it
 		assert.NoError(t, err, name)
 		require.Eventually(t, func() bool { return m.Totals().Links == 0 }, 10*time.Second, time.Millisecond, name)
 	}
-	assert.True(t, m.Broadcast("list", []byte("x")), "it goes on as before")
+	assert.True(t, m.Broadcast("list", []byte("x")), "the mesh works on")
 }
 
-// failingDisk fails with an error as long as it is told to.
-type failingDisk struct{ why atomic.Pointer[error] }
+// The reasons are sent to the peer: their text is part of the protocol.
+func TestHandshakeErrorsAndTheirTexts(t *testing.T) {
+	m, _ := startVoter(t, noDisk{}, 0)
+	hello := func(name string) *fleet.Message {
+		return &fleet.Message{Kind: fleet.KindHello, From: name, Hello: &fleet.Handshake{Fleet: "x", Name: name, Incarnation: 9}}
+	}
+	anyName := func(string) bool { return true }
+	handshake := func(first *fleet.Message, mayHaveName nameCheck) (sent []fleet.Message, err error) {
+		var in, out bytes.Buffer
+		require.NoError(t, send(framing.NewCodec[fleet.Message](protocol, &in), first))
+		_, err = m.handshake(framing.NewCodec[fleet.Message](protocol, struct {
+			io.Reader
+			io.Writer
+		}{&in, &out}), "b", mayHaveName)
+		for k := framing.NewCodec[fleet.Message](protocol, &out); ; {
+			var msg fleet.Message
+			if k.Read(&msg) != nil {
+				return sent, err
+			}
+			sent = append(sent, msg)
+		}
+	}
+
+	sent, err := handshake(&fleet.Message{Kind: fleet.KindReject, Reason: "full", Members: []fleet.MembershipRecord{{Name: "c"}}}, anyName)
+	var rejected rejectedError
+	require.ErrorAs(t, err, &rejected)
+	assert.Equal(t, "full", rejected.reason)
+	assert.Equal(t, "c", rejected.alternatives[0].Name)
+	assert.Len(t, sent, 1, "the greeting, and no answer to a rejection")
+
+	sent, err = handshake(hello("c"), anyName)
+	var name peerNameError
+	require.ErrorAs(t, err, &name)
+	assert.Equal(t, peerNameError{claimed: "c", dialled: "b"}, name)
+	assert.Equal(t, `it calls itself "c", and "b" was dialled`, sent[1].Reason)
+
+	sent, err = handshake(hello("b"), func(name string) bool { return name != "b" })
+	require.ErrorIs(t, err, errCertificateName)
+	assert.Equal(t, fleet.KindReject, sent[1].Kind)
+	assert.Equal(t, "its key is for another name", sent[1].Reason)
+}
+
+// failingDisk fails with an error as long as it has one.
+type failingDisk struct{ cause atomic.Pointer[error] }
+
+// fail sets the error, nil for none.
+func (d *failingDisk) fail(err error) { d.cause.Store(&err) }
 
 func (d *failingDisk) Save(*fleet.DiskWrite) error {
-	if why := d.why.Load(); why != nil {
-		return fmt.Errorf("saving: %w", &os.PathError{Op: "write", Path: "x", Err: *why})
+	if cause := d.cause.Load(); cause != nil && *cause != nil {
+		return fmt.Errorf("saving: %w", &os.PathError{Op: "write", Path: "x", Err: *cause})
 	}
 	return nil
 }
 
-// TERMS.md: "Where a folder lasts: writes and syncs to it may fail for a while (ENOSPC, EIO)". A voter says nothing that rests on what
-// is not written, and goes on once it is.
-func TestAVoterWhoseDiskFailsForAWhileGoesOn(t *testing.T) {
-	for _, number := range []error{syscall.ENOSPC, syscall.EIO} {
+// TERMS.md: "Where a folder lasts: writes and syncs to it may fail for a while (ENOSPC, EIO)". A voter sends nothing that rests on what
+// is not written, and continues once it is.
+func TestVoterResumesAfterTransientDiskError(t *testing.T) {
+	for _, errno := range []error{syscall.ENOSPC, syscall.EIO} {
 		disk := &failingDisk{}
-		m, told := oneOn(t, disk, 0)
-		until[fleet.LeaseRenewed](t, told)
-		disk.why.Store(&number)
+		m, events := startVoter(t, disk, 0)
+		awaitEvent[fleet.LeaseRenewed](t, events)
+		disk.fail(errno)
 		m.Do(func(n *fleet.Node, _ time.Duration) { n.DeclareLease("other", 0) }) // which has to be written
-		time.Sleep(2 * pace.LeaseDuration)
-		for len(told) > 0 {
-			if e, ok := (<-told).(fleet.LeaseAcquired); ok {
-				assert.NotEqual(t, "other", e.Lease, "it rests on what is not written")
+		time.Sleep(2 * timing.LeaseDuration)
+		for len(events) > 0 {
+			if e, ok := (<-events).(fleet.LeaseAcquired); ok {
+				assert.NotEqual(t, "other", e.Lease, "it rests on a write that failed")
 			}
 		}
-		disk.why.Store(nil)
-		for until[fleet.LeaseAcquired](t, told).Lease != "other" {
+		disk.fail(nil)
+		for lease := ""; lease != "other"; {
+			lease = awaitEvent[fleet.LeaseAcquired](t, events).Lease
 		}
-		until[fleet.LeaseRenewed](t, told)
-		assert.True(t, m.Broadcast("list", []byte("x")), number.Error())
+		awaitEvent[fleet.LeaseRenewed](t, events)
+		assert.True(t, m.Broadcast("list", []byte("x")), errno.Error())
 	}
 }
 
-// One that fails for good halts, as before.
-func TestAVoterWhoseDiskIsNoneHalts(t *testing.T) {
+func TestVoterHaltsOnPermanentDiskError(t *testing.T) {
 	disk := &failingDisk{}
-	m, told := oneOn(t, disk, 0)
-	until[fleet.LeaseRenewed](t, told)
-	why := error(os.ErrClosed)
-	disk.why.Store(&why)
+	m, events := startVoter(t, disk, 0)
+	awaitEvent[fleet.LeaseRenewed](t, events)
+	disk.fail(os.ErrClosed)
 	m.Do(func(n *fleet.Node, _ time.Duration) { n.DeclareLease("other", 0) })
 	require.Eventually(t, func() (halted bool) {
 		m.Do(func(n *fleet.Node, _ time.Duration) { halted = n.VoterHaltReason() != "" })
