--- a/fleet/agent/rollout_control.go
+++ b/fleet/agent/rollout_control.go
@@ -94,15 +94,15 @@
 	if err != nil {
 		return nil, err
 	}
-	outcome := make(chan string, 1)
+	outcome := make(chan error, 1)
 	patience := max(8*a.config.LeaseDuration, max(action.InForceWithin, a.rollout.config.InForceWithin)+2*a.config.LeaseDuration)
 	a.mesh.Do(func(n *fleet.Node, now time.Duration) {
-		a.rollout.participant.Submit(now, action, patience, func(fault string) { outcome <- fault })
+		a.rollout.participant.Submit(now, action, patience, func(err error) { outcome <- err })
 	})
 	select {
-	case why := <-outcome:
-		if why != "" {
-			return nil, adminapi.RejectedError(why)
+	case err := <-outcome:
+		if err != nil {
+			return nil, adminapi.RejectedError(err.Error())
 		}
 		return map[string]any{"done": true, "version": a.rolloutState().Next}, nil
 	case <-time.After(patience + 2*a.config.LeaseDuration):
--- a/fleet/rollout/config.go
+++ b/fleet/rollout/config.go
@@ -1,60 +1,90 @@
 package rollout
 
 import (
+	"errors"
 	"time"
 
 	"dapplerouter/config"
+	"dapplerouter/fleet"
 )
 
-// FormName is the operator's form for versions that are published over the fleet; it stands beside the form fleet:
+// FormName is the operator's form for versions that are published to the fleet; it stands beside the form fleet:
 //
 //	(roll
-//	  (right 12s)             ; for which a front may use a version without contact; the same at all fronts; four lease durations where left out
+//	  (right 12s)             ; duration of configuration leases, the same at all fronts; four lease durations where left out
 //	  (when-alone stop)       ; an isolated front stops when its lease expires; serve, the default: it goes on with the version it has
-//	  (in-force-within 20s)   ; each published version; the same at all fronts; no time where left out
-//	  (dir "/var/lib/roll"))  ; where it stores the version that it uses, over restarts
+//	  (in-force-within 20s)   ; time within which each published version is in force, the same at all fronts; none where left out
+//	  (dir "/var/lib/roll"))  ; directory for the adopted version, over restarts
 const FormName = "roll"
 
-// Config is what the form says.
+// Config is what the form sets.
 type Config struct {
 	ConfigLease      time.Duration // 0 for the default
 	StopWhenIsolated bool
 	InForceWithin    time.Duration // by which a published version has to be in force everywhere; 0 for no time
 	Dir              string
-	Place            config.Position
+	Place            config.Position // of the form
 }
 
-// ReadConfig reads the form. Faults are recorded with the form's reading, each with its place and remedy.
+// Bounds of a configuration lease, and its default, in lease durations of the fleet.
+const (
+	minConfigLease     = 2
+	defaultConfigLease = 4
+	maxConfigLease     = 16
+)
+
+// ReadConfig reads the form. Errors are recorded with the form's decoder, each with its position and remedy.
 func ReadConfig(f *config.Form) *Config {
 	c := &Config{Place: f.Position}
-	is := f.Forms("right", "when-alone", "in-force-within", "dir")
-	if r := is["right"]; r != nil {
-		c.ConfigLease = r.Duration()
+	forms := f.Forms("right", "when-alone", "in-force-within", "dir")
+	if lease := forms["right"]; lease != nil {
+		c.ConfigLease = lease.Duration()
 	}
-	if w := is["when-alone"]; w != nil {
-		c.StopWhenIsolated = w.Choice("serve", "stop") == "stop"
+	if isolated := forms["when-alone"]; isolated != nil {
+		c.StopWhenIsolated = isolated.Choice("serve", "stop") == "stop"
 	}
-	if w := is["in-force-within"]; w != nil {
-		c.InForceWithin = w.Duration()
+	if within := forms["in-force-within"]; within != nil {
+		c.InForceWithin = within.Duration()
 	}
-	if d := is["dir"]; d != nil {
-		report, _ := d.Value()
-		c.Dir = report.Name
+	if dir := forms["dir"]; dir != nil {
+		name, _ := dir.Value()
+		c.Dir = name.Name
 	} else {
-		f.Errorf(f.Position, "(dir \"FOLDER\"), the front's own", "the front does not say where it keeps the version that it acts on")
+		f.Errorf(f.Position, "(dir \"FOLDER\"), the front's own", "the form roll has no directory for the adopted version")
 	}
 	return c
 }
 
-// ConfigLeaseFor returns the duration of configuration leases in a fleet of a lease duration, or why the form's does not fit.
+// ConfigLeaseFor returns the duration of configuration leases in a fleet of a lease duration. The error is a config.ErrorList: the form's
+// duration, or its time, does not fit the fleet's.
 func (c *Config) ConfigLeaseFor(leaseDuration time.Duration) (configLease time.Duration, err error) {
 	configLease = c.ConfigLease
 	if configLease == 0 {
-		configLease = 4 * leaseDuration
+		configLease = defaultConfigLease * leaseDuration
+	}
+	if configLease < minConfigLease*leaseDuration || configLease > maxConfigLease*leaseDuration {
+		return 0, c.newError("a configuration lease of "+configLease.String()+" does not fit a lease duration of "+leaseDuration.String(),
+			"between twice and sixteen times the fleet's lease duration")
 	}
-	if configLease < 2*leaseDuration || configLease > 16*leaseDuration {
-		return 0, config.ErrorList{{Position: c.Place, Message: "a right of " + configLease.String() + " does not fit a span of " + leaseDuration.String(),
-			Remedy: "between twice and sixteen times the fleet's span"}}
+	return configLease, c.checkInForceWithin(leaseDuration, configLease)
+}
+
+// checkInForceWithin checks the form's time. An isolated front that serves on can't be fenced in any time.
+func (c *Config) checkInForceWithin(leaseDuration, configLease time.Duration) error {
+	if c.InForceWithin == 0 {
+		return nil
 	}
-	return configLease, c.checkWithin(leaseDuration, configLease)
+	if !c.StopWhenIsolated {
+		return c.newError("in-force-within needs fronts that stop when isolated, and these serve on with an old version",
+			"add (when-alone stop), or take in-force-within away")
+	}
+	var short *DeadlineError
+	if errors.As(CheckInForceWithin(fleet.Timing{LeaseDuration: leaseDuration}, configLease, c.InForceWithin), &short) {
+		return c.newError(short.Reason, short.Remedy)
+	}
+	return nil
+}
+
+func (c *Config) newError(message, remedy string) error {
+	return config.ErrorList{{Position: c.Place, Message: message, Remedy: remedy}}
 }
--- a/fleet/rollout/format_test.go
+++ b/fleet/rollout/format_test.go
@@ -55,7 +55,7 @@
 }
 
 var (
-	formatDeadline = deadline{Version: 9, Within: 20 * time.Second, NoEvidence: UndecidedPause}
+	formatDeadline = deadline{Version: 9, InForceWithin: 20 * time.Second, OnUndecided: UndecidedPause}
 	formatQueue    = []QueuedPublication{{Front: "n1", Base: 7, Changes: "bound browse, window book and 2 more"}, {Front: "n2", Base: 9, Changes: "given-up"}}
 	formatBounded  = boundedFronts{1, 0xffffffffffffffff}
 )
--- a/fleet/rollout/lease_proof.go
+++ b/fleet/rollout/lease_proof.go
@@ -19,7 +19,7 @@
 // term: this front's own lease roll is renewed by such confirmations.
 //
 // The proof says that a front has no lease at the time of the answer. That it gets none on a version afterwards takes that the
-// version was disallowed before the answer was asked for.
+// version was disallowed before the answer was requested.
 type leaseProof struct {
 	expiredAfter time.Duration // see fleet.Timing.ExpiredAfter
 	term         uint64        // the highest term of a leader that was seen
@@ -30,10 +30,10 @@
 
 // digests is a leader's answer with all fronts' reports.
 type digests struct {
-	term                uint64        // of the leader
-	ledFor              time.Duration // when the answer was asked for: how long the leader provably led
-	askedAt, receivedAt time.Duration
-	reports             map[string]fleet.MemberReport
+	term                    uint64        // of the leader; 0 from an older program, which does not send it
+	ledFor                  time.Duration // when the answer was requested: how long the leader provably led
+	requestedAt, receivedAt time.Duration
+	reports                 map[string]fleet.MemberReport
 }
 
 // observeTerm notes the term of the newest leader that this front heard. Call it with each tick, also where the lease is not held.
@@ -46,10 +46,10 @@
 // add adds an answer.
 func (p *leaseProof) add(d digests) {
 	if d.term == 0 {
-		return // an older program leads
+		return
 	}
 	if d.term == p.term {
-		d.ledFor = d.askedAt - p.termSince
+		d.ledFor = d.requestedAt - p.termSince
 	}
 	p.unconfirmed = append(p.unconfirmed, d)
 	p.unconfirmed = p.unconfirmed[max(0, len(p.unconfirmed)-maxUnconfirmedDigests):]
@@ -66,14 +66,14 @@
 	}
 }
 
-// expired reports whether a front had no configuration lease at an answer that was asked for after a given time.
+// expired reports whether a front had no configuration lease at an answer that was requested after a given time.
 func (p *leaseProof) expired(name string, after time.Duration) bool {
 	d := p.confirmed
-	if d.reports == nil || d.askedAt < after {
+	if d.reports == nil || d.requestedAt < after {
 		return false
 	}
-	if t, known := d.reports[name]; known {
-		return t.Age > p.expiredAfter
+	if report, known := d.reports[name]; known {
+		return report.Age > p.expiredAfter
 	}
 	return d.ledFor > p.expiredAfter
 }
--- a/fleet/rollout/participant.go
+++ b/fleet/rollout/participant.go
@@ -6,33 +6,45 @@
 	"dapplerouter/fleet"
 )
 
-// Hooks are what a Participant needs of the front that hosts it; none of them may wait.
+// Hooks are what a Participant needs of the front that hosts it; none of them may block.
 type Hooks struct {
-	Adopt     func(a Adoption)                          // adopts a version: Adopted follows and, once no request goes on under another, Settled; or Refused
-	Renew     func(version uint64, until time.Duration) // the front may use it until then, on the node's clock; a time that is past: no more
-	Counts    func() (kinds uint32, sums []Counts)      // the front's counts on the version that it uses
-	WallClock func() int64                              // the front's wall clock in Unix microseconds
+	// Adopt adopts a version: Adopted follows and, once no request is served under another, Acknowledge; or Rejected.
+	Adopt func(a Adoption)
+	// Renew extends the front's use of a version, on the node's clock; a time that is past ends it.
+	Renew func(version uint64, until time.Duration)
+	// Counts returns a checksum of the front's request types, and its counts by type on the version that it uses.
+	Counts func() (typesChecksum uint32, counts []Counts)
+	// WallClock returns the front's wall clock in Unix microseconds.
+	WallClock func() int64
 }
 
-// Participant runs a front's Adopter beside its node and, while it holds the lease, the Controller. Calls come with the node's.
+// Participant runs a front's Adopter beside its node and, while it holds the lease, the Controller. The caller serializes its calls
+// with the node's.
 type Participant struct {
-	Adopter        *Adopter
-	options        Options
-	hooks          Hooks
-	controller     *Controller
-	proof          leaseProof
-	active         uint64 // that until belongs to
-	until          time.Duration
-	reportedAt     time.Duration
-	pendingActions []pendingAction
-	announced      bool
+	Adopter    *Adopter
+	options    Options
+	hooks      Hooks
+	controller *Controller // nil while another front holds the lease
+	proof      leaseProof  // outlives the controllers, since it observes leaders all the time
+
+	started    bool
+	renewed    renewal
+	reportedAt time.Duration
+	actions    []pendingAction
 }
 
-type pendingAction struct {
-	action  Action
+// renewal is what the front was last told by Hooks.Renew.
+type renewal struct {
+	version uint64
 	until   time.Duration
-	sentAt  time.Duration
-	outcome func(fault string)
+}
+
+// pendingAction is an operator's action without an outcome so far.
+type pendingAction struct {
+	action   Action
+	giveUpAt time.Duration
+	sentAt   time.Duration
+	outcome  func(error)
 }
 
 // NewParticipant makes a Participant.
@@ -46,118 +58,128 @@
 }
 
 // DeclareLeases declares the lease of the Controller.
-func (s *Participant) DeclareLeases(n *fleet.Node) { n.DeclareLease(Lease, 0) }
+func (p *Participant) DeclareLeases(n *fleet.Node) { n.DeclareLease(Lease, 0) }
 
 // Tick does what depends on time. Call it with the node's.
-func (s *Participant) Tick(now time.Duration, n *fleet.Node) {
-	if !s.announced { // a restarted front reports at once what it uses
-		s.announced = true
-		n.SetActiveVersion(now, s.Adopter.Active())
+func (p *Participant) Tick(now time.Duration, n *fleet.Node) {
+	if !p.started { // a restarted front reports at once what it uses
+		p.started = true
+		n.SetActiveVersion(now, p.Adopter.Active())
 	}
-	adopt, until := s.Adopter.Step(now, n)
+	adopt, until := p.Adopter.Step(now, n)
 	if adopt != nil {
-		s.hooks.Adopt(*adopt)
+		p.hooks.Adopt(*adopt)
 	}
 	n.SetIdle(now, until <= now && !n.Isolated()) // a front that may not serve holds no leases either
-	active := s.Adopter.Active()
-	if active != s.active || until > s.until+s.options.ConfigLease/32 || until < s.until && until <= now {
-		s.active, s.until = active, until
-		s.hooks.Renew(active, until)
-	}
-	if now-s.reportedAt >= s.options.Timing.HeartbeatInterval() {
-		s.reportedAt = now
-		var kinds uint32
-		var sums []Counts
-		if st, ok := ReadState(n.State()); ok && st.Next != 0 {
-			kinds, sums = s.hooks.Counts()
+	p.renew(now, renewal{p.Adopter.Active(), until})
+	if now-p.reportedAt >= p.options.Timing.HeartbeatInterval() {
+		p.reportedAt = now
+		var typesChecksum uint32
+		var counts []Counts
+		if s, ok := ReadState(n.State()); ok && s.Next != 0 {
+			typesChecksum, counts = p.hooks.Counts()
 		}
-		n.SetDigest(Part, s.Adopter.Report(kinds, sums).Encode())
+		n.SetDigest(Part, p.Adopter.Report(typesChecksum, counts).Encode())
+	}
+	p.proof.observeTerm(now, n.LeaderTerm())
+	if p.controller != nil {
+		p.controller.Step(now, n)
 	}
-	s.proof.observeTerm(now, n.LeaderTerm())
-	if s.controller != nil {
-		s.controller.Step(now, n)
+	p.sendActions(now, n)
+}
+
+// renew tells the front until when it may use its version: where the version is another, the time is past, or it is later by enough to
+// matter.
+func (p *Participant) renew(now time.Duration, next renewal) {
+	later := next.until > p.renewed.until+p.options.ConfigLease/32
+	ended := next.until < p.renewed.until && next.until <= now
+	if next.version != p.renewed.version || later || ended {
+		p.renewed = next
+		p.hooks.Renew(next.version, next.until)
 	}
-	s.retryActions(now, n)
 }
 
 // OnEvent handles an event of the node.
-func (s *Participant) OnEvent(now time.Duration, e fleet.Event) {
+func (p *Participant) OnEvent(now time.Duration, e fleet.Event) {
 	switch e := e.(type) {
 	case fleet.LeaseAcquired:
 		if e.Lease == Lease {
-			s.controller = NewController(ControllerOptions{
-				Timing:        s.options.Timing,
-				ConfigLease:   s.options.ConfigLease,
-				InForceWithin: s.options.InForceWithin,
-				Rules:         s.options.Rules,
-			})
-			s.controller.proof = &s.proof
+			p.controller = newController(ControllerOptions{
+				Timing:        p.options.Timing,
+				ConfigLease:   p.options.ConfigLease,
+				InForceWithin: p.options.InForceWithin,
+				Rules:         p.options.Rules,
+			}, &p.proof)
 		}
 	case fleet.LeaseEnded:
 		if e.Lease == Lease {
-			s.controller = nil
+			p.controller = nil
 		}
 	case fleet.DatagramReceived:
-		if e.Subsystem == Part && s.controller != nil {
+		if e.Subsystem == Part && p.controller != nil {
 			if action, ok := DecodeAction(e.Data); ok {
-				s.controller.Submit(e.From, action)
+				p.controller.Submit(e.From, action)
 			}
 		}
 	case fleet.RequestDone:
-		if s.controller != nil {
-			s.controller.OnRequestDone(now, e)
+		if p.controller != nil {
+			p.controller.OnRequestDone(now, e)
 		}
 	}
 }
 
 // Adopted reports that the front takes new requests on a version from now on.
-func (s *Participant) Adopted(version uint64) { s.Adopter.Adopted(version, s.hooks.WallClock()) }
+func (p *Participant) Adopted(version uint64) { p.Adopter.Adopted(version, p.hooks.WallClock()) }
 
-// Acknowledge reports that the front uses a version and no other any more: this is what it acknowledges.
-func (s *Participant) Acknowledge(now time.Duration, n *fleet.Node, version uint64) {
-	if version != s.Adopter.Active() {
+// Acknowledge reports that the front uses a version and no other any more: the fleet counts it as adopted.
+func (p *Participant) Acknowledge(now time.Duration, n *fleet.Node, version uint64) {
+	if version != p.Adopter.Active() {
 		return // another was adopted since
 	}
-	s.reportedAt = now
-	n.SetDigest(Part, s.Adopter.Report(0, nil).Encode())
+	p.reportedAt = now
+	n.SetDigest(Part, p.Adopter.Report(0, nil).Encode())
 	n.SetActiveVersion(now, version)
 }
 
 // Rejected reports that the front can't use a version.
-func (s *Participant) Rejected(now time.Duration, n *fleet.Node, version uint64, why string) {
-	s.Adopter.Reject(version, why)
-	n.SetDigest(Part, s.Adopter.Report(0, nil).Encode())
+func (p *Participant) Rejected(now time.Duration, n *fleet.Node, version uint64, reason string) {
+	p.Adopter.Reject(version, reason)
+	n.SetDigest(Part, p.Adopter.Report(0, nil).Encode())
 }
 
-// Submit sends an operator's action to the leaseholder; outcome is called with its fault, "" for none, within a while.
-func (s *Participant) Submit(now time.Duration, action Action, within time.Duration, outcome func(fault string)) {
-	s.pendingActions = append(s.pendingActions, pendingAction{action, now + within, -time.Hour, outcome})
+// Submit sends an operator's action to the leaseholder until its outcome is known, for as long as timeout. outcome is called once: with
+// nil where the action was accepted, with a RejectedError, ErrNoAnswer or ErrNewerState.
+func (p *Participant) Submit(now time.Duration, action Action, timeout time.Duration, outcome func(error)) {
+	p.actions = append(p.actions, pendingAction{action, now + timeout, -time.Hour, outcome})
 }
 
-func (s *Participant) retryActions(now time.Duration, n *fleet.Node) {
-	if len(s.pendingActions) == 0 {
+// sendActions repeats pending actions, and reports the outcomes that the replicated state has.
+func (p *Participant) sendActions(now time.Duration, n *fleet.Node) {
+	if len(p.actions) == 0 {
 		return
 	}
-	st, ok := ReadState(n.State())
-	rest := s.pendingActions[:0]
-	for _, p := range s.pendingActions {
-		fault, done := st.Outcome(p.action.ID)
+	s, ok := ReadState(n.State())
+	pending := p.actions[:0]
+	for _, a := range p.actions {
+		reason, done := s.Outcome(a.action.ID)
 		switch {
 		case !ok:
-			p.outcome("the record's rolls are of a newer program: bring this one up to date")
+			a.outcome(ErrNewerState)
+		case done && reason != "":
+			a.outcome(&RejectedError{Reason: reason})
 		case done:
-			p.outcome(fault)
-		case now > p.until:
-			p.outcome("no answer of the fleet: nobody holds the duty roll, or no majority of keepers is there")
+			a.outcome(nil)
+		case now > a.giveUpAt:
+			a.outcome(ErrNoAnswer)
 		default:
-			if now-p.sentAt >= s.options.Timing.HeartbeatInterval() {
-				p.sentAt = now
-				if d := n.State().Leases[Lease]; d != nil && d.Leaseholder != "" {
-					n.SendDatagram(now, d.Leaseholder, Part, p.action.Encode())
+			if now-a.sentAt >= p.options.Timing.HeartbeatInterval() {
+				a.sentAt = now
+				if lease := n.State().Leases[Lease]; lease != nil && lease.Leaseholder != "" {
+					n.SendDatagram(now, lease.Leaseholder, Part, a.action.Encode())
 				}
 			}
-			rest = append(rest, p)
+			pending = append(pending, a)
 		}
 	}
-	s.pendingActions = rest
+	p.actions = pending
 }
--- /dev/null
+++ b/fleet/rollout/publish.go
@@ -0,0 +1,108 @@
+package rollout
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"time"
+)
+
+// apply carries out an operator's action, or rejects it; its outcome is stored with the change of state.
+func (c *Controller) apply(in *stepInput, action Action) {
+	if err := c.checkAction(in, action); err != nil {
+		c.writer.set(stateWrite(in.state.withOutcomes(outcomeOf(action.ID, err)), ""))
+		return
+	}
+	s := in.state.withOutcomes(outcomeOf(action.ID, nil))
+	switch action.Type {
+	case ActionRollBack:
+		c.rollBack(s, "taken back: "+action.Reason)
+	case ActionPause:
+		s.Paused = true
+		c.writer.set(stateWrite(s, "held: "+action.Reason))
+	case ActionResume:
+		s.Paused = false
+		c.writer.set(stateWrite(s, "goes on: "+action.Reason))
+	case ActionPublish:
+		within := cmp.Or(action.InForceWithin, c.options.InForceWithin)
+		c.begin(in, s, newVersion{action, within, fmt.Sprintf("version %d is published", s.LastVersion+1)})
+	}
+}
+
+// checkAction checks an action against the state. The error is a rejection.
+func (c *Controller) checkAction(in *stepInput, action Action) error {
+	s := in.state
+	switch {
+	case action.Type != ActionPublish && s.Next == 0:
+		return rejectf(ErrNoRollout, "no version is on its way")
+	case action.Type == ActionRollBack && s.Phase == PhaseFinishing:
+		return rejectf(ErrRolloutFinishing, "version %d is being finished: publish the old rules anew", s.Next)
+	case action.Type != ActionPublish:
+		return nil
+	case s.Next != 0:
+		return rejectf(ErrRolloutInProgress, "version %d is on its way (%v): wait for it, or take it back first", s.Next, s.Phase)
+	case action.Base != s.Base:
+		return outdatedError(s, action)
+	case action.RulesHash == s.RulesHashes[0] && s.Base > 0:
+		return unchangedError(s.Base)
+	case !validStages(action.Stages):
+		return invalidStagesError()
+	}
+	if within := cmp.Or(action.InForceWithin, c.options.InForceWithin); within > 0 {
+		if err := CheckInForceWithin(c.options.Timing, c.options.ConfigLease, within); err != nil {
+			return err
+		}
+		return c.checkTimedPublication(in)
+	}
+	return c.checkPublication(in)
+}
+
+// newVersion is a version that begins to be rolled out.
+type newVersion struct {
+	Action
+	within time.Duration // 0 for no deadline
+	reason string        // for the state
+}
+
+// begin begins to roll a version out.
+func (c *Controller) begin(in *stepInput, s State, v newVersion) {
+	s.LastVersion++
+	s.Next, s.Mandatory, s.Phase, s.Paused = s.LastVersion, v.Mandatory, PhaseRolling, false
+	s.Stages, s.Stage, s.ObservationTime, s.MaxFenced = v.Stages, 0, v.ObservationTime, v.MaxFenced
+	s.RulesHashes[1], s.UnconfirmedFronts = v.RulesHash, nil
+	s.CutoffRank = stageCut(in.fronts(), s.Next, v.Stages[0])
+	writes := []valueWrite{{textKey(s.Next), v.Text}}
+	if v.within > 0 {
+		d := deadline{Version: s.Next, InForceWithin: v.within, OnUndecided: v.OnUndecided}
+		writes = append(writes, c.boundedWrite(in.replicated), valueWrite{deadlineKey, encode(&d)})
+	}
+	c.writer.set(append(writes, allowedWrite(s.Base, s.Next), stateWrite(s, v.reason))...)
+}
+
+func invalidStagesError() error { return rejectf(ErrInvalidStages, "waves rise to 100%%") }
+
+func validStages(stages []uint16) bool {
+	return len(stages) > 0 && stages[0] > 0 && stages[len(stages)-1] == 1000 && slices.IsSorted(stages)
+}
+
+// outdatedError rejects a publication whose operator has not seen the version in force.
+func outdatedError(s State, action Action) error {
+	return rejectf(ErrOutdatedBase, "version %d is in force, and the wish was made on version %d: look again", s.Base, action.Base)
+}
+
+func unchangedError(base uint64) error {
+	return rejectf(ErrRulesUnchanged, "the rules mean the same as those of version %d, which is in force", base)
+}
+
+// mustDefer reports whether a publication with a time waits until fronts are known that a new leader has not heard yet. It waits for
+// no longer than its time.
+func (c *Controller) mustDefer(in *stepInput, action Action) bool {
+	within := cmp.Or(action.InForceWithin, c.options.InForceWithin)
+	if action.Type != ActionPublish || within == 0 || in.state.Next != 0 || c.checkFrontSettings(in) != nil || len(c.unknownFronts(in)) == 0 {
+		return false
+	}
+	if c.deferred.id != action.ID {
+		c.deferred = deferredAction{action.ID, in.now}
+	}
+	return in.now-c.deferred.since < within
+}
--- /dev/null
+++ b/fleet/rollout/publish_checks.go
@@ -0,0 +1,87 @@
+package rollout
+
+import "strings"
+
+// notEnrolled is what an operator reads of fronts without the form, or of an older program.
+const notEnrolled = " takes no part in versions (no form roll, or an older program): end it, or give it the form"
+
+// checkPublication checks whether a version without a time can be published now: every front takes part, and none may still use
+// another version than the one in force. The error is a RejectedError.
+func (c *Controller) checkPublication(in *stepInput) error {
+	var notEnrolledFronts, unconfirmed []string
+	for _, name := range in.fronts() {
+		t, ok := c.reports.latest[name]
+		switch {
+		case ok && !t.WantsConfigLease:
+			notEnrolledFronts = append(notEnrolledFronts, name)
+		case ok && t.ActiveVersion == in.state.Base:
+		case !ok || in.now-c.allowed.since <= c.options.Timing.ExpiredAfter(c.options.ConfigLease) || c.allowed.index == 0:
+			unconfirmed = append(unconfirmed, name)
+		default:
+			if report, _ := DecodeReport(t.Data); report.ServesIsolated && t.Age > c.options.Timing.LeaseDuration {
+				unconfirmed = append(unconfirmed, name)
+			}
+		}
+	}
+	switch {
+	case len(notEnrolledFronts) > 0:
+		return rejectf(ErrFrontsNotEnrolled, "%s", strings.Join(notEnrolledFronts, ", ")+notEnrolled)
+	case len(unconfirmed) > 0:
+		return unconfirmedError(strings.Join(unconfirmed, ", "), in.state)
+	}
+	return nil
+}
+
+// checkTimedPublication checks whether a version with a time can be published now. The error is a RejectedError.
+func (c *Controller) checkTimedPublication(in *stepInput) error {
+	if err := c.checkFrontSettings(in); err != nil {
+		return err
+	}
+	if unknown := c.unknownFronts(in); len(unknown) > 0 {
+		return unconfirmedError(listNames(unknown), in.state)
+	}
+	return nil
+}
+
+func unconfirmedError(names string, s State) error {
+	return rejectf(ErrVersionsUnconfirmed, "%s may act on another version than %d still: wait, or end it", names, s.Base)
+}
+
+// checkFrontSettings checks whether the fronts' settings allow versions with a time. Waiting does not help where they don't. The error
+// is a RejectedError.
+func (c *Controller) checkFrontSettings(in *stepInput) error {
+	var notEnrolledFronts, serving []string
+	for _, name := range in.fronts() {
+		t, heard := c.reports.latest[name]
+		report, decoded := DecodeReport(t.Data)
+		switch {
+		case heard && !t.WantsConfigLease:
+			notEnrolledFronts = append(notEnrolledFronts, name)
+		case heard && decoded && report.ServesIsolated:
+			serving = append(serving, name)
+		}
+	}
+	if len(notEnrolledFronts) > 0 {
+		return rejectf(ErrFrontsNotEnrolled, "%s", listNames(notEnrolledFronts)+notEnrolled)
+	}
+	if len(serving) > 0 {
+		return rejectf(ErrFrontsNeverStop, "%s would serve on while it hears nobody, and no time can be promised: give it (when-alone stop), or publish without a time",
+			listNames(serving))
+	}
+	return nil
+}
+
+// unknownFronts returns the fronts that may use another version than the one in force, as far as is known. All others stop at the end
+// of their configuration lease, and can't: a rollout ends only once leases on other versions have provably expired, and no such lease
+// was granted since.
+func (c *Controller) unknownFronts(in *stepInput) (unknown []string) {
+	stored := readBounded(in.replicated)
+	for _, name := range in.fronts() {
+		t, heard := c.reports.latest[name]
+		onBase := heard && t.ActiveVersion == in.state.Base
+		if !c.isBounded(in.replicated, name, stored) || c.allowed.index == 0 && !onBase {
+			unknown = append(unknown, name)
+		}
+	}
+	return unknown
+}
--- a/fleet/rollout/state.go
+++ b/fleet/rollout/state.go
@@ -1,20 +1,3 @@
-// Package rollout publishes configuration versions over a fleet: in stages, each compared with the fronts still on the old version,
-// with at most two adjacent versions in force, and rolled back where it serves worse. It is a core: no I/O, clock or goroutine.
-//
-// Every front has an Adopter, which follows the replicated state: it says which version the front should use, and until when it
-// may. The holder of the lease roll has a Controller, which takes operators' actions, opens stages, evaluates the fronts' reports,
-// and stores the rollout's state. The next leaseholder's Controller goes on from the stored state alone.
-//
-// Invariants, asserted at each step of the tests in virtual time:
-//
-//  1. The versions that fronts use, each under a configuration lease, are at most two, and adjacent: Base and Next.
-//  2. A rollout ends (Base, and Next 0) or is rolled back only when no front uses the other version, or each that may is named.
-//  3. A front uses no version that is not allowed beyond the end of its lease on it.
-//  4. A rollout with a deadline fences fronts by the end of their configuration leases alone: a front counts as fenced once those have
-//     provably expired (leaseProof), and is published to only where it is known to stop then.
-//  5. Each publication has exactly one outcome, which never changes: in a version, or refused with its reason.
-//  6. A version of several publications equals their changes applied in order to the version before.
-//  7. Of one fleet or zone no more than a given share is fenced at once; none is where the majority was lost.
 package rollout
 
 import (
@@ -28,65 +11,69 @@
 	"dapplerouter/fleet"
 )
 
-// Lease is the lease of the Controller; Part is the part of a front that its datagrams and digests are for.
+// Names in the fleet. They are part of its messages and stay as they are.
 const (
-	Lease = "roll"
-	Part  = "roll"
+	Lease = "roll" // the lease of the Controller
+	Part  = "roll" // what datagrams and digests of rollouts are addressed to
 )
 
+// stateKey is the State's key among the replicated values.
 const stateKey = "roll"
 
+// textKey is the key of a version's rules.
 func textKey(version uint64) string { return fmt.Sprintf("roll/file/%d", version) }
 
 // Phase is where a rollout stands.
 type Phase uint8
 
+// Phases of a rollout.
 const (
 	PhaseSteady      Phase = iota // all on Base
-	PhaseRolling                  // fronts up to Cut on Next, the others on Base
+	PhaseRolling                  // fronts up to CutoffRank on Next, the others on Base
 	PhaseFinishing                // all on Next; other fronts' leases expire
 	PhaseRollingBack              // all on Base again; other fronts' leases expire
 )
 
 var phaseNames = [...]string{"steady", "rolling", "finishing", "going back"}
 
-// String returns the phase's name, for people and the history.
+// String returns the phase's name, as the admin API and the history show it.
 func (p Phase) String() string { return phaseNames[min(int(p), len(phaseNames)-1)] }
 
-// State is the stored state of rollouts.
+// State is the stored state of rollouts. It is encoded as an array, so that its fields can't be grouped: their order is the format.
 type State struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Format            uint32
-	LastVersion       uint64 // the last version that was numbered
-	Base              uint64 // 0: each front's own file
-	Next              uint64 // 0 for none
-	Mandatory         bool   // mandatory: no front may use Base once Next is done
+	LastVersion       uint64 // the highest version that was published
+	Base              uint64 // the version in force; 0: each front's own file
+	Next              uint64 // the version that is being rolled out, 0 for none
+	Mandatory         bool   // no front may use Base once Next is in force
 	Phase             Phase
-	Paused            bool // until an operator resumes it
-	Stages            []uint16
-	Stage             int    // index of the open stage
-	CutoffRank        uint32 // fronts whose rank is at most this use Next
-	ObservationTime   time.Duration
-	MaxFenced         uint16 // most fronts of the fleet, and of a zone, that may be fenced at once, in thousandths
-	Reason            string // of the last change
-	RulesHashes       [2]string
-	Outcomes          []Outcome // of operators' latest actions
-	UnconfirmedFronts []string  // fronts that may go on with the old version, since they serve while isolated
+	Paused            bool          // until an operator resumes it
+	Stages            []uint16      // share of the fleet on Next at each stage, in thousandths
+	Stage             int           // index of the open stage
+	CutoffRank        uint32        // fronts whose rank is at most this use Next
+	ObservationTime   time.Duration // for which a complete stage is observed before the next
+	MaxFenced         uint16        // most fronts of the fleet, and of a zone, that may be fenced at once, in thousandths
+	Reason            string        // of the last change, for operators
+	RulesHashes       [2]string     // of Base and Next
+	Outcomes          []Outcome     // of operators' latest actions
+	UnconfirmedFronts []string      // fronts that may go on using the old version, since they serve while isolated
 }
 
 const (
-	format      = 1
-	maxOutcomes = 32
+	format      = 1  // the latest State.Format that this program reads
+	maxOutcomes = 32 // that State.Outcomes has
 	// MaxTextBytes is the length of the longest file that may be published, in bytes.
 	MaxTextBytes = 64 << 10
 )
 
+// encode encodes one of this package's own types, which cannot fail.
 func encode(x any) []byte {
 	b, err := msgpack.Marshal(x)
 	if err != nil {
-		panic(fmt.Sprint("roll: what can't be written: ", err)) // cannot fail for our own types
+		panic(fmt.Sprintf("rollout: encode %T: %v", x, err))
 	}
 	return b
 }
@@ -103,7 +90,7 @@
 	return s, true
 }
 
-// VersionText returns a published version's file, nil for 0 and for a version that is not stored.
+// VersionText returns a published version's rules, nil for 0 and for a version that is not stored.
 func VersionText(r *fleet.ReplicatedState, version uint64) []byte {
 	if e := r.Values[textKey(version)]; e != nil && version > 0 {
 		return e.Value
@@ -118,7 +105,7 @@
 	return s
 }
 
-// rank is a front's place in the order in which fronts adopt a version; another order with each version.
+// rank is a front's place in the order in which fronts adopt a version; the order differs from version to version.
 func rank(name string, version uint64) uint32 {
 	return crc32.ChecksumIEEE(fmt.Appendf(nil, "%s/%d", name, version))
 }
--- /dev/null
+++ b/fleet/rollout/state_test.go
@@ -0,0 +1,55 @@
+package rollout
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+	"github.com/vmihailenco/msgpack/v5"
+	"pgregory.net/rapid"
+
+	"dapplerouter/fleet"
+)
+
+func TestStageGrowsAndNeverTakesAFrontBack(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		names := rapid.SliceOfNDistinct(rapid.StringMatching("[a-z]{1,6}"), 1, 40, rapid.ID).Draw(t, "names")
+		stages := []uint16{1, 100, 370, 1000}
+		s := State{Phase: PhaseRolling, Base: 4, Next: 6}
+		on := map[string]bool{}
+		for _, permille := range stages {
+			s.CutoffRank = stageCut(names, s.Next, permille)
+			n := 0
+			for _, name := range names {
+				if s.VersionFor(name) == s.Next {
+					on[name] = true
+					n++
+				} else if on[name] {
+					t.Fatalf("%s was taken back by a larger stage", name)
+				}
+			}
+			if want := max(1, (len(names)*int(permille)+999)/1000); n < want {
+				t.Fatalf("%d of %d at %d thousandths", n, len(names), permille)
+			}
+		}
+		if len(on) != len(names) {
+			t.Fatal("the last stage lacks some")
+		}
+	})
+}
+
+// The front goes on with the version that it has.
+func TestStateOfANewerProgramIsNotRead(t *testing.T) {
+	r := &fleet.ReplicatedState{Values: map[string]*fleet.StoredValue{}}
+	_, ok := ReadState(r)
+	assert.True(t, ok)
+	b, err := msgpack.Marshal(&State{Format: format + 1, Base: 9})
+	require.NoError(t, err)
+	r.Values[stateKey] = &fleet.StoredValue{Index: 4, Value: b}
+	s, ok := ReadState(r)
+	assert.False(t, ok)
+	assert.Zero(t, s.Base)
+	r.Values[stateKey].Value = []byte{0xc1}
+	_, ok = ReadState(r)
+	assert.False(t, ok)
+}
--- a/lab/proxysim/rolls.go
+++ b/lab/proxysim/rolls.go
@@ -193,5 +193,13 @@
 		w.RulesHash = r.Digest()
 	}
 	w.ID = t.Rnd.Uint64() | 1
-	f.host.Do(func(n *fleet.Node, now time.Duration) { f.Participant.Submit(now, w, 10*t.Pace.LeaseDuration, outcome) })
+	f.host.Do(func(n *fleet.Node, now time.Duration) {
+		f.Participant.Submit(now, w, 10*t.Pace.LeaseDuration, func(err error) {
+			fault := ""
+			if err != nil {
+				fault = err.Error()
+			}
+			outcome(fault)
+		})
+	})
 }
