--- a/fleet/rollout/adopter.go
+++ b/fleet/rollout/adopter.go
@@ -11,7 +11,7 @@
 	Name               string
 	Timing             fleet.Timing
 	ConfigLease        time.Duration // as the node's
-	StopWhenIsolated   bool          // while isolated it serves only until its configuration lease expires; else it goes on with the version it has
+	StopWhenIsolated   bool          // while isolated it serves only until its configuration lease expires; else it keeps the version that it has
 	InForceWithin      time.Duration // for versions that are published without a time; 0 for none
 	Rules              RuleSet       // to merge publications that are queued; nil where none may
 	InitialVersion     uint64        // the version to start with: the one used last, 0 for the front's own file
@@ -108,7 +108,7 @@
 	return until
 }
 
-// servesIsolated reports whether the front goes on while it hears nobody, unless it knows of a mandatory version that is being rolled
+// servesIsolated reports whether the front keeps serving while isolated, unless it knows of a mandatory version that is being rolled
 // out.
 func (a *Adopter) servesIsolated(now time.Duration, n *fleet.Node, s State) bool {
 	if !n.Isolated() || a.options.StopWhenIsolated {
--- a/fleet/rollout/config.go
+++ b/fleet/rollout/config.go
@@ -12,7 +12,7 @@
 //
 //	(roll
 //	  (right 12s)             ; duration of configuration leases, the same at all fronts; four lease durations where left out
-//	  (when-alone stop)       ; an isolated front stops when its lease expires; serve, the default: it goes on with the version it has
+//	  (when-alone stop)       ; an isolated front stops when its lease expires; serve, the default: it keeps the version that it has
 //	  (in-force-within 20s)   ; time within which each published version is in force, the same at all fronts; none where left out
 //	  (dir "/var/lib/roll"))  ; directory for the adopted version, over restarts
 const FormName = "roll"
--- a/fleet/rollout/finish.go
+++ b/fleet/rollout/finish.go
@@ -9,8 +9,8 @@
 // finish ends a rollout once no front uses the old version.
 func (c *Controller) finish(in *stepInput) {
 	s := in.state
-	unconfirmed, rest := c.onOtherVersions(in, s.Next)
-	if !rest {
+	unconfirmed, othersConfirmed := c.onOtherVersions(in, s.Next)
+	if !othersConfirmed {
 		return
 	}
 	next := s
@@ -23,7 +23,7 @@
 	c.writer.set(stateWrite(next, reason), valueWrite{textKey(s.Base), nil})
 }
 
-// finishRollBack disallows the new version, and ends a rollout that is rolled back once no front uses it. Fronts that are heard
+// finishRollBack disallows the new version, and ends a rollout that is rolled back once no front uses it. Fronts that are reachable
 // roll back by themselves first, so that no lease ends under their requests.
 func (c *Controller) finishRollBack(in *stepInput) {
 	s := in.state
@@ -33,22 +33,22 @@
 		}
 		return
 	}
-	if unconfirmed, rest := c.onOtherVersions(in, s.Base); rest {
+	if unconfirmed, othersConfirmed := c.onOtherVersions(in, s.Base); othersConfirmed {
 		next := s
 		next.Next, next.Phase, next.UnconfirmedFronts, next.RulesHashes[1] = 0, PhaseSteady, unconfirmed, ""
 		c.writer.set(stateWrite(next, ""), valueWrite{textKey(s.Next), nil})
 	}
 }
 
-// onOtherVersions returns the fronts that may use another version than all should; restConfirmed reports whether the rest provably do
+// onOtherVersions returns the fronts that may use another version than all should; othersConfirmed reports whether the others provably do
 // not. Such a front is on the right version, and reported so after this phase began (before it, it may have adopted the other since),
 // or its lease on another has expired since that was disallowed.
-func (c *Controller) onOtherVersions(in *stepInput, version uint64) (unconfirmed []string, restConfirmed bool) {
+func (c *Controller) onOtherVersions(in *stepInput, version uint64) (unconfirmed []string, othersConfirmed bool) {
 	r := in.replicated
 	waited := c.allowed.index != 0 && in.now-c.allowed.since > c.options.Timing.ExpiredAfter(c.options.ConfigLease)
 	timed := in.deadline().InForceWithin > 0
 	stored := readBounded(r)
-	restConfirmed = true
+	othersConfirmed = true
 	phaseIndex := uint64(0)
 	if e := r.Values[stateKey]; e != nil {
 		phaseIndex = e.Index
@@ -58,7 +58,7 @@
 		if ok && t.Incarnation == r.Fronts[name].Incarnation && t.ActiveVersion == version && t.Index >= phaseIndex {
 			continue
 		}
-		restConfirmed = restConfirmed && (waited || timed && c.reports.proof.expired(name, c.allowed.since))
+		othersConfirmed = othersConfirmed && (waited || timed && c.reports.proof.expired(name, c.allowed.since))
 		if timed && !ok && !stored.has(name, r.Fronts[name].Incarnation) {
 			unconfirmed = append(unconfirmed, name)
 			continue
@@ -68,10 +68,10 @@
 		}
 	}
 	slices.Sort(unconfirmed)
-	return unconfirmed, restConfirmed
+	return unconfirmed, othersConfirmed
 }
 
-// countOn counts the fronts that are heard and use a version.
+// countOn counts the fronts that are reachable and use a version.
 func (c *Controller) countOn(in *stepInput, version uint64) (n int) {
 	for name := range in.replicated.Fronts {
 		if t, ok := c.reports.latest[name]; ok && t.ActiveVersion == version && t.Age <= c.options.Timing.LeaseDuration {
--- a/fleet/rollout/participant.go
+++ b/fleet/rollout/participant.go
@@ -33,7 +33,7 @@
 	actions    []pendingAction
 }
 
-// renewal is what the front was last told by Hooks.Renew.
+// renewal is what was last passed to Hooks.Renew.
 type renewal struct {
 	version uint64
 	until   time.Duration
@@ -88,7 +88,7 @@
 	p.sendActions(now, n)
 }
 
-// renew tells the front until when it may use its version: where the version is another, the time is past, or it is later by enough to
+// renew reports to the front until when it may use its version: where the version is another, the time is past, or it is later by enough to
 // matter.
 func (p *Participant) renew(now time.Duration, next renewal) {
 	later := next.until > p.renewed.until+p.options.ConfigLease/32
--- a/fleet/rollout/publish_checks.go
+++ b/fleet/rollout/publish_checks.go
@@ -52,12 +52,12 @@
 func (c *Controller) checkFrontSettings(in *stepInput) error {
 	var notEnrolledFronts, serving []string
 	for _, name := range in.fronts() {
-		t, heard := c.reports.latest[name]
+		t, reported := c.reports.latest[name]
 		report, decoded := DecodeReport(t.Data)
 		switch {
-		case heard && !t.WantsConfigLease:
+		case reported && !t.WantsConfigLease:
 			notEnrolledFronts = append(notEnrolledFronts, name)
-		case heard && decoded && report.ServesIsolated:
+		case reported && decoded && report.ServesIsolated:
 			serving = append(serving, name)
 		}
 	}
@@ -77,8 +77,8 @@
 func (c *Controller) unknownFronts(in *stepInput) (unknown []string) {
 	stored := readBounded(in.replicated)
 	for _, name := range in.fronts() {
-		t, heard := c.reports.latest[name]
-		onBase := heard && t.ActiveVersion == in.state.Base
+		t, reported := c.reports.latest[name]
+		onBase := reported && t.ActiveVersion == in.state.Base
 		if !c.isBounded(in.replicated, name, stored) || c.allowed.index == 0 && !onBase {
 			unknown = append(unknown, name)
 		}
--- a/fleet/rollout/stages.go
+++ b/fleet/rollout/stages.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// waitsForLagging reports whether the open stage goes on waiting for fronts that are not on the new version.
+// waitsForLagging reports whether the open stage still waits for fronts that are not on the new version.
 func (c *Controller) waitsForLagging(in *stepInput, p stageProgress) bool {
 	s := in.state
 	if d := in.deadline(); d.InForceWithin > 0 {
@@ -80,7 +80,7 @@
 		switch {
 		case !s.lastStage():
 			return in.now-c.rollout.at < times.stageEnd
-		case p.laggingHeard == 0:
+		case p.laggingReachable == 0:
 			return false // nobody can update them: the sooner they are fenced the better
 		default:
 			return in.now-c.rollout.at < times.fenceAt
@@ -95,10 +95,10 @@
 
 // stageProgress is how far the fronts of the open stage have come.
 type stageProgress struct {
-	adopted      int      // on the new version, and heard
-	lagging      []string // the others that count
-	laggingHeard int      // those of lagging that are heard
-	fronts       int      // of the whole fleet
+	adopted          int      // on the new version, and reachable
+	lagging          []string // the others that count
+	laggingReachable int      // those of lagging that reported lately
+	fronts           int      // of the whole fleet
 
 	inZone, laggingInZone map[string]int
 }
@@ -116,19 +116,19 @@
 			continue
 		}
 		t, ok := c.reports.latest[name]
-		heard := ok && t.Age <= c.options.Timing.LeaseDuration
-		if heard && t.ActiveVersion == s.Next && t.Incarnation == r.Fronts[name].Incarnation {
+		reachable := ok && t.Age <= c.options.Timing.LeaseDuration
+		if reachable && t.ActiveVersion == s.Next && t.Incarnation == r.Fronts[name].Incarnation {
 			p.adopted++
 			continue
 		}
-		if !s.lastStage() && !heard {
+		if !s.lastStage() && !reachable {
 			continue // only the last stage waits for a silent front
 		}
-		if timed && !heard && c.reports.proof.expired(name, 0) {
+		if timed && !reachable && c.reports.proof.expired(name, 0) {
 			continue
 		}
-		if heard {
-			p.laggingHeard++
+		if reachable {
+			p.laggingReachable++
 		}
 		p.lagging = append(p.lagging, name)
 		p.laggingInZone[zone]++
@@ -216,7 +216,7 @@
 type stageObservation struct {
 	id            *stageID // nil before the first
 	openedAt      time.Duration
-	completeSince time.Duration // when all fronts that are heard were first on their version; 0 for not yet
+	completeSince time.Duration // when all reachable fronts were first on their version; 0 for not yet
 	analysis      CanaryAnalysis
 	samples       map[string]sample // by front, of the interval before
 
