--- a/fleet/agent/admin_rollout.go
+++ b/fleet/agent/admin_rollout.go
@@ -120,15 +120,15 @@
 	if err != nil {
 		return nil, err
 	}
-	outcome := make(chan string, 1) // "" for success, else why not
+	outcome := make(chan error, 1)
 	timeout := max(8*a.config.LeaseDuration, max(action.InForceWithin, a.rollout.config.InForceWithin)+2*a.config.LeaseDuration)
 	a.mesh.Do(func(n *fleet.Node, now time.Duration) {
-		a.rollout.participant.Submit(now, action, timeout, func(rejection string) { outcome <- rejection })
+		a.rollout.participant.Submit(now, action, timeout, func(err error) { outcome <- err })
 	})
 	select {
-	case rejection := <-outcome:
-		if rejection != "" {
-			return nil, adminapi.RejectedError(rejection)
+	case err := <-outcome:
+		if err != nil {
+			return nil, adminapi.RejectedError(err.Error())
 		}
 		return map[string]any{"done": true, "version": a.rolloutState().Next}, nil
 	case <-time.After(timeout + 2*a.config.LeaseDuration):
