--- a/router/admission.go
+++ b/router/admission.go
@@ -7,46 +7,49 @@
 	"dapplerouter/routing"
 )
 
-// What goes out first, and what is turned away? Inputs: what each request is worth for its work, the load of its member, how its time
-// compares with others'. Invariant: under load the work worth most goes out (docs/design.md, order).
+// Which requests are sent first, and which wait or are shed? Inputs: each request's priority weight and expected work, the load of its
+// server, how its timeout compares with others'. Invariant: under load the requests with the highest weight for their work are sent
+// (docs/design.md, order).
 
-// admission ranks what comes.
+// admission ranks requests.
 type admission struct {
-	workByDensity   [64]float64   // work that came recently, by the logarithm of what it is worth for its length
-	errorRate       float64       // of all members
-	retryAfter      time.Duration // what a rejected client is told
-	retriesMarked   bool          // clients mark their retries
-	typicalTimeouts []time.Duration
-	timeoutsSeen    []int // of each type
+	workByDensity   [64]float64     // recent work in seconds, by the logarithm of its weight for its work
+	errorRate       float64         // of all servers
+	retryAfter      time.Duration   // told to a rejected client
+	retriesMarked   bool            // clients mark their retries
+	typicalTimeouts []time.Duration // by request type
+	timeoutsSeen    []int           // by request type
 }
 
-func newAdmission(types []routing.RequestType, at routing.Topology, allowed routing.Limits) admission {
-	return admission{retryAfter: allowed.MaxRetryAfter / 2, retriesMarked: at.RetriesMarked,
+func newAdmission(types []routing.RequestType, topology routing.Topology, limits routing.Limits) admission {
+	return admission{retryAfter: limits.MaxRetryAfter / 2, retriesMarked: topology.RetriesMarked,
 		typicalTimeouts: make([]time.Duration, len(types)), timeoutsSeen: make([]int, len(types))}
 }
 
 const (
-	minAdmittedShare = 1.0 / 20 // part of the work that goes out under any load
-	timeoutSteps     = 50       // tries after which a usual budget moves by its smallest step
-	retryDiscount    = 4        // by which a retry is worth less
+	minAdmittedShare = 1.0 / 20 // share of the work that is sent under any load
+	timeoutSteps     = 50       // requests after which a typical timeout moves by its smallest step
+	retryDiscount    = 4        // divisor of a retry's weight
 )
 
-// admits tells whether a member may be sent a request now.
-func (r *Router) admits(now time.Duration, m *server, t *request) bool {
-	if m.draining || now < m.nextDialAt || r.saturated(m) {
+// admits reports whether a server may be sent a request now.
+func (r *Router) admits(now time.Duration, s *server, req *request) bool {
+	if s.draining || now < s.nextDialAt || r.saturated(s) {
 		return false
 	}
-	calmer := max((overloadedLoad-r.loadEstimate(now, m))/(overloadedLoad-normalLoad), minAdmittedShare)
-	return t.rank <= calmer && r.slowStartAdmits(now, m, r.typical[t.Type].Seconds())
+	admittedShare := max((overloadedLoad-r.loadEstimate(now, s))/(overloadedLoad-normalLoad), minAdmittedShare)
+	return req.rank <= admittedShare && r.slowStartAdmits(now, s, r.typical[req.Type].Seconds())
 }
 
-// valueDensity is what a request is worth for its length.
-func (r *Router) valueDensity(t *request) float64 { return t.weight / r.typical[t.Type].Seconds() }
+// weightPerWork is a request's weight for each second of its type's typical latency.
+func (r *Router) weightPerWork(req *request) float64 {
+	return req.weight / r.typical[req.Type].Seconds()
+}
 
-// rankOf is the part of the work coming here that is worth more for its length; among equals by chance.
-func (r *Router) rankOf(t *request) float64 {
-	work := r.typical[t.Type].Seconds()
-	own := min(max(int(2*math.Log2(r.valueDensity(t)))+len(r.workByDensity)/2, 0), len(r.workByDensity)-1)
+// rankOf is the share of the recent work that has more weight for its work, 0 for the best; equal ones are ranked at random.
+func (r *Router) rankOf(req *request) float64 {
+	work := r.typical[req.Type].Seconds()
+	own := min(max(int(2*math.Log2(r.weightPerWork(req)))+len(r.workByDensity)/2, 0), len(r.workByDensity)-1)
 	r.workByDensity[own] += work
 	above, all := 0.0, 0.0
 	for i, w := range r.workByDensity {
@@ -61,28 +64,29 @@
 	return rank
 }
 
-// timeoutDeviation is how far a budget is from that of most. Clients leave a first try after a fixed part of it,
-// a later one with what is left: so it tells a retry where clients don't mark them, and how long that waited
-// which came while this front stood still. A few tries have to be seen first.
+// timeoutDeviation is how far a timeout is from its type's typical one, 0 until enough were seen. Clients give a first
+// attempt a fixed part of their deadline and a retry what is left: so the deviation identifies retries that clients don't
+// mark, and says how long a request waited that was received while this instance was stalled.
 func (r *Router) timeoutDeviation(in *routing.Request) time.Duration {
-	most, seen := &r.typicalTimeouts[in.Type], &r.timeoutsSeen[in.Type]
-	off := in.Timeout - *most
+	typical, seen := &r.typicalTimeouts[in.Type], &r.timeoutsSeen[in.Type]
+	deviation := in.Timeout - *typical
 	*seen++
 	step := r.types[in.Type].Deadline / time.Duration(min(*seen+1, timeoutSteps))
-	if *most += max(min(off, step), -step); *seen < 2*priorWeight {
+	if *typical += max(min(deviation, step), -step); *seen < 2*priorWeight {
 		return 0
 	}
-	return off
+	return deviation
 }
 
-// discountRetry takes the time that a retry has waited already off its target, and its value down: the first answer was no better.
-func (r *Router) discountRetry(now time.Duration, t *request) {
-	off := r.timeoutDeviation(&t.Request)
-	retry := r.retriesMarked && t.Retry
+// discountRetry counts the time that a retry has already waited against its latency objective, and lowers its weight: its
+// client has a rejection already, so a second one costs less.
+func (r *Router) discountRetry(now time.Duration, req *request) {
+	deviation := r.timeoutDeviation(&req.Request)
+	retry := r.retriesMarked && req.Retry
 	if retry || !r.retriesMarked || r.stalled(now) {
-		t.objectiveAt += min(off, 0)
+		req.objectiveAt += min(deviation, 0)
 	}
-	if retry || !r.retriesMarked && !r.stalled(now) && max(off, -off) > t.Timeout/20 {
-		t.weight /= retryDiscount
+	if retry || !r.retriesMarked && !r.stalled(now) && max(deviation, -deviation) > req.Timeout/20 {
+		req.weight /= retryDiscount
 	}
 }
--- a/router/endpoints.go
+++ b/router/endpoints.go
@@ -7,18 +7,18 @@
 	"dapplerouter/routing"
 )
 
-// Who is there, and who drains? Inputs: the endpoint list. Invariant: a drain binds as soon as the list speaks, its grace is for what is
-// on its way (rule: drains kept); facts from answers beat the list.
+// Which servers are there, and which are draining? Input: the endpoint list. Invariant: a drain takes effect with the update that lists
+// it (rule: drains kept); what servers say of themselves goes before the list.
 
-// endpointState is what the list says of a member.
+// endpointState is what the endpoint list says of a server.
 type endpointState struct {
 	listed      bool
-	draining    bool          // by the drain rule, nothing new goes there
-	partitioned bool          // the way there is cut
-	listedAt    time.Duration // when the list last spoke of it
+	draining    bool          // or no longer listed: nothing new is sent there
+	partitioned bool          // the network to it is cut
+	listedAt    time.Duration // when the list last named it, or left it out
 }
 
-// endpointWatch is how the list is followed.
+// endpointWatch is how the endpoint list is followed.
 type endpointWatch struct {
 	pull             bool // it answers only when asked
 	subscribePending bool
@@ -27,19 +27,20 @@
 	roleListing      routing.RoleListing
 }
 
-func newEndpointWatch(at routing.Topology, rules routing.Guardrails) endpointWatch {
-	return endpointWatch{pull: at.PullEndpoints, subscribePending: at.PullEndpoints, maxPollInterval: rules.MaxPollInterval, roleListing: at.RoleListing}
+func newEndpointWatch(topology routing.Topology, rules routing.Guardrails) endpointWatch {
+	return endpointWatch{pull: topology.PullEndpoints, subscribePending: topology.PullEndpoints,
+		maxPollInterval: rules.MaxPollInterval, roleListing: topology.RoleListing}
 }
 
-// subscriptionDue tells, once, that the list is to be asked for.
-func (l *endpointWatch) subscriptionDue(now time.Duration) bool {
-	due := l.subscribePending && now >= l.subscribeAt
-	l.subscribePending = l.subscribePending && !due
+// subscriptionDue reports, once, that the list is to be subscribed to.
+func (w *endpointWatch) subscriptionDue(now time.Duration) bool {
+	due := w.subscribePending && now >= w.subscribeAt
+	w.subscribePending = w.subscribePending && !due
 	return due
 }
 
-// EndpointsChanged takes what the list says; facts from answers beat it. After a failure, which may mean that the
-// subscription broke, it is asked for anew, spread out.
+// EndpointsChanged takes an update of the list. A failure may mean that the subscription broke: it is made again after a
+// random pause, so that the instances of a fleet don't all ask at once.
 func (r *Router) EndpointsChanged(now time.Duration, kind routing.UpdateKind, _ int64, entries []routing.Endpoint) {
 	if kind == routing.UpdateFailed {
 		r.subscribePending = r.pull
@@ -55,10 +56,10 @@
 		r.updateEndpoint(now, &e)
 	}
 	for i := range r.servers {
-		m := &r.servers[i]
-		m.draining = m.draining || !m.listed
-		if m.draining && m.group != none {
-			r.groups[m.group].clearPrimary(i)
+		s := &r.servers[i]
+		s.draining = s.draining || !s.listed
+		if s.draining && s.group != none {
+			r.groups[s.group].clearPrimary(i)
 		}
 	}
 	r.checkPrimaryClock(now)
@@ -69,40 +70,40 @@
 	for len(r.servers) <= e.Server {
 		r.servers = append(r.servers, unknownServer)
 	}
-	m := &r.servers[e.Server]
+	s := &r.servers[e.Server]
 	g := r.group(e.Group)
-	if m.group == none {
-		m.group = e.Group
+	if s.group == none {
+		s.group = e.Group
 		g.servers = append(g.servers, e.Server)
 	}
-	m.listed, m.listedAt, m.zone = e.State != routing.Removed, now, e.Zone
-	m.draining = e.State != routing.Serving
-	if away := e.State == routing.Partitioned; away != m.partitioned {
-		m.partitioned, g.partitioned = away, away
-		if !away && g.restorePrimary(e.Server) {
-			m.clearFailures()
+	s.listed, s.listedAt, s.zone = e.State != routing.Removed, now, e.Zone
+	s.draining = e.State != routing.Serving
+	if partitioned := e.State == routing.Partitioned; partitioned != s.partitioned {
+		s.partitioned, g.partitioned = partitioned, partitioned
+		if !partitioned && g.restorePrimary(e.Server) {
+			s.clearFailures()
 		}
 	}
 	if e.HasStartTime {
 		r.startTimesListed = true
-		r.updateListedStart(now, m, e.StartedAt)
+		r.updateListedStart(now, s, e.StartedAt)
 	}
-	if e.Primary && r.roleListing != routing.RolesNotListed && !m.draining {
+	if e.Primary && r.roleListing != routing.RolesNotListed && !s.draining {
 		g.observeListedPrimary(e.Server)
 	}
 }
 
-// releaseIfGone gives back the place of a member that has left the list, once nothing is out there and it has been
-// away for as long as a start counts: a list that errs is mended sooner.
+// releaseIfGone gives back the index of a server that has left the list, once nothing is in flight there and it has been
+// gone for as long as a slow start takes: a list that was wrong is corrected sooner.
 func (r *Router) releaseIfGone(now time.Duration, i int) {
-	m := &r.servers[i]
-	if m.listed || m.group == none || now-m.listedAt <= r.slowStartDuration || m.inFlight > 0 || m.checkInFlight {
+	s := &r.servers[i]
+	if s.listed || s.group == none || now-s.listedAt <= r.slowStartDuration || s.inFlight > 0 || s.checkInFlight {
 		return
 	}
-	g := r.group(m.group)
+	g := r.group(s.group)
 	g.servers = slices.DeleteFunc(g.servers, func(j int) bool { return j == i })
 	g.removeServer(i)
-	*m = unknownServer
-	m.draining = true // until it is a member's again
+	*s = unknownServer
+	s.draining = true // until the index is a server's again
 	r.host.ReleaseServer(i)
 }
--- a/router/freshness.go
+++ b/router/freshness.go
@@ -6,52 +6,52 @@
 	"dapplerouter/routing"
 )
 
-// How far has a member applied the log? Inputs: positions in answers and reports. Invariant: a position once known stays valid
-// (BRIEF, a position never regresses); an estimate is never newer than now.
+// How far has a server applied the log? Inputs: positions in answers and load reports. Invariant: a position once known stays valid
+// (BRIEF, a position never regresses); an estimate is never later than now.
 
-// position is a member's, in the log.
+// position is a server's role and its position in the log.
 type position struct {
 	role          routing.Role
-	applied       time.Duration // highest log position known; it stays valid
-	lag           time.Duration // how far it was behind
+	applied       time.Duration // highest log position known to be applied
+	lag           time.Duration // behind the primary, when last measured
 	lagMeasuredAt time.Duration // never: no position is known
 }
 
 var unknownPosition = position{applied: never, lagMeasuredAt: never}
 
-// estimatedPosition is the position as far behind as it was recently, less as that grows old.
-func (r *Router) estimatedPosition(m *server, now time.Duration) time.Duration {
-	if m.role == routing.Primary {
+// estimatedPosition assumes that a server is as far behind as when last measured, and less as that measurement gets older.
+func (r *Router) estimatedPosition(s *server, now time.Duration) time.Duration {
+	if s.role == routing.Primary {
 		return now
 	}
-	f := r.decay(now - m.lagMeasuredAt)
-	return now - time.Duration(float64(m.lag)*f/(f+1/priorWeight))
+	f := r.decay(now - s.lagMeasuredAt)
+	return now - time.Duration(float64(s.lag)*f/(f+1/priorWeight))
 }
 
-// observe takes a position as old as its report.
-func (p *position) observe(now, pos, age time.Duration) {
-	p.applied = max(p.applied, pos)
+// observe takes a position that was measured an age ago.
+func (p *position) observe(now, applied, age time.Duration) {
+	p.applied = max(p.applied, applied)
 	p.lag, p.lagMeasuredAt = max(now-age-p.applied, 0), now
 }
 
-// reporting are what members tell of themselves.
+// reporting is what servers report of themselves and how old it is.
 type reporting struct {
-	positionsInReports  bool          // positions stand in reports alone
-	reportAge           time.Duration // how old those are
+	positionsInReports  bool          // positions come in load reports only
+	reportAge           time.Duration // of load reports, as measured by the primaries' positions
 	healthChecksAllowed bool
-	primaryPositionSeen bool // by some primary's position
-	startTimesListed    bool // by the list
+	primaryPositionSeen bool // a primary has reported its position, so the clock of the others is known
+	startTimesListed    bool // the endpoint list has start times
 }
 
-// observePosition takes the position of an outcome, or of the report that rode on it.
-func (r *Router) observePosition(now time.Duration, m *server, o *routing.AttemptOutcome) {
+// observePosition takes the position of an answer, or of the load report that came with it.
+func (r *Router) observePosition(now time.Duration, s *server, o *routing.AttemptOutcome) {
 	switch l := &o.Load; {
 	case o.HasPosition:
-		m.observe(now, o.Position, 0)
-	case r.positionsInReports && l.HasPosition: // a primary's position is the present: its report tells how old they are
-		if l.Role == routing.Primary && m.role == routing.Primary {
+		s.observe(now, o.Position, 0)
+	case r.positionsInReports && l.HasPosition:
+		if l.Role == routing.Primary && s.role == routing.Primary { // its position is the present, so its lag is the report's age
 			r.reportAge += (now - l.Position - r.reportAge) / 4
 		}
-		m.observe(now, l.Position, r.reportAge)
+		s.observe(now, l.Position, r.reportAge)
 	}
 }
--- a/router/health_check.go
+++ b/router/health_check.go
@@ -6,10 +6,11 @@
 	"dapplerouter/routing"
 )
 
-// Whom is it worth to ask about itself? Inputs: what is held for want of knowledge, who is ejected. Invariant: probes go out for cause
-// only, one at a time to a member, and none where the site allows none (BRIEF; docs/design.md, probes).
+// Which servers are sent a health check? Inputs: what requests wait for because it is not known, which servers are ejected. Invariant:
+// health checks have a cause, one at a time is in flight to a server, and there are none where the deployment allows none (BRIEF;
+// docs/design.md, health checks).
 
-// checkState is a member's.
+// checkState is a server's.
 type checkState struct {
 	checkInFlight bool
 	checkedAt     time.Duration
@@ -17,9 +18,12 @@
 
 var neverChecked = checkState{checkedAt: never}
 
-// checkPrimaryClock probes the first primary known with each list while starts are told, and no primary has told its position: until one
-// has, nobody knows where others' clocks stand, and a server that has just started may look as if it had started long ago
-// (front/timeline.go). Reads alone need not bring such an answer.
+// emptyQueueThreshold is a number of requests in flight below two: with one at most, nothing is queued.
+const emptyQueueThreshold = 1.5
+
+// checkPrimaryClock sends a health check to the first known primary, while the endpoint list has start times and no primary
+// has reported its position. Until one has, the offset of the other processes' clock is not known, and a server that has
+// just started may look as if it had started long ago (front/timeline.go). Reads alone need not bring such an answer.
 func (r *Router) checkPrimaryClock(now time.Duration) {
 	if r.primaryPositionSeen || !r.startTimesListed {
 		return
@@ -32,66 +36,65 @@
 	}
 }
 
-// emptyQueueThreshold is below two that a member holds: one at most, so no queue is there.
-const emptyQueueThreshold = 1.5
-
-// HealthCheckFinished takes what a probe brought.
-func (r *Router) HealthCheckFinished(now time.Duration, i int, e routing.AttemptResult, _ time.Duration, l routing.LoadReport) {
-	m := &r.servers[i]
-	m.checkInFlight = false
-	if e != routing.Succeeded {
-		r.healthCheckFailed(now, i, e)
+// HealthCheckFinished takes a server's load report, or a failure.
+func (r *Router) HealthCheckFinished(now time.Duration, i int, result routing.AttemptResult, _ time.Duration, load routing.LoadReport) {
+	s := &r.servers[i]
+	s.checkInFlight = false
+	if result != routing.Succeeded {
+		r.healthCheckFailed(now, i, result)
 		return
 	}
-	if l.InFlight >= 0 && l.InFlight < emptyQueueThreshold { // what does not come back is lost, not queued
-		m.fastAnswerSentAt = now
+	if load.InFlight >= 0 && load.InFlight < emptyQueueThreshold { // an attempt that stays unanswered is lost, not queued
+		s.fastAnswerSentAt = now
 	}
-	if l.HasPosition {
-		m.observe(now, l.Position, 0)
+	if load.HasPosition {
+		s.observe(now, load.Position, 0)
 	}
-	if l.Role != routing.UnknownRole {
-		r.observeRole(now, i, l.Role, l.Position, l.HasPosition)
+	if load.Role != routing.UnknownRole {
+		r.observeRole(now, i, load.Role, load.Position, load.HasPosition)
 	}
-	m.trialAt, m.answeredAt = min(m.trialAt, now), now
-	if !m.ejected {
-		m.consecutiveFailures = 0
+	s.trialAt, s.answeredAt = min(s.trialAt, now), now
+	if !s.ejected {
+		s.consecutiveFailures = 0
 	}
 }
 
-// healthCheckFailed ejects a member that cannot be reached; one that is full, or was not asked, is none.
-func (r *Router) healthCheckFailed(now time.Duration, i int, e routing.AttemptResult) {
-	if e == routing.Overloaded || e == routing.NotSent {
+// healthCheckFailed ejects a server that can't be reached. One that is overloaded, or that was not sent the check, can.
+func (r *Router) healthCheckFailed(now time.Duration, i int, result routing.AttemptResult) {
+	if result == routing.Overloaded || result == routing.NotSent {
 		return
 	}
-	m := &r.servers[i]
-	m.unreachableAt = now
-	if now-m.answeredAt > r.shortestObjective {
+	s := &r.servers[i]
+	s.unreachableAt = now
+	if now-s.answeredAt > r.shortestObjective {
 		r.eject(now, i)
 	}
 }
 
-// startHealthChecks sends them to groups of which something is wanted, ever more rarely to members that are ejected.
+// startHealthChecks sends them to the servers of groups about which something must be known, and to ejected servers with a
+// backoff.
 func (r *Router) startHealthChecks(now time.Duration) {
 	for k := range r.groups {
 		g := &r.groups[k]
 		if !g.healthCheckWanted && !g.mayHaveEjected { // most groups, of a list that may be long
 			continue
 		}
-		failed := false
+		anyEjected := false
 		for _, i := range g.servers {
-			m := &r.servers[i]
-			failed = failed || m.ejected
-			if g.healthCheckWanted && now-m.checkedAt >= 2*r.shortestObjective || m.ejected && now-m.checkedAt >= r.ejectionTime(m) {
+			s := &r.servers[i]
+			anyEjected = anyEjected || s.ejected
+			if g.healthCheckWanted && now-s.checkedAt >= 2*r.shortestObjective || s.ejected && now-s.checkedAt >= r.ejectionTime(s) {
 				r.startHealthCheck(now, i)
 			}
 		}
-		g.healthCheckWanted, g.mayHaveEjected = false, failed
+		g.healthCheckWanted, g.mayHaveEjected = false, anyEjected
 	}
 }
 
+// startHealthCheck sends a health check to a server, where one may be sent.
 func (r *Router) startHealthCheck(now time.Duration, i int) {
-	if m := &r.servers[i]; r.healthChecksAllowed && !m.draining && !m.checkInFlight {
-		m.checkInFlight, m.checkedAt = true, now
+	if s := &r.servers[i]; r.healthChecksAllowed && !s.draining && !s.checkInFlight {
+		s.checkInFlight, s.checkedAt = true, now
 		r.host.StartHealthCheck(i)
 	}
 }
--- a/router/latency.go
+++ b/router/latency.go
@@ -7,63 +7,65 @@
 	"dapplerouter/routing"
 )
 
-// How long do things take here? Inputs: the latencies of answers, the types' target latencies. Invariant: every span of the other files
-// is a multiple of the shortest target latency, so that no figure is fitted to a deployment.
+// How long do requests take? Inputs: the latencies of answers, the types' latency objectives. Invariant: every duration in the other
+// files is a multiple of the shortest latency objective, so that no constant is fitted to one deployment.
 
 const (
-	decayObjectives        = 10                    // shortest target latencies that running sums look back over: a few dozen answers
-	minimumDecayObjectives = 300 * decayObjectives // in which a least latency is forgotten: longer than any trouble lasts
+	decayObjectives        = 10                    // decay time of means, in shortest latency objectives: a few dozen answers
+	minimumDecayObjectives = 300 * decayObjectives // decay time of a minimum latency: longer than any fault lasts
 
-	priorAnswers   = 10 // of a type, as which its first estimate counts
+	priorAnswers   = 10 // of a type, that its initial estimate counts as
 	maxAnswerCount = 40 // more do not count
 )
 
-// latencies knows the usual latency of each request type, and the least that it has been; the least is slowly
-// forgotten, so that it means a member with little to do.
+// latencies knows the typical and the minimum latency of each request type. The minimum decays slowly, so that it is the
+// latency at a server with little load.
 type latencies struct {
-	typical, minimum        []time.Duration
-	answeredAt, answerCount []time.Duration // when one was answered last, and how many were, up to where it counts
-	shortestObjective       time.Duration   // target latency of the most pressing type: the scale of every span
-	tickInterval            time.Duration   // how often held requests and silent members are looked at
+	typical, minimum  []time.Duration // by request type
+	answeredAt        []time.Duration // by request type: the latest answer
+	answerCount       []time.Duration // by request type, up to maxAnswerCount; a divisor of durations
+	shortestObjective time.Duration   // of all types: the unit of every duration
+	tickInterval      time.Duration   // at which queued requests and unresponsive servers are looked at
 }
 
 func newLatencies(types []routing.RequestType, tick time.Duration) latencies {
-	p := latencies{shortestObjective: time.Hour}
-	for _, ty := range types {
-		p.shortestObjective = min(p.shortestObjective, ty.LatencyObjective)
-		p.typical, p.minimum = append(p.typical, ty.LatencyObjective/4), append(p.minimum, ty.LatencyObjective/4)
-		p.answeredAt, p.answerCount = append(p.answeredAt, 0), append(p.answerCount, 0)
+	l := latencies{shortestObjective: time.Hour}
+	for _, t := range types {
+		l.shortestObjective = min(l.shortestObjective, t.LatencyObjective)
+		l.typical, l.minimum = append(l.typical, t.LatencyObjective/4), append(l.minimum, t.LatencyObjective/4)
+		l.answeredAt, l.answerCount = append(l.answeredAt, 0), append(l.answerCount, 0)
 	}
-	p.tickInterval = max(tick, p.shortestObjective/10)
-	return p
+	l.tickInterval = max(tick, l.shortestObjective/10)
+	return l
 }
 
-// observeLatency takes that of an answer.
-func (p *latencies) observeLatency(now time.Duration, ty int, latency time.Duration) {
-	p.answerCount[ty] = min(p.answerCount[ty]+1, maxAnswerCount)
-	p.typical[ty] += (latency - p.typical[ty]) / (priorAnswers + p.answerCount[ty])
-	p.minimum[ty] += time.Duration(float64(p.minimum[ty]) * float64(now-p.answeredAt[ty]) / float64(minimumDecayObjectives*p.shortestObjective))
-	p.minimum[ty], p.answeredAt[ty] = min(p.typical[ty], p.minimum[ty]), now
+// observeLatency takes the latency of an answer.
+func (l *latencies) observeLatency(now time.Duration, requestType int, latency time.Duration) {
+	t := requestType
+	l.answerCount[t] = min(l.answerCount[t]+1, maxAnswerCount)
+	l.typical[t] += (latency - l.typical[t]) / (priorAnswers + l.answerCount[t])
+	l.minimum[t] += time.Duration(float64(l.minimum[t]) * float64(now-l.answeredAt[t]) / float64(minimumDecayObjectives*l.shortestObjective))
+	l.minimum[t], l.answeredAt[t] = min(l.typical[t], l.minimum[t]), now
 }
 
-// decay is what is left of a running sum after a span.
-func (p *latencies) decay(span time.Duration) float64 {
-	return math.Exp(-float64(span) / float64(decayObjectives*p.shortestObjective))
+// decay is the factor by which a mean's sum and count are multiplied after some time.
+func (l *latencies) decay(elapsed time.Duration) float64 {
+	return math.Exp(-float64(elapsed) / float64(decayObjectives*l.shortestObjective))
 }
 
-// decayingMean is a running sum and its count; what is older counts less and less.
+// decayingMean is a sum and a count in which older values weigh less.
 type decayingMean struct {
 	sum, n float64
-	at     time.Duration
+	at     time.Duration // of the last update
 }
 
-func (l *decayingMean) add(now time.Duration, x float64, p *latencies) {
-	f := p.decay(now - l.at)
-	l.sum, l.n, l.at = l.sum*f+x, l.n*f+1, now
+func (d *decayingMean) add(now time.Duration, x float64, l *latencies) {
+	f := l.decay(now - d.at)
+	d.sum, d.n, d.at = d.sum*f+x, d.n*f+1, now
 }
 
-// mean is drawn to what is known at large, as if so many answers had said it: one of its own is no verdict.
-func (l *decayingMean) mean(now time.Duration, many, large float64, p *latencies) float64 {
-	f := p.decay(now - l.at)
-	return (l.sum*f + many*large) / (l.n*f + many)
+// mean is drawn towards prior as if priorCount values had been that: a single value says little.
+func (d *decayingMean) mean(now time.Duration, priorCount, prior float64, l *latencies) float64 {
+	f := l.decay(now - d.at)
+	return (d.sum*f + priorCount*prior) / (d.n*f + priorCount)
 }
--- a/router/outlier_detection.go
+++ b/router/outlier_detection.go
@@ -7,20 +7,21 @@
 	"dapplerouter/routing"
 )
 
-// Does a member work? Inputs: the endings of attempts, and silence. Invariant: what fails everywhere alike, or while others are
-// answered, is no member's fault: errors behind all of them, connections that lose answers or can't be set up (docs/design.md, health).
+// Does a server work? Inputs: the results of attempts, and silence. Invariant: what fails everywhere alike, or while others are
+// answered, is not held against a server: errors at all of them, connections that lose answers or can't be opened (docs/design.md,
+// health).
 
-// health is a member's.
+// health is a server's.
 type health struct {
-	answeredAt          time.Duration // last answer of any kind
-	waitingSince        time.Duration // since when something is out and nothing was heard
-	errorRate           float64       // part of what is sent there that fails
-	lossRate            float64       // and that is lost while the rest is answered
-	consecutiveFailures int           // in a row
-	ejected             bool          // to be used for trials only
-	trialAt             time.Duration // earliest next trial
-	unreachableAt       time.Duration // last time that it could not be reached
-	nextDialAt          time.Duration // when a new connection may be tried, after one failed
+	answeredAt          time.Duration // when it last answered in any way
+	waitingSince        time.Duration // since when attempts are in flight and nothing was answered
+	errorRate           float64       // fraction of its attempts that fail
+	lossRate            float64       // fraction of its attempts that are lost while others are answered
+	consecutiveFailures int
+	ejected             bool          // it gets one trial request at a time
+	trialAt             time.Duration // earliest time of the next trial request
+	unreachableAt       time.Duration // when it last could not be reached
+	nextDialAt          time.Duration // earliest time of the next connection, after one failed
 }
 
 var unknownHealth = health{answeredAt: never, unreachableAt: never}
@@ -28,157 +29,162 @@
 // maxEjectionDoublings is how often the shortest ejection is doubled at most.
 const maxEjectionDoublings = 4
 
-// lossThreshold is the part of attempts lost over which what takes long looks lost.
+// lossThreshold is the loss rate over which an attempt that takes long is taken for lost.
 const lossThreshold = 1.0 / 20
 
-// ejectionTime is how long a member that is ejected is left alone.
-func (r *Router) ejectionTime(m *server) time.Duration {
-	return r.shortestObjective << min(m.consecutiveFailures, maxEjectionDoublings)
+// ejectionTime is the time between trial requests to an ejected server.
+func (r *Router) ejectionTime(s *server) time.Duration {
+	return r.shortestObjective << min(s.consecutiveFailures, maxEjectionDoublings)
 }
 
-// eject keeps traffic off a member that can't be reached or is silent. Trials come sparingly, one at
-// a time; its limit starts again from one, and a primary in doubt is looked for anew.
+// eject keeps traffic off a server that is unreachable or unresponsive, save one trial request at a time. Its limit starts
+// again from one; a primary is no longer known as such.
 func (r *Router) eject(now time.Duration, i int) {
-	m := &r.servers[i]
-	m.consecutiveFailures++
-	m.ejected = true
-	m.resetLimit()
-	m.trialAt = now + r.ejectionTime(m)
-	g := r.group(m.group)
+	s := &r.servers[i]
+	s.consecutiveFailures++
+	s.ejected = true
+	s.resetLimit()
+	s.trialAt = now + r.ejectionTime(s)
+	g := r.group(s.group)
 	g.mayHaveEjected = true
 	g.clearPrimary(i)
 }
 
-// clearFailures forgets what failed.
+// clearFailures ends an ejection.
 func (h *health) clearFailures() { h.ejected, h.consecutiveFailures = false, 0 }
 
-// awaitingTrial tells of an ejected member whose next trial is not due, or is out.
-func (m *server) awaitingTrial(now time.Duration) bool {
-	return m.ejected && (now < m.trialAt || m.inFlight > 0)
+// awaitingTrial reports whether a server is ejected and its next trial request is not due, or is in flight.
+func (s *server) awaitingTrial(now time.Duration) bool {
+	return s.ejected && (now < s.trialAt || s.inFlight > 0)
 }
 
-// attemptStarted begins an attempt at a member, ended ends it.
-func (m *server) attemptStarted(now time.Duration) {
-	if m.inFlight == 0 {
-		m.waitingSince = now
+// attemptStarted counts an attempt until attemptFinished.
+func (s *server) attemptStarted(now time.Duration) {
+	if s.inFlight == 0 {
+		s.waitingSince = now
 	}
-	m.inFlight++
+	s.inFlight++
 }
 
-func (m *server) attemptFinished(now time.Duration) {
-	m.inFlight--
-	m.waitingSince = now
+func (s *server) attemptFinished(now time.Duration) {
+	s.inFlight--
+	s.waitingSince = now
 }
 
-// unresponsive tells of a member that takes work and answers nothing. A saturated one is slow, not silent: so
-// patience is counted in the latency last seen there. One request without an answer may be lost or long.
-func (r *Router) unresponsive(now time.Duration, m *server) bool {
-	if m.inFlight < 2 || m.ejected || r.stalled(now) || now-max(m.waitingSince, r.resumedAt) <= 2*r.shortestObjective {
+// unresponsive reports whether a server takes attempts and answers nothing. A saturated server is slow, not unresponsive: so
+// it is given time by its load. A single attempt without an answer may be lost, or long.
+func (r *Router) unresponsive(now time.Duration, s *server) bool {
+	if s.inFlight < 2 || s.ejected || r.stalled(now) || now-max(s.waitingSince, r.resumedAt) <= 2*r.shortestObjective {
 		return false
 	}
-	patience := time.Duration(4 * r.loadEstimate(now, m) * float64(slices.Max(r.typical)))
-	return now-max(m.waitingSince, r.resumedAt) > patience
+	patience := time.Duration(4 * r.loadEstimate(now, s) * float64(slices.Max(r.typical)))
+	return now-max(s.waitingSince, r.resumedAt) > patience
 }
 
-// probablyLost tells of an attempt that may be sent elsewhere: its member is silent, or loses some and has answered later ones.
-func (r *Router) probablyLost(now time.Duration, t *request) bool {
-	if t.state != pending || t.sentTo == none || r.types[t.Type].Idempotency == routing.NonIdempotent {
+// probablyLost reports whether an attempt may be cancelled and the request sent elsewhere: its server is unresponsive, or
+// loses some attempts and has answered later ones.
+func (r *Router) probablyLost(now time.Duration, req *request) bool {
+	if req.state != pending || req.sentTo == none || r.types[req.Type].Idempotency == routing.NonIdempotent {
 		return false
 	}
-	m := &r.servers[t.sentTo]
-	lost := m.lossRate > lossThreshold && t.attempts == 1 && m.fastAnswerSentAt > t.sentAt && now-t.sentAt > 4*r.minimum[t.Type]
-	return lost || r.unresponsive(now, m)
+	s := &r.servers[req.sentTo]
+	lost := s.lossRate > lossThreshold && req.attempts == 1 && s.fastAnswerSentAt > req.sentAt && now-req.sentAt > 4*r.minimum[req.Type]
+	return lost || r.unresponsive(now, s)
 }
 
-// observeOutcome draws on an ending for the member's limit and health; ty is none for one that no longer counts for its request.
-func (r *Router) observeOutcome(now time.Duration, o routing.AttemptOutcome, ty int) {
-	m := &r.servers[o.Server]
+// observeOutcome updates the server's limit and health. requestType is none where the attempt no longer counts for its
+// request, so that its latency means nothing.
+func (r *Router) observeOutcome(now time.Duration, o routing.AttemptOutcome, requestType int) {
+	s := &r.servers[o.Server]
 	switch o.Result {
 	case routing.Succeeded, routing.Misrouted:
-		r.observeResponse(now, m, &o, ty)
-	case routing.ServerError: // quick, but no reason to send more
-		r.observeError(now, m)
+		r.observeResponse(now, s, &o, requestType)
+	case routing.ServerError: // fast, but no reason to send more
+		r.observeError(now, s)
 	case routing.Overloaded:
-		m.answeredAt = now
-		m.consecutiveFailures++
-		r.reduceLimit(m, failureReduction)
-		r.observeLoad(now, m, overloadedLoad)
+		s.answeredAt = now
+		s.consecutiveFailures++
+		r.reduceLimit(s, failureReduction)
+		r.observeLoad(now, s, overloadedLoad)
 	case routing.Unreachable, routing.ConnectionLost:
-		r.observeConnectionFailure(now, m, &o)
+		r.observeConnectionFailure(now, s, &o)
 	case routing.TimedOut:
-		r.observeTimeout(now, m, &o)
+		r.observeTimeout(now, s, &o)
+	case routing.Cancelled, routing.NotSent: // by this side: nothing is learnt of the server
 	}
 }
 
-func (r *Router) observeResponse(now time.Duration, m *server, o *routing.AttemptOutcome, ty int) {
-	m.answeredAt = now
-	if m.ejected && m.unreachableAt > m.startedAt { // what could not be reached may have started meanwhile
-		r.beginSlowStart(now, m, now)
+func (r *Router) observeResponse(now time.Duration, s *server, o *routing.AttemptOutcome, requestType int) {
+	s.answeredAt = now
+	if s.ejected && s.unreachableAt > s.startedAt { // it may have restarted while it was unreachable
+		r.beginSlowStart(now, s, now)
 	}
-	m.clearFailures()
-	if o.Result == routing.Misrouted || ty == none || r.stalled(now) {
+	s.clearFailures()
+	if o.Result == routing.Misrouted || requestType == none || r.stalled(now) {
 		return
 	}
-	by := r.loadFromLatency(ty, o.Latency)
-	if by > lateLoad {
-		r.reduceLimit(m, lateReduction)
+	load := r.loadFromLatency(requestType, o.Latency)
+	if load > lateLoad {
+		r.reduceLimit(s, lateReduction)
 	} else {
-		m.growLimit(now, o.Latency, r.limitGrowth)
+		s.growLimit(now, o.Latency, r.limitGrowth)
 	}
-	r.observeLoad(now, m, by)
-	r.servedWork.add(now, r.typical[ty].Seconds(), &r.latencies) // what failed was no work, but a cold one falls of it
-	r.observeFaults(m, 0, 0)
-	r.observeLatency(now, ty, o.Latency)
+	r.observeLoad(now, s, load)
+	// Failed attempts are left out: they are no work for a warm server, but count against one that is warming up.
+	r.servedWork.add(now, r.typical[requestType].Seconds(), &r.latencies)
+	r.observeFaults(s, 0, 0)
+	r.observeLatency(now, requestType, o.Latency)
 }
 
-func (r *Router) observeError(now time.Duration, m *server) {
-	m.answeredAt = now
-	r.observeFaults(m, 1, 0)
-	if m.errorRate > 2*r.errorRate {
-		m.consecutiveFailures++
-		r.reduceLimit(m, failureReduction)
+func (r *Router) observeError(now time.Duration, s *server) {
+	s.answeredAt = now
+	r.observeFaults(s, 1, 0)
+	if s.errorRate > 2*r.errorRate {
+		s.consecutiveFailures++
+		r.reduceLimit(s, failureReduction)
 	}
 }
 
-func (r *Router) observeConnectionFailure(now time.Duration, m *server, o *routing.AttemptOutcome) {
-	m.nextDialAt = now + time.Duration(r.randomFloat()*float64(2*r.tickInterval))
-	if m.answeredAt > now-max(o.Latency, r.shortestObjective) { // it answers: the connection failed, or it takes no more of them
-		r.observeFaults(m, 0, 1)
+func (r *Router) observeConnectionFailure(now time.Duration, s *server, o *routing.AttemptOutcome) {
+	s.nextDialAt = now + time.Duration(r.randomFloat()*float64(2*r.tickInterval))
+	if s.answeredAt > now-max(o.Latency, r.shortestObjective) { // it answers: the connection failed, or it accepts no more of them
+		r.observeFaults(s, 0, 1)
 		return
 	}
 	r.startHealthCheck(now, o.Server)
-	if !r.healthChecksAllowed { // else the probe tells whether it was down
-		m.unreachableAt = now
+	if !r.healthChecksAllowed { // else the health check finds out
+		s.unreachableAt = now
 	}
-	refusedAtOnce := m.checkInFlight && o.Latency < r.tickInterval
-	if m.consecutiveFailures++; m.consecutiveFailures > 1 && !refusedAtOnce { // one connection may break, or be refused
+	refusedAtOnce := s.checkInFlight && o.Latency < r.tickInterval
+	if s.consecutiveFailures++; s.consecutiveFailures > 1 && !refusedAtOnce { // a single connection may fail or be refused
 		r.eject(now, o.Server)
 	}
 }
 
-func (r *Router) observeTimeout(now time.Duration, m *server, o *routing.AttemptOutcome) {
+func (r *Router) observeTimeout(now time.Duration, s *server, o *routing.AttemptOutcome) {
 	if r.stalled(now) {
 		return
 	}
-	if m.fastAnswerSentAt > now-o.Latency {
-		r.observeFaults(m, 0, 1)
-		return // later ones came back quickly: this one was lost, not queued
+	if s.fastAnswerSentAt > now-o.Latency { // later ones were answered fast: this one was lost, not queued
+		r.observeFaults(s, 0, 1)
+		return
 	}
-	r.reduceLimit(m, failureReduction)
-	r.observeLoad(now, m, maxLoad)
-	if now-m.answeredAt <= o.Latency {
+	r.reduceLimit(s, failureReduction)
+	r.observeLoad(now, s, maxLoad)
+	if now-s.answeredAt <= o.Latency {
 		return
 	}
-	if m.consecutiveFailures++; m.consecutiveFailures > 1 { // one may be lost or long
+	if s.consecutiveFailures++; s.consecutiveFailures > 1 { // a single one may be lost or long
 		r.eject(now, o.Server)
 	} else {
 		r.startHealthCheck(now, o.Server)
 	}
 }
 
-// observeFaults moves the rates of errors and losses, the former of all members too.
-func (r *Router) observeFaults(m *server, erred, lost float64) {
-	m.errorRate += (erred - m.errorRate) / 20
-	r.errorRate += (erred - r.errorRate) / 40
-	m.lossRate += (lost - m.lossRate) / 20
+// observeFaults updates the error rates of the server and of all servers, and the server's loss rate, by an attempt that
+// counts as 0 or 1 for each.
+func (r *Router) observeFaults(s *server, failed, lost float64) {
+	s.errorRate += (failed - s.errorRate) / 20
+	r.errorRate += (failed - r.errorRate) / 40
+	s.lossRate += (lost - s.lossRate) / 20
 }
--- a/router/planning.go
+++ b/router/planning.go
@@ -6,43 +6,44 @@
 	"dapplerouter/routing"
 )
 
-// What should be out for a request now? Inputs: the request, its group, the answers of the other files. Invariant: a request that has
-// something out is left alone; one that is given up ends in the same batch (TERMS, a final answer at once).
+// Which server should a request be sent to now? Inputs: the request, its group, the answers of the other files. Invariant: a request
+// with an attempt in flight is left alone; one that is given up ends in the same batch (TERMS, a final answer at once).
 
-// plan decides what should be out for a request: nothing, if it is held or ends here.
-func (r *Router) plan(now time.Duration, t *request) {
-	if t.state != pending || t.sentTo != none {
+// plan sets where a request should be sent: nowhere, if it stays queued or ends here.
+func (r *Router) plan(now time.Duration, req *request) {
+	if req.state != pending || req.sentTo != none {
 		return
 	}
-	ty := &r.types[t.Type]
-	if r.shouldGiveUp(now, t, ty) {
-		t.giveUp(ty)
+	t := &r.types[req.Type]
+	if r.shouldGiveUp(now, req, t) {
+		req.giveUp(t)
 		return
 	}
-	g := r.group(t.Group)
-	to := r.destination(now, t, ty, g)
+	g := r.group(req.Group)
+	to := r.destination(now, req, t, g)
 	if to == none {
-		// A primary behind a cut way is there still, and no new one can come up here: waiting brings nothing.
-		if g.partitioned && g.primary == none && (ty.Consistency >= routing.Strong || t.misrouted || len(g.servers) == 1) {
-			t.giveUp(ty)
+		// A primary behind a network partition keeps its role, so no new one is elected that could be reached: waiting is of no use.
+		if g.partitioned && g.primary == none && (t.Consistency >= routing.Strong || req.misrouted || len(g.servers) == 1) {
+			req.giveUp(t)
 		}
 		g.healthCheckWanted = g.healthCheckWanted || g.primary == none
 		return
 	}
-	if t.attempts > 0 && !(t.misrouted && to == g.primary) && !r.takeRetry() {
-		t.giveUp(ty)
+	if req.attempts > 0 && !(req.misrouted && to == g.primary) && !r.takeRetry() {
+		req.giveUp(t)
 		return
 	}
-	t.planned = to
+	req.planned = to
 }
 
-// destination is the member that a request should go to now, none for none.
-func (r *Router) destination(now time.Duration, t *request, ty *routing.RequestType, g *group) int {
-	blind := ty.Consistency == routing.Write && g.primary == none && !r.healthChecksAllowed // a miss is the only way to ask
-	if blind || ty.Consistency != routing.Write && ty.Consistency != routing.Strong {
-		return r.selectServer(now, t, ty)
+// destination is the server that a request should be sent to now, none if it must wait.
+func (r *Router) destination(now time.Duration, req *request, t *routing.RequestType, g *group) int {
+	// Without health checks, a write that is misrouted is the only way to find the primary.
+	blind := t.Consistency == routing.Write && g.primary == none && !r.healthChecksAllowed
+	if blind || t.Consistency != routing.Write && t.Consistency != routing.Strong {
+		return r.selectServer(now, req, t)
 	}
-	if g.primary != none && r.admits(now, &r.servers[g.primary], t) {
+	if g.primary != none && r.admits(now, &r.servers[g.primary], req) {
 		return g.primary
 	}
 	return none
--- a/router/primary.go
+++ b/router/primary.go
@@ -6,27 +6,27 @@
 	"dapplerouter/routing"
 )
 
-// Who is the primary of a group? Inputs: what members claim in answers, refusals and probes, with their positions; the list where no
-// claim is known. Invariant: the claim further on in the log is the newer, so an old report, or a member that came back, can't win
-// (docs/design.md, finding the primary).
+// Which server is the primary of a group? Inputs: the roles that servers claim in answers, rejections and health checks, with their log
+// positions; the endpoint list where no claim is known. Invariant: the claim with the later log position is the newer one, so an old
+// report, or a server that comes back, can't win (docs/design.md, finding the primary).
 
-// group follows its primary by claims. A claim carries the log position of the one that makes it.
+// group follows its primary by the servers' claims. A claim has the log position of the server that makes it.
 type group struct {
-	load              decayingMean // of all its members
+	load              decayingMean // of all its servers
 	servers           []int
-	primary           int           // none: unknown, or in doubt
-	claimant          int           // who made the newest claim
+	primary           int           // none: not known
+	claimant          int           // server of the newest claim
 	claimPosition     time.Duration // its log position
-	term              int
+	term              int           // counts changes of primary
 	termStart         time.Duration // first position known of this term
-	healthCheckWanted bool          // something is held or sent to the primary for want of knowledge
-	mayHaveEjected    bool          // some member may be ejected
-	forgottenTarget   sessionTarget // of the sessions that are forgotten
-	partitioned       bool          // the way to its primary's site is cut
+	healthCheckWanted bool          // a request waits or was sent to the primary because something is not known
+	mayHaveEjected    bool          // some server may be ejected
+	forgottenTarget   sessionTarget // the highest of the sessions that were forgotten
+	partitioned       bool          // the network to its primary's site is cut
 }
 
-// inCurrentTerm raises a target of an older term to the start of this one: a member that has applied the
-// start has applied all that the new primary kept. So a replica's wait goes on working after a primary change.
+// inCurrentTerm raises a position of an older term to the start of this one: a server that has applied the start has
+// applied all that the new primary kept. So servers can still wait for it after a change of primary.
 func (g *group) inCurrentTerm(pos time.Duration, term int) time.Duration {
 	if term < g.term {
 		return max(pos, g.termStart)
@@ -42,11 +42,11 @@
 	return &r.groups[g]
 }
 
-// observeRole takes a member's word on its own role.
-func (r *Router) observeRole(now time.Duration, i int, role routing.Role, pos time.Duration, placed bool) {
-	m := &r.servers[i]
-	g := r.group(m.group)
-	if !placed {
+// observeRole takes the role that a server claims. A claim without a position counts as made now.
+func (r *Router) observeRole(now time.Duration, i int, role routing.Role, pos time.Duration, hasPosition bool) {
+	s := &r.servers[i]
+	g := r.group(s.group)
+	if !hasPosition {
 		pos = now
 	}
 	switch {
@@ -57,38 +57,38 @@
 			}
 			g.beginTerm(i, pos)
 		}
-		r.primaryPositionSeen = r.primaryPositionSeen || placed
-		g.claimPosition, m.role = max(g.claimPosition, pos), routing.Primary
-		if !m.draining {
+		r.primaryPositionSeen = r.primaryPositionSeen || hasPosition
+		g.claimPosition, s.role = max(g.claimPosition, pos), routing.Primary
+		if !s.draining {
 			g.primary = i
 		}
 	case role == routing.Replica && (g.claimant != i || pos >= g.claimPosition):
-		m.role = routing.Replica
+		s.role = routing.Replica
 		g.clearPrimary(i)
 	}
 }
 
-// beginTerm is a change of primary.
+// beginTerm follows a change of primary.
 func (g *group) beginTerm(claimant int, pos time.Duration) {
 	g.claimant, g.termStart = claimant, pos
 	g.term++
 }
 
-// clearPrimary takes the role from a member, which may be anybody's then.
+// clearPrimary makes the primary unknown where it was server i.
 func (g *group) clearPrimary(i int) {
 	if g.primary == i {
 		g.primary = none
 	}
 }
 
-// observeListedPrimary takes the list's word on a primary, which counts only where no claim is known or the primary is lost.
+// observeListedPrimary takes a primary from the endpoint list, where no claim is known or the primary is no longer known.
 func (g *group) observeListedPrimary(i int) {
 	if g.claimant == none || g.primary == none && g.claimant != i {
 		g.primary = i
 	}
 }
 
-// restorePrimary takes the newest claimant for the primary again: the way to it is open, and nobody else has claimed the role.
+// restorePrimary makes server i the primary again, where it made the newest claim: the network to it is up again.
 func (g *group) restorePrimary(i int) (restored bool) {
 	if restored = g.claimant == i; restored {
 		g.primary = i
@@ -96,7 +96,7 @@
 	return restored
 }
 
-// removeServer forgets a member that is gone: it may have shown as primary while it was ejected.
+// removeServer forgets the claims of a server that is gone: it may have claimed the role while it was ejected.
 func (g *group) removeServer(i int) {
 	if g.claimant == i || g.primary == i {
 		g.claimant, g.primary = none, none
--- a/router/request.go
+++ b/router/request.go
@@ -6,143 +6,166 @@
 	"dapplerouter/routing"
 )
 
-// Where does a request stand? Inputs: its arrival, the endings of its attempts, its client's departure. Invariant: one attempt is out at
-// a time; each request ends once (rule: no request lost).
+// What is the state of a request? Inputs: its receipt, the outcomes of its attempts, its client's departure. Invariant: one attempt is
+// in flight at a time; each request ends once (rule: no request lost).
 
 type requestState uint8
 
 const (
 	pending  requestState = iota
-	rejected              // to be answered so
-	failed                // to be answered so: it may have run
+	rejected              // Reconcile answers so: nothing has run, or a retry is safe
+	failed                // Reconcile answers so: it may have run
 	finished
 )
 
-// request is one in hand.
+// request is a request in flight.
 type request struct {
 	routing.Request
+	schedule
+	attemptState
+	execution
+	state  requestState
+	queued bool
+}
+
+// schedule is by when a request is to be answered, in what order, and by what servers.
+type schedule struct {
 	receivedAt       time.Duration
-	objectiveAt      time.Duration // when its target latency is over
+	objectiveAt      time.Duration // when its latency objective ends
 	deadline         time.Duration
-	rank             float64       // among what comes here, 0 the best
-	weight           float64       // marked down for a retry
-	requiredPosition time.Duration // position that a read needs; never for any
-	state            requestState
-	attempts         int  // so far
-	sentTo, planned  int  // member where it is out, where it should be
-	cancelling       bool // cancelled, its ending awaited
-	queued           bool
-	lastServer       int  // member left last
-	misrouted        bool // turned away untouched: the primary is next
-	errorCount       int  // that attempts ended in
-	mayHaveRun       bool // some attempt may have run:
-	mayHaveRunSince  time.Duration
-	sentAt           time.Duration
+	rank             float64       // among recent requests, 0 for the best
+	weight           float64       // its type's, less for a retry
+	requiredPosition time.Duration // log position that a read must see; never for none
+}
+
+// attemptState is a request's attempts. The difference between sentTo and planned is what emit brings about.
+type attemptState struct {
+	attempts   int // so far
+	sentTo     int // server with the attempt in flight, none for none
+	planned    int // server that should have it
+	cancelling bool
+	sentAt     time.Duration
+	lastServer int // of the previous attempt
 }
 
-// requestTable has all that are in hand.
+// execution is what the ended attempts say of whether the request has run.
+type execution struct {
+	misrouted       bool // rejected before it ran: the primary is next
+	errorCount      int
+	mayHaveRun      bool
+	mayHaveRunSince time.Duration
+}
+
+// requestTable has all requests in flight, by slot.
 type requestTable struct {
 	types     []routing.RequestType
 	mayCancel bool
 	slots     []request
-	queue     []uint32 // to be planned: new, or without a place to go
-	toCancel  []uint32 // to be emitted
+	queue     []uint32 // slots to be planned: new, or without a server that takes them
+	toCancel  []uint32 // slots of which an attempt is to be cancelled
 }
 
+var noAttempt = attemptState{sentTo: none, planned: none, lastServer: none}
+
 // RequestReceived takes a request.
 func (r *Router) RequestReceived(now time.Duration, in routing.Request) {
 	for len(r.slots) <= int(in.Ref.Slot) {
-		r.slots = append(r.slots, request{state: finished, sentTo: none, planned: none})
+		r.slots = append(r.slots, request{state: finished, attemptState: noAttempt})
 	}
-	ty := &r.types[in.Type]
-	t := &r.slots[in.Ref.Slot]
-	*t = request{Request: in, receivedAt: now, deadline: now + in.Timeout, weight: ty.PriorityWeight, requiredPosition: never, sentTo: none, planned: none,
-		lastServer: none, queued: t.queued,
-		objectiveAt: now + min(ty.LatencyObjective+time.Duration(ty.WorkMultiple*float64(in.ExpectedWork)), ty.Deadline)}
-	if ty.Consistency == routing.ReadYourWrites {
-		t.requiredPosition = r.requiredPosition(now, &in, r.group(in.Group))
+	t := &r.types[in.Type]
+	req := &r.slots[in.Ref.Slot]
+	*req = request{Request: in, attemptState: noAttempt, queued: req.queued, schedule: schedule{
+		receivedAt:       now,
+		objectiveAt:      now + min(t.LatencyObjective+time.Duration(t.WorkMultiple*float64(in.ExpectedWork)), t.Deadline),
+		deadline:         now + in.Timeout,
+		weight:           t.PriorityWeight,
+		requiredPosition: never,
+	}}
+	if t.Consistency == routing.ReadYourWrites {
+		req.requiredPosition = r.requiredPosition(now, &in, r.group(in.Group))
 	}
-	r.discountRetry(now, t)
-	t.rank = r.rankOf(t)
+	r.discountRetry(now, req)
+	req.rank = r.rankOf(req)
 	r.earnRetry()
-	r.enqueue(t)
+	r.enqueue(req)
 }
 
-// enqueue puts a request among the held, to be planned; cancel takes it from where it is out.
-func (r *requestTable) enqueue(t *request) {
-	if !t.queued {
-		t.queued = true
-		r.queue = append(r.queue, t.Ref.Slot)
+// enqueue has a request planned by the next Reconcile.
+func (r *requestTable) enqueue(req *request) {
+	if !req.queued {
+		req.queued = true
+		r.queue = append(r.queue, req.Ref.Slot)
 	}
 }
 
-func (r *requestTable) cancel(t *request) {
-	if t.planned = none; t.sentTo != none && !t.cancelling && r.mayCancel {
-		r.toCancel = append(r.toCancel, t.Ref.Slot)
+// cancel has the attempt in flight cancelled by the next Reconcile, where the deployment allows that.
+func (r *requestTable) cancel(req *request) {
+	if req.planned = none; req.sentTo != none && !req.cancelling && r.mayCancel {
+		r.toCancel = append(r.toCancel, req.Ref.Slot)
 	}
 }
 
 // attemptStarted notes an attempt.
-func (t *request) attemptStarted(now time.Duration, member int) {
-	t.sentTo, t.sentAt = member, now
-	t.attempts++
+func (req *request) attemptStarted(now time.Duration, server int) {
+	req.sentTo, req.sentAt = server, now
+	req.attempts++
 }
 
-// ClientGone ends a request whose client is gone. One that was out then is a sign of a queue, and came to nothing.
+// ClientGone ends a request. An attempt that was in flight then is a sign of a queue, and of no use any more.
 func (r *Router) ClientGone(now time.Duration, ref routing.RequestRef) {
-	t := &r.slots[ref.Slot]
-	if t.Ref != ref || t.state == finished {
+	req := &r.slots[ref.Slot]
+	if req.Ref != ref || req.state == finished {
 		return
 	}
-	t.state = finished
-	if t.sentTo != none && !r.stalled(now) {
-		m := &r.servers[t.sentTo]
-		r.reduceLimit(m, failureReduction)
-		r.observeLoad(now, m, maxLoad)
+	req.state = finished
+	if req.sentTo != none && !r.stalled(now) {
+		s := &r.servers[req.sentTo]
+		r.reduceLimit(s, failureReduction)
+		r.observeLoad(now, s, maxLoad)
 	}
-	r.cancel(t)
+	r.cancel(req)
 }
 
-// AttemptFinished takes the ending of an attempt, also of one whose place in the slab has a new request by now.
+// AttemptFinished takes an attempt's outcome, also where the request's slot has another request by now.
 func (r *Router) AttemptFinished(now time.Duration, o routing.AttemptOutcome) {
-	m := &r.servers[o.Server]
-	m.attemptFinished(now)
-	t := &r.slots[o.Ref.Slot]
-	mine, ty := t.Ref == o.Ref && t.sentTo != none && o.AttemptNumber == t.attempts-1, none
-	if mine {
-		ty = t.Type
+	s := &r.servers[o.Server]
+	s.attemptFinished(now)
+	req := &r.slots[o.Ref.Slot]
+	current, requestType := req.Ref == o.Ref && req.sentTo != none && o.AttemptNumber == req.attempts-1, none
+	if current {
+		requestType = req.Type
 	}
-	r.observeOutcome(now, o, ty)
+	r.observeOutcome(now, o, requestType)
 	if o.Role != routing.UnknownRole {
 		r.observeRole(now, o.Server, o.Role, o.Position, o.HasPosition)
 	}
-	r.observePosition(now, m, &o)
-	if !mine {
+	r.observePosition(now, s, &o)
+	if !current {
 		return
 	}
-	t.attemptFinished(&o)
-	if o.Result == routing.Succeeded && r.types[ty].Consistency == routing.Write && t.Session != 0 && o.HasPosition {
-		r.recordWrite(sessionKey(&t.Request), r.group(t.Group), o.Position)
+	req.attemptFinished(&o)
+	if o.Result == routing.Succeeded && r.types[requestType].Consistency == routing.Write && req.Session != 0 && o.HasPosition {
+		r.recordWrite(sessionKey(&req.Request), r.group(req.Group), o.Position)
 	}
 	if o.Result == routing.Unreachable || o.Result == routing.NotSent {
 		r.refundRetry()
 	}
 	switch {
 	case o.RequestFinished:
-		t.state = finished
-	case t.state == pending:
-		r.enqueue(t)
+		req.state = finished
+	case req.state == pending:
+		r.enqueue(req)
 	}
 }
 
-// attemptFinished takes the ending of the attempt that is out.
-func (t *request) attemptFinished(o *routing.AttemptOutcome) {
-	t.sentTo, t.planned, t.lastServer, t.cancelling = none, none, o.Server, false
-	if !o.Result.NeverRan() && !t.mayHaveRun {
-		t.mayHaveRun, t.mayHaveRunSince = true, t.sentAt
+// attemptFinished takes the outcome of the attempt in flight.
+func (req *request) attemptFinished(o *routing.AttemptOutcome) {
+	req.sentTo, req.planned, req.lastServer, req.cancelling = none, none, o.Server, false
+	if !o.Result.NeverRan() && !req.mayHaveRun {
+		req.mayHaveRun, req.mayHaveRunSince = true, req.sentAt
 	}
-	t.misrouted = t.misrouted || o.Result == routing.Misrouted
+	req.misrouted = req.misrouted || o.Result == routing.Misrouted
 	if o.Result == routing.ServerError {
-		t.errorCount++
+		req.errorCount++
 	}
 }
--- a/router/retry.go
+++ b/router/retry.go
@@ -6,58 +6,61 @@
 	"dapplerouter/routing"
 )
 
-// May a request be sent again, or is it past hope? Inputs: its effect, what was sent, what time is left. Invariant: nothing that may
-// have run goes out again unless its repeat is dropped where it goes (rule: no effect twice); further attempts stay a part of first ones.
+// May a request be sent again, or is it to be given up? Inputs: its idempotency, what was sent, the time that is left. Invariant: what
+// may have run is not sent again unless the repeat is dropped where it is sent (rule: no effect twice); retries stay a fraction of
+// first attempts.
 
-// retryPolicy are what may still be sent again.
+// retryPolicy limits retries, for one request and for all.
 type retryPolicy struct {
 	maxAttempts int     // of a request
-	retryBudget float64 // further attempts still allowed
+	retryBudget float64 // retries that are still allowed
 }
 
-// Further attempts stay a part of first ones: time-outs must not make more work than they save.
+// Retries stay a fraction of first attempts: timeouts must not cause more work than they save.
 const (
 	retryShare   = 1.0 / 5
-	retryReserve = 20 // kept for the moment when a member dies
+	retryReserve = 20 // for when a server fails
 )
 
 // earnRetry follows a first attempt.
-func (r *retryPolicy) earnRetry() { r.retryBudget = min(r.retryBudget+retryShare, retryReserve) }
+func (p *retryPolicy) earnRetry() { p.retryBudget = min(p.retryBudget+retryShare, retryReserve) }
 
 // takeRetry takes one from the budget, if there is one.
-func (r *retryPolicy) takeRetry() bool {
-	if r.retryBudget < 1 {
+func (p *retryPolicy) takeRetry() bool {
+	if p.retryBudget < 1 {
 		return false
 	}
-	r.retryBudget--
+	p.retryBudget--
 	return true
 }
 
-// refundRetry gives one back: it was no work for any member.
-func (r *retryPolicy) refundRetry() { r.retryBudget++ }
-
-// shouldGiveUp tells when to give a request up: after two errors, its own fault then, or shortly before its deadline, or at
-// its target latency where late is worth nothing. What is out is never cut short: clients would come back at once.
-// A write or a retry of which nothing went out leaves half of its time to its client, who may find more room.
-func (r *Router) shouldGiveUp(now time.Duration, t *request, ty *routing.RequestType) bool {
-	kept := (ty.Consistency == routing.Write || t.weight < ty.PriorityWeight) && !t.mayHaveRun && !t.misrouted &&
-		now > t.receivedAt+t.Timeout/2-2*r.tickInterval
-	senseless := t.errorCount > 1 || t.errorCount > 0 && r.errorRate > 1.0/4 // where errors are common, at the first
-	// A usual latency over the target must not shut a type out: what is never sent is never learnt of.
-	tooLate := ty.LateFraction == 0 && now > t.objectiveAt-min(r.typical[t.Type], ty.LatencyObjective/2)
-	return kept || t.retryUnsafe(now, ty) || senseless || t.attempts >= r.maxAttempts || now > t.deadline-2*r.tickInterval || tooLate
+// refundRetry gives one back: the attempt was no work for any server.
+func (p *retryPolicy) refundRetry() { p.retryBudget++ }
+
+// shouldGiveUp reports whether to end a request that has no attempt in flight: after two errors, since the fault is then its
+// own; shortly before its deadline; or, where a late answer has no value, when it can't meet its latency objective. Attempts
+// in flight are never cut short: clients would retry at once. A write or a retry that was never sent is given up at half its
+// timeout, so that its client has time to try elsewhere.
+func (r *Router) shouldGiveUp(now time.Duration, req *request, t *routing.RequestType) bool {
+	unsentTooLong := (t.Consistency == routing.Write || req.weight < t.PriorityWeight) && !req.mayHaveRun && !req.misrouted &&
+		now > req.receivedAt+req.Timeout/2-2*r.tickInterval
+	ownFault := req.errorCount > 1 || req.errorCount > 0 && r.errorRate > 1.0/4 // at the first, where errors are common
+	// A typical latency over the objective must not keep a type out for good: what is never sent is never measured.
+	tooLate := t.LateFraction == 0 && now > req.objectiveAt-min(r.typical[req.Type], t.LatencyObjective/2)
+	return unsentTooLong || req.retryUnsafe(now, t) || ownFault || req.attempts >= r.maxAttempts ||
+		now > req.deadline-2*r.tickInterval || tooLate
 }
 
-// retryUnsafe tells of a request that may have run, where nothing would drop the repeat.
-func (t *request) retryUnsafe(now time.Duration, ty *routing.RequestType) bool {
-	return t.mayHaveRun && (ty.Idempotency == routing.NonIdempotent ||
-		ty.Idempotency == routing.IdempotencyKey && (now-t.mayHaveRunSince > t.DedupWindow*9/10 || ty.DedupScope == routing.ScopeZone))
+// retryUnsafe reports whether a request may have run, and a repeat might not be dropped.
+func (req *request) retryUnsafe(now time.Duration, t *routing.RequestType) bool {
+	return req.mayHaveRun && (t.Idempotency == routing.NonIdempotent ||
+		t.Idempotency == routing.IdempotencyKey && (now-req.mayHaveRunSince > req.DedupWindow*9/10 || t.DedupScope == routing.ScopeZone))
 }
 
-// giveUp ends a request at once, as well as its type allows.
-func (t *request) giveUp(ty *routing.RequestType) {
-	t.state = rejected
-	if t.mayHaveRun && (ty.Idempotency == routing.NonIdempotent || ty.Idempotency == routing.IdempotencyKey && ty.DedupScope != routing.ScopeAll) {
-		t.state = failed
+// giveUp ends a request: rejected where its client may safely retry, else failed.
+func (req *request) giveUp(t *routing.RequestType) {
+	req.state = rejected
+	if req.mayHaveRun && (t.Idempotency == routing.NonIdempotent || t.Idempotency == routing.IdempotencyKey && t.DedupScope != routing.ScopeAll) {
+		req.state = failed
 	}
 }
--- a/router/router.go
+++ b/router/router.go
@@ -1,19 +1,24 @@
-// Package router decides where each request goes.
+// Package router decides which server each request is sent to, whether it is retried, and when it is rejected.
 //
-// New makes one instance; its host calls the methods of port.Decider as things come in, and Reconcile after the
-// last event of each batch; what the instance may ask for is port.Host. Equal events give equal actions.
+// New makes one instance. Its host calls the methods of routing.Router as events come in, and Reconcile after the last event
+// of each batch; what the instance may ask for is routing.Host. The package has no I/O, no clock and no goroutine, and is
+// not safe for concurrent use: the host's goroutine owns the instance. Equal seeds and events give equal actions, and the
+// ordinary path allocates nothing.
 //
-// The ordinary path: each session keeps its last write's log position as its target; its reads go to a
-// replica whose own hold or refusal enforces that position, and fall back to the primary when the wait
-// cannot be enforced or fails. docs/design.md says where this is extended and when that acts.
+// The ordinary path: each session keeps its last write's log position as its target; its reads go to a replica whose own
+// check enforces that position, and fall back to the primary when it can't or fails. docs/design.md says where this is
+// extended and when that applies.
 //
-// A request's way: Begin (request.go) takes it and ranks it (admission.go); Reconcile plans it (planning.go): is it
-// past hope (retry.go), may its member take it (admission.go, concurrency.go, slow_start.go, health.go), which
-// replica (selection.go, freshness.go, sessions.go) or the primary (primary.go); emit sends it. Ended (request.go)
-// brings an attempt's outcome, from which health.go, concurrency.go and latency.go learn, and which ends the
-// request or lets it be planned again. List (endpoints.go) and probes (probing.go) tell of members.
+// The life of a request: RequestReceived (request.go) takes it and ranks it (admission.go); Reconcile plans it
+// (planning.go): is it to be given up (retry.go), which servers admit it (admission.go, concurrency.go, slow_start.go,
+// outlier_detection.go), which replica (selection.go, freshness.go, sessions.go) or primary (primary.go) takes it; emit
+// sends it. AttemptFinished (request.go) takes the outcome, from which outlier_detection.go, concurrency.go and latency.go
+// learn, and which ends the request or has it planned again. EndpointsChanged (endpoints.go) and health checks
+// (health_check.go) tell of servers.
 //
-// Each file has the state that it changes, as a struct with methods, and opens with the question it answers.
+// Each file has the state that it changes, as a struct with methods, and opens with the question that it answers. Invariants:
+// a request has one attempt in flight at most and ends once; nothing that may have run is sent where a repeat would not be
+// dropped; nothing new is sent to a draining server.
 package router
 
 import (
@@ -26,11 +31,11 @@
 )
 
 const (
-	never = time.Duration(math.MinInt64 / 4)
+	never = time.Duration(math.MinInt64 / 4) // before every time; leaves room for sums
 	none  = routing.None
 )
 
-// server is what is known of a member; all is unknown at birth.
+// server is what is known of a server.
 type server struct {
 	group, zone int
 	endpointState
@@ -44,13 +49,14 @@
 var unknownServer = server{group: none, position: unknownPosition, concurrency: unknownConcurrency, health: unknownHealth,
 	slowStart: unknownStart, checkState: neverChecked}
 
-// Router is one instance: its parts.
+// Router is one instance; it implements routing.Router. Its state is in the embedded structs, each of which is changed by the
+// methods of its own file.
 type Router struct {
 	host routing.Host
 	randomSource
 	latencies
-	servers []server
-	groups  []group
+	servers []server // by the host's index
+	groups  []group  // by the host's index
 	sessions
 	fleetLoad
 	slowStartRules
@@ -63,7 +69,7 @@
 	stallDetector
 }
 
-// New makes an instance that knows nothing yet.
+// New makes an instance that knows no server yet.
 func New(h routing.Host, o routing.Options) routing.Router {
 	return &Router{
 		host:           h,
@@ -77,54 +83,57 @@
 		admission:      newAdmission(o.RequestTypes, o.Topology, o.Limits),
 		retryPolicy:    retryPolicy{maxAttempts: o.Limits.MaxAttempts, retryBudget: retryReserve},
 		endpointWatch:  newEndpointWatch(o.Topology, o.Guardrails),
-		reporting:      reporting{positionsInReports: o.Replication.LoadInResponses && !o.Replication.PositionInResponses, healthChecksAllowed: o.Limits.HealthChecks},
-		stallDetector:  stallDetector{nextTickAt: never, resumedAt: never},
+		reporting: reporting{
+			positionsInReports:  o.Replication.LoadInResponses && !o.Replication.PositionInResponses,
+			healthChecksAllowed: o.Limits.HealthChecks,
+		},
+		stallDetector: stallDetector{nextTickAt: never, resumedAt: never},
 	}
 }
 
-// GossipReceived takes a message from a peer; fronts say nothing to each other yet.
+// GossipReceived does nothing: instances send no gossip yet.
 func (r *Router) GossipReceived(time.Duration, int, []byte) {}
 
-// TimerFired is the tick: what is out at a member that fell silent is taken back and goes elsewhere; so is,
-// once, what looks lost at a member that loses some and answers the rest.
+// TimerFired is the tick: attempts at unresponsive servers, and those that are probably lost, are cancelled so that their
+// requests are sent elsewhere.
 func (r *Router) TimerFired(now time.Duration) {
-	for p := range r.slots {
-		if t := &r.slots[p]; r.probablyLost(now, t) {
-			r.cancel(t)
+	for i := range r.slots {
+		if req := &r.slots[i]; r.probablyLost(now, req) {
+			r.cancel(req)
 		}
 	}
 	r.warmServers = 0
 	for i := range r.servers {
-		m := &r.servers[i]
-		if r.unresponsive(now, m) {
+		s := &r.servers[i]
+		if r.unresponsive(now, s) {
 			r.eject(now, i)
 		}
-		if !m.draining && !m.ejected && r.capacityShare(now, m) == 1 {
+		if !s.draining && !s.ejected && r.capacityShare(now, s) == 1 {
 			r.warmServers++
 		}
 		r.releaseIfGone(now, i)
 	}
 }
 
-// Reconcile plans what came in or is held, and emits the difference between what should be and what is.
+// Reconcile plans the queued requests and emits the difference between what is planned and what is in flight.
 func (r *Router) Reconcile(now time.Duration) {
-	// First among the held is what is worth most for its work, among equals the newest (most hope).
+	// First the highest weight for the work, among equals the newest: its client waits longest for it yet.
 	slices.SortStableFunc(r.queue, func(a, b uint32) int {
 		x, y := &r.slots[a], &r.slots[b]
-		return cmp.Or(cmp.Compare(r.valueDensity(y), r.valueDensity(x)), cmp.Compare(y.receivedAt, x.receivedAt))
+		return cmp.Or(cmp.Compare(r.weightPerWork(y), r.weightPerWork(x)), cmp.Compare(y.receivedAt, x.receivedAt))
 	})
-	kept := r.queue[:0]
-	for _, p := range r.queue {
-		t := &r.slots[p]
-		r.plan(now, t)
-		r.emit(now, t)
-		if t.queued = t.state == pending && t.sentTo == none; t.queued {
-			kept = append(kept, p)
+	waiting := r.queue[:0]
+	for _, slot := range r.queue {
+		req := &r.slots[slot]
+		r.plan(now, req)
+		r.emit(now, req)
+		if req.queued = req.state == pending && req.sentTo == none; req.queued {
+			waiting = append(waiting, slot)
 		}
 	}
-	r.queue = kept
-	for _, p := range r.toCancel {
-		r.emit(now, &r.slots[p])
+	r.queue = waiting
+	for _, slot := range r.toCancel {
+		r.emit(now, &r.slots[slot])
 	}
 	r.toCancel = r.toCancel[:0]
 	r.startHealthChecks(now)
@@ -137,27 +146,27 @@
 	}
 }
 
-// emit brings a request from what is to what should be.
-func (r *Router) emit(now time.Duration, t *request) {
-	if t.sentTo != none && t.planned != t.sentTo && !t.cancelling {
-		t.cancelling = true
-		r.host.CancelAttempt(t.Ref, t.attempts-1)
+// emit calls the host for the difference between a request's planned state and its present one.
+func (r *Router) emit(now time.Duration, req *request) {
+	if req.sentTo != none && req.planned != req.sentTo && !req.cancelling {
+		req.cancelling = true
+		r.host.CancelAttempt(req.Ref, req.attempts-1)
 	}
 	switch {
-	case t.state == rejected:
-		t.state = finished
-		r.host.Reject(t.Ref, r.retryAfter)
-	case t.state == failed:
-		t.state = finished
-		r.host.Fail(t.Ref)
-	case t.state == pending && t.sentTo == none && t.planned != none:
-		m := &r.servers[t.planned]
-		m.attemptStarted(now)
-		m.spend(r.typical[t.Type])
-		if m.ejected {
-			m.trialAt = now + r.ejectionTime(m)
+	case req.state == rejected:
+		req.state = finished
+		r.host.Reject(req.Ref, r.retryAfter)
+	case req.state == failed:
+		req.state = finished
+		r.host.Fail(req.Ref)
+	case req.state == pending && req.sentTo == none && req.planned != none:
+		s := &r.servers[req.planned]
+		s.attemptStarted(now)
+		s.spend(r.typical[req.Type])
+		if s.ejected {
+			s.trialAt = now + r.ejectionTime(s)
 		}
-		t.attemptStarted(now, t.planned)
-		r.host.StartAttempt(t.Ref, t.sentTo, 0)
+		req.attemptStarted(now, req.planned)
+		r.host.StartAttempt(req.Ref, req.sentTo, 0)
 	}
 }
--- a/router/sessions.go
+++ b/router/sessions.go
@@ -6,38 +6,39 @@
 	"dapplerouter/routing"
 )
 
-// What must a session's read see? Inputs: positions of its writes' answers, or the token that it brings. Invariant: a target is never
-// lowered within a primary's term, and what is forgotten raises the floor (docs/design.md, the mechanism: "within a writer generation,
-// the session's target LSN is monotonic").
+// What must a session's read see? Inputs: the positions of its writes' answers, or the token that it carries. Invariant: a session's
+// target is never lowered within a term, and what is forgotten raises its group's (docs/design.md, the mechanism: "within a writer
+// generation, the session's target LSN is monotonic").
 
-// sessionTarget is the log position of a session's last write in a group, within a primary's term.
+// sessionTarget is the log position of a session's last write in a group, within a term of its primary.
 type sessionTarget struct {
-	key  uint64
+	key  uint64 // of sessionKey, 0 for an empty entry
 	pos  time.Duration
 	term int
 }
 
-// raise keeps the later of two: never lowered within a term, and a newer term's stands above.
-func (t *sessionTarget) raise(by sessionTarget) {
-	if by.term > t.term || by.term == t.term && by.pos > t.pos {
-		t.pos, t.term = by.pos, by.term
+// raise keeps the later of two targets: that of the newer term, within a term the higher one.
+func (t *sessionTarget) raise(to sessionTarget) {
+	if to.term > t.term || to.term == t.term && to.pos > t.pos {
+		t.pos, t.term = to.pos, to.term
 	}
 }
 
-// sessions is a table of fixed size. A full place forgets its oldest target into the floor of its group,
-// which then stands for every session not found: never too low, and soon passed by every replica.
+// sessions is a set-associative cache of fixed size. A full bucket forgets its oldest target into its group's
+// forgottenTarget, which then counts for every session that isn't found: it is never too low, and every replica is soon
+// past it.
 type sessions struct {
 	clientCarriesToken bool
 	entries            []sessionTarget
 }
 
 const (
-	bucketSize = 4       // targets that share a place
-	tableSize  = 1 << 14 // a bound on memory; a smaller table only raises the floor sooner
+	bucketSize = 4       // entries
+	tableSize  = 1 << 14 // entries; a smaller table only forgets sooner
 )
 
-func newSessions(carried bool) sessions {
-	if carried {
+func newSessions(clientCarriesToken bool) sessions {
+	if clientCarriesToken {
 		return sessions{clientCarriesToken: true}
 	}
 	return sessions{entries: make([]sessionTarget, tableSize)}
@@ -53,28 +54,28 @@
 	if s.clientCarriesToken {
 		return
 	}
-	by := sessionTarget{key: key, pos: pos, term: g.term}
-	set := s.bucket(by.key)
-	oldest := &set[0]
-	for i := range set {
-		if set[i].key == by.key {
-			set[i].raise(by)
+	written := sessionTarget{key: key, pos: pos, term: g.term}
+	bucket := s.bucket(written.key)
+	oldest := &bucket[0]
+	for i := range bucket {
+		if bucket[i].key == written.key {
+			bucket[i].raise(written)
 			return
 		}
-		if oldest.key != 0 && (set[i].key == 0 || set[i].pos < oldest.pos) {
-			oldest = &set[i]
+		if oldest.key != 0 && (bucket[i].key == 0 || bucket[i].pos < oldest.pos) {
+			oldest = &bucket[i]
 		}
 	}
 	if oldest.key != 0 {
 		g.forgottenTarget.raise(*oldest)
 	}
-	*oldest = by
+	*oldest = written
 }
 
-// requiredPosition is the position that a session's read must see, never for none.
+// requiredPosition is the log position that a session's read must see, never for none.
 func (s *sessions) requiredPosition(now time.Duration, in *routing.Request, g *group) time.Duration {
 	token := never
-	if in.TokenAge > 0 { // it names a moment, not a term; one before this term's start is of an older term
+	if in.TokenAge > 0 { // it is a time, without a term: one before the start of this term is of an older one
 		token = max(now-in.TokenAge, g.termStart)
 	}
 	if s.clientCarriesToken || in.Session == 0 {
@@ -89,11 +90,11 @@
 	return max(token, g.inCurrentTerm(g.forgottenTarget.pos, g.forgottenTarget.term))
 }
 
-// sessionKey names a session in a group.
+// sessionKey identifies a session in a group.
 func sessionKey(in *routing.Request) uint64 { return in.Session + uint64(in.Group) }
 
-// RequiredPosition tells the position that a read in hand must see, for an instance of another site.
+// RequiredPosition is the position that a read in flight must see, for an instance at another site.
 func (r *Router) RequiredPosition(ref routing.RequestRef) (time.Duration, bool) {
-	t := &r.slots[ref.Slot]
-	return t.requiredPosition, t.Ref == ref && t.requiredPosition != never
+	req := &r.slots[ref.Slot]
+	return req.requiredPosition, req.Ref == ref && req.requiredPosition != never
 }
--- a/router/slow_start.go
+++ b/router/slow_start.go
@@ -7,84 +7,90 @@
 	"dapplerouter/routing"
 )
 
-// What may a member be sent that has just started? Inputs: when it started, by the list or by what could not be reached and answers
-// again; the work that warm members bear. Invariant: all fronts together keep below what it can bear by then, and each has the least
-// part (STANDING, slow start: N calls plus 2 x root of N + 2).
+// What may a server be sent that has just started? Inputs: when it started, by the endpoint list or because it was unreachable and
+// answers again; the work that warm servers do. Invariant: all instances together send less than it can take by then, and each may send
+// the least part (STANDING, slow start: N calls plus 2 x root of N + 2).
 
-// slowStartRules are those of the site.
+// slowStartRules are the deployment's rules, and the work of the warm servers by which they are kept.
 type slowStartRules struct {
-	initialCapacity   float64 // least part of its capacity with which a member starts
-	trafficMultiple   float64 // what a cold member is sent, as a multiple of its part by warmth
-	slowStartDuration time.Duration
+	initialCapacity   float64       // part of its capacity that a server has when it starts
+	trafficMultiple   float64       // what a server that is warming up is sent, as a multiple of its part by that capacity
+	slowStartDuration time.Duration // until a server has its full capacity
 	overloadWindow    time.Duration
-	servedWork        decayingMean // attempts that succeeded, in seconds of usual latency
-	warmServers       int          // members that bear their full part
+	servedWork        decayingMean // attempts that succeeded, in seconds of typical latency
+	warmServers       int          // servers with their full capacity
 }
 
-const safetyFactor = 0.6 // of the multiple of its part at which a cold member falls
+const safetyFactor = 0.6 // of the multiple at which a server that is warming up fails
 
 func newSlowStartRules(rules routing.Guardrails) slowStartRules {
-	return slowStartRules{initialCapacity: rules.InitialCapacity, trafficMultiple: safetyFactor * rules.OverloadMultiple, slowStartDuration: rules.SlowStartDuration,
-		overloadWindow: rules.OverloadWindow}
+	return slowStartRules{
+		initialCapacity:   rules.InitialCapacity,
+		trafficMultiple:   safetyFactor * rules.OverloadMultiple,
+		slowStartDuration: rules.SlowStartDuration,
+		overloadWindow:    rules.OverloadWindow,
+	}
 }
 
-// slowStart is a member's.
+// slowStart is a server's.
 type slowStart struct {
 	startedAt       time.Duration // latest start known
-	startTimeListed bool          // started is what the list told
+	startTimeListed bool          // startedAt is from the endpoint list
 	warmingUp       bool
-	budget          float64 // what a cold member may still be sent, in seconds of usual latency
+	budget          float64 // what may still be sent while it is warming up, in seconds of typical latency
 	budgetUpdatedAt time.Duration
 }
 
 var unknownStart = slowStart{startedAt: never}
 
-// beginSlowStart has a member cold from a moment on.
-func (r *Router) beginSlowStart(now time.Duration, m *server, at time.Duration) {
-	m.startedAt, m.warmingUp, m.startTimeListed = at, now-at < r.slowStartDuration, false
-	m.budget, m.budgetUpdatedAt = r.randomFloat()*slices.Min(r.typical).Seconds(), now
+// beginSlowStart has a server warm up from startedAt on. Its budget starts at a random part of one request, so that many
+// instances together send their part from the start.
+func (r *Router) beginSlowStart(now time.Duration, s *server, startedAt time.Duration) {
+	s.startedAt, s.warmingUp, s.startTimeListed = startedAt, now-startedAt < r.slowStartDuration, false
+	s.budget, s.budgetUpdatedAt = r.randomFloat()*slices.Min(r.typical).Seconds(), now
 }
 
-// updateListedStart takes a start that the list tells.
-func (r *Router) updateListedStart(now time.Duration, m *server, at time.Duration) {
-	if at > m.startedAt {
-		r.beginSlowStart(now, m, at)
-		m.startTimeListed = true
+// updateListedStart takes a start time from the endpoint list.
+func (r *Router) updateListedStart(now time.Duration, s *server, startedAt time.Duration) {
+	if startedAt > s.startedAt {
+		r.beginSlowStart(now, s, startedAt)
+		s.startTimeListed = true
 	}
 }
 
-// capacityShare is the least part of its capacity that a member has by now.
-func (r *Router) capacityShare(now time.Duration, m *server) float64 {
-	if m.warmingUp = m.warmingUp && now-m.startedAt < r.slowStartDuration; !m.warmingUp {
+// capacityShare is the least part of its capacity that a server has by now, up to 1.
+func (r *Router) capacityShare(now time.Duration, s *server) float64 {
+	if s.warmingUp = s.warmingUp && now-s.startedAt < r.slowStartDuration; !s.warmingUp {
 		return 1
 	}
-	return r.initialCapacity + (1-r.initialCapacity)*float64(max(0, now-m.startedAt))/float64(r.slowStartDuration)
+	return r.initialCapacity + (1-r.initialCapacity)*float64(max(0, now-s.startedAt))/float64(r.slowStartDuration)
 }
 
-// slowStartAdmits tells whether a cold member can take one more. Its part, by least warmth, of what a warm one bears
-// from us keeps all fronts together at what it can do; three fifths of the multiple at which it falls leave
-// room for chance. What it turns away counts too. A front that sent little has its part of one request a span.
-func (r *Router) slowStartAdmits(now time.Duration, m *server, work float64) bool {
-	share := r.capacityShare(now, m)
-	if !m.warmingUp {
+// slowStartAdmits reports whether a server that is warming up may be sent a request of that much work, in seconds. It is sent
+// its part, by capacityShare, of what this instance sends a warm server, so that all instances together keep to what it
+// can take; safetyFactor leaves room for chance. What it rejects counts too. An instance that sends little may send one
+// request per overloadWindow, divided among the instances.
+func (r *Router) slowStartAdmits(now time.Duration, s *server, work float64) bool {
+	share := r.capacityShare(now, s)
+	if !s.warmingUp {
 		return true
 	}
-	part := r.servedWork.sum * r.decay(now-r.servedWork.at) / float64(max(r.warmServers, 1)) / (decayObjectives * r.shortestObjective).Seconds()
-	rate := max(r.trafficMultiple*share*part, work*r.limitGrowth/r.overloadWindow.Seconds())
-	m.budget = min(m.budget+rate*(now-m.budgetUpdatedAt).Seconds(), max(work, rate*r.overloadWindow.Seconds()/4))
-	m.budgetUpdatedAt = now
-	return m.budget >= work
+	warmRate := r.servedWork.sum * r.decay(now-r.servedWork.at) / float64(max(r.warmServers, 1)) / (decayObjectives * r.shortestObjective).Seconds()
+	rate := max(r.trafficMultiple*share*warmRate, work*r.limitGrowth/r.overloadWindow.Seconds())
+	s.budget = min(s.budget+rate*(now-s.budgetUpdatedAt).Seconds(), max(work, rate*r.overloadWindow.Seconds()/4))
+	s.budgetUpdatedAt = now
+	return s.budget >= work
 }
 
-// spend takes an attempt of a usual latency off the budget.
-func (s *slowStart) spend(usual time.Duration) { s.budget -= usual.Seconds() }
+// spend takes an attempt of that latency off the budget.
+func (s *slowStart) spend(latency time.Duration) { s.budget -= latency.Seconds() }
 
-// correctStartTime corrects when a member started; its budget begins anew only where it was taken for a warm one.
-func (r *Router) correctStartTime(now time.Duration, m *server, at time.Duration) {
-	if !m.warmingUp && now-at < r.slowStartDuration {
-		r.beginSlowStart(now, m, at)
-		m.startTimeListed = true
+// correctStartTime corrects when a server started. Its budget starts anew only where it was taken for a warm one.
+func (r *Router) correctStartTime(now time.Duration, s *server, startedAt time.Duration) {
+	if !s.warmingUp && now-startedAt < r.slowStartDuration {
+		r.beginSlowStart(now, s, startedAt)
+		s.startTimeListed = true
 		return
 	}
-	m.startedAt = at
+	s.startedAt = startedAt
 }
--- a/router/stall.go
+++ b/router/stall.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// Did this front itself stand still? Input: the ticks that it asked for (Woken, Reconcile). Invariant: what is found in the turn in which
-// it resumes is held against no member and no client (STANDING, a front that is held up).
+// Was this instance itself stalled, as by a paused process? Input: the ticks that it asked for (TimerFired, Reconcile). Invariant:
+// what is found in the batch in which it resumes counts against no server and no client (STANDING, a front that is held up).
 
+// stallDetector knows when this instance was stalled.
 type stallDetector struct {
 	nextTickAt time.Duration // when the next tick is due
-	resumedAt  time.Duration // when this front last had a turn again after it stood still
+	resumedAt  time.Duration // when this instance last resumed after a stall
 }
 
-// stalled tells whether this front itself stood still until now: its tick is long overdue. What it finds then
-// has waited here for an unknown part of its time, and tells nothing of members or clients.
+// stalled reports whether this instance was stalled until now: its tick is long overdue. What it finds in this batch has
+// waited here for an unknown time, and says nothing about servers or clients.
 func (r *Router) stalled(now time.Duration) bool {
 	if r.nextTickAt != never && now > r.nextTickAt+2*r.tickInterval {
 		r.resumedAt = now
