--- /dev/null
+++ b/router/admission_test.go
@@ -0,0 +1,68 @@
+package router
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"dapplerouter/routing"
+)
+
+func TestOverloadedServerGetsHighestWeightFirst(t *testing.T) {
+	h := newHarness(t, testDeployment()).withGroup(2)
+	for i := range h.servers {
+		h.servers[i].limit = 99
+		for range 20 {
+			h.observeLoad(h.now, &h.servers[i], (normalLoad+overloadedLoad)/2)
+		}
+	}
+	sent := func(ty int) (n int) {
+		for range 40 {
+			n += h.attempts[h.receive(ty)]
+		}
+		return n
+	}
+	cheap, valuable := sent(anyRead), sent(write)
+	assert.InDelta(t, 20, cheap, 6, "half of them, since there are no others")
+	assert.Greater(t, valuable, cheap+5, "a write has more weight for its work")
+	h.now += time.Minute
+	h.actions = h.actions[:0]
+	h.receive(anyRead)
+	assert.Equal(t, 1, h.countActions("send"), "load that is no longer observed decays")
+}
+
+func TestHighestWeightPerWorkIsSentFirst(t *testing.T) {
+	p := testDeployment()
+	p.Topology.RetriesMarked = true
+	h := newHarness(t, p).withGroup(1)
+	h.servers[0].limit = 1
+	first := h.receive(write)
+	cheap := h.receive(anyRead)
+	retry := h.receive(write, func(t *routing.Request) { t.Retry = true })
+	valuable := h.receive(write)
+	for _, next := range []routing.RequestRef{valuable, cheap, retry} {
+		h.finish(first, routing.Succeeded, routing.Primary, 0)
+		assert.Equal(t, 1, h.attempts[next])
+		first = next
+	}
+	assert.Equal(t, 1.5, h.slots[retry.Slot].weight)
+}
+
+func TestUnmarkedRetryIsRecognizedByItsTimeout(t *testing.T) {
+	h := newHarness(t, testDeployment()).withGroup(1)
+	for range 50 {
+		h.receive(anyRead, func(in *routing.Request) { in.Timeout = 400 * ms })
+	}
+	last := h.receive(anyRead, func(in *routing.Request) { in.Timeout = 300 * ms })
+	assert.Equal(t, 1.0/4, h.slots[last.Slot].weight)
+	first := h.receive(anyRead, func(in *routing.Request) { in.Timeout = 400 * ms })
+	assert.Equal(t, 1.0, h.slots[first.Slot].weight)
+	for range 20 {
+		h.receive(write)
+	}
+	assert.Equal(t, 6.0, h.slots[h.receive(write).Slot].weight, "each type has a typical timeout of its own")
+	h.retriesMarked = true
+	last = h.receive(anyRead, func(in *routing.Request) { in.Timeout = 300 * ms })
+	assert.Equal(t, 1.0, h.slots[last.Slot].weight, "where clients mark retries, only the mark counts")
+}
--- /dev/null
+++ b/router/freshness_test.go
@@ -0,0 +1,33 @@
+package router
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"dapplerouter/routing"
+)
+
+func TestLoadReportAgeIsSubtractedFromPositions(t *testing.T) {
+	p := testDeployment()
+	p.Replication = routing.Replication{StalenessCheck: routing.RejectIfStale, LoadInResponses: true}
+	h := newHarness(t, p).withGroup(3)
+	h.receive(anyRead)
+	answers := func(member int, role routing.Role, reported time.Duration) {
+		h.servers[member].inFlight++
+		h.AttemptFinished(h.now, routing.AttemptOutcome{Ref: routing.RequestRef{}, Server: member, Result: routing.Succeeded, Role: role, Latency: 30 * ms,
+			Load: routing.LoadReport{Role: role, Position: reported, HasPosition: true}})
+	}
+	for range 20 { // all reports are three seconds old
+		h.advance(100 * ms)
+		answers(0, routing.Primary, h.now-3*time.Second)
+		answers(1, routing.Replica, h.now-3*time.Second)
+		answers(2, routing.Replica, h.now-5*time.Second)
+	}
+	assert.InDelta(t, 3*time.Second, h.reportAge, float64(50*ms))
+	assert.Less(t, h.now-h.estimatedPosition(&h.servers[1], h.now), 100*ms, "its report is old, the server is not behind")
+	assert.Greater(t, h.now-h.estimatedPosition(&h.servers[2], h.now), time.Second, "this one is behind")
+	h.receive(boundedRead)
+	assert.Equal(t, "send 2 to 1", h.lastAction("send"))
+}
--- a/router/harness_test.go
+++ b/router/harness_test.go
@@ -10,7 +10,7 @@
 
 const ms = time.Millisecond
 
-// Request types of the little site that the stories play on.
+// Request types of testDeployment.
 const (
 	anyRead = iota
 	boundedRead
@@ -43,7 +43,7 @@
 	return s
 }
 
-// harness drives one instance and writes down what it asks for.
+// harness is the host of one instance. It records the actions, drives the clock and makes requests and outcomes.
 type harness struct {
 	*Router
 	now      time.Duration
@@ -54,85 +54,85 @@
 }
 
 func newHarness(_ *testing.T, s routing.Options) *harness {
-	y := &harness{attempts: map[routing.RequestRef]int{}, sentTo: map[routing.RequestRef]int{}}
-	y.Router = New(y, s).(*Router)
-	return y
+	h := &harness{attempts: map[routing.RequestRef]int{}, sentTo: map[routing.RequestRef]int{}}
+	h.Router = New(h, s).(*Router)
+	return h
 }
 
-// withGroup lists members 0..n-1 of group 0, member 0 as primary; odd ones stand in the other zone.
-func (y *harness) withGroup(n int) *harness {
+// withGroup lists servers 0 to n-1 of group 0, server 0 as primary; odd ones are in the other zone.
+func (h *harness) withGroup(n int) *harness {
 	var list []routing.Endpoint
 	for i := range n {
 		list = append(list, routing.Endpoint{Server: i, Zone: i % 2, Primary: i == 0})
 	}
-	y.updateEndpoints(routing.CachedSnapshot, list...)
-	return y
+	h.updateEndpoints(routing.CachedSnapshot, list...)
+	return h
 }
 
-func (y *harness) updateEndpoints(kind routing.UpdateKind, entries ...routing.Endpoint) {
-	y.EndpointsChanged(y.now, kind, 1, entries)
-	y.reconcile()
+func (h *harness) updateEndpoints(kind routing.UpdateKind, entries ...routing.Endpoint) {
+	h.EndpointsChanged(h.now, kind, 1, entries)
+	h.reconcile()
 }
 
-func (y *harness) reconcile() { y.Reconcile(y.now) }
+func (h *harness) reconcile() { h.Reconcile(h.now) }
 
-// advance lets time go by, with its beats.
-func (y *harness) advance(d time.Duration) {
-	for end := y.now + d; y.now < end; {
-		y.now = min(end, y.now+y.tickInterval)
-		y.TimerFired(y.now)
-		y.reconcile()
+// advance moves the clock, with its ticks.
+func (h *harness) advance(d time.Duration) {
+	for end := h.now + d; h.now < end; {
+		h.now = min(end, h.now+h.tickInterval)
+		h.TimerFired(h.now)
+		h.reconcile()
 	}
 }
 
-func (y *harness) receive(ty int, change ...func(*routing.Request)) routing.RequestRef {
-	y.nextSlot++
-	t := routing.Request{Ref: routing.RequestRef{Slot: y.nextSlot, Generation: y.nextSlot}, Type: ty, Customer: routing.None, Session: 9,
-		Timeout: y.types[ty].Deadline, MaxStaleness: y.types[ty].MaxStaleness, DedupWindow: y.types[ty].DedupWindow}
+func (h *harness) receive(ty int, change ...func(*routing.Request)) routing.RequestRef {
+	h.nextSlot++
+	t := routing.Request{Ref: routing.RequestRef{Slot: h.nextSlot, Generation: h.nextSlot}, Type: ty, Customer: routing.None, Session: 9,
+		Timeout: h.types[ty].Deadline, MaxStaleness: h.types[ty].MaxStaleness, DedupWindow: h.types[ty].DedupWindow}
 	for _, c := range change {
 		c(&t)
 	}
-	y.RequestReceived(y.now, t)
-	y.reconcile()
+	h.RequestReceived(h.now, t)
+	h.reconcile()
 	return t.Ref
 }
 
-// finish gives the last attempt of a request an ending; pos 0 leaves the position out.
-func (y *harness) finish(r routing.RequestRef, e routing.AttemptResult, role routing.Role, pos time.Duration) {
-	y.AttemptFinished(y.now, routing.AttemptOutcome{Ref: r, AttemptNumber: y.attempts[r] - 1, Server: y.sentTo[r], Result: e, Role: role,
+// finish ends the latest attempt of a request; pos 0 stands for no position.
+func (h *harness) finish(r routing.RequestRef, e routing.AttemptResult, role routing.Role, pos time.Duration) {
+	h.AttemptFinished(h.now, routing.AttemptOutcome{Ref: r, AttemptNumber: h.attempts[r] - 1, Server: h.sentTo[r], Result: e, Role: role,
 		RequestFinished: e == routing.Succeeded, Latency: 30 * ms, Position: pos, HasPosition: pos != 0})
-	y.reconcile()
+	h.reconcile()
 }
 
-// fail ends an attempt by a failure, and the next one of its request at the same member by being refused.
-func (y *harness) fail(r routing.RequestRef, e routing.AttemptResult) {
-	member := y.sentTo[r]
-	n := y.attempts[r]
-	y.finish(r, e, routing.UnknownRole, 0)
-	y.advance(2 * y.tickInterval) // a new link is not tried at once
-	if y.attempts[r] > n && y.sentTo[r] == member {
-		y.finish(r, routing.Unreachable, routing.UnknownRole, 0)
+// fail ends the latest attempt of a request by result, and the next one to the same server as unreachable.
+func (h *harness) fail(r routing.RequestRef, e routing.AttemptResult) {
+	member := h.sentTo[r]
+	n := h.attempts[r]
+	h.finish(r, e, routing.UnknownRole, 0)
+	h.advance(2 * h.tickInterval) // after a failed connection there is a pause
+	if h.attempts[r] > n && h.sentTo[r] == member {
+		h.finish(r, routing.Unreachable, routing.UnknownRole, 0)
 	}
 }
 
-// reportRole tells the instance what a member says of itself, as a probe would.
-func (y *harness) reportRole(i int, role routing.Role, pos time.Duration) {
-	y.HealthCheckFinished(y.now, i, routing.Succeeded, ms, routing.LoadReport{InFlight: 0, Role: role, Position: pos, HasPosition: true})
-	y.reconcile()
+// reportRole reports a server's role and position, as a health check does.
+func (h *harness) reportRole(i int, role routing.Role, pos time.Duration) {
+	h.HealthCheckFinished(h.now, i, routing.Succeeded, ms, routing.LoadReport{InFlight: 0, Role: role, Position: pos, HasPosition: true})
+	h.reconcile()
 }
 
-// lastAction is the last thing asked for of a kind, or nothing.
-func (y *harness) lastAction(kind string) string {
-	for i := len(y.actions) - 1; i >= 0; i-- {
-		if len(y.actions[i]) >= len(kind) && y.actions[i][:len(kind)] == kind {
-			return y.actions[i]
+// lastAction is the latest action with a prefix, or "".
+func (h *harness) lastAction(kind string) string {
+	for i := len(h.actions) - 1; i >= 0; i-- {
+		if len(h.actions[i]) >= len(kind) && h.actions[i][:len(kind)] == kind {
+			return h.actions[i]
 		}
 	}
 	return ""
 }
 
-func (y *harness) countActions(kind string) (n int) {
-	for _, a := range y.actions {
+func (h *harness) countActions(kind string) (n int) {
+	for _, a := range h.actions {
 		if len(a) >= len(kind) && a[:len(kind)] == kind {
 			n++
 		}
@@ -140,24 +140,24 @@
 	return n
 }
 
-func (y *harness) record(format string, args ...any) {
-	y.actions = append(y.actions, fmt.Sprintf(format, args...))
+func (h *harness) record(format string, args ...any) {
+	h.actions = append(h.actions, fmt.Sprintf(format, args...))
 }
 
-func (y *harness) StartAttempt(r routing.RequestRef, m int, _ time.Duration) {
-	y.attempts[r]++
-	y.sentTo[r] = m
-	y.record("submit %d to %d", r.Slot, m)
+func (h *harness) StartAttempt(r routing.RequestRef, m int, _ time.Duration) {
+	h.attempts[r]++
+	h.sentTo[r] = m
+	h.record("send %d to %d", r.Slot, m)
 }
-func (y *harness) CancelAttempt(r routing.RequestRef, hop int) { y.record("revoke %d.%d", r.Slot, hop) }
-func (y *harness) Reject(r routing.RequestRef, back time.Duration) {
-	y.record("decline %d, back in %v", r.Slot, back)
+func (h *harness) CancelAttempt(r routing.RequestRef, hop int) { h.record("cancel %d.%d", r.Slot, hop) }
+func (h *harness) Reject(r routing.RequestRef, back time.Duration) {
+	h.record("reject %d, retry after %v", r.Slot, back)
 }
-func (y *harness) Fail(r routing.RequestRef)     { y.record("roll back %d", r.Slot) }
-func (y *harness) StartHealthCheck(m int)        { y.record("probe %d", m) }
-func (y *harness) ReleaseServer(m int)           { y.record("forget %d", m) }
-func (y *harness) WatchEndpoints(on bool)        { y.record("watch %v", on) }
-func (y *harness) FetchEndpoints()               { y.record("fetch") }
-func (y *harness) SendGossip(peer int, _ []byte) { y.record("tell %d", peer) }
-func (y *harness) SetTimer(time.Duration)        {}
-func (y *harness) Log(message string)            { y.record("log %s", message) }
+func (h *harness) Fail(r routing.RequestRef)     { h.record("fail %d", r.Slot) }
+func (h *harness) StartHealthCheck(m int)        { h.record("check %d", m) }
+func (h *harness) ReleaseServer(m int)           { h.record("release %d", m) }
+func (h *harness) WatchEndpoints(on bool)        { h.record("watch %v", on) }
+func (h *harness) FetchEndpoints()               { h.record("fetch") }
+func (h *harness) SendGossip(peer int, _ []byte) { h.record("gossip %d", peer) }
+func (h *harness) SetTimer(time.Duration)        {}
+func (h *harness) Log(message string)            { h.record("log %s", message) }
--- /dev/null
+++ b/router/latency_test.go
@@ -0,0 +1,22 @@
+package router
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+)
+
+func TestMinimumLatencyOutlastsBusyPeriod(t *testing.T) {
+	h := newHarness(t, testDeployment())
+	for range 100 {
+		h.observeLatency(time.Second, anyRead, 40*ms)
+	}
+	least := h.minimum[anyRead]
+	for k := range 4000 { // ten seconds at a high request rate during a fault
+		h.observeLatency(time.Second+time.Duration(k)*10*time.Second/4000, anyRead, 150*ms)
+	}
+	assert.Less(t, h.minimum[anyRead], least*21/20, "it decays by time, not by answers, so overload stays visible")
+	h.observeLatency(time.Hour, anyRead, 150*ms)
+	assert.Greater(t, h.minimum[anyRead], 2*least, "but it decays in the end")
+}
--- /dev/null
+++ b/router/primary_test.go
@@ -0,0 +1,88 @@
+package router
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"dapplerouter/routing"
+)
+
+func TestWriteWaitsUntilPrimaryIsKnown(t *testing.T) {
+	p := testDeployment()
+	p.Topology.RoleListing = routing.RolesNotListed
+	h := newHarness(t, p).withGroup(3)
+	h.receive(write)
+	assert.Empty(t, h.lastAction("send"), "none is sent to an unknown primary")
+	assert.Equal(t, 3, h.countActions("check"), "and the servers are checked")
+	h.reportRole(1, routing.Primary, h.now)
+	assert.Equal(t, "send 1 to 1", h.lastAction("send"))
+}
+
+func TestMisroutedWriteFindsPrimaryWithoutHealthChecks(t *testing.T) {
+	p := testDeployment()
+	p.Topology.RoleListing, p.Limits.HealthChecks = routing.RolesNotListed, false
+	h := newHarness(t, p).withGroup(2)
+	w := h.receive(write)
+	first := h.sentTo[w]
+	h.finish(w, routing.Misrouted, routing.Replica, h.now+ms)
+	assert.Equal(t, 2, h.attempts[w])
+	assert.NotEqual(t, first, h.sentTo[w])
+	h.finish(w, routing.Succeeded, routing.Primary, h.now+ms)
+	assert.Equal(t, h.sentTo[w], h.groups[0].primary)
+}
+
+func TestLaterLogPositionWinsPrimaryClaim(t *testing.T) {
+	h := newHarness(t, testDeployment()).withGroup(3)
+	h.now = 10 * time.Second
+	h.reportRole(1, routing.Primary, 9*time.Second)
+	h.reportRole(0, routing.Primary, 5*time.Second) // an old report of the old primary
+	h.receive(write)
+	assert.Equal(t, "send 1 to 1", h.lastAction("send"))
+	h.reportRole(1, routing.Replica, 8*time.Second) // older than its own claim
+	h.receive(write)
+	assert.Equal(t, "send 2 to 1", h.lastAction("send"))
+	h.updateEndpoints(routing.Delta, routing.Endpoint{Server: 2, Primary: true}) // the endpoint list is delayed
+	h.receive(write)
+	assert.Equal(t, "send 3 to 1", h.lastAction("send"))
+}
+
+func TestMisroutedWriteLooksForNewPrimary(t *testing.T) {
+	h := newHarness(t, testDeployment()).withGroup(3)
+	h.now = time.Second
+	w := h.receive(write)
+	h.finish(w, routing.Misrouted, routing.Replica, 900*ms)
+	assert.Equal(t, 1, h.countActions("send"))
+	h.reportRole(2, routing.Primary, h.now)
+	assert.Equal(t, "send 1 to 2", h.lastAction("send"))
+}
+
+func TestDrainingPrimaryIsReplaced(t *testing.T) {
+	h := newHarness(t, testDeployment()).withGroup(3)
+	h.advance(time.Second)
+	n := h.countActions("check")
+	h.updateEndpoints(routing.Delta, routing.Endpoint{Server: 0, State: routing.Draining, Primary: true})
+	h.receive(write)
+	assert.Empty(t, h.lastAction("send"))
+	assert.Equal(t, n+2, h.countActions("check"), "the other servers are checked")
+	h.reportRole(1, routing.Primary, h.now+ms)
+	assert.Equal(t, "send 1 to 1", h.lastAction("send"))
+}
+
+// The group's only primary is at another site, and the network to it is cut: waiting would be of no use. Reads that a replica
+// here may answer go on; once the network is up again, all requests do.
+func TestPartitionedPrimaryIsNotWaitedForAndServesAfterHeal(t *testing.T) {
+	h := newHarness(t, testDeployment()).withGroup(3)
+	h.now = time.Second
+	h.finish(h.receive(write), routing.Succeeded, routing.Primary, h.now)
+	h.reportRole(2, routing.Replica, h.now)
+	h.updateEndpoints(routing.Delta, routing.Endpoint{Server: 0, State: routing.Partitioned, Primary: true})
+	h.receive(nonIdempotentWrite)
+	assert.Equal(t, "reject 2, retry after 200ms", h.lastAction("reject"), "at once")
+	h.receive(anyRead)
+	assert.Equal(t, "send 3 to 2", h.lastAction("send"))
+	h.updateEndpoints(routing.Delta, routing.Endpoint{Server: 0, Primary: true})
+	h.receive(nonIdempotentWrite)
+	assert.Equal(t, "send 4 to 0", h.lastAction("send"))
+}
--- /dev/null
+++ b/router/sessions_test.go
@@ -0,0 +1,41 @@
+package router
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"dapplerouter/routing"
+)
+
+func TestSessionTargetIsMonotonicWithinTermAndRaisedToNextTermStart(t *testing.T) {
+	s := newSessions(false)
+	g := &group{term: 1}
+	in := &routing.Request{Session: 9}
+	s.recordWrite(9, g, 500*ms)
+	s.recordWrite(9, g, 400*ms)
+	assert.Equal(t, 500*ms, s.requiredPosition(0, in, g))
+	g.term, g.termStart = 2, 900*ms
+	assert.Equal(t, 900*ms, s.requiredPosition(0, in, g))
+	s.recordWrite(9, g, 950*ms)
+	s.recordWrite(9, &group{term: 1}, 990*ms)
+	assert.Equal(t, 950*ms, s.requiredPosition(0, in, g), "an older term's position does not count in this one")
+}
+
+func TestEvictedSessionTargetRaisesGroupTarget(t *testing.T) {
+	s := newSessions(false)
+	s.entries = s.entries[:bucketSize]
+	g := &group{}
+	for i := range uint64(bucketSize + 1) {
+		s.recordWrite(i+1, g, time.Duration(i+1)*ms)
+	}
+	assert.Equal(t, ms, s.requiredPosition(0, &routing.Request{Session: 1}, g), "the evicted one")
+	assert.Equal(t, 3*ms, s.requiredPosition(0, &routing.Request{Session: 3}, g))
+}
+
+func TestCarriedTokenIsAnAge(t *testing.T) {
+	s := newSessions(true)
+	assert.Equal(t, 700*ms, s.requiredPosition(time.Second, &routing.Request{TokenAge: 300 * ms}, &group{termStart: never}))
+	assert.Equal(t, never, s.requiredPosition(time.Second, &routing.Request{Session: 9}, &group{}))
+}
