--- a/router/bench_test.go
+++ b/router/bench_test.go
@@ -8,12 +8,12 @@
 )
 
 // The cost of ticks and of Reconcile by the number of servers.
-func BenchmarkAQuietSecondByMembers(b *testing.B) {
-	for _, members := range []int{200, 3200} {
-		b.Run(fmt.Sprint(members), func(b *testing.B) {
+func BenchmarkQuietSecond(b *testing.B) {
+	for _, servers := range []int{200, 3200} {
+		b.Run(fmt.Sprint(servers), func(b *testing.B) {
 			h := newHarness(nil, testDeployment())
 			var list []routing.Endpoint
-			for i := range members {
+			for i := range servers {
 				list = append(list, routing.Endpoint{Server: i, Group: i / 5, Zone: i % 2, Primary: i%5 == 0})
 			}
 			h.EndpointsChanged(0, routing.CachedSnapshot, 1, list)
@@ -32,7 +32,7 @@
 }
 
 // The cost of four requests of the ordinary path: receipt, attempt and answer.
-func BenchmarkFourRequestsOfTheOrdinaryPath(b *testing.B) {
+func BenchmarkOrdinaryPathFourRequests(b *testing.B) {
 	round := ordinaryPath()
 	b.ReportAllocs()
 	for b.Loop() {
--- a/router/clock_correction_test.go
+++ b/router/clock_correction_test.go
@@ -17,14 +17,14 @@
 		h.updateEndpoints(routing.Delta, routing.Endpoint{Server: 1, Zone: 1, HasStartTime: true, StartedAt: h.now + off - time.Second})
 		h.observeRole(h.now, 0, routing.Primary, h.now+off, true)
 		h.servers[2].observe(h.now, h.now+off-50*ms, 0)
-		h.recordWrite(77, h.Router.group(0), h.now+off-20*ms)
+		h.recordWrite(77, h.group(0), h.now+off-20*ms)
 		h.ClockCorrected(h.now, -off)
 		assert.Equal(t, h.now-time.Second, h.servers[1].startedAt)
 		assert.True(t, h.servers[1].warmingUp, "it has just started")
 		assert.Equal(t, h.now-50*ms+min(off, 0), h.servers[2].applied, "never corrected to be newer")
-		assert.Equal(t, min(h.now, h.now-20*ms+max(off, 0)), h.requiredPosition(h.now, &routing.Request{Session: 77}, h.Router.group(0)), "never corrected to require less")
+		assert.Equal(t, min(h.now, h.now-20*ms+max(off, 0)), h.requiredPosition(h.now, &routing.Request{Session: 77}, h.group(0)), "never corrected to require less")
 		h.observeRole(h.now+ms, 1, routing.Primary, h.now+ms, true)
-		assert.Equal(t, 1, h.Router.group(0).primary, "the next claim is the newer one")
+		assert.Equal(t, 1, h.group(0).primary, "the next claim is the newer one")
 		assert.Equal(t, never, h.servers[1].applied, "what is not known stays unknown")
 	}
 }
--- a/router/freshness_test.go
+++ b/router/freshness_test.go
@@ -14,9 +14,9 @@
 	p.Replication = routing.Replication{StalenessCheck: routing.RejectIfStale, LoadInResponses: true}
 	h := newHarness(t, p).withGroup(3)
 	h.receive(anyRead)
-	answers := func(member int, role routing.Role, reported time.Duration) {
-		h.servers[member].inFlight++
-		h.AttemptFinished(h.now, routing.AttemptOutcome{Ref: routing.RequestRef{}, Server: member, Result: routing.Succeeded, Role: role, Latency: 30 * ms,
+	answers := func(server int, role routing.Role, reported time.Duration) {
+		h.servers[server].inFlight++
+		h.AttemptFinished(h.now, routing.AttemptOutcome{Ref: routing.RequestRef{}, Server: server, Result: routing.Succeeded, Role: role, Latency: 30 * ms,
 			Load: routing.LoadReport{Role: role, Position: reported, HasPosition: true}})
 	}
 	for range 20 { // all reports are three seconds old
--- a/router/harness_test.go
+++ b/router/harness_test.go
@@ -106,11 +106,11 @@
 
 // fail ends the latest attempt of a request by result, and the next one to the same server as unreachable.
 func (h *harness) fail(r routing.RequestRef, e routing.AttemptResult) {
-	member := h.sentTo[r]
+	server := h.sentTo[r]
 	n := h.attempts[r]
 	h.finish(r, e, routing.UnknownRole, 0)
 	h.advance(2 * h.tickInterval) // after a failed connection there is a pause
-	if h.attempts[r] > n && h.sentTo[r] == member {
+	if h.attempts[r] > n && h.sentTo[r] == server {
 		h.finish(r, routing.Unreachable, routing.UnknownRole, 0)
 	}
 }
@@ -149,9 +149,9 @@
 	h.sentTo[r] = m
 	h.record("send %d to %d", r.Slot, m)
 }
-func (h *harness) CancelAttempt(r routing.RequestRef, hop int) { h.record("cancel %d.%d", r.Slot, hop) }
-func (h *harness) Reject(r routing.RequestRef, back time.Duration) {
-	h.record("reject %d, retry after %v", r.Slot, back)
+func (h *harness) CancelAttempt(r routing.RequestRef, attemptNumber int) { h.record("cancel %d.%d", r.Slot, attemptNumber) }
+func (h *harness) Reject(r routing.RequestRef, retryAfter time.Duration) {
+	h.record("reject %d, retry after %v", r.Slot, retryAfter)
 }
 func (h *harness) Fail(r routing.RequestRef)     { h.record("fail %d", r.Slot) }
 func (h *harness) StartHealthCheck(m int)        { h.record("check %d", m) }
--- a/router/outlier_detection_test.go
+++ b/router/outlier_detection_test.go
@@ -52,7 +52,7 @@
 				}
 			}
 		}
-		assert.Less(t, n, 40, "ending %d", e)
+		assert.Less(t, n, 40, "%v", e)
 	}
 }
 
--- a/router/planning.go
+++ b/router/planning.go
@@ -29,7 +29,7 @@
 		g.healthCheckWanted = g.healthCheckWanted || g.primary == none
 		return
 	}
-	if req.attempts > 0 && !(req.misrouted && to == g.primary) && !r.takeRetry() {
+	if req.attempts > 0 && (!req.misrouted || to != g.primary) && !r.takeRetry() {
 		req.giveUp(t)
 		return
 	}
--- a/router/recorded_actions_test.go
+++ b/router/recorded_actions_test.go
@@ -289,7 +289,7 @@
 }
 
 // free frees a slot once its request has ended and none of its attempts is in flight.
-func (d *day) free(p *slot) { p.inUse = p.inUse && !(p.finished && p.inFlight == 0) }
+func (d *day) free(p *slot) { p.inUse = p.inUse && (!p.finished || p.inFlight > 0) }
 
 func (d *day) act(what, format string, args ...any) {
 	d.counts[what]++
--- a/routing/attempt.go
+++ b/routing/attempt.go
@@ -5,6 +5,7 @@
 // AttemptResult says how an attempt or a health check ended.
 type AttemptResult uint8
 
+// Results of an attempt; those that say "may have run" leave that unknown.
 const (
 	Succeeded      AttemptResult = iota
 	ServerError                  // answered with an error, or the server lost its role while it held a write: may have run
--- a/routing/request.go
+++ b/routing/request.go
@@ -40,6 +40,7 @@
 // Consistency says how recent the data must be that a request of a type reads.
 type Consistency uint8
 
+// Levels of consistency; the last two need the primary.
 const (
 	Eventual         Consistency = iota // every server will do
 	BoundedStaleness                    // no older than MaxStaleness when the request was received
@@ -51,6 +52,7 @@
 // Idempotency says whether a request may run more than once.
 type Idempotency uint8
 
+// Levels of idempotency.
 const (
 	Idempotent     Idempotency = iota // may run again
 	IdempotencyKey                    // carries a key by which the servers of DedupScope drop a repeat within DedupWindow
@@ -60,6 +62,7 @@
 // DedupScope is the set of servers that remember an idempotency key.
 type DedupScope uint8
 
+// Scopes of deduplication.
 const (
 	ScopeGroup DedupScope = iota // those of the request's group
 	ScopeZone                    // those of the zone in which it ran
--- a/routing/server.go
+++ b/routing/server.go
@@ -5,6 +5,7 @@
 // Role is a server's part in its group.
 type Role uint8
 
+// Roles of a server.
 const (
 	UnknownRole Role = iota
 	Primary
@@ -26,6 +27,7 @@
 // ServerState is a server's state in the endpoint list.
 type ServerState uint8
 
+// States of a server.
 const (
 	Serving     ServerState = iota
 	Draining                // takes no new attempts
@@ -51,6 +53,7 @@
 // UpdateKind says how an update of the endpoint list relates to what was listed before.
 type UpdateKind uint8
 
+// Kinds of update.
 const (
 	Delta          UpdateKind = iota // has the entries that changed
 	Snapshot                         // has all entries
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -15,6 +15,7 @@
 // RoleListing says what the endpoint list says of the servers' roles.
 type RoleListing uint8
 
+// What the endpoint list says of roles.
 const (
 	RolesNotListed RoleListing = iota
 	RolesAtStart               // the roles at the start of the deployment
@@ -34,6 +35,7 @@
 // StalenessCheck is what a server does with a read for which it is too far behind.
 type StalenessCheck uint8
 
+// Checks of staleness.
 const (
 	NoStalenessCheck StalenessCheck = iota // answers from what it has
 	RejectIfStale                          // rejects it at once
