--- a/fleet/leader.go
+++ b/fleet/leader.go
@@ -81,7 +81,7 @@
 
 // tick does what depends on time: it starts confirmation rounds, grants leases that expired, and removes fronts that left.
 func (l *leader) tick(now time.Duration) {
-	l.excusePause(now)
+	l.extendForPause(now)
 	l.startConfirmation(now)
 	recentlyConfirmed := now-l.voter.confirmedAt <= 2*l.node.options.Timing.HeartbeatInterval()
 	if l.node.leader != l || !l.ready || !recentlyConfirmed {
@@ -94,8 +94,8 @@
 	l.voter.process(now)
 }
 
-// excusePause extends all leases and members by a pause of this process, for which others must not pay.
-func (l *leader) excusePause(now time.Duration) {
+// extendForPause extends all leases and members by a pause of this process, for which others must not pay.
+func (l *leader) extendForPause(now time.Duration) {
 	pause := now - l.tickedAt
 	l.tickedAt = now
 	if pause <= 4*l.node.options.Timing.TickInterval() {
@@ -106,7 +106,7 @@
 		timer.progressAt += pause
 	}
 	for _, known := range l.members {
-		known.heardAt += pause
+		known.reportedAt += pause
 	}
 }
 
@@ -134,9 +134,9 @@
 		lease, timer := l.node.state.Leases[name], l.timers[name]
 		switch l.conditionOf(now, lease, timer) {
 		case leaseVacant:
-			l.grant(now, lease, timer, "", "nobody held it", false)
+			l.grant(now, lease, timer, "", reasonVacant, false)
 		case leaseExpired:
-			l.grant(now, lease, timer, "", "it ran out", true)
+			l.grant(now, lease, timer, "", reasonExpired, true)
 		case leaseIdle:
 			l.requestRelease(now, lease, timer)
 		}
@@ -170,8 +170,8 @@
 }
 
 // onApplied updates the timers after a command was applied.
-func (l *leader) onApplied(now time.Duration, c *Command, fault string) {
-	if !l.ready || fault != "" {
+func (l *leader) onApplied(now time.Duration, c *Command, err error) {
+	if !l.ready || err != nil {
 		return
 	}
 	switch c.Op {
--- a/front/core.go
+++ b/front/core.go
@@ -24,8 +24,7 @@
 )
 
 // RouterFactory makes the Router of an instance.
-type RouterFactory func(h routing.Host, seed uint64, at routing.Topology, types []routing.RequestType, customers []routing.Customer,
-	copies routing.Replication, rules routing.Guardrails, allowed routing.Limits, costs routing.CostWeights) routing.Router
+type RouterFactory func(h routing.Host, o routing.Options) routing.Router
 
 // Event is something that happened outside the core; Post brings it in. The types are declared next to the code that handles them.
 type Event interface {
@@ -93,7 +92,8 @@
 		c.classifier = newClassifier(o.Classifier, &c.catalog)
 	}
 	c.versions.current = &configVersion{types: c.catalog.types}
-	c.router = o.NewRouter(c, o.Seed, s.Topology, c.catalog.types, s.CustomerQuotas, s.Replication, s.Guardrails, s.Limits, s.CostWeights)
+	c.router = o.NewRouter(c, routing.Options{Seed: o.Seed, Topology: s.Topology, RequestTypes: c.catalog.types, Customers: s.CustomerQuotas,
+		Replication: s.Replication, Guardrails: s.Guardrails, Limits: s.Limits, CostWeights: s.CostWeights})
 	return c
 }
 
