--- a/deployment/instance_test.go
+++ b/deployment/instance_test.go
@@ -35,7 +35,7 @@
 	}, func(string) ([]byte, error) { return []byte(text), nil })
 }
 
-func TestWhatIsToldBecomesRecords(t *testing.T) {
+func TestLoadInstance(t *testing.T) {
 	s, err := load(told, map[string]string{"EDGE_LISTEN": "127.0.0.9:1"})
 	require.NoError(t, err)
 	assert.Equal(t, "127.0.0.9:1", s.Listen, "the variable stands above the file")
@@ -52,7 +52,7 @@
 	assert.Equal(t, 250*time.Millisecond, s.Settings.Limits.DialTimeout)
 }
 
-func TestAFaultNamesItsKey(t *testing.T) {
+func TestKeyErrorNamesItsKey(t *testing.T) {
 	for change, key := range map[string]string{
 		`"seed":"8c1f30d27a5be964"=>"seed":"x"`:           "seed",
 		`"listen":"127.0.0.1:5432"=>"listen":"127.0.0.1"`: "listen",
@@ -99,7 +99,7 @@
 }
 
 // What the deployments of another build state, and what holds where nothing is said.
-func TestReportsAndTimesToComeBackAreAsTheSettingsSay(t *testing.T) {
+func TestLoadReportsAndRetryAfterSettings(t *testing.T) {
 	s, err := load(told, nil)
 	require.NoError(t, err)
 	assert.False(t, s.Settings.Replication.LoadInResponses)
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestAReportIsReadUnderEitherName(t *testing.T) {
+func TestSetLoadFieldUnderEitherName(t *testing.T) {
 	l := EmptyLoad
 	SetLoadField(&l, "x0", 12.5, -10*time.Second)
 	SetLoadField(&l, "x1", 0, 0)
@@ -123,7 +123,7 @@
 		Position: 2500 * time.Millisecond, HasPosition: true, Role: routing.Replica}, l)
 }
 
-func TestTheFileReadAgainNamesTheList(t *testing.T) {
+func TestReloadUsesDiscoveryAddressOfFile(t *testing.T) {
 	old, err := load(told, map[string]string{DiscoveryVariable: "127.0.0.2:8500"})
 	require.NoError(t, err)
 	changed := strings.NewReplacer(`127.0.0.2:8500`, `127.0.0.7:8500`, `"sockets":1024`, `"sockets":512`,
--- a/deployment/rules_test.go
+++ b/deployment/rules_test.go
@@ -10,7 +10,7 @@
 	"dapplerouter/routing"
 )
 
-func TestRulesOnlyTightenAndWhatIsWrongIsToldAtItsPlace(t *testing.T) {
+func TestRulesOnlyTightenAndErrorsHavePositions(t *testing.T) {
 	s := &Settings{TypeNames: []string{"browse", "book"}, RequestTypes: []routing.RequestType{{Consistency: routing.BoundedStaleness, MaxStaleness: 3 * time.Second}, {Consistency: routing.Write, Idempotency: routing.IdempotencyKey, DedupWindow: 2 * time.Second}}}
 	for text, want := range map[string]string{
 		"(rules (bound browse 2s) (window book 1s) (given-up 7 3))": "",
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestTwoTextsOfOneMeaningAreOneVersion(t *testing.T) {
+func TestRulesDigestIgnoresSpelling(t *testing.T) {
 	a, err := ParseRules("a", []byte("(rules (given-up 7 3) (bound browse 2s))"))
 	require.NoError(t, err)
 	b, err := ParseRules("b", []byte("; the same\n(rules (bound browse 2000ms)\n (given-up 3 7 7))"))
--- a/deployment/rules_text_test.go
+++ b/deployment/rules_text_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestRulesAreTakenApartAndPutTogether(t *testing.T) {
+func TestRulesTextSplitAndJoin(t *testing.T) {
 	var text RulesText
 	original := []byte(`(rules (given-up 9 7) (window book 90s) (bound "slot browse" 1500ms))`)
 	rules, err := text.Split(original)
--- a/discovery/client.go
+++ b/discovery/client.go
@@ -84,7 +84,7 @@
 // CloseIdleConnections closes the connections without a call.
 func (c *Client) CloseIdleConnections() { c.http.CloseIdleConnections() }
 
-// FetchSnapshot reads the whole list. A snapshot that a watch has overtaken meanwhile would take back what that brought: it is read
+// FetchSnapshot reads the list in full. A snapshot that a watch has overtaken meanwhile would take back what that brought: it is read
 // again.
 func (c *Client) FetchSnapshot(ctx context.Context) (List, error) {
 	for {
@@ -103,7 +103,7 @@
 	}
 }
 
-// fetch makes one call for the whole list.
+// fetch makes one call for a snapshot.
 func (c *Client) fetch(ctx context.Context) (l List, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/discovery/client_test.go
+++ b/discovery/client_test.go
@@ -66,7 +66,7 @@
 	return l, f
 }
 
-func TestTheWatchResumesAfterTheVersionLastHeard(t *testing.T) {
+func TestWatchResumesAfterLastIndex(t *testing.T) {
 	cut := object(42, false, "draining") + "\n"
 	c, asked := service(t, says(object(41, true, "up")), says(cut[:30], cut[30:], "\n", object(43, false, "removed")+"\n"),
 		says(object(44, true, "up")+"\n"))
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestSilenceIsAnEnd(t *testing.T) {
+func TestSilenceEndsWatch(t *testing.T) {
 	c, _ := service(t, func(w http.ResponseWriter, r *http.Request) {
 		says(object(8, false, "up")+"\n")(w, r)
 		<-r.Context().Done()
@@ -97,7 +97,7 @@
 	assert.ErrorIs(t, c.Watch(context.Background(), func(List) {}), ErrSilent)
 }
 
-func TestARefusedCallAndACutLineAreErrorsOnly(t *testing.T) {
+func TestRejectedCallAndTruncatedLineAreErrors(t *testing.T) {
 	c, _ := service(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) },
 		says(`{"index":9,"endpoints":[]}`+"\n", `{"index":10`))
 	_, err := c.FetchSnapshot(context.Background())
@@ -109,7 +109,7 @@
 }
 
 // The good line behind one that was lost moved the index past it: a drain in that line was never heard of.
-func TestBehindWhatWasLostTheWholeListComesFirst(t *testing.T) {
+func TestSnapshotFollowsLostChange(t *testing.T) {
 	half := object(9, false, "draining")
 	for name, lines := range map[string][]string{
 		"nonsense":                {"{nonsense\n"},
@@ -139,7 +139,7 @@
 }
 
 // A service that began again with a lower index is believed when it gives the whole list.
-func TestAWholeListMayHaveALowerIndex(t *testing.T) {
+func TestSnapshotMayHaveLowerIndex(t *testing.T) {
 	c, _ := service(t, says(object(3, true, "up")))
 	l, err := c.FetchSnapshot(context.Background())
 	require.NoError(t, err)
@@ -148,7 +148,7 @@
 }
 
 // A whole list that was on its way while a watch told of a drain would have taken the drain back.
-func TestAWholeListThatAWatchOvertookIsAskedForAgain(t *testing.T) {
+func TestSnapshotOvertakenByWatchIsFetchedAgain(t *testing.T) {
 	var c *Client
 	c, asked := service(t, func(w http.ResponseWriter, r *http.Request) {
 		c.AdvanceIndex(9) // as a watch beside it does
@@ -162,7 +162,7 @@
 
 // What a silent watch misses counts as told three beats after it fell silent, and what an agent that returns has at once: the
 // end of silence was seen just then, and an attempt that hung as long followed.
-func TestSilenceIsFoundAndAHungAttemptGivenUpInTime(t *testing.T) {
+func TestSilentWatchAndHungCallsEndInTime(t *testing.T) {
 	hang := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 	c, asked := service(t, says(object(7, true, "up")), func(w http.ResponseWriter, r *http.Request) {
 		says("\n")(w, r)
@@ -180,7 +180,7 @@
 }
 
 // A service that ends every watch at once is not asked without pause.
-func TestAServiceThatEndsEveryWatchIsAskedAtAPace(t *testing.T) {
+func TestWatchReopensWithBackoff(t *testing.T) {
 	end := func(http.ResponseWriter, *http.Request) {}
 	scripts := []func(http.ResponseWriter, *http.Request){says(object(7, true, "up"))}
 	for range 50 {
@@ -197,7 +197,7 @@
 	assert.LessOrEqual(t, len(asked), 12)
 }
 
-func TestAnEntryWithoutSenseIsPassedOver(t *testing.T) {
+func TestDecodeSkipsUnusableEndpoints(t *testing.T) {
 	l, faults, err := Decode([]byte(`{"index":1,"snapshot":true,"endpoints":[` + fmt.Sprintf(entry, "up") + `,` +
 		fmt.Sprintf(entry, "asleep") + `,{"name":"s-2","group":1,"status":"up"},{"name":"s-3","address":"a:1","status":"up"},
 		{"address":"a:1","group":1,"status":"up"},{"name":"s-4","group":1,"status":"removed"}]}`))
@@ -211,7 +211,7 @@
 }
 
 // STANDING.md: "an answer over HTTP may have no length and be reset on the way [...]: a reset is no end". One that comes whole is taken.
-func TestAWholeListWithoutLengthIsTakenUnlessItIsReset(t *testing.T) {
+func TestSnapshotWithoutLengthUnlessReset(t *testing.T) {
 	answer := func(text string, reset bool) *Client {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
--- a/discovery/deadline_test.go
+++ b/discovery/deadline_test.go
@@ -114,7 +114,7 @@
 // A change counts as told three heartbeats after the service had it, whatever was allowed after a call that failed, was refused or
 // given up. The service has the drain when the first call goes wrong; each case is the worst of its kind: silence from the last
 // line on, the longest pauses, and a further call that fails.
-func TestAChangeIsHeardInTimeWhateverFailedBefore(t *testing.T) {
+func TestChangeArrivesInTimeAfterFailedCalls(t *testing.T) {
 	unusable := says("{nonsense\n")
 	for name, calls := range map[string][]script{
 		"a watch falls silent, and the next call hangs":           {then("\n"), hang},
@@ -143,7 +143,7 @@
 
 // After a new configuration a change counts as told two heartbeats later: a whole list of the new service that stops in the
 // middle must be given up well before.
-func TestAChangeIsHeardInTimeAfterANewConfiguration(t *testing.T) {
+func TestChangeArrivesInTimeAfterNewAddress(t *testing.T) {
 	for name, calls := range map[string][]script{
 		"the whole list hangs after the header": {then(), then()},
 		"the whole list hangs in the middle":    {then(`{"index":8,`), then(`{"index":8,`)},
@@ -163,7 +163,7 @@
 }
 
 // While the service is away the pauses between calls grow to their longest; the first call after its return hears of the change.
-func TestAChangeIsHeardInTimeAfterALongOutage(t *testing.T) {
+func TestChangeArrivesInTimeAfterOutage(t *testing.T) {
 	t.Parallel()
 	s := &changing{}
 	reserved, err := testports.Reserve()
--- a/discovery/watcher.go
+++ b/discovery/watcher.go
@@ -16,14 +16,14 @@
 	List List // empty where Kind says that the update failed
 }
 
-// Watcher brings the endpoint list to its receiver: by a watch of its own that goes on by itself, by single watches and snapshots that
-// are asked for, or from a list that other instances share. It implements front.EndpointSource.
+// Watcher brings the endpoint list to its receiver: by a watch of its own that is reopened whenever it ends, by single watches and
+// snapshots on request, or from a list that other instances share. It implements front.EndpointSource.
 //
 // Invariants: the receiver gets one update at a time, in order; nothing of an address comes once a later address has brought its
 // snapshot; an address has one watch at a time.
 type Watcher struct {
 	receive func(Update)
-	ctx     context.Context // ends all that runs: who asks for it, by the methods below, has no context of its own
+	ctx     context.Context // ends all goroutines: the callers of the methods below, which start them, have no context
 	jitter  func() float64
 
 	mu       sync.Mutex // guards what follows
@@ -44,8 +44,8 @@
 
 // sharedList is the list that other instances watch for this one.
 type sharedList struct {
-	snapshot func() List // returns all that they know; nil where this instance watches by itself
-	turn     int         // how often that has changed, so that a return that was overtaken does nothing
+	snapshot   func() List // returns all that they know; nil where this instance watches by itself
+	generation int         // how often that has changed, so that a delayed return that was overtaken does nothing
 }
 
 // maxEarlier bounds how many earlier addresses are watched; each takes two descriptors at most.
@@ -120,7 +120,7 @@
 func (w *Watcher) UseSharedList(snapshot func() List) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.shared.turn++
+	w.shared.generation++
 	l := snapshot()
 	if w.shared.snapshot != nil {
 		return true
@@ -160,12 +160,12 @@
 	if w.shared.snapshot == nil {
 		return
 	}
-	w.shared.turn++
-	turn := w.shared.turn
+	w.shared.generation++
+	generation := w.shared.generation
 	time.AfterFunc(time.Duration(w.jitter()*float64(within)), func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		if w.shared.snapshot == nil || w.shared.turn != turn || w.ctx.Err() != nil {
+		if w.shared.snapshot == nil || w.shared.generation != generation || w.ctx.Err() != nil {
 			return
 		}
 		w.current.client.AdvanceIndex(w.shared.snapshot().Index)
--- a/discovery/watcher_test.go
+++ b/discovery/watcher_test.go
@@ -33,7 +33,7 @@
 	return strings.TrimPrefix(srv.URL, "http://")
 }
 
-func TestTheListIsFollowedToAnotherAddress(t *testing.T) {
+func TestWatcherFollowsListToAnotherAddress(t *testing.T) {
 	for name, start := range map[string]func(*Watcher){
 		"unasked": (*Watcher).Follow,
 		"asked":   func(d *Watcher) { d.Fetch(); d.Watch(true) },
@@ -67,7 +67,7 @@
 
 // The front was told of another address while a list from the old one was on its way to the core, and another still to come: the
 // old list came after the new one and took back what that told.
-func TestNoListOfTheOldAddressComesAfterTheNewOnes(t *testing.T) {
+func TestNoUpdateOfOldAddressAfterNew(t *testing.T) {
 	asked, left, late := make(chan string, 9), make(chan string, 9), make(chan struct{})
 	hung, seen, told := make(chan struct{}), make(chan Update, 9), make(chan Update, 9)
 	var calls atomic.Int32
@@ -107,7 +107,7 @@
 }
 
 // A front leans on the list that another follows, and goes back to its own watch; what is older never comes after what is newer.
-func TestAFrontLeansOnTheListThatAnotherFollowsAndGoesBackToItsOwn(t *testing.T) {
+func TestWatcherUsesSharedListAndReturnsToItsOwn(t *testing.T) {
 	ctx, end := context.WithCancel(context.Background())
 	asked, left, told := make(chan string, 9), make(chan string, 9), make(chan Update, 9)
 	address := listing(t, `{"index":4,"snapshot":true,"endpoints":[]}`, asked, left)
--- a/limits/descriptors.go
+++ b/limits/descriptors.go
@@ -21,7 +21,7 @@
 }
 
 // Descriptors admits connections as long as descriptors are free. Server connections, of which few are in use at a time, must always
-// find room, so idle clients make way for them too. An evicted client holds its descriptor until its other side has closed, so
+// be admitted, so idle clients make way for them too. An evicted client holds its descriptor until its other side has closed, so
 // clients that never close could fill the servers' quarter: they may exceed their share only by Overshoot.
 type Descriptors struct {
 	shares DescriptorShares
@@ -43,8 +43,8 @@
 	d.mu.Unlock()
 }
 
-// AdmitClient admits a client's connection, or returns false. Where there is no room it asks evict to close an idle one; that ends
-// by itself, so for a moment there are too many, but never by more than the overshoot. The caller owes a ReleaseClient.
+// AdmitClient admits a client's connection, or returns false. Beyond the limit it asks evict to close an idle one; that takes
+// a moment, during which there are too many, but never by more than the overshoot. The caller owes a ReleaseClient.
 func (d *Descriptors) AdmitClient(evict func() bool) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -57,7 +57,7 @@
 	return true
 }
 
-// AdmitServer admits a connection to a server, or returns false. Where there is no room it asks evict to close an idle connection to a
+// AdmitServer admits a connection to a server, or returns false. Beyond the limit it asks evict to close an idle connection to a
 // server, and then an idle client. The caller owes a ReleaseServer.
 func (d *Descriptors) AdmitServer(evict func() bool) bool {
 	d.mu.Lock()
--- a/server/accept_test.go
+++ b/server/accept_test.go
@@ -32,8 +32,8 @@
 }
 
 // No error that accept may return for a moment ends the service.
-func TestAcceptThatFailsForAMomentEndsNoService(t *testing.T) {
-	g := newRig(t, 40)
+func TestServeSurvivesTransientAcceptErrors(t *testing.T) {
+	g := newHarness(t, 40)
 	l := conntest.Listen(t)
 	clock := monotonic.NewClock()
 	server := New(Options{Post: func(e front.Event) { g.Core.Post(e) }, Limiter: g.Limiter, Clock: clock, WriteTimeout: 5 * time.Second, MemoryBytes: 32 << 20})
--- a/server/client.go
+++ b/server/client.go
@@ -16,7 +16,7 @@
 type client struct {
 	server    *Server
 	tcp       *net.TCPConn
-	presence  *tcpconn.Presence // shared: asked by whoever sends an attempt
+	monitor   *tcpconn.PeerMonitor // shared: asked by whoever sends an attempt
 	reader    *pgwire.Reader
 	idleSince atomic.Int64 // shared: moment on the server's clock since when it has nothing to do, 0 while it has
 	evicted   atomic.Bool  // shared: it makes way for another
@@ -105,7 +105,7 @@
 	return err == nil
 }
 
-// writeFatal tells the client why its connection ends, where that is the client's fault or for want of room.
+// writeFatal sends the client the error that ends its connection, where that is the client's fault or for want of resources.
 func (c *client) writeFatal(err error) {
 	if message := fatalMessage(err); message != nil {
 		slog.Debug("client connection closed", "client", c.tcp.RemoteAddr(), "err", err)
--- a/server/client_bytes_test.go
+++ b/server/client_bytes_test.go
@@ -21,15 +21,15 @@
 // TestBytesSentToClients compares all that a client's connection carries, from its first byte to its end.
 func TestBytesSentToClients(t *testing.T) {
 	hello := pgwire.AppendStartup(nil, "portal", "crm")
-	sends := func(parts ...[]byte) func(*rig) *conntest.Peer {
-		return func(g *rig) *conntest.Peer {
+	sends := func(parts ...[]byte) func(*harness) *conntest.Peer {
+		return func(g *harness) *conntest.Peer {
 			c := g.Dial()
 			c.Send(bytes.Join(parts, nil)...)
 			return c
 		}
 	}
 	query := func(statement string) []byte { return pgwire.AppendQuery(nil, statement) }
-	for name, session := range map[string]func(*rig) *conntest.Peer{
+	for name, session := range map[string]func(*harness) *conntest.Peer{
 		"encryption, greeting": sends([]byte{0, 0, 0, 8, 4, 210, 22, 47}, hello, terminate),
 		"request to cancel":    sends([]byte{0, 0, 0, 16, 4, 210, 22, 46}, make([]byte, 8)),
 		"startup too short":    sends([]byte{0, 0, 0, 3, 1}),
@@ -48,7 +48,7 @@
 		"type of a write":      sends(hello, query("SELECT data FROM facts WHERE code = 'k' /* id=1,c=write,d=60000,cluster=2 */"), terminate),
 		"unknown group":        sends(hello, query("SELECT data FROM facts WHERE code = 'k' /* id=1,c=read,d=60000,cluster=77 */"), terminate),
 		"silent":               sends(hello),
-		"served": func(g *rig) *conntest.Peer {
+		"served": func(g *harness) *conntest.Peer {
 			c := sends(hello, conntest.ReadQuery("60000"))(g)
 			m := g.AcceptServer()
 			m.Expect("Q")
@@ -56,7 +56,7 @@
 			c.Send(terminate...)
 			return c
 		},
-		"failed": func(g *rig) *conntest.Peer {
+		"failed": func(g *harness) *conntest.Peer {
 			c := sends(hello, conntest.ReadQuery("60000"))(g)
 			m := g.AcceptServer()
 			m.Expect("Q")
@@ -64,11 +64,11 @@
 			c.Send(terminate...)
 			return c
 		},
-		"shut down": func(g *rig) *conntest.Peer {
+		"shut down": func(g *harness) *conntest.Peer {
 			g.Core.Post(front.Shutdown{})
 			return sends(hello, conntest.ReadQuery("60000"), terminate)(g)
 		},
-		"newcomer behind a stop": func(g *rig) *conntest.Peer {
+		"newcomer behind a stop": func(g *harness) *conntest.Peer {
 			c := sends(hello)(g)
 			g.Eventually(func() bool { clients, _, _ := g.Limiter.InUse(); return clients == 1 })
 			g.server.Drain(g.Listener)
@@ -77,28 +77,28 @@
 			c.Send(conntest.ReadQuery("60000")...)
 			return c
 		},
-		"no room for a client": func(g *rig) *conntest.Peer {
+		"no room for a client": func(g *harness) *conntest.Peer {
 			g.server.SetStandby(true, 0)
 			return sends(hello, conntest.ReadQuery("60000"))(g)
 		},
-		"evicted before its first request": func(g *rig) *conntest.Peer {
+		"evicted before its first request": func(g *harness) *conntest.Peer {
 			c := sends(hello)(g)
 			g.resting()
 			g.Eventually(g.server.evictIdle)
 			return c
 		},
-		"no room for a long message": func(g *rig) *conntest.Peer {
+		"no room for a long message": func(g *harness) *conntest.Peer {
 			g.server.bodies = limits.NewMemory(100 << 10)
 			return sends(hello, query(strings.Repeat(" ", 200<<10)))(g)
 		},
-		"internal fault": func(g *rig) *conntest.Peer {
+		"internal fault": func(g *harness) *conntest.Peer {
 			g.server.SetParser(func([]byte) (pgwire.Statement, error) { panic("a fault") })
 			return sends(hello, conntest.ReadQuery("60000"))(g)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			g := newRig(t, 40)
+			g := newHarness(t, 40)
 			g.DiscardEvents()
 			c := session(g)
 			sent, err := io.ReadAll(c.Conn)
--- a/server/endings_test.go
+++ b/server/endings_test.go
@@ -28,8 +28,8 @@
 
 // Short days, ten seeds of twelve: clients send their next request with the answer to the last, so none was ever let go after
 // a stop, and what was out when the front was ended by force was lost.
-func TestAClientThatAlwaysHasMoreIsLetGoAfterAStop(t *testing.T) {
-	g := newRig(t, 40)
+func TestDrainClosesConnectionThatAlwaysHasMoreRequests(t *testing.T) {
+	g := newHarness(t, 40)
 	g.DiscardEvents()
 	asked := g.AnswerAll()
 	c := g.Client()
@@ -75,14 +75,14 @@
 }
 
 // What crosses the front's goodbye is neither taken nor answered with a reset, which could overtake the last answer.
-func TestWhatCrossesTheGoodbyeIsNotTaken(t *testing.T) {
-	for name, end := range map[string]func(g *rig){
-		"stop":     func(g *rig) { g.server.Drain(g.Listener) },
-		"eviction": func(g *rig) { g.server.evictIdle() },
-		"rest":     func(g *rig) { g.server.SetStandby(true, 0) },
+func TestRequestThatCrossesCloseIsNeitherTakenNorReset(t *testing.T) {
+	for name, end := range map[string]func(g *harness){
+		"stop":     func(g *harness) { g.server.Drain(g.Listener) },
+		"eviction": func(g *harness) { g.server.evictIdle() },
+		"rest":     func(g *harness) { g.server.SetStandby(true, 0) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newRig(t, 40)
+			g := newHarness(t, 40)
 			c, _ := g.serve()
 			<-g.Router.Received
 			g.resting()
@@ -99,8 +99,8 @@
 	}
 }
 
-func TestTheLastAnswerArrivesThoughItsClientWritesOn(t *testing.T) {
-	g := newRig(t, 40)
+func TestLastAnswerArrivesWhileClientKeepsWriting(t *testing.T) {
+	g := newHarness(t, 40)
 	c := g.Client()
 	c.Send(conntest.ReadQuery("4000")...)
 	m := g.AcceptServer()
@@ -117,7 +117,7 @@
 
 // The client chosen to make way may be sending just then: what has come in when its connection would end is served first. So
 // it is where the client has rested for too long.
-func TestAClientThatWasSendingWhenItWouldBeLetGoIsServed(t *testing.T) {
+func TestRequestPendingAtCloseIsServed(t *testing.T) {
 	for name, end := range map[string]func(*client){
 		"eviction": func(c *client) { c.evicted.Store(true) },
 		"idle":     func(c *client) { c.server.options.IdleTimeout = 0 },
@@ -128,7 +128,7 @@
 }
 
 // pair is a client and the front's side of its connection, which no goroutine serves.
-func (g *rig) pair() (*conntest.Peer, *client) {
+func (g *harness) pair() (*conntest.Peer, *client) {
 	l := conntest.Listen(g.T)
 	out, err := net.Dial("tcp", l.Addr().String())
 	require.NoError(g.T, err)
@@ -139,7 +139,7 @@
 }
 
 func sending(t *testing.T, end func(*client)) {
-	g := newRig(t, 40)
+	g := newHarness(t, 40)
 	p, c := g.pair()
 	c.answered = true
 	p.Send(conntest.ReadQuery("4000")...)
@@ -152,8 +152,8 @@
 }
 
 // Of a client that had sent more than is read ahead nobody saw that it was gone, and its requests went on.
-func TestAClientThatSendsMuchAndLeavesIsNoticed(t *testing.T) {
-	g := newRig(t, 40)
+func TestDisconnectNoticedBehindUnreadRequests(t *testing.T) {
+	g := newHarness(t, 40)
 	c := g.Client()
 	c.Send(bytes.Repeat(conntest.ReadQuery("4000"), 3*readBuffer/len(conntest.ReadQuery("4000")))...)
 	g.AcceptServer().Expect("Q")
@@ -168,14 +168,14 @@
 	assert.Empty(t, g.Router.Received, "what it sent behind is not taken")
 }
 
-func (g *rig) eventuallyGone() bool {
+func (g *harness) eventuallyGone() bool {
 	g.Eventually(func() bool { clients, _, _ := g.Limiter.InUse(); return clients == 0 })
 	return true
 }
 
 // Eight newcomers that said nothing held up all others for as long as they were waited for.
-func TestSlowNewcomersKeepNobodyWaiting(t *testing.T) {
-	g := newRigWith(t, limits.DescriptorShares{Total: 40, MaxClients: 1, EvictFrom: 1, Overshoot: 0})
+func TestSlowRefusalsDoNotDelayOthers(t *testing.T) {
+	g := newHarnessWith(t, limits.DescriptorShares{Total: 40, MaxClients: 1, EvictFrom: 1, Overshoot: 0})
 	g.server.linger = time.Hour
 	g.Client().Send(conntest.ReadQuery("4000")...)
 	<-g.Router.Received
@@ -193,8 +193,8 @@
 }
 
 // What was read is owed an answer: so is a second request that came with the first of a newcomer for whom there is no room.
-func TestANewcomerWithoutRoomIsToldOfEachRequestThatCameWithIt(t *testing.T) {
-	g := newRigWith(t, limits.DescriptorShares{Total: 40, MaxClients: 1, EvictFrom: 1, Overshoot: 0})
+func TestRefusedConnectionGetsErrorForEachPipelinedRequest(t *testing.T) {
+	g := newHarnessWith(t, limits.DescriptorShares{Total: 40, MaxClients: 1, EvictFrom: 1, Overshoot: 0})
 	g.Client().Send(conntest.ReadQuery("4000")...)
 	<-g.Router.Received
 	c := g.Dial()
@@ -206,8 +206,8 @@
 }
 
 // The process must not end over a newcomer's first request, nor over its final answer.
-func TestANewcomerOfAfterTheStopIsToldToGoElsewhere(t *testing.T) {
-	g := newRig(t, 40)
+func TestRequestAfterDrainIsRejected(t *testing.T) {
+	g := newHarness(t, 40)
 	c := g.Client()
 	g.server.Drain(g.Listener)
 	require.NoError(t, <-g.Served) // newcomers are over, and the server refuses
@@ -220,10 +220,10 @@
 	assert.Empty(t, g.Router.Received)
 }
 
-func TestAClosedServerEndsWhatIsOwedNothing(t *testing.T) {
+func TestCloseEndsConnectionsWithoutRequest(t *testing.T) {
 	for name, sent := range map[string]string{"nothing": "", "half a request": string(conntest.ReadQuery("4000")[:20])} {
 		t.Run(name, func(t *testing.T) {
-			g := newRig(t, 40)
+			g := newHarness(t, 40)
 			g.server.linger = 0
 			c := g.Client()
 			c.Send([]byte(sent)...)
@@ -238,8 +238,8 @@
 }
 
 // Of a request that was read in half when its connection would end, the rest is in the system or on its way: it is owed an answer.
-func TestARequestThatCameInHalfBeforeTheCloseIsTaken(t *testing.T) {
-	g := newRig(t, 40)
+func TestRequestPartlyReadBeforeCloseIsTaken(t *testing.T) {
+	g := newHarness(t, 40)
 	p, c := g.pair()
 	q := conntest.ReadQuery("4000")
 	p.Send(q[:20]...)
@@ -265,8 +265,8 @@
 }
 
 // A front that can no longer accept clients answers those that it has.
-func TestAListenerThatFailsLeavesNoTxnWithoutItsAnswer(t *testing.T) {
-	g := newRig(t, 40)
+func TestListenerFailureLeavesNoRequestUnanswered(t *testing.T) {
+	g := newHarness(t, 40)
 	c := g.Client()
 	c.Send(conntest.ReadQuery("4000")...)
 	m := g.AcceptServer()
@@ -283,8 +283,8 @@
 }
 
 // A shutdown gives what is still out its answer at once, and takes back what a member has of it.
-func TestAShutdownAnswersWhatIsOut(t *testing.T) {
-	g := newRig(t, 40)
+func TestShutdownAnswersRequestsInFlight(t *testing.T) {
+	g := newHarness(t, 40)
 	c := g.Client()
 	c.Send(conntest.ReadQuery("4000")...)
 	m := g.AcceptServer()
@@ -298,12 +298,12 @@
 
 // Long messages share a part of the memory. One that finds none is told so and comes again; what was held is given back, however its
 // connection ends.
-func TestALongMessageThatFindsNoRoomIsToldSo(t *testing.T) {
-	g := newRig(t, 60)
+func TestLongQueryOverMemoryLimitIsRejected(t *testing.T) {
+	g := newHarness(t, 60)
 	g.DiscardEvents()
 	g.AnswerAll()
 	g.server.bodies = limits.NewMemory(300 << 10)
-	held := func() int64 { return g.server.bodies.Held() }
+	held := func() int64 { return g.server.bodies.Reserved() }
 	long := pgwire.AppendQuery(nil, "SELECT data FROM facts WHERE code = '"+strings.Repeat("k", 200<<10)+"' /* id=long,c=read,d=4000,cluster=2 */")
 	first, second, small := g.Client(), g.Client(), g.Client()
 	first.Send(long[:len(long)-1]...)
@@ -324,8 +324,8 @@
 }
 
 // A fault at one client ends that one connection, whatever it is.
-func TestBadInputEndsOneConnectionOnly(t *testing.T) {
-	g := newRig(t, 60)
+func TestMalformedInputClosesOnlyItsConnection(t *testing.T) {
+	g := newHarness(t, 60)
 	g.DiscardEvents()
 	g.AnswerAll()
 	good := g.Client()
@@ -356,7 +356,7 @@
 }
 
 // Whoever asks sees at once that a client has closed, though what it sent before lies unread and its connection is at something else.
-func TestADepartureIsSeenBehindWhatNobodyHasRead(t *testing.T) {
+func TestPeerMonitorSeesDisconnectBehindUnreadData(t *testing.T) {
 	l := conntest.Listen(t)
 	c, err := net.Dial("tcp", l.Addr().String())
 	require.NoError(t, err)
@@ -365,7 +365,7 @@
 	defer conn.Close()
 	raw, err := conn.SyscallConn()
 	require.NoError(t, err)
-	q := (&request{client: &client{tcp: conn, presence: tcpconn.NewPresence(raw)}}).Connection()
+	q := (&request{client: &client{tcp: conn, monitor: tcpconn.NewPeerMonitor(raw)}}).Connection()
 	_, err = c.Write(conntest.ReadQuery("4000"))
 	require.NoError(t, err)
 	assert.False(t, q.Disconnected())
--- a/server/errors.go
+++ b/server/errors.go
@@ -6,7 +6,7 @@
 	"dapplerouter/pgwire"
 )
 
-// Why a client's connection ends. What a client is told of it is fatalMessage's.
+// Why a client's connection ends. Whether a client is sent the error is decided by fatalMessage.
 var (
 	errDraining       = errors.New("connection ends between requests")
 	errCancelRequest  = errors.New("cancel request, which is not supported")
@@ -14,7 +14,7 @@
 	errTooManyClients = errors.New("too many clients")          // the text is sent to clients
 )
 
-// fatalMessage returns the message that tells a client why its connection ends, nil where it is told nothing.
+// fatalMessage returns the message with the error that ends a client's connection, nil where the client is sent none.
 func fatalMessage(err error) []byte {
 	code := ""
 	switch {
--- a/server/eviction_test.go
+++ b/server/eviction_test.go
@@ -11,8 +11,8 @@
 
 // Clients at rest that were asked to make way held their descriptors until they closed, and each of them counted as room for the
 // next: a crowd that never closes filled the members' quarter too, and what came on an open connection could not be sent on.
-func TestACrowdThatNeverClosesLeavesTheMembersTheirRoom(t *testing.T) {
-	g := newRig(t, 40) // three quarters are 30
+func TestEvictedClientsThatNeverCloseLeaveServerDescriptors(t *testing.T) {
+	g := newHarness(t, 40) // three quarters are 30
 	g.server.mu.Lock()
 	g.server.linger = time.Hour // longer than the test: nobody's descriptor is free by time
 	g.server.mu.Unlock()
--- a/server/rig_test.go
+++ b/server/harness_test.go
@@ -12,19 +12,19 @@
 	"dapplerouter/upstream"
 )
 
-// rig is a Server between the connections of a test's clients and a fake server.
-type rig struct {
-	*conntest.Rig
+// harness is a Server between the connections of a test's clients and a fake server.
+type harness struct {
+	*conntest.Harness
 	pools  *upstream.Pools
 	server *Server
 }
 
-func newRig(t *testing.T, descriptors int) *rig {
-	return newRigWith(t, limits.SharesOf(descriptors, 0))
+func newHarness(t *testing.T, descriptors int) *harness {
+	return newHarnessWith(t, limits.SharesOf(descriptors, 0))
 }
 
-func newRigWith(t *testing.T, shares limits.DescriptorShares) *rig {
-	g := &rig{Rig: conntest.New(t, limits.NewDescriptors(shares))}
+func newHarnessWith(t *testing.T, shares limits.DescriptorShares) *harness {
+	g := &harness{Harness: conntest.New(t, limits.NewDescriptors(shares))}
 	g.pools = upstream.NewPools(upstream.Options{Post: g.Post, Limiter: g.Limiter, User: "portal", Database: "crm",
 		DialTimeout: 5 * time.Second, IdleTimeout: time.Minute, MemoryBytes: 32 << 20})
 	g.server = New(Options{Post: g.Post, Limiter: g.Limiter, Clock: g.Clock, WriteTimeout: 5 * time.Second, IdleTimeout: time.Minute,
@@ -34,7 +34,7 @@
 }
 
 // serve takes one request through and leaves its connections idle.
-func (g *rig) serve() (c, m *conntest.Peer) {
+func (g *harness) serve() (c, m *conntest.Peer) {
 	c, m = g.Serve()
 	clients, servers, _ := g.Limiter.InUse()
 	require.True(g.T, clients > 0 && servers == 1)
--- a/server/partial_messages_test.go
+++ b/server/partial_messages_test.go
@@ -13,7 +13,7 @@
 )
 
 // reading waits until the front has begun to read a message of its only client, which it no longer counts as idle.
-func (g *rig) reading() {
+func (g *harness) reading() {
 	g.Eventually(func() bool {
 		g.server.mu.Lock()
 		defer g.server.mu.Unlock()
@@ -26,13 +26,13 @@
 
 // A request comes in pieces, and between them the front is told to end, needs room for another or stands by: each of these wakes the
 // read of the half message, which was taken and is served all the same.
-func TestARequestInPiecesIsServedWhateverWakesItsReading(t *testing.T) {
-	for name, wake := range map[string]func(g *rig){
-		"nothing":  func(*rig) {},
-		"a stop":   func(g *rig) { g.server.Drain(g.Listener) },
-		"room":     func(g *rig) { assert.False(t, g.server.evictIdle(), "it is not idle") },
-		"stand by": func(g *rig) { g.server.SetStandby(true, 0) },
-		"a wake of an earlier wait": func(g *rig) {
+func TestFragmentedRequestIsServedDespiteWakes(t *testing.T) {
+	for name, wake := range map[string]func(g *harness){
+		"nothing":  func(*harness) {},
+		"a stop":   func(g *harness) { g.server.Drain(g.Listener) },
+		"room":     func(g *harness) { assert.False(t, g.server.evictIdle(), "it is not idle") },
+		"stand by": func(g *harness) { g.server.SetStandby(true, 0) },
+		"a wake of an earlier wait": func(g *harness) {
 			g.server.mu.Lock()
 			defer g.server.mu.Unlock()
 			for c := range g.server.clients {
@@ -42,7 +42,7 @@
 	} {
 		for _, first := range []bool{true, false} { // its first message, and one behind an answer
 			t.Run(name+map[bool]string{true: ", first", false: ", second"}[first], func(t *testing.T) {
-				g := newRig(t, 40)
+				g := newHarness(t, 40)
 				g.Upstream.SetDeadline(time.Now().Add(10 * time.Second)) // only so that a failing test ends
 				var c, m *conntest.Peer
 				message := conntest.ReadQuery("4000")
@@ -73,8 +73,8 @@
 }
 
 // A connection whose welcome comes in pieces, too, is told to end while it is half: its first request is served.
-func TestAWelcomeAndARequestInPiecesAreServedDuringAStop(t *testing.T) {
-	g := newRig(t, 40)
+func TestFragmentedStartupAndRequestAreServedWhileDraining(t *testing.T) {
+	g := newHarness(t, 40)
 	g.Upstream.SetDeadline(time.Now().Add(10 * time.Second)) // only so that a failing test ends
 	c := g.Dial()
 	hello := pgwire.AppendStartup(nil, "portal", "crm")
--- a/server/pipeline.go
+++ b/server/pipeline.go
@@ -172,7 +172,7 @@
 	return c.reader.Next()
 }
 
-// survives reports whether a connection with requests in flight goes on after an error of a read.
+// survives reports whether a connection with requests in flight stays open after an error of a read.
 func (c *client) survives(err error) bool {
 	switch {
 	case err == nil:
@@ -269,7 +269,7 @@
 		r.request.answer.reserved = r.reserved
 		r.request.entry.MarkAnswered()
 	}
-	running, rest := c.pipeline.Abandon()
+	running, waiting := c.pipeline.Abandon()
 	departures := make([]front.ClientGone, 0, len(running))
 	for _, q := range running {
 		departures = append(departures, q.core.MarkClientGone())
@@ -277,7 +277,7 @@
 	for _, gone := range departures {
 		c.server.options.Post(gone)
 	}
-	for _, q := range append(running, rest...) {
+	for _, q := range append(running, waiting...) {
 		c.releaseReserved(q)
 	}
 }
--- a/server/refuse.go
+++ b/server/refuse.go
@@ -18,7 +18,7 @@
 	refusalBuffer = readBuffer / 4
 )
 
-// refusals are the new connections for which there is no room, until their clients have heard of it.
+// refusals are the new connections that are refused, until their clients have read the error.
 type refusals struct {
 	slots chan struct{} // one is taken by each refusal
 
@@ -33,8 +33,8 @@
 
 func newRefusals() refusals { return refusals{slots: make(chan struct{}, maxRefusals)} }
 
-// refuse answers the first request of a client for which there is no room, which may have come with its connection, with an error
-// behind which nobody writes: it may be retried. Only so many connections are refused at a time; the one that takes longest is cut off
+// refuse rejects the first request of a connection that was not admitted, which may have come with its startup, and closes it: the
+// request may be retried. Only so many connections are refused at a time; the one that takes longest is cut off
 // for the next, so that slow clients keep nobody waiting.
 func (s *Server) refuse(conn *net.TCPConn) {
 	s.refusals.acquire()
--- a/server/requests_test.go
+++ b/server/requests_test.go
@@ -18,14 +18,14 @@
 )
 
 // heldNothing checks that all shared room was given back.
-func (g *rig) heldNothing() {
-	g.Eventually(func() bool { return g.server.bodies.Held() == 0 && g.server.answers.Held() == 0 })
+func (g *harness) heldNothing() {
+	g.Eventually(func() bool { return g.server.bodies.Reserved() == 0 && g.server.answers.Reserved() == 0 })
 }
 
 // On the days of pipelining clients, what stood behind one slow request waited unread, one after the other, until its client
 // was gone: 28 to 190 requests of a day had no answer.
-func TestRequestsOfOneConnectionRunSideBySideAndAreAnsweredInOrder(t *testing.T) {
-	g := newRig(t, 40)
+func TestPipelinedRequestsRunConcurrentlyAndAreAnsweredInOrder(t *testing.T) {
+	g := newHarness(t, 40)
 	c := g.Client()
 	c.Send(conntest.ReadQueries(3)...)
 	members := map[string]*conntest.Peer{}
@@ -54,8 +54,8 @@
 	g.heldNothing()
 }
 
-func TestARequestBehindAWriteOfItsRowWaitsForIt(t *testing.T) {
-	g := newRig(t, 40)
+func TestPipelinedReadWaitsForWriteOfItsRow(t *testing.T) {
+	g := newHarness(t, 40)
 	c := g.Client()
 	c.Send(bytes.Join([][]byte{conntest.WriteQuery("a", "60000"), conntest.ReadQueryOf("a", "60000"), conntest.ReadQueryOf("b", "60000")}, nil)...)
 	first, other := g.AcceptServer(), g.AcceptServer()
@@ -77,8 +77,8 @@
 	assert.Equal(t, "b", string(c.Expect("D")[6:]))
 }
 
-func TestARequestWhoseTimeEndsBehindAnotherIsRejectedAtItsTurn(t *testing.T) {
-	g := newRig(t, 40)
+func TestPipelinedRequestPastItsDeadlineIsRejectedInOrder(t *testing.T) {
+	g := newHarness(t, 40)
 	c := g.Client()
 	c.Send(append(conntest.WriteQuery("a", "60000"), conntest.ReadQueryOf("a", "20")...)...)
 	m := g.AcceptServer()
@@ -92,7 +92,7 @@
 }
 
 func TestReadAheadIsBoundedByCount(t *testing.T) {
-	g := newRig(t, 100)
+	g := newHarness(t, 100)
 	c := g.Client()
 	c.Send(conntest.ReadQueries(maxPipelined + 3)...)
 	members := map[string]*conntest.Peer{}
@@ -113,7 +113,7 @@
 }
 
 // waitingClients looks at the connections while none of them can go on: their goroutines wait.
-func (g *rig) waitingClients(look func(*client) bool) bool {
+func (g *harness) waitingClients(look func(*client) bool) bool {
 	g.server.mu.Lock()
 	defer g.server.mu.Unlock()
 	for c := range g.server.clients {
@@ -125,8 +125,8 @@
 }
 
 // What is read ahead takes its room among the long messages, however short it is: without room the client waits.
-func TestReadAheadFindsNoRoomAndWaits(t *testing.T) {
-	g := newRig(t, 100)
+func TestReadAheadIsBoundedByMemory(t *testing.T) {
+	g := newHarness(t, 100)
 	g.server.bodies = limits.NewMemory(int64(2*len(conntest.ReadQuery("60000")) + 10)) // beside the first: two messages
 	c := g.Client()
 	c.Send(conntest.ReadQueries(5)...)
@@ -159,8 +159,8 @@
 }
 
 // An answer that has to wait for the one before it takes room as well. A read that finds none may be tried again.
-func TestAnAnswerThatFindsNoRoomBehindAnotherIsDropped(t *testing.T) {
-	g := newRig(t, 100)
+func TestWaitingAnswerOverMemoryLimitIsDropped(t *testing.T) {
+	g := newHarness(t, 100)
 	g.server.answers = limits.NewMemory(8 << 10)
 	c := g.Client()
 	c.Send(append(conntest.ReadQueryOf("a", "60000"), conntest.ReadQueryOf("b", "60000")...)...)
@@ -180,8 +180,8 @@
 }
 
 // A client that leaves takes all its requests with it: those that are out are told, the others never begin.
-func TestAClientThatLeavesTakesAllItsRequestsWithIt(t *testing.T) {
-	g := newRig(t, 100)
+func TestDisconnectCancelsAllPipelinedRequests(t *testing.T) {
+	g := newHarness(t, 100)
 	c := g.Client()
 	c.Send(append(bytes.Join([][]byte{conntest.WriteQuery("a", "60000"), conntest.ReadQueryOf("a", "60000")}, nil), conntest.ReadQueries(2*maxPipelined)...)...)
 	begun := map[routing.RequestRef]bool{}
@@ -203,8 +203,8 @@
 }
 
 // Behind what ends a connection nothing is taken, but all that came before it is answered first.
-func TestAViolationBehindRequestsIsToldInItsTurn(t *testing.T) {
-	g := newRig(t, 40)
+func TestProtocolErrorIsAnsweredInOrder(t *testing.T) {
+	g := newHarness(t, 40)
 	c := g.Client()
 	c.Send(bytes.Join([][]byte{conntest.ReadQuery("60000"), pgwire.AppendQuery(nil, "SELECT 1"), conntest.Message('P', "x"), conntest.Message('S', ""), conntest.Message('?', ""), conntest.ReadQuery("60000")}, nil)...)
 	m := g.AcceptServer()
@@ -220,8 +220,8 @@
 }
 
 // A client that has taken its leave is still owed what it asked before.
-func TestALeaveBehindRequestsWaitsForTheirAnswers(t *testing.T) {
-	g := newRig(t, 40)
+func TestTerminateWaitsForEarlierAnswers(t *testing.T) {
+	g := newHarness(t, 40)
 	c := g.Client()
 	c.Send(append(conntest.ReadQuery("60000"), conntest.Message(pgwire.TypeTerminate, "")...)...)
 	m := g.AcceptServer()
@@ -232,8 +232,8 @@
 }
 
 // A client whose requests are out is bound to end the message that it has begun, as any other.
-func TestHalfAMessageBehindRequestsIsToldInItsTurn(t *testing.T) {
-	g := newRig(t, 40)
+func TestPartialMessageBehindRequestsTimesOutInOrder(t *testing.T) {
+	g := newHarness(t, 40)
 	c := g.Client()
 	c.Send(append(conntest.ReadQuery("60000"), conntest.ReadQuery("60000")[:20]...)...)
 	m := g.AcceptServer()
@@ -246,8 +246,8 @@
 }
 
 // What was read ahead when the server refuses is answered, and the connection ends behind it whatever its client sends.
-func TestAStopAnswersWhatWasReadAhead(t *testing.T) {
-	g := newRig(t, 40)
+func TestDrainAnswersPipelinedRequests(t *testing.T) {
+	g := newHarness(t, 40)
 	c := g.Client()
 	c.Send(conntest.ReadQueries(3)...)
 	var members []*conntest.Peer
@@ -280,8 +280,8 @@
 }
 
 // A fault of ours while a message is taken in: what had been read, and the message itself, get an answer before the connection ends.
-func TestAPanicLeavesNoRequestWithoutAnAnswer(t *testing.T) {
-	g := newRig(t, 40)
+func TestPanicAnswersAllRequestsOfItsConnection(t *testing.T) {
+	g := newHarness(t, 40)
 	g.DiscardEvents()
 	g.server.SetParser(func(body []byte) (pgwire.Statement, error) {
 		if bytes.Contains(body, []byte("d=4999")) {
--- a/server/responses.go
+++ b/server/responses.go
@@ -77,7 +77,7 @@
 }
 
 // Connection implements front.ConnectedClient. What it returns outlives the request, and keeps nothing of it.
-func (q *request) Connection() front.ClientConnection { return q.client.presence }
+func (q *request) Connection() front.ClientConnection { return q.client.monitor }
 
 // Respond implements front.Client: it passes the core's response to the connection's goroutine and wakes it. Responses share a part of
 // the memory until they are written: a client may not read, or wait for an earlier one.
@@ -87,7 +87,7 @@
 	}
 }
 
-// withoutRows returns what a client is told in place of rows that find no room: a read may be retried, a write has run.
+// withoutRows returns the response in place of one whose rows exceed the budget: a read may be retried, a write has run.
 func withoutRows(write bool) front.Response {
 	if write {
 		return front.Response{Status: front.StatusInvalid, Code: pgwire.CodeProgramLimitExceeded, Reason: "executed, but there is no room for its answer"}
@@ -112,7 +112,7 @@
 	return encodeError(f.Code, f.Reason, "")
 }
 
-// encodeError returns an error behind which the connection goes on.
+// encodeError returns an error after which the connection stays open.
 func encodeError(code, text, detail string) []byte {
 	return pgwire.AppendReadyForQuery(pgwire.AppendErrorResponse(nil, "ERROR", code, text, detail))
 }
--- a/server/server.go
+++ b/server/server.go
@@ -167,7 +167,7 @@
 	}
 }
 
-// admit serves a new connection, or refuses it where there is no room.
+// admit serves a new connection, or refuses it beyond the limits.
 func (s *Server) admit(conn *net.TCPConn) {
 	if s.standby.refuses(s.options.Clock.Now()) || !s.options.Limiter.AdmitClient(s.evictIdle) {
 		s.refuse(conn)
@@ -178,7 +178,7 @@
 		s.options.Limiter.ReleaseClient()
 		return
 	}
-	c := &client{server: s, tcp: conn, presence: tcpconn.NewPresence(raw), startBy: time.Now().Add(messageTimeout),
+	c := &client{server: s, tcp: conn, monitor: tcpconn.NewPeerMonitor(raw), startBy: time.Now().Add(messageTimeout),
 		reader: s.newReader(conn, readBuffer)}
 	s.mu.Lock()
 	s.clients[c] = struct{}{}
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -16,8 +16,8 @@
 	"dapplerouter/testsupport/conntest"
 )
 
-func TestATxnPassesThroughWithItsStartupInOneWrite(t *testing.T) {
-	g := newRig(t, 40)
+func TestStartupAndQueryInOneWrite(t *testing.T) {
+	g := newHarness(t, 40)
 	c := g.Dial()
 	c.Send(append(pgwire.AppendStartup(nil, "portal", "crm"), conntest.ReadQuery("4000")...)...)
 	m := g.AcceptServer()
@@ -37,8 +37,8 @@
 	c.ExpectClosed()
 }
 
-func TestWhatIsNoSimpleQuery(t *testing.T) {
-	g := newRig(t, 40)
+func TestMessagesOtherThanSimpleQueries(t *testing.T) {
+	g := newHarness(t, 40)
 	c := g.Dial()
 	c.Send(0, 0, 0, 8, 4, 210, 22, 47)
 	n := []byte{0}
@@ -66,8 +66,8 @@
 	c.ExpectClosed()
 }
 
-func TestAClientThatClosesIsNoticedWhileItsTxnIsOut(t *testing.T) {
-	g := newRig(t, 40)
+func TestDisconnectNoticedWhileRequestInFlight(t *testing.T) {
+	g := newHarness(t, 40)
 	c := g.Client()
 	c.Send(conntest.ReadQuery("4000")...)
 	g.AcceptServer().Expect("Q")
@@ -76,7 +76,7 @@
 }
 
 // resting waits until a client's connection has nothing to do.
-func (g *rig) resting() {
+func (g *harness) resting() {
 	g.Eventually(func() bool {
 		g.server.mu.Lock()
 		defer g.server.mu.Unlock()
@@ -89,8 +89,8 @@
 	})
 }
 
-func TestIdleConnectionsMakeWay(t *testing.T) {
-	g := newRigWith(t, limits.DescriptorShares{Total: 4, MaxClients: 3, EvictFrom: 3, Overshoot: 2}) // three for clients
+func TestIdleConnectionsAreEvicted(t *testing.T) {
+	g := newHarnessWith(t, limits.DescriptorShares{Total: 4, MaxClients: 3, EvictFrom: 3, Overshoot: 2}) // three for clients
 	c, m := g.serve()
 	g.resting()
 	g.Client()
@@ -99,7 +99,7 @@
 	m.ExpectClosed()
 	assert.True(t, g.Limiter.AdmitServer(g.pools.EvictIdle), "no link is idle, but a client is")
 	c.ExpectClosed()
-	g = newRigWith(t, limits.DescriptorShares{Total: 40, MaxClients: 3, EvictFrom: 3, Overshoot: 2})
+	g = newHarnessWith(t, limits.DescriptorShares{Total: 40, MaxClients: 3, EvictFrom: 3, Overshoot: 2})
 	silent := g.Client()
 	g.resting()
 	for range 3 {
@@ -115,7 +115,7 @@
 }
 
 // Whoever does not bring a whole message in time is told so and let go; a length that cannot be is told at once.
-func TestClientsThatSayTooLittleAreTold(t *testing.T) {
+func TestIncompleteMessagesTimeOut(t *testing.T) {
 	hello, half := slices.Clip(pgwire.AppendStartup(nil, "portal", "crm")), conntest.ReadQuery("4000")[:40]
 	for name, x := range map[string]struct {
 		sent      []byte
@@ -136,7 +136,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			g := newRig(t, 40)
+			g := newHarness(t, 40)
 			c := g.Dial()
 			if x.withQuery {
 				c, _ = g.serve()
@@ -153,8 +153,8 @@
 }
 
 // The recorded day: connections that had asked once held the third that clients may have, and no request came in.
-func TestClientsAtRestMakeWayLongBeforeTheLimit(t *testing.T) {
-	g := newRig(t, 40) // a quarter is 10
+func TestIdleClientsAreEvictedBeforeTheLimit(t *testing.T) {
+	g := newHarness(t, 40) // a quarter is 10
 	c, _ := g.serve()
 	g.resting()
 	for range 9 {
@@ -165,8 +165,8 @@
 	c.ExpectClosed()
 }
 
-func TestAClientThatRestsTooLongIsLetGo(t *testing.T) {
-	g := newRig(t, 40)
+func TestIdleTimeoutClosesConnection(t *testing.T) {
+	g := newHarness(t, 40)
 	g.server.mu.Lock()
 	g.server.options.IdleTimeout = time.Millisecond
 	g.server.mu.Unlock()
@@ -174,8 +174,8 @@
 	c.ExpectClosed()
 }
 
-func TestAStopAnswersWhatWasTaken(t *testing.T) {
-	g := newRig(t, 40)
+func TestDrainAnswersAcceptedRequests(t *testing.T) {
+	g := newHarness(t, 40)
 	idle := g.Client()
 	idle.Send(pgwire.AppendQuery(nil, "")...)
 	idle.Expect("IZ")
@@ -211,8 +211,8 @@
 }
 
 // A front that stands by lets clients go between requests and turns newcomers away; when it is back it takes more and more of them.
-func TestAFrontThatStandsByLetsClientsGoAndComesBackAtAPace(t *testing.T) {
-	g := newRig(t, 40)
+func TestStandbyClosesConnectionsAndRecoveryAdmitsGradually(t *testing.T) {
+	g := newHarness(t, 40)
 	g.server.SetStandby(false, time.Hour) // it begins: nobody is spared
 	idle := g.Client()
 	idle.Send(pgwire.AppendQuery(nil, "")...)
--- a/server/standby.go
+++ b/server/standby.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// standby says whether new connections are refused because this instance stands by, or came back a moment ago. Its zero value
+// standby says whether new connections are refused because this instance is on standby, or returned from it a moment ago. Its zero value
 // refuses none.
 type standby struct {
 	state      atomic.Int64 // onStandby, 0 for none, or the moment of the return on the server's clock, plus one
@@ -50,7 +50,7 @@
 }
 
 // SetStandby begins or ends a standby. While it lasts, clients' connections end once their requests are answered, and new ones are
-// refused. After its end new ones are admitted again at a rate that rises over the recovery time, so that an instance that comes back
+// refused. After its end new ones are admitted again at a rate that rises over the recovery time, so that an instance that returns
 // is not flooded.
 func (s *Server) SetStandby(on bool, recovery time.Duration) {
 	if !on {
--- a/tcpconn/tcpconn.go
+++ b/tcpconn/tcpconn.go
@@ -81,15 +81,15 @@
 	return raw.Read(hungUp)
 }
 
-// Presence tells whether the other side of a connection has closed it, whatever it sent before and nobody has read. It may be asked
+// PeerMonitor reports whether the other side of a connection has closed it, whatever it sent before and nobody has read. It may be asked
 // from any goroutine, also after the connection was closed here.
-type Presence struct{ raw syscall.RawConn }
+type PeerMonitor struct{ raw syscall.RawConn }
 
-// NewPresence returns the Presence of a connection.
-func NewPresence(raw syscall.RawConn) *Presence { return &Presence{raw} }
+// NewPeerMonitor returns the PeerMonitor of a connection.
+func NewPeerMonitor(raw syscall.RawConn) *PeerMonitor { return &PeerMonitor{raw} }
 
 // Disconnected implements front.ClientConnection. A connection that was closed here counts as closed by the other side.
-func (p *Presence) Disconnected() bool {
+func (p *PeerMonitor) Disconnected() bool {
 	gone := true
 	_ = p.raw.Control(func(fd uintptr) { gone = hungUp(fd) })
 	return gone
--- a/tcpconn/tcpconn_test.go
+++ b/tcpconn/tcpconn_test.go
@@ -12,7 +12,7 @@
 )
 
 // Only a deadline of our own is a wake: a broken connection that shows as ETIMEDOUT, or a call that would block, is none.
-func TestOnlyADeadlineOfOurOwnIsATimeout(t *testing.T) {
+func TestIsTimeoutOnlyForOwnDeadline(t *testing.T) {
 	for err, want := range map[error]bool{
 		os.ErrDeadlineExceeded: true, syscall.ETIMEDOUT: false, syscall.EAGAIN: false, syscall.EHOSTUNREACH: false, io.EOF: false,
 	} {
@@ -22,7 +22,7 @@
 }
 
 // A call that signals interrupt is made again; what it then brings, or fails with, is passed on.
-func TestAnInterruptedCallIsMadeAgain(t *testing.T) {
+func TestInterruptedCallIsRepeated(t *testing.T) {
 	for _, last := range []error{nil, syscall.EAGAIN, syscall.ENOMEM} {
 		calls := 0
 		n, err := uninterrupted(func() (int, error) {
--- a/testsupport/conntest/rig.go
+++ b/testsupport/conntest/harness.go
@@ -1,5 +1,5 @@
-// Package conntest has what tests of the client and the server connections share: a core whose router decides nothing, the ends of the
-// connections, and messages. A Rig owns the core and both listeners, and closes them when its test ends.
+// Package conntest has what tests of the client and the server connections share: a core with a trivial router, the ends of the
+// connections, and messages. A Harness owns the core and both listeners, and closes them when its test ends.
 package conntest
 
 import (
@@ -23,8 +23,8 @@
 // patience ends a test that fails, and is long enough for a busy machine.
 const patience = 15 * time.Second
 
-// Rig is a router's core between the connections of a test's clients and of a fake server.
-type Rig struct {
+// Harness is a router's core between the connections of a test's clients and of a fake server.
+type Harness struct {
 	T        *testing.T
 	Router   *Router
 	Core     *front.Core
@@ -35,17 +35,17 @@
 	Served   chan error       // what the client server's Serve returned
 }
 
-// New makes a Rig that is not started.
-func New(t *testing.T, limiter *limits.Descriptors) *Rig {
-	return &Rig{T: t, Router: newRouter(), Clock: monotonic.NewClock(), Limiter: limiter,
+// New returns a Harness that is not started.
+func New(t *testing.T, limiter *limits.Descriptors) *Harness {
+	return &Harness{T: t, Router: newRouter(), Clock: monotonic.NewClock(), Limiter: limiter,
 		Listener: Listen(t), Upstream: Listen(t), Served: make(chan error, 1)}
 }
 
 // Post passes an event to the core.
-func (g *Rig) Post(e front.Event) { g.Core.Post(e) }
+func (g *Harness) Post(e front.Event) { g.Core.Post(e) }
 
 // Start runs the core and serves clients until the test ends.
-func (g *Rig) Start(pools front.Pools, serve func(*net.TCPListener) error) {
+func (g *Harness) Start(pools front.Pools, serve func(*net.TCPListener) error) {
 	s := &deployment.Settings{TypeNames: []string{"read", "write"}, ZoneNames: []string{"a"},
 		RequestTypes: []routing.RequestType{{Deadline: time.Minute}, {Deadline: time.Minute, Consistency: routing.Write}},
 		Limits:       routing.Limits{MaxAttempts: 9, DialTimeout: 5 * time.Second}}
@@ -67,7 +67,7 @@
 }
 
 // Serve takes one request through and returns the two connections, which are idle.
-func (g *Rig) Serve() (client, server *Peer) {
+func (g *Harness) Serve() (client, server *Peer) {
 	client = g.Client()
 	client.Send(ReadQuery("4000")...)
 	server = g.AcceptServer()
@@ -79,20 +79,20 @@
 }
 
 // List posts an endpoint list of one server, of which since is the start in Unix milliseconds.
-func (g *Rig) List(address string, since int64) {
+func (g *Harness) List(address string, since int64) {
 	g.Core.Post(front.EndpointsChanged{Kind: routing.Snapshot, List: discovery.List{Endpoints: []discovery.Endpoint{
 		{Name: "s-1", Address: address, Zone: "a", Group: 2, StartedAtMillis: since}}}})
 }
 
 // Dial connects a client.
-func (g *Rig) Dial() *Peer {
+func (g *Harness) Dial() *Peer {
 	c, err := net.Dial("tcp", g.Listener.Addr().String())
 	require.NoError(g.T, err)
 	return NewPeer(g.T, c)
 }
 
 // Client connects a client and reads its greeting.
-func (g *Rig) Client() *Peer {
+func (g *Harness) Client() *Peer {
 	p := g.Dial()
 	p.Send(pgwire.AppendStartup(nil, "portal", "crm")...)
 	p.Expect("RSSSSZ")
@@ -100,7 +100,7 @@
 }
 
 // AcceptStartup accepts a connection to the fake server and reads its startup message.
-func (g *Rig) AcceptStartup() *Peer {
+func (g *Harness) AcceptStartup() *Peer {
 	c, err := g.Upstream.Accept()
 	require.NoError(g.T, err)
 	p := NewPeer(g.T, c)
@@ -110,14 +110,14 @@
 }
 
 // AcceptServer accepts a connection to the fake server and greets it.
-func (g *Rig) AcceptServer() *Peer {
+func (g *Harness) AcceptServer() *Peer {
 	p := g.AcceptStartup()
 	p.Send(pgwire.AppendGreeting(nil)...)
 	return p
 }
 
 // AnswerAll has the fake server answer each statement, and counts them.
-func (g *Rig) AnswerAll() *atomic.Int64 {
+func (g *Harness) AnswerAll() *atomic.Int64 {
 	var statements atomic.Int64
 	go func() {
 		for {
@@ -153,7 +153,7 @@
 }
 
 // DiscardEvents takes what the router notes, so that the core never waits for the test.
-func (g *Rig) DiscardEvents() {
+func (g *Harness) DiscardEvents() {
 	go func() {
 		for {
 			select {
@@ -168,7 +168,7 @@
 }
 
 // Eventually waits until a condition holds.
-func (g *Rig) Eventually(condition func() bool) {
+func (g *Harness) Eventually(condition func() bool) {
 	g.T.Helper()
 	require.Eventually(g.T, condition, 10*time.Second, time.Millisecond)
 }
--- a/testsupport/conntest/peer.go
+++ b/testsupport/conntest/peer.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// Expect reads a message of each type, and returns the body of the last one that is no ReadyForQuery.
+// Expect reads a message of each type, and returns the body of the last one that is not a ReadyForQuery.
 func (p *Peer) Expect(types string) (last []byte) {
 	p.t.Helper()
 	for _, want := range types {
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -35,7 +35,7 @@
 	cancelled atomic.Bool         // the attempt in flight was cancelled
 }
 
-// pass tells a connection that was taken off its pool what to do next: an attempt, or nil for its end. It does not block.
+// pass gives a connection that was taken off its pool its next attempt, or nil for its end. It does not block.
 func (c *conn) pass(a *front.Attempt) {
 	c.next <- a
 	tcpconn.Wake(c.tcp)
@@ -139,8 +139,8 @@
 	if typ != 'D' || len(body) <= maxReused {
 		return answer.AddMessage(typ, body)
 	}
-	kept, err := answer.AddRowInPlace(body)
-	if kept {
+	inPlace, err := answer.AddRowInPlace(body)
+	if inPlace {
 		_, reserved := c.reader.Detach()
 		c.reserved += reserved
 	}
--- a/upstream/dial.go
+++ b/upstream/dial.go
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// postOpenError tells the core that an attempt's connection did not come up.
+// postOpenError reports to the core that the connection of an attempt could not be opened.
 func (c *conn) postOpenError(a *front.Attempt, err error) {
 	var rejected *RejectedError
 	switch {
@@ -116,7 +116,7 @@
 	return errors.Is(err, context.DeadlineExceeded) || tcpconn.IsTimeout(err)
 }
 
-// isLocal reports whether a dial failed for want of a resource of this machine, which says nothing of the server.
+// isLocal reports whether a dial failed for want of a resource of this machine, which is no fault of the server.
 func isLocal(err error) bool {
 	var number syscall.Errno
 	if !errors.As(err, &number) {
--- a/upstream/dial_test.go
+++ b/upstream/dial_test.go
@@ -18,10 +18,10 @@
 	syscall.ENETUNREACH, syscall.EAGAIN, syscall.EINTR}
 
 // A dial that fails for a moment for want of this machine's own is tried again: the request is served, and the member is not blamed.
-func TestADialThatFailsHereIsTriedAgain(t *testing.T) {
+func TestLocalDialFailureIsRetried(t *testing.T) {
 	for _, number := range ofThisMachine {
 		t.Run(number.Error(), func(t *testing.T) {
-			g := newRig(t, 40)
+			g := newHarness(t, 40)
 			var tries atomic.Int64
 			g.pools.dialControl = func(string, string, syscall.RawConn) error {
 				if tries.Add(1) <= 3 {
@@ -37,7 +37,7 @@
 		})
 	}
 	t.Run("and goes on failing", func(t *testing.T) { // it tells nothing of the member
-		g := newRig(t, 40)
+		g := newHarness(t, 40)
 		g.pools.options.DialTimeout = 400 * time.Millisecond // a hold-up of 0.15 s is shorter than half of it
 		g.pools.dialControl = func(string, string, syscall.RawConn) error { return os.NewSyscallError("connect", syscall.ENOBUFS) }
 		c := g.Client()
@@ -48,8 +48,8 @@
 }
 
 // A last try that has next to no time left ends at the deadline, whoever is to blame: it is not held against the member.
-func TestADeadlineAfterFailuresOfThisMachineIsNotHeldAgainstTheMember(t *testing.T) {
-	g := newRig(t, 40)
+func TestDialTimeoutAfterLocalFailureIsNotTheServersFault(t *testing.T) {
+	g := newHarness(t, 40)
 	g.pools.options.DialTimeout = 50 * time.Millisecond
 	var tries atomic.Int64
 	g.pools.dialControl = func(string, string, syscall.RawConn) error {
@@ -67,8 +67,8 @@
 }
 
 // A single failure here does not excuse a member that then has most of the time and does not answer.
-func TestAMemberThatDoesNotAnswerAfterOneFailureHereIsBlamed(t *testing.T) {
-	g := newRig(t, 40)
+func TestDialTimeoutWithMostOfTheTimeIsTheServersFault(t *testing.T) {
+	g := newHarness(t, 40)
 	g.pools.options.DialTimeout = time.Second
 	var tries atomic.Int64
 	g.pools.dialControl = func(string, string, syscall.RawConn) error {
@@ -83,9 +83,9 @@
 }
 
 // What says of the member that it is not there still does.
-func TestADialThatTheMemberDoesNotAnswerIsHeldAgainstIt(t *testing.T) {
+func TestRemoteDialFailureIsTheServersFault(t *testing.T) {
 	for _, number := range []syscall.Errno{syscall.ECONNREFUSED, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET} {
-		g := newRig(t, 40)
+		g := newHarness(t, 40)
 		g.pools.dialControl = func(string, string, syscall.RawConn) error { return os.NewSyscallError("connect", number) }
 		g.Client().Send(conntest.ReadQuery("4000")...)
 		assert.Equal(t, routing.Unreachable, (<-g.Router.Finished).Result, number.Error())
--- a/upstream/rig_test.go
+++ b/upstream/harness_test.go
@@ -12,15 +12,15 @@
 	"dapplerouter/testsupport/conntest"
 )
 
-// rig is Pools between the connections of a test's clients and a fake server.
-type rig struct {
-	*conntest.Rig
+// harness is Pools between the connections of a test's clients and a fake server.
+type harness struct {
+	*conntest.Harness
 	pools  *Pools
 	server *server.Server
 }
 
-func newRig(t *testing.T, descriptors int) *rig {
-	g := &rig{Rig: conntest.New(t, limits.NewDescriptors(limits.SharesOf(descriptors, 0)))}
+func newHarness(t *testing.T, descriptors int) *harness {
+	g := &harness{Harness: conntest.New(t, limits.NewDescriptors(limits.SharesOf(descriptors, 0)))}
 	g.pools = NewPools(Options{Post: g.Post, Limiter: g.Limiter, User: "portal", Database: "crm", DialTimeout: 5 * time.Second,
 		IdleTimeout: time.Minute, MemoryBytes: 32 << 20})
 	g.server = server.New(server.Options{Post: g.Post, Limiter: g.Limiter, Clock: g.Clock, WriteTimeout: 5 * time.Second,
@@ -30,23 +30,23 @@
 }
 
 // serve takes one request through and leaves its connections idle.
-func (g *rig) serve() (c, m *conntest.Peer) {
+func (g *harness) serve() (c, m *conntest.Peer) {
 	c, m = g.Serve()
 	require.Equal(g.T, 1, g.idle())
 	return c, m
 }
 
-func (g *rig) idle() int {
+func (g *harness) idle() int {
 	g.pools.mu.Lock()
 	defer g.pools.mu.Unlock()
 	return len(g.pools.pool(0).idle)
 }
 
-func (g *rig) address() string {
+func (g *harness) address() string {
 	g.pools.mu.Lock()
 	defer g.pools.mu.Unlock()
 	return g.pools.pool(0).address
 }
 
 // settled waits until so many links are idle.
-func (g *rig) settled(idle int) { g.Eventually(func() bool { return g.idle() == idle }) }
+func (g *harness) settled(idle int) { g.Eventually(func() bool { return g.idle() == idle }) }
--- a/upstream/pools.go
+++ b/upstream/pools.go
@@ -1,6 +1,6 @@
 // Package upstream holds the connections to the database servers: a pool for each server, dialling, the startup exchange, and the
-// exchange of one attempt. It decides nothing: the core chooses the server of an attempt, and hears how it ended by an
-// AttemptFinished event.
+// exchange of one attempt. It decides nothing: the core chooses the server of an attempt, and is notified of its result by
+// an AttemptFinished event.
 //
 // Pools owns the pools; its mutex guards them and each pool's list of idle connections. A connection belongs to the goroutine that
 // serves it. Whoever takes an idle connection off its pool's list, and nobody else, passes it its next attempt, or nil for its end.
@@ -114,7 +114,7 @@
 	go c.serve(a)
 }
 
-// postError tells the core that no connection could carry an attempt to its end.
+// postError reports to the core that an attempt failed without a server's answer.
 func (ps *Pools) postError(a *front.Attempt, stage front.FailureStage, err error) {
 	ps.options.Post(&front.AttemptFinished{Attempt: a, Err: &front.ConnectionError{Stage: stage, Err: err}})
 }
--- a/upstream/pools_test.go
+++ b/upstream/pools_test.go
@@ -21,8 +21,8 @@
 
 // A member's connection that comes up late must not carry a request whose client has left meanwhile, also where the site lets
 // nothing be taken back; nor while the core is at something else.
-func TestNothingIsSentForAClientThatLeftWhileAConnectionCameUp(t *testing.T) {
-	g := newRig(t, 40)
+func TestNothingSentForClientThatLeftDuringDial(t *testing.T) {
+	g := newHarness(t, 40)
 	c := g.Client()
 	c.Send(conntest.ReadQuery("4000")...)
 	m := g.AcceptStartup() // no welcome yet
@@ -42,8 +42,8 @@
 }
 
 // A member's connection that comes up behind its request's end carries nothing of it, and is kept for others.
-func TestAConnectionThatComesUpTooLateCarriesNothing(t *testing.T) {
-	g := newRig(t, 40)
+func TestLateConnectionIsKeptIdle(t *testing.T) {
+	g := newHarness(t, 40)
 	c := g.Client()
 	c.Send(conntest.ReadQuery("60")...)
 	m := g.AcceptStartup()
@@ -58,9 +58,9 @@
 }
 
 // So do members' long messages. One that finds no room counts as an answer that cannot be read.
-func TestALongAnswerThatFindsNoRoomIsAnError(t *testing.T) {
-	g := newRig(t, 60)
-	held := func() int64 { return g.pools.bodies.Held() }
+func TestLongResultOverMemoryLimitIsAnError(t *testing.T) {
+	g := newHarness(t, 60)
+	held := func() int64 { return g.pools.bodies.Reserved() }
 	g.pools.bodies = limits.NewMemory(300 << 10)
 	long := conntest.RowResponse(strings.Repeat("v", 200<<10))
 	first, second := g.Client(), g.Client()
@@ -81,9 +81,9 @@
 }
 
 // The room of a long row is given back as well where its answer never ends.
-func TestALongAnswerThatBreaksOffGivesItsRoomBack(t *testing.T) {
-	g := newRig(t, 60)
-	held := func() int64 { return g.pools.bodies.Held() }
+func TestIncompleteLongResultReleasesMemory(t *testing.T) {
+	g := newHarness(t, 60)
+	held := func() int64 { return g.pools.bodies.Reserved() }
 	long := conntest.RowResponse(strings.Repeat("v", 200<<10))
 	c := g.Client()
 	c.Send(conntest.ReadQuery("4000")...)
@@ -96,8 +96,8 @@
 	g.Eventually(func() bool { return held() == 0 })
 }
 
-func TestWhatIsGivenUpIsCutAtTheMember(t *testing.T) {
-	g := newRig(t, 40)
+func TestTimedOutAttemptIsCancelledAtServer(t *testing.T) {
+	g := newHarness(t, 40)
 	c := g.Client()
 	c.Send(conntest.ReadQuery("60")...)
 	m := g.AcceptServer()
@@ -112,19 +112,21 @@
 	c.Expect("TDCZ")
 }
 
-func TestHowFarASubmissionHadCome(t *testing.T) {
+func TestAttemptResultByStageOfFailure(t *testing.T) {
 	for name, x := range map[string]struct {
-		act  func(g *rig)
+		act  func(g *harness)
 		want routing.AttemptResult
 	}{
-		"refused":               {func(g *rig) { g.Upstream.Close() }, routing.Unreachable},
-		"closed before welcome": {func(g *rig) { g.AcceptStartup().Close() }, routing.Unreachable},
-		"no sense as welcome":   {func(g *rig) { g.AcceptStartup().Send(conntest.Message('?', "")...) }, routing.Unreachable},
-		"an answer with the welcome": {func(g *rig) {
+		"refused":               {func(g *harness) { g.Upstream.Close() }, routing.Unreachable},
+		"closed before welcome": {func(g *harness) { g.AcceptStartup().Close() }, routing.Unreachable},
+		"no sense as welcome":   {func(g *harness) { g.AcceptStartup().Send(conntest.Message('?', "")...) }, routing.Unreachable},
+		"an answer with the welcome": {func(g *harness) {
 			g.AcceptStartup().Send(append(pgwire.AppendGreeting(nil), conntest.RowResponse("v")...)...)
 		}, routing.Unreachable},
-		"half a line with the welcome": {func(g *rig) { g.AcceptStartup().Send(append(pgwire.AppendGreeting(nil), conntest.Row("v")[:20]...)...) }, routing.Unreachable},
-		"the end with the welcome": {func(g *rig) { // in one piece, however busy the machine is
+		"half a line with the welcome": {func(g *harness) {
+			g.AcceptStartup().Send(append(pgwire.AppendGreeting(nil), conntest.Row("v")[:20]...)...)
+		}, routing.Unreachable},
+		"the end with the welcome": {func(g *harness) { // in one piece, however busy the machine is
 			m := g.AcceptStartup()
 			raw, err := m.Conn.(*net.TCPConn).SyscallConn()
 			require.NoError(g.T, err)
@@ -133,23 +135,25 @@
 			m.Send(pgwire.AppendGreeting(nil)...)
 			m.Close()
 		}, routing.Unreachable},
-		"turned away at welcome": {func(g *rig) { g.AcceptStartup().Send(pgwire.AppendErrorResponse(nil, "FATAL", "53300", "full", "")...) }, routing.Overloaded},
-		"closed after the query": {func(g *rig) { m := g.AcceptServer(); m.Expect("Q"); m.Close() }, routing.ConnectionLost},
-		"closed within the row":  {func(g *rig) { m := g.AcceptServer(); m.Expect("Q"); m.Send(conntest.Row("v")[:40]...); m.Close() }, routing.ConnectionLost},
-		"two rows": {func(g *rig) {
+		"turned away at welcome": {func(g *harness) {
+			g.AcceptStartup().Send(pgwire.AppendErrorResponse(nil, "FATAL", "53300", "full", "")...)
+		}, routing.Overloaded},
+		"closed after the query": {func(g *harness) { m := g.AcceptServer(); m.Expect("Q"); m.Close() }, routing.ConnectionLost},
+		"closed within the row":  {func(g *harness) { m := g.AcceptServer(); m.Expect("Q"); m.Send(conntest.Row("v")[:40]...); m.Close() }, routing.ConnectionLost},
+		"two rows": {func(g *harness) {
 			m := g.AcceptServer()
 			m.Expect("Q")
 			m.Send(append(conntest.Row("v"), conntest.RowResponse("w")...)...)
 		}, routing.ServerError},
-		"a row's wrong length, the rest never sent": {func(g *rig) {
+		"a row's wrong length, the rest never sent": {func(g *harness) {
 			m := g.AcceptServer()
 			m.Expect("Q")
 			m.Send(conntest.Row("v")[:len(conntest.Row(""))-25]...)
 			m.Send('D', 0, 0, 9, 0, 0, 1, 0, 0, 0, 1)
 		}, routing.ServerError},
-		"noise":     {func(g *rig) { m := g.AcceptServer(); m.Expect("Q"); m.Send([]byte("zzzz\x00")...) }, routing.ServerError},
-		"oversized": {func(g *rig) { m := g.AcceptServer(); m.Expect("Q"); m.Send('D', 127, 0, 0, 0) }, routing.ServerError},
-		"a fatal error": {func(g *rig) {
+		"noise":     {func(g *harness) { m := g.AcceptServer(); m.Expect("Q"); m.Send([]byte("zzzz\x00")...) }, routing.ServerError},
+		"oversized": {func(g *harness) { m := g.AcceptServer(); m.Expect("Q"); m.Send('D', 127, 0, 0, 0) }, routing.ServerError},
+		"a fatal error": {func(g *harness) {
 			m := g.AcceptServer()
 			m.Expect("Q")
 			m.Send(pgwire.AppendErrorResponse(nil, "FATAL", "72000", "behind", "")...)
@@ -157,7 +161,7 @@
 		}, routing.Misrouted},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newRig(t, 40)
+			g := newHarness(t, 40)
 			c := g.Client()
 			if x.want == routing.Unreachable && name == "refused" {
 				x.act(g)
@@ -172,8 +176,8 @@
 	}
 }
 
-func TestAnIdleConnectionThatEndedIsNotUsed(t *testing.T) {
-	g := newRig(t, 40)
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
+	g := newHarness(t, 40)
 	c, m := g.serve()
 	m.Close()
 	g.Eventually(func() bool { return g.idle() == 0 })
@@ -186,19 +190,19 @@
 }
 
 // The day of bad members: what came unasked answered the next attempt of the link, and so on, 416 times.
-func TestSurplusBytesSpoilTheLinkAndNothingElse(t *testing.T) {
-	for name, after := range map[string]func(g *rig, m *conntest.Peer){
-		"with the answer": func(g *rig, m *conntest.Peer) {
+func TestSurplusDataClosesOnlyItsConnection(t *testing.T) {
+	for name, after := range map[string]func(g *harness, m *conntest.Peer){
+		"with the answer": func(g *harness, m *conntest.Peer) {
 			m.Send(append(conntest.RowResponse("v"), conntest.RowResponse("stale")...)...)
 		},
-		"on an idle link": func(g *rig, m *conntest.Peer) {
+		"on an idle link": func(g *harness, m *conntest.Peer) {
 			m.Send(conntest.RowResponse("v")...)
 			g.settled(1)
 			m.Send(conntest.RowResponse("stale")...)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newRig(t, 40)
+			g := newHarness(t, 40)
 			c := g.Client()
 			c.Send(conntest.ReadQuery("4000")...)
 			m := g.AcceptServer()
@@ -217,13 +221,13 @@
 }
 
 // A link that was taken just as its member spoke or ended is left unused: nothing of the attempt was sent.
-func TestASubmissionOnASpoiltLinkTakesAnother(t *testing.T) {
+func TestAttemptOnSpoiltConnectionUsesAnother(t *testing.T) {
 	for name, spoil := range map[string]func(m *conntest.Peer){
 		"bytes": func(m *conntest.Peer) { m.Send(conntest.RowResponse("stale")...) },
 		"end":   func(m *conntest.Peer) { m.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newRig(t, 40)
+			g := newHarness(t, 40)
 			ended := make(chan front.Event, 1)
 			g.pools.options.Post = func(e front.Event) { ended <- e }
 			g.Eventually(func() bool { return g.address() != "" })
@@ -247,8 +251,8 @@
 }
 
 // What takes the place of a failed attempt must not be out beside it.
-func TestALinkIsClosedBeforeItsFailureIsTold(t *testing.T) {
-	g := newRig(t, 40)
+func TestConnectionClosedBeforeFailureIsPosted(t *testing.T) {
+	g := newHarness(t, 40)
 	post, m, seen := g.pools.options.Post, make(chan *conntest.Peer, 1), make(chan error, 1)
 	g.pools.options.Post = func(e front.Event) {
 		_, _, err := (<-m).Reader.Next()
@@ -264,19 +268,19 @@
 	assert.Equal(t, routing.ServerError, (<-g.Router.Finished).Result, "the member is there")
 }
 
-func TestConnectionsFromBeforeAMembersStartAreClosed(t *testing.T) {
-	g := newRig(t, 40)
+func TestConnectionsBeforeServerRestartAreClosed(t *testing.T) {
+	g := newHarness(t, 40)
 	_, m := g.serve()
 	g.List(g.Upstream.Addr().String(), time.Now().Add(time.Hour).UnixMilli())
 	m.ExpectClosed()
-	g = newRig(t, 40)
+	g = newHarness(t, 40)
 	_, m = g.serve()
 	g.List("127.0.0.1:1", 0)
 	m.ExpectClosed() // it moved
 }
 
-func TestAForgottenMembersLinksEndAndItsPlaceStartsAnew(t *testing.T) {
-	g := newRig(t, 40)
+func TestRemovedServersConnectionsAreNotReused(t *testing.T) {
+	g := newHarness(t, 40)
 	_, idle := g.serve()
 	g.pools.mu.Lock()
 	l := g.pools.pools[0].idle[0]
--- a/upstream/server_bytes_test.go
+++ b/upstream/server_bytes_test.go
@@ -33,7 +33,7 @@
 // deadline is the only part that differs from run to run, and a probe.
 func TestBytesSentToServers(t *testing.T) {
 	const file = "testdata/server_messages.txt"
-	g := newRig(t, 40)
+	g := newHarness(t, 40)
 	g.DiscardEvents()
 	c := g.Client()
 	c.Send(pgwire.AppendQuery(nil, "SELECT data FROM facts WHERE code = 'k' /* id=r1,c=read,d=60000,cluster=2 */")...)
