--- a/cmd/dapplerouter/serve.go
+++ b/cmd/dapplerouter/serve.go
@@ -142,7 +142,7 @@
 		post(front.AdoptConfig{Rules: operator.rules})
 	}
 	if across != nil {
-		core.SetStaticEndpoints(link.RemoteEntries(operator.gateway.PeerSite, operator.gateway.Groups, gateway.Connecting))
+		core.SetStaticEndpoints(link.RemoteEndpoints(operator.gateway.PeerSite, operator.gateway.Groups, gateway.Connecting))
 	}
 	for _, why := range told.SkippedEndpoints {
 		slog.Warn("an entry of the known list is passed over", "why", why)
--- /dev/null
+++ b/gateway/link/executions.go
@@ -0,0 +1,100 @@
+package link
+
+import (
+	"errors"
+
+	"dapplerouter/front"
+	"dapplerouter/gateway"
+	"dapplerouter/pgwire"
+)
+
+// Requests of the peer that our front executes.
+
+// peerClient is the client, for our front, of a request of the peer.
+type peerClient struct {
+	link      *Link
+	execution uint64
+}
+
+// setExecution notes the front's request of an execution, nil for none any more, and returns what was noted before. The
+// mutex is held.
+func (l *Link) setExecution(number uint64, r *front.Request) (before *front.Request) {
+	before = l.executions[number]
+	if r == nil {
+		delete(l.executions, number)
+	} else {
+		l.executions[number] = r
+	}
+	return before
+}
+
+// execute starts an execution, or cancels one. Posting to the front may block, so the mutex is not held then.
+func (l *Link) execute(p gateway.PeerRequest) {
+	if p.Canceled {
+		l.mu.Lock()
+		r := l.setExecution(p.Execution, nil)
+		l.mu.Unlock()
+		if r != nil {
+			l.opts.Post(r.MarkClientGone())
+		}
+		return
+	}
+	client := &peerClient{l, p.Execution}
+	statement, err := l.opts.ParseStatement(p.Data)
+	if err != nil || statement.Empty {
+		client.Respond(invalidStatement(err))
+		return
+	}
+	statement.Timeout, statement.After = min(statement.Timeout, p.Timeout), max(statement.After, p.After)
+	r := front.NewRequest(client, statement, l.opts.Clock.Now())
+	r.MaxAttempts = int(p.MaxAttempts)
+	l.mu.Lock()
+	l.setExecution(p.Execution, r)
+	l.mu.Unlock()
+	l.opts.Post(r)
+}
+
+// invalidStatement is the response to a statement that cannot be parsed, or to an empty one where err is nil.
+func invalidStatement(err error) front.Response {
+	r := front.Response{Status: front.StatusInvalid, Code: pgwire.CodeSyntaxError, Reason: "an empty statement"}
+	var invalid *pgwire.StatementError
+	if errors.As(err, &invalid) {
+		r.Code, r.Reason = invalid.Code, invalid.Message
+	} else if err != nil {
+		r.Reason = err.Error()
+	}
+	return r
+}
+
+// Respond takes the front's response, on the goroutine of its core. It never blocks.
+func (c *peerClient) Respond(r front.Response) {
+	l := c.link
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.setExecution(c.execution, nil)
+	l.endpoint.ExecutionFinished(l.opts.Clock.Now(), c.execution, resultFrame(&r))
+	l.changed.Broadcast()
+}
+
+// resultFrame translates a response of the front.
+func resultFrame(r *front.Response) gateway.Frame {
+	switch r.Status {
+	case front.StatusSucceeded:
+		if len(r.Rows) > gateway.MaxDataBytes { // it was executed; the value does not fit in a frame
+			return gateway.Frame{Status: gateway.StatusUnknown, Code: pgwire.CodeProgramLimitExceeded}
+		}
+		f := gateway.Frame{Status: gateway.StatusServed, Data: r.Rows, ReplicaPosition: r.Position, Age: r.DataAge, AgeKnown: r.DataAgeKnown}
+		if r.FromPrimary {
+			f.Role = 1
+		}
+		return f
+	case front.StatusRejected:
+		if r.MayHaveRun {
+			return gateway.Frame{Status: gateway.StatusUnknown, Code: pgwire.CodeTooManyConnections}
+		}
+		return gateway.Frame{Status: gateway.StatusRejected, RetryAfter: r.RetryAfter}
+	case front.StatusInvalid:
+		return gateway.Frame{Status: gateway.StatusInvalid, Code: r.Code, Reason: r.Reason}
+	}
+	return gateway.Frame{Status: gateway.StatusUnknown, Code: pgwire.CodeTransactionRollback}
+}
--- a/gateway/link/peer_test.go
+++ b/gateway/link/peer_test.go
@@ -14,13 +14,14 @@
 	"dapplerouter/pgwire"
 )
 
-type steady struct{ born time.Time }
+// steady is a clock without a timer.
+type steady struct{ start time.Time }
 
-func (s steady) Now() time.Duration       { return time.Since(s.born) }
+func (s steady) Now() time.Duration       { return time.Since(s.start) }
 func (s steady) SetTimer(time.Duration)   {}
 func (s steady) TimerC() <-chan time.Time { return nil }
 
-// listening makes a link that a scripted peer dials; what it passes to its front is kept.
+// listening starts a link that a scripted peer dials; posted returns the events passed to its front.
 func listening(t *testing.T) (l *Link, posted func() []front.Event) {
 	var mu sync.Mutex
 	var all []front.Event
@@ -33,7 +34,7 @@
 	return l, func() []front.Event { mu.Lock(); defer mu.Unlock(); return append([]front.Event{}, all...) }
 }
 
-// peer is a scripted one, past its greeting.
+// peer dials a link as a scripted peer and sends its hello.
 func peer(t *testing.T, l *Link, number uint64) (net.Conn, *Codec) {
 	c, err := net.Dial("tcp", l.Addr().String())
 	require.NoError(t, err)
@@ -41,16 +42,16 @@
 	c.SetDeadline(time.Now().Add(10 * time.Second))
 	k := NewCodec(c)
 	require.NoError(t, k.Greet())
-	say(t, k, gateway.Frame{Kind: gateway.FrameHello, Site: "kathmandu", Epoch: 7, ConnectionNumber: number, CreditBytes: gateway.DefaultSettings.CreditBytes})
+	send(t, k, gateway.Frame{Kind: gateway.FrameHello, Site: "kathmandu", Epoch: 7, ConnectionNumber: number, CreditBytes: gateway.DefaultSettings.CreditBytes})
 	return c, k
 }
 
-func say(t *testing.T, k *Codec, f gateway.Frame) {
+func send(t *testing.T, k *Codec, f gateway.Frame) {
 	require.NoError(t, k.Append(&f))
 	require.NoError(t, k.Flush())
 }
 
-func TestAPeerWithoutSenseLosesItsConnectionAndNothingElse(t *testing.T) {
+func TestProtocolViolationEndsTheConnectionAndNothingElse(t *testing.T) {
 	l, posted := listening(t)
 	statement := append([]byte("SELECT 'x' /* id=a,c=browse,d=500,cluster=1 */"), 0)
 	for i, f := range []gateway.Frame{
@@ -65,18 +66,17 @@
 		var h gateway.Frame
 		require.NoError(t, k.Read(&h))
 		require.Equal(t, gateway.FrameHello, h.Kind)
-		say(t, k, f)
-		for k.Read(&h) == nil { // a ping may come first
-		}
+		send(t, k, f)
+		readToEnd(k) // a ping may arrive first
 		c.Close()
 	}
-	// Results for crossings that nobody sent, cancels and questions of what never came, are no nonsense: they may be late.
+	// Results of requests that nobody sent, cancellations and outcome requests of what never arrived are no violations: they may be late.
 	_, k := peer(t, l, 100)
 	var h gateway.Frame
 	require.NoError(t, k.Read(&h))
-	say(t, k, gateway.Frame{Kind: gateway.FrameResult, ID: 77, Status: gateway.StatusServed, Data: []byte("x")})
-	say(t, k, gateway.Frame{Kind: gateway.FrameCancel, ID: 78})
-	say(t, k, gateway.Frame{Kind: gateway.FrameOutcomeRequest, ID: 79, AttemptNumber: 1, Serial: 9})
+	send(t, k, gateway.Frame{Kind: gateway.FrameResult, ID: 77, Status: gateway.StatusServed, Data: []byte("x")})
+	send(t, k, gateway.Frame{Kind: gateway.FrameCancel, ID: 78})
+	send(t, k, gateway.Frame{Kind: gateway.FrameOutcomeRequest, ID: 79, AttemptNumber: 1, Serial: 9})
 	for h.Kind != gateway.FrameNotExecuted {
 		require.NoError(t, k.Read(&h))
 	}
@@ -87,8 +87,8 @@
 	}
 }
 
-// An old connection revives beside the new one: it is refused, and the new one lives.
-func TestAnOlderConnectionIsRefusedAndTheNewerOneLives(t *testing.T) {
+// An older connection comes to life beside the new one: it is rejected, and the new one lives.
+func TestStaleConnectionIsRejectedAndTheNewerOneLives(t *testing.T) {
 	l, _ := listening(t)
 	_, newer := peer(t, l, 5)
 	var h gateway.Frame
@@ -97,30 +97,30 @@
 	require.NoError(t, older.Read(&h))
 	assert.Equal(t, gateway.FrameReject, h.Kind)
 	assert.Contains(t, h.Reason, "older than 5")
-	say(t, newer, gateway.Frame{Kind: gateway.FrameOutcomeRequest, ID: 1, AttemptNumber: 1, Serial: 1})
+	send(t, newer, gateway.Frame{Kind: gateway.FrameOutcomeRequest, ID: 1, AttemptNumber: 1, Serial: 1})
 	for h.Kind != gateway.FrameNotExecuted {
 		require.NoError(t, newer.Read(&h))
 	}
 }
 
-func TestAnotherVersionAndAnotherProgramAreToldClearly(t *testing.T) {
+func TestOtherVersionsAndProgramsAreNamedInTheError(t *testing.T) {
 	l, _ := listening(t)
-	for first, want := range map[string]string{"DRLK\x00\x09": "version 9", "GET / ": "no gateway"} {
+	for _, p := range []struct{ first, want string }{{"DRLK\x00\x09", "version 9"}, {"GET / ", "no gateway"}} {
 		c, err := net.Dial("tcp", l.Addr().String())
 		require.NoError(t, err)
-		k := NewCodec(&other{Conn: c, first: first})
+		k := NewCodec(&other{Conn: c, first: p.first})
 		err = k.Greet()
 		c.Close()
-		require.NoError(t, err, "the listener speaks its own version first")
+		require.NoError(t, err, "the listener sends its own version first")
 		a, b := net.Pipe()
-		go func() { b.Write([]byte(first)); b.Read(make([]byte, 6)) }()
+		go func() { b.Write([]byte(p.first)); b.Read(make([]byte, 6)) }()
 		go b.Read(make([]byte, 6))
-		assert.ErrorContains(t, NewCodec(a).Greet(), want)
+		assert.ErrorContains(t, NewCodec(a).Greet(), p.want)
 		a.Close()
 	}
 }
 
-// other writes another greeting than it is given.
+// other writes another preamble than it is given.
 type other struct {
 	net.Conn
 	first string
--- a/gateway/link/wire_test.go
+++ b/gateway/link/wire_test.go
@@ -16,8 +16,8 @@
 	"dapplerouter/gateway"
 )
 
-// pinned compares text with a file of testdata, line by line.
-func pinned(t *testing.T, file string, got []string) {
+// assertGolden compares lines with a file of testdata.
+func assertGolden(t *testing.T, file string, got []string) {
 	t.Helper()
 	want, err := os.ReadFile("testdata/" + file)
 	require.NoError(t, err)
@@ -33,7 +33,7 @@
 func (s *stream) Read(b []byte) (int, error)  { return s.in.Read(b) }
 func (s *stream) Write(b []byte) (int, error) { return s.out.Write(b) }
 
-// fullFrame has every field set, so that the place of each is pinned.
+// fullFrame has every field set, so that the place of each is compared.
 func fullFrame(kind gateway.FrameKind) gateway.Frame {
 	return gateway.Frame{Kind: kind, ID: 1 << 40, AttemptNumber: 3, Serial: 1 << 33, Group: -7, Timeout: 1500 * time.Millisecond, MaxAttempts: 2,
 		Write: true, After: 1767225600123, Data: []byte("SELECT 1\x00"), Status: gateway.StatusUnknown, Code: "40000", Reason: "reason",
@@ -68,85 +68,85 @@
 		require.NoError(t, k.Read(&back))
 		assert.Equal(t, f, back)
 	}
-	pinned(t, "frames.txt", got)
+	assertGolden(t, "frames.txt", got)
 }
 
-// The core is driven through a script: what it sends, in which order, byte for byte.
+// An endpoint is driven through a script: what it sends, in which order, byte for byte.
 func TestFramesOfAScriptedExchange(t *testing.T) {
 	const ms = time.Millisecond
 	set := gateway.DefaultSettings
 	set.HeartbeatInterval, set.PeerTimeout = 100*ms, 300*ms
-	side := gateway.New(set, 100)
+	endpoint := gateway.New(set, 100)
 	var got []string
 	out := func(now time.Duration, event string) {
-		for f, ok := side.NextFrame(now); ok; f, ok = side.NextFrame(now) {
+		for f, ok := endpoint.NextFrame(now); ok; f, ok = endpoint.NextFrame(now) {
 			s := &stream{}
 			k := NewCodec(s)
 			require.NoError(t, k.Append(&f))
 			require.NoError(t, k.Flush())
 			got = append(got, fmt.Sprintf("%s: %x", event, s.out.Bytes()))
 		}
-		for _, e := range side.TakeOutcomes() {
+		for _, e := range endpoint.TakeOutcomes() {
 			word := gateway.ResultStatus(0)
 			if e.Result != nil {
 				word = e.Result.Status
 			}
 			got = append(got, fmt.Sprintf("%s: end %d %d never=%t full=%t word=%d took=%v", event, e.ID, e.AttemptNumber, e.NotExecuted, e.Overloaded, word, e.Elapsed))
 		}
-		for _, s := range side.TakePeerRequests() {
+		for _, s := range endpoint.TakePeerRequests() {
 			got = append(got, fmt.Sprintf("%s: start %d abort=%t %d %v %d %d %q", event, s.Execution, s.Canceled, s.Group, s.Timeout, s.MaxAttempts, s.After, s.Data))
 		}
 	}
-	cross := func(now time.Duration, id uint64, try uint32, group int64) {
-		side.Forward(now, gateway.ForwardedRequest{ID: id, AttemptNumber: try, Group: group, Deadline: now + 2*time.Second, MaxAttempts: 2, Write: true, After: 17,
+	forward := func(now time.Duration, id uint64, attempt uint32, group int64) {
+		endpoint.Forward(now, gateway.ForwardedRequest{ID: id, AttemptNumber: attempt, Group: group, Deadline: now + 2*time.Second, MaxAttempts: 2, Write: true, After: 17,
 			Message: []byte("SELECT 1\x00")})
 	}
-	take := func(now time.Duration, f gateway.Frame) { require.NoError(t, side.Receive(now, &f)) }
+	receive := func(now time.Duration, f gateway.Frame) { require.NoError(t, endpoint.Receive(now, &f)) }
 	hello := gateway.Frame{Kind: gateway.FrameHello, Site: "pokhara", Epoch: 7, ConnectionNumber: 1, CreditBytes: 1 << 20}
 
-	cross(0, 1, 0, 3)
+	forward(0, 1, 0, 3)
 	out(0, "forward before the link is up")
-	require.NoError(t, side.AcceptHello(0, &hello, 1, true))
+	require.NoError(t, endpoint.AcceptHello(0, &hello, 1, true))
 	out(0, "greeted")
-	require.NoError(t, side.Receive(0, &gateway.Frame{Kind: gateway.FramePing}))
+	require.NoError(t, endpoint.Receive(0, &gateway.Frame{Kind: gateway.FramePing}))
 	for id := uint64(2); id <= 6; id++ {
-		cross(ms, id, 0, int64(id%2))
+		forward(ms, id, 0, int64(id%2))
 	}
 	out(ms, "five requests of two groups")
-	take(2*ms, gateway.Frame{Kind: gateway.FrameResult, ID: 2, Status: gateway.StatusServed, Data: []byte("row")})
-	take(2*ms, gateway.Frame{Kind: gateway.FrameResult, ID: 3, Status: gateway.StatusRejected, RetryAfter: time.Second})
+	receive(2*ms, gateway.Frame{Kind: gateway.FrameResult, ID: 2, Status: gateway.StatusServed, Data: []byte("row")})
+	receive(2*ms, gateway.Frame{Kind: gateway.FrameResult, ID: 3, Status: gateway.StatusRejected, RetryAfter: time.Second})
 	out(2*ms, "two results")
-	side.Cancel(4, 0)
+	endpoint.Cancel(4, 0)
 	out(3*ms, "request 4 given up")
-	side.ConnectionLost(4 * ms)
+	endpoint.ConnectionLost(4 * ms)
 	out(4*ms, "link lost")
 	hello.ConnectionNumber = 2
-	side.Cancel(6, 0)
-	require.NoError(t, side.AcceptHello(10*ms, &hello, 2, true))
+	endpoint.Cancel(6, 0)
+	require.NoError(t, endpoint.AcceptHello(10*ms, &hello, 2, true))
 	out(10*ms, "greeted again")
-	take(11*ms, gateway.Frame{Kind: gateway.FrameNotExecuted, ID: 5})
+	receive(11*ms, gateway.Frame{Kind: gateway.FrameNotExecuted, ID: 5})
 	out(11*ms, "never ran")
-	take(12*ms, gateway.Frame{Kind: gateway.FrameForward, ID: 50, Serial: 1, Group: 9, Timeout: time.Second, MaxAttempts: 1, Write: true, After: 5, Data: []byte("SELECT 2\x00")})
-	take(12*ms, gateway.Frame{Kind: gateway.FrameForward, ID: 51, Serial: 2, Group: 9, Timeout: time.Second, MaxAttempts: 1, Data: []byte("SELECT 3\x00")})
+	receive(12*ms, gateway.Frame{Kind: gateway.FrameForward, ID: 50, Serial: 1, Group: 9, Timeout: time.Second, MaxAttempts: 1, Write: true, After: 5, Data: []byte("SELECT 2\x00")})
+	receive(12*ms, gateway.Frame{Kind: gateway.FrameForward, ID: 51, Serial: 2, Group: 9, Timeout: time.Second, MaxAttempts: 1, Data: []byte("SELECT 3\x00")})
 	out(12*ms, "two requests of the peer")
-	take(13*ms, gateway.Frame{Kind: gateway.FrameOutcomeRequest, ID: 50, Serial: 1})
+	receive(13*ms, gateway.Frame{Kind: gateway.FrameOutcomeRequest, ID: 50, Serial: 1})
 	out(13*ms, "asked while it runs")
-	side.ExecutionFinished(20*ms, 1, gateway.Frame{Status: gateway.StatusServed, Data: []byte("row"), Age: 5 * ms, AgeKnown: true, Role: 1, ReplicaPosition: 18})
+	endpoint.ExecutionFinished(20*ms, 1, gateway.Frame{Status: gateway.StatusServed, Data: []byte("row"), Age: 5 * ms, AgeKnown: true, Role: 1, ReplicaPosition: 18})
 	out(25*ms, "answered, 5 ms later")
-	take(26*ms, gateway.Frame{Kind: gateway.FrameCancel, ID: 51})
+	receive(26*ms, gateway.Frame{Kind: gateway.FrameCancel, ID: 51})
 	out(26*ms, "canceled by the peer")
-	take(27*ms, gateway.Frame{Kind: gateway.FrameOutcomeRequest, ID: 60, Serial: 3})
+	receive(27*ms, gateway.Frame{Kind: gateway.FrameOutcomeRequest, ID: 60, Serial: 3})
 	out(27*ms, "asked of what never came")
-	take(30*ms, gateway.Frame{Kind: gateway.FrameForward, ID: 50, AttemptNumber: 1, Serial: 4, Group: 9, Timeout: time.Second, MaxAttempts: 1, Write: true, Data: []byte("SELECT 2\x00")})
+	receive(30*ms, gateway.Frame{Kind: gateway.FrameForward, ID: 50, AttemptNumber: 1, Serial: 4, Group: 9, Timeout: time.Second, MaxAttempts: 1, Write: true, Data: []byte("SELECT 2\x00")})
 	out(30*ms, "a served write comes again")
-	require.NoError(t, side.Tick(200*ms))
+	require.NoError(t, endpoint.Tick(200*ms))
 	out(200*ms, "heartbeat")
-	require.Error(t, side.Tick(400*ms))
+	require.Error(t, endpoint.Tick(400*ms))
 	out(400*ms, "silence")
-	pinned(t, "exchange.txt", got)
+	assertGolden(t, "exchange.txt", got)
 }
 
-// What a peer reads when its greeting is refused.
+// What a peer reads when its hello is rejected.
 func TestReasonsOfRejectedGreetings(t *testing.T) {
 	l, _ := listening(t)
 	_, newer := peer(t, l, 5)
@@ -165,12 +165,12 @@
 		require.NoError(t, c.SetDeadline(time.Now().Add(10*time.Second)))
 		k := NewCodec(c)
 		require.NoError(t, k.Greet())
-		say(t, k, f)
+		send(t, k, f)
 		h = gateway.Frame{}
 		require.NoError(t, k.Read(&h))
 		assert.Equal(t, gateway.FrameReject, h.Kind)
 		got = append(got, h.Reason)
 		c.Close()
 	}
-	pinned(t, "rejections.txt", got)
+	assertGolden(t, "rejections.txt", got)
 }
