--- a/Makefile
+++ b/Makefile
@@ -21,7 +21,7 @@
 # A short search beside the seeds that every test run takes.
 fuzz:
 	go test ./pgwire -fuzz FuzzStatement -fuzztime 30s
-	go test ./pgwire -fuzz FuzzAnswer -fuzztime 30s
+	go test ./pgwire -fuzz FuzzQueryResult -fuzztime 30s
 
 # 20,000 rough runs of the fleet in virtual time; about half an hour on 6 cores.
 fleet-soak:
--- a/pgwire/bench_test.go
+++ b/pgwire/bench_test.go
@@ -29,7 +29,7 @@
 }
 
 func BenchmarkReadOneRow(b *testing.B) {
-	text := bytes.Join([][]byte{frame('T', described), frame('D', "\x00\x01\x00\x00\x00\x02hi"), frame('C', "SELECT 1\x00"), ready}, nil)
+	text := bytes.Join([][]byte{frame('T', described), frame('D', "\x00\x01\x00\x00\x00\x02hi"), frame('C', "SELECT 1\x00"), readyForQuery}, nil)
 	in := bytes.NewReader(text)
 	r := NewReader(in, 4<<10, 1<<20)
 	b.ReportAllocs()
--- /dev/null
+++ b/pgwire/loadreport.go
@@ -0,0 +1,23 @@
+package pgwire
+
+import (
+	"bytes"
+	"math"
+	"strconv"
+)
+
+// ParseLoadReport calls each with the name=value pairs of a load report and reports whether all were well formed; it
+// stops at the first that is not.
+func ParseLoadReport(report []byte, each func(name string, value float64)) bool {
+	for len(report) > 0 {
+		var pair []byte
+		pair, report, _ = bytes.Cut(report, []byte{','})
+		name, text, ok := bytes.Cut(bytes.TrimSpace(pair), []byte{'='})
+		value, err := strconv.ParseFloat(string(text), 64)
+		if !ok || err != nil || math.IsNaN(value) {
+			return false
+		}
+		each(string(name), value)
+	}
+	return true
+}
--- a/pgwire/pgwire_test.go
+++ b/pgwire/pgwire_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/binary"
+	"errors"
 	"io"
 	"os"
 	"strings"
@@ -17,12 +18,12 @@
 const read = "SELECT data FROM facts WHERE code = '7f3a' /* id=9b1f,c=basket,t=acme,d=480,cluster=2,after=17,new=1 */"
 
 func frame(typ byte, body string) []byte {
-	return message(nil, typ, func(b []byte) []byte { return append(b, body...) })
+	return appendMessage(nil, typ, func(b []byte) []byte { return append(b, body...) })
 }
 
 func statement(text string) (Statement, error) { return ParseStatement([]byte(text + "\x00")) }
 
-func TestAStatementPassesOnAsItCameButForItsWait(t *testing.T) {
+func TestForwardedStatementDiffersInItsTimeoutOnly(t *testing.T) {
 	s, err := statement(read)
 	require.NoError(t, err)
 	assert.Equal(t, []string{"7f3a", "9b1f", "basket", "acme"},
@@ -36,7 +37,7 @@
 		string(s.Query(1479500*time.Microsecond)))
 }
 
-func TestAWriteKeepsItsMarkAndItsQuotes(t *testing.T) {
+func TestForwardedWriteKeepsItsCommentAndQuotes(t *testing.T) {
 	s, err := statement(`insert INTO facts (code, data) VALUES ('it''s; /* x', '\x9f') /* id=7,d = 5 ,c=o,r=1,k=5c,cluster=-3 */;`)
 	require.NoError(t, err)
 	assert.True(t, s.Write && s.Retry)
@@ -45,7 +46,7 @@
 	assert.Contains(t, string(s.Query(time.Microsecond)), "d = 1 ,c=o,r=1,k=5c")
 }
 
-func TestWhatCannotBeServedIsSaidAndNothingElse(t *testing.T) {
+func TestInvalidStatementsHaveTheirErrorCode(t *testing.T) {
 	for text, code := range map[string]string{
 		strings.Replace(read, "/*", "", 1):                CodeSyntaxError,
 		strings.Replace(read, "*/", "", 1):                CodeSyntaxError,
@@ -79,7 +80,7 @@
 	}
 }
 
-func TestAMessageCutByADeadlineIsTakenUpAgain(t *testing.T) {
+func TestReadResumesAfterADeadline(t *testing.T) {
 	big := strings.Repeat("x", 5000)
 	data := append(frame('Q', "one\x00"), frame('D', big)...)
 	parts := make([]io.Reader, 0)
@@ -100,7 +101,7 @@
 	assert.Equal(t, []string{"Qone\x00", "D" + big}, got)
 }
 
-// sequence reads its parts in turn; an error ends a part only.
+// sequence reads its parts in turn; an error ends one part only.
 type sequence struct{ parts []io.Reader }
 
 func (s *sequence) Read(b []byte) (int, error) {
@@ -110,14 +111,14 @@
 			return n, nil
 		}
 		s.parts = s.parts[1:]
-		if err != io.EOF {
+		if !errors.Is(err, io.EOF) {
 			return 0, err
 		}
 	}
 	return 0, io.EOF
 }
 
-func TestAPromisedLengthTakesNoMemory(t *testing.T) {
+func TestLengthInAHeaderAllocatesNothing(t *testing.T) {
 	for _, head := range []string{"Q\x00\x00\x00\x03", "Q\xff\xff\xff\xff", "Q\x00\x10\x00\x00"} {
 		_, _, err := NewReader(strings.NewReader(head), 64, 1<<16).Next()
 		assert.True(t, IsProtocolError(err), "%q", head)
@@ -128,7 +129,7 @@
 	assert.LessOrEqual(t, cap(r.body), 512)
 }
 
-func TestFirstMessages(t *testing.T) {
+func TestReadStartup(t *testing.T) {
 	first := func(b []byte) (Startup, error) { return NewReader(bytes.NewReader(b), 64, 1<<16).ReadStartup() }
 	s, err := first(AppendStartup(nil, "portal", "crm"))
 	require.NoError(t, err)
@@ -162,10 +163,10 @@
 	return a, done, err
 }
 
-func TestARowComesWholeWithWhatStandsBesideIt(t *testing.T) {
+func TestQueryResultWithRowAndServerParameters(t *testing.T) {
 	row := [][]byte{frame('T', described), frame('D', "\x00\x01\x00\x00\x00\x02hi"), frame('C', "SELECT 1\x00")}
 	all := append(append([][]byte{}, row...), AppendParameterStatus(nil, "role", "replica"), AppendParameterStatus(nil, "applied_ms", "1767225600123"),
-		AppendParameterStatus(nil, "load", "inflight=7"), ready)
+		AppendParameterStatus(nil, "load", "inflight=7"), readyForQuery)
 	a, done, err := feed(all...)
 	require.True(t, done && err == nil)
 	assert.True(t, a.Complete && a.HasApplied)
@@ -176,41 +177,41 @@
 	assert.Equal(t, "inflight=7", string(a.LoadReport))
 }
 
-func TestAnErrorBringsItsCode(t *testing.T) {
-	a, done, err := feed(AppendErrorResponse(nil, "ERROR", CodeSnapshotTooOld, "behind", ""), AppendParameterStatus(nil, "role", "replica"), ready)
+func TestQueryResultHasTheCodeOfAnError(t *testing.T) {
+	a, done, err := feed(AppendErrorResponse(nil, "ERROR", CodeSnapshotTooOld, "behind", ""), AppendParameterStatus(nil, "role", "replica"), readyForQuery)
 	assert.True(t, done && err == nil && !a.Complete)
 	assert.Equal(t, CodeSnapshotTooOld, a.Code)
 	a, done, err = feed(AppendErrorResponse(nil, "FATAL", CodeTooManyConnections, "full", "250"))
 	assert.Equal(t, CodeTooManyConnections, a.Code)
-	assert.True(t, !done && err == io.EOF, "a fatal error needs nothing behind it")
+	assert.True(t, !done && errors.Is(err, io.EOF), "a fatal error needs nothing after it")
 }
 
-func TestNoMalformedAnswerCountsAsWhole(t *testing.T) {
+func TestMalformedResultsAreProtocolErrors(t *testing.T) {
 	described, row, end := frame('T', described), frame('D', "\x00\x01\x00\x00\x00\x02hi"), frame('C', "SELECT 1\x00")
 	for name, parts := range map[string][][]byte{
-		"two rows":            {described, row, row, end, ready},
-		"no description":      {row, end, ready},
-		"end within the row":  {described, ready},
-		"no end of the row":   {described, row, ready},
-		"two columns":         {described, frame('D', "\x00\x02\x00\x00\x00\x02hi\x00\x00\x00\x00"), end, ready},
-		"a longer column":     {described, frame('D', "\x00\x01\x00\x00\x00\x09hi"), end, ready},
-		"a negative column":   {described, frame('D', "\x00\x01\x80\x00\x00\x00"), end, ready},
-		"an error, no code":   {frame('E', "SERROR\x00\x00"), ready},
-		"an error, no end":    {frame('E', "C533"), ready},
-		"an unknown message":  {frame('?', ""), ready},
-		"a position in words": {AppendParameterStatus(nil, "applied_ms", "now"), ready},
-		"half a status":       {frame('S', "role"), ready},
+		"two rows":            {described, row, row, end, readyForQuery},
+		"no description":      {row, end, readyForQuery},
+		"end within the row":  {described, readyForQuery},
+		"no end of the row":   {described, row, readyForQuery},
+		"two columns":         {described, frame('D', "\x00\x02\x00\x00\x00\x02hi\x00\x00\x00\x00"), end, readyForQuery},
+		"a longer column":     {described, frame('D', "\x00\x01\x00\x00\x00\x09hi"), end, readyForQuery},
+		"a negative column":   {described, frame('D', "\x00\x01\x80\x00\x00\x00"), end, readyForQuery},
+		"an error, no code":   {frame('E', "SERROR\x00\x00"), readyForQuery},
+		"an error, no end":    {frame('E', "C533"), readyForQuery},
+		"an unknown message":  {frame('?', ""), readyForQuery},
+		"a position in words": {AppendParameterStatus(nil, "applied_ms", "now"), readyForQuery},
+		"half a status":       {frame('S', "role"), readyForQuery},
 	} {
 		a, done, err := feed(parts...)
 		assert.True(t, !done && IsProtocolError(err), name)
 		_ = a
 	}
-	a, _, err := feed(described, row, AppendErrorResponse(nil, "ERROR", "XX000", "broke", ""), ready)
+	a, _, err := feed(described, row, AppendErrorResponse(nil, "ERROR", "XX000", "broke", ""), readyForQuery)
 	assert.True(t, err == nil && !a.Complete && a.Code == "XX000", "an error within the row")
 }
 
-// Bad members keep the connection open; whoever waits for the rest waits for the request's whole time.
-func TestNonsenseIsToldByItsFirstBytes(t *testing.T) {
+// Faulty servers keep the connection open: waiting for the rest would take the request's whole time.
+func TestProtocolErrorsAreFoundInTheFirstBytes(t *testing.T) {
 	for name, begun := range map[string]string{
 		"an unknown type":         "?\x00\x00\x00\x08",
 		"a value of 3 GB":         "D\xb2\xd0\x5e\x00",
@@ -224,7 +225,7 @@
 	}
 }
 
-func TestPairs(t *testing.T) {
+func TestParseLoadReport(t *testing.T) {
 	got := map[string]float64{}
 	assert.True(t, ParseLoadReport([]byte("inflight=7,x0=1767225600.5"), func(n string, v float64) { got[n] = v }))
 	assert.Equal(t, map[string]float64{"inflight": 7, "x0": 1767225600.5}, got)
@@ -244,14 +245,14 @@
 		}
 		again, err := ParseStatement(s.Query(123 * time.Millisecond)[5:])
 		if err != nil || again.Timeout != 123*time.Millisecond || again.Group != s.Group || !bytes.Equal(again.Key, s.Key) {
-			t.Fatalf("%q does not pass on as it came: %v", body, err)
+			t.Fatalf("%q is not forwarded as it came: %v", body, err)
 		}
 	})
 }
 
-func FuzzAnswer(f *testing.F) {
-	f.Add(bytes.Join([][]byte{frame('T', described), frame('D', "\x00\x01\x00\x00\x00\x02hi"), frame('C', "SELECT 1\x00"), ready}, nil))
-	f.Add(append(AppendErrorResponse(nil, "ERROR", "25006", "no primary", ""), ready...))
+func FuzzQueryResult(f *testing.F) {
+	f.Add(bytes.Join([][]byte{frame('T', described), frame('D', "\x00\x01\x00\x00\x00\x02hi"), frame('C', "SELECT 1\x00"), readyForQuery}, nil))
+	f.Add(append(AppendErrorResponse(nil, "ERROR", "25006", "no primary", ""), readyForQuery...))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		r := NewReader(bytes.NewReader(data), 64, 1<<12)
 		var a QueryResult
@@ -266,7 +267,7 @@
 			}
 			if done {
 				if a.Complete && (a.Code != "" || !bytes.Contains(data, a.Rows)) {
-					t.Fatalf("a value that nobody sent: %q", a.Rows)
+					t.Fatalf("a value that was not sent: %q", a.Rows)
 				}
 				return
 			}
@@ -274,8 +275,8 @@
 	})
 }
 
-// What is written later tells a shorter wait, and is the same to the letter but for that.
-func TestATimedQueryIsShortenedInPlace(t *testing.T) {
+// A message that is written later has a shorter timeout, and is the same byte for byte otherwise.
+func TestShortenTimeoutInPlace(t *testing.T) {
 	const text = "SELECT 'x' /* id=1,c=o,d=12000,k=5c,cluster=3 */"
 	s, err := ParseStatement(append([]byte(text), 0))
 	require.NoError(t, err)
@@ -285,7 +286,7 @@
 	}
 	q := s.QueryWithTimeout(12 * time.Second)
 	for _, wait := range []time.Duration{11 * time.Second, 900 * time.Millisecond, 899 * time.Millisecond, time.Millisecond} {
-		assert.Equal(t, string(s.Query(wait)), string(q.ShortenTimeout(wait)), "again and again")
+		assert.Equal(t, string(s.Query(wait)), string(q.ShortenTimeout(wait)), "repeatedly")
 	}
 	assert.Equal(t, string(s.Query(time.Millisecond)), string(q.ShortenTimeout(time.Minute)), "never longer")
 	assert.Equal(t, text, string(s.text))
--- a/pgwire/row_test.go
+++ b/pgwire/row_test.go
@@ -12,8 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// readAnswer reads an answer with so much spare room behind a long row; inPlace says whether it lies in the body that was read.
-func readAnswer(t require.TestingT, from io.Reader, spare int) (a *QueryResult, inPlace bool) {
+// readResult reads a result with spare bytes of room after a long row; inPlace says whether it lies in the body that was read.
+func readResult(t require.TestingT, from io.Reader, spare int) (a *QueryResult, inPlace bool) {
 	r := NewReader(from, 4<<10, 1<<20)
 	r.RetainedBytes, r.SpareBytes = 16, spare
 	a = &QueryResult{}
@@ -36,8 +36,8 @@
 	return a, inPlace
 }
 
-// An answer that is put together in the body of its row is the one that is put together beside it, however it came in.
-func TestARowKeptInPlaceIsTheSameAnswer(t *testing.T) {
+// A result that is put together in the body of its row is the same as one that is not, however it was received.
+func TestRowAddedInPlaceGivesTheSameResult(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		value := rapid.SliceOfN(rapid.Byte(), 0, 3000).Draw(t, "value")
 		column := strings.Repeat("n", rapid.IntRange(0, 300).Draw(t, "column"))
@@ -48,26 +48,26 @@
 			frame('Z', "I")}, nil)
 		readers := []io.Reader{bytes.NewReader(text), iotest.OneByteReader(bytes.NewReader(text)), iotest.HalfReader(bytes.NewReader(text))}
 		kind := rapid.IntRange(0, len(readers)-1).Draw(t, "reader")
-		a, _ := readAnswer(t, readers[kind], rapid.IntRange(0, 512).Draw(t, "spare"))
+		a, _ := readResult(t, readers[kind], rapid.IntRange(0, 512).Draw(t, "spare"))
 		assert.Equal(t, text[:len(text)-6], a.Rows)
 		assert.True(t, a.Complete)
 		assert.Equal(t, value, append([]byte{}, a.Value()[:len(value)]...))
 	})
 }
 
-// A long value with room behind it is held once; without room, or a row of another form, the answer is as before.
-func TestALongRowIsKeptInPlaceWhereItHasRoom(t *testing.T) {
+// A long value with room after it is held once; without room, or for an invalid row, AddRowInPlace acts as AddMessage.
+func TestLongRowIsAddedInPlaceWhereItHasRoom(t *testing.T) {
 	text := bytes.Join([][]byte{
 		frame('T', "\x00\x01data\x00"+strings.Repeat("\x00", 18)),
 		frame('D', "\x00\x01\x00\x00\x03\xe8"+strings.Repeat("v", 1000)),
 		frame('C', "SELECT 1\x00"),
 		frame('Z', "I")}, nil)
-	_, inPlace := readAnswer(t, bytes.NewReader(text), 256)
+	_, inPlace := readResult(t, bytes.NewReader(text), 256)
 	assert.True(t, inPlace)
-	_, inPlace = readAnswer(t, bytes.NewReader(text), 0)
+	_, inPlace = readResult(t, bytes.NewReader(text), 0)
 	assert.False(t, inPlace)
 	body := append(make([]byte, 0, 4096), "\x00\x02\x00\x00\x00\x01v"...)
-	kept, err := (&QueryResult{parts: 1, Rows: []byte("T")}).AddRowInPlace(body)
+	kept, err := (&QueryResult{rowMessages: 1, Rows: []byte("T")}).AddRowInPlace(body)
 	assert.False(t, kept)
 	assert.True(t, IsProtocolError(err), "%v", err)
 }
--- a/pgwire/pinned_test.go
+++ b/pgwire/wire_test.go
@@ -59,7 +59,7 @@
 	}
 	described, row, end := frame('T', described), frame('D', "\x00\x01\x00\x00\x00\x02hi"), frame('C', "SELECT 1\x00")
 	for name, parts := range map[string][][]byte{
-		"1 two rows": {described, row, row}, "2 ready too early": {described, ready}, "3 two columns": {frame('T', "\x00\x02")},
+		"1 two rows": {described, row, row}, "2 ready too early": {described, readyForQuery}, "3 two columns": {frame('T', "\x00\x02")},
 		"4 column size": {described, frame('D', "\x00\x01\x00\x00\x00\x09hi")}, "5 error without code": {frame('E', "SERROR\x00\x00")},
 		"6 type": {frame('?', "")}, "7 position": {AppendParameterStatus(nil, "applied_ms", "now")}, "8 status": {frame('S', "role")},
 		"9 ready": {frame('Z', "II")}, "long": {frame('C', strings.Repeat("x", 9000))}, "row first": {row, end},
