--- a/adapter/adapter_test.go
+++ b/adapter/adapter_test.go
@@ -1,6 +1,7 @@
 package adapter
 
 import (
+	"io"
 	"strings"
 	"testing"
 	"time"
@@ -9,9 +10,10 @@
 	"github.com/stretchr/testify/require"
 
 	"dapplerouter/routing"
+	"dapplerouter/wire"
 )
 
-// echo sends every request to member 0 at once and panics when woken.
+// echo sends every request to server 0 at once and panics when its timer fires.
 type echo struct {
 	routing.Host
 	entries int
@@ -26,16 +28,16 @@
 func (e *echo) ClientGone(time.Duration, routing.RequestRef)          {}
 func (e *echo) ClockCorrected(time.Duration, time.Duration)           {}
 func (e *echo) GossipReceived(time.Duration, int, []byte)             {}
-func (e *echo) TimerFired(time.Duration)                              { panic("woken") }
+func (e *echo) TimerFired(time.Duration)                              { panic("timer fired") }
 func (e *echo) Reconcile(time.Duration)                               {}
 func (e *echo) HealthCheckFinished(time.Duration, int, routing.AttemptResult, time.Duration, routing.LoadReport) {
 }
 
-func made(h routing.Host, _ routing.Options) routing.Router {
+func newEcho(h routing.Host, _ routing.Options) routing.Router {
 	return &echo{Host: h}
 }
 
-const born = "born\tFront=front-0\tEntropy=1\tClasses.count=1\tClasses.0.Aim=1\tClasses.0.Deadline=2\t" +
+const started = "born\tFront=front-0\tEntropy=1\tClasses.count=1\tClasses.0.Aim=1\tClasses.0.Deadline=2\t" +
 	"Classes.0.Effect=read_like\tClasses.0.Group=all\tClasses.0.Name=r\tFamilyInfo.Zero=0\tZones=a\tLocality=a\t" +
 	"FamilyInfo.ReadLevel=eventual\tFamilyInfo.StalenessBound=0\tFleetSize=1\tOrdinal=0\tDiscovery=push\tTick=1\t" +
 	"FamilyInfo.RoleListed=silent\tFamilyInfo.Checks=silent\tFamilyInfo.WriteMarks=kept\tRules.AnswerSlack=1\t" +
@@ -50,37 +52,46 @@
 	for _, b := range batches {
 		in.WriteString("mark\tClock=5\tbatch=1\n" + b + "your_turn\n")
 	}
-	err := Run(strings.NewReader(in.String()), &out, made)
+	err := Run(strings.NewReader(in.String()), &out, newEcho)
 	return out.String(), err
 }
 
-func TestATxnGoesOutUnderItsOwnIds(t *testing.T) {
-	out, err := run("", born+order)
+func TestRequestIsSentUnderItsOwnIDs(t *testing.T) {
+	out, err := run("", started+order)
 	require.NoError(t, err)
 	assert.Equal(t, "ack\tbatch=1\nhand_off\tFront=front-0\tRid=c:a\tStore=70\tGiveUpAfter=0\nack\tbatch=1\n", out)
 }
 
-func TestAnInstanceBornAfterACrashStartsEmpty(t *testing.T) {
-	out, err := run(born+order, "crash_now\tFront=front-0\n"+born+order)
+func TestInstanceStartedAfterCrashIsEmpty(t *testing.T) {
+	out, err := run(started+order, "crash_now\tFront=front-0\n"+started+order)
 	require.NoError(t, err, "the id is unknown to the new one")
 	assert.Equal(t, 2, strings.Count(out, "hand_off"))
 }
 
-func TestWhatCannotBeIsSaidAndEnds(t *testing.T) {
-	for batch, want := range map[string]string{
-		order: "front-0, which is not running",
-		born + "ping_result\tFront=front-0\tStore=71\tEnding=success\n":           "field Store: 71",
-		born + "targets\tFront=front-0\tKind=full\tEpoch=2\tPage=3\n":             "field Page: no catalog 3",
-		born + strings.Replace(order, "Qos=r", "Qos=s", 1):                        "field Qos: \"s\"",
-		born + "resolved\tFront=front-0\tRid=c:b\tStore=70\tHop=0\tEnding=void\n": "field Rid: c:b",
+func TestInvalidEventEndsRunWithItsCause(t *testing.T) {
+	for batch, want := range map[string]struct {
+		text  string
+		cause error
+	}{
+		order: {"front-0, which is not running", ErrUnknownInstance},
+		started + "ping_result\tFront=front-0\tStore=71\tEnding=success\n":           {"field Store: 71", ErrUnknownID},
+		started + "targets\tFront=front-0\tKind=full\tEpoch=2\tPage=3\n":             {"field Page: no catalog 3", ErrUnknownID},
+		started + strings.Replace(order, "Qos=r", "Qos=s", 1):                        {"field Qos: \"s\"", ErrUnknownID},
+		started + "resolved\tFront=front-0\tRid=c:b\tStore=70\tHop=0\tEnding=void\n": {"field Rid: c:b", ErrUnknownID},
+		started + order + order:    {"field Rid: c:a came twice", ErrDuplicateID},
+		"mark\tClock=5\tbatch=2\n": {"batch 1: a mark within the batch", ErrBatchOrder},
+		"your_turn\n" + order:      {"an event before any mark", ErrBatchOrder},
+		"what\tFront=front-0\n":    {"unknown message", wire.ErrUnknownEvent},
 	} {
 		_, err := run(batch)
-		assert.ErrorContains(t, err, want)
+		require.ErrorContains(t, err, want.text, batch)
+		assert.ErrorIs(t, err, want.cause, batch)
 	}
+	assert.ErrorIs(t, Run(strings.NewReader("mark\tClock=5\tbatch=1\n"), io.Discard, newEcho), io.ErrUnexpectedEOF)
 }
 
-func TestAPanicIsReportedWithItsText(t *testing.T) {
-	out, err := run(born + "alarm\tFront=front-0\tToken=wake\n")
+func TestPanicOfRouterIsReported(t *testing.T) {
+	out, err := run(started + "alarm\tFront=front-0\tToken=wake\n")
 	require.NoError(t, err)
-	assert.Contains(t, out, "panic\tFront=front-0\tMsg=woken\n")
+	assert.Contains(t, out, "panic\tFront=front-0\tMsg=timer fired\n")
 }
--- a/adapter/answers_test.go
+++ b/adapter/answers_test.go
@@ -15,7 +15,7 @@
 
 // Every event of the wire goes in and every action comes out: the answers are the recorded ones, byte for byte. testdata/batches.txt is
 // what the bench sends, testdata/answers.txt what the adapter answered when it was recorded.
-func TestAnswersAreByteForByteTheRecordedOnes(t *testing.T) {
+func TestAnswersAreAsRecordedByteForByte(t *testing.T) {
 	batches, err := os.Open("testdata/batches.txt")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = batches.Close() }) // opened for reading
@@ -29,7 +29,7 @@
 	assert.Equal(t, string(recorded), answers.String())
 }
 
-// transcript logs each event, value by value, and uses each method of its host.
+// transcript logs each event, value by value, in the words of the recorded answers, and uses each method of its host.
 type transcript struct {
 	host routing.Host
 }
@@ -49,7 +49,7 @@
 	}
 }
 
-// RequestReceived sends a request out, and one of type 1 also a second time, of which the first attempt is cancelled.
+// RequestReceived starts an attempt; for type 1 a second one too, and the first is cancelled.
 func (s *transcript) RequestReceived(now time.Duration, t routing.Request) {
 	s.log(now, "request", t.Ref.Slot, t.Ref.Generation, t.Type, t.Customer, t.Session, t.Group, t.Timeout, t.ExpectedWork, t.TokenAge, t.MaxStaleness, t.DedupWindow, t.Retry, t.Write)
 	s.host.StartAttempt(t.Ref, 0, t.Timeout/4)
@@ -79,10 +79,10 @@
 	s.log(now, "left", r.Slot, r.Generation)
 }
 
-func (s *transcript) HealthCheckFinished(now time.Duration, member int, e routing.AttemptResult, latency time.Duration, l routing.LoadReport) {
-	s.log(now, "probed", append([]any{member, int(e), latency}, report(l)...)...)
+func (s *transcript) HealthCheckFinished(now time.Duration, server int, e routing.AttemptResult, latency time.Duration, l routing.LoadReport) {
+	s.log(now, "probed", append([]any{server, int(e), latency}, report(l)...)...)
 	if e == routing.Unreachable {
-		s.host.ReleaseServer(member)
+		s.host.ReleaseServer(server)
 	}
 }
 
--- a/router/harness_test.go
+++ b/router/harness_test.go
@@ -149,7 +149,9 @@
 	h.sentTo[r] = m
 	h.record("send %d to %d", r.Slot, m)
 }
-func (h *harness) CancelAttempt(r routing.RequestRef, attemptNumber int) { h.record("cancel %d.%d", r.Slot, attemptNumber) }
+func (h *harness) CancelAttempt(r routing.RequestRef, attemptNumber int) {
+	h.record("cancel %d.%d", r.Slot, attemptNumber)
+}
 func (h *harness) Reject(r routing.RequestRef, retryAfter time.Duration) {
 	h.record("reject %d, retry after %v", r.Slot, retryAfter)
 }
--- a/wire/reader.go
+++ b/wire/reader.go
@@ -1,5 +1,3 @@
-// Package wire reads and writes the bench's wire: lines of tab-separated name=value parts. Its words
-// stay here; what leaves are types of package port and raw ids.
 package wire
 
 import (
@@ -9,190 +7,186 @@
 	"fmt"
 	"io"
 	"math"
-	"strconv"
 	"time"
 
 	"dapplerouter/deployment"
 	"dapplerouter/routing"
 )
 
-// Kind tells the events apart.
-type Kind uint8
-
-const (
-	Mark Kind = iota
-	YourTurn
-	Born
-	CrashNow
-	Catalog
-	Targets
-	Order
-	Opened
-	Resolved
-	Aborted
-	Alarm
-	PingResult
-	NeighbourSays
+// Causes of an Error, for errors.Is.
+var (
+	ErrUnknownEvent = errors.New("unknown message")
+	ErrMissingField = errors.New("is missing")
+	ErrInvalidField = errors.New("is invalid")
+	ErrMalformed    = errors.New("malformed line")
+	ErrTruncated    = errors.New("cut off")
 )
 
-var kinds = map[string]Kind{
-	"mark": Mark, "your_turn": YourTurn, "born": Born, "crash_now": CrashNow, "catalog": Catalog,
-	"targets": Targets, "order": Order, "opened": Opened, "resolved": Resolved, "aborted": Aborted,
-	"alarm": Alarm, "ping_result": PingResult, "neighbour_says": NeighbourSays,
+// Error is a line that can't be read.
+type Error struct {
+	Line    int
+	Event   string // name of the message, where it is known
+	Field   string // where a field is the cause
+	Problem string
+	Cause   error // one of the sentinels above, or an error of the underlying reader
 }
 
-// Entry is a catalog line, with the ids as they came.
-type Entry struct {
-	Store, Db   int64
-	Zone, Model string
-	Primary     bool
-	State       routing.ServerState
-	Weight      float64
-	Born        int64
+func (e *Error) Error() string {
+	if e.Field != "" {
+		return fmt.Sprintf("line %d: %s: field %s %s", e.Line, e.Event, e.Field, e.Problem)
+	}
+	return fmt.Sprintf("line %d: %s", e.Line, e.Problem)
 }
 
-// Event is one line. Byte slices are valid until the next call of Next.
-type Event struct {
-	Kind                Kind
-	Clock               int64
-	Batch               []byte
-	Front               int
-	Rid                 []byte
-	Qos, Customer, User []byte
-	Group, Store        int64
-	Request             routing.Request        // spans and flags only
-	Outcome             routing.AttemptOutcome // all but ids, position and load
-	Stamp               int64                  // role is in Outcome; this is the position in milliseconds
-	Load                routing.LoadReport     // Position in X0, seconds
-	X0                  float64
-	Page                int
-	Entries             []Entry
-	ListKind            routing.UpdateKind
-	Epoch               int64
-	Token, Contents     []byte
-	Peer                int
-	Seed                uint64
-	Site                *deployment.Settings
-}
+func (e *Error) Unwrap() error { return e.Cause }
 
 // Reader reads events.
 type Reader struct {
-	r      *bufio.Reader
+	in     *bufio.Reader
 	line   int
-	long   []byte
-	name   []byte
-	fields [][2][]byte
-	err    error
+	long   []byte      // a line that is longer than the buffer of in
+	name   []byte      // of the present line
+	fields [][2][]byte // of the present line: name and value
+	err    error       // the first of the present line
 }
 
+const readBuffer = 1 << 20
+
 // NewReader returns a Reader of r.
-func NewReader(r io.Reader) *Reader { return &Reader{r: bufio.NewReaderSize(r, 1<<20)} }
+func NewReader(r io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(r, readBuffer)} }
 
-// Next reads one event into e; io.EOF at the end of the input, between lines.
+// Next reads one event into e. It returns io.EOF at the end of the input, between lines, and an *Error for a line that can't
+// be read; other errors are those of the underlying reader.
 func (r *Reader) Next(e *Event) error {
-	if err := r.read(); err != nil {
+	if err := r.readLine(); err != nil {
 		return err
 	}
-	kind, ok := kinds[string(r.name)]
+	kind, ok := eventKinds[string(r.name)]
 	if !ok {
-		return fmt.Errorf("line %d: unknown message %q", r.line, r.name)
+		return &Error{Line: r.line, Problem: fmt.Sprintf("unknown message %q", r.name), Cause: ErrUnknownEvent}
 	}
 	e.Kind = kind
 	switch kind {
-	case Mark:
-		e.Clock, e.Batch = r.integer("Clock"), r.need("batch")
-	case YourTurn:
-	case Catalog:
-		r.catalog(e)
+	case BatchStart:
+		e.Batch.Clock, e.Batch.ID = r.integer("Clock"), r.required("batch")
+	case BatchEnd:
+	case EndpointPage:
+		r.page(&e.Page)
 	default:
-		e.Front = r.front()
+		e.Instance = r.instance()
 		r.event(e)
 	}
 	return r.err
 }
 
+// event reads the fields of an event of an instance.
 func (r *Reader) event(e *Event) {
 	switch e.Kind {
-	case Born:
-		e.Seed = uint64(r.integer("Entropy"))
-		at, err := deployment.ReadSettings(func(path string) string { return string(r.get(path)) })
-		if e.Site = at; err != nil {
-			var f *deployment.KeyError
-			errors.As(err, &f)
-			r.fail(f.Key, f.Problem)
-		}
-	case Targets:
-		e.ListKind = choice(r, "Kind", r.need("Kind"), listKinds)
-		e.Page = -1
-		if e.ListKind != routing.UpdateFailed {
-			e.Page, e.Epoch = int(r.integer("Page")), r.integer("Epoch")
+	case InstanceStarted:
+		r.instanceStart(&e.Start)
+	case EndpointsChanged:
+		e.Update = EndpointUpdate{Kind: choice(r, "Kind", r.required("Kind"), updateKinds), Page: -1, Version: e.Update.Version}
+		if e.Update.Kind != routing.UpdateFailed {
+			e.Update.Page, e.Update.Version = int(r.integer("Page")), r.integer("Epoch")
 		}
-	case Order:
-		e.Rid, e.Qos, e.Customer, e.User = r.need("Rid"), r.need("Qos"), r.get("Customer"), r.get("User")
-		e.Group = r.integer("PartitionNo")
-		e.Request = routing.Request{Timeout: r.span("Budget"), ExpectedWork: time.Duration(r.optional("Hint")),
-			Retry: r.flag("IsRetry"), Write: r.flag("Write")}
-		if v := r.get("TokenAgeMs"); v != nil {
-			e.Request.TokenAge = time.Duration(math.Ceil(r.number("TokenAgeMs", v) * float64(time.Millisecond)))
-		}
-	case Opened:
-		e.Rid, e.Store = r.need("Rid"), r.integer("Store")
-		e.Outcome = routing.AttemptOutcome{AttemptNumber: int(r.integer("Hop")), Latency: r.span("Latency")}
-	case Resolved:
-		e.Rid, e.Store = r.need("Rid"), r.integer("Store")
-		e.Outcome = routing.AttemptOutcome{Result: choice(r, "Ending", r.need("Ending"), endings), RequestFinished: r.flag("Closed"),
-			AttemptNumber: int(r.integer("Hop")), Latency: time.Duration(r.optional("Latency"))}
-		stamp := r.optional("Stamp")
-		e.Stamp, e.Outcome.Role = stamp>>2, routing.Role(stamp&3)
-		if e.Outcome.Role > routing.Replica {
-			r.fail("Stamp", "names no role")
-		}
-		r.load(e)
-	case Aborted:
-		e.Rid = r.need("Rid")
-	case Alarm:
-		e.Token = r.need("Token")
-	case PingResult:
-		e.Store = r.integer("Store")
-		e.Outcome = routing.AttemptOutcome{Result: choice(r, "Ending", r.need("Ending"), endings),
+	case RequestReceived:
+		r.request(&e.Request)
+	case AttemptConnected:
+		e.Request.ID, e.Attempt.Server = r.required("Rid"), r.integer("Store")
+		e.Attempt.Outcome = routing.AttemptOutcome{AttemptNumber: int(r.integer("Hop")), Latency: r.duration("Latency")}
+	case AttemptFinished:
+		e.Request.ID = r.required("Rid")
+		r.attempt(&e.Attempt)
+	case ClientGone:
+		e.Request.ID = r.required("Rid")
+	case TimerFired:
+		e.Timer = r.required("Token")
+	case HealthCheckFinished:
+		e.Attempt.Server = r.integer("Store")
+		e.Attempt.Outcome = routing.AttemptOutcome{Result: choice(r, "Ending", r.required("Ending"), attemptResults),
 			Latency: time.Duration(r.optional("Latency"))}
-		r.load(e)
-	case NeighbourSays:
-		e.Peer = int(r.integer("OriginPeer"))
-		e.Contents = unhex(r, r.need("Contents"))
+		r.load(&e.Attempt)
+	case GossipReceived:
+		e.Gossip.Peer = int(r.integer("OriginPeer"))
+		e.Gossip.Message = unhex(r, "Contents", r.required("Contents"))
+	case BatchStart, BatchEnd, InstanceCrashed, EndpointPage: // without further fields, or read by Next
+	}
+}
+
+func (r *Reader) instanceStart(s *InstanceStart) {
+	s.Seed = uint64(r.integer("Entropy"))
+	settings, err := deployment.ReadSettings(func(path string) string { return string(r.get(path)) })
+	s.Settings = settings
+	if err == nil {
+		return
+	}
+	var key *deployment.KeyError
+	if errors.As(err, &key) {
+		r.fail(key.Key, key.Problem, ErrInvalidField)
+	} else if r.err == nil {
+		r.err = &Error{Line: r.line, Problem: err.Error(), Cause: err}
+	}
+}
+
+func (r *Reader) request(req *Request) {
+	req.ID, req.Type, req.Customer, req.Session = r.required("Rid"), r.required("Qos"), r.get("Customer"), r.get("User")
+	req.Group = r.integer("PartitionNo")
+	req.Routing = routing.Request{Timeout: r.duration("Budget"), ExpectedWork: time.Duration(r.optional("Hint")),
+		Retry: r.flag("IsRetry"), Write: r.flag("Write")}
+	if v := r.get("TokenAgeMs"); v != nil {
+		req.Routing.TokenAge = time.Duration(math.Ceil(r.number("TokenAgeMs", v) * float64(time.Millisecond)))
+	}
+}
+
+func (r *Reader) attempt(a *Attempt) {
+	a.Server = r.integer("Store")
+	a.Outcome = routing.AttemptOutcome{Result: choice(r, "Ending", r.required("Ending"), attemptResults), RequestFinished: r.flag("Closed"),
+		AttemptNumber: int(r.integer("Hop")), Latency: time.Duration(r.optional("Latency"))}
+	const roleBits = 2 // of a stamp: the lowest ones; the others are the position
+	stamp := r.optional("Stamp")
+	a.PositionMillis, a.Outcome.Role = stamp>>roleBits, routing.Role(stamp&(1<<roleBits-1))
+	if a.Outcome.Role > routing.Replica {
+		r.fail("Stamp", "names no role", ErrInvalidField)
 	}
+	r.load(a)
 }
 
-func (r *Reader) catalog(e *Event) {
-	e.Page = int(r.integer("Page"))
+func (r *Reader) page(p *Page) {
+	p.Number = int(r.integer("Page"))
 	n := r.integer("Elements")
-	if e.Page < 0 || e.Page > 15 {
-		r.fail("Page", "is not within 0 to 15")
+	if p.Number < 0 || p.Number > MaxPage {
+		r.fail("Page", "is not within 0 to 15", ErrInvalidField)
 	}
-	e.Entries = e.Entries[:0]
+	p.Entries = p.Entries[:0]
 	for ; n > 0 && r.err == nil; n-- {
-		if err := r.read(); err != nil {
-			r.err = fmt.Errorf("line %d: catalog ends early: %w", r.line, noEOF(err))
+		if err := r.readLine(); err != nil {
+			err = noEOF(err)
+			r.err = &Error{Line: r.line, Problem: "catalog ends early: " + err.Error(), Cause: err}
 			return
 		}
 		if string(r.name) != "entry" {
-			r.err = fmt.Errorf("line %d: want entry, have %q", r.line, r.name)
+			r.err = &Error{Line: r.line, Problem: fmt.Sprintf("want entry, have %q", r.name), Cause: ErrUnknownEvent}
 			return
 		}
-		en := Entry{Store: r.integer("Store"), Db: r.integer("Db"), Zone: string(r.need("RegionPart")),
-			Model: string(r.need("Model")), State: choice(r, "State", r.need("State"), states), Weight: 1,
-			Born: r.optional("Born")}
-		if v := r.get("Nominal"); v != nil {
-			en.Weight = r.number("Nominal", v)
-		}
-		if v := r.get("Primary"); v != nil {
-			en.Primary = r.number("Primary", v) == 1
-		}
-		e.Entries = append(e.Entries, en)
+		p.Entries = append(p.Entries, r.entry())
+	}
+}
+
+func (r *Reader) entry() Entry {
+	e := Entry{Server: r.integer("Store"), Group: r.integer("Db"), Zone: string(r.required("RegionPart")),
+		ServerType: string(r.required("Model")), State: choice(r, "State", r.required("State"), serverStates), Weight: 1,
+		StartedAt: r.optional("Born")}
+	if v := r.get("Nominal"); v != nil {
+		e.Weight = r.number("Nominal", v)
+	}
+	if v := r.get("Primary"); v != nil {
+		e.Primary = r.number("Primary", v) == 1
 	}
+	return e
 }
 
-func (r *Reader) load(e *Event) {
+// load reads a load report: name:value pairs with commas between.
+func (r *Reader) load(a *Attempt) {
 	l := deployment.EmptyLoad
 	rest := r.get("Pressure")
 	for len(rest) > 0 {
@@ -200,33 +194,33 @@
 		part, rest, _ = bytes.Cut(rest, []byte(","))
 		name, value, ok := bytes.Cut(part, []byte(":"))
 		if !ok {
-			r.fail("Pressure", fmt.Sprintf("has no value in %q", part))
+			r.fail("Pressure", fmt.Sprintf("has no value in %q", part), ErrInvalidField)
 			return
 		}
 		v := r.number("Pressure", value)
 		if string(name) == "x0" {
-			e.X0 = v
+			a.LoadPosition = v
 		}
 		deployment.SetLoadField(&l, string(name), v, 0)
 	}
-	e.Load = l
+	a.Load = l
 }
 
-// read takes the next line apart.
-func (r *Reader) read() error {
+// readLine splits the next line into its name and fields. It returns io.EOF between lines.
+func (r *Reader) readLine() error {
 	r.line++
-	line, err := r.r.ReadSlice('\n')
+	line, err := r.in.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
 		r.long = append(r.long[:0], line...)
 		for errors.Is(err, bufio.ErrBufferFull) {
-			line, err = r.r.ReadSlice('\n')
+			line, err = r.in.ReadSlice('\n')
 			r.long = append(r.long, line...)
 		}
 		line = r.long
 	}
 	if err != nil {
-		if err == io.EOF && len(line) > 0 {
-			return fmt.Errorf("line %d: cut off", r.line)
+		if errors.Is(err, io.EOF) && len(line) > 0 {
+			return &Error{Line: r.line, Problem: "cut off", Cause: ErrTruncated}
 		}
 		return err
 	}
@@ -242,148 +236,29 @@
 		}
 		i := bytes.IndexByte(part, '=')
 		if i < 0 {
-			return fmt.Errorf("line %d: part %q has no value", r.line, part)
+			return &Error{Line: r.line, Problem: fmt.Sprintf("part %q has no value", part), Cause: ErrMalformed}
 		}
 		r.fields = append(r.fields, [2][]byte{part[:i], part[i+1:]})
 	}
 	return nil
 }
 
-func (r *Reader) fail(field, what string) {
-	if r.err == nil {
-		r.err = fmt.Errorf("line %d: %s: field %s %s", r.line, r.name, field, what)
-	}
-}
-
-func (r *Reader) get(field string) []byte {
-	for i := range r.fields {
-		if string(r.fields[i][0]) == field {
-			return r.fields[i][1]
-		}
-	}
-	return nil
-}
-
-func (r *Reader) need(field string) []byte {
-	v := r.get(field)
-	if len(v) == 0 {
-		r.fail(field, "is missing")
-	}
-	return v
-}
-
-func (r *Reader) parse(field string, v []byte) int64 {
-	neg := len(v) > 1 && v[0] == '-'
-	digits := v
-	if neg {
-		digits = v[1:]
-	}
-	var n int64
-	for _, c := range digits {
-		if c < '0' || c > '9' || n > (math.MaxInt64-9)/10 {
-			r.fail(field, fmt.Sprintf("is no integer: %q", v))
-			return 0
-		}
-		n = n*10 + int64(c-'0')
-	}
-	if neg {
-		n = -n
-	}
-	return n
-}
-
-func (r *Reader) integer(field string) int64 {
-	v := r.need(field)
-	if len(v) == 0 {
-		return 0
-	}
-	return r.parse(field, v)
-}
-
-func (r *Reader) optional(field string) int64 {
-	v := r.get(field)
-	if len(v) == 0 {
-		return 0
-	}
-	return r.parse(field, v)
-}
-
-func (r *Reader) span(field string) time.Duration { return time.Duration(r.integer(field)) }
-
-func (r *Reader) number(field string, v []byte) float64 {
-	f, err := strconv.ParseFloat(string(v), 64)
-	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
-		r.fail(field, fmt.Sprintf("is no number: %q", v))
-		return 0
-	}
-	return f
-}
-
-func (r *Reader) flag(field string) bool {
-	v := r.get(field)
-	switch {
-	case len(v) == 0 || (len(v) == 1 && v[0] == '0'):
-		return false
-	case len(v) == 1 && v[0] == '1':
-		return true
-	}
-	r.fail(field, fmt.Sprintf("is neither 0 nor 1: %q", v))
-	return false
-}
-
-func (r *Reader) front() int {
-	v := r.need("Front")
-	n, ok := bytes.CutPrefix(v, []byte("front-"))
-	if !ok || len(n) == 0 {
-		r.fail("Front", fmt.Sprintf("is no instance: %q", v))
-		return 0
-	}
-	return int(r.parse("Front", n))
-}
-
-func choice[T any](r *Reader, field string, v []byte, words map[string]T) T {
-	t, ok := words[string(v)]
-	if !ok {
-		r.fail(field, fmt.Sprintf("has an unknown word: %q", v))
-	}
-	return t
-}
-
-func unhex(r *Reader, v []byte) []byte {
-	if string(v) == "-" {
-		return nil
-	}
-	out := make([]byte, len(v)/2)
-	for i := range out {
-		n, err := strconv.ParseUint(string(v[2*i:2*i+2]), 16, 8)
-		if err != nil {
-			r.fail("Contents", "is no hex")
-			return nil
-		}
-		out[i] = byte(n)
-	}
-	if len(v)%2 != 0 {
-		r.fail("Contents", "is no hex")
-	}
-	return out
-}
-
 func noEOF(err error) error {
-	if err == io.EOF {
+	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-var listKinds = map[string]routing.UpdateKind{
+var updateKinds = map[string]routing.UpdateKind{
 	"delta": routing.Delta, "full": routing.Snapshot, "cached": routing.CachedSnapshot, "failed": routing.UpdateFailed,
 }
 
-var states = map[string]routing.ServerState{
+var serverStates = map[string]routing.ServerState{
 	"SERVING": routing.Serving, "DRAINING": routing.Draining, "DELETED": routing.Removed,
 }
 
-var endings = map[string]routing.AttemptResult{
+var attemptResults = map[string]routing.AttemptResult{
 	"success": routing.Succeeded, "failure": routing.ServerError, "overloaded": routing.Overloaded, "timed_out": routing.TimedOut,
 	"unreachable": routing.Unreachable, "broken": routing.ConnectionLost, "withdrawn": routing.Cancelled, "void": routing.NotSent,
 	"absent": routing.Misrouted,
--- a/wire/writer.go
+++ b/wire/writer.go
@@ -8,87 +8,93 @@
 	"strings"
 )
 
-// Writer writes actions. Done ends a reply and flushes it.
+// Writer writes actions, named by the methods of routing.Host. EndBatch ends the reply to a batch, flushes it, and returns
+// the first error of any write.
 type Writer struct {
-	w   *bufio.Writer
-	num []byte
+	out    *bufio.Writer
+	digits []byte // of the latest number, kept so that a line allocates nothing
 }
 
+const writeBuffer = 1 << 18
+
 // NewWriter returns a Writer to w.
-func NewWriter(w io.Writer) *Writer { return &Writer{w: bufio.NewWriterSize(w, 1<<18)} }
+func NewWriter(w io.Writer) *Writer { return &Writer{out: bufio.NewWriterSize(w, writeBuffer)} }
+
+// put writes a string. Its error stays with out, whose Flush in EndBatch returns it.
+func (w *Writer) put(s string) { _, _ = w.out.WriteString(s) }
 
-func (w *Writer) begin(name string, front int) {
-	w.w.WriteString(name)
-	w.number("Front=front-", int64(front))
+func (w *Writer) begin(action string, instance int) {
+	w.put(action)
+	w.number("Front=front-", int64(instance))
 }
 
 func (w *Writer) number(name string, n int64) {
-	w.w.WriteByte('\t')
-	w.w.WriteString(name)
-	w.num = strconv.AppendInt(w.num[:0], n, 10)
-	w.w.Write(w.num)
+	w.put("\t")
+	w.put(name)
+	w.digits = strconv.AppendInt(w.digits[:0], n, 10)
+	_, _ = w.out.Write(w.digits) // as put
 }
 
 func (w *Writer) text(name, v string) {
-	w.w.WriteByte('\t')
-	w.w.WriteString(name)
-	w.w.WriteString(v)
+	w.put("\t")
+	w.put(name)
+	w.put(v)
 }
 
-func (w *Writer) end() { w.w.WriteByte('\n') }
+func (w *Writer) end() { w.put("\n") }
 
-// HandOff sends rid to store.
-func (w *Writer) HandOff(front int, rid string, store, giveUpAfter int64) {
-	w.begin("hand_off", front)
-	w.text("Rid=", rid)
-	w.number("Store=", store)
-	w.number("GiveUpAfter=", giveUpAfter)
+// StartAttempt sends a request to a server, with a timeout in nanoseconds.
+func (w *Writer) StartAttempt(instance int, request string, server, timeout int64) {
+	w.begin("hand_off", instance)
+	w.text("Rid=", request)
+	w.number("Store=", server)
+	w.number("GiveUpAfter=", timeout)
 	w.end()
 }
 
-// Cancel abandons the wait for one attempt.
-func (w *Writer) Cancel(front int, rid string, hop int) {
-	w.begin("revoke", front)
-	w.text("Rid=", rid)
-	w.number("Hop=", int64(hop))
+// CancelAttempt cancels one attempt of a request.
+func (w *Writer) CancelAttempt(instance int, request string, attemptNumber int) {
+	w.begin("revoke", instance)
+	w.text("Rid=", request)
+	w.number("Hop=", int64(attemptNumber))
 	w.end()
 }
 
-// Reject is the final answer that makes trying again harmless.
-func (w *Writer) Reject(front int, rid string, retryIn int64) {
-	w.begin("decline", front)
-	w.text("Rid=", rid)
-	if retryIn > 0 {
-		w.number("RetryIn=", retryIn)
+// Reject ends a request: a retry is safe, after retryAfter nanoseconds where that is not 0.
+func (w *Writer) Reject(instance int, request string, retryAfter int64) {
+	w.begin("decline", instance)
+	w.text("Rid=", request)
+	if retryAfter > 0 {
+		w.number("RetryIn=", retryAfter)
 	}
 	w.end()
 }
 
-// Lose is the final answer that promises nothing.
-func (w *Writer) Lose(front int, rid string) {
-	w.begin("lose", front)
-	w.text("Rid=", rid)
+// Fail ends a request that may have run.
+func (w *Writer) Fail(instance int, request string) {
+	w.begin("lose", instance)
+	w.text("Rid=", request)
 	w.end()
 }
 
-// Timer asks for an alarm.
-func (w *Writer) Timer(front int, delay int64, token string) {
-	w.begin("timer", front)
-	w.number("Delay=", delay)
+// SetTimer asks for a TimerFired event with the token after some nanoseconds.
+func (w *Writer) SetTimer(instance int, after int64, token string) {
+	w.begin("timer", instance)
+	w.number("Delay=", after)
 	w.text("Token=", token)
 	w.end()
 }
 
-// SoundOut probes store.
-func (w *Writer) SoundOut(front int, store int64) {
-	w.begin("sound_out", front)
-	w.number("Store=", store)
+// StartHealthCheck sends a health check to a server.
+func (w *Writer) StartHealthCheck(instance int, server int64) {
+	w.begin("sound_out", instance)
+	w.number("Store=", server)
 	w.end()
 }
 
-// Track subscribes to the list, or ends it.
-func (w *Writer) Track(front int, on bool) {
-	w.begin("track", front)
+// WatchEndpoints subscribes to the endpoint list, or ends the subscription.
+func (w *Writer) WatchEndpoints(instance int, on bool) {
+	w.begin("track", instance)
 	n := int64(0)
 	if on {
 		n = 1
@@ -97,48 +103,49 @@
 	w.end()
 }
 
-// QueryAll asks for the whole list.
-func (w *Writer) QueryAll(front int) {
-	w.begin("query_all", front)
+// FetchEndpoints asks for the whole endpoint list.
+func (w *Writer) FetchEndpoints(instance int) {
+	w.begin("query_all", instance)
 	w.end()
 }
 
-// WritePeer sends a message; peer -1 is every peer.
-func (w *Writer) WritePeer(front, peer int, contents []byte) {
-	w.begin("write_peer", front)
+// SendGossip sends a message to a peer, to every peer where it is negative.
+func (w *Writer) SendGossip(instance, peer int, message []byte) {
+	w.begin("write_peer", instance)
 	if peer < 0 {
 		w.text("Recipient=", "*")
 	} else {
 		w.number("Recipient=", int64(peer))
 	}
 	v := "-"
-	if len(contents) > 0 {
-		v = hex.EncodeToString(contents)
+	if len(message) > 0 {
+		v = hex.EncodeToString(message)
 	}
 	w.text("Contents=", v)
 	w.end()
 }
 
+// oneLine replaces what would end a part or a line.
 var oneLine = strings.NewReplacer("\n", " ", "\r", " ", "\t", " ")
 
-// NoteDown adds a line to the report.
-func (w *Writer) NoteDown(front int, msg string) {
-	w.begin("note_down", front)
-	w.text("Msg=", oneLine.Replace(msg))
+// Log adds a line to the bench's report.
+func (w *Writer) Log(instance int, message string) {
+	w.begin("note_down", instance)
+	w.text("Msg=", oneLine.Replace(message))
 	w.end()
 }
 
-// Panic declares that the decision code has failed.
-func (w *Writer) Panic(front int, msg string) {
-	w.begin("panic", front)
-	w.text("Msg=", oneLine.Replace(msg))
+// Panic reports a panic of the router.
+func (w *Writer) Panic(instance int, message string) {
+	w.begin("panic", instance)
+	w.text("Msg=", oneLine.Replace(message))
 	w.end()
 }
 
-// Done ends the reply to a batch.
-func (w *Writer) Done(batch string) error {
-	w.w.WriteString("ack")
+// EndBatch ends the reply to a batch and flushes it.
+func (w *Writer) EndBatch(batch string) error {
+	w.put("ack")
 	w.text("batch=", batch)
 	w.end()
-	return w.w.Flush()
+	return w.out.Flush()
 }
