--- a/router/admission.go
+++ b/router/admission.go
@@ -15,7 +15,7 @@
 type admission struct {
 	workByDensity   [64]float64     // recent work in seconds, by the logarithm of its weight for its work
 	errorRate       float64         // of all servers
-	retryAfter      time.Duration   // told to a rejected client
+	retryAfter      time.Duration   // sent to a rejected client
 	retriesMarked   bool            // clients mark their retries
 	typicalTimeouts []time.Duration // by request type
 	timeoutsSeen    []int           // by request type
--- a/routing/request.go
+++ b/routing/request.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// RequestRef identifies a request in flight: the index of its slot, and the slot's generation, which tells its uses apart.
+// RequestRef identifies a request in flight: the index of its slot, and the slot's generation, which distinguishes its uses.
 type RequestRef struct {
 	Slot, Generation uint32
 }
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -1,6 +1,6 @@
 // Package routing has the types between a router, which makes the decisions, and its host, which carries them out.
 //
-// A host (package front in service, package adapter under the bench) turns what it hears into the plain types below and
+// A host (package front in service, package adapter under the bench) turns its events into the plain types below and
 // calls the methods of Router; the router asks for what it wants through Host. The package knows no protocol, has no
 // state and decides nothing.
 //
