--- a/router/admission.go
+++ b/router/admission.go
@@ -38,17 +38,17 @@
 		return false
 	}
 	admittedShare := max((overloadedLoad-r.loadEstimate(now, s))/(overloadedLoad-normalLoad), minAdmittedShare)
-	return req.rank <= admittedShare && r.slowStartAdmits(now, s, r.typical[req.Type].Seconds())
+	return req.rank <= admittedShare && r.slowStartAdmits(now, s, r.typicalLatency[req.Type].Seconds())
 }
 
 // weightPerWork is a request's weight for each second of its type's typical latency.
 func (r *Router) weightPerWork(req *request) float64 {
-	return req.weight / r.typical[req.Type].Seconds()
+	return req.weight / r.typicalLatency[req.Type].Seconds()
 }
 
 // rankOf is the share of the recent work that has more weight for its work, 0 for the best; equal ones are ranked at random.
 func (r *Router) rankOf(req *request) float64 {
-	work := r.typical[req.Type].Seconds()
+	work := r.typicalLatency[req.Type].Seconds()
 	own := min(max(int(2*math.Log2(r.weightPerWork(req)))+len(r.workByDensity)/2, 0), len(r.workByDensity)-1)
 	r.workByDensity[own] += work
 	above, all := 0.0, 0.0
@@ -71,7 +71,7 @@
 	typical, seen := &r.typicalTimeouts[in.Type], &r.timeoutsSeen[in.Type]
 	deviation := in.Timeout - *typical
 	*seen++
-	step := r.types[in.Type].Deadline / time.Duration(min(*seen+1, timeoutSteps))
+	step := r.requestTypes[in.Type].Deadline / time.Duration(min(*seen+1, timeoutSteps))
 	if *typical += max(min(deviation, step), -step); *seen < 2*priorWeight {
 		return 0
 	}
--- a/router/clock_correction.go
+++ b/router/clock_correction.go
@@ -21,9 +21,9 @@
 	for i := range r.groups {
 		r.groups[i].correctClock(c)
 	}
-	for i := range r.entries {
-		if r.entries[i].key != 0 {
-			r.entries[i].pos = c.requiredPosition(r.entries[i].pos)
+	for i := range r.targets {
+		if r.targets[i].key != 0 {
+			r.targets[i].pos = c.requiredPosition(r.targets[i].pos)
 		}
 	}
 	for i := range r.slots {
@@ -53,7 +53,7 @@
 }
 
 func (p *position) correctClock(c clockCorrection) {
-	p.applied = c.appliedPosition(p.applied)
+	p.appliedPosition = c.appliedPosition(p.appliedPosition)
 	p.lag, p.lagMeasuredAt = 0, never
 }
 
--- a/router/clock_correction_test.go
+++ b/router/clock_correction_test.go
@@ -21,11 +21,11 @@
 		h.ClockCorrected(h.now, -off)
 		assert.Equal(t, h.now-time.Second, h.servers[1].startedAt)
 		assert.True(t, h.servers[1].warmingUp, "it has just started")
-		assert.Equal(t, h.now-50*ms+min(off, 0), h.servers[2].applied, "never corrected to be newer")
+		assert.Equal(t, h.now-50*ms+min(off, 0), h.servers[2].appliedPosition, "never corrected to be newer")
 		assert.Equal(t, min(h.now, h.now-20*ms+max(off, 0)), h.requiredPosition(h.now, &routing.Request{Session: 77}, h.group(0)), "never corrected to require less")
 		h.observeRole(h.now+ms, 1, routing.Primary, h.now+ms, true)
 		assert.Equal(t, 1, h.group(0).primary, "the next claim is the newer one")
-		assert.Equal(t, never, h.servers[1].applied, "what is not known stays unknown")
+		assert.Equal(t, never, h.servers[1].appliedPosition, "what is not known stays unknown")
 	}
 }
 
--- a/router/concurrency.go
+++ b/router/concurrency.go
@@ -34,7 +34,7 @@
 
 // fleetLoad is what is known of all servers together.
 type fleetLoad struct {
-	overall     decayingMean
+	overallLoad decayingMean
 	limitGrowth float64 // of a limit for a round of fast answers; all instances together grow it by 1
 }
 
@@ -61,19 +61,19 @@
 
 // observeLoad counts an answer's load for its server, its group and all servers.
 func (r *Router) observeLoad(now time.Duration, s *server, load float64) {
-	for _, mean := range [...]*decayingMean{&s.load, &r.group(s.group).load, &r.overall} {
+	for _, mean := range [...]*decayingMean{&s.load, &r.group(s.group).load, &r.overallLoad} {
 		mean.add(now, min(load, maxLoad), &r.latencies)
 	}
 }
 
 // loadFromLatency is a latency as load: 1 for the type's minimum latency, rising evenly to objectiveLoad at its objective.
 func (r *Router) loadFromLatency(requestType int, latency time.Duration) float64 {
-	minimum, objective := r.minimum[requestType], r.types[requestType].LatencyObjective
+	minimum, objective := r.minimumLatency[requestType], r.requestTypes[requestType].LatencyObjective
 	return 1 + (objectiveLoad-1)*float64(latency-minimum)/float64(max(objective-minimum, objective/4))
 }
 
 // loadEstimate is a server's load, drawn towards its group's, and that towards the load of all servers.
 func (r *Router) loadEstimate(now time.Duration, s *server) float64 {
-	all := r.overall.mean(now, 3*priorWeight, 1, &r.latencies)
+	all := r.overallLoad.mean(now, 3*priorWeight, 1, &r.latencies)
 	return s.load.mean(now, priorWeight, r.group(s.group).load.mean(now, 2*priorWeight, all, &r.latencies), &r.latencies)
 }
--- a/router/endpoints.go
+++ b/router/endpoints.go
@@ -20,7 +20,7 @@
 
 // endpointWatch is how the endpoint list is followed.
 type endpointWatch struct {
-	pull             bool // it answers only when asked
+	pullEndpoints    bool // it answers only when asked
 	subscribePending bool
 	subscribeAt      time.Duration
 	maxPollInterval  time.Duration
@@ -28,7 +28,7 @@
 }
 
 func newEndpointWatch(topology routing.Topology, rules routing.Guardrails) endpointWatch {
-	return endpointWatch{pull: topology.PullEndpoints, subscribePending: topology.PullEndpoints,
+	return endpointWatch{pullEndpoints: topology.PullEndpoints, subscribePending: topology.PullEndpoints,
 		maxPollInterval: rules.MaxPollInterval, roleListing: topology.RoleListing}
 }
 
@@ -43,7 +43,7 @@
 // random pause, so that the instances of a fleet don't all ask at once.
 func (r *Router) EndpointsChanged(now time.Duration, kind routing.UpdateKind, _ int64, entries []routing.Endpoint) {
 	if kind == routing.UpdateFailed {
-		r.subscribePending = r.pull
+		r.subscribePending = r.pullEndpoints
 		r.subscribeAt = now + time.Duration(float64(r.maxPollInterval)*(1+4*r.randomFloat())/50)
 		return
 	}
--- a/router/freshness.go
+++ b/router/freshness.go
@@ -11,13 +11,13 @@
 
 // position is a server's role and its position in the log.
 type position struct {
-	role          routing.Role
-	applied       time.Duration // highest log position known to be applied
-	lag           time.Duration // behind the primary, when last measured
-	lagMeasuredAt time.Duration // never: no position is known
+	role            routing.Role
+	appliedPosition time.Duration // highest log position known to be applied
+	lag             time.Duration // behind the primary, when last measured
+	lagMeasuredAt   time.Duration // never: no position is known
 }
 
-var unknownPosition = position{applied: never, lagMeasuredAt: never}
+var unknownPosition = position{appliedPosition: never, lagMeasuredAt: never}
 
 // estimatedPosition assumes that a server is as far behind as when last measured, and less as that measurement gets older.
 func (r *Router) estimatedPosition(s *server, now time.Duration) time.Duration {
@@ -30,8 +30,8 @@
 
 // observe takes a position that was measured an age ago.
 func (p *position) observe(now, applied, age time.Duration) {
-	p.applied = max(p.applied, applied)
-	p.lag, p.lagMeasuredAt = max(now-age-p.applied, 0), now
+	p.appliedPosition = max(p.appliedPosition, applied)
+	p.lag, p.lagMeasuredAt = max(now-age-p.appliedPosition, 0), now
 }
 
 // reporting is what servers report of themselves and how old it is.
--- a/router/harness_test.go
+++ b/router/harness_test.go
@@ -88,7 +88,7 @@
 func (h *harness) receive(ty int, change ...func(*routing.Request)) routing.RequestRef {
 	h.nextSlot++
 	t := routing.Request{Ref: routing.RequestRef{Slot: h.nextSlot, Generation: h.nextSlot}, Type: ty, Customer: routing.None, Session: 9,
-		Timeout: h.types[ty].Deadline, MaxStaleness: h.types[ty].MaxStaleness, DedupWindow: h.types[ty].DedupWindow}
+		Timeout: h.requestTypes[ty].Deadline, MaxStaleness: h.requestTypes[ty].MaxStaleness, DedupWindow: h.requestTypes[ty].DedupWindow}
 	for _, c := range change {
 		c(&t)
 	}
--- a/router/latency.go
+++ b/router/latency.go
@@ -21,19 +21,19 @@
 // latencies knows the typical and the minimum latency of each request type. The minimum decays slowly, so that it is the
 // latency at a server with little load.
 type latencies struct {
-	typical, minimum  []time.Duration // by request type
-	answeredAt        []time.Duration // by request type: the latest answer
-	answerCount       []time.Duration // by request type, up to maxAnswerCount; a divisor of durations
-	shortestObjective time.Duration   // of all types: the unit of every duration
-	tickInterval      time.Duration   // at which queued requests and unresponsive servers are looked at
+	typicalLatency, minimumLatency []time.Duration // by request type
+	latestAnswerAt                 []time.Duration // by request type: the latest answer
+	answerCount                    []time.Duration // by request type, up to maxAnswerCount; a divisor of durations
+	shortestObjective              time.Duration   // of all types: the unit of every duration
+	tickInterval                   time.Duration   // at which queued requests and unresponsive servers are looked at
 }
 
 func newLatencies(types []routing.RequestType, tick time.Duration) latencies {
 	l := latencies{shortestObjective: time.Hour}
 	for _, t := range types {
 		l.shortestObjective = min(l.shortestObjective, t.LatencyObjective)
-		l.typical, l.minimum = append(l.typical, t.LatencyObjective/4), append(l.minimum, t.LatencyObjective/4)
-		l.answeredAt, l.answerCount = append(l.answeredAt, 0), append(l.answerCount, 0)
+		l.typicalLatency, l.minimumLatency = append(l.typicalLatency, t.LatencyObjective/4), append(l.minimumLatency, t.LatencyObjective/4)
+		l.latestAnswerAt, l.answerCount = append(l.latestAnswerAt, 0), append(l.answerCount, 0)
 	}
 	l.tickInterval = max(tick, l.shortestObjective/10)
 	return l
@@ -43,9 +43,9 @@
 func (l *latencies) observeLatency(now time.Duration, requestType int, latency time.Duration) {
 	t := requestType
 	l.answerCount[t] = min(l.answerCount[t]+1, maxAnswerCount)
-	l.typical[t] += (latency - l.typical[t]) / (priorAnswers + l.answerCount[t])
-	l.minimum[t] += time.Duration(float64(l.minimum[t]) * float64(now-l.answeredAt[t]) / float64(minimumDecayObjectives*l.shortestObjective))
-	l.minimum[t], l.answeredAt[t] = min(l.typical[t], l.minimum[t]), now
+	l.typicalLatency[t] += (latency - l.typicalLatency[t]) / (priorAnswers + l.answerCount[t])
+	l.minimumLatency[t] += time.Duration(float64(l.minimumLatency[t]) * float64(now-l.latestAnswerAt[t]) / float64(minimumDecayObjectives*l.shortestObjective))
+	l.minimumLatency[t], l.latestAnswerAt[t] = min(l.typicalLatency[t], l.minimumLatency[t]), now
 }
 
 // decay is the factor by which a mean's sum and count are multiplied after some time.
--- a/router/outlier_detection.go
+++ b/router/outlier_detection.go
@@ -9,7 +9,7 @@
 
 // Does a server work? Inputs: the results of attempts, and silence. Invariant: what fails everywhere alike, or while others are
 // answered, is not held against a server: errors at all of them, connections that lose answers or can't be opened (docs/design.md,
-// health).
+// outlier detection).
 
 // health is a server's.
 type health struct {
@@ -77,18 +77,18 @@
 	if s.inFlight < 2 || s.ejected || r.stalled(now) || now-max(s.waitingSince, r.resumedAt) <= 2*r.shortestObjective {
 		return false
 	}
-	patience := time.Duration(4 * r.loadEstimate(now, s) * float64(slices.Max(r.typical)))
+	patience := time.Duration(4 * r.loadEstimate(now, s) * float64(slices.Max(r.typicalLatency)))
 	return now-max(s.waitingSince, r.resumedAt) > patience
 }
 
 // probablyLost reports whether an attempt may be cancelled and the request sent elsewhere: its server is unresponsive, or
 // loses some attempts and has answered later ones.
 func (r *Router) probablyLost(now time.Duration, req *request) bool {
-	if req.state != pending || req.sentTo == none || r.types[req.Type].Idempotency == routing.NonIdempotent {
+	if req.state != pending || req.sentTo == none || r.requestTypes[req.Type].Idempotency == routing.NonIdempotent {
 		return false
 	}
 	s := &r.servers[req.sentTo]
-	lost := s.lossRate > lossThreshold && req.attempts == 1 && s.fastAnswerSentAt > req.sentAt && now-req.sentAt > 4*r.minimum[req.Type]
+	lost := s.lossRate > lossThreshold && req.attempts == 1 && s.fastAnswerSentAt > req.sentAt && now-req.sentAt > 4*r.minimumLatency[req.Type]
 	return lost || r.unresponsive(now, s)
 }
 
@@ -131,7 +131,7 @@
 	}
 	r.observeLoad(now, s, load)
 	// Failed attempts are left out: they are no work for a warm server, but count against one that is warming up.
-	r.servedWork.add(now, r.typical[requestType].Seconds(), &r.latencies)
+	r.servedWork.add(now, r.typicalLatency[requestType].Seconds(), &r.latencies)
 	r.observeFaults(s, 0, 0)
 	r.observeLatency(now, requestType, o.Latency)
 }
--- a/router/planning.go
+++ b/router/planning.go
@@ -14,7 +14,7 @@
 	if req.state != pending || req.sentTo != none {
 		return
 	}
-	t := &r.types[req.Type]
+	t := &r.requestTypes[req.Type]
 	if r.shouldGiveUp(now, req, t) {
 		req.giveUp(t)
 		return
--- a/router/request.go
+++ b/router/request.go
@@ -58,11 +58,11 @@
 
 // requestTable has all requests in flight, by slot.
 type requestTable struct {
-	types     []routing.RequestType
-	mayCancel bool
-	slots     []request
-	queue     []uint32 // slots to be planned: new, or without a server that takes them
-	toCancel  []uint32 // slots of which an attempt is to be cancelled
+	requestTypes []routing.RequestType
+	mayCancel    bool
+	slots        []request
+	queue        []uint32 // slots to be planned: new, or without a server that takes them
+	toCancel     []uint32 // slots of which an attempt is to be cancelled
 }
 
 var noAttempt = attemptState{sentTo: none, planned: none, lastServer: none}
@@ -72,7 +72,7 @@
 	for len(r.slots) <= int(in.Ref.Slot) {
 		r.slots = append(r.slots, request{state: finished, attemptState: noAttempt})
 	}
-	t := &r.types[in.Type]
+	t := &r.requestTypes[in.Type]
 	req := &r.slots[in.Ref.Slot]
 	*req = request{Request: in, attemptState: noAttempt, queued: req.queued, schedule: schedule{
 		receivedAt:       now,
@@ -144,7 +144,7 @@
 		return
 	}
 	req.attemptFinished(&o)
-	if o.Result == routing.Succeeded && r.types[requestType].Consistency == routing.Write && req.Session != 0 && o.HasPosition {
+	if o.Result == routing.Succeeded && r.requestTypes[requestType].Consistency == routing.Write && req.Session != 0 && o.HasPosition {
 		r.recordWrite(sessionKey(&req.Request), r.group(req.Group), o.Position)
 	}
 	if o.Result == routing.Unreachable || o.Result == routing.NotSent {
--- a/router/retry.go
+++ b/router/retry.go
@@ -46,7 +46,7 @@
 		now > req.receivedAt+req.Timeout/2-2*r.tickInterval
 	ownFault := req.errorCount > 1 || req.errorCount > 0 && r.errorRate > 1.0/4 // at the first, where errors are common
 	// A typical latency over the objective must not keep a type out for good: what is never sent is never measured.
-	tooLate := t.LateFraction == 0 && now > req.objectiveAt-min(r.typical[req.Type], t.LatencyObjective/2)
+	tooLate := t.LateFraction == 0 && now > req.objectiveAt-min(r.typicalLatency[req.Type], t.LatencyObjective/2)
 	return unsentTooLong || req.retryUnsafe(now, t) || ownFault || req.attempts >= r.maxAttempts ||
 		now > req.deadline-2*r.tickInterval || tooLate
 }
--- a/router/retry_test.go
+++ b/router/retry_test.go
@@ -104,7 +104,7 @@
 
 func TestSlowPeriodDoesNotShutOutRequestType(t *testing.T) {
 	h := newHarness(t, testDeployment()).withGroup(3)
-	h.typical[anyRead] = time.Second
+	h.typicalLatency[anyRead] = time.Second
 	h.receive(anyRead)
 	assert.Equal(t, 1, h.countActions("send"))
 }
--- a/router/router.go
+++ b/router/router.go
@@ -79,7 +79,7 @@
 		fleetLoad:      fleetLoad{limitGrowth: 1 / float64(max(1, o.Topology.FleetSize))},
 		slowStartRules: newSlowStartRules(o.Guardrails),
 		selection:      newSelection(o.Seed, o.Topology, o.Replication, o.Limits),
-		requestTable:   requestTable{types: o.RequestTypes, mayCancel: o.Limits.Cancellation},
+		requestTable:   requestTable{requestTypes: o.RequestTypes, mayCancel: o.Limits.Cancellation},
 		admission:      newAdmission(o.RequestTypes, o.Topology, o.Limits),
 		retryPolicy:    retryPolicy{maxAttempts: o.Limits.MaxAttempts, retryBudget: retryReserve},
 		endpointWatch:  newEndpointWatch(o.Topology, o.Guardrails),
@@ -162,7 +162,7 @@
 	case req.state == pending && req.sentTo == none && req.planned != none:
 		s := &r.servers[req.planned]
 		s.attemptStarted(now)
-		s.spend(r.typical[req.Type])
+		s.spend(r.typicalLatency[req.Type])
 		if s.ejected {
 			s.trialAt = now + r.ejectionTime(s)
 		}
--- a/router/selection.go
+++ b/router/selection.go
@@ -124,7 +124,7 @@
 // reliablePosition is the position that a read may rely on: a known one where servers check nothing, else an estimate.
 func (r *Router) reliablePosition(now time.Duration, s *server) time.Duration {
 	if r.stalenessCheck == routing.NoStalenessCheck {
-		return s.applied
+		return s.appliedPosition
 	}
 	return r.estimatedPosition(s, now)
 }
--- a/router/sessions.go
+++ b/router/sessions.go
@@ -29,7 +29,7 @@
 // past it.
 type sessions struct {
 	clientCarriesToken bool
-	entries            []sessionTarget
+	targets            []sessionTarget
 }
 
 const (
@@ -41,12 +41,12 @@
 	if clientCarriesToken {
 		return sessions{clientCarriesToken: true}
 	}
-	return sessions{entries: make([]sessionTarget, tableSize)}
+	return sessions{targets: make([]sessionTarget, tableSize)}
 }
 
 func (s *sessions) bucket(key uint64) []sessionTarget {
-	i := int((key*0x9E3779B97F4A7C15)>>32) % (len(s.entries) / bucketSize) * bucketSize
-	return s.entries[i : i+bucketSize]
+	i := int((key*0x9E3779B97F4A7C15)>>32) % (len(s.targets) / bucketSize) * bucketSize
+	return s.targets[i : i+bucketSize]
 }
 
 // recordWrite keeps the position of a session's write.
--- a/router/sessions_test.go
+++ b/router/sessions_test.go
@@ -25,7 +25,7 @@
 
 func TestEvictedSessionTargetRaisesGroupTarget(t *testing.T) {
 	s := newSessions(false)
-	s.entries = s.entries[:bucketSize]
+	s.targets = s.targets[:bucketSize]
 	g := &group{}
 	for i := range uint64(bucketSize + 1) {
 		s.recordWrite(i+1, g, time.Duration(i+1)*ms)
--- a/router/slow_start.go
+++ b/router/slow_start.go
@@ -37,7 +37,7 @@
 	startedAt       time.Duration // latest start known
 	startTimeListed bool          // startedAt is from the endpoint list
 	warmingUp       bool
-	budget          float64 // what may still be sent while it is warming up, in seconds of typical latency
+	slowStartBudget float64 // what may still be sent while it is warming up, in seconds of typical latency
 	budgetUpdatedAt time.Duration
 }
 
@@ -47,7 +47,7 @@
 // instances together send their part from the start.
 func (r *Router) beginSlowStart(now time.Duration, s *server, startedAt time.Duration) {
 	s.startedAt, s.warmingUp, s.startTimeListed = startedAt, now-startedAt < r.slowStartDuration, false
-	s.budget, s.budgetUpdatedAt = r.randomFloat()*slices.Min(r.typical).Seconds(), now
+	s.slowStartBudget, s.budgetUpdatedAt = r.randomFloat()*slices.Min(r.typicalLatency).Seconds(), now
 }
 
 // updateListedStart takes a start time from the endpoint list.
@@ -77,13 +77,13 @@
 	}
 	warmRate := r.servedWork.sum * r.decay(now-r.servedWork.at) / float64(max(r.warmServers, 1)) / (decayObjectives * r.shortestObjective).Seconds()
 	rate := max(r.trafficMultiple*share*warmRate, work*r.limitGrowth/r.overloadWindow.Seconds())
-	s.budget = min(s.budget+rate*(now-s.budgetUpdatedAt).Seconds(), max(work, rate*r.overloadWindow.Seconds()/4))
+	s.slowStartBudget = min(s.slowStartBudget+rate*(now-s.budgetUpdatedAt).Seconds(), max(work, rate*r.overloadWindow.Seconds()/4))
 	s.budgetUpdatedAt = now
-	return s.budget >= work
+	return s.slowStartBudget >= work
 }
 
 // spend takes an attempt of that latency off the budget.
-func (s *slowStart) spend(latency time.Duration) { s.budget -= latency.Seconds() }
+func (s *slowStart) spend(latency time.Duration) { s.slowStartBudget -= latency.Seconds() }
 
 // correctStartTime corrects when a server started. Its budget starts anew only where it was taken for a warm one.
 func (r *Router) correctStartTime(now time.Duration, s *server, startedAt time.Duration) {
--- a/router/slow_start_test.go
+++ b/router/slow_start_test.go
@@ -83,10 +83,10 @@
 			h.servers[i].ejected = true
 		}
 		h.beginSlowStart(h.now, &h.servers[4], h.now)
-		h.servers[4].budget = 0
+		h.servers[4].slowStartBudget = 0
 		h.TimerFired(h.now)
 		h.slowStartAdmits(h.now+100*ms, &h.servers[4], 1)
-		return h.servers[4].budget
+		return h.servers[4].slowStartBudget
 	}
 	assert.InDelta(t, 2*part(0), part(2), 1e-9, "with two of four ejected the other two do all the work")
 }
@@ -106,7 +106,7 @@
 			for end := h.now + 2*time.Second; h.now < end; h.now += 100 * ms {
 				h.servedWork.at = h.now
 				if h.slowStartAdmits(h.now, m, 0.05) {
-					m.budget -= 0.05
+					m.slowStartBudget -= 0.05
 					sent++
 				}
 			}
