--- a/fleet/event.go
+++ b/fleet/event.go
@@ -9,14 +9,14 @@
 	Fields() EventFields
 }
 
-// LeaseAcquired says that this front holds a lease until Until at least. It counts from Since, when it was asked for.
+// LeaseAcquired says that this front holds a lease until Until at least. It counts from Since, when it was requested.
 type LeaseAcquired struct {
 	Lease        string
 	Term         uint64
 	Until, Since time.Duration
 }
 
-// LeaseRenewed says that this front holds a lease until Until. It counts from Since, when the renewal was asked for.
+// LeaseRenewed says that this front holds a lease until Until. It counts from Since, when the renewal was requested.
 type LeaseRenewed struct {
 	Lease        string
 	Term         uint64
@@ -46,7 +46,7 @@
 	Lease  string
 	Term   uint64
 	From   string
-	Number uint64 // within the term; 0 for a neighbour's whole mirror
+	Number uint64 // within the term; 0 for a neighbour's complete mirror
 	Data   []byte
 }
 
@@ -72,12 +72,12 @@
 }
 
 // FleetReached says that this front is not isolated any more.
-type FleetReached struct {
+type FleetReached struct { //nolint:revive // fleet.Reached would not say what was reached
 	Term uint64 // of the leader
 }
 
 // FleetLost says that this front is isolated: no heartbeat came for a while.
-type FleetLost struct {
+type FleetLost struct { //nolint:revive // fleet.Lost would not say what was lost
 	Reason string
 }
 
@@ -89,7 +89,7 @@
 // LostLeadership says that this front's voter leads no more.
 type LostLeadership struct{}
 
-// VoterHalted says that this front's voter has stopped for good; the front goes on as a follower.
+// VoterHalted says that this front's voter has stopped for good; the front continues as a follower.
 type VoterHalted struct {
 	Reason string
 }
@@ -111,12 +111,12 @@
 // RequestDone is the end of one of this front's requests.
 type RequestDone struct {
 	ID         uint64
-	Error      string         // "" where it succeeded
+	Error      string         // as the leader sent it; "" where it succeeded
 	LeaderTerm uint64         // term of the leader that answered, 0 where it is not known
 	Reports    []MemberReport // answer to CollectDigests
 }
 
-// LinkClosed says that a link was closed because it was of no use.
+// LinkClosed says that a link was closed because the peer was silent.
 type LinkClosed struct {
 	Peer   string
 	Reason string
@@ -135,7 +135,7 @@
 	Data      []byte
 }
 
-// ConfigLeaseRenewed says that this front may use a configuration version until Until. It counts from Since, when it was asked for.
+// ConfigLeaseRenewed says that this front may use a configuration version until Until. It counts from Since, when it was requested.
 type ConfigLeaseRenewed struct {
 	Version      uint64
 	Until, Since time.Duration
--- a/fleet/leader_leases.go
+++ b/fleet/leader_leases.go
@@ -20,19 +20,44 @@
 	transferringTo string // the front of that grant
 }
 
+// leaseTable is what the leader knows of leases beyond the replicated state.
+type leaseTable struct {
+	timers      map[string]*leaseTimer
+	transfers   map[string]transfer      // by lease: transfers that were requested
+	declaring   map[string]time.Duration // declarations on their way through the log, with their bounds
+	pausedUntil map[string]time.Duration // by pauseKey, see backoffEnd
+	offloadedAt time.Duration            // when it released a lease of its own last
+}
+
+func newLeaseTable() leaseTable {
+	return leaseTable{
+		timers:      map[string]*leaseTimer{},
+		transfers:   map[string]transfer{},
+		declaring:   map[string]time.Duration{},
+		pausedUntil: map[string]time.Duration{},
+	}
+}
+
+// renewalQueue is the renewals that wait for a majority to confirm that this voter still leads.
+type renewalQueue struct {
+	unconfirmed    []pendingRenewal // of leases, received since the last confirmation round began
+	confirming     []pendingRenewal // of leases, waiting for a confirmation round
+	configRenewals []pendingRenewal // of configuration leases
+}
+
 // pendingRenewal is a renewal of a lease, or of a configuration lease, that waits for a confirmation round.
 type pendingRenewal struct {
 	name        string
 	incarnation uint64
 	seq         uint64
 	renewal     LeaseRenewal
-	heardAt     time.Duration
+	receivedAt  time.Duration
 	round       uint64
 
 	version uint64 // of a configuration lease
 }
 
-// newTimer returns the timer of a lease that runs from now for a whole lease duration, with the leader's margin.
+// newTimer returns the timer of a lease that runs from now for a full lease duration, with the leader's margin.
 func (l *leader) newTimer(lease *Lease, now time.Duration) *leaseTimer {
 	timer := &leaseTimer{term: lease.Term, grantedAt: now, progressAt: now, expiresAt: now + l.node.options.Timing.leaderLease()}
 	if lease.Leaseholder == "" {
@@ -48,20 +73,20 @@
 // that are granted.
 func (l *leader) onQuorumConfirmed(now time.Duration, round uint64) {
 	renewed := map[string]*LeaderReply{}
-	rest := l.confirming[:0]
+	remaining := l.confirming[:0]
 	for _, pending := range l.confirming {
 		if pending.round > round {
-			rest = append(rest, pending)
+			remaining = append(remaining, pending)
 			continue
 		}
 		lease, timer := l.node.state.Leases[pending.renewal.Lease], l.timers[pending.renewal.Lease]
 		if lease == nil || timer == nil || timer.transferring || timer.term != pending.renewal.Term {
 			continue
 		}
-		if !lease.heldBy(pending.name, pending.incarnation, pending.renewal.Term) {
+		if !lease.isHolder(pending.name, pending.incarnation, pending.renewal.Term) {
 			continue
 		}
-		timer.expiresAt = max(timer.expiresAt, pending.heardAt+l.node.options.Timing.leaderLease())
+		timer.expiresAt = max(timer.expiresAt, pending.receivedAt+l.node.options.Timing.leaderLease())
 		if pending.renewal.Progress != timer.progress {
 			timer.progress, timer.progressAt = pending.renewal.Progress, now
 		}
@@ -74,16 +99,16 @@
 			reply.Renewed = append(reply.Renewed, pending.renewal)
 		}
 	}
-	l.confirming = rest
-	l.renewConfigLeases(now, round)
+	l.confirming = remaining
+	l.renewConfigLeases(round)
 	for _, name := range slices.Sorted(maps.Keys(renewed)) {
 		l.reply(now, name, renewed[name])
 	}
 	l.heartbeat(now)
 }
 
-// requestRelease asks a leaseholder that is alive but makes no progress to release its lease. A lease that it does not release
-// expires, since it is not renewed any more.
+// requestRelease requests that a leaseholder which is alive but makes no progress releases its lease. A lease that it does not
+// release expires, since it is not renewed any more.
 func (l *leader) requestRelease(now time.Duration, lease *Lease, timer *leaseTimer) {
 	if timer.transferringAt != 0 && now-timer.transferringAt < l.node.options.Timing.HeartbeatInterval() {
 		return
@@ -95,7 +120,7 @@
 // eligible reports whether a front can be granted a lease now.
 func (l *leader) eligible(now time.Duration, known *member) bool {
 	front := l.node.state.Fronts[known.Name]
-	recent := now-known.heardAt < 2*l.node.options.Timing.reportInterval()
+	recent := now-known.reportedAt < 2*l.node.options.Timing.reportInterval()
 	joined := front != nil && front.Incarnation == known.Incarnation
 	return known.AcceptsLeases && !known.Leaving && recent && joined
 }
@@ -121,24 +146,33 @@
 
 func pauseKey(leaseName, front string) string { return leaseName + "\x00" + front }
 
-// countLoss counts a loss against a leaseholder whose lease expired or that made no progress; after a long tenure it counts anew.
-func (l *leader) countLoss(now time.Duration, lease *Lease, timer *leaseTimer, lost bool, why string) (loser string, losses uint32, because string) {
+// recordLoss counts a loss in a command that ends a lease, where its holder let it expire or made no progress; after a long tenure the
+// count starts anew.
+func (l *leader) recordLoss(now time.Duration, c *Command, timer *leaseTimer, expired bool) {
+	lease := l.node.state.Leases[c.Lease]
 	idle := lease.Bound > 0 && now-timer.progressAt > lease.Bound
 	switch {
-	case lease.Leaseholder == "" || !lost && !idle:
-		return "", 0, why
-	case !lost:
-		why = "it got nothing done"
+	case lease.Leaseholder == "" || !expired && !idle:
+		return
+	case !expired:
+		c.Reason = reasonNoProgress
 	}
-	if now-timer.grantedAt > 32*l.node.options.Timing.LeaseDuration {
-		return lease.Leaseholder, 1, why
+	c.LostBy, c.LossCount = lease.Leaseholder, 1
+	if now-timer.grantedAt <= 32*l.node.options.Timing.LeaseDuration {
+		c.LossCount = lease.losses(lease.Leaseholder) + 1
 	}
-	return lease.Leaseholder, lease.losses(lease.Leaseholder) + 1, why
 }
 
-// grant proposes a leaseholder: the front that is asked for, if eligible, else the best candidate.
-func (l *leader) grant(now time.Duration, lease *Lease, timer *leaseTimer, to, why string, lost bool) {
-	best := l.bestCandidate(now, lease, to)
+// grantOptions say why a lease is granted, and to whom if there is a choice.
+type grantOptions struct {
+	preferred string // the front that is requested, "" for none
+	reason    string
+	expired   bool // the last holder let it expire
+}
+
+// grant proposes a leaseholder: the preferred front, if eligible, else the best candidate.
+func (l *leader) grant(now time.Duration, lease *Lease, timer *leaseTimer, o grantOptions) {
+	best := l.bestCandidate(now, lease, o.preferred)
 	if best == nil {
 		return
 	}
@@ -149,8 +183,9 @@
 		Target:      best.Name,
 		Incarnation: best.Incarnation,
 		RequestSeq:  best.Seq,
+		Reason:      o.reason,
 	}
-	c.LostBy, c.LossCount, c.Reason = l.countLoss(now, lease, timer, lost, why)
+	l.recordLoss(now, c, timer, o.expired)
 	if l.voter.propose(c) {
 		timer.transferring, timer.transferringAt, timer.transferringTo = true, now, best.Name
 	}
@@ -165,8 +200,8 @@
 	var bestRank candidateRank
 	for _, name := range slices.Sorted(maps.Keys(l.members)) {
 		known := l.members[name]
-		isHolder := name == lease.Leaseholder && known.Incarnation == lease.Incarnation
-		if isHolder || !l.eligible(now, known) || now < l.backoffEnd(lease, name) {
+		isCurrentHolder := name == lease.Leaseholder && known.Incarnation == lease.Incarnation
+		if isCurrentHolder || !l.eligible(now, known) || now < l.backoffEnd(lease, name) {
 			continue
 		}
 		if byFront[name]+onTheirWay[name] >= maxRenewals {
@@ -229,32 +264,32 @@
 		return
 	}
 	leaseCounts := map[string]int{}
-	own := ""
+	ownName := ""
 	for name, lease := range l.node.state.Leases {
 		leaseCounts[lease.Leaseholder]++
-		if held := l.node.heldLeases[name]; lease.Leaseholder == l.node.options.Name && held != nil && held.announced && !held.releasing {
-			own = max(own, name)
+		if ownLease := l.node.ownLeases[name]; lease.Leaseholder == l.node.options.Name && ownLease != nil && ownLease.announced && !ownLease.releasing {
+			ownName = max(ownName, name)
 		}
 	}
-	if own == "" {
+	if ownName == "" {
 		return
 	}
 	self := l.node.options.Name
 	for name, known := range l.members {
-		if name == self || leaseCounts[name] > leaseCounts[self] || now < l.pausedUntil[pauseKey(own, name)] {
+		if name == self || leaseCounts[name] > leaseCounts[self] || now < l.pausedUntil[pauseKey(ownName, name)] {
 			continue
 		}
 		if l.eligible(now, known) {
 			l.offloadedAt = now
-			l.node.releaseLease(now, own, "", "its holder gives as well")
+			l.node.releaseLease(now, ownName, "", reasonLeaderOffloads)
 			return
 		}
 	}
 }
 
-// renewConfigLeases renews the configuration leases that were asked for before a confirmed round. A version that the replicated
+// renewConfigLeases renews the configuration leases that were requested before a confirmed round. A version that the replicated
 // state does not allow is not renewed; earlier renewals of it are left to expire.
-func (l *leader) renewConfigLeases(now time.Duration, round uint64) {
+func (l *leader) renewConfigLeases(round uint64) {
 	type key struct {
 		name    string
 		version uint64
--- a/fleet/replicated_state.go
+++ b/fleet/replicated_state.go
@@ -39,8 +39,8 @@
 	Count uint32
 }
 
-// heldBy reports whether a front holds the lease in a term.
-func (lease *Lease) heldBy(front string, incarnation, term uint64) bool {
+// isHolder reports whether a front holds the lease in a term.
+func (lease *Lease) isHolder(front string, incarnation, term uint64) bool {
 	return lease.Leaseholder == front && lease.Incarnation == incarnation && lease.Term == term
 }
 
@@ -85,7 +85,7 @@
 	Value []byte
 }
 
-// ReplicatedState is what the whole fleet agrees on, as a state machine: the same commands in the same order make the same state
+// ReplicatedState is what all fronts of the fleet agree on, as a state machine: the same commands in the same order make the same state
 // at each front. It belongs to its Node and must not be used while that changes it.
 type ReplicatedState struct {
 	Index        uint64 // of the last command
@@ -105,26 +105,26 @@
 	}
 }
 
-// apply applies the command at an index. fault is why it had no effect, "" where it did what it was for.
-func (state *ReplicatedState) apply(index uint64, data []byte) (c Command, fault string) {
+// apply applies the command at an index. The error is why the command had no effect.
+func (state *ReplicatedState) apply(index uint64, data []byte) (c Command, err error) {
 	state.Index = index
 	if len(data) == 0 {
-		return Command{}, ""
+		return Command{}, nil
 	}
 	if err := msgpack.Unmarshal(data, &c); err != nil {
-		return c, "a command that can't be read: " + err.Error()
+		return c, fmt.Errorf("%w: %w", errUnreadableCommand, err)
 	}
 	if c.Format > Format || c.Op > opPutValue {
 		state.NeededFormat = max(c.Format, Format+1)
-		return c, fmt.Sprintf("a command of format %d, and this program knows %d", c.Format, Format)
+		return c, &FormatError{What: "command", Needed: c.Format, Known: Format}
 	}
 	switch c.Op {
 	case opDeclareLease:
 		state.declareLease(&c)
 	case opGrantLease, opVacateLease:
-		fault = state.applyLeaseChange(index, &c)
+		err = state.applyLeaseChange(index, &c)
 	case opJoin:
-		fault = state.applyJoin(&c)
+		err = state.applyJoin(&c)
 	case opLeave:
 		if front := state.Fronts[c.Target]; front != nil && front.Incarnation == c.Incarnation {
 			delete(state.Fronts, c.Target)
@@ -134,14 +134,11 @@
 	case opRemoveVoter:
 		delete(state.Voters, c.Target)
 	case opPutValue:
-		fault = state.applyPut(index, &c)
+		err = state.applyPut(index, &c)
 	}
-	return c, fault
+	return c, err
 }
 
-// faultOtherTerm is the answer to a command for a term of a lease that is not the present one.
-const faultOtherTerm = "the duty is in another term"
-
 func (state *ReplicatedState) declareLease(c *Command) {
 	if lease := state.Leases[c.Lease]; lease != nil {
 		lease.Bound = c.Bound
@@ -157,10 +154,10 @@
 }
 
 // applyLeaseChange applies opGrantLease and opVacateLease.
-func (state *ReplicatedState) applyLeaseChange(index uint64, c *Command) (fault string) {
+func (state *ReplicatedState) applyLeaseChange(index uint64, c *Command) error {
 	lease := state.Leases[c.Lease]
 	if lease == nil || lease.Term != c.Term {
-		return faultOtherTerm
+		return errOtherTerm
 	}
 	if c.LostBy != "" {
 		lease.Losses = slices.DeleteFunc(slices.Clone(lease.Losses), func(l Loss) bool { return l.Front == c.LostBy })
@@ -171,22 +168,22 @@
 	lease.Reason = c.Reason
 	if c.Op == opVacateLease {
 		lease.Leaseholder = ""
-		return ""
+		return nil
 	}
 	lease.Term++
 	lease.Leaseholder = c.Target
 	lease.Incarnation = c.Incarnation
 	lease.RequestSeq = c.RequestSeq
 	lease.GrantIndex = index
-	return ""
+	return nil
 }
 
 // applyJoin applies opJoin: a front is new, has started anew, or has moved.
-func (state *ReplicatedState) applyJoin(c *Command) (fault string) {
+func (state *ReplicatedState) applyJoin(c *Command) error {
 	front := *c.Front
 	if old := state.Fronts[front.Name]; old != nil {
 		if old.isPast(front.Incarnation) {
-			return "the front was displaced by another of its name"
+			return errFrontDisplaced
 		}
 		front.PastIncarnations = old.PastIncarnations
 		if old.Incarnation != front.Incarnation {
@@ -195,11 +192,11 @@
 		}
 	}
 	state.Fronts[front.Name] = &front
-	return ""
+	return nil
 }
 
 // applyPut applies opPutValue; an empty value deletes the key.
-func (state *ReplicatedState) applyPut(index uint64, c *Command) (fault string) {
+func (state *ReplicatedState) applyPut(index uint64, c *Command) error {
 	lease, stored := state.Leases[c.Lease], state.Values[c.Key]
 	storedIndex := uint64(0)
 	if stored != nil {
@@ -207,18 +204,18 @@
 	}
 	switch {
 	case lease == nil || lease.Term != c.Term:
-		return faultOtherTerm
+		return errOtherTerm
 	case storedIndex != c.PrevIndex:
 		if stored != nil && stored.Term == c.Term && bytes.Equal(stored.Value, c.Value) {
-			return "" // a repeated request
+			return nil // a repeated request
 		}
-		return "the entry has changed meanwhile"
+		return errValueChanged
 	case len(c.Value) == 0:
 		delete(state.Values, c.Key)
 	default:
 		state.Values[c.Key] = &StoredValue{Lease: c.Lease, Term: c.Term, Index: index, Value: c.Value}
 	}
-	return ""
+	return nil
 }
 
 // AllowedVersionsKey is the key of the value that says which configuration versions may be used; where it is absent, all may.
@@ -237,27 +234,27 @@
 func (r AllowedVersions) Encode() []byte {
 	b, err := msgpack.Marshal(&r)
 	if err != nil {
-		panic("a range that can't be written: " + err.Error()) // cannot fail for our own types
+		panic("encode the allowed versions: " + err.Error()) // our own types always encode
 	}
 	return b
 }
 
 // Allows reports whether a version may be used.
-func (x AllowedVersions) Allows(version uint64) bool { return version == x.Min || version == x.Max }
+func (r AllowedVersions) Allows(version uint64) bool { return version == r.Min || version == r.Max }
 
 // AllowedVersions returns the versions in force and the index of their value; the index is 0 where there is none, and all versions
 // may be used.
-func (state *ReplicatedState) AllowedVersions() (x AllowedVersions, index uint64) {
-	e := state.Values[AllowedVersionsKey]
-	if e == nil || msgpack.Unmarshal(e.Value, &x) != nil {
+func (state *ReplicatedState) AllowedVersions() (allowed AllowedVersions, index uint64) {
+	stored := state.Values[AllowedVersionsKey]
+	if stored == nil || msgpack.Unmarshal(stored.Value, &allowed) != nil {
 		return AllowedVersions{}, 0
 	}
-	return x, e.Index
+	return allowed, stored.Index
 }
 
 func (state *ReplicatedState) allowsVersion(version uint64) bool {
-	x, index := state.AllowedVersions()
-	return index == 0 || x.Allows(version)
+	allowed, index := state.AllowedVersions()
+	return index == 0 || allowed.Allows(version)
 }
 
 // encodedState is the encoded form of a ReplicatedState, sorted: equal states have equal bytes.
@@ -279,53 +276,53 @@
 func (state *ReplicatedState) Encoded() []byte { return state.encode() }
 
 func (state *ReplicatedState) encode() []byte {
-	w := encodedState{Format: Format, Index: state.Index, Keys: slices.Sorted(maps.Keys(state.Values)), NeededFormat: state.NeededFormat}
+	encoded := encodedState{Format: Format, Index: state.Index, Keys: slices.Sorted(maps.Keys(state.Values)), NeededFormat: state.NeededFormat}
 	for _, k := range slices.Sorted(maps.Keys(state.Leases)) {
-		w.Leases = append(w.Leases, state.Leases[k])
+		encoded.Leases = append(encoded.Leases, state.Leases[k])
 	}
 	for _, k := range slices.Sorted(maps.Keys(state.Fronts)) {
-		w.Fronts = append(w.Fronts, state.Fronts[k])
+		encoded.Fronts = append(encoded.Fronts, state.Fronts[k])
 	}
 	for _, k := range slices.Sorted(maps.Keys(state.Voters)) {
-		w.Voters = append(w.Voters, k, state.Voters[k])
+		encoded.Voters = append(encoded.Voters, k, state.Voters[k])
 	}
-	for _, k := range w.Keys {
-		w.Values = append(w.Values, state.Values[k])
+	for _, k := range encoded.Keys {
+		encoded.Values = append(encoded.Values, state.Values[k])
 	}
 	var out bytes.Buffer
 	enc := msgpack.NewEncoder(&out)
 	enc.SetSortMapKeys(true)
 	enc.UseCompactInts(true)
-	if err := enc.Encode(&w); err != nil {
-		panic(fmt.Sprint("a replicated state that can't be written: ", err)) // cannot fail for our own types
+	if err := enc.Encode(&encoded); err != nil {
+		panic(fmt.Sprint("encode the replicated state: ", err)) // our own types always encode
 	}
 	return out.Bytes()
 }
 
 func decodeReplicatedState(data []byte) (*ReplicatedState, error) {
-	var w encodedState
-	if err := msgpack.Unmarshal(data, &w); err != nil {
-		return nil, fmt.Errorf("a record that can't be read: %w", err)
+	var encoded encodedState
+	if err := msgpack.Unmarshal(data, &encoded); err != nil {
+		return nil, fmt.Errorf("%w: %w", errUnreadableState, err)
 	}
-	if w.Format > Format {
-		return nil, fmt.Errorf("a record of format %d, and this program knows %d: bring the program up to date", w.Format, Format)
+	if encoded.Format > Format {
+		return nil, &FormatError{What: "record", Needed: encoded.Format, Known: Format, Remedy: ": bring the program up to date"}
 	}
-	if len(w.Keys) != len(w.Values) || len(w.Voters)%2 != 0 {
-		return nil, fmt.Errorf("a record whose parts don't fit")
+	if len(encoded.Keys) != len(encoded.Values) || len(encoded.Voters)%2 != 0 {
+		return nil, errInconsistentState
 	}
 	state := newReplicatedState()
-	state.Index, state.NeededFormat = w.Index, w.NeededFormat
-	for _, lease := range w.Leases {
+	state.Index, state.NeededFormat = encoded.Index, encoded.NeededFormat
+	for _, lease := range encoded.Leases {
 		state.Leases[lease.Name] = lease
 	}
-	for _, front := range w.Fronts {
+	for _, front := range encoded.Fronts {
 		state.Fronts[front.Name] = front
 	}
-	for i := 0; i < len(w.Voters); i += 2 {
-		state.Voters[w.Voters[i]] = w.Voters[i+1]
+	for i := 0; i < len(encoded.Voters); i += 2 {
+		state.Voters[encoded.Voters[i]] = encoded.Voters[i+1]
 	}
-	for i, k := range w.Keys {
-		state.Values[k] = w.Values[i]
+	for i, k := range encoded.Keys {
+		state.Values[k] = encoded.Values[i]
 	}
 	return state, nil
 }
--- a/fleet/replication.go
+++ b/fleet/replication.go
@@ -11,10 +11,11 @@
 	state         *ReplicatedState
 	recentEntries []LogEntry // the last ones applied
 	updatedTo     uint64     // index up to which neighbours were updated
+	snapshotState
 }
 
 func newReplicationState() replicationState {
-	return replicationState{state: newReplicatedState()}
+	return replicationState{state: newReplicatedState(), snapshotState: newSnapshotState()}
 }
 
 // State returns this front's copy of the replicated state. It belongs to the Node: read it between calls only.
@@ -32,7 +33,7 @@
 	if len(n.recentEntries) == 0 || n.recentEntries[0].Index > p.index+1 || p.index == 0 {
 		data := n.state.encode()
 		if len(data) > chunkBytes {
-			return // it asks one of its neighbours, which sends it in chunks
+			return // the peer requests it from one of its neighbours, which sends it in chunks
 		}
 		n.send(name, &Message{Kind: KindSnapshot, From: n.options.Name, Index: n.state.Index, Data: data})
 	} else {
@@ -42,22 +43,21 @@
 	p.index = n.state.Index
 }
 
-// onEntries applies log entries of a peer, and asks for the ones that are missing before them.
-func (n *Node) onEntries(now time.Duration, from string, m *Message) error {
+// onEntries applies log entries of a peer, and requests the ones that are missing before them.
+func (n *Node) onEntries(now time.Duration, from string, m *Message) {
 	if n.isActiveVoter() {
-		return nil
+		return
 	}
 	for _, entry := range m.Entries {
 		switch {
 		case entry.Index <= n.state.Index:
 		case entry.Index > n.state.Index+1 || n.state.Index == 0:
 			n.send(from, &Message{Kind: KindEntriesRequest, Index: n.state.Index})
-			return nil
+			return
 		default:
 			n.apply(now, entry)
 		}
 	}
-	return nil
 }
 
 // onSnapshot replaces the replicated state by a newer one.
@@ -92,22 +92,22 @@
 		n.state.Index = entry.Index // this program can't read what follows
 		return
 	}
-	c, fault := n.state.apply(entry.Index, entry.Data)
+	c, err := n.state.apply(entry.Index, entry.Data)
 	n.recentEntries = append(n.recentEntries, entry)
 	if len(n.recentEntries) > 2*maxRecentEntries {
 		n.recentEntries = append([]LogEntry{}, n.recentEntries[len(n.recentEntries)-maxRecentEntries:]...)
 	}
 	if n.state.NeededFormat != 0 {
-		n.emit(StateUnreadable{Index: entry.Index, Reason: fault})
+		n.emit(StateUnreadable{Index: entry.Index, Reason: err.Error()})
 		return
 	}
 	if c.Requester == n.options.Name && n.pendingRequests[c.RequestID] != nil {
-		n.completeRequest(c.RequestID, fault, 0)
+		n.completeRequest(RequestDone{ID: c.RequestID, Error: errorText(err)})
 	}
 	if n.leader != nil {
-		n.leader.onApplied(now, &c, fault)
+		n.leader.onApplied(now, &c, err)
 	}
-	if fault != "" {
+	if err != nil {
 		return
 	}
 	switch c.Op {
@@ -143,6 +143,6 @@
 // checkName marks this front as displaced where another process has its name.
 func (n *Node) checkName() {
 	if front := n.state.Fronts[n.options.Name]; front != nil && front.isPast(n.options.Incarnation) {
-		n.markDisplaced("another front of the fleet has this name")
+		n.markDisplaced(reasonNameTaken)
 	}
 }
--- a/fleet/requests.go
+++ b/fleet/requests.go
@@ -26,11 +26,11 @@
 
 // Request sends a request to the leader. A RequestDone event with the returned number follows, after four lease durations at
 // the latest.
-func (n *Node) Request(now time.Duration, q Request) (number uint64) {
+func (n *Node) Request(now time.Duration, q Request) (id uint64) {
 	n.lastRequestID++
 	q.ID = n.lastRequestID
 	if len(n.pendingRequests) >= maxPendingRequests {
-		n.emit(RequestDone{ID: q.ID, Error: "too many questions wait"})
+		n.emit(RequestDone{ID: q.ID, Error: errTooManyRequests.Error()})
 		return q.ID
 	}
 	m := &Message{Kind: KindRequest, From: n.options.Name, Request: &q}
@@ -41,7 +41,7 @@
 
 // PutValue asks for a value to be stored under a lease that this front holds; prev is the value's index as known, 0 for none. ok
 // is false where the lease is not held.
-func (n *Node) PutValue(now time.Duration, leaseName, key string, prev uint64, value []byte) (number uint64, ok bool) {
+func (n *Node) PutValue(now time.Duration, leaseName, key string, prev uint64, value []byte) (id uint64, ok bool) {
 	term, ok := n.HoldsLease(now, leaseName)
 	if !ok {
 		return 0, false
@@ -70,37 +70,37 @@
 	return n.Request(now, Request{Type: RequestTransfer, Lease: leaseName, To: to})
 }
 
-// CollectDigests asks the leader for all fronts' digests of a part; a RequestDone event with them follows.
-func (n *Node) CollectDigests(now time.Duration, part string) uint64 {
-	return n.Request(now, Request{Type: RequestDigests, Lease: part})
+// CollectDigests asks the leader for all fronts' digests of a subsystem; a RequestDone event with them follows.
+func (n *Node) CollectDigests(now time.Duration, subsystem string) uint64 {
+	return n.Request(now, Request{Type: RequestDigests, Lease: subsystem})
 }
 
 // onReply handles a reply of the leader to this front; leaderTerm is 0 where an older program leads.
 func (n *Node) onReply(now time.Duration, reply *LeaderReply, leaderTerm uint64) {
 	if reply.Displaced == n.options.Incarnation && reply.Displaced != 0 {
-		n.markDisplaced("another front of the fleet has this name")
+		n.markDisplaced(reasonNameTaken)
 		return
 	}
 	pending := n.pendingRequests[reply.RequestID]
 	if pending != nil && (reply.Error != "" || !pending.declares) {
-		n.completeRequest(reply.RequestID, reply.Error, leaderTerm, reply.Reports...)
+		n.completeRequest(RequestDone{ID: reply.RequestID, Error: reply.Error, LeaderTerm: leaderTerm, Reports: reply.Reports})
 	}
 	if reply.Release != "" {
-		if held := n.heldLeases[reply.Release]; held != nil && held.term == reply.Term {
-			n.releaseLease(now, reply.Release, reply.TransferTo, "it was asked to hand it on")
+		if own := n.ownLeases[reply.Release]; own != nil && own.term == reply.Term {
+			n.releaseLease(now, reply.Release, reply.TransferTo, reasonTransferRequested)
 		}
 	}
 	for _, renewal := range reply.Renewed {
-		if held := n.heldLeases[renewal.Lease]; held != nil && held.term == renewal.Term {
-			n.extendLease(now, renewal.Lease, held, reply.RenewedSeq, leaderTerm)
+		if own := n.ownLeases[renewal.Lease]; own != nil && own.term == renewal.Term {
+			n.extendLease(now, renewal.Lease, reply.RenewedSeq, leaderTerm)
 		}
 	}
 }
 
-// completeRequest ends a request; fault is "" where it succeeded.
-func (n *Node) completeRequest(id uint64, fault string, leaderTerm uint64, reports ...MemberReport) {
-	delete(n.pendingRequests, id)
-	n.emit(RequestDone{ID: id, Error: fault, LeaderTerm: leaderTerm, Reports: reports})
+// completeRequest ends a request.
+func (n *Node) completeRequest(done RequestDone) {
+	delete(n.pendingRequests, done.ID)
+	n.emit(done)
 }
 
 // retryRequests repeats requests without an answer, and declares leases that the replicated state lacks.
@@ -108,21 +108,21 @@
 	timing := n.options.Timing
 	n.completeDeclarations()
 	for _, id := range slices.Sorted(maps.Keys(n.pendingRequests)) {
-		a := n.pendingRequests[id]
-		if q := a.message.Request; q.Type == RequestRelease {
-			if held := n.heldLeases[q.Lease]; held == nil || held.term != q.Term {
+		pending := n.pendingRequests[id]
+		if request := pending.message.Request; request.Type == RequestRelease {
+			if own := n.ownLeases[request.Lease]; own == nil || own.term != request.Term {
 				delete(n.pendingRequests, id)
 				continue
 			}
 		}
-		if now-a.startedAt > 4*timing.LeaseDuration {
-			n.completeRequest(id, "no answer came", 0)
+		if now-pending.startedAt > 4*timing.LeaseDuration {
+			n.completeRequest(RequestDone{ID: id, Error: errNoAnswer.Error()})
 			continue
 		}
-		if now-a.sentAt >= timing.HeartbeatInterval() {
-			a.sentAt = now
-			a.message.Number = 0
-			n.toLeader(now, a.message)
+		if now-pending.sentAt >= timing.HeartbeatInterval() {
+			pending.sentAt = now
+			pending.message.Number = 0
+			n.toLeader(now, pending.message)
 		}
 	}
 	n.declareMissingLeases(now)
@@ -174,7 +174,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(n.pendingRequests)) {
 		if n.pendingRequests[id].declares && !unanswered[id] {
-			n.completeRequest(id, "", 0)
+			n.completeRequest(RequestDone{ID: id})
 		}
 	}
 }
--- a/fleet/routing.go
+++ b/fleet/routing.go
@@ -44,33 +44,33 @@
 		n.onReply(now, m.Reply, m.Term)
 		return
 	}
-	if w, ok := n.routes[m.Name]; ok {
+	if route, ok := n.routes[m.Name]; ok {
 		c := *m
-		n.send(w.via, &c)
+		n.send(route.via, &c)
 	}
 }
 
 // SendDatagram sends data to a subsystem of another front, along the tree of heartbeats. It is unreliable: a sender that needs an
 // answer must retry.
-func (n *Node) SendDatagram(now time.Duration, to, part string, data []byte) {
-	n.routeDatagram(now, "", &Message{Kind: KindDatagram, From: n.options.Name, Name: to, Reason: part, Data: data})
+func (n *Node) SendDatagram(now time.Duration, to, subsystem string, data []byte) {
+	n.routeDatagram("", &Message{Kind: KindDatagram, From: n.options.Name, Name: to, Reason: subsystem, Data: data})
 }
 
 // routeDatagram sends a datagram a hop towards its receiver, but not back.
-func (n *Node) routeDatagram(now time.Duration, from string, m *Message) {
+func (n *Node) routeDatagram(from string, m *Message) {
 	if m.Name == n.options.Name {
 		n.emit(DatagramReceived{From: m.From, Subsystem: m.Reason, Data: m.Data})
 		return
 	}
-	next := n.upstream
-	if w, ok := n.routes[m.Name]; ok {
-		next = w.via
+	nextHop := n.upstream
+	if route, ok := n.routes[m.Name]; ok {
+		nextHop = route.via
 	}
 	if n.peers[m.Name] != nil {
-		next = m.Name
+		nextHop = m.Name
 	}
-	if next != "" && next != from {
+	if nextHop != "" && nextHop != from {
 		c := *m
-		n.send(next, &c)
+		n.send(nextHop, &c)
 	}
 }
--- a/fleet/voter_admission.go
+++ b/fleet/voter_admission.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"time"
 )
 
@@ -11,18 +12,63 @@
 // what they know of the other's disk. A voter takes part once a majority, itself included, has vouched that its disk is not older
 // than they know it. A voter whose own disk holds nothing (it is new, or its disk was lost) knows nothing and vouches for nobody.
 type admission struct {
-	vouched    map[string]bool // by voter: it has taken part in consensus, and knows no more of this disk than it holds
-	foundBlank map[string]bool // by voter: its disk held nothing while this one held nothing either
-	isBlank    bool            // this disk held nothing when it was opened
-	fleetBegan bool            // while this disk held nothing, a front had entries of the log: the fleet has begun without it
+	vouchedBy    map[string]bool // by voter: it has taken part in consensus, and knows no more of this disk than it holds
+	emptyDisks   map[string]bool // by voter: its disk held nothing while this one held nothing either
+	startedEmpty bool            // this disk held nothing when it was opened
+	fleetBegan   bool            // while this disk held nothing, a front had entries of the log: the fleet has begun without it
 }
 
 func newAdmission(isBlank bool) admission {
-	return admission{vouched: map[string]bool{}, foundBlank: map[string]bool{}, isBlank: isBlank}
+	return admission{vouchedBy: map[string]bool{}, emptyDisks: map[string]bool{}, startedEmpty: isBlank}
 }
 
-// hasTakenPart reports whether a disk with this floor has been used by consensus.
-func (f Floor) hasTakenPart() bool { return f.Term > 0 }
+// diskFloors is what this voter's disk holds, and what it knows of the others' disks.
+type diskFloors struct {
+	floor         Floor // as it is on disk
+	peerFloors    map[string]Floor
+	floorsSavedAt time.Duration
+	floorsDirty   bool // peerFloors differs from what is on disk
+}
+
+func newDiskFloors(peerFloors map[string]Floor) diskFloors {
+	all := maps.Clone(peerFloors)
+	if all == nil {
+		all = map[string]Floor{}
+	}
+	return diskFloors{peerFloors: all}
+}
+
+// copyFloors returns the others' floors for a disk write.
+func (f *diskFloors) copyFloors() map[string]Floor { return maps.Clone(f.peerFloors) }
+
+// floorsDue reports whether the others' floors should be written to disk now, and notes that they are.
+func (f *diskFloors) floorsDue(now, interval time.Duration) bool {
+	if !f.floorsDirty || now-f.floorsSavedAt < interval {
+		return false
+	}
+	f.floorsSavedAt, f.floorsDirty = now, false
+	return true
+}
+
+// learnFloor records what another voter's disk holds.
+func (f *diskFloors) learnFloor(from string, holds Floor) {
+	known := f.peerFloors[from]
+	if next := known.or(holds); holds != (Floor{}) && known != next {
+		f.peerFloors[from] = next
+		f.floorsDirty = true
+	}
+}
+
+// exclusion returns excludedFloor where a voter was excluded by a recovery, and nothing elsewhere.
+func (f *diskFloors) exclusion(name string) Floor {
+	if f.peerFloors[name] == excludedFloor {
+		return excludedFloor
+	}
+	return Floor{}
+}
+
+// usedByConsensus reports whether a disk with this floor has been used by consensus.
+func (f Floor) usedByConsensus() bool { return f.Term > 0 }
 
 // checkHello compares what another voter knows of this one's disk with what it holds, and records whether the other vouches for it.
 func (v *voter) checkHello(now time.Duration, from string, h *Handshake) {
@@ -30,20 +76,20 @@
 		v.halt(oldCopyReason(from, v.floor, h.KnownFloor))
 		return
 	}
-	if h.Floor.hasTakenPart() {
+	if h.Floor.usedByConsensus() {
 		v.vouch(now, from)
-	} else if !v.floor.hasTakenPart() {
-		v.foundBlank[from] = true
-		v.leaderHeardAt = now // followers get time to report that the fleet has begun
+	} else if !v.floor.usedByConsensus() {
+		v.emptyDisks[from] = true
+		v.leaderContactAt = now // followers get time to report that the fleet has begun
 	}
 	v.learnFloor(from, h.Floor)
 }
 
 // vouch records that another voter vouches for this one's disk.
 func (v *voter) vouch(now time.Duration, from string) {
-	if !v.vouched[from] {
-		v.vouched[from] = true
-		v.leaderHeardAt = now // a present leader gets time to report
+	if !v.vouchedBy[from] {
+		v.vouchedBy[from] = true
+		v.leaderContactAt = now // a present leader gets time to report
 	}
 }
 
@@ -54,7 +100,7 @@
 		return
 	}
 	v.learnFloor(from, h.Floor)
-	if h.Floor.hasTakenPart() {
+	if h.Floor.usedByConsensus() {
 		v.vouch(now, from)
 	}
 }
@@ -62,27 +108,19 @@
 // checkOther handles a new link to a front that is no voter, or one no more.
 func (v *voter) checkOther(from string, index uint64) {
 	if !v.isLeader() {
-		delete(v.vouched, from) // its own disk was refused
+		delete(v.vouchedBy, from) // its own disk was refused
 	}
-	if !v.floor.hasTakenPart() && index > initialIndex {
+	if !v.floor.usedByConsensus() && index > initialIndex {
 		v.fleetBegan = true
 	}
 }
 
-// learnFloor records what another voter's disk holds.
-func (v *voter) learnFloor(from string, f Floor) {
-	if f != (Floor{}) && v.peerFloors[from] != v.peerFloors[from].or(f) {
-		v.peerFloors[from] = v.peerFloors[from].or(f)
-		v.floorsDirty = true
-	}
-}
-
 // mayVote reports whether this voter takes part in consensus.
 func (v *voter) mayVote() bool {
 	if v.haltReason != "" {
 		return false
 	}
-	return v.hasMajority(func(name string) bool { return v.vouched[name] }) || v.mayFound()
+	return v.hasMajority(func(name string) bool { return v.vouchedBy[name] }) || v.mayBootstrap()
 }
 
 // hasMajority reports whether the others that count are a majority together with this voter.
@@ -96,15 +134,15 @@
 	return n > v.voterCount()/2
 }
 
-// mayFound reports whether this voter and all other initial voters begin a new fleet. One of them that is away could be the only
+// mayBootstrap reports whether this voter and all other initial voters begin a new fleet. One of them that is away could be the only
 // one that knows that the fleet has begun, and the others could have lost their disks: so all must have been found without
 // anything on their disks.
-func (v *voter) mayFound() bool {
-	if !v.isBlank || v.fleetBegan || v.node.options.JoinsExistingFleet {
+func (v *voter) mayBootstrap() bool {
+	if !v.startedEmpty || v.fleetBegan || v.node.options.JoinsExistingFleet {
 		return false
 	}
 	for _, initial := range v.node.options.InitialVoters {
-		if initial.Name != v.node.options.Name && !v.foundBlank[initial.Name] {
+		if initial.Name != v.node.options.Name && !v.emptyDisks[initial.Name] {
 			return false
 		}
 	}
--- a/fleet/voter_disk.go
+++ b/fleet/voter_disk.go
@@ -26,10 +26,17 @@
 	Floors   map[string]Floor
 }
 
+// diskOutput is the library's output on its way to the disk.
+type diskOutput struct {
+	ready        *raft.Ready // waiting for its disk write
+	pendingWrite *DiskWrite
+	confChanged  bool // the voters differ from those in the last snapshot
+}
+
 // When the log is compacted: entriesKept entries stay behind a snapshot, for voters and followers that are a little behind.
 const (
-	entriesKept   = 256
-	snapshotEvery = 512
+	catchUpEntries    = 256
+	snapshotThreshold = 512
 )
 
 // PendingWrite returns what must be on disk before anything more is sent. Call WriteDone or WriteFailed after it.
@@ -43,22 +50,14 @@
 // WriteDone reports that the pending write is on disk.
 func (n *Node) WriteDone(now time.Duration) { n.voter.writeDone(now) }
 
-// WriteFailed reports that a write failed: the voter halts, and the front goes on as a follower.
-func (n *Node) WriteFailed(why error) { n.voter.halt("its disk can't be written: " + why.Error()) }
-
-func (v *voter) copyFloors() map[string]Floor {
-	m := make(map[string]Floor, len(v.peerFloors))
-	for n, f := range v.peerFloors {
-		m[n] = f
-	}
-	return m
-}
+// WriteFailed reports that a write failed: the voter halts, and the front continues as a follower.
+func (n *Node) WriteFailed(err error) { n.voter.halt("its disk can't be written: " + err.Error()) }
 
 // process handles the library's output until something must be written to disk first.
 func (v *voter) process(now time.Duration) {
 	for v.haltReason == "" && v.pendingWrite == nil && v.rawNode.HasReady() {
 		var rd raft.Ready
-		v.guarded(func() { rd = v.rawNode.Ready() })
+		v.callRaft(func() { rd = v.rawNode.Ready() })
 		if v.haltReason != "" {
 			return
 		}
@@ -102,16 +101,16 @@
 func (v *voter) handleReady(now time.Duration) {
 	rd := *v.ready
 	v.ready = nil
-	v.guarded(func() {
+	v.callRaft(func() {
 		if !raft.IsEmptySnap(rd.Snapshot) {
 			v.restore(now, rd.Snapshot)
 		}
 		if len(rd.Entries) > 0 {
-			v.storage.Append(rd.Entries)
+			_ = v.storage.Append(rd.Entries) // in memory: it panics, or succeeds
 		}
 		if !raft.IsEmptyHardState(rd.HardState) {
-			v.storage.SetHardState(rd.HardState)
-			v.term = rd.HardState.GetTerm()
+			_ = v.storage.SetHardState(rd.HardState) // in memory: it cannot fail
+			v.term = rd.GetTerm()
 		}
 		if rd.SoftState != nil {
 			v.onSoftState(now, rd.SoftState)
@@ -150,7 +149,7 @@
 		v.confChanged = true // a new voter can only be initialised by a snapshot that knows of it
 		data = cc.GetContext()
 	}
-	if v.isLeader() && e.GetTerm() == v.rawNode.BasicStatus().HardState.GetTerm() {
+	if v.isLeader() && e.GetTerm() == v.rawNode.BasicStatus().GetTerm() {
 		v.node.leader.activate(now)
 	}
 	v.node.apply(now, LogEntry{Index: e.GetIndex(), Data: data})
@@ -181,7 +180,8 @@
 	}
 	old, err := v.storage.Snapshot()
 	at := old.GetMetadata().GetIndex()
-	if err != nil || v.applied < at+snapshotEvery && !(v.confChanged && v.applied > at) {
+	due := v.applied >= at+snapshotThreshold || v.confChanged && v.applied > at
+	if err != nil || !due {
 		return
 	}
 	v.confChanged = false
@@ -189,8 +189,8 @@
 	if err != nil {
 		return
 	}
-	if first, err := v.storage.FirstIndex(); err == nil && v.applied > first+entriesKept {
-		v.storage.Compact(v.applied - entriesKept)
+	if first, err := v.storage.FirstIndex(); err == nil && v.applied > first+catchUpEntries {
+		_ = v.storage.Compact(v.applied - catchUpEntries) // fails only for an index that is compacted already
 	}
 	v.pendingWrite = &DiskWrite{Snapshot: s}
 }
