--- a/router/admission_test.go
+++ b/router/admission_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestOverloadedServerGetsHighestWeightFirst(t *testing.T) {
-	h := newHarness(t, testDeployment()).withGroup(2)
+	h := newHarness(testDeployment()).withGroup(2)
 	for i := range h.servers {
 		h.servers[i].limit = 99
 		for range 20 {
@@ -35,7 +35,7 @@
 func TestHighestWeightPerWorkIsSentFirst(t *testing.T) {
 	p := testDeployment()
 	p.Topology.RetriesMarked = true
-	h := newHarness(t, p).withGroup(1)
+	h := newHarness(p).withGroup(1)
 	h.servers[0].limit = 1
 	first := h.receive(write)
 	cheap := h.receive(anyRead)
@@ -50,7 +50,7 @@
 }
 
 func TestUnmarkedRetryIsRecognizedByItsTimeout(t *testing.T) {
-	h := newHarness(t, testDeployment()).withGroup(1)
+	h := newHarness(testDeployment()).withGroup(1)
 	for range 50 {
 		h.receive(anyRead, func(in *routing.Request) { in.Timeout = 400 * ms })
 	}
--- a/router/bench_test.go
+++ b/router/bench_test.go
@@ -11,7 +11,7 @@
 func BenchmarkQuietSecond(b *testing.B) {
 	for _, servers := range []int{200, 3200} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
-			h := newHarness(nil, testDeployment())
+			h := newHarness(testDeployment())
 			var list []routing.Endpoint
 			for i := range servers {
 				list = append(list, routing.Endpoint{Server: i, Group: i / 5, Zone: i % 2, Primary: i%5 == 0})
--- a/router/clock_correction_test.go
+++ b/router/clock_correction_test.go
@@ -12,7 +12,7 @@
 // An instance whose clock was an hour off at its start learns so by a primary's answer: reported times are corrected and still count.
 func TestClockCorrectionMovesReportedTimes(t *testing.T) {
 	for _, off := range []time.Duration{-time.Hour, time.Hour} {
-		h := newHarness(t, testDeployment()).withGroup(3)
+		h := newHarness(testDeployment()).withGroup(3)
 		h.now = time.Minute
 		h.updateEndpoints(routing.Delta, routing.Endpoint{Server: 1, Zone: 1, HasStartTime: true, StartedAt: h.now + off - time.Second})
 		h.observeRole(h.now, 0, routing.Primary, h.now+off, true)
@@ -31,7 +31,7 @@
 
 // What this instance measured by its own clock stays, and a warm server does not warm up again by a start long ago.
 func TestClockCorrectionKeepsLocalMeasurements(t *testing.T) {
-	h := newHarness(t, testDeployment()).withGroup(2)
+	h := newHarness(testDeployment()).withGroup(2)
 	h.now = time.Minute
 	h.beginSlowStart(h.now, &h.servers[0], h.now-time.Second)
 	h.updateEndpoints(routing.Delta, routing.Endpoint{Server: 1, Zone: 1, HasStartTime: true, StartedAt: h.now - 30*time.Second})
--- a/router/concurrency_test.go
+++ b/router/concurrency_test.go
@@ -13,7 +13,7 @@
 	for fronts, want := range map[int]int{1: 4, 2: 2, 3: 2, 4: 1, 9: 1} {
 		p := testDeployment()
 		p.Topology.FleetSize = fronts
-		h := newHarness(t, p).withGroup(1)
+		h := newHarness(p).withGroup(1)
 		h.servers[0].limit = 0.1
 		for range 9 {
 			h.receive(write)
@@ -25,7 +25,7 @@
 func TestLateAnswersReduceConcurrencyLimit(t *testing.T) {
 	p := testDeployment()
 	p.Topology.FleetSize = 4
-	h := newHarness(t, p).withGroup(1)
+	h := newHarness(p).withGroup(1)
 	for range 20 {
 		h.advance(100 * ms)
 		r := h.receive(write)
@@ -43,7 +43,7 @@
 }
 
 func TestLoadEstimateIsDrawnTowardsGroupAndFleet(t *testing.T) {
-	h := newHarness(t, testDeployment()).withGroup(4)
+	h := newHarness(testDeployment()).withGroup(4)
 	m := &h.servers[2]
 	h.observeLoad(0, m, maxLoad)
 	assert.Less(t, h.loadEstimate(0, m), overloadedLoad, "one answer says little")
@@ -54,7 +54,7 @@
 }
 
 func TestClientGoneAndTimeoutCountAsMaximumLoad(t *testing.T) {
-	h := newHarness(t, testDeployment()).withGroup(1)
+	h := newHarness(testDeployment()).withGroup(1)
 	h.ClientGone(h.now, h.receive(write))
 	assert.Equal(t, maxLoad, h.servers[0].load.sum)
 	h.observeOutcome(h.now, routing.AttemptOutcome{Result: routing.TimedOut, Latency: ms}, write)
--- a/router/endpoints_test.go
+++ b/router/endpoints_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestNothingNewGoesToDrainingOrUnlistedServer(t *testing.T) {
-	h := newHarness(t, testDeployment()).withGroup(2)
+	h := newHarness(testDeployment()).withGroup(2)
 	h.updateEndpoints(routing.Delta, routing.Endpoint{Server: 1, Zone: 1, State: routing.Draining})
 	h.updateEndpoints(routing.Snapshot, routing.Endpoint{Server: 1, Zone: 1, State: routing.Draining})
 	h.receive(anyRead)
@@ -19,7 +19,7 @@
 
 // Tables must not grow while servers come and go.
 func TestServerIndexIsReleasedOnceGoneAndIdle(t *testing.T) {
-	h := newHarness(t, testDeployment()).withGroup(2)
+	h := newHarness(testDeployment()).withGroup(2)
 	r := h.receive(write)
 	h.updateEndpoints(routing.Delta, routing.Endpoint{Server: 0, State: routing.Removed})
 	h.advance(11 * time.Second)
@@ -45,7 +45,7 @@
 func TestEndpointListIsSubscribedAtStartAndAfterFailure(t *testing.T) {
 	p := testDeployment()
 	p.Topology.PullEndpoints = true
-	h := newHarness(t, p).withGroup(2)
+	h := newHarness(p).withGroup(2)
 	assert.Equal(t, 1, h.countActions("watch"))
 	h.updateEndpoints(routing.UpdateFailed)
 	assert.Equal(t, 1, h.countActions("watch"), "after a random pause")
--- a/router/freshness_test.go
+++ b/router/freshness_test.go
@@ -12,7 +12,7 @@
 func TestLoadReportAgeIsSubtractedFromPositions(t *testing.T) {
 	p := testDeployment()
 	p.Replication = routing.Replication{StalenessCheck: routing.RejectIfStale, LoadInResponses: true}
-	h := newHarness(t, p).withGroup(3)
+	h := newHarness(p).withGroup(3)
 	h.receive(anyRead)
 	answers := func(server int, role routing.Role, reported time.Duration) {
 		h.servers[server].inFlight++
--- a/router/harness_test.go
+++ b/router/harness_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"testing"
 	"time"
 
 	"dapplerouter/routing"
@@ -53,9 +52,9 @@
 	sentTo   map[routing.RequestRef]int
 }
 
-func newHarness(_ *testing.T, s routing.Options) *harness {
+func newHarness(o routing.Options) *harness {
 	h := &harness{attempts: map[routing.RequestRef]int{}, sentTo: map[routing.RequestRef]int{}}
-	h.Router = New(h, s).(*Router)
+	h.Router = New(h, o).(*Router)
 	return h
 }
 
--- a/router/health_check_test.go
+++ b/router/health_check_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestHealthChecksAreSentForCauseOnly(t *testing.T) {
-	h := newHarness(t, testDeployment()).withGroup(4)
+	h := newHarness(testDeployment()).withGroup(4)
 	for range 500 {
 		h.now += 10 * ms
 		h.finish(h.receive(anyRead), routing.Succeeded, routing.Replica, 0)
@@ -28,7 +28,7 @@
 
 // Where start times are listed, one primary is checked until one has reported its position.
 func TestPrimaryIsCheckedForItsClockWhenStartTimesAreListed(t *testing.T) {
-	h := newHarness(t, testDeployment()).withGroup(3)
+	h := newHarness(testDeployment()).withGroup(3)
 	assert.Zero(t, h.countActions("check"), "no start time is listed")
 	start := routing.Endpoint{Server: 2, HasStartTime: true, StartedAt: h.now}
 	h.updateEndpoints(routing.Delta, start)
--- a/router/latency_test.go
+++ b/router/latency_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestMinimumLatencyOutlastsBusyPeriod(t *testing.T) {
-	h := newHarness(t, testDeployment())
+	h := newHarness(testDeployment())
 	for range 100 {
 		h.observeLatency(time.Second, anyRead, 40*ms)
 	}
--- a/router/outlier_detection_test.go
+++ b/router/outlier_detection_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestUnresponsiveServerIsEjectedAndItsRequestsRetried(t *testing.T) {
-	h := newHarness(t, testDeployment()).withGroup(2)
+	h := newHarness(testDeployment()).withGroup(2)
 	w := h.receive(write)
 	h.advance(900 * ms)
 	assert.Zero(t, h.countActions("cancel"), "a single one may be lost or long")
@@ -25,7 +25,7 @@
 }
 
 func TestSaturatedServerIsNotUnresponsive(t *testing.T) {
-	h := newHarness(t, testDeployment()).withGroup(2)
+	h := newHarness(testDeployment()).withGroup(2)
 	h.receive(write)
 	h.receive(write)
 	for range 20 {
@@ -38,7 +38,7 @@
 
 func TestFastFailingServerDrawsNoTraffic(t *testing.T) {
 	for _, e := range []routing.AttemptResult{routing.Overloaded, routing.ServerError, routing.Unreachable} {
-		h := newHarness(t, testDeployment()).withGroup(3)
+		h := newHarness(testDeployment()).withGroup(3)
 		n := 0
 		for range 200 {
 			h.now += 5 * ms
@@ -58,7 +58,7 @@
 
 func TestErrorsAtAllServersAreHeldAgainstNone(t *testing.T) {
 	for _, faulty := range []int{none, 2} { // half of all attempts, or all attempts at one server
-		h := newHarness(t, testDeployment()).withGroup(4)
+		h := newHarness(testDeployment()).withGroup(4)
 		for k := range 400 {
 			e := routing.Succeeded
 			if faulty == none && k/4%2 == 0 || k%4 == faulty {
@@ -77,7 +77,7 @@
 
 func TestConnectionFailureWhileAnsweringDoesNotEject(t *testing.T) {
 	for _, e := range []routing.AttemptResult{routing.ConnectionLost, routing.Unreachable} {
-		h := newHarness(t, testDeployment()).withGroup(2)
+		h := newHarness(testDeployment()).withGroup(2)
 		h.now = time.Minute
 		h.observeOutcome(h.now, routing.AttemptOutcome{Result: routing.Succeeded, Latency: 20 * ms}, write)
 		h.observeOutcome(h.now+100*ms, routing.AttemptOutcome{Result: e, Latency: 250 * ms}, write)
@@ -95,7 +95,7 @@
 }
 
 func TestSecondConsecutiveTimeoutEjects(t *testing.T) {
-	h := newHarness(t, testDeployment()).withGroup(1)
+	h := newHarness(testDeployment()).withGroup(1)
 	out := routing.AttemptOutcome{Result: routing.TimedOut, Latency: 800 * ms}
 	h.advance(time.Second)
 	h.observeOutcome(h.now, out, anyRead)
@@ -107,7 +107,7 @@
 }
 
 func TestLostAnswerDoesNotReduceConcurrencyLimit(t *testing.T) {
-	h := newHarness(t, testDeployment()).withGroup(1)
+	h := newHarness(testDeployment()).withGroup(1)
 	h.advance(time.Second)
 	h.observeOutcome(h.now, routing.AttemptOutcome{Result: routing.Succeeded, Latency: 20 * ms}, anyRead)
 	limit := h.servers[0].limit
@@ -125,7 +125,7 @@
 
 func TestProbablyLostAttemptIsRetriedOnceAtLossyServer(t *testing.T) {
 	for _, losing := range []float64{0, 0.2} {
-		h := newHarness(t, testDeployment()).withGroup(2)
+		h := newHarness(testDeployment()).withGroup(2)
 		w := h.receive(write)
 		h.servers[0].lossRate, h.servers[0].fastAnswerSentAt = losing, 10*ms
 		h.servers[0].waitingSince = time.Hour // it answers others
@@ -144,7 +144,7 @@
 }
 
 func TestServerErrorsDoNotCountAsLost(t *testing.T) {
-	h := newHarness(t, testDeployment()).withGroup(1)
+	h := newHarness(testDeployment()).withGroup(1)
 	for range 50 {
 		h.observeOutcome(h.now, routing.AttemptOutcome{Result: routing.ServerError, Latency: ms}, anyRead)
 	}
@@ -154,7 +154,7 @@
 func TestServerThatAnswersHealthChecksButRefusesConnectionsIsNotEjected(t *testing.T) {
 	p := testDeployment()
 	p.Topology.TickInterval = 50 * ms
-	h := newHarness(t, p).withGroup(1)
+	h := newHarness(p).withGroup(1)
 	h.advance(time.Second)
 	again := h.retryBudget
 	for range 20 {
--- a/router/primary_test.go
+++ b/router/primary_test.go
@@ -12,7 +12,7 @@
 func TestWriteWaitsUntilPrimaryIsKnown(t *testing.T) {
 	p := testDeployment()
 	p.Topology.RoleListing = routing.RolesNotListed
-	h := newHarness(t, p).withGroup(3)
+	h := newHarness(p).withGroup(3)
 	h.receive(write)
 	assert.Empty(t, h.lastAction("send"), "none is sent to an unknown primary")
 	assert.Equal(t, 3, h.countActions("check"), "and the servers are checked")
@@ -23,7 +23,7 @@
 func TestMisroutedWriteFindsPrimaryWithoutHealthChecks(t *testing.T) {
 	p := testDeployment()
 	p.Topology.RoleListing, p.Limits.HealthChecks = routing.RolesNotListed, false
-	h := newHarness(t, p).withGroup(2)
+	h := newHarness(p).withGroup(2)
 	w := h.receive(write)
 	first := h.sentTo[w]
 	h.finish(w, routing.Misrouted, routing.Replica, h.now+ms)
@@ -34,7 +34,7 @@
 }
 
 func TestLaterLogPositionWinsPrimaryClaim(t *testing.T) {
-	h := newHarness(t, testDeployment()).withGroup(3)
+	h := newHarness(testDeployment()).withGroup(3)
 	h.now = 10 * time.Second
 	h.reportRole(1, routing.Primary, 9*time.Second)
 	h.reportRole(0, routing.Primary, 5*time.Second) // an old report of the old primary
@@ -49,7 +49,7 @@
 }
 
 func TestMisroutedWriteLooksForNewPrimary(t *testing.T) {
-	h := newHarness(t, testDeployment()).withGroup(3)
+	h := newHarness(testDeployment()).withGroup(3)
 	h.now = time.Second
 	w := h.receive(write)
 	h.finish(w, routing.Misrouted, routing.Replica, 900*ms)
@@ -59,7 +59,7 @@
 }
 
 func TestDrainingPrimaryIsReplaced(t *testing.T) {
-	h := newHarness(t, testDeployment()).withGroup(3)
+	h := newHarness(testDeployment()).withGroup(3)
 	h.advance(time.Second)
 	n := h.countActions("check")
 	h.updateEndpoints(routing.Delta, routing.Endpoint{Server: 0, State: routing.Draining, Primary: true})
@@ -73,7 +73,7 @@
 // The group's only primary is at another site, and the network to it is cut: waiting would be of no use. Reads that a replica
 // here may answer go on; once the network is up again, all requests do.
 func TestPartitionedPrimaryIsNotWaitedForAndServesAfterHeal(t *testing.T) {
-	h := newHarness(t, testDeployment()).withGroup(3)
+	h := newHarness(testDeployment()).withGroup(3)
 	h.now = time.Second
 	h.finish(h.receive(write), routing.Succeeded, routing.Primary, h.now)
 	h.reportRole(2, routing.Replica, h.now)
--- a/router/request_test.go
+++ b/router/request_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestLateOutcomeDoesNotAffectNextRequestOfSlot(t *testing.T) {
-	h := newHarness(t, testDeployment()).withGroup(3)
+	h := newHarness(testDeployment()).withGroup(3)
 	old := h.receive(anyRead)
 	h.ClientGone(h.now, old)
 	h.reconcile()
@@ -27,7 +27,7 @@
 
 // The slot is free again at once.
 func TestRequestWhoseClientLeavesInSameBatchIsNotSent(t *testing.T) {
-	h := newHarness(t, testDeployment()).withGroup(3)
+	h := newHarness(testDeployment()).withGroup(3)
 	r := routing.RequestRef{Slot: 1, Generation: 1}
 	h.RequestReceived(h.now, routing.Request{Ref: r, Type: anyRead, Customer: routing.None, Timeout: time.Second})
 	h.ClientGone(h.now, r)
--- a/router/retry_test.go
+++ b/router/retry_test.go
@@ -17,7 +17,7 @@
 		t.Run(name, func(t *testing.T) {
 			p := testDeployment()
 			p.Topology.RoleListing = routing.RolesNotListed
-			h := newHarness(t, p).withGroup(3)
+			h := newHarness(p).withGroup(3)
 			why(h)
 			n := h.countActions("reject")
 			h.receive(write)
@@ -34,7 +34,7 @@
 func TestUnsentRetryIsRejectedAtHalfItsTimeout(t *testing.T) {
 	p := testDeployment()
 	p.Topology.RetriesMarked, p.RequestTypes[anyRead].LateFraction = true, 0.5
-	h := newHarness(t, p).withGroup(1)
+	h := newHarness(p).withGroup(1)
 	h.servers[0].inFlight = 9
 	h.receive(anyRead, func(in *routing.Request) { in.Retry, in.Timeout = true, 120*ms })
 	h.advance(15 * ms)
@@ -44,7 +44,7 @@
 }
 
 func TestRequestPastLatencyObjectiveIsRejectedAtOnceWhenLateIsWorthNothing(t *testing.T) {
-	h := newHarness(t, testDeployment()).withGroup(2)
+	h := newHarness(testDeployment()).withGroup(2)
 	for range 20 {
 		h.finish(h.receive(anyRead), routing.Succeeded, routing.Replica, 0)
 	}
@@ -57,7 +57,7 @@
 func TestIdempotencyKeyRetryStaysWithinDedupWindow(t *testing.T) {
 	p := testDeployment()
 	p.RequestTypes[write].DedupWindow = time.Second
-	h := newHarness(t, p).withGroup(3)
+	h := newHarness(p).withGroup(3)
 	w := h.receive(write)
 	h.fail(w, routing.ConnectionLost)
 	h.advance(500 * ms)
@@ -75,7 +75,7 @@
 func TestZoneScopedIdempotencyKeyIsNotRetried(t *testing.T) {
 	p := testDeployment()
 	p.RequestTypes[write].DedupScope = routing.ScopeZone
-	h := newHarness(t, p).withGroup(3)
+	h := newHarness(p).withGroup(3)
 	h.finish(h.receive(write), routing.ConnectionLost, routing.UnknownRole, 0)
 	h.advance(100 * ms)
 	assert.Equal(t, 1, h.countActions("send"))
@@ -83,7 +83,7 @@
 }
 
 func TestNonIdempotentRequestIsRetriedOnlyIfItNeverRan(t *testing.T) {
-	h := newHarness(t, testDeployment()).withGroup(3)
+	h := newHarness(testDeployment()).withGroup(3)
 	a := h.receive(nonIdempotentWrite)
 	h.fail(a, routing.Unreachable)
 	h.reportRole(1, routing.Primary, h.now)
@@ -94,7 +94,7 @@
 }
 
 func TestUnroutableReadIsRejectedBeforeItsLatencyObjective(t *testing.T) {
-	h := newHarness(t, testDeployment()) // no server at all
+	h := newHarness(testDeployment()) // no server at all
 	h.receive(anyRead)
 	h.advance(140 * ms)
 	assert.Zero(t, h.countActions("reject"))
@@ -103,7 +103,7 @@
 }
 
 func TestSlowPeriodDoesNotShutOutRequestType(t *testing.T) {
-	h := newHarness(t, testDeployment()).withGroup(3)
+	h := newHarness(testDeployment()).withGroup(3)
 	h.typicalLatency[anyRead] = time.Second
 	h.receive(anyRead)
 	assert.Equal(t, 1, h.countActions("send"))
@@ -112,7 +112,7 @@
 func TestMisroutedReadDoesNotCircleAmongReplicas(t *testing.T) {
 	p := testDeployment()
 	p.Topology.RoleListing = routing.RolesNotListed
-	h := newHarness(t, p).withGroup(4)
+	h := newHarness(p).withGroup(4)
 	h.now = time.Second
 	for i := range 4 {
 		h.reportRole(i, routing.Replica, 200*ms)
@@ -127,7 +127,7 @@
 }
 
 func TestRetriesStayShareOfFirstAttempts(t *testing.T) {
-	h := newHarness(t, testDeployment()).withGroup(5)
+	h := newHarness(testDeployment()).withGroup(5)
 	n := 0
 	for range 200 {
 		h.now += 50 * ms
@@ -145,7 +145,7 @@
 func TestSecondServerErrorIsRejectedAtOnceWithoutRetryAfter(t *testing.T) {
 	p := testDeployment()
 	p.Limits.MaxRetryAfter = 0
-	h := newHarness(t, p).withGroup(4)
+	h := newHarness(p).withGroup(4)
 	r := h.receive(anyRead)
 	h.finish(r, routing.ServerError, routing.Replica, 0)
 	assert.Equal(t, 2, h.attempts[r], "one error may be the server's fault")
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -11,7 +11,7 @@
 
 func TestEqualEventsGiveEqualActionsAndOrdinaryPathAllocatesNothing(t *testing.T) {
 	play := func() *harness {
-		h := newHarness(t, testDeployment()).withGroup(4)
+		h := newHarness(testDeployment()).withGroup(4)
 		for range 50 {
 			h.now += 7 * ms
 			h.finish(h.receive(sessionRead), routing.Succeeded, routing.Replica, h.now)
@@ -63,7 +63,7 @@
 	p := testDeployment()
 	p.Topology.FleetSize = 250
 	p.Replication = routing.Replication{StalenessCheck: routing.RejectIfStale, LoadInResponses: true}
-	h := newHarness(t, p)
+	h := newHarness(p)
 	list := []routing.Endpoint{{Server: 0, Primary: true}, {Server: 1}, {Server: 2, HasStartTime: true, StartedAt: -time.Second},
 		{Server: 3, Group: 1, Primary: true}, {Server: 4, Group: 1}}
 	h.updateEndpoints(routing.CachedSnapshot, list...)
--- a/router/selection_test.go
+++ b/router/selection_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestSessionReadGoesToReplicaThatHasItsWrite(t *testing.T) {
-	h := newHarness(t, testDeployment()).withGroup(4)
+	h := newHarness(testDeployment()).withGroup(4)
 	h.now = time.Second
 	w := h.receive(write)
 	assert.Equal(t, "send 1 to 0", h.lastAction("send"))
@@ -26,7 +26,7 @@
 }
 
 func TestLeastBehindReplicaChecksForItselfWhenNoneIsKnownFresh(t *testing.T) {
-	h := newHarness(t, testDeployment()).withGroup(3)
+	h := newHarness(testDeployment()).withGroup(3)
 	h.now = time.Second
 	h.finish(h.receive(write), routing.Succeeded, routing.Primary, h.now)
 	h.reportRole(1, routing.Replica, h.now-40*ms)
@@ -38,7 +38,7 @@
 }
 
 func TestFreshnessWaitThatCannotSufficeIsSkipped(t *testing.T) {
-	h := newHarness(t, testDeployment()).withGroup(3)
+	h := newHarness(testDeployment()).withGroup(3)
 	h.now = 5 * time.Second
 	h.finish(h.receive(write), routing.Succeeded, routing.Primary, h.now)
 	h.reportRole(1, routing.Replica, h.now-2*time.Second)
@@ -50,7 +50,7 @@
 func TestOnlyProvenPositionCountsWithoutStalenessCheck(t *testing.T) {
 	p := testDeployment()
 	p.Replication.StalenessCheck = routing.NoStalenessCheck
-	h := newHarness(t, p).withGroup(3)
+	h := newHarness(p).withGroup(3)
 	h.now = time.Second
 	h.finish(h.receive(write), routing.Succeeded, routing.Primary, h.now)
 	h.reportRole(1, routing.Replica, h.now-20*ms)
@@ -64,7 +64,7 @@
 }
 
 func TestStrongReadGoesToPrimary(t *testing.T) {
-	h := newHarness(t, testDeployment()).withGroup(3)
+	h := newHarness(testDeployment()).withGroup(3)
 	h.receive(strongRead)
 	assert.Equal(t, "send 1 to 0", h.lastAction("send"))
 }
--- a/router/slow_start_test.go
+++ b/router/slow_start_test.go
@@ -12,7 +12,7 @@
 
 func TestWarmingUpServerGetsItsShareOnly(t *testing.T) {
 	sends := func(cold bool) (n int) {
-		h := newHarness(t, testDeployment()).withGroup(3)
+		h := newHarness(testDeployment()).withGroup(3)
 		h.now = 20 * time.Second
 		if cold {
 			h.updateEndpoints(routing.Delta, routing.Endpoint{Server: 2, HasStartTime: true, StartedAt: h.now})
@@ -36,7 +36,7 @@
 func TestWarmingUpServerThatRejectsReadsIsNotFlooded(t *testing.T) {
 	p := testDeployment()
 	p.Topology.RoleListing = routing.RolesNotListed
-	h := newHarness(t, p).withGroup(2)
+	h := newHarness(p).withGroup(2)
 	h.now = 20 * time.Second
 	h.updateEndpoints(routing.Delta, routing.Endpoint{Server: 1, HasStartTime: true, StartedAt: h.now})
 	h.servers[0].ejected, h.servers[0].trialAt = true, time.Hour
@@ -54,7 +54,7 @@
 }
 
 func TestUnreachableServerCountsAsRestarted(t *testing.T) {
-	h := newHarness(t, testDeployment()).withGroup(2)
+	h := newHarness(testDeployment()).withGroup(2)
 	h.now = time.Minute
 	h.finish(h.receive(write), routing.Unreachable, routing.UnknownRole, 0)
 	h.HealthCheckFinished(h.now, 0, routing.Unreachable, ms, routing.LoadReport{})
@@ -67,7 +67,7 @@
 func TestManyQuietInstancesDoNotOverloadWarmingUpServer(t *testing.T) {
 	p := testDeployment()
 	p.Topology.FleetSize = 100
-	h := newHarness(t, p).withGroup(2)
+	h := newHarness(p).withGroup(2)
 	h.now = 20 * time.Second
 	h.updateEndpoints(routing.Delta, routing.Endpoint{Server: 1, HasStartTime: true, StartedAt: h.now})
 	assert.True(t, h.servers[1].warmingUp)
@@ -77,7 +77,7 @@
 
 func TestWarmingUpShareFollowsWorkOfWarmServers(t *testing.T) {
 	part := func(down int) float64 {
-		h := newHarness(t, testDeployment()).withGroup(5)
+		h := newHarness(testDeployment()).withGroup(5)
 		h.now, h.servedWork = 20*time.Second, decayingMean{sum: 50, at: 20 * time.Second}
 		for i := range down {
 			h.servers[i].ejected = true
@@ -97,7 +97,7 @@
 		for seed := range fronts {
 			p := testDeployment()
 			p.Topology.FleetSize = fronts
-			h := newHarness(t, p).withGroup(6)
+			h := newHarness(p).withGroup(6)
 			h.seed = uint64(seed)
 			h.now, h.warmServers = 20*time.Second, 5
 			h.servedWork = decayingMean{sum: 1, n: 20, at: h.now} // two requests of 50 ms a second at each warm server
@@ -119,7 +119,7 @@
 
 func TestFailedAttemptsAreNotServedWork(t *testing.T) {
 	part := func(failing int) float64 {
-		h := newHarness(t, testDeployment()).withGroup(3)
+		h := newHarness(testDeployment()).withGroup(3)
 		h.advance(100 * ms)
 		h.finish(h.receive(anyRead), routing.Succeeded, routing.Replica, 0)
 		for range failing { // at all servers alike
--- a/router/stall_test.go
+++ b/router/stall_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestOutcomesAfterStallAreHeldAgainstNoServer(t *testing.T) {
-	h := newHarness(t, testDeployment()).withGroup(1)
+	h := newHarness(testDeployment()).withGroup(1)
 	for range 3 {
 		h.advance(100 * ms)
 		h.observeOutcome(h.now, routing.AttemptOutcome{Result: routing.Succeeded, Latency: 20 * ms}, anyRead)
