--- a/router/harness_test.go
+++ b/router/harness_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"testing"
 	"time"
 
 	"dapplerouter/routing"
@@ -53,9 +52,9 @@
 	sentTo   map[routing.RequestRef]int
 }
 
-func newHarness(_ *testing.T, s routing.Options) *harness {
+func newHarness(o routing.Options) *harness {
 	h := &harness{attempts: map[routing.RequestRef]int{}, sentTo: map[routing.RequestRef]int{}}
-	h.Router = New(h, s).(*Router)
+	h.Router = New(h, o).(*Router)
 	return h
 }
 
@@ -88,7 +87,7 @@
 func (h *harness) receive(ty int, change ...func(*routing.Request)) routing.RequestRef {
 	h.nextSlot++
 	t := routing.Request{Ref: routing.RequestRef{Slot: h.nextSlot, Generation: h.nextSlot}, Type: ty, Customer: routing.None, Session: 9,
-		Timeout: h.types[ty].Deadline, MaxStaleness: h.types[ty].MaxStaleness, DedupWindow: h.types[ty].DedupWindow}
+		Timeout: h.requestTypes[ty].Deadline, MaxStaleness: h.requestTypes[ty].MaxStaleness, DedupWindow: h.requestTypes[ty].DedupWindow}
 	for _, c := range change {
 		c(&t)
 	}
@@ -149,7 +148,9 @@
 	h.sentTo[r] = m
 	h.record("send %d to %d", r.Slot, m)
 }
-func (h *harness) CancelAttempt(r routing.RequestRef, attemptNumber int) { h.record("cancel %d.%d", r.Slot, attemptNumber) }
+func (h *harness) CancelAttempt(r routing.RequestRef, attemptNumber int) {
+	h.record("cancel %d.%d", r.Slot, attemptNumber)
+}
 func (h *harness) Reject(r routing.RequestRef, retryAfter time.Duration) {
 	h.record("reject %d, retry after %v", r.Slot, retryAfter)
 }
