--- a/fleet/config_test.go
+++ b/fleet/config_test.go
@@ -23,7 +23,7 @@
 	return c, r.Err()
 }
 
-func TestFormIsReadAndFaultsNameTheirPlace(t *testing.T) {
+func TestConfigErrorsNameTheirPosition(t *testing.T) {
 	good := `(fleet (id "x") (listen "127.0.0.1:1") (voters (a "h:1") (b "h:2") (c "h:3")) (lease-duration 2s) (leases none) (plain loopback) (reach (b "h:9")))`
 	c, err := configOf(good)
 	require.NoError(t, err)
--- a/fleet/endpoint_list_test.go
+++ b/fleet/endpoint_list_test.go
@@ -14,16 +14,16 @@
 	holder, other := NewEndpointList(), NewEndpointList()
 	feed := func(index, after int64, whole bool, names ...string) []byte {
 		l := list(index, whole, names...)
-		act, err := holder.EncodeUpdate(l, after)
+		update, err := holder.EncodeUpdate(l, after)
 		require.NoError(t, err)
-		holder.Apply(1, act)
-		return act
+		holder.Apply(1, update)
+		return update
 	}
 	first, second, third := feed(10, 0, true, "a", "b"), feed(11, 10, false, "c"), feed(12, 11, false, "d")
 	news, behind := other.Apply(1, first)
 	assert.True(t, news != nil && !behind)
 	_, behind = other.Apply(1, third)
-	assert.True(t, behind, "one is missing: a neighbour brings the whole")
+	assert.True(t, behind, "one is missing: a neighbour sends the complete list")
 	news, behind = other.Apply(1, holder.Snapshot())
 	assert.True(t, news != nil && !behind)
 	assert.Len(t, other.List().Endpoints, 4)
@@ -38,7 +38,7 @@
 	assert.Equal(t, OlderListError{Received: 7, Known: 12}, *older)
 	news, _ = other.Apply(1, holder.EncodeHeartbeat())
 	said, changed := DecodeEndpointUpdate(news)
-	assert.False(t, changed, "that the service lives is news, and changes nothing")
+	assert.False(t, changed, "that the service answers is passed on, and changes nothing")
 	assert.EqualValues(t, 12, said.Index)
 	news, behind = other.Apply(1, []byte{0xc1})
 	assert.True(t, news == nil && !behind)
--- a/fleet/errors_test.go
+++ b/fleet/errors_test.go
@@ -83,19 +83,18 @@
 }
 
 func TestRecoveryIsRefusedWithItsReason(t *testing.T) {
-	follower, err := New(Options{Name: "n1", Timing: Timing{LeaseDuration: 3 * time.Second}}, nil)
-	require.NoError(t, err)
+	follower := newTestFollower(t, "n1")
 	assert.ErrorIs(t, follower.RecoverVoters(0, " "), ErrRecoveryWithoutReason)
 	assert.ErrorIs(t, follower.RecoverVoters(0, "lost"), ErrNoVoter)
 
-	voter := voterOfThree(t, "k1")
+	voter := newTestVoter(t, "k1")
 	require.NoError(t, voter.RecoverVoters(0, "lost"))
 	assert.ErrorIs(t, voter.RecoverVoters(0, "lost"), ErrRecoveryUnderWay)
-	other := voterOfThree(t, "k2")
+	other := newTestVoter(t, "k2")
 	voter.LinkUp(0, other.Hello("k1", true))
 	assert.ErrorIs(t, voter.RecoverVoters(0, "lost"), ErrMajorityPresent)
 	voter.isolated, voter.heartbeatFrom = false, "k2"
-	err = voter.RecoverVoters(0, "lost")
+	err := voter.RecoverVoters(0, "lost")
 	assert.ErrorIs(t, err, ErrLeaderPresent)
 	assert.EqualError(t, err, "the fleet has a leader, k2: nothing is to be recovered")
 	voter.voter.floor = Floor{}
