--- a/fleet/config.go
+++ b/fleet/config.go
@@ -24,17 +24,17 @@
 //	  (reach (n2 "127.0.0.1:9002")))      ; addresses of others, in place of those that they report
 const FormName = "fleet"
 
-// Config is what the form says.
+// Config is the contents of the form.
 type Config struct {
-	ID, Listen, Address     string
+	ID, Listen, Address     string // Listen and Address are HOST:PORT
 	InitialVoters           []Voter
-	VoterPath               string // its path; "" for a follower
-	JoinsExistingFleet      bool
+	VoterPath               string // of the voter's file; "" for a follower
+	JoinsExistingFleet      bool   // a voter that was added later
 	LeaseDuration           time.Duration
 	AcceptsLeases           bool
-	Key, Certificate, Trust string
-	Control, History        string
-	AddressOverrides        map[string]string
+	Key, Certificate, Trust string            // paths; "" for a mesh without keys
+	Control, History        string            // paths of the control socket and the history file; "" for none
+	AddressOverrides        map[string]string // by front: where it is reached, in place of the address that it reports
 	Place                   config.Position
 }
 
@@ -45,7 +45,7 @@
 	maxLeaseDuration = 5 * time.Minute
 )
 
-// ReadConfig reads the form. Faults are recorded with the form's reading, each with its place and remedy.
+// ReadConfig reads the form. Errors are recorded with the form, each with its position and remedy.
 func ReadConfig(f *config.Form) *Config {
 	c := &Config{LeaseDuration: DefaultLeaseDuration, AcceptsLeases: true, AddressOverrides: map[string]string{}, Place: f.Position}
 	forms := f.Forms("id", "listen", "address", "voters", "voter", "joins", "lease-duration", "leases", "key", "certificate", "trust", "plain",
--- a/fleet/history.go
+++ b/fleet/history.go
@@ -23,7 +23,7 @@
 	historyVoterHalted        = "keeper halted"
 	historyFrontDisplaced     = "displaced"
 	historyRequestDone        = "answered"
-	historyLinkShed           = "shed"
+	historyLinkClosed         = "shed"
 	historyStateUnreadable    = "stuck"
 	historyDatagramReceived   = "posted"
 	historyConfigLeaseRenewed = "righted"
@@ -51,8 +51,8 @@
 }
 
 // String returns the entry as it is written to the file.
-func (m HistoryEntry) String() string {
-	b, _ := json.Marshal(m)
+func (e HistoryEntry) String() string {
+	b, _ := json.Marshal(e) // texts and numbers always encode
 	return string(b)
 }
 
@@ -153,7 +153,7 @@
 
 // Fields implements Event.
 func (e LinkClosed) Fields() EventFields {
-	return EventFields{Kind: historyLinkShed, Name: e.Peer, Reason: e.Reason}
+	return EventFields{Kind: historyLinkClosed, Name: e.Peer, Reason: e.Reason}
 }
 
 // Fields implements Event.
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -226,9 +226,9 @@
 }
 
 // flood queues a message to all peers but one.
-func (n *Node) flood(m *Message, but string) {
+func (n *Node) flood(m *Message, except string) {
 	for _, name := range slices.Sorted(maps.Keys(n.peers)) {
-		if name != but {
+		if name != except {
 			n.send(name, m)
 		}
 	}
--- a/fleet/snapshot_chunks.go
+++ b/fleet/snapshot_chunks.go
@@ -62,7 +62,7 @@
 	n.chunkBudgetAt = now
 	for n.chunkBudget >= chunkBytes && len(n.outgoingSnapshots) > 0 {
 		for _, name := range slices.Sorted(maps.Keys(n.outgoingSnapshots)) {
-			outgoing, p := n.outgoingSnapshots[name], n.peers[name]
+			snapshot, p := n.outgoingSnapshots[name], n.peers[name]
 			if p == nil || p.index >= n.state.Index {
 				delete(n.outgoingSnapshots, name)
 				continue
@@ -71,18 +71,18 @@
 				break
 			}
 			n.chunkBudget -= chunkBytes
-			end := min(outgoing.sent+chunkBytes, len(outgoing.data))
+			end := min(snapshot.sent+chunkBytes, len(snapshot.data))
 			n.send(name, &Message{
 				Kind:   KindSnapshotChunk,
 				From:   n.options.Name,
-				Index:  outgoing.index,
-				Number: uint64(outgoing.sent),
-				Term:   uint64(len(outgoing.data)),
-				Data:   outgoing.data[outgoing.sent:end],
+				Index:  snapshot.index,
+				Number: uint64(snapshot.sent),
+				Term:   uint64(len(snapshot.data)),
+				Data:   snapshot.data[snapshot.sent:end],
 			})
-			if outgoing.sent = end; outgoing.sent == len(outgoing.data) {
+			if snapshot.sent = end; snapshot.sent == len(snapshot.data) {
 				delete(n.outgoingSnapshots, name)
-				p.index = max(p.index, outgoing.index)
+				p.index = max(p.index, snapshot.index)
 			}
 		}
 	}
@@ -116,21 +116,21 @@
 		return nil
 	}
 	n.missingRequestedAt = now
-	incoming := n.incomingSnapshots[from]
+	snapshot := n.incomingSnapshots[from]
 	if m.Number == 0 {
-		incoming = &incomingSnapshot{index: m.Index}
-		n.incomingSnapshots[from] = incoming
+		snapshot = &incomingSnapshot{index: m.Index}
+		n.incomingSnapshots[from] = snapshot
 	}
-	if incoming == nil || incoming.index != m.Index || int(m.Number) != len(incoming.data) {
+	if snapshot == nil || snapshot.index != m.Index || int(m.Number) != len(snapshot.data) {
 		delete(n.incomingSnapshots, from)
 		return nil // the peer starts again
 	}
-	if incoming.data = append(incoming.data, m.Data...); uint64(len(incoming.data)) < m.Term {
+	if snapshot.data = append(snapshot.data, m.Data...); uint64(len(snapshot.data)) < m.Term {
 		return nil
 	}
 	delete(n.incomingSnapshots, from)
 	p.index = max(p.index, m.Index)
-	state, err := decodeReplicatedState(incoming.data)
+	state, err := decodeReplicatedState(snapshot.data)
 	if err != nil {
 		return ProtocolError(err.Error())
 	}
--- a/fleet/voter.go
+++ b/fleet/voter.go
@@ -48,49 +48,71 @@
 	return max(id, 1)
 }
 
-func newVoter(n *Node, s *DiskState) (*voter, error) {
+// newVoter returns the voter of a node, with what its disk holds. It sets the node's replicated state.
+func newVoter(n *Node, disk *DiskState) (*voter, error) {
 	v := &voter{
 		node:         n,
 		id:           voterID(n.options.Name),
 		nameByID:     map[uint64]string{},
 		consensusLog: consensusLog{storage: raft.NewMemoryStorage()},
-		diskFloors:   newDiskFloors(s.Floors),
-		admission:    newAdmission(s.Hard == nil),
+		diskFloors:   newDiskFloors(disk.Floors),
+		admission:    newAdmission(disk.Hard == nil),
 	}
-	first := s.Snapshot
-	if s.Hard == nil && first == nil && !n.options.JoinsExistingFleet {
-		first = initialSnapshot(n.options.InitialVoters)
-		v.pendingWrite = &DiskWrite{Snapshot: first} // the initial voters count as they were named at the first start
+	if err := v.load(disk); err != nil {
+		return nil, err
+	}
+	rawNode, err := raft.NewRawNode(&raft.Config{
+		ID:                        v.id,
+		ElectionTick:              1 << 20, // never: see drawElectionTimeout
+		HeartbeatTick:             2,
+		Storage:                   v.storage,
+		Applied:                   v.applied,
+		MaxSizePerMsg:             256 << 10,
+		MaxInflightMsgs:           64,
+		MaxUncommittedEntriesSize: 4 << 20,
+		PreVote:                   true,
+		Logger:                    raftLogger,
+	})
+	if err != nil {
+		return nil, fmt.Errorf("start raft: %w", err)
+	}
+	v.rawNode = rawNode
+	v.refreshNames()
+	v.drawElectionTimeout()
+	return v, nil
+}
+
+// load takes over what the disk holds. The disk of a new initial voter is written with the state before the first entry: the initial
+// voters count as they were named at the first start.
+func (v *voter) load(disk *DiskState) error {
+	first := disk.Snapshot
+	if disk.Hard == nil && first == nil && !v.node.options.JoinsExistingFleet {
+		first = initialSnapshot(v.node.options.InitialVoters)
+		v.pendingWrite = &DiskWrite{Snapshot: first}
 	}
 	if first != nil {
 		if err := v.storage.ApplySnapshot(first); err != nil {
-			return nil, err
+			return fmt.Errorf("apply the disk's snapshot: %w", err)
 		}
 		state, err := decodeReplicatedState(first.GetData())
 		if err != nil {
-			return nil, err
+			return fmt.Errorf("decode the disk's snapshot: %w", err)
 		}
-		n.state, v.applied = state, first.GetMetadata().GetIndex()
+		v.node.state, v.applied = state, first.GetMetadata().GetIndex()
 		v.confState = first.GetMetadata().GetConfState()
 	}
-	if s.Hard != nil {
-		_ = v.storage.SetHardState(s.Hard) // in memory: it cannot fail
-		v.term = s.Hard.GetTerm()
-		v.floor = Floor{Term: s.Hard.GetTerm(), Vote: s.Hard.GetVote(), Commit: s.Hard.GetCommit()}
+	if disk.Hard != nil {
+		_ = v.storage.SetHardState(disk.Hard) // in memory: it cannot fail
+		v.term = disk.Hard.GetTerm()
+		v.floor = Floor{Term: disk.Hard.GetTerm(), Vote: disk.Hard.GetVote(), Commit: disk.Hard.GetCommit()}
 	}
-	v.floor.OpenCount = s.OpenCount
-	if len(s.Entries) > 0 {
-		if err := v.storage.Append(s.Entries); err != nil {
-			return nil, err
+	v.floor.OpenCount = disk.OpenCount
+	if len(disk.Entries) > 0 {
+		if err := v.storage.Append(disk.Entries); err != nil {
+			return fmt.Errorf("append the disk's log entries: %w", err)
 		}
 	}
-	var err error
-	v.rawNode, err = raft.NewRawNode(&raft.Config{ID: v.id, ElectionTick: 1 << 20, HeartbeatTick: 2, Storage: v.storage, Applied: v.applied,
-		MaxSizePerMsg: 256 << 10, MaxInflightMsgs: 64, MaxUncommittedEntriesSize: 4 << 20, PreVote: true,
-		Logger: raftLogger})
-	v.refreshNames()
-	v.drawElectionTimeout()
-	return v, err
+	return nil
 }
 
 // initialIndex is the index of the state before the first entry.
@@ -146,7 +168,7 @@
 		v.node.leader = nil
 		v.node.emit(VoterHalted{Reason: reason})
 		v.node.refuseRecovery(reason)
-		v.node.closing = append(v.node.closing, v.node.Peers()...) // it greets its peers again, as a follower
+		v.node.closing = append(v.node.closing, v.node.Peers()...) // it connects to its peers again, as a follower
 	}
 }
 
