--- a/fleet/disk/find_bench_test.go
+++ b/fleet/disk/audit_logs_bench_test.go
@@ -11,8 +11,8 @@
 	"dapplerouter/fleet/audit"
 )
 
-// BenchmarkFind tells how long it takes to find a request in the logs of FIND_FRONTS fronts of a day: a span each 30 s, of 10 requests a
-// second. It writes 1.3 GB for 300 fronts, so it wants a folder: FIND_DIR.
+// BenchmarkFind measures how long it takes to find a request in the logs of FIND_FRONTS fronts of a day: an interval each 30 s, of 10
+// requests a second. It writes 1.3 GB for 300 fronts, so it needs a folder: FIND_DIR.
 func BenchmarkFind(b *testing.B) {
 	dir := os.Getenv("FIND_DIR")
 	if dir == "" {
--- a/fleet/disk/format_test.go
+++ b/fleet/disk/format_test.go
@@ -137,5 +137,5 @@
 	assert.Len(t, all[0].Lines, 11)
 	hits, err := l.Find("order-2")
 	require.NoError(t, err)
-	assert.Equal(t, []Match{{Segment: "n1.00000001", Span: 1}}, hits)
+	assert.Equal(t, []Match{{Segment: "n1.00000001", Interval: 1}}, hits)
 }
--- a/fleet/disk/segments_test.go
+++ b/fleet/disk/segments_test.go
@@ -13,7 +13,8 @@
 	"dapplerouter/front"
 )
 
-func span(i int) (*audit.Line, []byte) {
+// intervalLine is the line of an interval with 5 requests, and its part of the index.
+func intervalLine(i int) (*audit.Line, []byte) {
 	s := audit.Interval{Number: uint32(i), Outcomes: make([][front.StatusCount]uint32, 1)}
 	for k := range 5 {
 		s.IDs = append(s.IDs, audit.HashID(fmt.Appendf(nil, "t%d-%d", i, k)))
@@ -23,15 +24,19 @@
 		Requests: 5, Outcomes: [][]uint32{{5, 0, 0, 0, 0}}, IndexHash: hash}, ids
 }
 
-func begun(t *testing.T, dir string, size, budget int64) *Segments {
-	s, err := OpenSegments(dir, "n1", size, budget)
+// startedSegments opens the log of the front n1 and writes its first line.
+func startedSegments(t *testing.T, dir string, segmentBytes, maxTotalBytes int64) *Segments {
+	t.Helper()
+	s, err := OpenSegments(dir, "n1", segmentBytes, maxTotalBytes)
 	require.NoError(t, err)
 	s.Stamp = func(l *audit.Line) { l.Front, l.Incarnation, l.At, l.Index = "n1", 7, 1, 3 }
 	require.NoError(t, s.Write(&audit.Line{Event: audit.EventProcessStarted, Front: "n1", Incarnation: 7, Index: 3, At: 1, MaxClockError: 1 << 40}, nil))
 	return s
 }
 
-func verified(t *testing.T, dirs ...string) (l *AuditLogs, notes []string) {
+// verify reads the logs of folders, in which nothing may be wrong; notes are the findings.
+func verify(t *testing.T, dirs ...string) (l *AuditLogs, notes []string) {
+	t.Helper()
 	l, err := OpenAuditLogs(dirs...)
 	require.NoError(t, err)
 	_, found := audit.ReadLogs(l)
@@ -42,15 +47,15 @@
 	return l, notes
 }
 
-func TestAuditsStayWithinTheirBudgetAndEveryTxnIsFound(t *testing.T) {
+func TestSegmentsStayWithinMaxSizeAndRequestsAreFound(t *testing.T) {
 	dir := t.TempDir()
-	s := begun(t, dir, 4096, 16<<10)
+	s := startedSegments(t, dir, 4096, 16<<10)
 	for i := 1; i <= 200; i++ {
-		require.NoError(t, s.Write(span(i)))
+		require.NoError(t, s.Write(intervalLine(i)))
 	}
 	require.NoError(t, s.Write(&audit.Line{Event: audit.EventProcessStopped, Front: "n1", Incarnation: 7, Index: 3, At: 1 << 40}, nil))
 	require.NoError(t, s.Close())
-	l, _ := verified(t, dir)
+	l, _ := verify(t, dir)
 	sum := int64(0)
 	for _, n := range l.Names() {
 		for _, end := range []string{audit.LogSuffix, audit.IndexSuffix} {
@@ -59,23 +64,23 @@
 			sum += at.Size()
 		}
 	}
-	assert.LessOrEqual(t, sum, int64(22<<10), "the budget, and a segment in hand")
+	assert.LessOrEqual(t, sum, int64(22<<10), "the maximum, and the open segment")
 	hits, err := l.Find("t200-3")
 	require.NoError(t, err)
 	require.Len(t, hits, 1)
-	assert.EqualValues(t, 200, hits[0].Span)
+	assert.EqualValues(t, 200, hits[0].Interval)
 	hits, _ = l.Find("t9999-1")
 	assert.Empty(t, hits)
 }
 
-func TestATornTailIsCutAndToldAndTheChainGoesOn(t *testing.T) {
+func TestIncompleteTailIsRemovedAndRecorded(t *testing.T) {
 	dir := t.TempDir()
-	s := begun(t, dir, 1<<20, 1<<24)
+	s := startedSegments(t, dir, 1<<20, 1<<24)
 	for i := 1; i <= 3; i++ {
-		require.NoError(t, s.Write(span(i)))
+		require.NoError(t, s.Write(intervalLine(i)))
 	}
-	s.lines.Close()
-	s.ids.Close() // it crashed
+	require.NoError(t, s.open.log.Close())
+	require.NoError(t, s.open.index.Close()) // it crashed
 	path := filepath.Join(dir, "n1.00000001"+audit.LogSuffix)
 	b, err := os.ReadFile(path)
 	require.NoError(t, err)
@@ -85,35 +90,35 @@
 	s.Stamp = func(l *audit.Line) { l.Front, l.Incarnation, l.At, l.Index = "n1", 8, 9000, 3 }
 	require.NoError(t, s.Write(&audit.Line{Event: audit.EventProcessStarted, Front: "n1", Incarnation: 8, Index: 3, At: 9000, MaxClockError: 1 << 40}, nil))
 	require.NoError(t, s.Close())
-	_, notes := verified(t, dir)
+	_, notes := verify(t, dir)
 	assert.Contains(t, fmt.Sprint(notes), "a torn tail of")
 }
 
-// A disk that is full: service goes on, and the gap is itself told once there is room.
-func TestAFullDiskLeavesAGapThatIsTold(t *testing.T) {
+// The lines that a full disk did not take are recorded as a gap once there is space.
+func TestFullDiskIsRecordedAsGap(t *testing.T) {
 	dir := t.TempDir()
-	s := begun(t, dir, 1<<20, 1<<24)
-	require.NoError(t, s.Write(span(1)))
-	was := s.lines
+	s := startedSegments(t, dir, 1<<20, 1<<24)
+	require.NoError(t, s.Write(intervalLine(1)))
+	working := s.open.log
 	full, err := os.OpenFile("/dev/full", os.O_RDWR, 0)
 	if err != nil {
 		t.Skip("no /dev/full here")
 	}
-	s.lines = full
+	s.open.log = full
 	for i := 2; i <= 4; i++ {
-		assert.ErrorContains(t, s.Write(span(i)), "no space left on device")
+		assert.ErrorContains(t, s.Write(intervalLine(i)), "no space left on device")
 	}
-	s.lines = was
-	require.NoError(t, s.Write(span(5)))
+	s.open.log = working
+	require.NoError(t, s.Write(intervalLine(5)))
 	require.NoError(t, s.Close())
-	_, notes := verified(t, dir)
+	_, notes := verify(t, dir)
 	assert.Contains(t, fmt.Sprint(notes), "3 lines could not be written")
 }
 
-func TestAnExportWhoseReceiptIsLostIsNoSecondOneAndAnotherLogIsNoFirst(t *testing.T) {
+func TestExportIsIdempotentAndNeverOverwrites(t *testing.T) {
 	dir, out := t.TempDir(), t.TempDir()
-	s := begun(t, dir, 1<<20, 1<<24)
-	require.NoError(t, s.Write(span(1)))
+	s := startedSegments(t, dir, 1<<20, 1<<24)
+	require.NoError(t, s.Write(intervalLine(1)))
 	require.NoError(t, s.Close())
 	for range 2 {
 		require.NoError(t, ExportSegment(dir, "n1.00000001", out))
@@ -123,50 +128,51 @@
 	assert.Len(t, files, 2, "its lines and its index, once")
 
 	other := t.TempDir() // a second front of that name, or the first one restored
-	s = begun(t, other, 1<<20, 1<<24)
-	require.NoError(t, s.Write(span(2)))
+	s = startedSegments(t, other, 1<<20, 1<<24)
+	require.NoError(t, s.Write(intervalLine(2)))
 	require.NoError(t, s.Close())
-	assert.ErrorContains(t, ExportSegment(other, "n1.00000001", out), "is there already, and with other content")
+	err = ExportSegment(other, "n1.00000001", out)
+	assert.ErrorIs(t, err, ErrSegmentConflict)
+	assert.ErrorContains(t, err, filepath.Join(out, "n1.00000001"))
 	l, err := OpenAuditLogs(other, out)
 	require.NoError(t, err)
 	require.Len(t, l.Conflicts, 1)
 	assert.Contains(t, l.Conflicts[0].Message, "two copies differ")
 }
 
-// TERMS.md: "Where a folder lasts: writes and syncs to it may fail for a while". A segment that cannot be begun is begun later, and
-// what was not written meanwhile is told.
-func TestAFolderThatFailsForAWhileWhereASegmentIsTurnedIsWrittenAgain(t *testing.T) {
+// TERMS.md: "Where a folder lasts: writes and syncs to it may fail for a while". A segment that cannot be opened is opened later, and
+// the lines that were not written meanwhile are recorded as a gap.
+func TestWritingResumesAfterFolderErrorOnRotation(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "audit")
-	s := begun(t, dir, 1<<20, 1<<24)
-	require.NoError(t, s.Write(span(1)))
+	s := startedSegments(t, dir, 1<<20, 1<<24)
+	require.NoError(t, s.Write(intervalLine(1)))
 	require.NoError(t, os.Rename(dir, dir+".away"))
 	assert.Error(t, s.Rotate())
 	for i := 2; i <= 4; i++ {
-		assert.Error(t, s.Write(span(i)))
+		assert.Error(t, s.Write(intervalLine(i)))
 	}
 	assert.NoError(t, s.Sync(), "nothing is open")
 	require.NoError(t, os.Rename(dir+".away", dir))
-	require.NoError(t, s.Write(span(5)))
+	require.NoError(t, s.Write(intervalLine(5)))
 	require.NoError(t, s.Rotate())
-	require.NoError(t, s.Write(span(6)))
+	require.NoError(t, s.Write(intervalLine(6)))
 	require.NoError(t, s.Close())
-	_, notes := verified(t, dir)
+	_, notes := verify(t, dir)
 	assert.Contains(t, fmt.Sprint(notes), "3 lines could not be written")
 }
 
-// A sync that fails where a segment is closed costs no line behind it.
-func TestASyncThatFailsWhereASegmentIsTurnedCostsNoLineBehindIt(t *testing.T) {
+func TestSyncErrorOnRotationLosesNoLaterLine(t *testing.T) {
 	dir := t.TempDir()
-	s := begun(t, dir, 1<<20, 1<<24)
-	require.NoError(t, s.Write(span(1)))
+	s := startedSegments(t, dir, 1<<20, 1<<24)
+	require.NoError(t, s.Write(intervalLine(1)))
 	read, write, err := os.Pipe() // which cannot be synced
 	require.NoError(t, err)
 	defer read.Close()
-	was := s.ids
-	s.ids = write
+	working := s.open.index
+	s.open.index = write
 	assert.Error(t, s.Rotate())
-	was.Close()
-	require.NoError(t, s.Write(span(2)))
+	require.NoError(t, working.Close())
+	require.NoError(t, s.Write(intervalLine(2)))
 	require.NoError(t, s.Close())
-	verified(t, dir)
+	verify(t, dir)
 }
--- /dev/null
+++ b/fleet/disk/voter_file.go
@@ -0,0 +1,247 @@
+package disk
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"os"
+	"runtime/debug"
+	"time"
+
+	"github.com/vmihailenco/msgpack/v5"
+	"go.etcd.io/bbolt"
+	berrors "go.etcd.io/bbolt/errors"
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"dapplerouter/fleet"
+)
+
+// Buckets of the file. The key of an entry is its index, 8 bytes big-endian.
+var (
+	metaBucket    = []byte("meta")
+	entriesBucket = []byte("entries")
+)
+
+// Keys of metaBucket.
+var (
+	ownerKey     = []byte("owner") // FLEET/VOTER
+	hardStateKey = []byte("hard")
+	snapshotKey  = []byte("snapshot")
+	floorsKey    = []byte("floors") // MessagePack
+	openCountKey = []byte("opened") // 8 bytes big-endian
+)
+
+const lockTimeout = time.Second
+
+// VoterFile is a voter's open file.
+type VoterFile struct {
+	db *bbolt.DB
+}
+
+// OpenVoterFile opens or makes the file of a fleet's voter and reads its state. The error names the file and what to do:
+// ErrVoterFileInUse, ErrVoterFileDamaged, an OtherVoterError, or one of the system.
+func OpenVoterFile(path, fleetID, voter string) (f *VoterFile, s *fleet.DiskState, err error) {
+	// The library reads the file through a memory map: a page behind the file's end is a fault, which would end the process.
+	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
+	defer func() {
+		if p := recover(); p != nil { // the library's, of an invalid page
+			f, s, err = nil, nil, fmt.Errorf("%s is %w (%v): %s", path, ErrVoterFileDamaged, p, replaceVoterRemedy)
+		}
+	}()
+	db, err := openDB(path)
+	if err != nil {
+		return nil, nil, err
+	}
+	if err = checkPages(db, path); err == nil {
+		if s, err = readState(db, fleetID+"/"+voter); err != nil {
+			err = fmt.Errorf("%s: %w", path, err)
+		}
+	}
+	if err != nil {
+		_ = db.Close() // nothing was written that counts
+		return nil, nil, err
+	}
+	return &VoterFile{db}, s, nil
+}
+
+func openDB(path string) (*bbolt.DB, error) {
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType})
+	switch {
+	case errors.Is(err, berrors.ErrTimeout):
+		return nil, fmt.Errorf("%s is %w: end it, or name another file", path, ErrVoterFileInUse)
+	case errors.Is(err, os.ErrNotExist):
+		return nil, fmt.Errorf("%s: its folder does not exist (%w): make it", path, err)
+	case err != nil:
+		return nil, fmt.Errorf("%s can't be opened (%w): where it is damaged, %s", path, err, replaceVoterRemedy)
+	}
+	return db, nil
+}
+
+// checkPages checks that all pages are there and consistent: the library notices a truncated file only when it reads a page behind its
+// end.
+func checkPages(db *bbolt.DB, path string) error {
+	return db.View(func(tx *bbolt.Tx) error {
+		info, err := os.Stat(path)
+		if err != nil {
+			return err
+		}
+		if tx.Size() > info.Size() {
+			return fmt.Errorf("%s is %w (%d bytes of %d): %s", path, ErrVoterFileDamaged, info.Size(), tx.Size(), replaceVoterRemedy)
+		}
+		for err := range tx.Check() {
+			return fmt.Errorf("%s is %w (%w): %s", path, ErrVoterFileDamaged, err, replaceVoterRemedy)
+		}
+		return nil
+	})
+}
+
+// readState reads the state, makes a new file the voter's, and counts that it was opened.
+func readState(db *bbolt.DB, voter string) (*fleet.DiskState, error) {
+	s := &fleet.DiskState{Floors: map[string]fleet.Floor{}}
+	return s, db.Update(func(tx *bbolt.Tx) error {
+		meta, err := tx.CreateBucketIfNotExists(metaBucket)
+		if err != nil {
+			return err
+		}
+		entries, err := tx.CreateBucketIfNotExists(entriesBucket)
+		if err != nil {
+			return err
+		}
+		if owner := meta.Get(ownerKey); owner == nil {
+			if err := meta.Put(ownerKey, []byte(voter)); err != nil {
+				return err
+			}
+		} else if string(owner) != voter {
+			return OtherVoterError{Owner: string(owner), Voter: voter}
+		}
+		if err := readMeta(meta, s); err != nil {
+			return err
+		}
+		if err := readEntries(entries, s); err != nil {
+			return err
+		}
+		s.OpenCount++
+		return meta.Put(openCountKey, binary.BigEndian.AppendUint64(nil, s.OpenCount))
+	})
+}
+
+func readMeta(meta *bbolt.Bucket, s *fleet.DiskState) error {
+	if b := meta.Get(openCountKey); len(b) == 8 {
+		s.OpenCount = binary.BigEndian.Uint64(b)
+	}
+	if b := meta.Get(hardStateKey); b != nil {
+		s.Hard = &pb.HardState{}
+		if err := proto.Unmarshal(b, s.Hard); err != nil {
+			return fmt.Errorf("term and vote %w: %w", ErrVoterFileDamaged, err)
+		}
+	}
+	if b := meta.Get(snapshotKey); b != nil {
+		s.Snapshot = &pb.Snapshot{}
+		if err := proto.Unmarshal(b, s.Snapshot); err != nil {
+			return fmt.Errorf("snapshot %w: %w", ErrVoterFileDamaged, err)
+		}
+	}
+	if b := meta.Get(floorsKey); b != nil {
+		if err := msgpack.Unmarshal(b, &s.Floors); err != nil {
+			return fmt.Errorf("floors of other voters %w: %w", ErrVoterFileDamaged, err)
+		}
+	}
+	return nil
+}
+
+// readEntries reads the entries behind the snapshot; they must follow on it without a gap.
+func readEntries(entries *bbolt.Bucket, s *fleet.DiskState) error {
+	next := s.Snapshot.GetMetadata().GetIndex() + 1
+	return entries.ForEach(func(k, v []byte) error {
+		entry := &pb.Entry{}
+		if err := proto.Unmarshal(v, entry); err != nil {
+			return fmt.Errorf("entry %d %w: %w", binary.BigEndian.Uint64(k), ErrVoterFileDamaged, err)
+		}
+		if entry.GetIndex() < next {
+			return nil
+		}
+		if entry.GetIndex() != next {
+			return fmt.Errorf("%w: entry %d is missing", ErrVoterFileDamaged, next)
+		}
+		next++
+		s.Entries = append(s.Entries, entry)
+		return nil
+	})
+}
+
+// Save writes through; what it returned nil for is there after any crash. After an error nothing of the write is.
+func (f *VoterFile) Save(w *fleet.DiskWrite) error {
+	return f.db.Update(func(tx *bbolt.Tx) error {
+		meta, entries := tx.Bucket(metaBucket), tx.Bucket(entriesBucket)
+		if w.Snapshot != nil {
+			if err := saveSnapshot(meta, entries, w.Snapshot); err != nil {
+				return err
+			}
+		}
+		if err := saveEntries(entries, w.Entries); err != nil {
+			return err
+		}
+		if w.Hard != nil {
+			if err := put(meta, hardStateKey, w.Hard); err != nil {
+				return err
+			}
+		}
+		if w.Floors == nil {
+			return nil
+		}
+		b, err := msgpack.Marshal(w.Floors)
+		if err != nil {
+			return err
+		}
+		return meta.Put(floorsKey, b)
+	})
+}
+
+// saveSnapshot writes a snapshot, which replaces all entries up to its index.
+func saveSnapshot(meta, entries *bbolt.Bucket, snapshot *pb.Snapshot) error {
+	if err := put(meta, snapshotKey, snapshot); err != nil {
+		return err
+	}
+	index := snapshot.GetMetadata().GetIndex()
+	c := entries.Cursor()
+	for k, _ := c.First(); k != nil && binary.BigEndian.Uint64(k) <= index; k, _ = c.First() {
+		if err := c.Delete(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// saveEntries writes entries, which replace all from the first one's index on.
+func saveEntries(entries *bbolt.Bucket, add []*pb.Entry) error {
+	if len(add) == 0 {
+		return nil
+	}
+	first := entryKey(add[0])
+	c := entries.Cursor()
+	for k, _ := c.Seek(first); k != nil; k, _ = c.Seek(first) {
+		if err := c.Delete(); err != nil {
+			return err
+		}
+	}
+	for _, entry := range add {
+		if err := put(entries, entryKey(entry), entry); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func entryKey(entry *pb.Entry) []byte { return binary.BigEndian.AppendUint64(nil, entry.GetIndex()) }
+
+func put(b *bbolt.Bucket, key []byte, x proto.Message) error {
+	data, err := proto.Marshal(x)
+	if err != nil {
+		return err
+	}
+	return b.Put(key, data)
+}
+
+// Close ends the use of the file.
+func (f *VoterFile) Close() error { return f.db.Close() }
--- a/fleet/disk/disk_test.go
+++ b/fleet/disk/voter_file_test.go
@@ -1,12 +1,14 @@
 package disk
 
 import (
+	"fmt"
 	"os"
 	"path/filepath"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
+	"go.etcd.io/bbolt"
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
@@ -17,7 +19,7 @@
 	return &pb.Entry{Index: proto.Uint64(index), Term: proto.Uint64(term), Data: []byte(data)}
 }
 
-func TestWhatWasSavedIsThereAfterwards(t *testing.T) {
+func TestVoterFileSurvivesReopening(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "fleet.db")
 	f, s, err := OpenVoterFile(path, "x", "k1")
 	require.NoError(t, err)
@@ -41,6 +43,7 @@
 	require.NoError(t, f.Save(&fleet.DiskWrite{Snapshot: at}))
 	_, _, err = OpenVoterFile(path, "x", "k1")
 	assert.ErrorContains(t, err, "in use by another process")
+	assert.ErrorIs(t, err, ErrVoterFileInUse)
 	require.NoError(t, f.Close())
 
 	f, s, err = OpenVoterFile(path, "x", "k1")
@@ -49,25 +52,57 @@
 	require.NoError(t, f.Close())
 	_, _, err = OpenVoterFile(path, "x", "k2")
 	assert.ErrorContains(t, err, "belongs to x/k1")
+	var other OtherVoterError
+	require.ErrorAs(t, err, &other)
+	assert.Equal(t, OtherVoterError{Owner: "x/k1", Voter: "x/k2"}, other)
 }
 
-func TestATornFileIsToldAndNeverTakenForAnEmptyOne(t *testing.T) {
+func TestTruncatedVoterFileIsRejected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "fleet.db")
 	f, _, err := OpenVoterFile(path, "x", "k1")
 	require.NoError(t, err)
-	require.NoError(t, f.Save(&fleet.DiskWrite{Hard: &pb.HardState{Term: proto.Uint64(3)}, Entries: []*pb.Entry{entry(2, 2, "a")}}))
+	require.NoError(t, f.Save(&fleet.DiskWrite{Hard: &pb.HardState{Term: proto.Uint64(3)}, Entries: []*pb.Entry{entry(1, 2, "a")}}))
+	var used int64
+	require.NoError(t, f.db.View(func(tx *bbolt.Tx) error { used = tx.Size(); return nil }))
 	require.NoError(t, f.Close())
-	whole, err := os.ReadFile(path)
+	complete, err := os.ReadFile(path)
 	require.NoError(t, err)
-	sizes := []int{100, 5000, len(whole) / 2}
-	for size := 4096; size < len(whole); size += 4096 {
+	sizes := []int{100, 5000, len(complete) / 2}
+	for size := 4096; size <= len(complete); size += 4096 {
 		sizes = append(sizes, size)
 	}
 	for _, size := range sizes {
-		require.NoError(t, os.WriteFile(path, whole[:size], 0o600))
-		_, _, err := OpenVoterFile(path, "x", "k1")
-		assert.ErrorContains(t, err, path, "cut to %d of %d bytes", size, len(whole))
+		t.Run(fmt.Sprintf("%d of %d bytes", size, len(complete)), func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), "fleet.db") // its own: a file whose opening panicked stays locked
+			require.NoError(t, os.WriteFile(path, complete[:size], 0o600))
+			f, s, err := OpenVoterFile(path, "x", "k1")
+			if int64(size) >= used { // the pages behind are not in use yet
+				require.NoError(t, err)
+				assert.EqualValues(t, 3, s.Hard.GetTerm())
+				assert.Len(t, s.Entries, 1)
+				assert.NoError(t, f.Close())
+				return
+			}
+			assert.ErrorContains(t, err, path)
+			assert.ErrorContains(t, err, "add a voter of a new name")
+			assert.NotErrorIs(t, err, ErrVoterFileInUse)
+			if size >= 8192 { // both meta pages: the library itself opens it
+				assert.ErrorIs(t, err, ErrVoterFileDamaged)
+			}
+		})
 	}
 	_, _, err = OpenVoterFile(filepath.Join(t.TempDir(), "no", "fleet.db"), "x", "k1")
 	assert.ErrorContains(t, err, "make it")
+	assert.ErrorIs(t, err, os.ErrNotExist)
+}
+
+func TestMissingEntryIsDamage(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "fleet.db")
+	f, _, err := OpenVoterFile(path, "x", "k1")
+	require.NoError(t, err)
+	require.NoError(t, f.Save(&fleet.DiskWrite{Entries: []*pb.Entry{entry(2, 2, "a")}}))
+	require.NoError(t, f.Close())
+	_, _, err = OpenVoterFile(path, "x", "k1")
+	assert.ErrorIs(t, err, ErrVoterFileDamaged)
+	assert.ErrorContains(t, err, "entry 1 is missing")
 }
