--- /dev/null
+++ b/fleet/audit/collector.go
@@ -0,0 +1,172 @@
+package audit
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// Collector fetches all fronts' closed segments: one request at a time from each front, within a limit of bytes a second over all.
+type Collector struct {
+	BytesReceived    int64
+	SegmentsReceived int
+
+	timeout time.Duration // after which an unanswered request is repeated
+	budget  tokenBucket
+	fronts  map[string]*frontFetch
+	turn    int // rotates the front that is asked first
+}
+
+// tokenBucket limits bytes a second.
+type tokenBucket struct {
+	rate      float64 // bytes a second
+	available float64
+	filledAt  time.Duration
+}
+
+// fill adds what the time since the last call allows, up to one second's.
+func (b *tokenBucket) fill(now time.Duration) {
+	b.available = min(b.available+b.rate*(now-b.filledAt).Seconds(), max(b.rate, ChunkBytes))
+	b.filledAt = now
+}
+
+// frontFetch is what is fetched from one front.
+type frontFetch struct {
+	latest string   // the newest segment that was fetched
+	wanted []string // names of segments to fetch, oldest first
+
+	request     *FetchRequest // that is under way, nil for none
+	requestedAt time.Duration
+	idleUntil   time.Duration // when to ask for names again
+
+	data [filesOfSegment][]byte // of the first of wanted, as far as it came
+	file int                    // the one that is being fetched
+}
+
+// Files of a segment, in the order in which they are fetched.
+const (
+	indexFile = iota
+	logFile
+	filesOfSegment
+)
+
+// drop ends the fetching of the first wanted segment.
+func (f *frontFetch) drop() {
+	f.wanted, f.file, f.data = f.wanted[1:], indexFile, [filesOfSegment][]byte{}
+}
+
+// NewCollector makes a Collector with a limit of bytes a second; have are the names of segments that were fetched before.
+func NewCollector(rate int64, timeout time.Duration, have []string) *Collector {
+	c := &Collector{timeout: timeout, budget: tokenBucket{rate: float64(rate)}, fronts: map[string]*frontFetch{}}
+	for _, name := range have {
+		if front, _, ok := ParseLogName(name + LogSuffix); ok {
+			f := c.front(front)
+			f.latest = max(f.latest, name)
+		}
+	}
+	return c
+}
+
+func (c *Collector) front(name string) *frontFetch {
+	f := c.fronts[name]
+	if f == nil {
+		f = &frontFetch{}
+		c.fronts[name] = f
+	}
+	return f
+}
+
+// PendingFetch is a request to send to a front.
+type PendingFetch struct {
+	Front   string
+	Request FetchRequest
+}
+
+// Step returns the requests to send now to the fronts that there are.
+func (c *Collector) Step(now time.Duration, fronts []string) (fetches []PendingFetch) {
+	c.budget.fill(now)
+	slices.Sort(fronts)
+	for k := range fronts {
+		name := fronts[(k+c.turn)%len(fronts)]
+		f := c.front(name)
+		if f.request != nil && now-f.requestedAt < c.timeout || f.request == nil && len(f.wanted) == 0 && now < f.idleUntil {
+			continue
+		}
+		request := FetchRequest{After: f.latest}
+		if len(f.wanted) > 0 {
+			if c.budget.available < ChunkBytes {
+				continue
+			}
+			c.budget.available -= ChunkBytes
+			request = FetchRequest{Name: f.wanted[0], Index: f.file == indexFile, Offset: int64(len(f.data[f.file]))}
+		}
+		f.request, f.requestedAt = &request, now
+		fetches = append(fetches, PendingFetch{name, request})
+	}
+	c.turn++
+	return fetches
+}
+
+// File is a file that was fetched in whole.
+type File struct {
+	Name string // with its suffix
+	Data []byte
+}
+
+// OnResponse handles a response, and returns the two files of a segment that it completes. A response that was not requested, or comes
+// twice, changes nothing.
+func (c *Collector) OnResponse(now time.Duration, front string, r *FetchResponse) (complete []File) {
+	f := c.fronts[front]
+	if f == nil || f.request == nil || *f.request != r.Request {
+		return nil
+	}
+	f.request = nil
+	c.BytesReceived += int64(len(r.Data))
+	if r.Request.Name == "" {
+		f.idleUntil = now + 2*c.timeout
+		f.addWanted(front, r.Names)
+		return nil
+	}
+	c.budget.available += ChunkBytes - float64(len(r.Data))
+	if r.Removed || r.Total > maxFileBytes {
+		f.drop()
+		return nil
+	}
+	if !f.addChunk(r) {
+		return nil
+	}
+	name := f.wanted[0]
+	complete = []File{{name + IndexSuffix, f.data[indexFile]}, {name + LogSuffix, f.data[logFile]}}
+	f.latest = name
+	f.drop()
+	c.SegmentsReceived++
+	return complete
+}
+
+// addWanted adds the names of a front's segments that are newer than those known.
+func (f *frontFetch) addWanted(front string, names []string) {
+	for _, name := range names {
+		newest := f.latest
+		if n := len(f.wanted); n > 0 {
+			newest = cmp.Or(f.wanted[n-1], f.latest)
+		}
+		if of, _, ok := ParseLogName(name + LogSuffix); ok && of == front && name > newest {
+			f.wanted = append(f.wanted, name)
+		}
+	}
+}
+
+// addChunk adds a chunk of the file that is being fetched; complete reports whether it was the last one of the segment.
+func (f *frontFetch) addChunk(r *FetchResponse) (complete bool) {
+	data := &f.data[f.file]
+	*data = append(*data, r.Data...)
+	if int64(len(*data)) < r.Total && len(r.Data) > 0 {
+		return false
+	}
+	if int64(len(*data)) != r.Total { // the file was replaced meanwhile: from its beginning
+		*data = nil
+		return false
+	}
+	f.file++
+	return f.file == filesOfSegment
+}
--- a/fleet/audit/recorder.go
+++ b/fleet/audit/recorder.go
@@ -1,9 +1,3 @@
-// Package audit tells which front acted on which version, when, and what it did meanwhile. It is a core: no I/O, no clock, no
-// goroutine; files are kept by fleet/disk.
-//
-// A Recorder belongs to a front's core and hears of each request: it counts them in spans, in each of which the front acted on one
-// version of the operator's rules and of the list. A Chain makes lines of what happened, each bound to the one before by a
-// hash. Lines are read back by Read, weighed by Verify and asked by the queries.
 package audit
 
 import (
@@ -14,181 +8,183 @@
 )
 
 const (
-	// MaxIntervalDuration is how long a span lasts at the most, while requests come: a front that dies loses what it counted in the one in hand.
+	// MaxIntervalDuration is the longest interval while requests come: a front that crashes loses the counts of the open one.
 	MaxIntervalDuration = 30 * time.Second
-	mostIDs             = 32 << 10 // requests of a span
-	mostSpans           = 64       // that wait for their last requests; behind it a list's changes widen the span in hand
+	maxIntervalRequests = 32 << 10
+	minIDsCapacity      = 256
+	// maxIntervals is the most intervals that wait for their last requests; with more, a change of the endpoint list extends the open one.
+	maxIntervals = 64
 )
 
-// Interval is a time in which a front acted on one version, with what it did. Times are the core's clock.
+// Interval is a time in which a front used one version, with what it did. Times are the core's clock.
 type Interval struct {
 	Number               uint32
 	Start, End           time.Duration
 	Version              uint64
-	EndpointListVersions [2]int64                    // the list's versions, first and last
-	Standby              bool                        // the front had no right to act, and took nothing
-	ConfigLeaseExpiry    time.Duration               // until when it might act, as of the span's end; 0 where it needs none
+	EndpointListVersions [2]int64                    // first and last
+	Standby              bool                        // the front had no configuration lease, and accepted no request
+	ConfigLeaseExpiry    time.Duration               // as of the interval's end; 0 where the front needs no lease
 	Outcomes             [][front.StatusCount]uint32 // by request type
-	IDs                  []uint64                    // of the requests taken, as Hash gives them, in the order in which they came
-	open                 int
-	closed               bool
-}
+	IDs                  []uint64                    // of the accepted requests, by HashID, in the order in which they came
 
-// Recorder counts requests. Its calls are those of front.Auditor, from the core's goroutine; Sums may be called from anywhere.
-type Recorder struct {
-	types int
-	sink  func(Interval)
-	spans []*Interval // the last is the one in hand; the others wait for their requests
-	sums  []sum
-	first Interval // how the first one begins
+	inFlight int
+	closed   bool
 }
 
-type sum struct{ ended, served atomic.Uint64 }
+// empty reports whether the interval has no request.
+func (s *Interval) empty() bool { return len(s.IDs) == 0 && s.inFlight == 0 }
 
-// NewRecorder makes a Recorder for so many request types; sink takes spans whose requests have all ended and must not block, nil for none.
-// A front that needs a right stands by until it has one; version is what it begins with.
-func NewRecorder(types int, rights bool, version uint64, sink func(Interval)) *Recorder {
-	return &Recorder{types: types, sink: sink, sums: make([]sum, types), first: Interval{Standby: rights, Version: version}}
+// Recorder counts requests. Its calls are those of front.Auditor, from the core's goroutine; Totals is safe for concurrent use.
+type Recorder struct {
+	types     int
+	sink      func(Interval)
+	intervals []*Interval // the last is the open one; the others wait for their requests
+	totals    []totals    // by request type, on the version in use
+	first     Interval    // template of the first
 }
 
-// HashID is how a request's id is kept: FNV-1a of 64 bits, of which the index holds 40.
-func HashID(id []byte) uint64 {
-	h := uint64(14695981039346656037)
-	for _, c := range id {
-		h = (h ^ uint64(c)) * 1099511628211
-	}
-	return h
+// totals are a request type's counts.
+type totals struct{ finished, succeeded atomic.Uint64 }
+
+// NewRecorder makes a Recorder for so many request types; sink takes intervals whose requests have all finished and must not block, nil
+// for none. A front that needs a configuration lease is in standby until it has one; version is the one that it starts with.
+func NewRecorder(types int, needsLease bool, version uint64, sink func(Interval)) *Recorder {
+	return &Recorder{types: types, sink: sink, totals: make([]totals, types), first: Interval{Standby: needsLease, Version: version}}
 }
 
-func (b *Recorder) now(at time.Duration) *Interval {
-	if n := len(b.spans); n > 0 {
-		return b.spans[n-1]
+// current returns the open interval.
+func (r *Recorder) current(at time.Duration) *Interval {
+	if n := len(r.intervals); n > 0 {
+		return r.intervals[n-1]
 	}
-	return b.turn(at)
+	return r.openNext(at)
 }
 
-// turn closes the span in hand and opens the next.
-func (b *Recorder) turn(at time.Duration) *Interval {
-	next := &Interval{Start: at, Number: 1, Standby: b.first.Standby, Version: b.first.Version, Outcomes: make([][front.StatusCount]uint32, b.types)}
-	if n := len(b.spans); n > 0 {
-		old := b.spans[n-1]
-		old.End, old.closed = at, true
-		next.Number, next.Version, next.EndpointListVersions = old.Number+1, old.Version, [2]int64{old.EndpointListVersions[1], old.EndpointListVersions[1]}
-		next.Standby, next.ConfigLeaseExpiry = old.Standby, old.ConfigLeaseExpiry
-		if b.sink != nil {
-			next.IDs = make([]uint64, 0, min(max(len(old.IDs), 256), mostIDs))
+// openNext closes the open interval and opens the next.
+func (r *Recorder) openNext(at time.Duration) *Interval {
+	next := &Interval{Start: at, Number: 1, Standby: r.first.Standby, Version: r.first.Version, Outcomes: make([][front.StatusCount]uint32, r.types)}
+	if n := len(r.intervals); n > 0 {
+		last := r.intervals[n-1]
+		last.End, last.closed = at, true
+		next.Number, next.Version, next.EndpointListVersions = last.Number+1, last.Version, [2]int64{last.EndpointListVersions[1], last.EndpointListVersions[1]}
+		next.Standby, next.ConfigLeaseExpiry = last.Standby, last.ConfigLeaseExpiry
+		if r.sink != nil {
+			next.IDs = make([]uint64, 0, min(max(len(last.IDs), minIDsCapacity), maxIntervalRequests))
 		}
 	}
-	b.spans = append(b.spans, next)
-	b.done()
+	r.intervals = append(r.intervals, next)
+	r.flush()
 	return next
 }
 
-// done hands on spans that are closed and whose requests have all ended, in their order.
-func (b *Recorder) done() {
-	for len(b.spans) > 1 && b.spans[0].open == 0 {
-		if b.sink != nil {
-			b.sink(*b.spans[0])
+// flush passes on intervals that are closed and whose requests have all finished, in their order.
+func (r *Recorder) flush() {
+	for len(r.intervals) > 1 && r.intervals[0].inFlight == 0 {
+		if r.sink != nil {
+			r.sink(*r.intervals[0])
 		}
-		b.spans[0] = nil
-		b.spans = b.spans[1:]
+		r.intervals[0] = nil
+		r.intervals = r.intervals[1:]
 	}
 }
 
-// RequestAccepted notes a request that was taken, and gives its span.
-func (b *Recorder) RequestAccepted(at time.Duration, id []byte, _ int) uint32 {
-	s := b.now(at)
-	if b.sink != nil {
-		if len(s.IDs) >= mostIDs || at-s.Start > MaxIntervalDuration {
-			s = b.turn(at)
+// RequestAccepted counts an accepted request, and returns the number of its interval.
+func (r *Recorder) RequestAccepted(at time.Duration, id []byte, _ int) uint32 {
+	s := r.current(at)
+	if r.sink != nil {
+		if len(s.IDs) >= maxIntervalRequests || at-s.Start > MaxIntervalDuration {
+			s = r.openNext(at)
 		}
 		s.IDs = append(s.IDs, HashID(id))
 	}
-	s.open++
+	s.inFlight++
 	return s.Number
 }
 
-// RequestFinished notes a request's end.
-func (b *Recorder) RequestFinished(_ time.Duration, span uint32, typ int, w front.Status) {
-	if typ < len(b.sums) {
-		b.sums[typ].ended.Add(1)
-		if w == front.StatusSucceeded {
-			b.sums[typ].served.Add(1)
+// RequestFinished counts a request's outcome in the interval in which it was accepted.
+func (r *Recorder) RequestFinished(_ time.Duration, interval uint32, typ int, status front.Status) {
+	if typ < len(r.totals) {
+		r.totals[typ].finished.Add(1)
+		if status == front.StatusSucceeded {
+			r.totals[typ].succeeded.Add(1)
 		}
 	}
-	i := int(span) - int(b.spans[0].Number)
-	if i < 0 || i >= len(b.spans) {
+	i := int(interval) - int(r.intervals[0].Number)
+	if i < 0 || i >= len(r.intervals) {
 		return
 	}
-	s := b.spans[i]
-	if typ < len(s.Outcomes) { // types that classing adds count with none
-		s.Outcomes[typ][w]++
+	s := r.intervals[i]
+	if typ < len(s.Outcomes) { // types that classification adds are not counted by type
+		s.Outcomes[typ][status]++
 	}
-	if s.open--; s.open == 0 && s.closed {
-		b.done()
+	if s.inFlight--; s.inFlight == 0 && s.closed {
+		r.flush()
 	}
 }
 
-// EndpointsChanged notes that the list has another version.
-func (b *Recorder) EndpointsChanged(at time.Duration, index int64) {
-	s := b.now(at)
+// EndpointsChanged notes another version of the endpoint list.
+func (r *Recorder) EndpointsChanged(at time.Duration, index int64) {
+	s := r.current(at)
 	if s.EndpointListVersions[1] == index {
 		return
 	}
-	if s.EndpointListVersions == [2]int64{} || len(s.IDs) == 0 && s.open == 0 || len(b.spans) >= mostSpans {
-		if s.EndpointListVersions == [2]int64{} || len(s.IDs) == 0 && s.open == 0 {
-			s.EndpointListVersions[0] = index
-		}
+	restarted := s.EndpointListVersions == [2]int64{} || s.empty()
+	switch {
+	case restarted:
+		s.EndpointListVersions = [2]int64{index, index}
+	case len(r.intervals) >= maxIntervals:
 		s.EndpointListVersions[1] = index
-		return
+	default:
+		r.openNext(at).EndpointListVersions = [2]int64{index, index}
 	}
-	b.turn(at).EndpointListVersions = [2]int64{index, index}
 }
 
-// ConfigAdopted notes that other rules are in force.
-func (b *Recorder) ConfigAdopted(at time.Duration, version uint64) {
-	if s := b.now(at); s.Version != version {
-		b.turn(at).Version = version
+// ConfigAdopted notes that another version is in use.
+func (r *Recorder) ConfigAdopted(at time.Duration, version uint64) {
+	if s := r.current(at); s.Version != version {
+		r.openNext(at).Version = version
 	}
-	for i := range b.sums { // they are told by version
-		b.sums[i].ended.Store(0)
-		b.sums[i].served.Store(0)
+	for i := range r.totals {
+		r.totals[i].finished.Store(0)
+		r.totals[i].succeeded.Store(0)
 	}
 }
 
-// LeaseChanged notes until when the front may act, or that it may no more: then it did until its right's end, whenever it finds out.
-func (b *Recorder) LeaseChanged(at, until time.Duration, standby bool) {
-	s := b.now(at)
+// LeaseChanged notes until when the front may serve, or that it is in standby: it then served until its lease's expiry, also where it
+// finds that out later.
+func (r *Recorder) LeaseChanged(at, until time.Duration, standby bool) {
+	s := r.current(at)
 	switch {
 	case standby && !s.Standby:
 		s.ConfigLeaseExpiry = until
-		s = b.turn(min(max(until, s.Start), at))
+		s = r.openNext(min(max(until, s.Start), at))
 	case !standby && s.Standby:
-		s = b.turn(at)
+		s = r.openNext(at)
 	}
 	s.Standby, s.ConfigLeaseExpiry = standby, until
 }
 
-// Tick closes a span that has lasted long enough, though nothing comes.
-func (b *Recorder) Tick(at time.Duration) {
-	if s := b.now(at); b.sink != nil && at-s.Start > MaxIntervalDuration && len(s.IDs) > 0 {
-		b.turn(at)
+// Tick closes an interval that has lasted long enough, though no request comes.
+func (r *Recorder) Tick(at time.Duration) {
+	if s := r.current(at); r.sink != nil && at-s.Start > MaxIntervalDuration && len(s.IDs) > 0 {
+		r.openNext(at)
 	}
 }
 
-// Close closes the span in hand, with what its requests have come to.
-func (b *Recorder) Close(at time.Duration) {
-	b.turn(at)
-	for _, s := range b.spans[:len(b.spans)-1] {
-		s.open = 0
+// Close closes the open interval and passes on all, with the outcomes that are known.
+func (r *Recorder) Close(at time.Duration) {
+	r.openNext(at)
+	for _, s := range r.intervals[:len(r.intervals)-1] {
+		s.inFlight = 0
 	}
-	b.done()
+	r.flush()
 }
 
-// Totals are how many requests of each type ended, and how many of them were committed, since the version was adopted.
-func (b *Recorder) Totals(each func(typ int, ended, served uint64)) {
-	for i := range b.sums {
-		served := b.sums[i].served.Load() // first: it is never more than ended
-		each(i, b.sums[i].ended.Load(), served)
+// Totals calls each with the counts of each request type since the version was adopted: requests that finished, and those of them
+// that succeeded.
+func (r *Recorder) Totals(each func(typ int, finished, succeeded uint64)) {
+	for i := range r.totals {
+		succeeded := r.totals[i].succeeded.Load() // first: it is never more than finished
+		each(i, r.totals[i].finished.Load(), succeeded)
 	}
 }
