--- a/fleet/audit/collector_test.go
+++ b/fleet/audit/collector_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Words get lost and come twice; what is gathered is whole, once, and within the budget.
-func TestLogsAreGatheredWholeWithinABudgetThoughWordsGetLost(t *testing.T) {
+// Messages are lost and duplicated; each segment is collected whole and once, and within the rate.
+func TestSegmentsAreCollectedWholeWithinTheRateDespiteLostMessages(t *testing.T) {
 	r := rand.New(rand.NewPCG(4, 4))
 	files := map[string]map[string][]byte{}
 	var fronts []string
@@ -27,7 +27,7 @@
 			}
 		}
 	}
-	files["n2"][SegmentName("n2", 2)+IndexSuffix] = nil // an empty index is one too
+	files["n2"][SegmentName("n2", 2)+IndexSuffix] = nil // an empty index is complete
 	reply := func(f string, q FetchRequest) *FetchResponse {
 		if q.Name == "" {
 			var all []string
@@ -47,8 +47,8 @@
 		return &FetchResponse{Request: q, Total: int64(len(b)), Data: b[q.Offset:min(int(q.Offset)+ChunkBytes, len(b))]}
 	}
 	const rate = 256 << 10
-	g := NewCollector(rate, time.Second, []string{SegmentName("n1", 2)}) // two of n1's were gathered before
-	kept := map[string][]byte{}
+	g := NewCollector(rate, time.Second, []string{SegmentName("n1", 2)}) // two of n1's were collected before
+	collected := map[string][]byte{}
 	now := time.Duration(0)
 	for ; now < time.Minute && g.SegmentsReceived < 3+5+4; now += 50 * time.Millisecond {
 		for _, a := range g.Step(now, slices.Clone(fronts)) {
@@ -59,24 +59,24 @@
 			_, x := DecodeDatagram(reply(a.Front, *q).Encode())
 			for range 1 + r.IntN(2) {
 				for _, f := range g.OnResponse(now, a.Front, x) {
-					assert.NotContains(t, kept, f.Name)
-					kept[f.Name] = f.Data
+					assert.NotContains(t, collected, f.Name)
+					collected[f.Name] = f.Data
 				}
 			}
 		}
 		assert.LessOrEqual(t, float64(g.BytesReceived), rate*(now.Seconds()+1)+ChunkBytes)
 	}
 	assert.Equal(t, 12, g.SegmentsReceived)
-	for name, b := range kept {
+	for name, b := range collected {
 		front, _, ok := ParseLogName(name)
 		if !ok {
 			front = name[:2]
 		}
 		assert.True(t, bytes.Equal(files[front][name], b), name)
 	}
-	assert.NotContains(t, kept, SegmentName("n1", 1)+LogSuffix)
-	for _, nonsense := range [][]byte{nil, {'q'}, {'r', 0xc1}, {'x', 1, 2}} {
-		q, x := DecodeDatagram(nonsense)
+	assert.NotContains(t, collected, SegmentName("n1", 1)+LogSuffix)
+	for _, malformed := range [][]byte{nil, {'q'}, {'r', 0xc1}, {'x', 1, 2}} {
+		q, x := DecodeDatagram(malformed)
 		assert.True(t, q == nil && x == nil)
 	}
 }
--- a/fleet/audit/format_test.go
+++ b/fleet/audit/format_test.go
@@ -23,8 +23,8 @@
 }
 
 // formatLog is a front's log with a line of each kind and each key, over two segments; it is what testdata holds.
-func formatLog() memory {
-	m := memory{map[string][]byte{}, map[string][]byte{}}
+func formatLog() memoryLogs {
+	m := newMemoryLogs()
 	chain := &HashChain{}
 	index, hash := EncodeIndex(&Interval{Number: 1, IDs: []uint64{HashID([]byte("order-1")), HashID([]byte("order-2")), HashID([]byte("order-3"))}})
 	for segment, lines := range [][]*Line{
@@ -68,16 +68,12 @@
 }
 
 func TestLogOfVersion030IsRead(t *testing.T) {
-	m := memory{map[string][]byte{}, map[string][]byte{}}
+	m := newMemoryLogs()
 	for _, name := range []string{"n1.00000001", "n1.00000002"} {
 		m.lines[name], m.ids[name] = testdata(t, name+LogSuffix), testdata(t, name+IndexSuffix)
 	}
 	all, found := ReadLogs(m)
-	var said []string
-	for _, f := range found {
-		said = append(said, f.String())
-	}
-	assert.Equal(t, []string{"n1.00000002:4: note: 3 lines could not be written: no space left on device", "n1.00000002:5: note: a torn tail of 12 bytes was cut off"}, said)
+	assert.Equal(t, []string{"n1.00000002:4: note: 3 lines could not be written: no space left on device", "n1.00000002:5: note: a torn tail of 12 bytes was cut off"}, findingTexts(found))
 	require.Len(t, all, 1)
 	var what []string
 	for _, l := range all[0].Lines {
