--- a/fleet/audit/collector.go
+++ b/fleet/audit/collector.go
@@ -14,7 +14,7 @@
 	timeout time.Duration // after which an unanswered request is repeated
 	budget  tokenBucket
 	fronts  map[string]*frontFetch
-	turn    int // rotates the front that is asked first
+	first   int // index of the front that is asked first; it rotates
 }
 
 // tokenBucket limits bytes a second.
@@ -87,7 +87,7 @@
 	c.budget.fill(now)
 	slices.Sort(fronts)
 	for k := range fronts {
-		name := fronts[(k+c.turn)%len(fronts)]
+		name := fronts[(k+c.first)%len(fronts)]
 		f := c.front(name)
 		if f.request != nil && now-f.requestedAt < c.timeout || f.request == nil && len(f.wanted) == 0 && now < f.idleUntil {
 			continue
@@ -103,7 +103,7 @@
 		f.request, f.requestedAt = &request, now
 		fetches = append(fetches, PendingFetch{name, request})
 	}
-	c.turn++
+	c.first++
 	return fetches
 }
 
--- a/fleet/audit/read.go
+++ b/fleet/audit/read.go
@@ -116,8 +116,8 @@
 	first := true
 	for len(text) > 0 {
 		r.line++
-		lineText, rest, ended := bytes.Cut(text, []byte{'\n'})
-		text = rest
+		lineText, remaining, ended := bytes.Cut(text, []byte{'\n'})
+		text = remaining
 		var l Line
 		if err := json.Unmarshal(lineText, &l); err != nil || !ended {
 			r.violation("the line can't be read: torn, or no line of an audit")
--- a/fleet/audit/verify.go
+++ b/fleet/audit/verify.go
@@ -7,7 +7,7 @@
 	missing []Finding // one for each segment that is not there, whether it was removed or not
 }
 
-// advance goes on to a segment, and reports whether others are missing before it.
+// advance continues with a segment, and reports whether others are missing before it.
 func (s *segmentSequence) advance(front string, number uint64) (skipped bool) {
 	for k := s.last + 1; k < number; k++ {
 		s.missing = append(s.missing, Finding{SegmentName(front, k), 0, true, "the segment is missing"})
@@ -83,7 +83,7 @@
 	index.verified = max(index.verified, end)
 }
 
-// processState is what the lines of the front's current process said so far.
+// processState is what the lines of the front's current process contain so far.
 type processState struct {
 	started      *PlacedLine     // its first line; nil where no process runs
 	stopped      map[uint64]bool // incarnations of processes that ended
@@ -93,7 +93,7 @@
 	versions     map[uint64]bool // that it started with or adopted; nil where lines are missing
 }
 
-// verifyLine verifies what a line says against what those before it said.
+// verifyLine verifies a line against those before it.
 func (r *logReader) verifyLine(p *PlacedLine) {
 	l := &p.Line
 	if l.Event == EventProcessStarted {
