--- a/fleet/zones/plan.go
+++ b/fleet/zones/plan.go
@@ -11,137 +11,193 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 )
 
-// Load is what one zone's members of a group carry of a request type.
+// Load is what one zone's servers of a group process of a request type.
 type Load struct {
-	Group   int64
-	Zone    string
-	Type    string
-	Work    float64 // in the unit of capacities: servers kept busy
-	Value   float64 // of a unit of work
-	Stays   bool    // it can't move: a write, which goes with its primary, or a read that only that member may answer
-	Farther float64 // by how much its work grows elsewhere, 0 for nothing
+	Group          int64
+	Zone           string
+	Type           string
+	Work           float64 // in the unit of capacities: busy servers
+	PriorityWeight float64 // of a unit of work
+	Immovable      bool    // a write, which goes to its primary, or a read that only that server may answer
+	RemoteOverhead float64 // by how much its work grows in another zone, 0 for nothing
 }
 
-// Room is what a zone's members of a group can bear in all.
-type Room struct {
+// Capacity is what a zone's servers of a group can process in all.
+type Capacity struct {
 	Group int64
 	Zone  string
 	Work  float64
 }
 
-// Moved is how much of a load goes where.
-type Moved struct {
+// Move is how much of a load goes to another zone.
+type Move struct {
 	Group    int64
 	Type, To string
 	Work     float64
 }
 
-// Plan is how far a zone can be left.
+// Plan is how far a zone can be evacuated.
 type Plan struct {
-	Zone     string
-	Share    float64            // of its movable work that the others can take, 0 to 1
-	By       map[string]float64 // the same by request type, highest value first where it is not all
-	Moves    []Moved
-	Rejected map[string]float64 // by type: work that is better rejected at once than late everywhere
-	Binds    []string           // limits that bind: group and zone whose members are full by it
+	Zone        string
+	Share       float64            // of its movable work that the others can take, 0 to 1
+	ShareByType map[string]float64 // the same by request type; the highest priority weight goes first where it is not all
+	Moves       []Move
+	Rejected    map[string]float64 // by type: work that is better rejected at once than late everywhere
+	Limits      []string           // the groups and zones without more capacity, sorted
 }
 
-// Leave plans how far a zone can be left: as much value as the members that stay can bear, for each group by itself, since a
-// group's work goes to its own members only. It is a linear program; where there is nowhere to go the share is 0, and the zone is
-// stayed in.
-func Leave(zone string, loads []Load, rooms []Room, gone map[string]bool) (*Plan, error) {
-	p := &Plan{Zone: zone, By: map[string]float64{}, Rejected: map[string]float64{}}
+// epsilon is the work that counts as none.
+const epsilon = 1e-9
+
+// PlanEvacuation plans how far a zone can be evacuated: as much priority weight as the servers of the other zones can process, for each
+// group by itself, since a group's work goes to its own servers only. Zones that are evacuated take nothing. Where no zone has capacity
+// the share is 0. The error is a linear program without a solution.
+func PlanEvacuation(zone string, loads []Load, capacities []Capacity, evacuated map[string]bool) (*Plan, error) {
+	p := &planner{
+		plan:       &Plan{Zone: zone, ShareByType: map[string]float64{}, Rejected: map[string]float64{}},
+		loads:      loads,
+		capacities: capacities,
+		evacuated:  evacuated,
+		moved:      map[string]float64{},
+		movable:    map[string]float64{},
+	}
 	groups := map[int64]bool{}
 	for _, l := range loads {
 		groups[l.Group] = true
 	}
-	moved, movable := map[string]float64{}, map[string]float64{}
-	for _, g := range slices.Sorted(maps.Keys(groups)) {
-		if err := p.group(g, loads, rooms, gone, moved, movable); err != nil {
+	for _, group := range slices.Sorted(maps.Keys(groups)) {
+		if err := p.planGroup(group); err != nil {
 			return nil, err
 		}
 	}
-	all, took := 0.0, 0.0
-	for t, n := range movable {
-		p.By[t] = moved[t] / n
-		if left := n - moved[t]; left > tiny {
-			p.Rejected[t] = left
+	p.summarize()
+	return p.plan, nil
+}
+
+// planner is what PlanEvacuation works on.
+type planner struct {
+	plan           *Plan
+	loads          []Load
+	capacities     []Capacity
+	evacuated      map[string]bool
+	moved, movable map[string]float64 // work by request type
+}
+
+// planGroup plans one group's moves.
+func (p *planner) planGroup(group int64) error {
+	sources, used := p.sources(group)
+	if len(sources) == 0 {
+		return nil
+	}
+	targets := p.targets(group, used)
+	if len(targets) == 0 {
+		p.plan.Limits = append(p.plan.Limits, fmt.Sprintf("group %d: no other zone has capacity", group))
+		return nil
+	}
+	solution, err := solve(sources, targets)
+	if err != nil {
+		return fmt.Errorf("plan the evacuation of zone %s, group %d: %w", p.plan.Zone, group, err)
+	}
+	for i, load := range sources {
+		for j, target := range targets {
+			if work := solution.moved(i, j); work > epsilon {
+				p.plan.Moves = append(p.plan.Moves, Move{group, load.Type, target.Zone, work})
+				p.moved[load.Type] += work
+			}
 		}
-		all, took = all+n, took+moved[t]
 	}
-	if all > 0 {
-		p.Share = took / all
+	for j, target := range targets {
+		if solution.unused(j) < target.Work*1e-6 {
+			p.plan.Limits = append(p.plan.Limits, fmt.Sprintf("group %d: the servers of zone %s are saturated", group, target.Zone))
+		}
 	}
-	slices.Sort(p.Binds)
-	return p, nil
+	return nil
 }
 
-const tiny = 1e-9
-
-// group is the program of one group: a variable for each type and destination, a bound on each type's work and on each
-// destination's room. The simplex method wants equations, so each bound gets a slack.
-func (p *Plan) group(group int64, loads []Load, rooms []Room, gone map[string]bool, moved, movable map[string]float64) error {
-	var from []Load
-	used := map[string]float64{}
-	for _, l := range loads {
+// sources returns the loads to move, highest priority weight first, and the work of the other zones.
+func (p *planner) sources(group int64) (sources []Load, used map[string]float64) {
+	used = map[string]float64{}
+	for _, l := range p.loads {
 		switch {
 		case l.Group != group:
-		case l.Zone != p.Zone:
+		case l.Zone != p.plan.Zone:
 			used[l.Zone] += l.Work
-		case !l.Stays && l.Work > tiny:
-			from = append(from, l)
-			movable[l.Type] += l.Work
+		case !l.Immovable && l.Work > epsilon:
+			sources = append(sources, l)
+			p.movable[l.Type] += l.Work
 		}
 	}
-	if len(from) == 0 {
-		return nil
+	slices.SortFunc(sources, func(a, b Load) int {
+		return cmp.Or(cmp.Compare(b.PriorityWeight, a.PriorityWeight), cmp.Compare(a.Type, b.Type))
+	})
+	return sources, used
+}
+
+// targets returns the free capacities of the other zones, by name.
+func (p *planner) targets(group int64, used map[string]float64) (targets []Capacity) {
+	for _, c := range p.capacities {
+		if c.Group == group && c.Zone != p.plan.Zone && !p.evacuated[c.Zone] && c.Work-used[c.Zone] > epsilon {
+			targets = append(targets, Capacity{group, c.Zone, c.Work - used[c.Zone]})
+		}
 	}
-	slices.SortFunc(from, func(a, b Load) int { return cmp.Or(cmp.Compare(b.Value, a.Value), cmp.Compare(a.Type, b.Type)) })
-	var to []Room
-	for _, r := range rooms {
-		if r.Group == group && r.Zone != p.Zone && !gone[r.Zone] && r.Work-used[r.Zone] > tiny {
-			to = append(to, Room{group, r.Zone, r.Work - used[r.Zone]})
+	slices.SortFunc(targets, func(a, b Capacity) int { return cmp.Compare(a.Zone, b.Zone) })
+	return targets
+}
+
+// summarize sets the plan's shares, and what is rejected.
+func (p *planner) summarize() {
+	movable, moved := 0.0, 0.0
+	for typ, work := range p.movable {
+		p.plan.ShareByType[typ] = p.moved[typ] / work
+		if left := work - p.moved[typ]; left > epsilon {
+			p.plan.Rejected[typ] = left
 		}
+		movable, moved = movable+work, moved+p.moved[typ]
 	}
-	if len(to) == 0 {
-		p.Binds = append(p.Binds, fmt.Sprintf("group %d: no other zone has room", group))
-		return nil
+	if movable > 0 {
+		p.plan.Share = moved / movable
 	}
-	slices.SortFunc(to, func(a, b Room) int { return cmp.Compare(a.Zone, b.Zone) })
-	f, d := len(from), len(to)
-	rows, cols := f+d, f*d+f+d
-	a := mat.NewDense(rows, cols, nil)
-	b, c := make([]float64, rows), make([]float64, cols)
+	slices.Sort(p.plan.Limits)
+}
+
+// solution is the solution of one group's linear program.
+type solution struct {
+	x                []float64
+	sources, targets int
+}
+
+// moved is the work that goes from a source to a target.
+func (s *solution) moved(source, target int) float64 { return s.x[source*s.targets+target] }
+
+// unused is a target's capacity that stays free.
+func (s *solution) unused(target int) float64 {
+	return s.x[s.sources*s.targets+s.sources+target]
+}
+
+// solve solves the linear program of one group: a variable for each source and target, a bound on each source's work and on each
+// target's capacity. The simplex method needs equations, so that each bound gets a slack variable.
+func solve(sources []Load, targets []Capacity) (*solution, error) {
+	n, m := len(sources), len(targets)
+	rows, columns := n+m, n*m+n+m
+	a := mat.NewDense(rows, columns, nil)
+	b, c := make([]float64, rows), make([]float64, columns)
 	basis := make([]int, rows)
-	for i, l := range from {
-		for j := range to {
-			a.Set(i, i*d+j, 1)
-			a.Set(f+j, i*d+j, 1+l.Farther)
-			c[i*d+j] = -l.Value
+	for i, load := range sources {
+		for j := range targets {
+			a.Set(i, i*m+j, 1)
+			a.Set(n+j, i*m+j, 1+load.RemoteOverhead)
+			c[i*m+j] = -load.PriorityWeight
 		}
-		a.Set(i, f*d+i, 1)
-		b[i], basis[i] = l.Work, f*d+i
+		a.Set(i, n*m+i, 1)
+		b[i], basis[i] = load.Work, n*m+i
 	}
-	for j, r := range to {
-		a.Set(f+j, f*d+f+j, 1)
-		b[f+j], basis[f+j] = r.Work, f*d+f+j
+	for j, target := range targets {
+		a.Set(n+j, n*m+n+j, 1)
+		b[n+j], basis[n+j] = target.Work, n*m+n+j
 	}
 	_, x, err := lp.Simplex(c, a, b, 1e-10, basis)
 	if err != nil && !errors.Is(err, lp.ErrSingular) {
-		return fmt.Errorf("the plan for leaving %s, group %d: %w", p.Zone, group, err)
+		return nil, err
 	}
-	for i, l := range from {
-		for j, r := range to {
-			if w := x[i*d+j]; w > tiny {
-				p.Moves = append(p.Moves, Moved{group, l.Type, r.Zone, w})
-				moved[l.Type] += w
-			}
-		}
-	}
-	for j, r := range to {
-		if x[f*d+f+j] < r.Work*1e-6 {
-			p.Binds = append(p.Binds, fmt.Sprintf("group %d: the members of zone %s are full", group, r.Zone))
-		}
-	}
-	return nil
+	return &solution{x, n, m}, nil
 }
