--- a/server/client_bytes_test.go
+++ b/server/client_bytes_test.go
@@ -83,7 +83,7 @@
 		},
 		"evicted before its first request": func(g *harness) *conntest.Peer {
 			c := sends(hello)(g)
-			g.resting()
+			g.idleClient()
 			g.Eventually(g.server.evictIdle)
 			return c
 		},
--- a/server/endings_test.go
+++ b/server/endings_test.go
@@ -19,15 +19,15 @@
 	"dapplerouter/testsupport/conntest"
 )
 
-// hungUpAt waits until the front's half of a connection has ended, without reading what came before.
-func hungUpAt(t *testing.T, p *conntest.Peer) {
+// awaitHalfClose waits until the server's half of a connection has ended, without reading what came before.
+func awaitHalfClose(t *testing.T, p *conntest.Peer) {
 	done := make(chan struct{})
 	go func() { defer close(done); tcpconn.AwaitHangup(p.Conn.(*net.TCPConn)) }()
-	conntest.Within(t, "the front's half does not end", done)
+	conntest.Within(t, "the server does not close its half", done)
 }
 
-// Short days, ten seeds of twelve: clients send their next request with the answer to the last, so none was ever let go after
-// a stop, and what was out when the front was ended by force was lost.
+// Regression, on short days: clients send their next request with the answer to the last, so no connection ended after a shutdown
+// began, and requests in flight were lost when the process was killed.
 func TestDrainClosesConnectionThatAlwaysHasMoreRequests(t *testing.T) {
 	g := newHarness(t, 40)
 	g.DiscardEvents()
@@ -65,8 +65,8 @@
 	g.server.Drain(g.Listener)
 	for hear() {
 	}
-	assert.Equal(t, asked.Load(), served, "whatever a member was asked is answered")
-	assert.Equal(t, g.server.RejectedWhileDraining(), refused, "and so is what was read and not sent on")
+	assert.Equal(t, asked.Load(), served, "each statement that a server received is answered")
+	assert.Equal(t, g.server.RejectedWhileDraining(), refused, "and so is what was read and not forwarded")
 	c.Close()
 	conntest.Within(t, "the client writes on", gone)
 	require.NoError(t, <-g.Served)
@@ -74,7 +74,7 @@
 	g.Served <- nil
 }
 
-// What crosses the front's goodbye is neither taken nor answered with a reset, which could overtake the last answer.
+// A request that crosses the server's close is neither taken nor answered with a reset, which could overtake the last answer.
 func TestRequestThatCrossesCloseIsNeitherTakenNorReset(t *testing.T) {
 	for name, end := range map[string]func(g *harness){
 		"stop":     func(g *harness) { g.server.Drain(g.Listener) },
@@ -85,16 +85,16 @@
 			g := newHarness(t, 40)
 			c, _ := g.serve()
 			<-g.Router.Received
-			g.resting()
+			g.idleClient()
 			end(g)
-			hungUpAt(t, c)
+			awaitHalfClose(t, c)
 			c.Send(conntest.ReadQuery("4000")...)
 			c.ExpectClosed() // again and again: no reset
 			c.Send(conntest.ReadQuery("4000")...)
 			c.ExpectClosed()
 			c.Close()
 			require.True(t, g.server.Wait(10*time.Second))
-			assert.Empty(t, g.Router.Received, "nothing of it is sent on")
+			assert.Empty(t, g.Router.Received, "nothing of it is forwarded")
 		})
 	}
 }
@@ -107,7 +107,7 @@
 	m.Expect("Q")
 	g.server.Drain(g.Listener)
 	m.Send(conntest.RowResponse("the last")...)
-	hungUpAt(t, c)
+	awaitHalfClose(t, c)
 	c.Send(conntest.ReadQuery("4000")...)
 	c.Expect("T")
 	assert.Equal(t, "the last", string(c.Expect("D")[6:]))
@@ -115,8 +115,8 @@
 	c.ExpectClosed()
 }
 
-// The client chosen to make way may be sending just then: what has come in when its connection would end is served first. So
-// it is where the client has rested for too long.
+// An evicted client may be sending just then: what has come in when its connection would end is served first. The same holds for an
+// idle timeout and for a shutdown.
 func TestRequestPendingAtCloseIsServed(t *testing.T) {
 	for name, end := range map[string]func(*client){
 		"eviction": func(c *client) { c.evicted.Store(true) },
@@ -127,7 +127,7 @@
 	}
 }
 
-// pair is a client and the front's side of its connection, which no goroutine serves.
+// pair returns a client and the server's side of its connection, which no goroutine serves.
 func (g *harness) pair() (*conntest.Peer, *client) {
 	l := conntest.Listen(g.T)
 	out, err := net.Dial("tcp", l.Addr().String())
@@ -148,10 +148,10 @@
 	require.NoError(t, c.awaitMessage(), "it is served")
 	typ, _, err := c.nextMessage()
 	assert.True(t, err == nil && typ == 'Q')
-	assert.ErrorIs(t, c.awaitMessage(), errDraining, "and then it goes")
+	assert.ErrorIs(t, c.awaitMessage(), errDraining, "and then the connection ends")
 }
 
-// Of a client that had sent more than is read ahead nobody saw that it was gone, and its requests went on.
+// Regression: the disconnect of a client that had sent more than is read ahead was not noticed, and its requests were forwarded.
 func TestDisconnectNoticedBehindUnreadRequests(t *testing.T) {
 	g := newHarness(t, 40)
 	c := g.Client()
@@ -162,10 +162,10 @@
 	case left := <-g.Router.Gone:
 		assert.Equal(t, (<-g.Router.Received).Ref, left)
 	case <-time.After(10 * time.Second):
-		require.Fail(t, "its departure is not noticed")
+		require.Fail(t, "its disconnect is not noticed")
 	}
 	require.True(t, g.eventuallyGone())
-	assert.Empty(t, g.Router.Received, "what it sent behind is not taken")
+	assert.Empty(t, g.Router.Received, "what it sent later is not taken")
 }
 
 func (g *harness) eventuallyGone() bool {
@@ -173,7 +173,7 @@
 	return true
 }
 
-// Eight newcomers that said nothing held up all others for as long as they were waited for.
+// Regression: eight refused connections that sent nothing delayed all others for as long as they were waited for.
 func TestSlowRefusalsDoNotDelayOthers(t *testing.T) {
 	g := newHarnessWith(t, limits.DescriptorShares{Total: 40, MaxClients: 1, EvictFrom: 1, Overshoot: 0})
 	g.server.linger = time.Hour
@@ -192,7 +192,7 @@
 	assert.LessOrEqual(t, len(g.server.refusals.oldest), maxRefusals+1, "they hold a bounded number of descriptors")
 }
 
-// What was read is owed an answer: so is a second request that came with the first of a newcomer for whom there is no room.
+// Each request that was read is owed an answer, also a second one that came with the first of a connection that is refused.
 func TestRefusedConnectionGetsErrorForEachPipelinedRequest(t *testing.T) {
 	g := newHarnessWith(t, limits.DescriptorShares{Total: 40, MaxClients: 1, EvictFrom: 1, Overshoot: 0})
 	g.Client().Send(conntest.ReadQuery("4000")...)
@@ -205,12 +205,12 @@
 	assert.NoError(t, err, "it ends in an ordinary way")
 }
 
-// The process must not end over a newcomer's first request, nor over its final answer.
+// The process must not exit before the first request of a new connection is answered.
 func TestRequestAfterDrainIsRejected(t *testing.T) {
 	g := newHarness(t, 40)
 	c := g.Client()
 	g.server.Drain(g.Listener)
-	require.NoError(t, <-g.Served) // newcomers are over, and the server refuses
+	require.NoError(t, <-g.Served) // no more connections are accepted, and requests are rejected
 	g.Served <- nil
 	c.Send(conntest.ReadQuery("4000")...)
 	assert.Contains(t, string(c.Expect("EZ")), pgwire.CodeCannotConnectNow)
@@ -237,7 +237,7 @@
 	}
 }
 
-// Of a request that was read in half when its connection would end, the rest is in the system or on its way: it is owed an answer.
+// The rest of a request that was partly read when its connection would end is in the system or on its way: it is owed an answer.
 func TestRequestPartlyReadBeforeCloseIsTaken(t *testing.T) {
 	g := newHarness(t, 40)
 	p, c := g.pair()
@@ -254,17 +254,17 @@
 	p.Send(q[:20]...)
 	g.Eventually(func() bool { return tcpconn.Peek(c.tcp) == tcpconn.DataPending })
 	_, _, err = c.nextMessage()
-	assert.ErrorIs(t, err, errDraining, "of one that was not read the client knows that it was not taken")
+	assert.ErrorIs(t, err, errDraining, "a request that was not read was not taken, as its client sees")
 	c = &client{server: g.server, tcp: c.tcp, answered: true, reader: g.server.newReader(c.tcp, readBuffer)}
 	c.tcp.SetReadDeadline(time.Time{})
 	_, err = c.reader.WaitForInput()
 	require.NoError(t, err)
 	g.server.linger = 0
 	_, _, err = c.nextMessage()
-	assert.ErrorIs(t, err, errDraining, "the rest is waited for, but not long")
+	assert.ErrorIs(t, err, errDraining, "the rest is awaited, but not for long")
 }
 
-// A front that can no longer accept clients answers those that it has.
+// A server that can no longer accept connections answers the clients that it has.
 func TestListenerFailureLeavesNoRequestUnanswered(t *testing.T) {
 	g := newHarness(t, 40)
 	c := g.Client()
@@ -282,7 +282,7 @@
 	assert.True(t, g.server.Wait(10*time.Second))
 }
 
-// A shutdown gives what is still out its answer at once, and takes back what a member has of it.
+// A shutdown answers requests in flight at once, and cancels their attempts at the servers.
 func TestShutdownAnswersRequestsInFlight(t *testing.T) {
 	g := newHarness(t, 40)
 	c := g.Client()
@@ -293,10 +293,10 @@
 	assert.Contains(t, string(c.Expect("EZ")), pgwire.CodeTooManyConnections)
 	m.ExpectClosed()
 	c.Send(conntest.ReadQuery("4000")...)
-	assert.Contains(t, string(c.Expect("EZ")), pgwire.CodeTooManyConnections, "nothing is taken any more")
+	assert.Contains(t, string(c.Expect("EZ")), pgwire.CodeTooManyConnections, "no request is accepted any more")
 }
 
-// Long messages share a part of the memory. One that finds none is told so and comes again; what was held is given back, however its
+// Long messages share a part of the memory. One that exceeds it is rejected and may be retried; the memory is released however its
 // connection ends.
 func TestLongQueryOverMemoryLimitIsRejected(t *testing.T) {
 	g := newHarness(t, 60)
@@ -323,7 +323,7 @@
 	g.Eventually(func() bool { return held() == 0 })
 }
 
-// A fault at one client ends that one connection, whatever it is.
+// Malformed input ends its own connection only.
 func TestMalformedInputClosesOnlyItsConnection(t *testing.T) {
 	g := newHarness(t, 60)
 	g.DiscardEvents()
@@ -341,7 +341,7 @@
 			for {
 				typ, body, err := b.Reader.Next()
 				if err != nil {
-					require.Fail(t, "it ends untold", err)
+					require.Fail(t, "the connection ends without an error", err)
 				}
 				if typ == 'E' {
 					assert.Contains(t, string(body), pgwire.CodeProtocolViolation)
@@ -355,7 +355,7 @@
 	}
 }
 
-// Whoever asks sees at once that a client has closed, though what it sent before lies unread and its connection is at something else.
+// A disconnect is seen at once, though what the client sent before is unread and the connection's goroutine is busy.
 func TestPeerMonitorSeesDisconnectBehindUnreadData(t *testing.T) {
 	l := conntest.Listen(t)
 	c, err := net.Dial("tcp", l.Addr().String())
@@ -372,5 +372,5 @@
 	c.Close()
 	require.Eventually(t, q.Disconnected, 5*time.Second, time.Millisecond)
 	conn.Close()
-	assert.True(t, q.Disconnected(), "one whose connection is closed here has left too")
+	assert.True(t, q.Disconnected(), "a connection that was closed here counts as disconnected")
 }
--- a/server/partial_messages_test.go
+++ b/server/partial_messages_test.go
@@ -12,7 +12,7 @@
 	"dapplerouter/testsupport/conntest"
 )
 
-// reading waits until the front has begun to read a message of its only client, which it no longer counts as idle.
+// reading waits until the server has begun to read a message of its only client, which no longer counts as idle.
 func (g *harness) reading() {
 	g.Eventually(func() bool {
 		g.server.mu.Lock()
@@ -24,8 +24,8 @@
 	})
 }
 
-// A request comes in pieces, and between them the front is told to end, needs room for another or stands by: each of these wakes the
-// read of the half message, which was taken and is served all the same.
+// A request comes in fragments, and between them the server drains, evicts for another client or goes on standby: each of these wakes
+// the read of the partial message, which is served all the same.
 func TestFragmentedRequestIsServedDespiteWakes(t *testing.T) {
 	for name, wake := range map[string]func(g *harness){
 		"nothing":  func(*harness) {},
@@ -51,7 +51,7 @@
 				} else {
 					c, m = g.serve()
 				}
-				g.resting()
+				g.idleClient()
 				c.SendBytewise(message[:len(message)/2])
 				g.reading()
 				wake(g)
@@ -72,7 +72,7 @@
 	}
 }
 
-// A connection whose welcome comes in pieces, too, is told to end while it is half: its first request is served.
+// A connection whose startup message comes in fragments is served its first request, also where the shutdown begins between them.
 func TestFragmentedStartupAndRequestAreServedWhileDraining(t *testing.T) {
 	g := newHarness(t, 40)
 	g.Upstream.SetDeadline(time.Now().Add(10 * time.Second)) // only so that a failing test ends
--- a/server/requests_test.go
+++ b/server/requests_test.go
@@ -17,32 +17,32 @@
 	"dapplerouter/testsupport/conntest"
 )
 
-// heldNothing checks that all shared room was given back.
-func (g *harness) heldNothing() {
+// memoryReleased waits until all reserved memory was released.
+func (g *harness) memoryReleased() {
 	g.Eventually(func() bool { return g.server.bodies.Reserved() == 0 && g.server.answers.Reserved() == 0 })
 }
 
-// On the days of pipelining clients, what stood behind one slow request waited unread, one after the other, until its client
-// was gone: 28 to 190 requests of a day had no answer.
+// Regression, on days of pipelining clients: what stood behind a slow request waited unread until its client was gone; 28 to 190
+// requests of a day had no answer.
 func TestPipelinedRequestsRunConcurrentlyAndAreAnsweredInOrder(t *testing.T) {
 	g := newHarness(t, 40)
 	c := g.Client()
 	c.Send(conntest.ReadQueries(3)...)
-	members := map[string]*conntest.Peer{}
-	for range 3 { // all three are out before any is answered
+	servers := map[string]*conntest.Peer{}
+	for range 3 { // all three are in flight before any is answered
 		m := g.AcceptServer()
-		members[conntest.IDOf(m.Expect("Q"))] = m
+		servers[conntest.IDOf(m.Expect("Q"))] = m
 	}
 	var order []string
 	for range 3 {
 		<-g.Router.Received
 	}
-	for id := range members {
+	for id := range servers {
 		order = append(order, id)
 	}
 	last := conntest.IDs.Load()
 	for n := last; n > last-3; n-- { // the last first
-		members[strconv.FormatInt(n, 10)].Send(conntest.RowResponse(strconv.FormatInt(n, 10))...)
+		servers[strconv.FormatInt(n, 10)].Send(conntest.RowResponse(strconv.FormatInt(n, 10))...)
 		<-g.Router.Finished
 	}
 	for n := last - 2; n <= last; n++ {
@@ -51,7 +51,7 @@
 		c.Expect("CZ")
 	}
 	assert.Len(t, order, 3)
-	g.heldNothing()
+	g.memoryReleased()
 }
 
 func TestPipelinedReadWaitsForWriteOfItsRow(t *testing.T) {
@@ -63,13 +63,13 @@
 	if strings.HasPrefix(heard[1], "INSERT") {
 		first, other = other, first
 	}
-	assert.Contains(t, strings.Join(heard, ""), "'b'", "another row's read need not wait")
+	assert.Contains(t, strings.Join(heard, ""), "'b'", "the read of another row need not wait")
 	other.Send(conntest.RowResponse("b")...)
 	assert.Equal(t, routing.Succeeded, (<-g.Router.Finished).Result)
 	assert.Len(t, g.Router.Received, 2, "the read of the row that is written has not begun")
 	first.Send(conntest.RowResponse("written")...)
 	c.Expect("TDCZ")
-	first.Expect("Q") // over the connection idle last
+	first.Expect("Q") // over the connection that became idle last
 	first.Send(conntest.RowResponse("a")...)
 	c.Expect("T")
 	assert.Equal(t, "a", string(c.Expect("D")[6:]))
@@ -88,23 +88,23 @@
 	m.Send(conntest.RowResponse("written")...)
 	c.Expect("TDCZ")
 	assert.Contains(t, string(c.Expect("EZ")), pgwire.CodeTooManyConnections)
-	assert.Empty(t, g.Router.Received, "nothing of it is sent on")
+	assert.Empty(t, g.Router.Received, "nothing of it is forwarded")
 }
 
 func TestReadAheadIsBoundedByCount(t *testing.T) {
 	g := newHarness(t, 100)
 	c := g.Client()
 	c.Send(conntest.ReadQueries(maxPipelined + 3)...)
-	members := map[string]*conntest.Peer{}
+	servers := map[string]*conntest.Peer{}
 	for range maxPipelined {
 		m := g.AcceptServer()
-		members[conntest.IDOf(m.Expect("Q"))] = m
+		servers[conntest.IDOf(m.Expect("Q"))] = m
 		<-g.Router.Received
 	}
 	g.Eventually(func() bool { return g.waitingClients(func(c *client) bool { return !c.mayReadAhead() }) })
 	assert.Empty(t, g.Router.Received)
 	first := conntest.IDs.Load() - maxPipelined - 2
-	m := members[strconv.FormatInt(first, 10)]
+	m := servers[strconv.FormatInt(first, 10)]
 	m.Send(conntest.RowResponse("v")...)
 	c.Expect("TDCZ")
 	<-g.Router.Received // one is answered, one more is read
@@ -124,27 +124,27 @@
 	return true
 }
 
-// What is read ahead takes its room among the long messages, however short it is: without room the client waits.
+// What is read ahead takes memory of the long messages' budget, however short it is: without memory the client waits.
 func TestReadAheadIsBoundedByMemory(t *testing.T) {
 	g := newHarness(t, 100)
 	g.server.bodies = limits.NewMemory(int64(2*len(conntest.ReadQuery("60000")) + 10)) // beside the first: two messages
 	c := g.Client()
 	c.Send(conntest.ReadQueries(5)...)
-	var members []*conntest.Peer
+	var servers []*conntest.Peer
 	for range 3 {
 		m := g.AcceptServer()
 		m.Expect("Q")
-		members = append(members, m)
+		servers = append(servers, m)
 		<-g.Router.Received
 	}
 	assert.Empty(t, g.Router.Received)
-	for _, m := range members {
+	for _, m := range servers {
 		m.Send(conntest.RowResponse("v")...)
 	}
 	for range 3 {
 		c.Expect("TDCZ")
 	}
-	for _, m := range members {
+	for _, m := range servers {
 		go func() {
 			for {
 				if _, _, err := m.Reader.Next(); err != nil {
@@ -155,10 +155,10 @@
 		}()
 	}
 	c.Expect("TDCZTDCZ")
-	g.heldNothing()
+	g.memoryReleased()
 }
 
-// An answer that has to wait for the one before it takes room as well. A read that finds none may be tried again.
+// An answer that has to wait for the one before it takes memory as well. A read whose answer exceeds the budget may be retried.
 func TestWaitingAnswerOverMemoryLimitIsDropped(t *testing.T) {
 	g := newHarness(t, 100)
 	g.server.answers = limits.NewMemory(8 << 10)
@@ -176,10 +176,10 @@
 	first.Send(conntest.RowResponse("v")...)
 	c.Expect("TDCZ")
 	assert.Contains(t, string(c.Expect("EZ")), pgwire.CodeTooManyConnections)
-	g.heldNothing()
+	g.memoryReleased()
 }
 
-// A client that leaves takes all its requests with it: those that are out are told, the others never begin.
+// A disconnect cancels all requests of the connection: the core is notified of those in flight, the others never start.
 func TestDisconnectCancelsAllPipelinedRequests(t *testing.T) {
 	g := newHarness(t, 100)
 	c := g.Client()
@@ -194,15 +194,15 @@
 		case left := <-g.Router.Gone:
 			assert.True(t, begun[left])
 		case <-time.After(10 * time.Second):
-			require.Fail(t, "its departure is not noticed")
+			require.Fail(t, "its disconnect is not noticed")
 		}
 	}
 	require.True(t, g.eventuallyGone())
 	assert.Empty(t, g.Router.Received)
-	g.heldNothing()
+	g.memoryReleased()
 }
 
-// Behind what ends a connection nothing is taken, but all that came before it is answered first.
+// Nothing is taken after what ends a connection, but all that came before it is answered first.
 func TestProtocolErrorIsAnsweredInOrder(t *testing.T) {
 	g := newHarness(t, 40)
 	c := g.Client()
@@ -219,7 +219,7 @@
 	assert.Empty(t, g.Router.Received)
 }
 
-// A client that has taken its leave is still owed what it asked before.
+// A client that has sent Terminate is still owed the answers to its earlier requests.
 func TestTerminateWaitsForEarlierAnswers(t *testing.T) {
 	g := newHarness(t, 40)
 	c := g.Client()
@@ -231,7 +231,7 @@
 	c.ExpectClosed()
 }
 
-// A client whose requests are out is bound to end the message that it has begun, as any other.
+// A message that has begun while requests are in flight must be complete in time, as any other.
 func TestPartialMessageBehindRequestsTimesOutInOrder(t *testing.T) {
 	g := newHarness(t, 40)
 	c := g.Client()
@@ -245,22 +245,22 @@
 	c.ExpectClosed()
 }
 
-// What was read ahead when the server refuses is answered, and the connection ends behind it whatever its client sends.
+// What was read ahead when requests begin to be rejected is answered, and the connection ends after it whatever its client sends.
 func TestDrainAnswersPipelinedRequests(t *testing.T) {
 	g := newHarness(t, 40)
 	c := g.Client()
 	c.Send(conntest.ReadQueries(3)...)
-	var members []*conntest.Peer
+	var servers []*conntest.Peer
 	for range 3 {
 		m := g.AcceptServer()
 		m.Expect("Q")
-		members = append(members, m)
+		servers = append(servers, m)
 	}
 	g.server.Drain(g.Listener)
 	require.NoError(t, <-g.Served)
 	g.Served <- nil
-	c.Send(conntest.ReadQueries(2)...) // refused where it is read, else the client finds its connection closed
-	for _, m := range members {
+	c.Send(conntest.ReadQueries(2)...) // rejected where it is read, else the client finds its connection closed
+	for _, m := range servers {
 		m.Send(conntest.RowResponse("v")...)
 	}
 	c.Expect("TDCZTDCZTDCZ")
@@ -279,7 +279,7 @@
 	assert.True(t, g.server.Wait(10*time.Second))
 }
 
-// A fault of ours while a message is taken in: what had been read, and the message itself, get an answer before the connection ends.
+// A panic while a message is taken: what had been read, and the message itself, are answered before the connection ends.
 func TestPanicAnswersAllRequestsOfItsConnection(t *testing.T) {
 	g := newHarness(t, 40)
 	g.DiscardEvents()
@@ -292,7 +292,7 @@
 	c := g.Client()
 	c.Send(conntest.ReadQuery("4000")...)
 	m := g.AcceptServer()
-	m.Expect("Q") // and says nothing
+	m.Expect("Q") // and does not answer
 	c.Send(conntest.ReadQuery("4999")...)
 	assert.Contains(t, string(c.Expect("EZ")), pgwire.CodeInternalError)
 	assert.Contains(t, string(c.Expect("E")), pgwire.CodeInternalError)
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -22,7 +22,7 @@
 	c.Send(append(pgwire.AppendStartup(nil, "portal", "crm"), conntest.ReadQuery("4000")...)...)
 	m := g.AcceptServer()
 	assert.Regexp(t, `SELECT data FROM facts WHERE code = 'k' /\* id=\d+,c=read,d=\d+,cluster=2 \*/`, string(m.Expect("Q")))
-	value := string(bytes.Repeat([]byte{0, 255}, 200<<10)) // the day of slow clients has values of 400 KB
+	value := string(bytes.Repeat([]byte{0, 255}, 200<<10)) // days of slow clients have values of 400 KB
 	m.Send(conntest.RowResponse(value)...)
 	c.Expect("RSSSSZT")
 	assert.Equal(t, value, string(c.Expect("D")[6:]))
@@ -75,8 +75,8 @@
 	assert.Equal(t, (<-g.Router.Received).Ref, <-g.Router.Gone)
 }
 
-// resting waits until a client's connection has nothing to do.
-func (g *harness) resting() {
+// idleClient waits until a client's connection is idle.
+func (g *harness) idleClient() {
 	g.Eventually(func() bool {
 		g.server.mu.Lock()
 		defer g.server.mu.Unlock()
@@ -92,29 +92,29 @@
 func TestIdleConnectionsAreEvicted(t *testing.T) {
 	g := newHarnessWith(t, limits.DescriptorShares{Total: 4, MaxClients: 3, EvictFrom: 3, Overshoot: 2}) // three for clients
 	c, m := g.serve()
-	g.resting()
+	g.idleClient()
 	g.Client()
 	g.Client()
-	assert.True(t, g.Limiter.AdmitServer(g.pools.EvictIdle), "a link for another member")
+	assert.True(t, g.Limiter.AdmitServer(g.pools.EvictIdle), "a connection to another server")
 	m.ExpectClosed()
-	assert.True(t, g.Limiter.AdmitServer(g.pools.EvictIdle), "no link is idle, but a client is")
+	assert.True(t, g.Limiter.AdmitServer(g.pools.EvictIdle), "no server connection is idle, but a client is")
 	c.ExpectClosed()
 	g = newHarnessWith(t, limits.DescriptorShares{Total: 40, MaxClients: 3, EvictFrom: 3, Overshoot: 2})
 	silent := g.Client()
-	g.resting()
+	g.idleClient()
 	for range 3 {
 		g.Client().Send(conntest.ReadQuery("4000")...)
 		<-g.Router.Received
 	}
-	assert.Contains(t, string(silent.Expect("E")), pgwire.CodeTooManyConnections, "no request of it was taken")
+	assert.Contains(t, string(silent.Expect("E")), pgwire.CodeTooManyConnections, "it had sent no request")
 	silent.ExpectClosed()
 	c = g.Client()
 	c.Send(conntest.ReadQuery("4000")...)
-	assert.Contains(t, string(c.Expect("E")), pgwire.CodeTooManyConnections, "all have a request out")
+	assert.Contains(t, string(c.Expect("E")), pgwire.CodeTooManyConnections, "all have a request in flight")
 	c.ExpectClosed()
 }
 
-// Whoever does not bring a whole message in time is told so and let go; a length that cannot be is told at once.
+// A connection without a complete message in time gets an error and is closed; an impossible length is an error at once.
 func TestIncompleteMessagesTimeOut(t *testing.T) {
 	hello, half := slices.Clip(pgwire.AppendStartup(nil, "portal", "crm")), conntest.ReadQuery("4000")[:40]
 	for name, x := range map[string]struct {
@@ -146,17 +146,17 @@
 			assert.Contains(t, string(c.Expect(x.heard)), x.code)
 			c.ExpectClosed()
 			if x.code == pgwire.CodeProtocolViolation {
-				assert.Less(t, time.Since(from), messageTimeout, "not kept for its silence")
+				assert.Less(t, time.Since(from), messageTimeout, "it does not wait for a timeout")
 			}
 		})
 	}
 }
 
-// The recorded day: connections that had asked once held the third that clients may have, and no request came in.
+// Regression, on a recorded day: connections that had sent one request held all descriptors of clients, and no request came in.
 func TestIdleClientsAreEvictedBeforeTheLimit(t *testing.T) {
 	g := newHarness(t, 40) // a quarter is 10
 	c, _ := g.serve()
-	g.resting()
+	g.idleClient()
 	for range 9 {
 		g.Client().Send(conntest.ReadQuery("4000")...)
 		<-g.Router.Received
@@ -179,7 +179,7 @@
 	idle := g.Client()
 	idle.Send(pgwire.AppendQuery(nil, "")...)
 	idle.Expect("IZ")
-	g.resting()
+	g.idleClient()
 	busy := g.Client()
 	busy.Send(conntest.ReadQuery("4000")...)
 	m := g.AcceptServer()
@@ -191,7 +191,7 @@
 	late.Send(conntest.ReadQuery("4000")...)
 	second := g.AcceptServer()
 	second.Expect("Q")
-	busy.Send(conntest.ReadQuery("4000")...) // before the answer: it is taken, and served beside the one before
+	busy.Send(conntest.ReadQuery("4000")...) // before the answer: it is taken, and runs beside the one before
 	besideBusy := g.AcceptServer()
 	besideBusy.Expect("Q")
 	late.Send(conntest.ReadQuery("4000")...)
@@ -210,14 +210,14 @@
 	g.Served <- nil // for the clean-up
 }
 
-// A front that stands by lets clients go between requests and turns newcomers away; when it is back it takes more and more of them.
+// On standby, connections end between requests and new ones are refused; after the return a rising part of them is admitted.
 func TestStandbyClosesConnectionsAndRecoveryAdmitsGradually(t *testing.T) {
 	g := newHarness(t, 40)
-	g.server.SetStandby(false, time.Hour) // it begins: nobody is spared
+	g.server.SetStandby(false, time.Hour) // without a standby before it, nothing is refused
 	idle := g.Client()
 	idle.Send(pgwire.AppendQuery(nil, "")...)
 	idle.Expect("IZ")
-	g.resting()
+	g.idleClient()
 	busy := g.Client()
 	busy.Send(conntest.ReadQuery("4000")...)
 	m := g.AcceptServer()
@@ -231,15 +231,15 @@
 	busy.Expect("TDCZ")
 	busy.ExpectClosed()
 	g.server.SetStandby(false, time.Hour)
-	turned := 0
+	refused := 0
 	for range 80 {
 		if g.server.standby.refuses(g.Clock.Now()) {
-			turned++
+			refused++
 		}
 	}
-	assert.InDelta(t, 70, turned, 8, "every eighth at first")
+	assert.InDelta(t, 70, refused, 8, "one of eight is admitted at first")
 	g.server.standby.recovery.Store(1)
 	assert.False(t, g.server.standby.refuses(g.Clock.Now()))
-	assert.Zero(t, g.server.standby.state.Load(), "all again")
+	assert.Zero(t, g.server.standby.state.Load(), "all are admitted again")
 	g.Client()
 }
--- a/upstream/dial_test.go
+++ b/upstream/dial_test.go
@@ -13,13 +13,13 @@
 	"dapplerouter/testsupport/conntest"
 )
 
-// ofThisMachine are errors of socket and connect for want of something that this machine lacks for a moment.
-var ofThisMachine = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
+// localErrors are errors of socket and connect for want of a resource that this machine lacks for a moment.
+var localErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
 	syscall.ENETUNREACH, syscall.EAGAIN, syscall.EINTR}
 
-// A dial that fails for a moment for want of this machine's own is tried again: the request is served, and the member is not blamed.
+// A dial that fails for a moment for want of this machine's resources is retried: the request is served, and the server is not blamed.
 func TestLocalDialFailureIsRetried(t *testing.T) {
-	for _, number := range ofThisMachine {
+	for _, number := range localErrors {
 		t.Run(number.Error(), func(t *testing.T) {
 			g := newHarness(t, 40)
 			var tries atomic.Int64
@@ -36,7 +36,7 @@
 			assert.EqualValues(t, 4, tries.Load())
 		})
 	}
-	t.Run("and goes on failing", func(t *testing.T) { // it tells nothing of the member
+	t.Run("and keeps failing", func(t *testing.T) { // it is no fault of the server
 		g := newHarness(t, 40)
 		g.pools.options.DialTimeout = 400 * time.Millisecond // a hold-up of 0.15 s is shorter than half of it
 		g.pools.dialControl = func(string, string, syscall.RawConn) error { return os.NewSyscallError("connect", syscall.ENOBUFS) }
@@ -47,7 +47,7 @@
 	})
 }
 
-// A last try that has next to no time left ends at the deadline, whoever is to blame: it is not held against the member.
+// A last dial that has next to no time left ends at the deadline, whatever the cause: it does not count against the server.
 func TestDialTimeoutAfterLocalFailureIsNotTheServersFault(t *testing.T) {
 	g := newHarness(t, 40)
 	g.pools.options.DialTimeout = 50 * time.Millisecond
@@ -66,7 +66,7 @@
 	c.Expect("EZ")
 }
 
-// A single failure here does not excuse a member that then has most of the time and does not answer.
+// A single local failure does not excuse a server that then has most of the time and does not answer.
 func TestDialTimeoutWithMostOfTheTimeIsTheServersFault(t *testing.T) {
 	g := newHarness(t, 40)
 	g.pools.options.DialTimeout = time.Second
@@ -82,7 +82,7 @@
 	assert.Equal(t, routing.Unreachable, (<-g.Router.Finished).Result)
 }
 
-// What says of the member that it is not there still does.
+// A remote failure counts against the server at once.
 func TestRemoteDialFailureIsTheServersFault(t *testing.T) {
 	for _, number := range []syscall.Errno{syscall.ECONNREFUSED, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET} {
 		g := newHarness(t, 40)
--- a/upstream/pools_test.go
+++ b/upstream/pools_test.go
@@ -19,16 +19,16 @@
 	"dapplerouter/testsupport/conntest"
 )
 
-// A member's connection that comes up late must not carry a request whose client has left meanwhile, also where the site lets
-// nothing be taken back; nor while the core is at something else.
+// A server connection that opens late must not carry a request whose client has left meanwhile, also where the deployment allows no
+// cancellation; nor while the core is busy.
 func TestNothingSentForClientThatLeftDuringDial(t *testing.T) {
 	g := newHarness(t, 40)
 	c := g.Client()
 	c.Send(conntest.ReadQuery("4000")...)
-	m := g.AcceptStartup() // no welcome yet
+	m := g.AcceptStartup() // no greeting yet
 	<-g.Router.Received
 	c.Close()
-	<-g.Router.Gone // which takes nothing back
+	<-g.Router.Gone // which cancels nothing
 	m.Send(pgwire.AppendGreeting(nil)...)
 	assert.Equal(t, routing.NotSent, (<-g.Router.Finished).Result)
 	g.settled(1) // the connection is kept for others
@@ -38,10 +38,10 @@
 	m.Expect("Q")
 	m.Send(conntest.RowResponse("v")...)
 	c.Expect("TDCZ")
-	assert.Equal(t, second.Ref, (<-g.Router.Finished).Ref, "the first word that the member got is another client's")
+	assert.Equal(t, second.Ref, (<-g.Router.Finished).Ref, "the first statement that the server got is another client's")
 }
 
-// A member's connection that comes up behind its request's end carries nothing of it, and is kept for others.
+// A server connection that opens after its request has ended carries nothing of it, and is kept for others.
 func TestLateConnectionIsKeptIdle(t *testing.T) {
 	g := newHarness(t, 40)
 	c := g.Client()
@@ -57,7 +57,7 @@
 	assert.Equal(t, 1, g.idle(), "one connection, used by the second alone")
 }
 
-// So do members' long messages. One that finds no room counts as an answer that cannot be read.
+// Servers' long messages share a part of the memory too. One that exceeds it counts as an answer that cannot be decoded.
 func TestLongResultOverMemoryLimitIsAnError(t *testing.T) {
 	g := newHarness(t, 60)
 	held := func() int64 { return g.pools.bodies.Reserved() }
@@ -80,7 +80,7 @@
 	g.Eventually(func() bool { return held() == 0 })
 }
 
-// The room of a long row is given back as well where its answer never ends.
+// The memory of a long row is released as well where its answer never completes.
 func TestIncompleteLongResultReleasesMemory(t *testing.T) {
 	g := newHarness(t, 60)
 	held := func() int64 { return g.pools.bodies.Reserved() }
@@ -117,16 +117,16 @@
 		act  func(g *harness)
 		want routing.AttemptResult
 	}{
-		"refused":               {func(g *harness) { g.Upstream.Close() }, routing.Unreachable},
-		"closed before welcome": {func(g *harness) { g.AcceptStartup().Close() }, routing.Unreachable},
-		"no sense as welcome":   {func(g *harness) { g.AcceptStartup().Send(conntest.Message('?', "")...) }, routing.Unreachable},
-		"an answer with the welcome": {func(g *harness) {
+		"connection refused":     {func(g *harness) { g.Upstream.Close() }, routing.Unreachable},
+		"closed before greeting": {func(g *harness) { g.AcceptStartup().Close() }, routing.Unreachable},
+		"malformed greeting":     {func(g *harness) { g.AcceptStartup().Send(conntest.Message('?', "")...) }, routing.Unreachable},
+		"an answer with the greeting": {func(g *harness) {
 			g.AcceptStartup().Send(append(pgwire.AppendGreeting(nil), conntest.RowResponse("v")...)...)
 		}, routing.Unreachable},
-		"half a line with the welcome": {func(g *harness) {
+		"half a row with the greeting": {func(g *harness) {
 			g.AcceptStartup().Send(append(pgwire.AppendGreeting(nil), conntest.Row("v")[:20]...)...)
 		}, routing.Unreachable},
-		"the end with the welcome": {func(g *harness) { // in one piece, however busy the machine is
+		"the end with the greeting": {func(g *harness) { // in one piece, however busy the machine is
 			m := g.AcceptStartup()
 			raw, err := m.Conn.(*net.TCPConn).SyscallConn()
 			require.NoError(g.T, err)
@@ -135,7 +135,7 @@
 			m.Send(pgwire.AppendGreeting(nil)...)
 			m.Close()
 		}, routing.Unreachable},
-		"turned away at welcome": {func(g *harness) {
+		"rejected at startup": {func(g *harness) {
 			g.AcceptStartup().Send(pgwire.AppendErrorResponse(nil, "FATAL", "53300", "full", "")...)
 		}, routing.Overloaded},
 		"closed after the query": {func(g *harness) { m := g.AcceptServer(); m.Expect("Q"); m.Close() }, routing.ConnectionLost},
@@ -163,7 +163,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := newHarness(t, 40)
 			c := g.Client()
-			if x.want == routing.Unreachable && name == "refused" {
+			if x.want == routing.Unreachable && name == "connection refused" {
 				x.act(g)
 				c.Send(conntest.ReadQuery("4000")...)
 			} else {
@@ -189,13 +189,13 @@
 	assert.Equal(t, routing.Succeeded, (<-g.Router.Finished).Result)
 }
 
-// The day of bad members: what came unasked answered the next attempt of the link, and so on, 416 times.
+// Regression, on a day of faulty servers: surplus data answered the next attempt of the connection, and so on, 416 times.
 func TestSurplusDataClosesOnlyItsConnection(t *testing.T) {
 	for name, after := range map[string]func(g *harness, m *conntest.Peer){
 		"with the answer": func(g *harness, m *conntest.Peer) {
 			m.Send(append(conntest.RowResponse("v"), conntest.RowResponse("stale")...)...)
 		},
-		"on an idle link": func(g *harness, m *conntest.Peer) {
+		"on an idle connection": func(g *harness, m *conntest.Peer) {
 			m.Send(conntest.RowResponse("v")...)
 			g.settled(1)
 			m.Send(conntest.RowResponse("stale")...)
@@ -220,7 +220,7 @@
 	}
 }
 
-// A link that was taken just as its member spoke or ended is left unused: nothing of the attempt was sent.
+// A connection that was taken just as its server sent data or closed is not used: nothing of the attempt was sent.
 func TestAttemptOnSpoiltConnectionUsesAnother(t *testing.T) {
 	for name, spoil := range map[string]func(m *conntest.Peer){
 		"bytes": func(m *conntest.Peer) { m.Send(conntest.RowResponse("stale")...) },
@@ -250,7 +250,7 @@
 	}
 }
 
-// What takes the place of a failed attempt must not be out beside it.
+// A retry must not be in flight beside the attempt that it replaces.
 func TestConnectionClosedBeforeFailureIsPosted(t *testing.T) {
 	g := newHarness(t, 40)
 	post, m, seen := g.pools.options.Post, make(chan *conntest.Peer, 1), make(chan error, 1)
@@ -265,7 +265,7 @@
 	up.Send(conntest.Message('?', "")...)
 	m <- up
 	assert.ErrorIs(t, <-seen, io.EOF)
-	assert.Equal(t, routing.ServerError, (<-g.Router.Finished).Result, "the member is there")
+	assert.Equal(t, routing.ServerError, (<-g.Router.Finished).Result, "the server answered")
 }
 
 func TestConnectionsBeforeServerRestartAreClosed(t *testing.T) {
@@ -289,5 +289,5 @@
 	idle.ExpectClosed()
 	g.pools.SetAddress(0, g.Upstream.Addr().String(), 0)
 	l.putBack() // one that was at work meanwhile
-	assert.Zero(t, g.idle(), "it is the old member's")
+	assert.Zero(t, g.idle(), "it is the removed server's")
 }
