--- a/deployment/instance_test.go
+++ b/deployment/instance_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"io/fs"
 	"strings"
 	"testing"
 	"time"
@@ -9,6 +10,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"dapplerouter/discovery"
 	"dapplerouter/routing"
 )
 
@@ -96,6 +98,10 @@
 	assert.ErrorContains(t, err, FileVariable+" is missing")
 	_, err = Load(func(string) string { return "file" }, func(string) ([]byte, error) { return nil, errors.New("no such file") })
 	assert.ErrorContains(t, err, FileVariable+" cannot be read: no such file")
+	_, err = Load(func(string) string { return "file" }, func(string) ([]byte, error) { return nil, fs.ErrNotExist })
+	assert.ErrorIs(t, err, fs.ErrNotExist)
+	_, err = load(strings.Replace(told, `"index":41,`, "", 1), nil)
+	assert.ErrorIs(t, err, discovery.ErrNoIndex)
 }
 
 // What the deployments of another build state, and what holds where nothing is said.
--- a/discovery/client_test.go
+++ b/discovery/client_test.go
@@ -101,6 +101,7 @@
 	c, _ := service(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) },
 		says(`{"index":9,"endpoints":[]}`+"\n", `{"index":10`))
 	_, err := c.FetchSnapshot(context.Background())
+	assert.ErrorIs(t, err, ErrStatus)
 	assert.ErrorContains(t, err, "503")
 	var got []List
 	assert.Error(t, c.Watch(context.Background(), func(l List) { got = append(got, l) }))
@@ -204,6 +205,11 @@
 	require.NoError(t, err)
 	assert.Len(t, faults, 4)
 	assert.Len(t, l.Endpoints, 2, "one that is removed needs no address")
+	var unusable *EndpointError
+	require.ErrorAs(t, faults[0], &unusable)
+	assert.Equal(t, "s-1", unusable.Name)
+	_, _, err = Decode([]byte(`{"endpoints":[]}`))
+	assert.ErrorIs(t, err, ErrNoIndex)
 	for _, bad := range []string{"", "[]", `{"endpoints":[]}`, `{"index":"x"}`} {
 		_, _, err := Decode([]byte(bad))
 		assert.Error(t, err, bad)
@@ -241,3 +247,30 @@
 		assert.Equal(t, int64(3), c.Index())
 	}
 }
+
+// Each end of a watch or a call has a cause of its own.
+func TestErrorsOfWatchAndSnapshot(t *testing.T) {
+	for name, x := range map[string]struct {
+		answer script
+		want   error
+	}{
+		"index goes back":   {says(object(6, false, "up") + "\n"), ErrIndexBack},
+		"unusable endpoint": {says(object(8, false, "asleep") + "\n"), ErrBadChange},
+		"no index":          {says(`{"endpoints":[]}` + "\n"), ErrNoIndex},
+		"no heartbeat":      {then("\n"), ErrSilent},
+		"no answer":         {hang, ErrNoAnswer},
+		"status":            {refuse, ErrStatus},
+		"line too long":     {says(strings.Repeat(" ", maxObject+1<<16)), ErrLineLength},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			c, _ := service(t, x.answer)
+			c.heartbeat = 200 * time.Millisecond
+			assert.ErrorIs(t, c.Watch(t.Context(), func(List) {}), x.want)
+		})
+	}
+	c, _ := service(t, hang)
+	c.heartbeat = 200 * time.Millisecond
+	_, err := c.FetchSnapshot(t.Context())
+	assert.ErrorIs(t, err, ErrNoAnswer)
+}
