--- a/deployment/instance_test.go
+++ b/deployment/instance_test.go
@@ -14,7 +14,7 @@
 	"dapplerouter/routing"
 )
 
-const told = `{"name":"n3","listen":"127.0.0.1:5432","discovery":"127.0.0.2:8500","seed":"8c1f30d27a5be964",
+const instanceFile = `{"name":"n3","listen":"127.0.0.1:5432","discovery":"127.0.0.2:8500","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
  "known":{"index":41,"snapshot":true,"endpoints":[
   {"name":"s-1","address":"127.0.0.3:5432","zone":"a","type":"m2","group":3,"status":"up","weight":1.5,"since_ms":7,"role":"primary"},
@@ -38,13 +38,13 @@
 }
 
 func TestLoadInstance(t *testing.T) {
-	s, err := load(told, map[string]string{"EDGE_LISTEN": "127.0.0.9:1"})
+	s, err := load(instanceFile, map[string]string{"EDGE_LISTEN": "127.0.0.9:1"})
 	require.NoError(t, err)
-	assert.Equal(t, "127.0.0.9:1", s.Listen, "the variable stands above the file")
+	assert.Equal(t, "127.0.0.9:1", s.Listen, "the variable goes before the file")
 	assert.Equal(t, uint64(0x8c1f30d27a5be964), s.Seed)
 	assert.Equal(t, int64(192<<20), s.MemoryBytes)
 	assert.Len(t, s.CachedList.Endpoints, 1)
-	assert.Len(t, s.SkippedEndpoints, 1, "a member without an address")
+	assert.Len(t, s.SkippedEndpoints, 1, "a server without an address")
 	assert.Equal(t, []string{"browse", "order"}, s.Settings.TypeNames)
 	assert.Equal(t, routing.BoundedStaleness, s.Settings.RequestTypes[0].Consistency)
 	assert.Equal(t, 3*time.Second, s.Settings.RequestTypes[0].MaxStaleness)
@@ -88,8 +88,8 @@
 		`{"Name":"t1",=>{"Name":"t1"},{"Name":"t1",`:      "settings.Tenants",
 	} {
 		from, to, _ := strings.Cut(change, "=>")
-		require.Contains(t, told, from)
-		_, err := load(strings.Replace(told, from, to, 1), nil)
+		require.Contains(t, instanceFile, from)
+		_, err := load(strings.Replace(instanceFile, from, to, 1), nil)
 		var f *KeyError
 		require.ErrorAs(t, err, &f, change)
 		assert.Equal(t, key, f.Key, change)
@@ -100,19 +100,19 @@
 	assert.ErrorContains(t, err, FileVariable+" cannot be read: no such file")
 	_, err = Load(func(string) string { return "file" }, func(string) ([]byte, error) { return nil, fs.ErrNotExist })
 	assert.ErrorIs(t, err, fs.ErrNotExist)
-	_, err = load(strings.Replace(told, `"index":41,`, "", 1), nil)
+	_, err = load(strings.Replace(instanceFile, `"index":41,`, "", 1), nil)
 	assert.ErrorIs(t, err, discovery.ErrNoIndex)
 }
 
-// What the deployments of another build state, and what holds where nothing is said.
+// What other deployments set, and what holds where a key is missing.
 func TestLoadReportsAndRetryAfterSettings(t *testing.T) {
-	s, err := load(told, nil)
+	s, err := load(instanceFile, nil)
 	require.NoError(t, err)
 	assert.False(t, s.Settings.Replication.LoadInResponses)
 	assert.Zero(t, s.Settings.Limits.MaxRetryAfter, "nothing allows one")
 	for said, want := range map[string]time.Duration{"true": time.Second, "false": 0} {
 		s, err = load(strings.NewReplacer(`"New":{`, `"Stats":{"Source":"piggyback"},"New":{`, `"MayProbe":true`,
-			`"MayProbe":true,"MaxRetryAfter":1000000000,"RetryAfter":`+said).Replace(told), nil)
+			`"MayProbe":true,"MaxRetryAfter":1000000000,"RetryAfter":`+said).Replace(instanceFile), nil)
 		require.NoError(t, err)
 		assert.True(t, s.Settings.Replication.LoadInResponses)
 		assert.Equal(t, want, s.Settings.Limits.MaxRetryAfter)
@@ -130,10 +130,10 @@
 }
 
 func TestReloadUsesDiscoveryAddressOfFile(t *testing.T) {
-	old, err := load(told, map[string]string{DiscoveryVariable: "127.0.0.2:8500"})
+	old, err := load(instanceFile, map[string]string{DiscoveryVariable: "127.0.0.2:8500"})
 	require.NoError(t, err)
 	changed := strings.NewReplacer(`127.0.0.2:8500`, `127.0.0.7:8500`, `"sockets":1024`, `"sockets":512`,
-		`"MayProbe":true`, `"MayProbe":false`).Replace(told)
+		`"MayProbe":true`, `"MayProbe":false`).Replace(instanceFile)
 	next, err := Reload(func(k string) string {
 		return map[string]string{FileVariable: "f",
 			DiscoveryVariable: "127.0.0.2:8500"}[k]
--- a/discovery/client_test.go
+++ b/discovery/client_test.go
@@ -24,7 +24,7 @@
 	return fmt.Sprintf(`{"index":%d,"snapshot":%t,"endpoints":[`+entry+`]}`, index, whole, status)
 }
 
-// service is a stand-in for the list's service: each request takes the next script.
+// service is a fake discovery service: each request takes the next script.
 func service(t *testing.T, scripts ...func(w http.ResponseWriter, r *http.Request)) (*Client, <-chan string) {
 	asked := make(chan string, 100)
 	next := make(chan func(w http.ResponseWriter, r *http.Request), len(scripts))
@@ -82,7 +82,7 @@
 		assert.Equal(t, want.whole, l.Snapshot)
 		assert.Equal(t, want.state, l.Endpoints[0].State)
 	}
-	assert.True(t, <-failed, "an end of the watch is told")
+	assert.True(t, <-failed, "the end of a watch is reported")
 	for _, want := range []string{"/v1/endpoints", "/v1/endpoints?watch=1&after=41", "/v1/endpoints?watch=1&after=43"} {
 		assert.Equal(t, want, <-asked)
 	}
@@ -105,11 +105,11 @@
 	assert.ErrorContains(t, err, "503")
 	var got []List
 	assert.Error(t, c.Watch(context.Background(), func(l List) { got = append(got, l) }))
-	require.Len(t, got, 1, "the line cut off is none")
+	require.Len(t, got, 1, "the truncated line is dropped")
 	assert.Equal(t, int64(9), c.index.Load())
 }
 
-// The good line behind one that was lost moved the index past it: a drain in that line was never heard of.
+// Regression: the good line behind one that was lost moved the index past it, so that a drain in the lost line was never noticed.
 func TestSnapshotFollowsLostChange(t *testing.T) {
 	half := object(9, false, "draining")
 	for name, lines := range map[string][]string{
@@ -127,7 +127,7 @@
 			for last.Index != 11 {
 				last = <-lists
 				if last.Index == 10 {
-					assert.True(t, last.Snapshot, "nothing is taken behind what was lost")
+					assert.True(t, last.Snapshot, "nothing is taken after what was lost")
 					assert.Equal(t, routing.Draining, last.Endpoints[0].State)
 				}
 			}
@@ -139,7 +139,7 @@
 	}
 }
 
-// A service that began again with a lower index is believed when it gives the whole list.
+// The snapshot of a service that was restarted with a lower index is taken.
 func TestSnapshotMayHaveLowerIndex(t *testing.T) {
 	c, _ := service(t, says(object(3, true, "up")))
 	l, err := c.FetchSnapshot(context.Background())
@@ -148,7 +148,7 @@
 	assert.Equal(t, int64(3), c.Index())
 }
 
-// A whole list that was on its way while a watch told of a drain would have taken the drain back.
+// A snapshot that was in flight while a watch brought a drain would have taken the drain back.
 func TestSnapshotOvertakenByWatchIsFetchedAgain(t *testing.T) {
 	var c *Client
 	c, asked := service(t, func(w http.ResponseWriter, r *http.Request) {
@@ -161,8 +161,8 @@
 	assert.Len(t, asked, 2)
 }
 
-// What a silent watch misses counts as told three beats after it fell silent, and what an agent that returns has at once: the
-// end of silence was seen just then, and an attempt that hung as long followed.
+// What a silent watch misses counts as notified three heartbeats after it fell silent, and what a returning service has at once.
+// Regression: the silence was noticed just then, and a call that hung as long followed.
 func TestSilentWatchAndHungCallsEndInTime(t *testing.T) {
 	hang := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 	c, asked := service(t, says(object(7, true, "up")), func(w http.ResponseWriter, r *http.Request) {
@@ -175,12 +175,12 @@
 	from := time.Now()
 	assert.Equal(t, int64(8), (<-lists).Index)
 	took := time.Since(from)
-	assert.Greater(t, took, 2*c.heartbeat, "one beat may be late by as much")
+	assert.Greater(t, took, 2*c.heartbeat, "a heartbeat may be late by as much")
 	assert.Less(t, took, 5*c.heartbeat, "silence, and two attempts that hang")
 	assert.Len(t, asked, 5, "and no storm of calls")
 }
 
-// A service that ends every watch at once is not asked without pause.
+// A service that ends every watch at once is called with a backoff.
 func TestWatchReopensWithBackoff(t *testing.T) {
 	end := func(http.ResponseWriter, *http.Request) {}
 	scripts := []func(http.ResponseWriter, *http.Request){says(object(7, true, "up"))}
@@ -216,7 +216,7 @@
 	}
 }
 
-// STANDING.md: "an answer over HTTP may have no length and be reset on the way [...]: a reset is no end". One that comes whole is taken.
+// STANDING.md: "an answer over HTTP may have no length and be reset on the way [...]: a reset is no end". A complete one is taken.
 func TestSnapshotWithoutLengthUnlessReset(t *testing.T) {
 	answer := func(text string, reset bool) *Client {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -231,7 +231,7 @@
 			http.ReadRequest(bufio.NewReader(c))
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+text)
 			if reset {
-				time.Sleep(20 * time.Millisecond) // it is read by now
+				time.Sleep(20 * time.Millisecond) // the client has read it by now
 				c.(*net.TCPConn).SetLinger(0)
 			}
 		}()
@@ -248,7 +248,7 @@
 	}
 }
 
-// Each end of a watch or a call has a cause of its own.
+// Each way in which a watch or a call ends has an error of its own.
 func TestErrorsOfWatchAndSnapshot(t *testing.T) {
 	for name, x := range map[string]struct {
 		answer script
--- a/discovery/deadline_test.go
+++ b/discovery/deadline_test.go
@@ -16,17 +16,18 @@
 	"dapplerouter/testsupport/testports"
 )
 
-// told is by when a change counts as told, in heartbeats from when the service had it; toldMoved is the same from a new configuration.
+// notifiedBy is when a change counts as notified, in heartbeats after the service had it; notifiedByMoved is the same after a new
+// address was configured.
 const (
-	told      = 3
-	toldMoved = 2
+	notifiedBy      = 3
+	notifiedByMoved = 2
 )
 
 type script = func(w http.ResponseWriter, r *http.Request)
 
 func hang(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
-// then answers with these parts and says nothing more.
+// then answers with these parts and sends nothing more.
 func then(parts ...string) script {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.(http.Flusher).Flush() // the header, where there is no part
@@ -49,8 +50,8 @@
 	return strings.NewReplacer("{", "{\n  ", ",", ",\n  ").Replace(object)
 }
 
-// changing is a service that has the list at 7, then answers calls as the scripts say, and once these are over tells of a drain at 8.
-// The drain is there from the first of the scripts on, when since is set.
+// changing is a service that has the list at 7, then answers calls as the scripts say, and once these are over has a drain at 8. The
+// drain is there from the first of the scripts on, when since is set.
 type changing struct {
 	mu    sync.Mutex
 	calls []script
@@ -81,7 +82,7 @@
 	answer(w, r)
 }
 
-// took waits for the drain and says how long after since it was heard.
+// took waits for the drain and returns how long after since it came.
 func (s *changing) took(t *testing.T, lists <-chan List) time.Duration {
 	for {
 		select {
@@ -90,16 +91,16 @@
 				s.mu.Lock()
 				defer s.mu.Unlock()
 				assert.Equal(t, routing.Draining, l.Endpoints[0].State)
-				assert.Empty(t, s.calls, "all went wrong that was to")
+				assert.Empty(t, s.calls, "all scripts were used")
 				return time.Since(s.since)
 			}
 		case <-time.After(20 * time.Second):
-			require.Fail(t, "the drain is never heard of")
+			require.Fail(t, "the drain never comes")
 		}
 	}
 }
 
-// followLate follows with the longest pauses that may come between calls.
+// followLate follows with the longest backoffs that may come between calls.
 func followLate(t *testing.T, c *Client) <-chan List {
 	lists, done := make(chan List, 100), make(chan struct{})
 	ctx, end := context.WithCancel(t.Context())
@@ -111,9 +112,9 @@
 	return lists
 }
 
-// A change counts as told three heartbeats after the service had it, whatever was allowed after a call that failed, was refused or
-// given up. The service has the drain when the first call goes wrong; each case is the worst of its kind: silence from the last
-// line on, the longest pauses, and a further call that fails.
+// A change counts as notified three heartbeats after the service had it, whatever call failed, was rejected or timed out. The service
+// has the drain when the first call goes wrong; each case is the worst of its kind: silence from the last line on, the longest backoffs,
+// and a further call that fails.
 func TestChangeArrivesInTimeAfterFailedCalls(t *testing.T) {
 	unusable := says("{nonsense\n")
 	for name, calls := range map[string][]script{
@@ -121,13 +122,13 @@
 		"a watch falls silent, and the next calls are refused":    {then("\n"), refuse, refuse, refuse},
 		"a watch falls silent in a line, and the next call hangs": {then("\n", `{"index":8,`), hang},
 		"a watch hangs after its header, and the next call hangs": {then(), hang},
-		"calls hang":                        {hang, hang, hang},
-		"calls are refused":                 {refuse, refuse, refuse, refuse, refuse, refuse},
-		"watches are reset in a chunk":      {reset, reset, reset, reset, reset, reset},
-		"watches end at once":               {says(), says(), says(), says(), says(), says()},
-		"whole lists hang after the header": {unusable, then(), then(), then()},
-		"whole lists hang in the middle":    {unusable, then(`{"index":8,`), then(`{"index":8,`), then(`{"index":8,`)},
-		"an indented change":                {then(indent(object(8, false, "draining")) + "\n")},
+		"calls hang":                      {hang, hang, hang},
+		"calls are refused":               {refuse, refuse, refuse, refuse, refuse, refuse},
+		"watches are reset in a chunk":    {reset, reset, reset, reset, reset, reset},
+		"watches end at once":             {says(), says(), says(), says(), says(), says()},
+		"snapshots hang after the header": {unusable, then(), then(), then()},
+		"snapshots hang in the middle":    {unusable, then(`{"index":8,`), then(`{"index":8,`), then(`{"index":8,`)},
+		"an indented change":              {then(indent(object(8, false, "draining")) + "\n")},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -136,19 +137,19 @@
 			c.heartbeat = time.Second
 			took := s.took(t, followLate(t, c))
 			t.Logf("%.2f heartbeats", took.Seconds()/c.heartbeat.Seconds())
-			assert.Less(t, took, told*c.heartbeat)
+			assert.Less(t, took, notifiedBy*c.heartbeat)
 		})
 	}
 }
 
-// After a new configuration a change counts as told two heartbeats later: a whole list of the new service that stops in the
-// middle must be given up well before.
+// After a new address was configured a change counts as notified two heartbeats later: a snapshot of the new service that stops in the
+// middle must time out well before.
 func TestChangeArrivesInTimeAfterNewAddress(t *testing.T) {
 	for name, calls := range map[string][]script{
-		"the whole list hangs after the header": {then(), then()},
-		"the whole list hangs in the middle":    {then(`{"index":8,`), then(`{"index":8,`)},
-		"calls hang":                            {hang, hang},
-		"calls are refused":                     {refuse, refuse, refuse},
+		"the snapshot hangs after the header": {then(), then()},
+		"the snapshot hangs in the middle":    {then(`{"index":8,`), then(`{"index":8,`)},
+		"calls hang":                          {hang, hang},
+		"calls are refused":                   {refuse, refuse, refuse},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -157,12 +158,12 @@
 			old.heartbeat = time.Second
 			c := old.WithAddress(serveOn(t, "127.0.0.1:0", s))
 			took := s.took(t, followLate(t, c))
-			assert.Less(t, took, toldMoved*c.heartbeat)
+			assert.Less(t, took, notifiedByMoved*c.heartbeat)
 		})
 	}
 }
 
-// While the service is away the pauses between calls grow to their longest; the first call after its return hears of the change.
+// While the service is away the backoff grows to its longest; the first call after its return brings the change.
 func TestChangeArrivesInTimeAfterOutage(t *testing.T) {
 	t.Parallel()
 	s := &changing{}
@@ -188,10 +189,10 @@
 	serveOn(t, address, s)
 	took := s.took(t, lists)
 	t.Logf("%.2f heartbeats", took.Seconds()/c.heartbeat.Seconds())
-	assert.Less(t, took, told*c.heartbeat)
+	assert.Less(t, took, notifiedBy*c.heartbeat)
 }
 
-// serveOn serves at an address until the test ends, and says at which.
+// serveOn serves at an address until the test ends, and returns it.
 func serveOn(t *testing.T, address string, h http.Handler) string {
 	l, err := net.Listen("tcp", address)
 	require.NoError(t, err)
--- a/server/client_bytes_test.go
+++ b/server/client_bytes_test.go
@@ -10,7 +10,6 @@
 	"github.com/stretchr/testify/require"
 
 	"dapplerouter/front"
-	"dapplerouter/limits"
 	"dapplerouter/pgwire"
 	"dapplerouter/testsupport/conntest"
 )
@@ -88,7 +87,6 @@
 			return c
 		},
 		"no room for a long message": func(g *harness) *conntest.Peer {
-			g.server.bodies = limits.NewMemory(100 << 10)
 			return sends(hello, query(strings.Repeat(" ", 200<<10)))(g)
 		},
 		"internal fault": func(g *harness) *conntest.Peer {
@@ -98,7 +96,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			g := newHarness(t, 40)
+			var limits []func(*Server)
+			if name == "no room for a long message" {
+				limits = append(limits, bodyLimit(100<<10))
+			}
+			g := newHarness(t, 40, limits...)
 			g.DiscardEvents()
 			c := session(g)
 			sent, err := io.ReadAll(c.Conn)
--- a/server/endings_test.go
+++ b/server/endings_test.go
@@ -299,10 +299,9 @@
 // Long messages share a part of the memory. One that exceeds it is rejected and may be retried; the memory is released however its
 // connection ends.
 func TestLongQueryOverMemoryLimitIsRejected(t *testing.T) {
-	g := newHarness(t, 60)
+	g := newHarness(t, 60, bodyLimit(300<<10))
 	g.DiscardEvents()
 	g.AnswerAll()
-	g.server.bodies = limits.NewMemory(300 << 10)
 	held := func() int64 { return g.server.bodies.Reserved() }
 	long := pgwire.AppendQuery(nil, "SELECT data FROM facts WHERE code = '"+strings.Repeat("k", 200<<10)+"' /* id=long,c=read,d=4000,cluster=2 */")
 	first, second, small := g.Client(), g.Client(), g.Client()
--- a/server/requests_test.go
+++ b/server/requests_test.go
@@ -11,7 +11,6 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"dapplerouter/limits"
 	"dapplerouter/pgwire"
 	"dapplerouter/routing"
 	"dapplerouter/testsupport/conntest"
@@ -126,8 +125,7 @@
 
 // What is read ahead takes memory of the long messages' budget, however short it is: without memory the client waits.
 func TestReadAheadIsBoundedByMemory(t *testing.T) {
-	g := newHarness(t, 100)
-	g.server.bodies = limits.NewMemory(int64(2*len(conntest.ReadQuery("60000")) + 10)) // beside the first: two messages
+	g := newHarness(t, 100, bodyLimit(int64(2*len(conntest.ReadQuery("60000"))+10))) // beside the first: two messages
 	c := g.Client()
 	c.Send(conntest.ReadQueries(5)...)
 	var servers []*conntest.Peer
@@ -160,8 +158,7 @@
 
 // An answer that has to wait for the one before it takes memory as well. A read whose answer exceeds the budget may be retried.
 func TestWaitingAnswerOverMemoryLimitIsDropped(t *testing.T) {
-	g := newHarness(t, 100)
-	g.server.answers = limits.NewMemory(8 << 10)
+	g := newHarness(t, 100, answerLimit(8<<10))
 	c := g.Client()
 	c.Send(append(conntest.ReadQueryOf("a", "60000"), conntest.ReadQueryOf("b", "60000")...)...)
 	first, second := g.AcceptServer(), g.AcceptServer()
--- a/tcpconn/tcpconn_test.go
+++ b/tcpconn/tcpconn_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Only a deadline of our own is a wake: a broken connection that shows as ETIMEDOUT, or a call that would block, is none.
+// Only a deadline set here is a timeout: a broken connection that shows as ETIMEDOUT, or a call that would block, is not.
 func TestIsTimeoutOnlyForOwnDeadline(t *testing.T) {
 	for err, want := range map[error]bool{
 		os.ErrDeadlineExceeded: true, syscall.ETIMEDOUT: false, syscall.EAGAIN: false, syscall.EHOSTUNREACH: false, io.EOF: false,
@@ -21,7 +21,7 @@
 	}
 }
 
-// A call that signals interrupt is made again; what it then brings, or fails with, is passed on.
+// A call that signals interrupt is repeated; what it then returns is passed on.
 func TestInterruptedCallIsRepeated(t *testing.T) {
 	for _, last := range []error{nil, syscall.EAGAIN, syscall.ENOMEM} {
 		calls := 0
