--- a/discovery/client.go
+++ b/discovery/client.go
@@ -113,7 +113,7 @@
 	if err != nil {
 		return l, causeOf(ctx, err)
 	}
-	defer body.Close() //nolint:errcheck // it was read to its end, or the call has failed
+	defer func() { _ = body.Close() }() // it was read to its end, or the call has failed
 	late := time.AfterFunc(c.heartbeat*2, func() { cancel(ErrSilent) })
 	defer late.Stop()
 	data, err := io.ReadAll(&pauseReader{from: io.LimitReader(body, maxObject), timer: pause, timeout: c.heartbeat / 2})
@@ -144,7 +144,7 @@
 	if err != nil {
 		return causeOf(ctx, err)
 	}
-	defer body.Close() //nolint:errcheck // the watch has failed
+	defer func() { _ = body.Close() }() // the watch has failed
 	unanswered.Stop()
 	silence := time.AfterFunc(c.heartbeat*silenceQuarters/4, func() { cancel(ErrSilent) })
 	defer silence.Stop()
--- a/server/server.go
+++ b/server/server.go
@@ -103,7 +103,7 @@
 // so whatever is in the listener's queue when the grace is over is served too. Any other error is the listener's.
 func (s *Server) Serve(l Listener) error {
 	defer s.enter(rejecting)
-	defer l.Close() //nolint:errcheck // nobody can do anything about it
+	defer func() { _ = l.Close() }() // it may have been closed to end Serve
 	for graceOver := false; ; {
 		conn, err := l.AcceptTCP()
 		switch {
@@ -114,9 +114,7 @@
 				return nil
 			}
 			graceOver = true
-			if err := l.SetDeadline(time.Now().Add(acceptGrace / 10)); err != nil {
-				return err
-			}
+			_ = l.SetDeadline(time.Now().Add(acceptGrace / 10)) // it fails on a closed listener, as the next accept does
 		case tcpconn.IsTimeout(err) || errors.Is(err, net.ErrClosed):
 			return err
 		default: // out of descriptors, or gone before it was accepted
