--- a/config/conf.go
+++ b/config/config.go
@@ -166,8 +166,9 @@
 
 // Decoder collects faults while subsystems read their forms.
 type Decoder struct {
-	file   *File
-	faults ErrorList
+	file         *File
+	faults       ErrorList
+	deprecations []Deprecation
 }
 
 // NewDecoder begins to read a file.
@@ -193,21 +194,28 @@
 
 // Forms gives the file's forms by name. One that is not known, or stands twice where one may stand, is a fault.
 func (r *Decoder) Forms(known ...string) map[string]*Form {
-	return r.forms(r.file.forms, "the file", known)
+	return r.forms(r.file.forms, "the file", known, nil)
 }
 
-func (r *Decoder) forms(nodes []*Node, within string, known []string) map[string]*Form {
+func (r *Decoder) forms(nodes []*Node, within string, known []string, deprecated map[string]string) map[string]*Form {
 	found := map[string]*Form{}
 	for _, n := range nodes {
 		f := r.form(n, within)
+		if f == nil {
+			continue
+		}
+		name := f.Name
+		if current, ok := deprecated[name]; ok {
+			r.deprecations = append(r.deprecations, Deprecation{f.Position, name, current})
+			name = current
+		}
 		switch {
-		case f == nil:
-		case !slices.Contains(known, f.Name):
-			r.Errorf(f.Position, meant(f.Name, known), "%s has no form %s", within, f.Name)
-		case found[f.Name] != nil:
-			r.Errorf(f.Position, "keep one of the two", "%s stands twice in %s, first at %s", f.Name, within, found[f.Name].Position)
+		case !slices.Contains(known, name):
+			r.Errorf(f.Position, meant(name, known), "%s has no form %s", within, f.Name)
+		case found[name] != nil:
+			r.Errorf(f.Position, "keep one of the two", "%s stands twice in %s, first at %s", f.Name, within, found[name].Position)
 		default:
-			found[f.Name] = f
+			found[name] = f
 		}
 	}
 	return found
@@ -277,7 +285,7 @@
 }
 
 // Forms gives the forms within this one.
-func (f *Form) Forms(known ...string) map[string]*Form { return f.r.forms(f.items, f.Name, known) }
+func (f *Form) Forms(known ...string) map[string]*Form { return f.r.forms(f.items, f.Name, known, nil) }
 
 // Subforms gives the forms within this one in order, whatever their names.
 func (f *Form) Subforms() (forms []*Form) {
--- a/config/conf_test.go
+++ b/config/config_test.go
@@ -79,6 +79,39 @@
 	assert.ErrorContains(t, err, "at most 1 MiB")
 }
 
+func TestDeprecatedFormNamesAreReadAndReported(t *testing.T) {
+	deprecated := map[string]string{"keepers": "voters", "span": "lease-duration"}
+	for text, want := range map[string]string{
+		"(fleet (keepers a) (span 2s))":          "",
+		"(fleet (voters a) (lease-duration 2s))": "",
+		"(fleet (keepers a) (voters b))":         "f:1:20: voters stands twice in fleet, first at f:1:8; keep one of the two",
+		"(fleet (voters a) (keepers b))":         "f:1:19: keepers stands twice in fleet, first at f:1:8; keep one of the two",
+		"(fleet (keepesr a))":                    "f:1:8: fleet has no form keepesr; known are voters, lease-duration",
+		"(fleet (voters a) (lease-duration 2))":  "f:1:35: 2 has no unit; 2s was likely meant",
+		"(fleet (voters a) (span \"x\" \"y\"))":  "f:1:19: span wants one value; write (span VALUE)",
+	} {
+		err := read(text, func(d *Decoder) {
+			forms := d.Forms("fleet")["fleet"].FormsRenamed(deprecated, "voters", "lease-duration")
+			if f := forms["voters"]; f != nil {
+				f.Atoms()
+			}
+			if f := forms["lease-duration"]; f != nil {
+				f.Duration()
+			}
+		})
+		if want == "" {
+			assert.NoError(t, err, text)
+		} else if assert.Error(t, err, text) {
+			assert.Equal(t, want, err.Error(), text)
+		}
+	}
+	f, err := Parse("f", []byte("(fleet (keepers a)\n (span 2s))"))
+	require.NoError(t, err)
+	d := f.NewDecoder()
+	d.Forms("fleet")["fleet"].FormsRenamed(deprecated, "voters", "lease-duration")
+	assert.Equal(t, []Deprecation{{Position{"f", 1, 8}, "keepers", "voters"}, {Position{"f", 2, 2}, "span", "lease-duration"}}, d.Deprecations())
+}
+
 func FuzzParse(f *testing.F) {
 	f.Add("(classing (cache 8MiB) (types (a (class read))))")
 	f.Fuzz(func(t *testing.T, text string) {
