--- a/cmd/dapplerouter/classify.go
+++ b/cmd/dapplerouter/classify.go
@@ -22,25 +22,25 @@
 	Files []string `arg:"" optional:"" name:"sqlfile" help:"Statements: {\"sql\": \"...\"} a line, or plain SQL; standard input where none is named."`
 }
 
-// classification is what is said of one statement.
+// classification is the result for one statement.
 type classification struct {
 	Class       string  `json:"class"`
 	Reason      string  `json:"why"`
-	Offset      int     `json:"at"` // byte that why is about, -1 for none
+	Offset      int     `json:"at"` // byte that Reason is about, -1 for none
 	Normalized  string  `json:"shape"`
 	Fingerprint string  `json:"fingerprint"`
-	Cost        float64 `json:"cost"` // milliseconds, a first guess: nothing was measured
-	Rows        float64 `json:"rows"` // that it is thought to touch
+	Cost        float64 `json:"cost"` // milliseconds, an estimate: nothing was measured
+	Rows        float64 `json:"rows"` // estimated, that it touches
 	RequestType string  `json:"type"`
 }
 
-// statementClassifier says of texts what a front with these settings would find.
+// statementClassifier classifies texts as a front with these settings would.
 type statementClassifier struct{ with *sqlclass.Classifier }
 
 func (c *statementClassifier) classify(text []byte) classification {
-	s, facts, fault := c.with.Classify(text)
-	if fault != nil {
-		return classification{Class: sqlclass.Unknown.String(), Reason: fault.Message, Offset: fault.Offset}
+	s, details, syntaxErr := c.with.Classify(text)
+	if syntaxErr != nil {
+		return classification{Class: sqlclass.Unknown.String(), Reason: syntaxErr.Message, Offset: syntaxErr.Offset}
 	}
 	v := c.with.Explain(text)
 	r := classification{Class: s.Class.String(), Reason: v.Reason, Offset: v.ReasonOffset, Normalized: strings.TrimSpace(string(s.Text()))}
@@ -54,8 +54,8 @@
 		r.Offset = -1
 	}
 	r.Fingerprint = fmt.Sprintf("%016x", s.Fingerprint())
-	cost := c.with.Estimate(s, &facts)
-	r.Cost, r.Rows = float64(cost)/float64(time.Millisecond), s.EstimatedRows(&facts)
+	cost := c.with.Estimate(s, &details)
+	r.Cost, r.Rows = float64(cost)/float64(time.Millisecond), s.EstimatedRows(&details)
 	if i := c.with.MatchRule(s, cost); i >= 0 && !s.Empty {
 		r.RequestType = c.with.Rules()[i].Type
 	}
@@ -64,69 +64,95 @@
 
 func (c *classifyCommand) run() int { return c.classify(os.Stdin, os.Stdout, os.Stderr) }
 
-func (c *classifyCommand) classify(in io.Reader, out, errs io.Writer) int {
+// classify classifies the named files, or in where none is named.
+func (c *classifyCommand) classify(in io.Reader, out, errorOutput io.Writer) int {
 	settings := &sqlclass.Settings{CacheBytes: sqlclass.MinCacheBytes}
 	if c.File != "" {
 		o, err := readOperatorFile(c.File)
 		if err != nil {
-			return printErrors(errs, err)
+			return printErrors(errorOutput, err)
 		}
 		if o.classing != nil {
 			settings = o.classing
 		}
 	}
-	by := &statementClassifier{settings.NewClassifier()}
-	buffered := bufio.NewWriter(out)
-	defer buffered.Flush()
-	table := tabwriter.NewWriter(buffered, 0, 8, 2, ' ', 0)
-	if !c.JSON {
-		fmt.Fprintln(table, "CLASS\tCOST\tTYPE\tFINGERPRINT\tWHY\tSHAPE")
-		defer table.Flush()
-	}
-	lines := json.NewEncoder(buffered)
-	lines.SetEscapeHTML(false)
-	say := func(r classification) {
-		if c.JSON {
-			lines.Encode(r)
-			return
-		}
-		why := r.Reason
-		if why != "" {
-			why += fmt.Sprintf(" (byte %d)", r.Offset)
-		}
-		fmt.Fprintf(table, "%s\t%.2fms\t%s\t%s\t%s\t%s\n", r.Class, r.Cost, r.RequestType, r.Fingerprint, why, truncate(r.Normalized))
-	}
+	classifier := &statementClassifier{settings.NewClassifier()}
+	output := newClassificationOutput(out, c.JSON)
+	defer output.flush()
 	exit := exitOK
-	one := func(name string, in io.Reader) bool {
-		bad, err := by.classifyAll(in, c.JSON, say)
-		for _, b := range bad {
-			fmt.Fprintf(errs, "%s:%s\n", name, b)
-			exit = exitNegative
-		}
-		if err != nil {
-			fmt.Fprintf(errs, "%s: %v\n", name, err)
-			exit = exitUnusable
-		}
-		return err == nil
-	}
 	if len(c.Files) == 0 {
-		one("standard input", in)
+		exit = classifier.classifyFile("standard input", in, output, errorOutput)
 	}
 	for _, name := range c.Files {
 		f, err := os.Open(name)
 		if err != nil {
-			fmt.Fprintln(errs, err)
+			printErrors(errorOutput, err)
 			return exitUnusable
 		}
-		ok := one(name, f)
-		f.Close()
-		if !ok {
+		code := classifier.classifyFile(name, f, output, errorOutput)
+		_ = f.Close() // it was only read
+		exit = max(exit, code)
+		if code == exitUnusable {
 			break
 		}
 	}
 	return exit
 }
 
+// classifyFile classifies the statements of one input; errors of lines and of reading go to errorOutput.
+func (c *statementClassifier) classifyFile(name string, in io.Reader, output *classificationOutput, errorOutput io.Writer) int {
+	exit := exitOK
+	badLines, err := c.classifyAll(in, output.json != nil, output.write)
+	for _, bad := range badLines {
+		_, _ = fmt.Fprintf(errorOutput, "%s:%s\n", name, bad)
+		exit = exitNegative
+	}
+	if err != nil {
+		_, _ = fmt.Fprintf(errorOutput, "%s: %v\n", name, err)
+		exit = exitUnusable
+	}
+	return exit
+}
+
+// classificationOutput writes classifications as lines of JSON or as a table. Errors of writing are dropped: whoever read it has gone.
+type classificationOutput struct {
+	buffer *bufio.Writer
+	json   *json.Encoder     // nil for a table
+	table  *tabwriter.Writer // nil for JSON
+}
+
+func newClassificationOutput(out io.Writer, asJSON bool) *classificationOutput {
+	o := &classificationOutput{buffer: bufio.NewWriter(out)}
+	if asJSON {
+		o.json = json.NewEncoder(o.buffer)
+		o.json.SetEscapeHTML(false)
+		return o
+	}
+	o.table = tabwriter.NewWriter(o.buffer, 0, 8, 2, ' ', 0)
+	_, _ = fmt.Fprintln(o.table, "CLASS\tCOST\tTYPE\tFINGERPRINT\tREASON\tNORMALIZED")
+	return o
+}
+
+func (o *classificationOutput) write(c classification) {
+	if o.json != nil {
+		_ = o.json.Encode(c)
+		return
+	}
+	reason := c.Reason
+	if reason != "" {
+		reason += fmt.Sprintf(" (byte %d)", c.Offset)
+	}
+	_, _ = fmt.Fprintf(o.table, "%s\t%.2fms\t%s\t%s\t%s\t%s\n", c.Class, c.Cost, c.RequestType, c.Fingerprint, reason, truncate(c.Normalized))
+}
+
+func (o *classificationOutput) flush() {
+	if o.table != nil {
+		_ = o.table.Flush()
+	}
+	_ = o.buffer.Flush()
+}
+
+// truncate shortens a text for the table.
 func truncate(s string) string {
 	if len(s) > 80 {
 		return strings.ToValidUTF8(s[:77], "") + "..."
@@ -136,88 +162,101 @@
 
 const maxSQLBytes = 16 << 20
 
-// classifyAll gives a record for each statement: by line where asked, or where the lines are JSON; else plain SQL, parted at
-// its semicolons. What is bad names lines that are no JSON; they are records too.
-func (c *statementClassifier) classifyAll(in io.Reader, byLine bool, say func(classification)) (bad []string, err error) {
+var (
+	errSQLTooLong = errors.New("plain SQL of more than 16 MiB; part it, or give a statement a line")
+	errNotUTF8    = errors.New("the line is no UTF-8")
+	errNotJSON    = errors.New("the line is no JSON")
+	errNoSQL      = errors.New("the line has no sql")
+)
+
+// classifyAll classifies each statement of an input: one a line where byLine is set or the input begins with JSON, else plain SQL,
+// whose statements end with semicolons. badLines describes lines that are malformed; they are emitted as unknown statements too.
+func (c *statementClassifier) classifyAll(in io.Reader, byLine bool, emit func(classification)) (badLines []string, err error) {
 	r := bufio.NewReaderSize(in, 64<<10)
 	if !byLine {
-		first, _ := r.Peek(1)
+		first, _ := r.Peek(1) // an error comes again with the next read
 		if len(first) == 0 || first[0] != '{' {
-			text, err := io.ReadAll(io.LimitReader(r, maxSQLBytes+1))
-			if err == nil && len(text) > maxSQLBytes {
-				err = errors.New("plain SQL of more than 16 MiB; part it, or give a statement a line")
-			}
-			if err == nil {
-				c.classifySQL(text, say)
-			}
-			return nil, err
+			return nil, c.classifyPlain(r, emit)
 		}
 	}
 	for n := 1; ; n++ {
 		line, err := r.ReadBytes('\n')
-		if err == io.EOF && len(line) == 0 {
-			return bad, nil
+		if errors.Is(err, io.EOF) && len(line) == 0 {
+			return badLines, nil
 		}
-		if err != nil && err != io.EOF {
-			return bad, err
+		if err != nil && !errors.Is(err, io.EOF) {
+			return badLines, err
 		}
-		text, fault := parseLine(bytes.TrimRight(line, "\r\n"))
-		if fault != "" {
-			bad = append(bad, fmt.Sprintf("%d:1: %s; a line is {\"sql\": \"...\"} or plain SQL", n, fault))
-			say(classification{Class: sqlclass.Unknown.String(), Reason: fault, Offset: -1})
+		text, err := parseLine(bytes.TrimRight(line, "\r\n"))
+		if err != nil {
+			badLines = append(badLines, fmt.Sprintf("%d:1: %v; a line is {\"sql\": \"...\"} or plain SQL", n, err))
+			emit(classification{Class: sqlclass.Unknown.String(), Reason: err.Error(), Offset: -1})
 			continue
 		}
-		say(c.classify(text))
+		emit(c.classify(text))
 	}
 }
 
-// parseLine takes a line apart.
-func parseLine(line []byte) (text []byte, fault string) {
+// parseLine returns the statement of a line: the value of sql where the line is a JSON object, else the line.
+func parseLine(line []byte) ([]byte, error) {
 	if len(line) == 0 || line[0] != '{' {
-		return line, ""
+		return line, nil
 	}
 	if !utf8.Valid(line) {
-		return nil, "the line is no UTF-8"
+		return nil, errNotUTF8
 	}
 	var l struct{ SQL *string }
 	if err := json.Unmarshal(line, &l); err != nil {
-		return nil, "the line is no JSON: " + err.Error()
+		return nil, fmt.Errorf("%w: %w", errNotJSON, err)
 	}
 	if l.SQL == nil {
-		return nil, "the line has no sql"
+		return nil, errNoSQL
+	}
+	return []byte(*l.SQL), nil
+}
+
+// classifyPlain classifies plain SQL, which is read as a whole.
+func (c *statementClassifier) classifyPlain(r io.Reader, emit func(classification)) error {
+	text, err := io.ReadAll(io.LimitReader(r, maxSQLBytes+1))
+	if err != nil {
+		return err
+	}
+	if len(text) > maxSQLBytes {
+		return errSQLTooLong
 	}
-	return []byte(*l.SQL), ""
+	splitSQL(text, func(statement []byte) { emit(c.classify(statement)) })
+	return nil
 }
 
-// classifySQL cuts plain SQL at the semicolons that end statements.
-func (c *statementClassifier) classifySQL(text []byte, say func(classification)) {
+// splitSQL calls each with the statements between semicolons, but for empty ones. Semicolons within parentheses end no statement.
+func splitSQL(text []byte, each func(statement []byte)) {
 	var s sqlclass.Scanner
 	s.Reset(text)
-	from, depth, any := 0, 0, false
+	start, depth, empty := 0, 0, true
 	for {
 		t := s.Next()
-		mark := byte(0)
+		punctuation := byte(0)
 		if t.Kind == sqlclass.Punctuation {
-			mark = text[t.Start]
+			punctuation = text[t.Start]
 		}
 		switch {
 		case t.Kind == sqlclass.Invalid:
-			say(c.classify(text[from:]))
+			each(text[start:])
 			return
-		case t.Kind == sqlclass.EndOfText || mark == ';' && depth <= 0:
-			if any {
-				say(c.classify(text[from:t.Start]))
+		case t.Kind == sqlclass.EndOfText || punctuation == ';' && depth <= 0:
+			if !empty {
+				each(text[start:t.Start])
 			}
 			if t.Kind == sqlclass.EndOfText {
 				return
 			}
-			from, depth, any = t.End, 0, false
+			start, depth, empty = t.End, 0, true
 			continue
-		case mark == '(':
+		case punctuation == '(':
 			depth++
-		case mark == ')':
+		case punctuation == ')':
 			depth--
 		}
-		any = true
+		empty = false
 	}
 }
--- a/cmd/dapplerouter/classing_test.go
+++ b/cmd/dapplerouter/classing_test.go
@@ -115,10 +115,10 @@
 func (i *instance) serve(start *deployment.Instance, operator *operatorConfig) error {
 	ready := make(chan struct{})
 	go func() {
-		i.ended <- serve(start, operator, i.stop, nil, func(a net.Addr, b *gatewayLink) {
-			i.address, i.link = a.String(), b
+		i.ended <- runService(serviceOptions{instance: start, operator: operator, stop: i.stop, onReady: func(a net.Addr, l *gatewayLink) {
+			i.address, i.link = a.String(), l
 			close(ready)
-		})
+		}})
 	}()
 	select {
 	case <-ready:
--- a/cmd/dapplerouter/cold_test.go
+++ b/cmd/dapplerouter/cold_test.go
@@ -42,7 +42,8 @@
 		require.NoError(t, err)
 		stop, ended, ready := make(chan os.Signal, 1), make(chan error, 1), make(chan string, 1)
 		go func() {
-			ended <- serve(start, operator, stop, nil, func(a net.Addr, _ *gatewayLink) { ready <- a.String() })
+			ended <- runService(serviceOptions{instance: start, operator: operator, stop: stop,
+				onReady: func(a net.Addr, _ *gatewayLink) { ready <- a.String() }})
 		}()
 		stops, ends = append(stops, stop), append(ends, ended)
 		addresses = append(addresses, <-ready)
--- /dev/null
+++ b/cmd/dapplerouter/fleet_leases.go
@@ -0,0 +1,53 @@
+package main
+
+import (
+	"fmt"
+	"net/url"
+
+	"dapplerouter/fleet/agent"
+)
+
+type fleetLeasesCommand struct{ adminClient }
+
+// run exits with exitNegative where nobody holds one of the leases.
+func (c *fleetLeasesCommand) run() int {
+	var s agent.Status
+	if err := c.get("/v1/fleet", &s); err != nil {
+		return exitCode(err)
+	}
+	exit := exitOK
+	for _, l := range s.Leases {
+		if l.Leaseholder == "" {
+			exit = exitNegative
+		}
+		if c.JSON {
+			printJSON(l)
+		}
+	}
+	if !c.JSON {
+		printLeases(s.Leases)
+	}
+	return exit
+}
+
+func printLeases(all []agent.LeaseStatus) {
+	t := newTable("LEASE", "TERM", "HOLDER", "REASON")
+	for _, l := range all {
+		holder := l.Leaseholder
+		if holder == "" {
+			holder = "nobody"
+		}
+		t.row(fmt.Sprintf("%s\t%d\t%s\t%s", l.Lease, l.Term, holder, l.Reason))
+	}
+	t.flush()
+}
+
+type fleetTransferCommand struct {
+	Lease string `arg:"" help:"The lease, as fleet leases names it."`
+	To    string `placeholder:"FRONT" help:"Who is to hold it; the fleet chooses where this is left out."`
+	adminClient
+}
+
+func (c *fleetTransferCommand) run() int {
+	return c.post("/v1/fleet/transfer", url.Values{"lease": {c.Lease}, "to": {c.To}}, c.Lease+" is transferred")
+}
--- a/cmd/dapplerouter/recovercall.go
+++ b/cmd/dapplerouter/fleet_voters.go
@@ -1,7 +1,7 @@
 package main
 
 import (
-	"encoding/json"
+	"errors"
 	"fmt"
 	"net/url"
 	"os"
@@ -12,6 +12,31 @@
 	"dapplerouter/fleet/agent"
 )
 
+type votersCommands struct {
+	Add     votersAddCommand     `cmd:"" help:"Make a front a voter; it is started with (voter FILE) (joins)."`
+	Remove  votersRemoveCommand  `cmd:"" help:"Make a voter one no more; it is started again without its file."`
+	Recover votersRecoverCommand `cmd:"" help:"Go on from one voter's disk, where most voters have lost theirs."`
+}
+
+type votersAddCommand struct {
+	Name    string `arg:"" help:"The front's name."`
+	Address string `arg:"" help:"Where its mesh listens."`
+	adminClient
+}
+
+func (c *votersAddCommand) run() int {
+	return c.post("/v1/fleet/voters/add", url.Values{"name": {c.Name}, "address": {c.Address}}, c.Name+" is a voter")
+}
+
+type votersRemoveCommand struct {
+	Name string `arg:"" help:"The voter's name."`
+	adminClient
+}
+
+func (c *votersRemoveCommand) run() int {
+	return c.post("/v1/fleet/voters/remove", url.Values{"name": {c.Name}}, c.Name+" is no voter any more")
+}
+
 // votersRecoverCommand makes a voter whose disk survived the only one, where a majority of the voters has lost its disks.
 type votersRecoverCommand struct {
 	Reason  string `required:"" placeholder:"TEXT" help:"Why, for the log and the history."`
@@ -32,10 +57,15 @@
 
 const (
 	recoveryPollInterval = 200 * time.Millisecond
-	maxRecoveryTime      = 30 * time.Second // beyond the wait for leases
+	maxRecoveryTime      = 30 * time.Second // beyond the wait until leases have expired
 )
 
-// Help is shown by --help.
+var (
+	errRecoveryTimeout = errors.New("the recovery does not end: see the front's log")
+	errRecoveryRefused = errors.New("refused")
+)
+
+// Help returns what --help shows below the usage.
 func (*votersRecoverCommand) Help() string { return recoveryCost }
 
 func (c *votersRecoverCommand) run() int {
@@ -45,27 +75,19 @@
 		return exitNegative
 	}
 	var s agent.RecoveryStatus
-	if err := c.call("POST", "/v1/fleet/voters/recover", url.Values{"confirm": {"yes"}, "reason": {c.Reason}}, &s); err != nil {
+	if err := c.send("/v1/fleet/voters/recover", url.Values{"confirm": {"yes"}, "reason": {c.Reason}}, &s); err != nil {
 		return exitCode(err)
 	}
 	fmt.Fprintln(os.Stderr, recoveryCost)
 	fmt.Fprintf(os.Stderr, "dapplerouter: waiting %.1f s until leases of the lost voters have expired\n", s.WaitSeconds)
-	end := time.Now().Add(time.Duration(s.WaitSeconds*float64(time.Second)) + maxRecoveryTime)
-	for s.State == fleet.RecoveryWaiting || s.State == fleet.RecoveryWriting {
-		if time.Now().After(end) {
-			fmt.Fprintln(os.Stderr, "dapplerouter: the recovery does not end: see the front's log")
-			return exitUnusable
-		}
-		time.Sleep(recoveryPollInterval)
-		if err := c.call("GET", "/v1/fleet/voters/recovery", nil, &s); err != nil {
-			return exitCode(err)
-		}
+	if err := c.awaitRecovery(&s); err != nil {
+		return exitCode(err)
 	}
 	if c.JSON {
-		json.NewEncoder(os.Stdout).Encode(s)
+		printJSON(s)
 	}
 	if s.State != fleet.RecoveryDone {
-		fmt.Fprintf(os.Stderr, "dapplerouter: refused: %s\n", s.Fault)
+		printError(fmt.Errorf("%w: %s", errRecoveryRefused, s.Fault))
 		return exitNegative
 	}
 	if !c.JSON {
@@ -73,3 +95,18 @@
 	}
 	return exitOK
 }
+
+// awaitRecovery polls the recovery's status until it is over, refused or taken too long.
+func (c *votersRecoverCommand) awaitRecovery(s *agent.RecoveryStatus) error {
+	end := time.Now().Add(time.Duration(s.WaitSeconds*float64(time.Second)) + maxRecoveryTime)
+	for s.State == fleet.RecoveryWaiting || s.State == fleet.RecoveryWriting {
+		if time.Now().After(end) {
+			return errRecoveryTimeout
+		}
+		time.Sleep(recoveryPollInterval)
+		if err := c.get("/v1/fleet/voters/recovery", s); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- a/cmd/dapplerouter/gateway.go
+++ b/cmd/dapplerouter/gateway.go
@@ -2,7 +2,6 @@
 
 import (
 	"crypto/rand"
-	"crypto/tls"
 	"encoding/binary"
 	"slices"
 	"time"
@@ -16,65 +15,82 @@
 	"dapplerouter/sockets"
 )
 
-// gatewayCommand is one site's instance of a gateway between two: a front with a link to its peer.
+// gatewayCommand runs one site's instance of a gateway between two: a front with a link to its peer.
 type gatewayCommand struct {
 	File string `required:"" env:"DAPPLEROUTER_FILE" type:"path" placeholder:"FILE" help:"The operator's own file, with its gateway form."`
 }
 
-func (g *gatewayCommand) run() int { return (&serveCommand{File: g.File}).serve(true) }
+func (c *gatewayCommand) run() int { return runProcess(c.File, loadGatewayConfig) }
 
-// gatewayLink is a link in use.
+// gatewayLink is the subsystem that links a gateway to its peer.
 type gatewayLink struct {
 	link       *link.Link
-	dispatcher *link.Dispatcher
+	dispatcher *link.Dispatcher // the pools of a gateway: groups at this site, groups at the peer
 	peer       string
 }
 
-// newGatewayLink makes the link that a gateway form tells of, nil for none, and gives the site the peer's zone.
-func newGatewayLink(c *gateway.Config, told *deployment.Instance, clock *sockets.Clock, post func(front.Event), local front.Pools,
-	parse func([]byte) (pgwire.Statement, error)) (*gatewayLink, error) {
-	if c == nil {
-		return nil, nil
-	}
-	if !slices.Contains(told.Settings.ZoneNames, c.PeerSite) {
-		told.Settings.ZoneNames = append(slices.Clone(told.Settings.ZoneNames), c.PeerSite)
-		told.Settings.Topology.ZoneCount++
+type gatewayLinkOptions struct {
+	config   *gateway.Config
+	instance *deployment.Instance
+	clock    *sockets.Clock
+	post     func(front.Event)
+	local    front.Pools // of groups at this site
+	parse    func([]byte) (pgwire.Statement, error)
+}
+
+// newGatewayLink makes the link that the gateway form describes. It adds the peer to the zones of the instance's settings.
+func newGatewayLink(o gatewayLinkOptions) (*gatewayLink, error) {
+	c := o.config
+	if settings := o.instance.Settings; !slices.Contains(settings.ZoneNames, c.PeerSite) {
+		settings.ZoneNames = append(slices.Clone(settings.ZoneNames), c.PeerSite)
+		settings.Topology.ZoneCount++
 	}
-	o := link.Options{LocalSite: c.LocalSite, PeerSite: c.PeerSite, Address: c.Address, Listen: c.Listen, Settings: c.Settings, Clock: clock,
-		Groups: c.Groups, Post: post, ParseStatement: parse}
-	var epoch [8]byte
-	rand.Read(epoch[:])
-	o.Epoch = binary.LittleEndian.Uint64(epoch[:]) | 1
+	lo := link.Options{LocalSite: c.LocalSite, PeerSite: c.PeerSite, Address: c.Address, Listen: c.Listen, Settings: c.Settings, Clock: o.clock,
+		Groups: c.Groups, Post: o.post, ParseStatement: o.parse, Epoch: newEpoch()}
 	if c.KeyFile != "" {
-		var keys *tls.Config
-		var err error
-		if keys, err = (framing.KeyFiles{Key: c.KeyFile, Certificate: c.CertificateFile, Trust: c.TrustFile}).TLSConfig(c.PeerSite); err != nil {
+		keys, err := (framing.KeyFiles{Key: c.KeyFile, Certificate: c.CertificateFile, Trust: c.TrustFile}).TLSConfig(c.PeerSite)
+		if err != nil {
 			return nil, err
 		}
-		o.TLS = keys
+		lo.TLS = keys
 	}
-	l, err := link.New(o)
+	l, err := link.New(lo)
 	if err != nil {
 		return nil, err
 	}
-	return &gatewayLink{l, &link.Dispatcher{Local: local, Remote: l}, c.PeerSite}, nil
+	return &gatewayLink{l, &link.Dispatcher{Local: o.local, Remote: l}, c.PeerSite}, nil
 }
 
-// Name, Start and the others are those of a part.
-func (b *gatewayLink) Name() string { return "link" }
+// newEpoch returns a number that tells this start of the process from others; it is not 0.
+func newEpoch() uint64 {
+	var b [8]byte
+	rand.Read(b[:]) // never fails
+	return binary.LittleEndian.Uint64(b[:]) | 1
+}
 
-func (b *gatewayLink) Start() error {
-	b.link.Run()
+// Name is the link's name in the log.
+func (g *gatewayLink) Name() string { return "link" }
+
+// Start starts the link, which comes up and goes down from now on by itself.
+func (g *gatewayLink) Start() error {
+	g.link.Run()
 	return nil
 }
 
-func (b *gatewayLink) Totals() []any {
-	n, state, ours, theirs := b.link.Counters()
-	return []any{"peer", b.peer, "state", state, "ours", ours, "theirs", theirs, "crossed", n.Forwarded, "answered", n.Answered,
-		"doubts", n.OutcomeUnknown, "recovered", n.Recovered, "proven_never", n.ProvenNotExecuted, "lost_for_good", n.OutcomeLost,
-		"refused", n.Rejected, "late", n.LateResults, "repeated", n.Duplicates}
+// Totals returns attributes for a line of the log.
+func (g *gatewayLink) Totals() []any {
+	n, state, ours, theirs := g.link.Counters()
+	return []any{"peer", g.peer, "state", state, "in_flight", ours, "in_flight_of_peer", theirs,
+		"forwarded", n.Forwarded, "answered", n.Answered, "outcome_unknown", n.OutcomeUnknown, "recovered", n.Recovered,
+		"proven_not_executed", n.ProvenNotExecuted, "outcome_lost", n.OutcomeLost, "rejected", n.Rejected, "late", n.LateResults,
+		"duplicates", n.Duplicates}
 }
 
-func (b *gatewayLink) DiscoveryMoved(string) {}
-func (b *gatewayLink) Drain(time.Duration)   {}
-func (b *gatewayLink) Close()                { b.link.Close() }
+// DiscoveryMoved changes nothing: the link does not use discovery.
+func (g *gatewayLink) DiscoveryMoved(string) {}
+
+// Drain changes nothing: the peer's requests in flight are answered while the server drains.
+func (g *gatewayLink) Drain(time.Duration) {}
+
+// Close ends the link.
+func (g *gatewayLink) Close() { g.link.Close() }
--- a/cmd/dapplerouter/json_output_fixture_test.go
+++ b/cmd/dapplerouter/json_output_fixture_test.go
@@ -28,13 +28,13 @@
 		exit int
 	}{
 		{"fleet-status", []string{"fleet", "status", "--json", "--control", socket}, exitOK},
-		{"fleet-leases", []string{"fleet", "duties", "--json", "--control", socket}, exitNegative},
-		{"fleet-transfer", []string{"fleet", "hand", "list", "--to", "n2", "--json", "--control", socket}, exitOK},
+		{"fleet-leases", []string{"fleet", "leases", "--json", "--control", socket}, exitNegative},
+		{"fleet-transfer", []string{"fleet", "transfer", "list", "--to", "n2", "--json", "--control", socket}, exitOK},
 		{"fleet-publish", []string{"fleet", "publish", "testdata/json/rules.sexp", "--json", "--control", socket}, exitOK},
 		{"fleet-roll-status", []string{"fleet", "roll", "status", "--json", "--control", socket}, exitNegative},
 		{"fleet-roll-back", []string{"fleet", "roll", "back", "--why", "slower", "--json", "--control", socket}, exitOK},
 		{"fleet-voters-add", []string{"fleet", "voters", "add", "n9", "10.0.0.9:7500", "--json", "--control", socket}, exitOK},
-		{"fleet-voters-remove", []string{"fleet", "keepers", "remove", "n2", "--json", "--control", socket}, exitOK},
+		{"fleet-voters-remove", []string{"fleet", "voters", "remove", "n2", "--json", "--control", socket}, exitOK},
 		{"fleet-voters-recover", []string{"fleet", "voters", "recover", "--reason", "disks", "--confirm", "--json", "--control", socket}, exitNegative},
 		{"audit-at", []string{"fleet", "audit", "at", "2026-12-01T18:00:02Z", "--json", "--dir", "testdata/audit"}, exitOK},
 		{"audit-request", []string{"fleet", "audit", "request", "t2-1", "--json", "--dir", "testdata/audit"}, exitOK},
@@ -48,7 +48,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			want, err := os.ReadFile(filepath.Join("testdata/json", c.name+".jsonl"))
 			require.NoError(t, err)
-			exit, out := standardOutputOf(t, c.args)
+			exit, out := standardOutputOf(t, c.args, io.Discard)
 			assert.Equal(t, c.exit, exit)
 			assert.Equal(t, string(want), explanation.ReplaceAllString(out, `"$1":"..."`))
 		})
@@ -75,15 +75,16 @@
 	s.HandleGet("/v1/fleet/roll", answer("roll"))
 	s.HandleGet("/v1/fleet/voters/recovery", answer("recovery"))
 	s.HandlePost("/v1/fleet/voters/recover", answer("recover"))
-	for _, path := range []string{"/v1/fleet/hand", "/v1/fleet/roll", "/v1/fleet/keepers/add", "/v1/fleet/keepers/remove"} {
+	for _, path := range []string{"/v1/fleet/transfer", "/v1/fleet/roll", "/v1/fleet/voters/add", "/v1/fleet/voters/remove"} {
 		s.HandlePost(path, answer("changed"))
 	}
+	s.HandlePost("/v1/rejected", func(url.Values) (any, error) { return nil, adminapi.RejectedError("nobody holds it") })
 	s.Start()
 	return socket
 }
 
 // standardOutputOf runs a command line of the program; paths are shown from the package's folder.
-func standardOutputOf(t *testing.T, args []string) (exit int, out string) {
+func standardOutputOf(t *testing.T, args []string, errorOutput io.Writer) (exit int, out string) {
 	t.Helper()
 	r, w, err := os.Pipe()
 	require.NoError(t, err)
@@ -95,7 +96,7 @@
 	}()
 	was := os.Stdout
 	os.Stdout = w
-	exit = runCommandLine(args, io.Discard)
+	exit = runCommandLine(args, errorOutput)
 	os.Stdout = was
 	w.Close()
 	folder, err := os.Getwd()
--- a/cmd/dapplerouter/keys.go
+++ b/cmd/dapplerouter/keys.go
@@ -2,7 +2,7 @@
 
 import (
 	"crypto/sha256"
-	"encoding/json"
+	"crypto/x509"
 	"errors"
 	"fmt"
 	"io/fs"
@@ -13,7 +13,7 @@
 	"dapplerouter/framing"
 )
 
-// keysCommands make and look at the keys of a gateway's link.
+// keysCommands make and check the keys of a gateway's link.
 type keysCommands struct {
 	New   keysNewCommand   `cmd:"" help:"Make a site's key and certificate, or with --root the operator's own root."`
 	Sign  keysSignCommand  `cmd:"" help:"Sign a site's certificate with the root."`
@@ -39,26 +39,26 @@
 	return printKeysResult(err, fmt.Sprintf("%s.key (keep it here) and %s.crt (give it to the peer, or have the root sign it)", k.Site, k.Site))
 }
 
-// createFile writes a file that must not be there yet: a key written over is lost.
+// createFile writes a file that must not exist yet: a key that is overwritten is lost. The error is fs.ErrExist where it does.
 func createFile(path string, data []byte, mode fs.FileMode) error {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode)
 	if errors.Is(err, fs.ErrExist) {
-		return fmt.Errorf("%s is there already; name another folder by --dir, or move it away", path)
+		return fmt.Errorf("%w; name another folder by --dir, or move it away", err)
 	}
 	if err != nil {
 		return err
 	}
-	defer f.Close()
 	_, err = f.Write(data)
-	return err
+	return errors.Join(err, f.Close())
 }
 
-func printKeysResult(err error, good string) int {
+// printKeysResult prints what was done, or why it was not, and returns the exit code.
+func printKeysResult(err error, success string) int {
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "dapplerouter: %v\n", err)
+		printError(err)
 		return exitUnusable
 	}
-	fmt.Println(good)
+	fmt.Println(success)
 	return exitOK
 }
 
@@ -95,6 +95,7 @@
 	JSON  bool     `help:"A line of JSON a certificate instead."`
 }
 
+// run exits with exitNegative where a certificate has expired.
 func (k *keysShowCommand) run() int {
 	exit := exitOK
 	for _, path := range k.Files {
@@ -107,18 +108,7 @@
 			return printKeysResult(fmt.Errorf("%s: %w", path, err), "")
 		}
 		for _, c := range all {
-			print := fmt.Sprintf("%x", sha256.Sum256(c.Raw))
-			if k.JSON {
-				json.NewEncoder(os.Stdout).Encode(map[string]any{"file": path, "site": c.Subject.CommonName, "root": c.IsCA,
-					"signed_by": c.Issuer.CommonName, "from": c.NotBefore, "until": c.NotAfter, "sha256": print})
-			} else {
-				kind := "site"
-				if c.IsCA {
-					kind = "root"
-				}
-				fmt.Printf("%s: %s %s, signed by %s, until %s, sha256 %s\n", path, kind, c.Subject.CommonName, c.Issuer.CommonName,
-					c.NotAfter.Format(time.DateOnly), print)
-			}
+			k.print(path, c)
 			if time.Now().After(c.NotAfter) {
 				exit = exitNegative
 			}
@@ -127,6 +117,21 @@
 	return exit
 }
 
+func (k *keysShowCommand) print(path string, c *x509.Certificate) {
+	fingerprint := fmt.Sprintf("%x", sha256.Sum256(c.Raw))
+	if k.JSON {
+		printJSON(map[string]any{"file": path, "site": c.Subject.CommonName, "root": c.IsCA,
+			"signed_by": c.Issuer.CommonName, "from": c.NotBefore, "until": c.NotAfter, "sha256": fingerprint})
+		return
+	}
+	kind := "site"
+	if c.IsCA {
+		kind = "root"
+	}
+	fmt.Printf("%s: %s %s, signed by %s, until %s, sha256 %s\n", path, kind, c.Subject.CommonName, c.Issuer.CommonName,
+		c.NotAfter.Format(time.DateOnly), fingerprint)
+}
+
 type keysCheckCommand struct {
 	File string `required:"" env:"DAPPLEROUTER_FILE" type:"path" placeholder:"FILE" help:"The operator's file, with its gateway form."`
 }
--- a/cmd/dapplerouter/log.go
+++ b/cmd/dapplerouter/log_queue.go
@@ -5,14 +5,17 @@
 	"time"
 )
 
-// queuedWriter is a log's writer that never holds up who writes: lines wait in a bounded queue, and what does not
-// fit is dropped.
+// queuedWriter is the log's writer. It never blocks: lines wait in a bounded queue for a goroutine that writes them, and a line that
+// finds the queue full is dropped.
 type queuedWriter struct {
 	queue chan []byte
-	done  chan struct{}
+	done  chan struct{} // closed once the last line is written
 }
 
-const maxQueuedLines = 1024
+const (
+	maxQueuedLines = 1024
+	closeLogWithin = time.Second
+)
 
 func newQueuedWriter(w io.Writer) *queuedWriter {
 	q := &queuedWriter{queue: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
@@ -22,12 +25,13 @@
 			if b == nil {
 				return
 			}
-			w.Write(b)
+			_, _ = w.Write(b) // there is nowhere to tell it, and service goes on
 		}
 	}()
 	return q
 }
 
+// Write queues a line. The error is always nil.
 func (q *queuedWriter) Write(b []byte) (int, error) {
 	select {
 	case q.queue <- append([]byte{}, b...):
@@ -36,9 +40,9 @@
 	return len(b), nil
 }
 
-// close writes what is queued, unless nobody reads it.
+// close writes the queued lines, and gives up where nobody reads them in time.
 func (q *queuedWriter) close() {
-	timeout := time.After(time.Second)
+	timeout := time.After(closeLogWithin)
 	select {
 	case q.queue <- nil:
 	case <-timeout:
--- a/cmd/dapplerouter/repeats_test.go
+++ b/cmd/dapplerouter/log_repeats_test.go
@@ -23,9 +23,9 @@
 		return all
 	}
 	for i := range 100 { // a service that is away: a warning each second, of another port each time
-		log.Warn("discovery: the watch ended", "why", fmt.Sprintf("dial tcp 127.0.0.1:%d: refused", 40000+i), "after", time.Duration(i))
+		log.Warn("discovery: the watch ended", "err", fmt.Sprintf("dial tcp 127.0.0.1:%d: refused", 40000+i), "after", time.Duration(i))
 		if i == 5 {
-			log.Warn("discovery: the watch ended", "why", "discovery answered 503")
+			log.Warn("discovery: the watch ended", "err", "discovery answered 503")
 		}
 		now = now.Add(time.Second)
 	}
@@ -40,7 +40,7 @@
 	got = lines()
 	assert.Len(t, got, 3)
 	assert.Contains(t, got[0], "ended_after=9 for=1m39s")
-	log.Warn("discovery: the watch ended", "why", "dial tcp 127.0.0.1:1: refused")
+	log.Warn("discovery: the watch ended", "err", "dial tcp 127.0.0.1:1: refused")
 	assert.NotContains(t, lines()[0], "repeats", "it begins anew")
 	for i := range 400 {
 		log.Warn("odd", "member", fmt.Sprint("s-", i))
--- /dev/null
+++ b/cmd/dapplerouter/operator_file.go
@@ -0,0 +1,149 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"os"
+	"slices"
+	"strings"
+
+	"dapplerouter/config"
+	"dapplerouter/deployment"
+	"dapplerouter/fleet"
+	"dapplerouter/fleet/audit"
+	"dapplerouter/fleet/rollout"
+	"dapplerouter/front"
+	"dapplerouter/gateway"
+	"dapplerouter/sqlclass"
+)
+
+// operatorConfig is the operator's file. A subsystem whose form is absent is off, and nil here.
+type operatorConfig struct {
+	classing         *sqlclass.Settings
+	classingPosition config.Position // of the classing form
+	gateway          *gateway.Config
+	fleet            *fleet.Config
+	rollout          *rollout.Config
+	audit            *audit.Config
+	rules            *deployment.Rules
+	deprecations     []config.Deprecation
+}
+
+// readOperatorFile reads an operator's file. The error is a config.ErrorList where the text is at fault; what could be read is
+// returned all the same.
+func readOperatorFile(path string) (*operatorConfig, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	f, err := config.Parse(path, text)
+	if err != nil {
+		return nil, err
+	}
+	d := f.NewDecoder()
+	o := &operatorConfig{}
+	forms := d.Forms(sqlclass.FormName, gateway.FormName, fleet.FormName, rollout.FormName, audit.FormName, deployment.RulesForm)
+	if form := forms[sqlclass.FormName]; form != nil {
+		o.classing, o.classingPosition = sqlclass.ReadSettings(form), form.Position
+	}
+	if form := forms[gateway.FormName]; form != nil {
+		o.gateway = gateway.ReadConfig(form)
+	}
+	if form := forms[fleet.FormName]; form != nil {
+		o.fleet = fleet.ReadConfig(form)
+	}
+	if form := forms[rollout.FormName]; form != nil {
+		o.rollout = rollout.ReadConfig(form)
+		o.checkConfigLease(form)
+	}
+	if form := forms[audit.FormName]; form != nil {
+		o.audit = audit.ReadConfig(form)
+	}
+	if form := forms[deployment.RulesForm]; form != nil {
+		o.rules = deployment.ReadRules(form)
+	}
+	for _, name := range []string{rollout.FormName, audit.FormName} {
+		if form := forms[name]; form != nil && o.fleet == nil {
+			form.Errorf(form.Position, "add the form fleet, or take this one away", "%s stands on a fleet, and the file has none", name)
+		}
+	}
+	o.deprecations = d.Deprecations()
+	return o, d.Err()
+}
+
+// checkConfigLease records with the rollout form what in it does not fit the fleet's lease duration.
+func (o *operatorConfig) checkConfigLease(form *config.Form) {
+	if o.fleet == nil || o.fleet.LeaseDuration <= 0 {
+		return
+	}
+	_, err := o.rollout.ConfigLeaseFor(o.fleet.LeaseDuration)
+	var errorList config.ErrorList
+	if errors.As(err, &errorList) {
+		form.Errorf(errorList[0].Position, errorList[0].Remedy, "%s", errorList[0].Message)
+	} else if err != nil {
+		form.Errorf(form.Position, "", "%v", err)
+	}
+}
+
+// logDeprecations writes one warning for all deprecated forms of the file.
+func (o *operatorConfig) logDeprecations(file string) {
+	if len(o.deprecations) > 0 {
+		slog.Warn("deprecated forms in the operator file", "file", file, "forms", describeDeprecations(o.deprecations))
+	}
+}
+
+// describeDeprecations names each deprecated form once, with the one that replaces it.
+func describeDeprecations(all []config.Deprecation) string {
+	var forms []string
+	for _, d := range all {
+		if form := fmt.Sprintf("%s (now %s)", d.Old, d.New); !slices.Contains(forms, form) {
+			forms = append(forms, form)
+		}
+	}
+	return strings.Join(forms, ", ")
+}
+
+// checkAgainst returns what in the file does not fit the instance that is to run with it.
+func (o *operatorConfig) checkAgainst(instance *deployment.Instance) error {
+	if g := o.gateway; g != nil && 2*(g.Settings.CreditBytes+g.Settings.RetainedBytes) > instance.MemoryBytes/2 {
+		return config.ErrorList{{Position: g.Position, Message: fmt.Sprintf("credit and kept of %d and %d bytes are too much for the %d told",
+			g.Settings.CreditBytes, g.Settings.RetainedBytes, instance.MemoryBytes), Remedy: "make them smaller: twice both may be half of the memory"}}
+	}
+	if o.fleet != nil {
+		if err := o.fleet.CheckName(instance.Name); err != nil {
+			return err
+		}
+	}
+	if err := o.rules.Validate(instance.Settings); err != nil {
+		return err
+	}
+	if o.classing == nil {
+		return nil
+	}
+	if o.classing.CacheBytes > instance.MemoryBytes/4 {
+		return config.ErrorList{{Position: o.classingPosition, Message: fmt.Sprintf("a cache of %d bytes is more than a quarter of the %d told",
+			o.classing.CacheBytes, instance.MemoryBytes), Remedy: "make the cache smaller"}}
+	}
+	return front.ValidateClassification(o.classing, instance.Settings)
+}
+
+// loadOperatorConfig reads the file and checks it against the instance; without a file every subsystem is off.
+func loadOperatorConfig(path string, instance *deployment.Instance) (*operatorConfig, error) {
+	if path == "" {
+		return &operatorConfig{}, nil
+	}
+	o, err := readOperatorFile(path)
+	if err == nil {
+		err = o.checkAgainst(instance)
+	}
+	return o, err
+}
+
+// newClassifier returns the classifier of the classing form, or nil where statements are not classified.
+func (o *operatorConfig) newClassifier() *front.Classifier {
+	if o.classing == nil {
+		return nil
+	}
+	return &front.Classifier{Classifier: o.classing.NewClassifier(), UndeclaredWriteEffect: o.classing.UndeclaredWrites}
+}
--- a/cmd/dapplerouter/retry.go
+++ b/cmd/dapplerouter/retry.go
@@ -14,7 +14,7 @@
 	"dapplerouter/deployment"
 )
 
-// How long what may fail for a moment is tried again. The platform waits 30 s for a front that starts, and 10 s for nine in ten.
+// How long operations that fail transiently are retried. The platform waits 30 s for a front that starts, and 10 s for nine in ten.
 const (
 	startTimeout   = 15 * time.Second
 	reloadTimeout  = time.Minute
@@ -22,64 +22,72 @@
 	maxBackoff     = 250 * time.Millisecond
 )
 
-// retry calls an operation until it succeeds, fails for good, or time is up; each failure of another kind is logged. It returns the
-// last error.
-func retry[T any](ctx context.Context, what string, within time.Duration, lasting func(error) bool, operation func() (T, error)) (T, error) {
+// retried is an operation that may fail transiently.
+type retried[T any] struct {
+	name        string // for the log
+	timeout     time.Duration
+	isPermanent func(error) bool // retrying would not help
+	call        func() (T, error)
+}
+
+// do calls the operation until it succeeds, fails permanently, its timeout is over or ctx ends; it returns the last error. Of several
+// equal errors in a row only the first is logged.
+func (r retried[T]) do(ctx context.Context) (T, error) {
 	pause := backoff.NewExponentialBackOff()
 	pause.InitialInterval, pause.MaxInterval = initialBackoff, maxBackoff
-	said := ""
+	logged := ""
 	return backoff.Retry(ctx, func() (T, error) {
-		result, err := operation()
-		if err != nil && lasting(err) {
+		result, err := r.call()
+		if err != nil && r.isPermanent(err) {
 			return result, backoff.Permanent(err)
 		}
-		if err != nil && err.Error() != said {
-			said = err.Error()
-			slog.Warn(what+" failed; it is tried again", "why", err)
+		if err != nil && err.Error() != logged {
+			logged = err.Error()
+			slog.Warn("operation failed; retrying", "operation", r.name, "err", err)
 		}
 		return result, err
-	}, backoff.WithBackOff(pause), backoff.WithMaxElapsedTime(within))
+	}, backoff.WithBackOff(pause), backoff.WithMaxElapsedTime(r.timeout))
 }
 
-// loadInstance reads what the front is told at its start.
+// loadInstance reads the configuration that EDGE_CONFIG names, at the start.
 func loadInstance(ctx context.Context) (*deployment.Instance, error) {
-	return retry(ctx, "reading the configuration", startTimeout, isPermanentConfigError, func() (*deployment.Instance, error) {
+	return retried[*deployment.Instance]{"load configuration", startTimeout, isPermanentConfigError, func() (*deployment.Instance, error) {
 		return deployment.Load(os.Getenv, os.ReadFile)
-	})
+	}}.do(ctx)
 }
 
 // reloadInstance reads the configuration again.
 func reloadInstance(ctx context.Context) (*deployment.Instance, error) {
-	return retry(ctx, "reading the new configuration", reloadTimeout, isPermanentConfigError, func() (*deployment.Instance, error) {
+	return retried[*deployment.Instance]{"reload configuration", reloadTimeout, isPermanentConfigError, func() (*deployment.Instance, error) {
 		return deployment.Reload(os.Getenv, os.ReadFile)
-	})
+	}}.do(ctx)
 }
 
-// isPermanentConfigError tells whether another reading of the configuration would find it as it is.
+// isPermanentConfigError tells whether the configuration would be found the same when read again.
 func isPermanentConfigError(err error) bool {
-	var fault *deployment.KeyError
-	return !errors.As(err, &fault) || !fault.Transient
+	var keyError *deployment.KeyError
+	return !errors.As(err, &keyError) || !keyError.Transient
 }
 
 // listen opens the listener for clients.
 func listen(ctx context.Context, address string) (*net.TCPListener, error) {
-	return retry(ctx, "listening", startTimeout, isPermanentListenError, func() (*net.TCPListener, error) {
+	return retried[*net.TCPListener]{"listen", startTimeout, isPermanentListenError, func() (*net.TCPListener, error) {
 		l, err := net.Listen("tcp", address)
 		if err != nil {
 			return nil, err
 		}
 		return l.(*net.TCPListener), nil
-	})
+	}}.do(ctx)
 }
 
-// isPermanentListenError tells whether listening would fail in the same way again: the address is none, or not for this process. What
-// Linux names otherwise may pass: EADDRINUSE of a process that is about to end, ENFILE, ENOBUFS, EADDRNOTAVAIL and the like.
+// isPermanentListenError tells whether listening would fail in the same way again: the address is invalid, or not for this process.
+// The other errors of Linux may pass: EADDRINUSE of a process that is about to end, ENFILE, ENOBUFS, EADDRNOTAVAIL and the like.
 func isPermanentListenError(err error) bool {
-	var number syscall.Errno
-	if !errors.As(err, &number) {
+	var errno syscall.Errno
+	if !errors.As(err, &errno) {
 		return true
 	}
-	switch number {
+	switch errno {
 	case syscall.EACCES, syscall.EPERM, syscall.EINVAL, syscall.EAFNOSUPPORT:
 		return true
 	}
--- a/cmd/dapplerouter/serve.go
+++ b/cmd/dapplerouter/serve.go
@@ -2,284 +2,98 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"log/slog"
 	"math"
-	"net"
 	"os"
 	"os/signal"
 	"runtime"
 	"runtime/debug"
 	"syscall"
-	"time"
 
 	"dapplerouter/deployment"
-	"dapplerouter/discovery"
-	"dapplerouter/fleet/agent"
-	"dapplerouter/front"
-	"dapplerouter/gateway"
-	"dapplerouter/gateway/link"
-	"dapplerouter/pgwire"
-	"dapplerouter/router"
-	"dapplerouter/routing"
-	"dapplerouter/sockets"
 )
 
-// The upstreamUser and database that members are greeted with.
-const (
-	upstreamUser     = "portal"
-	upstreamDatabase = "crm"
-)
-
-// How long a stop may take. The platform sends SIGKILL no sooner than the longest deadline, counted as longestCounted at most, and
-// killAfter behind SIGTERM. The front may be held up once on the way, connections linger until their clients have read the last of
-// what they were sent, and the signal itself takes a moment: so much sooner whatever is still out gets its answer.
-const (
-	maxCountedDeadline = 3 * time.Second
-	killDelay          = 700 * time.Millisecond
-	maxSuspension      = 150 * time.Millisecond
-	drainSafetyMargin  = 2*maxSuspension + sockets.MaxCloseLinger
-)
-
-// drainTimeout is how long after SIGTERM requests may stay out, for a longest deadline.
-func drainTimeout(longest time.Duration) time.Duration {
-	return min(longest, maxCountedDeadline) + killDelay - drainSafetyMargin
-}
-
-// serveCommand is the front: what deploy/balancer.toml runs, with what EDGE_CONFIG tells.
+// serveCommand runs a front: what deploy/balancer.toml starts, configured by EDGE_CONFIG and the operator's file.
 type serveCommand struct {
 	File string `env:"DAPPLEROUTER_FILE" type:"path" placeholder:"FILE" help:"The operator's own file; what is new is off without it."`
 }
 
-func (s *serveCommand) run() int { return s.serve(false) }
+func (c *serveCommand) run() int { return runProcess(c.File, loadFrontConfig) }
 
-// serve is a front or, where asked, a gateway, which the file must then tell of.
-func (s *serveCommand) serve(asked bool) int {
-	level := slog.LevelInfo
-	if os.Getenv("EDGE_LOG") == "debug" {
-		level = slog.LevelDebug
-	}
-	stopAsked, rereadAsked := make(chan os.Signal, 1), make(chan os.Signal, 1)
-	signal.Notify(stopAsked, syscall.SIGTERM, os.Interrupt)
-	signal.Notify(rereadAsked, syscall.SIGHUP) // before the configuration is read: what changes behind that is read again
-	signal.Ignore(syscall.SIGPIPE)             // of whoever read the log
-	out := newQueuedWriter(os.Stderr)
-	defer out.close()
-	slog.SetDefault(slog.New(newRepeatedWarnings(slog.NewTextHandler(out, &slog.HandlerOptions{Level: level}))))
-	told, err := loadInstance(context.Background())
-	if err != nil {
-		slog.Error("what is told at the start cannot be used", "why", err)
-		return 2
-	}
-	operator, err := loadOperatorConfig(s.File, told)
-	if err == nil && asked && operator.gateway == nil {
-		err = fmt.Errorf("%s has no form gateway", s.File)
+// loadFrontConfig is loadOperatorConfig for a front, which makes no use of the gateway form.
+func loadFrontConfig(path string, instance *deployment.Instance) (*operatorConfig, error) {
+	o, err := loadOperatorConfig(path, instance)
+	if err == nil {
+		o.gateway = nil
 	}
-	if err != nil {
-		for _, why := range splitErrors(err) {
-			slog.Error("the operator's file cannot be used", "why", why)
-		}
-		return 2
-	}
-	runtime.GOMAXPROCS(max(1, int(math.Ceil(told.Cores))))
-	debug.SetMemoryLimit(heapLimit(told.MemoryBytes))
-	if !asked {
-		operator.gateway = nil
-	}
-	if err := serve(told, operator, stopAsked, rereadAsked, func(net.Addr, *gatewayLink) {}); err != nil {
-		slog.Error("ended", "why", err)
-		return 1
-	}
-	return 0
+	return o, err
 }
 
-// serve is a front until a stop is asked for; ready hears where it listens.
-func serve(told *deployment.Instance, operator *operatorConfig, stopAsked, rereadAsked <-chan os.Signal, ready func(net.Addr, *gatewayLink)) error {
-	ctx, end := context.WithCancel(context.Background())
-	defer end()
-	clock := sockets.NewClock()
-	room := sockets.NewDescriptors(told.MaxDescriptors, deployment.ReservedDescriptors)
-	allowed := told.Settings.Limits
-	var core *front.Core
-	post := func(e front.Event) { core.Post(e) }
-	var fellows *agent.Agent
-	seen := post // by the fleet on its way, where there is one
-	if operator.fleet != nil {
-		seen = func(e front.Event) { fellows.Prober.OnFrontEvent(e) }
-	}
-	links := sockets.NewPools(seen, room, upstreamUser, upstreamDatabase, allowed.DialTimeout, allowed.IdleConnTimeout,
-		told.MemoryBytes)
-	directory := sockets.NewWatcher(ctx, discovery.NewClient(told.Discovery, told.CachedList.Index), seen,
-		sockets.NewJitter(told.Seed))
-	classing, parse := operator.newClassifier(), pgwire.ParseStatement
-	if classing != nil {
-		parse = func(body []byte) (pgwire.Statement, error) { return pgwire.ParseClassified(body, classing.Classifier) }
-	}
-	var ways front.Pools = links
-	across, err := newGatewayLink(operator.gateway, told, clock, post, links, parse)
-	if err != nil {
-		return err
-	}
-	var all subsystems
-	if across != nil {
-		ways = across.dispatcher
-		all = append(all, across)
-	}
-	if operator.fleet != nil {
-		forms := agent.Config{Fleet: operator.fleet, Rollout: operator.rollout, Audit: operator.audit, Rules: operator.rules}
-		if fellows, err = agent.New(forms, told, directory, version); err != nil {
-			return err
-		}
-		fellows.Clock, fellows.StartedAt, fellows.Post = clock.Now, clock.StartedAt, post
-		fellows.Prober.Pools, fellows.Prober.Post = ways, post
-		ways = fellows.Prober
-		all = append(all, fellows)
-	}
-	core = front.NewCore(clock.StartedAt, told.Seed, told.Settings, router.New, ways, directory, classing)
-	if fellows != nil {
-		core.JoinFleet(fellows.CoreHooks())
-	} else if operator.rules != nil {
-		post(front.AdoptConfig{Rules: operator.rules})
-	}
-	if across != nil {
-		core.SetStaticEndpoints(link.RemoteEntries(operator.gateway.PeerSite, operator.gateway.Groups, gateway.Connecting))
-	}
-	for _, why := range told.SkippedEndpoints {
-		slog.Warn("an entry of the known list is passed over", "why", why)
-	}
-	seen(front.EndpointsChanged{Kind: routing.CachedSnapshot, List: told.CachedList})
-	longest := time.Duration(0)
-	for _, ty := range told.Settings.RequestTypes {
-		longest = max(longest, ty.Deadline)
-	}
-	server := sockets.NewServer(post, room, clock, longest, told.MemoryBytes)
-	if fellows != nil {
-		fellows.OnStandby = func(on bool) { server.SetStandby(on, operator.fleet.LeaseDuration) }
-	}
-	go core.Run(clock, ctx.Done())
-	if err := all.start(); err != nil {
-		return err
-	}
-	defer all.close()
-	if !told.Settings.Topology.PullEndpoints {
-		directory.Follow()
-	}
+// errNoGateway is returned for an operator's file that the gateway command can't use.
+var errNoGateway = errors.New("the file has no form gateway")
 
-	listener, err := listen(ctx, told.Listen)
-	if err != nil {
-		return err
-	}
-	if classing != nil {
-		links.AllowAnyResult()
-		server.SetParser(parse)
-		slog.Info("statements are classed", "cache", operator.classing.CacheBytes, "rules", len(classing.Rules()))
-	}
-	ready(listener.Addr(), across)
-	slog.Info("serving", "name", told.Name, "listen", told.Listen, "cores", told.Cores, "memory", told.MemoryBytes,
-		"sockets", told.MaxDescriptors, "members", len(told.CachedList.Endpoints))
-	go logTotalsPeriodically(ctx, core, room)
-	if len(all) > 0 {
-		go runPeriodically(ctx, all.logTotals)
-	}
-	go reloadOnSignal(ctx, rereadAsked, told, func(address string) { directory.SetAddress(address); all.discoveryMoved(address) })
-	served := make(chan error, 1)
-	go func() { served <- server.Serve(listener) }()
-	var failed error
-	select {
-	case failed = <-served: // what was taken is owed its answer all the same
-		served <- nil
-		slog.Error("no more clients can be accepted", "why", failed)
-	case <-stopAsked:
-	}
-	until := time.Now().Add(drainTimeout(longest))
-	slog.Info("draining")
-	server.Drain(listener)
-	all.drain(time.Second)
-	if err := <-served; err != nil && failed == nil {
-		failed = err
-	}
-	whole := server.Wait(time.Until(until))
-	if !whole { // what is still out gets its answer now: whoever asked for the stop will not wait for ever
-		core.Post(front.Shutdown{})
-		server.Close()
-		whole = server.Wait(2 * time.Second)
+// loadGatewayConfig is loadOperatorConfig for the gateway command, which needs a file with the gateway form.
+func loadGatewayConfig(path string, instance *deployment.Instance) (*operatorConfig, error) {
+	o, err := loadOperatorConfig(path, instance)
+	if err == nil && o.gateway == nil {
+		err = fmt.Errorf("%s: %w", path, errNoGateway)
 	}
-	core.Post(front.LogTotals{Extra: resourceUsage(room)})
-	slog.Info("drained", "all", whole, "refused", server.RejectedWhileDraining())
-	return failed
+	return o, err
 }
 
-// reloadOnSignal takes the file in again each time that it is asked for. One that cannot be opened or is not whole is tried again, until the
-// next signal asks anew. What cannot be used is logged and changes nothing; what takes a restart is logged too. It goes on while the
-// front drains.
-func reloadOnSignal(ctx context.Context, asked <-chan os.Signal, told *deployment.Instance, move func(address string)) {
-	read := make(chan *deployment.Instance)
-	giveUp := func() {}
-	for {
-		select {
-		case <-asked:
-			giveUp()
-			var attempt context.Context
-			attempt, giveUp = context.WithCancel(ctx)
-			go reloadOnce(attempt, read)
-		case next := <-read:
-			slog.Info("the file is read again", "discovery", next.Discovery)
-			for _, key := range told.RestartKeys(next) {
-				slog.Warn("a change takes a restart", "key", key)
-			}
-			move(next.Discovery)
-		case <-ctx.Done():
-			giveUp()
-			return
-		}
+// runProcess runs a front or gateway until it is stopped, and returns the exit code. The process is the service's alone: its signals,
+// its log and its limits are set here.
+func runProcess(file string, load func(path string, instance *deployment.Instance) (*operatorConfig, error)) int {
+	// Before the configuration is read: a SIGHUP for a change behind that reading is not missed.
+	stop, reload := notifySignals()
+	logOutput := newQueuedWriter(os.Stderr)
+	defer logOutput.close()
+	setDefaultLogger(logOutput)
+	instance, err := loadInstance(context.Background())
+	if err != nil {
+		slog.Error("instance configuration invalid", "err", err)
+		return exitUnusable
 	}
-}
-
-// reloadOnce brings the file as it is now, unless it is given up before.
-func reloadOnce(ctx context.Context, read chan<- *deployment.Instance) {
-	next, err := reloadInstance(ctx)
-	switch {
-	case ctx.Err() != nil:
-	case err != nil:
-		slog.Error("the new file cannot be used; the old values stay", "why", err)
-	default:
-		select {
-		case read <- next:
-		case <-ctx.Done():
+	operator, err := load(file, instance)
+	if err != nil {
+		for _, err := range splitErrors(err) {
+			slog.Error("operator file invalid", "err", err)
 		}
+		return exitUnusable
+	}
+	operator.logDeprecations(file)
+	runtime.GOMAXPROCS(max(1, int(math.Ceil(instance.Cores))))
+	debug.SetMemoryLimit(heapLimit(instance.MemoryBytes))
+	if err := runService(serviceOptions{instance: instance, operator: operator, stop: stop, reload: reload}); err != nil {
+		slog.Error("service failed", "err", err)
+		return exitNegative
 	}
+	return exitOK
 }
 
-// logTotalsPeriodically writes what passed and what is held to the log at intervals.
-func logTotalsPeriodically(ctx context.Context, core *front.Core, room *sockets.Descriptors) {
-	runPeriodically(ctx, func() { core.Post(front.LogTotals{Extra: resourceUsage(room)}) })
+// notifySignals returns the channels of the signals that stop the service and have it read its configuration again.
+func notifySignals() (stop, reload <-chan os.Signal) {
+	stopSignals, reloadSignals := make(chan os.Signal, 1), make(chan os.Signal, 1)
+	signal.Notify(stopSignals, syscall.SIGTERM, os.Interrupt)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	signal.Ignore(syscall.SIGPIPE) // whoever read the log may be gone
+	return stopSignals, reloadSignals
 }
 
-// runPeriodically calls for a report at intervals, until ctx ends.
-func runPeriodically(ctx context.Context, each func()) {
-	t := time.NewTicker(10 * time.Second)
-	defer t.Stop()
-	for {
-		select {
-		case <-t.C:
-			each()
-		case <-ctx.Done():
-			return
-		}
+// setDefaultLogger sends the log to a writer, without repeated warnings; EDGE_LOG=debug lowers the level.
+func setDefaultLogger(w *queuedWriter) {
+	level := slog.LevelInfo
+	if os.Getenv("EDGE_LOG") == "debug" {
+		level = slog.LevelDebug
 	}
+	slog.SetDefault(slog.New(newRepeatedWarnings(slog.NewTextHandler(w, &slog.HandlerOptions{Level: level}))))
 }
 
-func resourceUsage(room *sockets.Descriptors) []any {
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	clients, links, peak := room.InUse()
-	return []any{"clients", clients, "links", links, "peak", peak, "goroutines", runtime.NumGoroutine(),
-		"memory", m.Sys - m.HeapReleased, "collections", m.NumGC}
-}
-
-// programBytes is room for the program's own pages, which the collector does not count: in a flood 10 MiB were resident beyond its
-// limit.
+// programBytes is kept back for the program's own pages, which the garbage collector does not count: in a flood 10 MiB were resident
+// beyond its limit.
 const programBytes = 12 << 20
 
-// heapLimit is the collector's part of a front's memory, in bytes.
+// heapLimit is the garbage collector's limit, in bytes, for an instance's memory.
 func heapLimit(memory int64) int64 { return max(memory/2, min(memory/4*3, memory-programBytes)) }
