--- a/cmd/dapplerouter/check.go
+++ b/cmd/dapplerouter/check.go
@@ -26,9 +26,6 @@
 		}
 		err = o.checkAgainst(instance)
 	}
-	if o != nil && len(o.deprecations) > 0 {
-		fmt.Fprintf(os.Stderr, "%s: deprecated forms, read for one version: %s\n", c.File, describeDeprecations(o.deprecations))
-	}
 	var errorList config.ErrorList
 	switch {
 	case err == nil:
--- a/cmd/dapplerouter/gateway.go
+++ b/cmd/dapplerouter/gateway.go
@@ -11,8 +11,8 @@
 	"dapplerouter/front"
 	"dapplerouter/gateway"
 	"dapplerouter/gateway/link"
+	"dapplerouter/monotonic"
 	"dapplerouter/pgwire"
-	"dapplerouter/sockets"
 )
 
 // gatewayCommand runs one site's instance of a gateway between two: a front with a link to its peer.
@@ -32,7 +32,7 @@
 type gatewayLinkOptions struct {
 	config   *gateway.Config
 	instance *deployment.Instance
-	clock    *sockets.Clock
+	clock    *monotonic.Clock
 	post     func(front.Event)
 	local    front.Pools // of groups at this site
 	parse    func([]byte) (pgwire.Statement, error)
--- a/cmd/dapplerouter/operator_file.go
+++ b/cmd/dapplerouter/operator_file.go
@@ -3,10 +3,7 @@
 import (
 	"errors"
 	"fmt"
-	"log/slog"
 	"os"
-	"slices"
-	"strings"
 
 	"dapplerouter/config"
 	"dapplerouter/deployment"
@@ -27,7 +24,6 @@
 	rollout          *rollout.Config
 	audit            *audit.Config
 	rules            *deployment.Rules
-	deprecations     []config.Deprecation
 }
 
 // readOperatorFile reads an operator's file. The error is a config.ErrorList where the text is at fault; what could be read is
@@ -68,7 +64,6 @@
 			form.Errorf(form.Position, "add the form fleet, or take this one away", "%s stands on a fleet, and the file has none", name)
 		}
 	}
-	o.deprecations = d.Deprecations()
 	return o, d.Err()
 }
 
@@ -86,24 +81,6 @@
 	}
 }
 
-// logDeprecations writes one warning for all deprecated forms of the file.
-func (o *operatorConfig) logDeprecations(file string) {
-	if len(o.deprecations) > 0 {
-		slog.Warn("deprecated forms in the operator file", "file", file, "forms", describeDeprecations(o.deprecations))
-	}
-}
-
-// describeDeprecations names each deprecated form once, with the one that replaces it.
-func describeDeprecations(all []config.Deprecation) string {
-	var forms []string
-	for _, d := range all {
-		if form := fmt.Sprintf("%s (now %s)", d.Old, d.New); !slices.Contains(forms, form) {
-			forms = append(forms, form)
-		}
-	}
-	return strings.Join(forms, ", ")
-}
-
 // checkAgainst returns what in the file does not fit the instance that is to run with it.
 func (o *operatorConfig) checkAgainst(instance *deployment.Instance) error {
 	if g := o.gateway; g != nil && 2*(g.Settings.CreditBytes+g.Settings.RetainedBytes) > instance.MemoryBytes/2 {
--- a/cmd/dapplerouter/serve.go
+++ b/cmd/dapplerouter/serve.go
@@ -63,7 +63,6 @@
 		}
 		return exitUnusable
 	}
-	operator.logDeprecations(file)
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(instance.Cores))))
 	debug.SetMemoryLimit(heapLimit(instance.MemoryBytes))
 	if err := runService(serviceOptions{instance: instance, operator: operator, stop: stop, reload: reload}); err != nil {
--- a/cmd/dapplerouter/service.go
+++ b/cmd/dapplerouter/service.go
@@ -13,10 +13,13 @@
 	"dapplerouter/front"
 	"dapplerouter/gateway"
 	"dapplerouter/gateway/link"
+	"dapplerouter/limits"
+	"dapplerouter/monotonic"
 	"dapplerouter/pgwire"
 	"dapplerouter/router"
 	"dapplerouter/routing"
-	"dapplerouter/sockets"
+	"dapplerouter/server"
+	"dapplerouter/upstream"
 )
 
 // The user and database of connections to servers.
@@ -32,7 +35,7 @@
 	maxCountedDeadline = 3 * time.Second
 	killDelay          = 700 * time.Millisecond
 	maxSuspension      = 150 * time.Millisecond
-	drainSafetyMargin  = 2*maxSuspension + sockets.MaxCloseLinger
+	drainSafetyMargin  = 2*maxSuspension + server.MaxCloseLinger
 
 	subsystemDrainTimeout = time.Second
 	closeTimeout          = 2 * time.Second // for the last answers, once the server is closed
@@ -64,12 +67,12 @@
 
 // requestPath is what a request passes through: from the server for clients over the core, which decides, to the connections to servers.
 type requestPath struct {
-	clock       *sockets.Clock
-	descriptors *sockets.Descriptors // shared by clients, servers and discovery
-	server      *sockets.Server
+	clock       *monotonic.Clock
+	descriptors *limits.Descriptors // shared by clients, servers and discovery
+	server      *server.Server
 	core        *front.Core
-	upstream    *sockets.Pools
-	endpoints   *sockets.Watcher // follows the endpoint list
+	upstream    *upstream.Pools
+	endpoints   *discovery.Watcher // follows the endpoint list
 	classifier  *front.Classifier
 	parse       func([]byte) (pgwire.Statement, error)
 	maxDeadline time.Duration // of all request types
@@ -97,13 +100,13 @@
 // newService builds a service, which runs nothing yet but the watcher's goroutine.
 func newService(ctx context.Context, o serviceOptions) (*service, error) {
 	s := &service{serviceOptions: o}
-	instance, limits := o.instance, o.instance.Settings.Limits
-	s.clock = sockets.NewClock()
-	s.descriptors = sockets.NewDescriptors(instance.MaxDescriptors, deployment.ReservedDescriptors)
-	s.upstream = sockets.NewPools(s.observe, s.descriptors, upstreamUser, upstreamDatabase, limits.DialTimeout, limits.IdleConnTimeout,
-		instance.MemoryBytes)
-	s.endpoints = sockets.NewWatcher(ctx, discovery.NewClient(instance.Discovery, instance.CachedList.Index), s.observe,
-		sockets.NewJitter(instance.Seed))
+	instance := o.instance
+	s.clock = monotonic.NewClock()
+	s.descriptors = limits.NewDescriptors(limits.SharesOf(instance.MaxDescriptors, deployment.ReservedDescriptors))
+	s.upstream = upstream.NewPools(upstream.Options{Post: s.observe, Limiter: s.descriptors, User: upstreamUser, Database: upstreamDatabase,
+		DialTimeout: instance.Settings.Limits.DialTimeout, IdleTimeout: instance.Settings.Limits.IdleConnTimeout, MemoryBytes: instance.MemoryBytes})
+	s.endpoints = discovery.NewWatcher(ctx, discovery.NewClient(instance.Discovery, instance.CachedList.Index), s.updateEndpoints,
+		discovery.NewJitter(instance.Seed))
 	s.classifier, s.parse = o.operator.newClassifier(), pgwire.ParseStatement
 	if s.classifier != nil {
 		s.parse = func(body []byte) (pgwire.Statement, error) {
@@ -123,12 +126,14 @@
 		}
 		pools = s.fleet.Prober
 	}
-	s.core = front.NewCore(s.clock.StartedAt, instance.Seed, instance.Settings, router.New, pools, s.endpoints, s.classifier)
+	s.core = front.NewCore(front.Options{StartedAt: s.clock.StartedAt, Seed: instance.Seed, Settings: instance.Settings,
+		NewRouter: router.New, Pools: pools, Endpoints: s.endpoints, Classifier: s.classifier})
 	s.prepareCore()
 	for _, ty := range instance.Settings.RequestTypes {
 		s.maxDeadline = max(s.maxDeadline, ty.Deadline)
 	}
-	s.server = sockets.NewServer(s.post, s.descriptors, s.clock, s.maxDeadline, instance.MemoryBytes)
+	s.server = server.New(server.Options{Post: s.post, Limiter: s.descriptors, Clock: s.clock, WriteTimeout: s.maxDeadline,
+		MemoryBytes: instance.MemoryBytes})
 	if s.classifier != nil {
 		s.upstream.AllowAnyResult()
 		s.server.SetParser(s.parse)
@@ -151,6 +156,11 @@
 	s.post(e)
 }
 
+// updateEndpoints passes on what the watcher received.
+func (s *service) updateEndpoints(u discovery.Update) {
+	s.observe(front.EndpointsChanged{Kind: u.Kind, List: u.List})
+}
+
 func (s *service) addGatewayLink() (err error) {
 	s.link, err = newGatewayLink(gatewayLinkOptions{config: s.operator.gateway, instance: s.instance, clock: s.clock, post: s.post,
 		local: s.upstream, parse: s.parse})
@@ -180,12 +190,12 @@
 		s.post(front.AdoptConfig{Rules: s.operator.rules})
 	}
 	if g := s.operator.gateway; g != nil {
-		s.core.SetStaticEndpoints(link.RemoteEntries(g.PeerSite, g.Groups, gateway.Connecting))
+		s.core.SetStaticEndpoints(link.RemoteEndpoints(g.PeerSite, g.Groups, gateway.Connecting))
 	}
 	for _, err := range s.instance.SkippedEndpoints {
 		slog.Warn("endpoint of the cached list skipped", "err", err)
 	}
-	s.observe(front.EndpointsChanged{Kind: routing.CachedSnapshot, List: s.instance.CachedList})
+	s.updateEndpoints(discovery.Update{Kind: routing.CachedSnapshot, List: s.instance.CachedList})
 }
 
 // start starts the core and the subsystems, and listens for clients. Where it returns an error, nothing but the core is left running,
--- a/config/form.go
+++ b/config/form.go
@@ -17,11 +17,10 @@
 	decoder *Decoder
 }
 
-// Decoder collects errors and deprecated names while subsystems read their forms.
+// Decoder collects errors while subsystems read their forms.
 type Decoder struct {
-	file         *File
-	errors       ErrorList
-	deprecations []Deprecation
+	file   *File
+	errors ErrorList
 }
 
 // NewDecoder returns a decoder of the file.
@@ -47,28 +46,21 @@
 
 // Forms returns the file's forms by name. A name that is not known, or is used twice, is an error.
 func (d *Decoder) Forms(known ...string) map[string]*Form {
-	return d.forms(d.file.forms, "the file", known, nil)
+	return d.forms(d.file.forms, "the file", known)
 }
 
-func (d *Decoder) forms(nodes []*Node, within string, known []string, deprecated map[string]string) map[string]*Form {
+func (d *Decoder) forms(nodes []*Node, within string, known []string) map[string]*Form {
 	found := map[string]*Form{}
 	for _, n := range nodes {
 		f := d.decodeForm(n, within)
-		if f == nil {
-			continue
-		}
-		name := f.Name
-		if current, ok := deprecated[name]; ok {
-			d.deprecations = append(d.deprecations, Deprecation{f.Position, name, current})
-			name = current
-		}
 		switch {
-		case !slices.Contains(known, name):
-			d.Errorf(f.Position, nearest(name, known), "%s has no form %s", within, f.Name)
-		case found[name] != nil:
-			d.Errorf(f.Position, "keep one of the two", "%s stands twice in %s, first at %s", f.Name, within, found[name].Position)
+		case f == nil:
+		case !slices.Contains(known, f.Name):
+			d.Errorf(f.Position, nearest(f.Name, known), "%s has no form %s", within, f.Name)
+		case found[f.Name] != nil:
+			d.Errorf(f.Position, "keep one of the two", "%s stands twice in %s, first at %s", f.Name, within, found[f.Name].Position)
 		default:
-			found[name] = f
+			found[f.Name] = f
 		}
 	}
 	return found
@@ -140,7 +132,7 @@
 
 // Forms returns the forms within this one by name, as Decoder.Forms does.
 func (f *Form) Forms(known ...string) map[string]*Form {
-	return f.decoder.forms(f.items, f.Name, known, nil)
+	return f.decoder.forms(f.items, f.Name, known)
 }
 
 // Subforms returns the forms within this one in order, whatever their names.
--- a/fleet/leader.go
+++ b/fleet/leader.go
@@ -3,30 +3,21 @@
 import "time"
 
 // leader is what the leading voter knows beyond the replicated state: when leases expire, and which fronts are alive. All of it
-// is lost with the leader: its successor waits for a whole lease duration before it grants a lease that was not released.
+// is lost with the leader: its successor waits for a full lease duration before it grants a lease that was not released.
 //
 // A renewal counts from when it was received, and only once a majority has confirmed, later than that, that this voter still
 // leads: a leader that was paused or cut off renews nothing that its successor has granted to another meanwhile.
 type leader struct {
-	node  *Node
-	voter *voter
-	since time.Duration // of its leadership
-	ready bool          // all that was committed before its term is applied
-
-	timers         map[string]*leaseTimer
-	members        map[string]*member
-	unconfirmed    []pendingRenewal // received since the last confirmation round began
-	confirming     []pendingRenewal // waiting for a confirmation round
-	heartbeats     uint64
-	tickedAt       time.Duration
-	offloadedAt    time.Duration
-	transfers      map[string]transfer // by lease: transfers that were asked for
-	proposals      proposalMemory
-	declaring      map[string]time.Duration // declarations on their way through the log, with their bounds
-	retryAt        map[string]time.Duration // by front: no join or leave of it is proposed before
-	pausedUntil    map[string]time.Duration // by pauseKey, see backoffEnd
-	duplicates     map[string]*duplicate    // processes that use another process's name
-	configRenewals []pendingRenewal         // received, not confirmed yet
+	node       *Node
+	voter      *voter
+	since      time.Duration // of its leadership
+	ready      bool          // all that was committed before its term is applied
+	heartbeats uint64        // that were sent in its term
+	tickedAt   time.Duration
+	leaseTable
+	memberTable
+	renewalQueue
+	proposals proposalMemory
 }
 
 func newLeader(n *Node, v *voter, now time.Duration) *leader {
@@ -35,14 +26,9 @@
 		voter:       v,
 		since:       now,
 		tickedAt:    now,
-		timers:      map[string]*leaseTimer{},
-		members:     map[string]*member{},
-		transfers:   map[string]transfer{},
+		leaseTable:  newLeaseTable(),
+		memberTable: newMemberTable(),
 		proposals:   newProposalMemory(now),
-		declaring:   map[string]time.Duration{},
-		retryAt:     map[string]time.Duration{},
-		pausedUntil: map[string]time.Duration{},
-		duplicates:  map[string]*duplicate{},
 	}
 }
 
@@ -81,7 +67,7 @@
 
 // tick does what depends on time: it starts confirmation rounds, grants leases that expired, and removes fronts that left.
 func (l *leader) tick(now time.Duration) {
-	l.excusePause(now)
+	l.extendForPause(now)
 	l.startConfirmation(now)
 	recentlyConfirmed := now-l.voter.confirmedAt <= 2*l.node.options.Timing.HeartbeatInterval()
 	if l.node.leader != l || !l.ready || !recentlyConfirmed {
@@ -94,8 +80,8 @@
 	l.voter.process(now)
 }
 
-// excusePause extends all leases and members by a pause of this process, for which others must not pay.
-func (l *leader) excusePause(now time.Duration) {
+// extendForPause extends all leases and members by a pause of this process, during which it could not receive renewals.
+func (l *leader) extendForPause(now time.Duration) {
 	pause := now - l.tickedAt
 	l.tickedAt = now
 	if pause <= 4*l.node.options.Timing.TickInterval() {
@@ -106,7 +92,7 @@
 		timer.progressAt += pause
 	}
 	for _, known := range l.members {
-		known.heardAt += pause
+		known.reportedAt += pause
 	}
 }
 
@@ -127,16 +113,16 @@
 	l.voter.process(now)
 }
 
-// checkLeases grants leases that nobody holds or that expired, and asks for those without progress.
+// checkLeases grants leases that nobody holds or that expired, and requests the release of those without progress.
 func (l *leader) checkLeases(now time.Duration) {
 	due := func(name string, lease *Lease) bool { return l.conditionOf(now, lease, l.timers[name]) != leaseInOrder }
 	for _, name := range sortedMatches(l.node.state.Leases, due) {
 		lease, timer := l.node.state.Leases[name], l.timers[name]
 		switch l.conditionOf(now, lease, timer) {
 		case leaseVacant:
-			l.grant(now, lease, timer, "", "nobody held it", false)
+			l.grant(now, lease, timer, grantOptions{reason: reasonVacant})
 		case leaseExpired:
-			l.grant(now, lease, timer, "", "it ran out", true)
+			l.grant(now, lease, timer, grantOptions{reason: reasonExpired, expired: true})
 		case leaseIdle:
 			l.requestRelease(now, lease, timer)
 		}
@@ -170,8 +156,8 @@
 }
 
 // onApplied updates the timers after a command was applied.
-func (l *leader) onApplied(now time.Duration, c *Command, fault string) {
-	if !l.ready || fault != "" {
+func (l *leader) onApplied(now time.Duration, c *Command, err error) {
+	if !l.ready || err != nil {
 		return
 	}
 	switch c.Op {
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -10,15 +10,12 @@
 // is declared beside the functions that own it.
 type Node struct {
 	options     Options
-	voter       *voter
-	leader      *leader   // where this front is the leader
-	recovery    *Recovery // that was asked for at this front, nil for none
-	isDisplaced bool      // another process has this front's name: it stays out
+	isDisplaced bool // another process has this front's name: it stays out
+	voterRole
 
 	linkState
 	heartbeatState
 	replicationState
-	snapshotState
 	membershipState
 	routingState
 	requestState
@@ -26,13 +23,25 @@
 	mirrorState
 	configLeaseState
 
+	tickedAt time.Duration
+	outbox
+}
+
+// voterRole is the part of a front in consensus; a follower has none.
+type voterRole struct {
+	voter    *voter    // where this front has a voter's disk
+	leader   *leader   // where its voter leads
+	recovery *Recovery // that was requested at this front
+}
+
+// outbox is what the owner of a Node has to carry out.
+type outbox struct {
 	outgoing []OutgoingMessage
 	events   []Event
-	closing  []string
-	tickedAt time.Duration
+	closing  []string // peers whose links must be closed
 }
 
-// New makes a Node. disk is what a voter's disk holds, nil for a follower.
+// New returns a Node. disk is what a voter's disk holds, nil for a follower.
 func New(o Options, disk *DiskState) (*Node, error) {
 	if o.MaxFollowers == 0 {
 		o.MaxFollowers = defaultMaxFollowers
@@ -42,7 +51,6 @@
 		linkState:        newLinkState(),
 		heartbeatState:   newHeartbeatState(o.Timing),
 		replicationState: newReplicationState(),
-		snapshotState:    newSnapshotState(),
 		membershipState:  newMembershipState(),
 		routingState:     newRoutingState(),
 		requestState:     newRequestState(o.Incarnation),
@@ -78,10 +86,10 @@
 	if err := m.check(); err != nil {
 		return err
 	}
-	p.heardAt = now
+	p.lastReceivedAt = now
 	switch m.Kind {
 	case KindHello, KindReject:
-		return ProtocolError("a second greeting")
+		return errSecondHello
 	case KindPing:
 		if m.Hello != nil && n.voter != nil && p.Voter {
 			n.voter.checkPing(now, from, m.Hello)
@@ -94,47 +102,64 @@
 	case KindHeartbeat:
 		n.noteIndex(p, m.Index)
 		n.onHeartbeat(now, from, m)
+	case KindEntries, KindSnapshot, KindSnapshotChunk, KindEntriesRequest:
+		return n.receiveState(now, from, p, m)
+	case KindBroadcast:
+		n.onBroadcast(from, m)
+	case KindMirrorPositions:
+		for _, position := range m.Positions {
+			n.sendMirror(from, position)
+		}
+	default:
+		n.receiveRouted(now, from, m)
+	}
+	return nil
+}
+
+// receiveState handles the messages by which the replicated state spreads.
+func (n *Node) receiveState(now time.Duration, from string, p *peer, m *Message) error {
+	switch m.Kind {
 	case KindEntries:
 		n.noteIndex(p, m.Index)
-		return n.onEntries(now, from, m)
+		n.onEntries(now, from, m)
 	case KindSnapshot:
 		n.noteIndex(p, m.Index)
 		return n.onSnapshot(now, m)
+	case KindSnapshotChunk:
+		return n.onChunk(now, from, p, m)
 	case KindEntriesRequest:
 		p.index = m.Index
 		if n.catchUp(from); m.Number != 0 && p.index < n.state.Index {
 			n.startSnapshot(from, n.state.encode())
 		}
+	}
+	return nil
+}
+
+// receiveRouted handles the messages that pass from front to front on their way to the leader or to a receiver.
+func (n *Node) receiveRouted(now time.Duration, from string, m *Message) {
+	switch m.Kind {
 	case KindMembership:
 		for i := range m.Members {
 			n.forwardMembership(now, from, m.Members[i])
 		}
 	case KindRequest:
-		if m.Number++; m.Number <= maxHops {
+		if m.Number++; m.Number <= maxForwards {
 			n.learnRoute(now, m.From, from)
 			n.toLeader(now, m)
 		}
 	case KindReply:
-		if m.Number++; m.Number <= maxHops {
+		if m.Number++; m.Number <= maxForwards {
 			n.toFront(now, m)
 		}
-	case KindBroadcast:
-		n.onBroadcast(now, from, m)
 	case KindDatagram:
-		if m.Number++; m.Number <= maxHops {
+		if m.Number++; m.Number <= maxForwards {
 			n.learnRoute(now, m.From, from)
-			n.routeDatagram(now, from, m)
+			n.routeDatagram(from, m)
 		}
 	case KindConfigLeases:
 		n.onConfigLeases(m.Positions)
-	case KindSnapshotChunk:
-		return n.onChunk(now, from, p, m)
-	case KindMirrorPositions:
-		for _, s := range m.Positions {
-			n.sendMirror(from, s)
-		}
 	}
-	return nil
 }
 
 // Tick does what depends on time. Call it about every Timing.TickInterval.
@@ -196,7 +221,7 @@
 	if p == nil {
 		return
 	}
-	p.sentAt = n.tickedAt
+	p.lastSentAt = n.tickedAt
 	n.outgoing = append(n.outgoing, OutgoingMessage{to, m})
 }
 
--- a/fleet/voter.go
+++ b/fleet/voter.go
@@ -1,14 +1,11 @@
 package fleet
 
 import (
-	"encoding/binary"
 	"fmt"
-	"hash/crc32"
 	"hash/crc64"
 	"io"
 	"log"
 	"slices"
-	"strconv"
 	"time"
 
 	"go.etcd.io/raft/v3"
@@ -17,37 +14,27 @@
 )
 
 // voter is a member of the consensus group, which is the raft library's. The library's own election clock is not used, since its
-// randomness can't be seeded: a voter campaigns by itself when it has heard no leader for its election timeout.
+// randomness can't be seeded: a voter campaigns by itself when it had no contact with a leader for its election timeout.
 type voter struct {
-	node      *Node
-	id        uint64
-	rawNode   *raft.RawNode
-	storage   *raft.MemoryStorage
-	confState *pb.ConfState
-	nameByID  map[uint64]string
-	applied   uint64
-
-	leaderHeardAt   time.Duration // when a leader's message was received last
-	electionTimeout time.Duration
-	timeoutDraws    int
-	leaderID        uint64
-	term            uint64
-
-	floor         Floor // as it is on disk
-	peerFloors    map[string]Floor
-	floorsSavedAt time.Duration
-	floorsDirty   bool
+	node       *Node
+	id         uint64
+	nameByID   map[uint64]string
+	haltReason string // "" while it runs
+	consensusLog
+	election
+	confirmation
+	diskOutput
+	diskFloors
 	admission
-	haltReason string
-
-	ready        *raft.Ready // waiting for its disk write
-	pendingWrite *DiskWrite
-	confChanged  bool // the voters differ from those in the last snapshot
+}
 
-	readRounds  uint64 // rounds by which a leader confirms that it still leads
-	readAt      time.Duration
-	confirmedAt time.Duration
-	silenced    bool
+// consensusLog is the raft library's state of the log.
+type consensusLog struct {
+	rawNode   *raft.RawNode
+	storage   *raft.MemoryStorage
+	confState *pb.ConfState // the voters as of the last applied entry, nil before a first snapshot
+	applied   uint64        // index of the last applied entry
+	term      uint64        // as it is on disk
 }
 
 // raftLogger discards the library's log: what matters of it is emitted as events.
@@ -62,10 +49,13 @@
 }
 
 func newVoter(n *Node, s *DiskState) (*voter, error) {
-	v := &voter{node: n, id: voterID(n.options.Name), storage: raft.NewMemoryStorage(), nameByID: map[uint64]string{},
-		peerFloors: map[string]Floor{}, admission: newAdmission(s.Hard == nil)}
-	for name, f := range s.Floors {
-		v.peerFloors[name] = f
+	v := &voter{
+		node:         n,
+		id:           voterID(n.options.Name),
+		nameByID:     map[uint64]string{},
+		consensusLog: consensusLog{storage: raft.NewMemoryStorage()},
+		diskFloors:   newDiskFloors(s.Floors),
+		admission:    newAdmission(s.Hard == nil),
 	}
 	first := s.Snapshot
 	if s.Hard == nil && first == nil && !n.options.JoinsExistingFleet {
@@ -84,7 +74,7 @@
 		v.confState = first.GetMetadata().GetConfState()
 	}
 	if s.Hard != nil {
-		v.storage.SetHardState(s.Hard)
+		_ = v.storage.SetHardState(s.Hard) // in memory: it cannot fail
 		v.term = s.Hard.GetTerm()
 		v.floor = Floor{Term: s.Hard.GetTerm(), Vote: s.Hard.GetVote(), Commit: s.Hard.GetCommit()}
 	}
@@ -129,14 +119,6 @@
 	}
 }
 
-// drawElectionTimeout draws the next election timeout, once to twice the minimum, so that voters don't campaign in step.
-func (v *voter) drawElectionTimeout() {
-	v.timeoutDraws++
-	sum := crc32.ChecksumIEEE([]byte(strconv.FormatUint(v.node.options.Seed, 16) + "." + strconv.Itoa(v.timeoutDraws)))
-	least := v.node.options.Timing.electionTimeout()
-	v.electionTimeout = least + time.Duration(float64(least)*float64(sum)/(1<<32))
-}
-
 // voterCount is the size of the consensus group.
 func (v *voter) voterCount() int {
 	if v.confState == nil {
@@ -145,9 +127,6 @@
 	return len(v.confState.GetVoters())
 }
 
-// IsLeader reports whether this front is the leader.
-func (n *Node) IsLeader() bool { return n.leader != nil }
-
 // VoterHaltReason returns why this front's voter stopped, "" where it runs or there is none.
 func (n *Node) VoterHaltReason() string {
 	if n.voter == nil {
@@ -159,21 +138,21 @@
 // isActiveVoter reports whether this front takes part in consensus: the log comes by consensus then, and from peers elsewhere.
 func (n *Node) isActiveVoter() bool { return n.voter != nil && n.voter.haltReason == "" }
 
-// halt stops this voter for good; the front goes on as a follower.
-func (v *voter) halt(why string) {
+// halt stops this voter for good; the front continues as a follower.
+func (v *voter) halt(reason string) {
 	if v.haltReason == "" {
-		v.haltReason = why
+		v.haltReason = reason
 		v.ready, v.pendingWrite, v.leaderID = nil, nil, 0
 		v.node.leader = nil
-		v.node.emit(VoterHalted{Reason: why})
-		v.node.refuseRecovery(why)
+		v.node.emit(VoterHalted{Reason: reason})
+		v.node.refuseRecovery(reason)
 		v.node.closing = append(v.node.closing, v.node.Peers()...) // it greets its peers again, as a follower
 	}
 }
 
-// guarded runs a call of the library. The library panics where a guarantee is broken, such as a log that lost committed entries:
-// the voter halts, and the front goes on as a follower.
-func (v *voter) guarded(call func()) {
+// callRaft runs a call of the library. The library panics where a guarantee is broken, such as a log that lost committed entries:
+// the voter halts, and the front continues as a follower.
+func (v *voter) callRaft(call func()) {
 	defer func() {
 		if p := recover(); p != nil {
 			v.halt(fmt.Sprint("consensus can't go on: ", p))
@@ -186,10 +165,10 @@
 func (v *voter) step(now time.Duration, from string, data []byte) error {
 	m := &pb.Message{}
 	if err := proto.Unmarshal(data, m); err != nil {
-		return ProtocolError("consensus that can't be read")
+		return errInvalidConsensus
 	}
 	if m.GetFrom() != voterID(from) {
-		return ProtocolError("consensus in another's name")
+		return errForeignConsensus
 	}
 	if !v.mayVote() || m.GetTo() != v.id {
 		return nil
@@ -197,101 +176,46 @@
 	switch m.GetType() {
 	case pb.MsgApp, pb.MsgHeartbeat, pb.MsgSnap:
 		if m.GetTerm() >= v.term {
-			v.leaderHeardAt = now
-		}
-	case pb.MsgPreVote: // a voter that lost only its own link to the leader must not unseat it
-		heard := v.leaderHeardAt
-		if v.isLeader() {
-			heard = v.confirmedAt
+			v.leaderContactAt = now
 		}
-		if v.leaderID != 0 && now-heard < v.node.options.Timing.electionTimeout() {
+	case pb.MsgPreVote:
+		if v.hasLiveLeader(now) { // a voter that lost only its own link to the leader must not unseat it
 			return nil
 		}
 	}
-	v.guarded(func() { v.rawNode.Step(m) })
+	v.callRaft(func() { _ = v.rawNode.Step(m) }) // a message that raft does not take counts as lost
 	v.process(now)
 	return nil
 }
 
-// isLeader reports whether this voter leads the consensus group.
-func (v *voter) isLeader() bool { return v.leaderID == v.id }
-
 // tick does what depends on time.
 func (v *voter) tick(now time.Duration) {
 	v.continueRecovery(now)
 	if !v.mayVote() {
 		return
 	}
-	timing := v.node.options.Timing
 	switch {
 	case v.isLeader():
 		v.lead(now)
-	case now-v.leaderHeardAt > v.electionTimeout:
-		v.leaderHeardAt = now
+	case now-v.leaderContactAt > v.electionTimeout:
+		v.leaderContactAt = now
 		v.drawElectionTimeout()
-		v.guarded(func() { v.rawNode.Campaign() })
+		v.callRaft(func() { _ = v.rawNode.Campaign() }) // it is repeated after the next election timeout
 	}
 	v.process(now)
-	if v.floorsDirty && v.pendingWrite == nil && now-v.floorsSavedAt >= timing.reportInterval() {
-		v.floorsSavedAt, v.floorsDirty = now, false
+	if v.pendingWrite == nil && v.floorsDue(now, v.node.options.Timing.reportInterval()) {
 		v.pendingWrite = &DiskWrite{Floors: v.copyFloors()}
 	}
 }
 
-// lead keeps the consensus group's heartbeats and confirmation rounds going. A leader without a confirmation is silenced: its
-// followers may hear it, but it hears none, so they must elect another. It tries a round now and then.
-func (v *voter) lead(now time.Duration) {
-	timing := v.node.options.Timing
-	if now-v.confirmedAt > 2*timing.electionTimeout() {
-		v.silenced = true
-	}
-	if v.silenced {
-		if now-v.readAt >= 6*timing.electionTimeout() {
-			v.confirm(now)
-		}
-		return
-	}
-	v.guarded(v.rawNode.Tick)
-	if now-v.readAt >= timing.HeartbeatInterval() || v.node.leader.hasUnconfirmed() {
-		v.confirm(now)
-	}
-}
-
-// confirm asks a majority whether this voter still leads. The answer confirms renewals that were received before the question.
-func (v *voter) confirm(now time.Duration) {
-	v.readRounds++
-	v.readAt = now
-	var mark [8]byte
-	binary.BigEndian.PutUint64(mark[:], v.readRounds)
-	v.guarded(func() { v.rawNode.ReadIndex(mark[:]) })
-}
-
 // propose proposes a command for the log; it fails unless this voter leads.
 func (v *voter) propose(c *Command) bool {
 	ok := false
 	data := c.Encode()
-	v.guarded(func() { ok = v.isLeader() && v.rawNode.Propose(data) == nil })
+	v.callRaft(func() { ok = v.isLeader() && v.rawNode.Propose(data) == nil })
 	return ok
 }
 
-// onSoftState handles a change of leadership.
-func (v *voter) onSoftState(now time.Duration, s *raft.SoftState) {
-	was := v.isLeader()
-	if s.Lead != v.leaderID {
-		v.leaderHeardAt = now
-	}
-	v.leaderID = s.Lead
-	switch {
-	case v.isLeader() && !was:
-		v.confirmedAt, v.silenced, v.readAt = now, false, now
-		v.node.leader = newLeader(v.node, v, now)
-		v.node.emit(BecameLeader{Term: v.rawNode.BasicStatus().HardState.GetTerm()})
-	case was && !v.isLeader():
-		v.node.leader = nil
-		v.node.emit(LostLeadership{})
-	}
-}
-
 // proposeVoterChange proposes to add or remove a voter.
 func (v *voter) proposeVoterChange(c *Command) bool {
 	typ := pb.ConfChangeAddNode
@@ -300,7 +224,7 @@
 	}
 	ok := false
 	cc := &pb.ConfChange{Type: typ.Enum(), NodeId: proto.Uint64(voterID(c.Target)), Context: c.Encode()}
-	v.guarded(func() { ok = v.isLeader() && v.rawNode.ProposeConfChange(cc) == nil })
+	v.callRaft(func() { ok = v.isLeader() && v.rawNode.ProposeConfChange(cc) == nil })
 	return ok
 }
 
@@ -312,26 +236,8 @@
 	if v.haltReason != "" || v.nameByID[id] != name {
 		return
 	}
-	v.guarded(func() {
+	v.callRaft(func() {
 		v.rawNode.ReportUnreachable(id)
 		v.rawNode.ReportSnapshot(id, raft.SnapshotFailure)
 	})
 }
-
-// transferLeadership transfers the leadership to the most advanced linked voter, for a leader that shuts down.
-func (v *voter) transferLeadership() {
-	if !v.isLeader() {
-		return
-	}
-	best, at := uint64(0), uint64(0)
-	v.guarded(func() {
-		for id, pr := range v.rawNode.Status().Progress {
-			if name := v.nameByID[id]; id != v.id && v.node.peers[name] != nil && (pr.Match > at || pr.Match == at && (best == 0 || id < best)) {
-				best, at = id, pr.Match
-			}
-		}
-		if best != 0 {
-			v.rawNode.TransferLeader(best)
-		}
-	})
-}
