--- /dev/null
+++ b/cmd/dapplerouter/instance_harness_test.go
@@ -0,0 +1,183 @@
+package main
+
+import (
+	"fmt"
+	"net"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"dapplerouter/deployment"
+	"dapplerouter/testsupport/fakeserver"
+)
+
+// instanceTemplate is the configuration of a front of a small booking service. Its types are reads of any data, a session's read, a read
+// with a staleness bound, a write with an idempotency key and a non-idempotent write.
+const instanceTemplate = `{
+ "name": "n0", "listen": "127.0.0.1:0", "discovery": %q, "seed": "8c1f30d27a5be964",
+ "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256}, "known": %s,
+ "settings": {
+  "Zones": ["a"], "Locality": "a", "FleetSize": 1, "Ordinal": 0, "Discovery": "push", "Tick": 5000000,
+  "Classes": [
+   {"Name": "browse", "Aim": 2000000000, "Deadline": 8000000000, "Effect": "read_like", "Group": "all", "Worth": 1.0},
+   {"Name": "mine", "Aim": 2000000000, "Deadline": 8000000000, "Effect": "read_like", "Group": "all", "Worth": 1.0},
+   {"Name": "book", "Aim": 2000000000, "Deadline": 8000000000, "Effect": "idempotency_key", "Group": "cell", "Window": 2000000000, "Worth": 5.0},
+   {"Name": "slots", "Aim": 2000000000, "Deadline": 8000000000, "Effect": "read_like", "Group": "all", "Worth": 1.0},
+   {"Name": "pay", "Aim": 2000000000, "Deadline": 8000000000, "Effect": "non_idempotent", "Group": "all", "Worth": 5.0}],
+  "FamilyInfo": {"ReadLevel": ["eventual", "causal", "mutate", "lag_bound", "mutate"], "StalenessBound": [0, 0, 0, 1000000000, 0], "RoleListed": "trailing",
+   "Checks": "bounce", "HoldsFor": 50000000, "WriteMarks": "kept", "TellsPosition": true},
+  "Rules": {"AnswerSlack": 20000000, "StopSendingWithin": 2000000000, "Cold": 1000000000, "Fall": 2000000000},
+  "Limits": {"AttemptsCap": 10, "MayProbe": true, "Cancel": true, "DialTimeout": 2000000000, "ConnIdle": 30000000000,
+   "RetryAfter": true, "MaxRetryAfter": 1000000000, "MayDuplicate": false, "Peers": false}
+ }}`
+
+const operatorFile = `; what the fake servers' functions do
+(classing
+  (cache 2MiB)
+  (functions (reads seat_name seats_of price_of geo.distance mood) (writes next_seat hold_table writing_view))
+  (types
+    (book (class write))
+    (browse (class read))))
+`
+
+// startFront starts a front before a group of fake servers, wired as in service; text is the operator's file, "" for none, changes are
+// pairs of old and new text in instanceTemplate.
+func startFront(t testing.TB, g *fakeserver.Group, text string, changes ...string) (address string) {
+	i := startInstance(t, g, text, changes...)
+	t.Cleanup(i.stopAndWait)
+	return i.address
+}
+
+// instance is a front or gateway in this process.
+type instance struct {
+	address   string
+	link      *gatewayLink
+	stop      chan os.Signal
+	ended     chan error
+	discovery *httptest.Server
+	t         testing.TB
+}
+
+// stopAndWait shuts the instance down gracefully.
+func (i *instance) stopAndWait() {
+	i.stop <- syscall.SIGTERM
+	require.NoError(i.t, <-i.ended)
+	i.discovery.Close() // after the front, whose watch it would wait for
+}
+
+// startInstance is startFront for a test that stops the instance itself.
+func startInstance(t testing.TB, g *fakeserver.Group, text string, changes ...string) *instance {
+	list := g.List()
+	dir := t.TempDir()
+	config, file := filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.sexp")
+	require.NoError(t, os.WriteFile(config, fmt.Appendf(nil, strings.NewReplacer(changes...).Replace(instanceTemplate), list.Listener.Addr(), g.Listed()), 0o600))
+	start, err := deployment.Load(func(name string) string {
+		if name == deployment.FileVariable {
+			return config
+		}
+		return ""
+	}, os.ReadFile)
+	require.NoError(t, err)
+	if text == "" {
+		file = ""
+	} else {
+		require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
+	}
+	operator, err := loadOperatorConfig(file, start)
+	require.NoError(t, err)
+	i := &instance{discovery: list, stop: make(chan os.Signal, 1), ended: make(chan error, 1), t: t}
+	if err := i.serve(start, operator); err != nil {
+		i.ended <- err // whoever ends the instance need not wait
+		require.NoError(t, err)
+	}
+	return i
+}
+
+// serve starts the instance and returns once it serves, or the error.
+func (i *instance) serve(start *deployment.Instance, operator *operatorConfig) error {
+	ready := make(chan struct{})
+	go func() {
+		i.ended <- runService(serviceOptions{instance: start, operator: operator, stop: i.stop, onReady: func(a net.Addr, l *gatewayLink) {
+			i.address, i.link = a.String(), l
+			close(ready)
+		}})
+	}()
+	select {
+	case <-ready:
+		return nil
+	case err := <-i.ended:
+		return err
+	}
+}
+
+// startGroup starts a group of so many fake servers, the first of them the primary.
+func startGroup(t testing.TB, members int) *fakeserver.Group {
+	g, err := fakeserver.Start(fakeserver.Restaurants(20, 60, 500), members, 4, 0, 0)
+	require.NoError(t, err)
+	t.Cleanup(g.Close)
+	return g
+}
+
+func dial(t testing.TB, address string) *fakeserver.Client {
+	c, err := fakeserver.Dial(address)
+	require.NoError(t, err)
+	t.Cleanup(c.Close)
+	return c
+}
+
+// comment is the comment of a statement of group 0, with more keys.
+func comment(id, more string) string { return fmt.Sprintf(" /* id=%s,d=8000,cluster=0%s */", id, more) }
+
+// startFleet starts so many fronts that know nothing of each other in this process, and returns their addresses; changes are pairs of
+// old and new text in instanceTemplate.
+func startFleet(t *testing.T, fronts int, g *fakeserver.Group, discovery string, changes ...string) (addresses []string) {
+	var stops []chan<- os.Signal
+	var ends []<-chan error
+	t.Cleanup(func() {
+		for _, stop := range stops {
+			stop <- syscall.SIGTERM
+		}
+		for _, ended := range ends {
+			require.NoError(t, <-ended)
+		}
+	})
+	for n := range fronts {
+		changes := append(changes, `"FleetSize": 1`, fmt.Sprintf(`"FleetSize": %d`, fronts), `"Ordinal": 0`, fmt.Sprintf(`"Ordinal": %d`, n),
+			"8c1f30d27a5be964", fmt.Sprintf("8c1f30d27a5be9%02x", n))
+		text := fmt.Appendf(nil, strings.NewReplacer(changes...).Replace(instanceTemplate), discovery, g.Listed())
+		start, err := deployment.Load(func(name string) string { return map[string]string{deployment.FileVariable: "x"}[name] },
+			func(string) ([]byte, error) { return text, nil })
+		require.NoError(t, err)
+		operator, err := loadOperatorConfig("", start)
+		require.NoError(t, err)
+		stop, ended, ready := make(chan os.Signal, 1), make(chan error, 1), make(chan string, 1)
+		go func() {
+			ended <- runService(serviceOptions{instance: start, operator: operator, stop: stop,
+				onReady: func(a net.Addr, _ *gatewayLink) { ready <- a.String() }})
+		}()
+		stops, ends = append(stops, stop), append(ends, ended)
+		addresses = append(addresses, <-ready)
+	}
+	return addresses
+}
+
+// countWithin counts the statements that a server saw in an interval.
+func countWithin(seen []fakeserver.Seen, from, to time.Time) (n float64) {
+	for _, s := range seen {
+		if !s.At.Before(from) && s.At.Before(to) {
+			n++
+		}
+	}
+	return n
+}
+
+// readStatement is a read of any data of group 0, with a timeout in milliseconds.
+func readStatement(id string, timeout int) string {
+	return fmt.Sprintf("SELECT 'x' /* id=%s,c=browse,d=%d,cluster=0 */", id, timeout)
+}
