--- a/cmd/routertest/capacity.go
+++ b/cmd/routertest/capacity.go
@@ -8,7 +8,6 @@
 	"fmt"
 	"os"
 	"os/signal"
-	"path/filepath"
 	"strings"
 	"syscall"
 	"time"
@@ -16,7 +15,7 @@
 	"dapplerouter/lab/capacity"
 )
 
-type capacityCall struct {
+type capacityCommand struct {
 	Fronts           int           `default:"540" help:"Fronts, real and hollow together."`
 	HollowPerProcess int           `default:"48" help:"Hollow fronts in one process."`
 	Databases        int           `default:"650" help:"Databases that discovery lists."`
@@ -32,34 +31,37 @@
 	Quiet            bool          `help:"No progress on standard error."`
 }
 
-func (c *capacityCall) run() int {
+func (c *capacityCommand) run() int {
 	self, err := os.Executable()
 	if err != nil {
-		return faults(err)
+		return reportError(err)
 	}
-	if c.Program == "" {
-		c.Program = filepath.Join(filepath.Dir(self), "dapplerouter")
-	}
-	if _, err := os.Stat(c.Program); err != nil {
-		return faults(fmt.Errorf("%w: build it by make build, or name it by --program", err))
+	if c.Program, err = defaultProgram(c.Program); err != nil {
+		return reportError(err)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	dir, remove, err := c.folder()
+	dir, remove, err := c.workDir()
 	if err != nil {
-		return faults(err)
+		return reportError(err)
 	}
 	out := bufio.NewWriter(os.Stdout)
-	defer out.Flush()
+	err = c.measure(ctx, out, self, dir)
+	return c.report(errors.Join(err, out.Flush()), dir, remove)
+}
+
+// measure runs the measurement in dir and writes its records. Self is this program, of which the worker processes are.
+func (c *capacityCommand) measure(ctx context.Context, out *bufio.Writer, self, dir string) error {
 	size := capacity.Size{Fronts: c.Fronts, HollowPerProcess: c.HollowPerProcess, Databases: c.Databases, Zones: c.Zones,
 		ChangesPerHour: c.ChangesPerHour, Duration: c.Duration, Span: c.Span, Must: c.Must, CutOff: c.CutOff}
+	lines := json.NewEncoder(out)
 	if c.JSON {
 		header, err := capacity.NewHeader("bin/routertest "+strings.Join(os.Args[1:], " "), size)
-		if err == nil {
-			err = json.NewEncoder(out).Encode(header)
-		}
 		if err != nil {
-			return faults(err)
+			return err
+		}
+		if err := lines.Encode(header); err != nil {
+			return err
 		}
 	}
 	records, err := capacity.Run(ctx, capacity.Options{
@@ -70,46 +72,45 @@
 			if !c.JSON {
 				return nil
 			}
-			return errors.Join(json.NewEncoder(out).Encode(r), out.Flush())
+			return errors.Join(lines.Encode(r), out.Flush())
 		}})
 	if !c.JSON && len(records) > 0 {
 		err = errors.Join(err, capacity.Print(out, records))
 	}
-	out.Flush()
-	return c.ended(err, dir, remove)
+	return err
 }
 
-// folder gives where files go; Unix sockets need a short name.
-func (c *capacityCall) folder() (dir string, remove func(), err error) {
+// workDir gives where files go, and what removes them; Unix sockets need a short name.
+func (c *capacityCommand) workDir() (dir string, remove func(), err error) {
 	if c.Keep != "" {
 		return c.Keep, func() {}, os.MkdirAll(c.Keep, 0o700)
 	}
-	dir, err = os.MkdirTemp("", "scale")
-	return dir, func() { os.RemoveAll(dir) }, err
+	dir, err = os.MkdirTemp("", "capacity")
+	return dir, func() { _ = os.RemoveAll(dir) }, err // a temporary directory
 }
 
-// ended tells what became of a run, and gives the exit code.
-func (c *capacityCall) ended(err error, dir string, remove func()) int {
+// report writes the error of a run, if any, and gives the exit code. Files of a run that failed stay.
+func (c *capacityCommand) report(err error, dir string, remove func()) int {
 	var refusal capacity.Refusal
 	var death *capacity.Death
 	switch {
 	case err == nil:
 		remove()
-		return exitDone
+		return exitOK
 	case errors.As(err, &refusal):
 		remove()
-		return faults(err)
+		return reportError(err)
 	case errors.As(err, &death):
 		fmt.Fprintf(os.Stderr, "routertest: %v\n", err)
 		fmt.Fprintf(os.Stderr, "logs: %s\n", dir)
-		return exitNegative
+		return exitViolation
 	}
 	fmt.Fprintf(os.Stderr, "routertest: %v\nlogs: %s\n", err, dir)
-	return exitUsage
+	return exitError
 }
 
 // progress writes to standard error where that is a terminal.
-func (c *capacityCall) progress() func(string, ...any) {
+func (c *capacityCommand) progress() func(string, ...any) {
 	info, err := os.Stderr.Stat()
 	if c.Quiet || err != nil || info.Mode()&os.ModeCharDevice == 0 {
 		return nil
@@ -120,13 +121,13 @@
 	}
 }
 
-type capacityWorkerCall struct {
+type capacityWorkerCommand struct {
 	Kind string `arg:""`
 }
 
-func (c *capacityWorkerCall) run() int {
+func (c *capacityWorkerCommand) run() int {
 	if err := capacity.Work(c.Kind, os.Stdin, os.Stdout); err != nil {
-		return faults(err)
+		return reportError(err)
 	}
-	return exitDone
+	return exitOK
 }
--- /dev/null
+++ b/lab/processtest/harness_test.go
@@ -0,0 +1,94 @@
+package processtest
+
+import (
+	"bytes"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"dapplerouter/fleet"
+)
+
+// buildProgram builds the program as it is deployed, and returns its path.
+func buildProgram(t *testing.T) string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "dapplerouter")
+	out, err := exec.Command("go", "build", "-o", path, "../../cmd/dapplerouter").CombinedOutput()
+	require.NoError(t, err, string(out))
+	return path
+}
+
+// TestScripts runs every script once, four at a time.
+func TestScripts(t *testing.T) {
+	if testing.Short() {
+		t.Skip("it starts processes")
+	}
+	if raceOn {
+		t.Skip("the processes run without the race detector: the test without it is the same")
+	}
+	built := buildProgram(t)
+	scripts, err := filepath.Glob("../scripts/*.sexp")
+	require.NoError(t, err)
+	require.GreaterOrEqual(t, len(scripts), 12)
+	slots := make(chan struct{}, 4)
+	t.Run("all", func(t *testing.T) {
+		for _, path := range scripts {
+			t.Run(strings.TrimSuffix(filepath.Base(path), ".sexp"), func(t *testing.T) {
+				t.Parallel()
+				slots <- struct{}{}
+				defer func() { <-slots }()
+				s, err := Load(path)
+				require.NoError(t, err)
+				var out bytes.Buffer
+				h := &Harness{Script: s, Seed: 1, Program: built, Dir: t.TempDir(), Out: &out}
+				r, err := h.Run()
+				require.NoError(t, err, out.String())
+				require.NoError(t, r.Print(&out))
+				if !assert.Empty(t, r.Violations) || testing.Verbose() {
+					t.Log(out.String())
+				}
+				assert.Greater(t, r.Requests.Succeeded, r.Requests.Sent*9/10, "clients are served throughout")
+			})
+		}
+	})
+}
+
+func leaseEntry(at int64, front, kind string, term uint64, since, until int64) fleet.HistoryEntry {
+	return fleet.HistoryEntry{At: at, Front: front, Incarnation: 1, Kind: kind, Lease: "list", Term: term, Since: since, Until: until}
+}
+
+// The checks must be able to fail: histories that are wrong, each in its own way.
+func TestChecksFindFaultyHistories(t *testing.T) {
+	good := []fleet.HistoryEntry{leaseEntry(10, "n1", "held", 1, 5, 100), leaseEntry(50, "n1", "kept", 1, 45, 145), leaseEntry(150, "n2", "held", 2, 140, 240)}
+	for name, x := range map[string]struct {
+		history []fleet.HistoryEntry
+		want    string
+	}{
+		"good":               {good, ""},
+		"two holders":        {append(good[:2:2], leaseEntry(120, "n2", "held", 2, 110, 210)), "was held by n1"},
+		"two grants a term":  {[]fleet.HistoryEntry{{Kind: "granted", Lease: "list", Term: 3, Name: "n1"}, {Kind: "granted", Lease: "list", Term: 3, Name: "n2"}}, "two fronts were granted"},
+		"an older broadcast": {[]fleet.HistoryEntry{{Kind: "came", Front: "n3", Lease: "list", Term: 3}, {Kind: "came", Front: "n3", Lease: "list", Term: 2}}, "a broadcast of an older term"},
+		"a renewal too late": {append(good[:3:3], leaseEntry(190, "n1", "kept", 1, 180, 300)), "not linearizable"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			h := &Harness{Script: &Script{Duration: time.Second}}
+			r := h.check(observations{began: time.UnixMicro(0), history: x.history})
+			if x.want == "" {
+				assert.Empty(t, r.Violations)
+			} else {
+				assert.Contains(t, strings.Join(r.Violations, "\n"), x.want)
+			}
+		})
+	}
+}
+
+func TestChecksFindUnmetExpectations(t *testing.T) {
+	h := &Harness{Script: &Script{}, expected: expectations{mustHalt: []string{"n1"}, unmet: []string{"n2 should have no leader"}}}
+	r := h.check(observations{began: time.Now(), unsettled: "nobody holds list"})
+	assert.Len(t, r.Violations, 3)
+}
--- /dev/null
+++ b/lab/processtest/process.go
@@ -0,0 +1,209 @@
+package processtest
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"sync"
+	"syscall"
+	"time"
+
+	"dapplerouter/adminapi"
+	"dapplerouter/fleet/agent"
+	"dapplerouter/testsupport/fakeserver"
+)
+
+// Front is one front of the fleet under test: its files and, one after the other, its processes.
+type Front struct {
+	Name          string
+	index         int
+	clientAddress string
+	meshAddress   string // where it listens itself; others dial its proxies
+	dir           string
+	voter         bool
+
+	mu      sync.Mutex // guards the fields below
+	cmd     *exec.Cmd
+	exited  chan struct{} // closed once the process cmd has been waited for
+	paused  bool
+	uptimes []interval // of its processes; the last one is open while a process runs
+	pauses  []interval // in which a process was stopped by a signal
+}
+
+// interval is a time span; a zero end means that it has not ended.
+type interval struct{ from, to time.Time }
+
+func (i interval) ended() bool { return !i.to.IsZero() }
+
+// start starts a front's process; its output is appended to its log.
+func (h *Harness) start(f *Front) error {
+	return h.startWith(f, nil)
+}
+
+// startWith starts a front's process with further environment variables.
+func (h *Harness) startWith(f *Front, env []string) error {
+	log, err := os.OpenFile(filepath.Join(f.dir, "log"), os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o600)
+	if err != nil {
+		return err
+	}
+	cmd := exec.Command(h.Program, "serve")
+	cmd.Env = append([]string{"EDGE_CONFIG=" + f.instanceConfigPath(), "TMPDIR=" + f.dir}, env...)
+	if !h.Script.WithoutFleet {
+		cmd.Env = append(cmd.Env, "DAPPLEROUTER_FILE="+f.operatorConfigPath())
+	}
+	cmd.Stderr, cmd.Stdout = log, log
+	if err := errors.Join(cmd.Start(), log.Close()); err != nil {
+		return fmt.Errorf("start %s: %w", f.Name, err)
+	}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.cmd, f.exited, f.paused = cmd, make(chan struct{}), false
+	f.uptimes = append(f.uptimes, interval{from: time.Now()})
+	go func(exited chan struct{}) {
+		_ = cmd.Wait() // most processes end by a signal of the script
+		f.mu.Lock()
+		f.uptimes[len(f.uptimes)-1].to = time.Now()
+		f.mu.Unlock()
+		close(exited)
+	}(f.exited)
+	return nil
+}
+
+// runs reports whether the front's process is up and not paused.
+func (f *Front) runs() bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.cmd != nil && !f.paused && !f.uptimes[len(f.uptimes)-1].ended()
+}
+
+// signal sends a signal to the front's process if it has one.
+func (f *Front) signal(s os.Signal) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.cmd != nil && !f.uptimes[len(f.uptimes)-1].ended() {
+		_ = f.cmd.Process.Signal(s) // the process may have exited just now
+	}
+}
+
+func (f *Front) pause() {
+	f.signal(syscall.SIGSTOP)
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.paused = true
+	f.pauses = append(f.pauses, interval{from: time.Now()})
+}
+
+func (f *Front) resume() {
+	f.mu.Lock()
+	f.paused = false
+	f.pauses[len(f.pauses)-1].to = time.Now()
+	f.mu.Unlock()
+	f.signal(syscall.SIGCONT)
+}
+
+// pid is that of the front's last process.
+func (f *Front) pid() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.cmd.Process.Pid
+}
+
+var errNotReady = errors.New("the fleet is not ready")
+
+// waitUntilReady waits until every front serves a client and, in a fleet, has settled.
+func (h *Harness) waitUntilReady() error {
+	const limit = 20 * time.Second
+	for deadline := time.Now().Add(limit); ; time.Sleep(20 * time.Millisecond) {
+		missing := h.notServing()
+		if missing == "" && !h.Script.WithoutFleet {
+			missing = h.unsettledLeases()
+		}
+		if missing == "" {
+			return nil
+		}
+		if time.Now().After(deadline) {
+			return fmt.Errorf("%w after %v: %s; logs: %s", errNotReady, limit, missing, filepath.Join(h.Dir, "n*", "log"))
+		}
+	}
+}
+
+// notServing names a front that does not serve clients, "" for none.
+func (h *Harness) notServing() string {
+	for _, f := range h.fronts {
+		c, err := fakeserver.Dial(f.clientAddress)
+		if err != nil {
+			return f.Name + " does not listen"
+		}
+		answer, err := c.Query(fmt.Sprintf("SELECT 'x' /* id=up%d,c=browse,d=2000,cluster=0 */", time.Now().UnixNano()))
+		c.Close()
+		if err != nil || answer.Code != "" {
+			return f.Name + " does not serve"
+		}
+	}
+	return ""
+}
+
+// frontStatus is the part of GET /v1/fleet that the harness reads.
+type frontStatus struct {
+	Name, Halted string
+	Leader       string `json:"gives"`
+	Alone        bool   // has no leader
+	Index        uint64 // of the replicated state
+	Fronts       []struct{ Name string }
+	Leases       []leaseStatus `json:"duties"`
+}
+
+type leaseStatus struct {
+	Lease  string `json:"duty"`
+	Holder string
+	Term   uint64
+	Left   float64 `json:"left_s"` // seconds
+}
+
+func (f *Front) status() (s frontStatus, err error) {
+	err = adminapi.Call(f.controlSocket(), "GET", "/v1/fleet", nil, &s)
+	return s, err
+}
+
+func (f *Front) rolloutStatus() (s agent.RolloutStatus, err error) {
+	err = adminapi.Call(f.controlSocket(), "GET", "/v1/fleet/roll", nil, &s)
+	return s, err
+}
+
+// residentMemory gives the fronts' resident memory in KiB, sorted. Fronts that have exited are left out.
+func (h *Harness) residentMemory() (all []int) {
+	for _, f := range h.fronts {
+		b, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", f.pid()))
+		if err != nil {
+			continue
+		}
+		var size, resident int
+		if _, err := fmt.Sscan(string(b), &size, &resident); err == nil {
+			all = append(all, resident*os.Getpagesize()>>10)
+		}
+	}
+	slices.Sort(all)
+	return all
+}
+
+// cpuTime is the processor time that the fronts' processes have used since their starts, all threads. A difference of two calls
+// means something only where no process ended in between.
+func (h *Harness) cpuTime() (sum time.Duration) {
+	for _, f := range h.fronts {
+		tasks, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", f.pid())) // the pattern is well-formed
+		for _, t := range tasks {
+			b, err := os.ReadFile(t)
+			var ns int64
+			if err != nil {
+				continue // the thread has ended
+			}
+			if _, err := fmt.Sscan(string(b), &ns); err == nil {
+				sum += time.Duration(ns)
+			}
+		}
+	}
+	return sum
+}
--- a/lab/processtest/voters_test.go
+++ b/lab/processtest/voters_test.go
@@ -10,15 +10,15 @@
 	"dapplerouter/fleet"
 )
 
-// A copy that lacks nothing must not be counted as a lost disk, and every other must be.
-func TestOnlyACopyThatLacksNothingMayBeUsed(t *testing.T) {
+// A copy that lacks nothing must not count as a lost disk, and every other one must.
+func TestCopyOfVoterFileLacksState(t *testing.T) {
 	present := func() *fleet.DiskState {
 		return &fleet.DiskState{OpenCount: 2, Hard: &pb.HardState{Term: proto.Uint64(3), Vote: proto.Uint64(7), Commit: proto.Uint64(5)},
 			Entries: []*pb.Entry{{Index: proto.Uint64(5)}, {Index: proto.Uint64(6)}}}
 	}
 	same := present()
 	same.Floors = map[string]fleet.Floor{"n1": {Term: 3}}
-	assert.False(t, lacksSomething(same, present()))
+	assert.False(t, lacksState(same, present()))
 	for name, change := range map[string]func(s *fleet.DiskState){
 		"an opening":  func(s *fleet.DiskState) { s.OpenCount-- },
 		"a term":      func(s *fleet.DiskState) { s.Hard.Term = proto.Uint64(2) },
@@ -30,6 +30,6 @@
 	} {
 		restored := present()
 		change(restored)
-		assert.True(t, lacksSomething(restored, present()), name)
+		assert.True(t, lacksState(restored, present()), name)
 	}
 }
--- a/lab/scripts/first.sexp
+++ b/lab/scripts/first.sexp
@@ -1,7 +1,7 @@
-; The newcomer's: five fronts, three of them keepers. The holder of the list's duty stands still, then one is killed, then
-; two fronts are cut off from each other. What is served must not change.
-(rig (fronts 5) (keepers 3) (members 3) (clients 6) (span 1s) (for 11s)
-  (at 2s (stop holder:list 2500ms))
-  (at 5s (kill holder:list 1500ms))
-  (at 7500ms (cut n1 n4 1s))
-  (at 9s (hand list)))
+; Five fronts, three of them voters. The leaseholder of the endpoint list is paused, then killed, then two fronts are partitioned, and
+; the lease is transferred. Clients must not notice any of it.
+(process-test (fronts 5) (voters 3) (servers 3) (clients 6) (lease-duration 1s) (for 11s)
+  (at 2s (pause leaseholder:list 2500ms))
+  (at 5s (kill leaseholder:list 1500ms))
+  (at 7500ms (partition n1 n4 1s))
+  (at 9s (transfer list)))
--- a/lab/scripts/long/ask-10-fleet.sexp
+++ /dev/null
@@ -1,2 +0,0 @@
-; A list that answers only when it is asked, 10 fronts as a fleet: how many calls.
-(rig (fronts 10) (keepers 3) (members 3) (span 3s) (clients 10) (for 30s) (ask) (at 1s (hang 28s)))
--- a/lab/scripts/long/calm-alone.sexp
+++ b/lab/scripts/long/calm-alone.sexp
@@ -1,2 +1,2 @@
-; Calm, to be paired with calm-fleet.sexp by seed.
-(rig (fronts 5) (keepers 3) (members 3) (span 3s) (clients 3) (for 8s) (alone))
+; No faults, to be paired with calm-fleet.sexp by seed.
+(process-test (fronts 5) (voters 3) (servers 3) (lease-duration 3s) (clients 3) (for 8s) (without-fleet))
--- /dev/null
+++ b/lab/scripts/long/poll-10-alone.sexp
@@ -0,0 +1,2 @@
+; An endpoint service that is polled, 10 fronts without a fleet: how many calls.
+(process-test (fronts 10) (voters 3) (servers 3) (lease-duration 3s) (clients 10) (for 30s) (poll) (without-fleet) (at 1s (hang-server 28s)))
--- a/lab/scripts/roll-majority.sexp
+++ b/lab/scripts/roll-majority.sexp
@@ -1,4 +1,4 @@
-; The majority of keepers is lost while a version is on its way: every front serves on with what it has; then they are back.
-(rig (fronts 6) (keepers 3) (span 1s) (versions 3s) (for 18s)
+; The majority of the voters is down during a rollout: every front serves on with the version that it has; then they come back.
+(process-test (fronts 6) (voters 3) (lease-duration 1s) (rollouts 3s) (for 18s)
   (at 1s (publish window 1 100%))
   (at 2500ms (kill n1 7s) (kill n2 7s)))
