--- a/fleet/command.go
+++ b/fleet/command.go
@@ -16,7 +16,7 @@
 	opJoin                      // Front joins the fleet
 	opLeave                     // Target, in Incarnation, leaves the fleet
 	opAddVoter                  // Target at Address becomes a voter
-	opRemoveVoter               // Target is a voter no more
+	opRemoveVoter               // Target becomes a follower
 	opPutValue                  // Value under Key, by the holder of Lease in Term; Prev is the value's index before, 0 for none
 )
 
--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -38,7 +38,7 @@
 //
 // # What it must not do
 //
-// It carries no client's requests, and nothing waits for it: a front that reaches nobody goes on serving alone. It decides nothing about
+// It carries no client's requests, and nothing waits for it: a front that reaches no other serves on alone. It decides nothing about
 // routing. Messages and the log are read by other versions of the program: their encoding changes only as lenient_decode.go and
 // Format allow.
 //
@@ -50,7 +50,7 @@
 //   - leases.go, config_leases.go, broadcasts.go: a front's leases, and its broadcasts under them
 //   - replication.go, snapshot_chunks.go, replicated_state.go, command.go: the replicated state and how it spreads
 //   - voter.go, voter_election.go, voter_confirmation.go, voter_disk.go: consensus
-//   - voter_admission.go, voter_recovery.go: which disks count, and what to do where too many are lost
+//   - voter_admission.go, disk_floor.go, voter_recovery.go: which disks count, and what to do where too many are lost
 //   - leader.go, leader_*.go: what the leader does
 //   - message.go, lenient_decode.go: what passes on a link
 //   - event.go, history.go, reasons.go, errors.go: what is reported, and the texts that other programs read
--- a/fleet/event.go
+++ b/fleet/event.go
@@ -86,7 +86,7 @@
 	Term uint64
 }
 
-// LostLeadership says that this front's voter leads no more.
+// LostLeadership says that this front's voter has lost the leadership.
 type LostLeadership struct{}
 
 // VoterHalted says that this front's voter has stopped for good; the front continues as a follower.
@@ -96,7 +96,7 @@
 
 // VotersRecovered is the end of a recovery of the voters at this front, see Node.RecoverVoters.
 type VotersRecovered struct {
-	Lost        []string // those that are voters no more
+	Lost        []string // those that are no longer voters
 	Index, Term uint64   // of the recovered state
 	Reason      string   // the operator's
 	Refusal     string   // why it was refused, "" where it was done
--- a/fleet/links.go
+++ b/fleet/links.go
@@ -81,7 +81,7 @@
 		return errSelfDisplaced
 	case front != nil && front.isPast(hello.Incarnation):
 		return errDisplacedName
-	case existing != nil && n.keepsLink(now, existing, hello):
+	case existing != nil && n.prefersExistingLink(now, existing, hello):
 		return errDuplicateLink // both dialled: the link of the lesser name stays
 	}
 	if existing == nil && hello.Dialled && !hello.Voter && !n.isVoter(hello.Name) {
@@ -98,8 +98,8 @@
 	return nil
 }
 
-// keepsLink reports whether a live link to a peer takes precedence over a new one.
-func (n *Node) keepsLink(now time.Duration, existing *peer, hello *Handshake) bool {
+// prefersExistingLink reports whether a live link to a peer takes precedence over a new one.
+func (n *Node) prefersExistingLink(now time.Duration, existing *peer, hello *Handshake) bool {
 	alive := existing.Incarnation == hello.Incarnation && now-existing.lastReceivedAt < n.options.Timing.LinkTimeout()
 	bothDialled := existing.Dialled != hello.Dialled
 	newHasLesserName := hello.Dialled == (hello.Name < n.options.Name)
@@ -131,7 +131,7 @@
 		n.voter.checkHello(now, hello.Name, hello)
 		n.voter.onLinkChange(hello.Name)
 	default:
-		n.voter.checkOther(hello.Name, m.Index)
+		n.voter.checkNonVoter(hello.Name, m.Index)
 	}
 	positions := []Position{}
 	for _, leaseName := range slices.Sorted(maps.Keys(n.mirrors)) {
--- a/fleet/message.go
+++ b/fleet/message.go
@@ -76,31 +76,6 @@
 	KnownFloor  Floor // what the sender knows of the receiver's Floor
 }
 
-// Floor is the least that a voter's disk must hold: a disk with less is an old copy.
-type Floor struct {
-	//lint:ignore U1000 package msgpack reads this field's tag
-	_msgpack struct{} `msgpack:",as_array"`
-
-	Term, Vote, Commit uint64
-	OpenCount          uint64 // how often the disk was opened
-}
-
-// covers reports whether a disk with f can be the one that was known to hold k: its term, commit index and count of openings
-// never go back, and a vote is never forgotten within its term.
-func (f Floor) covers(k Floor) bool {
-	return f.Term >= k.Term && f.Commit >= k.Commit && f.OpenCount >= k.OpenCount &&
-		(f.Term > k.Term || k.Vote == 0 || f.Vote == k.Vote)
-}
-
-// or returns the least that a disk must hold which is known to hold both f and k.
-func (f Floor) or(k Floor) Floor {
-	if k.Term > f.Term || k.Term == f.Term && f.Vote == 0 {
-		f.Term, f.Vote = k.Term, k.Vote
-	}
-	f.Commit, f.OpenCount = max(f.Commit, k.Commit), max(f.OpenCount, k.OpenCount)
-	return f
-}
-
 // MembershipRecord is a front's report that it is alive; Seq rises by one with each report. It is encoded as one flat array, so its fields
 // can't be grouped.
 type MembershipRecord struct {
--- a/fleet/voter_admission.go
+++ b/fleet/voter_admission.go
@@ -1,16 +1,12 @@
 package fleet
 
-import (
-	"fmt"
-	"maps"
-	"time"
-)
+import "time"
 
 // admission is what a voter has learned of its own disk, and of the other voters, before it may take part in consensus.
 //
 // A voter whose disk is an old copy might vote twice, and lose what it had acknowledged. So voters tell each other on each new link
 // what they know of the other's disk. A voter takes part once a majority, itself included, has vouched that its disk is not older
-// than they know it. A voter whose own disk holds nothing (it is new, or its disk was lost) knows nothing and vouches for nobody.
+// than they know it. A voter whose own disk holds nothing (it is new, or its disk was lost) knows nothing and vouches for no other.
 type admission struct {
 	vouchedBy    map[string]bool // by voter: it has taken part in consensus, and knows no more of this disk than it holds
 	emptyDisks   map[string]bool // by voter: its disk held nothing while this one held nothing either
@@ -18,58 +14,10 @@
 	fleetBegan   bool            // while this disk held nothing, a front had entries of the log: the fleet has begun without it
 }
 
-func newAdmission(isBlank bool) admission {
-	return admission{vouchedBy: map[string]bool{}, emptyDisks: map[string]bool{}, startedEmpty: isBlank}
+func newAdmission(startedEmpty bool) admission {
+	return admission{vouchedBy: map[string]bool{}, emptyDisks: map[string]bool{}, startedEmpty: startedEmpty}
 }
 
-// diskFloors is what this voter's disk holds, and what it knows of the others' disks.
-type diskFloors struct {
-	floor         Floor // as it is on disk
-	peerFloors    map[string]Floor
-	floorsSavedAt time.Duration
-	floorsDirty   bool // peerFloors differs from what is on disk
-}
-
-func newDiskFloors(peerFloors map[string]Floor) diskFloors {
-	all := maps.Clone(peerFloors)
-	if all == nil {
-		all = map[string]Floor{}
-	}
-	return diskFloors{peerFloors: all}
-}
-
-// copyFloors returns the others' floors for a disk write.
-func (f *diskFloors) copyFloors() map[string]Floor { return maps.Clone(f.peerFloors) }
-
-// floorsDue reports whether the others' floors should be written to disk now, and notes that they are.
-func (f *diskFloors) floorsDue(now, interval time.Duration) bool {
-	if !f.floorsDirty || now-f.floorsSavedAt < interval {
-		return false
-	}
-	f.floorsSavedAt, f.floorsDirty = now, false
-	return true
-}
-
-// learnFloor records what another voter's disk holds.
-func (f *diskFloors) learnFloor(from string, holds Floor) {
-	known := f.peerFloors[from]
-	if next := known.or(holds); holds != (Floor{}) && known != next {
-		f.peerFloors[from] = next
-		f.floorsDirty = true
-	}
-}
-
-// exclusion returns excludedFloor where a voter was excluded by a recovery, and nothing elsewhere.
-func (f *diskFloors) exclusion(name string) Floor {
-	if f.peerFloors[name] == excludedFloor {
-		return excludedFloor
-	}
-	return Floor{}
-}
-
-// usedByConsensus reports whether a disk with this floor has been used by consensus.
-func (f Floor) usedByConsensus() bool { return f.Term > 0 }
-
 // checkHello compares what another voter knows of this one's disk with what it holds, and records whether the other vouches for it.
 func (v *voter) checkHello(now time.Duration, from string, h *Handshake) {
 	if !v.floor.covers(h.KnownFloor) {
@@ -105,8 +53,8 @@
 	}
 }
 
-// checkOther handles a new link to a front that is no voter, or one no more.
-func (v *voter) checkOther(from string, index uint64) {
+// checkNonVoter handles a new link to a front that is a follower, or has become one.
+func (v *voter) checkNonVoter(from string, index uint64) {
 	if !v.isLeader() {
 		delete(v.vouchedBy, from) // its own disk was refused
 	}
@@ -148,12 +96,3 @@
 	}
 	return true
 }
-
-// oldCopyReason is why a voter halts whose disk holds less than another voter knows it to have held.
-func oldCopyReason(from string, holds, known Floor) string {
-	if known == excludedFloor {
-		return fmt.Sprintf("the voters were recovered at %s without it: start it again without its file, or add a voter of a new name", from)
-	}
-	return fmt.Sprintf("its disk is an old copy: %s knows it at term %d, commit %d, opened %d times, and it stands at %d, %d, %d: "+
-		"add a keeper of a new name in its place", from, known.Term, known.Commit, known.OpenCount, holds.Term, holds.Commit, holds.OpenCount)
-}
--- a/fleet/voter_recovery.go
+++ b/fleet/voter_recovery.go
@@ -23,13 +23,13 @@
 	RecoveryRefused RecoveryState = "refused"
 )
 
-// Recovery is a recovery of the voters that an operator asked for, see Node.RecoverVoters.
+// Recovery is a recovery of the voters that an operator requested, see Node.RecoverVoters.
 type Recovery struct {
 	State   RecoveryState
 	Reason  string        // the operator's
 	Refusal string        // why it was refused
 	DueAt   time.Duration // when the wait ends, on this front's clock
-	Lost    []string      // the voters that are voters no more
+	Lost    []string      // those that are no longer voters
 }
 
 // A recovered state skips indices and terms, so that none of its own is one that the lost voters may have used for something else.
@@ -39,10 +39,6 @@
 	recoveryTermGap  = 1 << 20
 )
 
-// excludedFloor is the Floor that a recovered voter keeps of those that are voters no more. No disk covers it: their disks are
-// refused for good.
-var excludedFloor = Floor{Term: math.MaxUint64, Vote: math.MaxUint64, Commit: math.MaxUint64, OpenCount: math.MaxUint64}
-
 // RecoverVoters makes this voter the only one, from its own disk, where a majority of the voters has lost its disks and no leader can
 // be elected any more. Log entries that the lost voters acknowledged and that are not on this disk are lost. Leases that they granted
 // may still be in use: nothing is changed until the longest of them has expired. The error says why it is refused; Recovery returns
@@ -61,7 +57,7 @@
 	return nil
 }
 
-// Recovery returns the last recovery that was asked for at this front, nil for none since it started.
+// Recovery returns the last recovery that was requested at this front, nil for none since it started.
 func (n *Node) Recovery() *Recovery { return n.recovery }
 
 // DiskPosition is how new a voter's disk is: of two, the one with the higher LastTerm is newer, or with the higher LastIndex where
@@ -215,7 +211,7 @@
 }
 
 // finishRecovery takes the recovered state, which is on disk, into use: a new voter replaces this one. All links are made anew, so
-// that those who are voters no more hear of it.
+// that those who are no longer voters are notified.
 func (v *voter) finishRecovery(now time.Duration, written *DiskWrite) {
 	n := v.node
 	fresh, err := newVoter(n, &DiskState{Hard: written.Hard, Snapshot: written.Snapshot, Floors: maps.Clone(written.Floors), OpenCount: v.floor.OpenCount})
