--- a/fleet/node.go
+++ b/fleet/node.go
@@ -41,7 +41,7 @@
 	closing  []string // peers whose links must be closed
 }
 
-// New returns a Node. disk is what a voter's disk holds, nil for a follower.
+// New returns a Node. disk is what a voter's disk holds, nil for a follower; the error says what of it can't be used.
 func New(o Options, disk *DiskState) (*Node, error) {
 	if o.MaxFollowers == 0 {
 		o.MaxFollowers = defaultMaxFollowers
