--- a/gateway/connection.go
+++ b/gateway/connection.go
@@ -18,6 +18,7 @@
 
 var stateNames = [...]string{"joining", "up", "down"}
 
+// String returns the name of the state, as logs show it.
 func (s State) String() string { return stateNames[s] }
 
 // Errors that end a connection.
@@ -33,7 +34,10 @@
 	Err    error
 }
 
+// Error returns the reason.
 func (e *HelloError) Error() string { return e.Reason }
+
+// Unwrap returns Err.
 func (e *HelloError) Unwrap() error { return e.Err }
 
 func invalidHello(format string, args ...any) error {
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -10,7 +10,7 @@
 	ID            uint64
 	AttemptNumber uint32 // rising within a request
 	Group         int64
-	Deadline      time.Duration // when its request gives up; nothing is kept for longer
+	Deadline      time.Duration // when its request gives up; its state is dropped then
 	MaxAttempts   uint32        // that the remote site may make
 	Write         bool
 	After         int64 // replication position that a read must see, Unix milliseconds; 0 for none
@@ -31,8 +31,8 @@
 
 const (
 	forwardQueued    forwardState = iota // not sent yet: no credit
-	forwardSent                          // sent on the present connection
-	outcomeUnknown                       // sent on a connection that was lost
+	forwardSent                          // sent over the present connection
+	outcomeUnknown                       // sent over a connection that was lost
 	outcomeRequested                     // the peer was asked for its outcome, on the present connection
 )
 
@@ -189,7 +189,7 @@
 func (e *Endpoint) expireForwards(now time.Duration) {
 	for _, p := range e.forwards.pending {
 		switch {
-		case now >= p.Deadline: // its front gives up by itself; this bounds what the link keeps of it
+		case now >= p.Deadline: // its front gives up by itself; this bounds how long the link has state for it
 			e.sendCancel(p)
 			e.finish(p, Outcome{NotExecuted: p.state == forwardQueued})
 		case (p.state == outcomeUnknown || p.state == outcomeRequested) && now-p.unknownSince >= e.set.RecoveryTimeout:
--- a/gateway/link/connection.go
+++ b/gateway/link/connection.go
@@ -196,7 +196,7 @@
 	return nil
 }
 
-// reject tells the peer why its hello is not accepted.
+// reject sends the peer the reason why its hello is not accepted.
 func (l *Link) reject(k *Codec, reason string) {
 	if err := k.Append(&gateway.Frame{Kind: gateway.FrameReject, Reason: reason}); err == nil {
 		_ = k.Flush() // the connection ends in any case
--- a/gateway/link/frames.go
+++ b/gateway/link/frames.go
@@ -86,7 +86,7 @@
 	l.collectOutcomes()
 }
 
-// beginAttempt tells the front that an attempt is sent; false where the front canceled it before, so that nothing of it
+// beginAttempt notifies the front that an attempt is being sent; false where the front canceled it before, so that nothing of it
 // may be sent.
 func (l *Link) beginAttempt(f *gateway.Frame) bool {
 	id, number := f.ID, f.AttemptNumber
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -54,7 +54,7 @@
 		}
 		f := *x.result
 		f.AttemptNumber = x.attemptNumber
-		f.Age += now - x.finishedAt // it grew older while it was kept
+		f.Age += now - x.finishedAt // it grew older while it was retained
 		if !e.credit.allows(f.creditCost()) {
 			return Frame{}, false
 		}
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -11,7 +11,7 @@
 	HeartbeatInterval time.Duration // heartbeat: the longest time without a frame sent
 	PeerTimeout       time.Duration // silence: without a frame for so long, the link is down
 	RecoveryTimeout   time.Duration // recover: how long a request's outcome may stay unknown
-	OutcomeRetention  time.Duration // retain: how long outcomes are kept at least; no idempotency window may be longer
+	OutcomeRetention  time.Duration // retain: how long outcomes are retained at least; no idempotency window may be longer
 	MaxInFlight       int           // crossings: requests in flight, for each direction
 	CreditBytes       int64         // credit: bytes of requests and results that the peer may have in flight to us
 	RetainedBytes     int64         // kept: bytes of retained outcomes
--- a/pgwire/errors.go
+++ b/pgwire/errors.go
@@ -14,6 +14,7 @@
 // ProtocolError is a message that the protocol does not allow; the connection cannot continue.
 type ProtocolError struct{ Reason string }
 
+// Error returns the reason with its prefix; it is sent to clients.
 func (e *ProtocolError) Error() string { return "protocol violation: " + e.Reason }
 
 // IsProtocolError distinguishes a violation of the protocol from a failure of the connection.
@@ -35,6 +36,7 @@
 // StatementError is a statement that cannot be served; the connection continues. Code is the SQLSTATE.
 type StatementError struct{ Code, Message string }
 
+// Error returns the message; it is sent to clients.
 func (e *StatementError) Error() string { return e.Message }
 
 func statementErrorf(code, format string, args ...any) error {
@@ -44,6 +46,7 @@
 // ResultTooLargeError is a result of more bytes than QueryResult.MaxBytes.
 type ResultTooLargeError struct{ Limit int }
 
+// Error returns the message that the client gets.
 func (e *ResultTooLargeError) Error() string {
 	return fmt.Sprintf("the answer is longer than %d bytes", e.Limit)
 }
--- a/pgwire/reader.go
+++ b/pgwire/reader.go
@@ -33,7 +33,7 @@
 	// Reserve, where set, is asked for room for a body that is longer than RetainedBytes, and is given it back as a
 	// negative number. false ends the message with ErrBufferLimit.
 	Reserve       func(bytes int) bool
-	RetainedBytes int // room for bodies that is kept from message to message
+	RetainedBytes int // room for bodies that is retained from message to message
 	SpareBytes    int // room made after a body that is longer than RetainedBytes, for a caller that detaches and extends it
 }
 
@@ -52,6 +52,7 @@
 	remaining int // bytes that may still be read, -1 for any number
 }
 
+// Read implements io.Reader.
 func (s *boundedSource) Read(b []byte) (int, error) {
 	if s.remaining >= 0 && len(b) > s.remaining {
 		b = b[:s.remaining]
--- a/sqlclass/bench_test.go
+++ b/sqlclass/bench_test.go
@@ -10,7 +10,7 @@
 const known = `SELECT b.id, b.guests, t.name FROM bookings b JOIN tables t ON t.id = b.table_id ` +
 	`WHERE b.house = 'momo-house-7' AND b.day = '2026-12-01' AND b.state IN (1, 2, 3) ORDER BY b.at LIMIT 50 /* c=browser */`
 
-func BenchmarkKnown(b *testing.B) {
+func BenchmarkClassifyKnown(b *testing.B) {
 	c := New(Options{CacheBytes: 8 << 20})
 	text := []byte(known)
 	c.Classify(text)
@@ -20,8 +20,8 @@
 	}
 }
 
-// BenchmarkKnownPlain is a statement of 200 bytes in the one form that the front's users send.
-func BenchmarkKnownPlain(b *testing.B) {
+// BenchmarkClassifyKnownPlain takes a statement of 200 bytes of the kind that most clients send.
+func BenchmarkClassifyKnownPlain(b *testing.B) {
 	c := New(Options{CacheBytes: 8 << 20})
 	text := []byte(`SELECT data FROM facts WHERE code = '7f3a9c21e0b4d6557f3a9c21e0b4d655' ` +
 		`/* id=9b1f03aa5c7e2d41,c=basket,t=acme-restaurants,d=480,cluster=2,after=1767225600123,k=5c0f6e1a2b3d4c59,r=1,s=asha-7 */`)
@@ -31,7 +31,7 @@
 	}
 }
 
-func BenchmarkKnownParallel(b *testing.B) {
+func BenchmarkClassifyKnownParallel(b *testing.B) {
 	c := New(Options{CacheBytes: 8 << 20})
 	text := []byte(known)
 	c.Classify(text)
@@ -43,7 +43,7 @@
 	})
 }
 
-func BenchmarkUnknown(b *testing.B) {
+func BenchmarkClassifyUnknown(b *testing.B) {
 	c := New(Options{CacheBytes: 8 << 20})
 	b.ReportAllocs()
 	text := []byte(known)
@@ -63,8 +63,8 @@
 	}
 }
 
-// BenchmarkMillionShapes is the long flood: a million forms seen once and the heap at half and at the end.
-func BenchmarkMillionShapes(b *testing.B) {
+// BenchmarkClassifyMillionUnknown is a long flood: a million statements seen once, and the heap at half and at the end.
+func BenchmarkClassifyMillionUnknown(b *testing.B) {
 	for b.Loop() {
 		calm, _, _ := hitRate(b, 200, 100_000, 0)
 		rate, half, full := hitRate(b, 200, 100_000, 1_000_000)
--- a/sqlclass/class.go
+++ b/sqlclass/class.go
@@ -1,25 +1,27 @@
-// Package sqlclass parses statements just far enough to say what they do, what they may cost and which request type
-// they are, and keeps what it found by the statement's form.
+// Package sqlclass classifies SQL statements: it parses them just far enough to say what they do, what they may cost and
+// which request type they are, and caches what it found by their normal form.
 //
-// What holds, and is asserted by the tests:
+// Normalization folds what does not matter (names and keywords to lower case, literals to ?); the fingerprint is a
+// checksum of the normal form, for people and logs; classification says whether a statement reads or writes.
+//
+// A Classifier owns its cache and its cost model and is safe for concurrent use; a Scanner has one user at a time.
+//
+// The invariants, asserted by the tests:
 //   - A text is a Read only if every part of it was understood as reading: its verb, every function it calls in
 //     whatever spelling, every operator and every type it casts to. All else is a Write or Unknown, and Unknown
 //     is to be treated as a Write.
-//   - The class is a property of the form: two texts of one form have one class, and forms are told apart by
-//     their bytes, never by a checksum alone.
-//   - Scanning, classing and looking up use bounded memory whatever the text: no recursion, frames of fixed
+//   - The class is a property of the normal form: two texts of one normal form have one class, and normal forms are
+//     distinguished by their bytes, never by a checksum alone.
+//   - Scanning, classifying and looking up use bounded memory whatever the text: no recursion, scopes of fixed
 //     number, names and tables counted.
 //
-// Nothing here chooses a member, or whether a request runs again.
+// Nothing here chooses a server, or whether a request is retried.
 package sqlclass
 
-import (
-	"bytes"
-)
-
 // Class is what a statement does to data.
 type Class uint8
 
+// The classes of statements.
 const (
 	Unknown Class = iota // to be treated as a Write of unknown effect
 	Read
@@ -28,50 +30,25 @@
 
 var classNames = [...]string{"unknown", "read", "write"}
 
+// String returns the name of the class, as commands and logs show it.
 func (c Class) String() string { return classNames[c] }
 
-// Classification is what was found about a form.
+// Classification is what was found about a normal form.
 type Classification struct {
 	Class              Class
-	SessionBound       bool     // it leaves something on the connection, or needs what another left there
-	MultipleStatements bool     // more than one statement
-	Empty              bool     // none
-	Reason             string   // "" for a Read
-	ReasonOffset       int      // offset of the first byte that Why is about, in the text that was classed
-	Verb               string   // the first keyword, or that behind a WITH list; "" where there is none
-	Tables             []string // named behind FROM, JOIN, INTO, UPDATE; lower case, without schema, in order, each once
-	work               work
+	SessionBound       bool     // it leaves state on the connection, or needs what another statement left there
+	MultipleStatements bool     // the text holds more than one statement
+	Empty              bool     // the text holds none
+	Reason             string   // why it is not a Read; "" for a Read
+	ReasonOffset       int      // offset of the first byte that Reason is about, in the text that was classified
+	Verb               string   // the first keyword, or the one after a WITH list; "" where there is none
+	Tables             []string // named after FROM, JOIN, INTO, UPDATE; lower case, without schema, in order, each once
+	rows               rowEstimate
 }
 
-// Sizes that bound what a text can make the classer keep.
+// Limits on what a text can make the analyzer keep.
 const (
-	deepest    = 100 // parentheses within each other
-	mostTables = 16
-	longName   = 64 // bytes of a name shown in a reason; PostgreSQL cuts names at 63
+	maxDepth     = 100 // parentheses in each other
+	maxTables    = 16
+	maxNameBytes = 64 // of a name shown in a reason; PostgreSQL cuts names at 63
 )
-
-// NameLists are the operator's words on functions, operators and types, beside PostgreSQL's own.
-type NameLists struct {
-	reads, writes, columns map[string]bool
-}
-
-// NewNameLists makes Lists. A reading name counts as it stands, with its schema where it has one; a writing name
-// counts in every schema and case. Columns, where not nil, are all names that t.name may mean without a call.
-func NewNameLists(reads, writes, columns []string) *NameLists {
-	l := &NameLists{reads: map[string]bool{}, writes: map[string]bool{}}
-	for _, n := range reads {
-		l.reads[n] = true
-	}
-	for _, n := range writes {
-		l.writes[string(lastPart([]byte(lower(n))))] = true
-	}
-	if columns != nil {
-		l.columns = map[string]bool{}
-		for _, n := range columns {
-			l.columns[n] = true
-		}
-	}
-	return l
-}
-
-func lastPart(name []byte) []byte { return name[bytes.LastIndexByte(name, '.')+1:] }
--- a/sqlclass/shape_test.go
+++ b/sqlclass/classifier_test.go
@@ -14,14 +14,14 @@
 	"pgregory.net/rapid"
 )
 
-func formOf(t testing.TB, text string) string {
+func normalize(t testing.TB, text string) string {
 	var s Scanner
 	b, _, fault := s.Normalize(nil, []byte(text))
 	require.Nil(t, fault, text)
 	return string(b)
 }
 
-func TestFormsFoldWhatDoesNotMatter(t *testing.T) {
+func TestNormalizationFoldsSpellingAndLiterals(t *testing.T) {
 	for _, c := range []struct{ a, b string }{
 		{"SELECT A FROM t WHERE x = 'it''s'", "select a /* x /* y */ */ from T where X=5 -- end"},
 		{"SELECT 1 IN (1, 2, -3)", "SELECT 1 IN ($1)"},
@@ -30,7 +30,7 @@
 		{"SELECT $q$ ; $q$", "SELECT U&'\\0061'"},
 		{"SELECT 'a'\n 'b', 0x1F, 1.5e-3, .5", "SELECT 'a', 1, 1, 1"},
 	} {
-		assert.Equal(t, formOf(t, c.a), formOf(t, c.b))
+		assert.Equal(t, normalize(t, c.a), normalize(t, c.b))
 	}
 	for _, c := range []struct{ a, b string }{
 		{`SELECT a ? 'b'`, `SELECT a 'b' 'c'`}, {`SELECT "A"`, `SELECT a`}, {`SELECT a - -1`, `SELECT a --1`},
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestTextsCutOffAreFaultsWithTheirPlace(t *testing.T) {
+func TestTruncatedTextsAreSyntaxErrorsWithOffset(t *testing.T) {
 	c := New(Options{CacheBytes: MinCacheBytes})
 	for text, at := range map[string]int{
 		"SELECT 'abc": 7, "SELECT 1 /* a /* b */ ": 9, `SELECT "a`: 7, "SELECT $x$ a $y$": 7, "SELECT E'a\\'": 7,
@@ -57,7 +57,7 @@
 	assert.Zero(t, c.Stats().Entries)
 }
 
-func TestReasonsNameTheirPlace(t *testing.T) {
+func TestReasonsHaveTheirOffset(t *testing.T) {
 	c := New(Options{CacheBytes: MinCacheBytes, Lists: corpusLists()})
 	for text, want := range map[string]string{
 		"SELECT 1, unlisted(2)":                                          "calls unlisted, which is on no list of reading functions and types@10",
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestFieldsMayBeHeldToAList(t *testing.T) {
+func TestFieldNamesCanBeRestrictedToColumns(t *testing.T) {
 	c := New(Options{CacheBytes: MinCacheBytes, Lists: NewNameLists(nil, nil, []string{"id", "house"})})
 	for text, class := range map[string]Class{
 		"SELECT b.id, b.house FROM public.bookings b": Read, "SELECT (b).id FROM bookings b": Read,
@@ -83,8 +83,8 @@
 	}
 }
 
-// Whatever a client does to comments, spaces, case and literals, the class stays; and the form too.
-func TestClassesDoNotHangOnSpelling(t *testing.T) {
+// Whatever a client does to comments, spaces, case and literals, class and normal form stay the same.
+func TestClassDoesNotDependOnSpelling(t *testing.T) {
 	all := corpus(t)
 	c := New(Options{CacheBytes: 4 << 20, Lists: corpusLists()})
 	rapid.Check(t, func(t *rapid.T) {
@@ -139,24 +139,24 @@
 	return b.String()
 }
 
-// A client that finds two forms with one checksum must gain nothing: here every form has the same.
-func TestFormsOfOneChecksumKeepTheirClasses(t *testing.T) {
+// A client that finds two normal forms with one checksum must gain nothing: here two have the same.
+func TestNormalFormsWithEqualChecksumsKeepTheirClasses(t *testing.T) {
 	c := New(Options{CacheBytes: 1 << 20, Lists: corpusLists()})
 	read, _, _ := c.Classify([]byte("SELECT seat_name(1)"))
 	w := &scratch{}
 	form, _, _ := w.scan.Normalize(nil, []byte("SELECT next_seat(1)"))
 	w.digest.ResetWithSeed(c.seed)
 	w.digest.Write(form)
-	c.kept.Set(w.digest.Sum64(), read) // as if both had it
+	c.cache.Set(w.digest.Sum64(), read) // as if both had this checksum
 	got, _, fault := c.Classify([]byte("SELECT next_seat(1)"))
 	require.Nil(t, fault)
 	assert.Equal(t, Write, got.Class)
 	assert.EqualValues(t, 1, c.Stats().Collisions)
 	again, _, _ := c.Classify([]byte("SELECT next_seat(1)"))
-	assert.Equal(t, Write, again.Class, "the first stays in its place, and does no harm there")
+	assert.Equal(t, Write, again.Class, "the first entry stays in the cache, and does no harm there")
 }
 
-func TestLongStatementsAreClassedWithinBounds(t *testing.T) {
+func TestLongStatementsAreClassifiedInBoundedTime(t *testing.T) {
 	c := New(Options{CacheBytes: 1 << 20})
 	list := "SELECT * FROM t WHERE id IN (" + strings.Repeat("1, ", 80000) + "2)"
 	s, f, fault := c.Classify([]byte(list))
@@ -169,7 +169,7 @@
 	assert.Equal(t, Read, s.Class)
 	assert.EqualValues(t, 1, c.Stats().TooLong)
 	assert.EqualValues(t, 1, c.Stats().Entries)
-	used := func() time.Duration { // of a processor, whatever else runs on the machine
+	used := func() time.Duration { // CPU time of this process
 		var u syscall.Rusage
 		require.NoError(t, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
 		return time.Duration(u.Utime.Nano() + u.Stime.Nano())
@@ -180,25 +180,25 @@
 		"SELECT 1 " + strings.Repeat("+-", 120000) + " 1"} {
 		c.Classify([]byte(nasty))
 	}
-	assert.Less(t, used()-began, 5*time.Second, "each byte is looked at a bounded number of times")
+	assert.Less(t, used()-began, 5*time.Second, "each byte is read a bounded number of times")
 }
 
-// One client that never asks the same twice must cost no memory and no other client's shapes.
-func TestAFloodOfShapesKeepsMemoryFlatAndHotShapesIn(t *testing.T) {
+// A client that never sends the same statement twice must cost no memory and evict no other client's entries.
+func TestFloodOfNewStatementsKeepsMemoryBoundedAndHotEntriesCached(t *testing.T) {
 	flood, hot := 200_000, 200
 	if testing.Short() {
 		flood = 50_000
 	}
 	calm, _, _ := hitRate(t, hot, 50_000, 0)
 	rate, half, full := hitRate(t, hot, 50_000, flood)
-	t.Logf("hot shapes found: %.3f calm, %.3f in a flood of %d; heap %d KiB at half, %d KiB at the end", calm, rate, flood,
+	t.Logf("hot statements cached: %.3f without, %.3f in a flood of %d; heap %d KiB at half, %d KiB at the end", calm, rate, flood,
 		half>>10, full>>10)
 	assert.Greater(t, rate, calm-0.05)
 	assert.Less(t, float64(full), float64(half)*1.05+float64(256<<10))
 }
 
-// hitRate takes hot shapes by a Zipf law among a flood of new ones and says what part of the hot ones was found,
-// and the heap in the middle and at the end.
+// hitRate classifies hot statements by a Zipf distribution among a flood of new ones. It returns which part of the hot ones
+// was cached, and the heap in the middle and at the end, in bytes.
 func hitRate(t testing.TB, hot, takes, flood int) (rate float64, half, full uint64) {
 	c := New(Options{CacheBytes: 1 << 20, Lists: corpusLists(), Seed: 7})
 	r := rand.New(rand.NewPCG(1, 2))
@@ -238,7 +238,7 @@
 	return m.HeapAlloc
 }
 
-func TestManyMayUseOneCacheAtOnce(t *testing.T) {
+func TestConcurrentUse(t *testing.T) {
 	c := New(Options{CacheBytes: MinCacheBytes, Lists: corpusLists()})
 	all := corpus(t)
 	done := make(chan string, 8)
@@ -265,7 +265,7 @@
 	}
 }
 
-func TestEstimatesFollowWhatWasMeasuredAndForgetSlowly(t *testing.T) {
+func TestEstimatesFollowMeasurementsAndDecay(t *testing.T) {
 	c := New(Options{CacheBytes: 1 << 20})
 	take := func(text string) (*NormalizedStatement, Details) {
 		s, f, fault := c.Classify([]byte(text))
@@ -284,17 +284,17 @@
 	for range 200 {
 		c.Observe(s, &f, 2*time.Millisecond)
 	}
-	assert.InDelta(t, 2, c.Estimate(s, &f).Seconds()*1e3, 1, "what has changed is followed")
+	assert.InDelta(t, 2, c.Estimate(s, &f).Seconds()*1e3, 1, "a change is followed")
 	short, few := take("SELECT * FROM a WHERE id IN (1, 2)")
 	_, many := take("SELECT * FROM a WHERE id IN (" + strings.Repeat("1, ", 900) + "2)")
-	assert.Greater(t, c.Estimate(short, &many), c.Estimate(short, &few), "a longer list costs more under one form")
+	assert.Greater(t, c.Estimate(short, &many), c.Estimate(short, &few), "a longer list costs more with one normal form")
 	_, ten := take("SELECT * FROM a LIMIT 10")
 	whole, thousand := take("SELECT * FROM a LIMIT 1000")
 	assert.Less(t, c.Estimate(whole, &ten), c.Estimate(whole, &thousand))
-	assert.Positive(t, c.Estimate(s, &f), "as no estimate is that was no number before it became a duration")
+	assert.Positive(t, c.Estimate(s, &f), "an estimate is a number")
 }
 
-func TestRulesNameTheTypeByClassVerbTablesAndCost(t *testing.T) {
+func TestRulesMatchByClassVerbTablesAndCost(t *testing.T) {
 	c := New(Options{CacheBytes: 1 << 20, Rules: []Rule{
 		{Type: "book", Class: Write, Verbs: []string{"insert"}, Tables: []string{"bookings"}},
 		{Type: "other-write", Class: Write},
@@ -316,7 +316,7 @@
 	}
 }
 
-func FuzzClass(f *testing.F) {
+func FuzzClassify(f *testing.F) {
 	for _, l := range corpus(f) {
 		f.Add(l.SQL)
 	}
@@ -326,17 +326,17 @@
 		if fault != nil {
 			return
 		}
-		// The form is read off the same way again: spelled in lower case, its comments gone, its literals one.
+		// The normal form is a text of the same class: in lower case, without comments, its literals alike.
 		other := strings.ReplaceAll(string(s.Text()), "?+", "1")
-		if strings.ContainsAny(text, `"\?$`) { // names and operators that the form spells by itself
+		if strings.ContainsAny(text, `"\?$`) { // names and operators that the normal form writes in its own way
 			return
 		}
 		again, _, fault := c.Classify([]byte(strings.ReplaceAll(other, "?", "1")))
 		if fault != nil {
-			t.Fatalf("%q, whose form is %q: %v", text, s.Text(), fault)
+			t.Fatalf("%q, whose normal form is %q: %v", text, s.Text(), fault)
 		}
 		if (again.Class == Read) != (s.Class == Read) {
-			t.Fatalf("%q is %s, its form %q is %s", text, s.Class, s.Text(), again.Class)
+			t.Fatalf("%q is %s, its normal form %q is %s", text, s.Class, s.Text(), again.Class)
 		}
 	})
 }
--- a/sqlclass/corpus_test.go
+++ b/sqlclass/corpus_test.go
@@ -10,10 +10,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// labelled is a statement of the corpus with the class that it was given by hand; every label but read is a write.
+// labelled is a statement of the corpus with its class, given by hand; every label except read is a write.
 type labelled struct{ Label, Why, SQL string }
 
-// corpusLists are what the operator's file would say of the functions and types that the corpus calls.
+// corpusLists are the operator's lists of the functions and types that the corpus calls.
 func corpusLists() *NameLists {
 	return NewNameLists([]string{"seat_name", "seats_of", "price_of", "geo.distance", "mood"},
 		[]string{"next_seat", "hold_table", "writing_view"}, nil)
@@ -33,7 +33,7 @@
 
 func TestNoWriteOfTheCorpusIsARead(t *testing.T) {
 	c := New(Options{Lists: corpusLists(), CacheBytes: 8 << 20})
-	reads, told := 0, 0
+	reads, recognized := 0, 0
 	all := corpus(t)
 	require.GreaterOrEqual(t, len(all), 600)
 	for _, l := range all {
@@ -42,9 +42,9 @@
 			require.Nil(t, fault, l.SQL)
 			reads++
 			if s.Class == Read {
-				told++
+				recognized++
 			} else {
-				t.Logf("not told: %s (%s)", l.SQL, s.Reason)
+				t.Logf("not recognized: %s (%s)", l.SQL, s.Reason)
 			}
 			continue
 		}
@@ -52,6 +52,6 @@
 			assert.NotEqual(t, Read, s.Class, "%s: %s", l.Why, l.SQL)
 		}
 	}
-	t.Logf("%d statements, %d reads, %d told (%.1f%%)", len(all), reads, told, 100*float64(told)/float64(reads))
-	assert.GreaterOrEqual(t, float64(told), 0.95*float64(reads))
+	t.Logf("%d statements, %d reads, %d recognized (%.1f%%)", len(all), reads, recognized, 100*float64(recognized)/float64(reads))
+	assert.GreaterOrEqual(t, float64(recognized), 0.95*float64(reads))
 }
--- a/sqlclass/pinned_test.go
+++ b/sqlclass/golden_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pinnedStatement is what testdata/classified.jsonl says of a line of the corpus.
-type pinnedStatement struct {
+// goldenStatement is the line of testdata/classified.jsonl for a line of the corpus.
+type goldenStatement struct {
 	Form        string   `json:"form,omitempty"`
 	Fingerprint uint64   `json:"fingerprint,omitempty"`
 	Class       string   `json:"class,omitempty"`
@@ -27,22 +27,22 @@
 	Limit       int      `json:"limit"`
 	Key         string   `json:"key,omitempty"`
 	Block       [2]int   `json:"block"`
-	Code        string   `json:"code,omitempty"` // of the fault, with Why and At
+	Code        string   `json:"code,omitempty"` // of the syntax error, with Why and At
 }
 
-func pin(c *Classifier, text string) pinnedStatement {
+func golden(c *Classifier, text string) goldenStatement {
 	s, f, fault := c.Classify([]byte(text))
 	if fault != nil {
-		return pinnedStatement{Code: fault.Code, Why: fault.Message, At: fault.Offset}
+		return goldenStatement{Code: fault.Code, Why: fault.Message, At: fault.Offset}
 	}
 	v := c.Explain([]byte(text))
-	return pinnedStatement{Form: string(s.Text()), Fingerprint: s.Fingerprint(), Class: s.Class.String(), Bound: s.SessionBound,
+	return goldenStatement{Form: string(s.Text()), Fingerprint: s.Fingerprint(), Class: s.Class.String(), Bound: s.SessionBound,
 		Several: s.MultipleStatements, Empty: s.Empty, Why: v.Reason, At: v.ReasonOffset, Verb: s.Verb, Tables: s.Tables, Rows: s.EstimatedRows(&f),
 		Items: f.ListItems, Limit: f.Limit, Key: string(f.FirstString), Block: f.LastComment}
 }
 
-// Normal form, fingerprint, class and all else that is read off a statement stay what they are, for the whole corpus.
-func TestTheCorpusKeepsItsFormsFingerprintsAndClasses(t *testing.T) {
+// Normal form, fingerprint, class and all else that is found of a statement stay what they are, for the whole corpus.
+func TestCorpusKeepsNormalFormsFingerprintsAndClasses(t *testing.T) {
 	f, err := os.Open("testdata/classified.jsonl")
 	require.NoError(t, err)
 	defer f.Close()
@@ -51,7 +51,7 @@
 	in.Buffer(nil, 1<<20)
 	for _, l := range corpus(t) {
 		require.True(t, in.Scan())
-		got, err := json.Marshal(pin(c, l.SQL))
+		got, err := json.Marshal(golden(c, l.SQL))
 		require.NoError(t, err)
 		assert.Equal(t, in.Text(), string(got), l.SQL)
 	}
--- a/sqlclass/keywords.go
+++ b/sqlclass/keywords.go
@@ -1,203 +1,172 @@
 package sqlclass
 
-// What the words of a statement do to its class.
+import "strings"
 
-// field looks at t.f and (t).f, which call f where the row has no such column.
-func (c *classer) field(p *path) {
-	name, ok := c.plainName(p.last)
-	switch {
-	case !ok:
-		c.unknown(p.last.Start, "a field whose name is written with U&: "+c.show(p.last))
-	case c.lists.writes[string(c.lowered(name))]:
-		c.write(p.last.Start, "calls "+c.show(p.last)+" in field notation, which the operator's file lists as writing")
-	case p.expr && !c.lists.reads[string(name)] && !c.lists.columns[string(name)],
-		c.lists.columns != nil && !c.lists.columns[string(name)] && !c.lists.reads[string(name)] && p.behind != "from" &&
-			p.behind != "join" && p.behind != "only" && !(p.comma && c.top().from):
-		c.unknown(p.last.Start, "may call "+c.show(p.last)+" in field notation: list it under columns or reads")
-	}
+// keyword is a word of PostgreSQL's.
+type keyword struct {
+	name  string
+	flags keywordFlags
 }
 
-// table notes a table or view. One that the operator lists as writing is a view or foreign table with an effect.
-func (c *classer) table(p *path) {
-	name, ok := c.plainName(p.last)
-	if !ok || !c.top().query.on && c.v.Class == Read || len(c.v.Tables) == mostTables || len(name) > longName {
-		return
-	}
-	c.top().query.tables++
-	if c.lists.writes[string(c.lowered(name))] {
-		c.write(p.first.Start, "uses "+c.show(p.last)+", which the operator's file lists as writing")
-	}
-	for _, t := range c.v.Tables {
-		if t == string(name) {
-			return
-		}
-	}
-	c.v.Tables = append(c.v.Tables, string(name))
+// keywordFlags say what a keyword means to the analyzer.
+type keywordFlags uint16
+
+const (
+	kReserved keywordFlags = 1 << iota // never the name of a function, so a ( after it opens something else
+	kDML                               // changes data where a statement begins
+	kBound                             // leaves something on the connection, or needs what is left there
+	kChange                            // another verb that writes, or may
+	kQuery                             // begins a query
+	kHolds                             // a ( after it contains a table, and an alias may follow its )
+)
+
+// keywordLists are the lists of PostgreSQL's manual, appendix C, for its versions 13 to 17. A word may be in several.
+var keywordLists = []struct {
+	flags keywordFlags
+	names string
+}{
+	{kReserved, `all analyse analyze and any array as asc asymmetric both case cast check collate column constraint
+		create current_catalog current_date current_role current_time current_timestamp current_user default
+		deferrable desc distinct do else end except false fetch for foreign from grant group having in initially
+		intersect into lateral leading limit localtime localtimestamp not null offset on only or order placing
+		primary references returning select session_user some symmetric system_user table then to trailing true
+		union unique user using variadic when where window with`},
+	// Column names that are no functions' names: their ( is the grammar's own. Those whose insides call nothing by
+	// themselves are held for reserved too; the rest (between, exists, values, row, ...) are listed as reading.
+	{kReserved, `between exists grouping values row setof none inout out treat`},
+	{0, `bigint bit boolean char character coalesce dec decimal extract float greatest int integer interval
+		json json_array json_arrayagg json_exists json_object json_objectagg json_query json_scalar json_serialize
+		json_table json_value least merge_action national nchar normalize nullif numeric overlay position precision
+		real smallint substring time timestamp trim varchar xmlattributes xmlconcat xmlelement xmlexists xmlforest
+		xmlnamespaces xmlparse xmlpi xmlroot xmlserialize xmltable`},
+	// These may name functions, so only what stands before them tells.
+	{0, `authorization binary collation concurrently cross current_schema freeze full ilike inner is isnull join left
+		like natural notnull outer overlaps right similar tablesample verbose`},
+	{0, `abort absent absolute access action add admin after aggregate also alter always asensitive assertion
+		assignment at atomic attach attribute backward before begin breadth by cache call called cascade cascaded
+		catalog chain characteristics checkpoint class close cluster columns comment comments commit committed
+		compression conditional configuration conflict connection constraints content continue conversion copy cost
+		csv cube current cursor cycle data database day deallocate declare defaults deferred definer delete delimiter
+		delimiters depends depth detach dictionary disable discard document domain double drop each empty enable
+		encoding encrypted enforced enum error escape event exclude excluding exclusive execute explain expression
+		extension external family filter finalize first following force format forward function functions generated
+		global granted groups handler header hold hour identity if immediate immutable implicit import include
+		including increment indent index indexes inherit inherits inline input insensitive insert instead invoker
+		isolation keep key keys label language large last leakproof level listen load local location lock locked
+		logged mapping match matched materialized maxvalue merge method minute minvalue mode month move name names
+		nested new next nfc nfd nfkc nfkd no normalized nothing notify nowait nulls object objects of off oids old
+		omit operator option options ordinality others over overriding owned owner parallel parameter parser partial
+		partition passing password path period plan plans policy preceding prepare prepared preserve prior privileges
+		procedural procedure procedures program publication quote quotes range read reassign recursive ref referencing
+		refresh reindex relative release rename repeatable replace replica reset restart restrict return returns
+		revoke role rollback rollup routine routines rows rule savepoint scalar schema schemas scroll search second
+		security sequence sequences serializable server session set sets share show simple skip snapshot source split
+		sql stable standalone start statement statistics stdin stdout storage stored strict string strip subscription
+		support sysid system tables tablespace target temp template temporary text ties transaction transform trigger
+		truncate trusted type types uescape unbounded uncommitted unconditional unencrypted unknown unlisten unlogged
+		until update vacuum valid validate validator value varying version view views virtual volatile whitespace
+		within without work wrapper write xml year yes zone`},
+	{kDML, `insert update delete merge`},
+	{kQuery, `select values table with`},
+	{kBound, `begin start commit end abort rollback savepoint release set reset discard prepare execute deallocate
+		declare fetch move close listen unlisten load lock copy`},
+	{kChange, `call do create alter drop truncate grant revoke vacuum analyze analyse cluster reindex refresh comment
+		security import reassign notify checkpoint`},
+	{kHolds, `from join lateral only in any all some exists values row array cast using by and or not where on
+		having select when then else case limit offset over filter union intersect except distinct`},
 }
 
-// word takes a name or a keyword.
-func (c *classer) word(t Token) {
-	p := &c.path
-	if p.on && p.dot {
-		p.parts++
-		p.last, p.dot, p.kw = t, false, nil
-		c.operand, c.prev = true, ""
-		if p.parts > 8 {
-			c.unknown(t.Start, "a name of too many parts")
-			p.parts = 8
-		}
-		return
-	}
-	if p.on {
-		c.finish(t)
-	}
-	f := c.top()
-	*p = path{on: true, parts: 1, first: t, last: t, behind: c.prev, operand: c.operand, comma: c.prev == ",",
-		inAlias: f.alias, cast: c.prevTok.Kind == Operator && c.prevTok.End == c.prevTok.Start+2 && c.text[c.prevTok.Start] == ':' &&
-			c.text[c.prevTok.Start+1] == ':'}
-	if t.Kind == Word && t.End-t.Start <= longName {
-		c.name = appendLower(c.name[:0], c.text[t.Start:t.End])
-		p.kw = words[string(c.name)]
-	}
-	if p.kw == nil {
-		if f.opts && t.Kind == QuotedName { // "analyze" is an option too
-			c.analyze = true
-		}
-		if f.start && !f.opts && c.depth == 0 {
-			c.unknown(t.Start, "it begins with no verb that is known")
+// keywords are all keywords, by name.
+var keywords = makeKeywords()
+
+func makeKeywords() map[string]*keyword {
+	all := map[string]*keyword{}
+	for _, list := range keywordLists {
+		for _, name := range strings.Fields(list.names) {
+			if all[name] == nil {
+				all[name] = &keyword{name: name}
+			}
+			all[name].flags |= list.flags
 		}
-		f.start = false
-		c.operand, c.prev2, c.prev = true, c.prev, ""
-		return
-	}
-	label := p.behind == "as" && !f.cast // a label may be any word, a reserved one too
-	if !label || p.kw.name == "materialized" || p.kw.name == "not" || f.with {
-		c.keyword(t, p.kw, f)
-	}
-	if label && p.kw.sort&kReserved != 0 && !f.with { // nothing but a label: it opens nothing
-		p.kw = nil
-		c.operand, c.prev2, c.prev = true, c.prev, ""
-		return
-	}
-	c.operand, c.prev2, c.prev = false, c.prev, p.kw.name
-	if c.prev2 == "distinct" && c.prev == "from" {
-		c.prev = "" // IS DISTINCT FROM: no table follows
 	}
+	all["with"].flags &^= kHolds
+	return all
 }
 
-// keyword follows the statement by its keywords.
-func (c *classer) keyword(t Token, kw *keyword, f *frame) {
-	if f.start || f.with || f.opts {
-		if c.begins(t, kw, f) {
-			return
-		}
-	}
-	switch c.locks {
-	case 1:
-		switch kw.name {
-		case "update", "share":
-			c.write(t.Start, "locks rows")
-		case "no", "key":
-			c.locks = 2
-			return
-		}
-	case 2:
-		if kw.name == "key" || kw.name == "share" || kw.name == "update" {
-			c.write(t.Start, "locks rows")
-		}
-	}
-	c.locks = 0
-	switch kw.name {
-	case "uescape":
-		if c.prevTok.Kind == QuotedName {
-			c.unknown(t.Start, "a name written with U& and UESCAPE")
-		}
-	case "for":
-		c.locks = 1
-	case "into":
-		c.write(t.Start, "SELECT INTO makes a table")
-	case "temp", "temporary":
-		if c.prev == "create" || c.prev == "into" || c.prev == "local" || c.prev == "global" {
-			c.v.SessionBound = true
-		}
-	case "select", "values":
-		f.query.close(&c.total)
-		f.query.begin()
-		f.from = false
-	}
-	switch kw.name {
-	case "from":
-		f.from = f.query.on && c.prev != "distinct"
-		f.query.from = f.query.from || f.from
-	case "where", "group", "order", "having", "limit", "union", "intersect", "except", "window", "returning":
-		f.from = false
+// flagsOf returns the flags of a keyword, 0 for any other word.
+func flagsOf(name string) keywordFlags {
+	if kw := keywords[name]; kw != nil {
+		return kw.flags
 	}
-	f.query.keyword(kw.name)
+	return 0
 }
 
-// begins takes a keyword where a statement may begin; false where it means nothing there.
-func (c *classer) begins(t Token, kw *keyword, f *frame) bool {
-	top := c.depth == 0
-	if f.opts {
-		if kw.name == "analyze" || kw.name == "analyse" {
-			c.analyze = true
-		}
-		if kw.sort&kQuery == 0 || !f.start { // an option, not the query itself
-			return true
-		}
-		f.opts = false // EXPLAIN (SELECT ...)
-		f.holds = true
-	}
-	if f.with {
-		if kw.sort&(kQuery|kDML) == 0 || kw.name == "with" || c.prev == "with" || c.prev == "recursive" {
-			return true
-		}
-		f.with = false
-	}
-	f.start = false
-	switch {
-	case kw.name == "explain" && top && !c.explain:
-		c.explain, f.start = true, true
-		return true
-	case c.explain && top && (kw.name == "analyze" || kw.name == "analyse" || kw.name == "verbose") && c.v.Verb == "":
-		c.analyze = c.analyze || kw.name != "verbose"
-		f.start = true
-		return true
-	case kw.name == "with":
-		f.with = true
-		return true
-	}
-	if c.v.Verb == "" || top {
-		c.v.Verb = kw.name
-	}
-	switch {
-	case kw.sort&kDML != 0:
-		c.write(t.Start, "changes data by "+kw.name)
-		f.query.close(&c.total)
-		f.query.begin()
-		f.query.changes, f.query.inserts = true, kw.name == "insert"
-	case kw.sort&kQuery != 0:
-		f.query.close(&c.total)
-		f.query.begin()
-		f.from = false
-		f.query.from = kw.name == "table"
-		if !top {
-			c.stack[c.depth-1].query.list = false // IN (SELECT ...)
-		}
-	case !top:
-		if c.v.Verb == kw.name { // an expression in parentheses, not a verb
-			c.v.Verb = ""
-		}
-		return false
-	case c.explain:
-		c.unknown(t.Start, "an EXPLAIN of "+kw.name)
-	case kw.sort&kBound != 0:
-		c.bound(t.Start, kw.name+" works on the connection, which is shared")
-	case kw.sort&kChange != 0:
-		c.write(t.Start, kw.name+" may change anything")
-	case kw.name == "show":
-	default:
-		c.unknown(t.Start, "it begins with no verb that is known")
+// Functions of PostgreSQL's own that read or only compute, and types that a cast may name. What is not here
+// and not on the operator's list is not known. Left out on purpose: all that writes, locks, signals, sleeps,
+// sets, reads files of the server, or runs a text as a statement (query_to_xml, ts_stat, dblink).
+const readingNames = `abs acos acosd age array_agg array_append array_cat array_dims array_fill array_length array_lower
+	array_ndims array_position array_positions array_prepend array_remove array_replace array_to_json array_to_string
+	array_upper ascii asin asind atan atan2 avg bit_and bit_count bit_length bit_or bool_and bool_or box btrim
+	cardinality cbrt ceil ceiling center char_length character_length chr circle clock_timestamp coalesce
+	concat concat_ws convert_from convert_to corr cos cosd cot count covar_pop covar_samp cume_dist current_database
+	current_schema current_schemas current_setting date_bin date_part date_trunc decode degrees dense_rank diameter div
+	encode enum_first enum_last enum_range every exp extract factorial first_value floor format format_type
+	gcd generate_series generate_subscripts get_bit get_byte greatest grouping height host initcap
+	isempty isfinite json_agg json_array_elements json_array_elements_text json_array_length json_build_array
+	json_build_object json_each json_each_text json_extract_path json_extract_path_text json_object json_object_agg
+	json_object_keys json_populate_record json_strip_nulls json_to_record json_to_recordset json_typeof jsonb_agg
+	jsonb_array_elements jsonb_array_elements_text jsonb_array_length jsonb_build_array jsonb_build_object jsonb_each
+	jsonb_each_text jsonb_extract_path jsonb_extract_path_text jsonb_insert jsonb_object jsonb_object_agg
+	jsonb_object_keys jsonb_path_exists jsonb_path_query jsonb_path_query_array jsonb_path_query_first jsonb_pretty
+	jsonb_set jsonb_strip_nulls jsonb_to_record jsonb_to_recordset jsonb_typeof justify_days justify_hours
+	justify_interval lag last_value lcm lead least left length ln localtime localtimestamp log log10 lower lower_inc lower_inf
+	lpad ltrim make_date make_interval make_time make_timestamp make_timestamptz masklen max md5 min mod mode
+	multirange netmask network normalize now nth_value ntile nullif num_nonnulls num_nulls numnode octet_length
+	overlay percent_rank percentile_cont percentile_disc pg_column_size pg_get_indexdef pg_get_viewdef
+	pg_is_in_recovery pg_relation_size pg_size_pretty pg_table_size pg_total_relation_size pg_typeof
+	phraseto_tsquery pi plainto_tsquery point polygon position power pg_last_wal_replay_lsn pg_current_wal_lsn
+	quote_ident quote_literal quote_nullable radians radius range_agg rank regexp_count regexp_instr regexp_like
+	regexp_match regexp_matches regexp_replace regexp_split_to_array regexp_split_to_table regexp_substr regr_count
+	regr_intercept regr_r2 regr_slope repeat replace reverse right round row_number row_to_json rpad rtrim scale
+	set_bit set_byte setweight sha224 sha256 sha384 sha512 sign sin sind split_part sqrt starts_with statement_timestamp
+	stddev stddev_pop stddev_samp string_agg string_to_array string_to_table strip strpos substr substring sum tan
+	timeofday to_char to_date to_hex to_json to_jsonb to_number to_timestamp to_tsquery to_tsvector transaction_timestamp
+	translate trim trim_array trim_scale trunc ts_headline ts_rank ts_rank_cd tsvector_to_array unnest upper upper_inc
+	upper_inf uuid_nil uuid_generate_v4 gen_random_uuid var_pop var_samp variance version websearch_to_tsquery width
+	width_bucket xmlagg random rank bernoulli system rollup cube sets
+	bigint bit bool boolean bpchar bytea char character cidr cstring date daterange dec decimal double float float4 float8
+	inet int int2 int4 int4range int8 int8range integer interval json jsonb line lseg macaddr macaddr8 money name
+	national nchar numeric numrange oid path pg_lsn real regclass regnamespace regproc regrole regtype smallint text time
+	timestamp timestamptz timetz tsquery tsrange tstzrange tsvector uuid varbit varchar varying xid xid8 xml`
+
+// Functions of PostgreSQL's own that write; writing names stand above reading ones.
+const writingNames = `nextval setval currval lastval lo_create lo_creat lo_unlink lo_import lo_export lo_from_bytea lo_put
+	lowrite lo_truncate pg_notify txid_current pg_current_xact_id pg_create_restore_point
+	pg_switch_wal pg_terminate_backend pg_cancel_backend pg_reload_conf pg_rotate_logfile pg_promote
+	pg_logical_emit_message pg_drop_replication_slot pg_stat_reset dblink dblink_exec query_to_xml`
+
+// Functions that leave something on the connection.
+const boundNames = `set_config pg_advisory_lock pg_advisory_lock_shared pg_try_advisory_lock pg_try_advisory_lock_shared
+	pg_advisory_unlock pg_advisory_unlock_shared pg_advisory_unlock_all lo_open loread dblink_connect setseed`
+
+// Operators of PostgreSQL's own. One that an extension or the operator's own SQL brought may call anything.
+const knownOperators = `+ - * / % ^ < > <= >= = <> != ~ ~* !~ !~* ~~ ~~* !~~ !~~* || && @> <@ -> ->> #> #>> ? ?| ?& @@ @@@ << >>
+	& | # @ |/ ||/ <-> &< &> <<| |>> &<| |&> -|- #- @? :: := => <^ >^ ?# ?- ?-| ?|| ~= ~>=~ ~<=~ ~>~ ~<~ ^@ <<= >>= !!`
+
+// set makes a set of the words of a list.
+func set(words string) map[string]bool {
+	m := map[string]bool{}
+	for _, w := range strings.Fields(words) {
+		m[w] = true
 	}
-	return true
+	return m
 }
+
+var (
+	builtinReads     = set(readingNames)
+	builtinWrites    = set(writingNames)
+	builtinBound     = set(boundNames)
+	builtinOperators = set(knownOperators)
+	aggregates       = set(`array_agg avg bool_and bool_or count every json_agg json_object_agg jsonb_agg jsonb_object_agg max
+		min percentile_cont percentile_disc stddev string_agg sum variance`)
+)
