--- a/fleet/config_leases.go
+++ b/fleet/config_leases.go
@@ -38,25 +38,30 @@
 // ConfigLeaseExpiry returns until when this front may use a version, on its own clock; 0 for never.
 func (n *Node) ConfigLeaseExpiry(version uint64) time.Duration { return n.configExpiry[version] }
 
-// onConfigLeases handles renewals on their way from the leader: those of this front, which count from when it asked, and those
+// usesVersion reports whether this front uses a version or is about to.
+func (n *Node) usesVersion(version uint64) bool {
+	return version == n.activeVersion || n.hasPending && version == n.pendingVersion
+}
+
+// onConfigLeases handles renewals on their way from the leader: those of this front, which count from its request, and those
 // of fronts behind it.
 func (n *Node) onConfigLeases(all []Position) {
-	next := map[string][]Position{}
+	byNextHop := map[string][]Position{}
 	for _, m := range all {
 		if m.Name != n.options.Name {
-			if w, ok := n.routes[m.Name]; ok && w.via != "" {
-				next[w.via] = append(next[w.via], m)
+			if route, ok := n.routes[m.Name]; ok && route.via != "" {
+				byNextHop[route.via] = append(byNextHop[route.via], m)
 			}
 			continue
 		}
-		if m.Term != n.options.Incarnation || m.Index > n.reportSeq || n.reportSeq-m.Index >= keptSendTimes || n.isDisplaced ||
-			m.Version != n.activeVersion && !(n.hasPending && m.Version == n.pendingVersion) {
+		if m.Term != n.options.Incarnation || m.Index > n.reportSeq || n.reportSeq-m.Index >= rememberedSendTimes || n.isDisplaced ||
+			!n.usesVersion(m.Version) {
 			continue
 		}
-		since := n.sentAt[m.Index%keptSendTimes]
+		since := n.sentAt[m.Index%rememberedSendTimes]
 		if until := since + lowerBound(n.options.ConfigLease); until > n.configExpiry[m.Version] {
 			for v := range n.configExpiry {
-				if v != n.activeVersion && !(n.hasPending && v == n.pendingVersion) {
+				if !n.usesVersion(v) {
 					delete(n.configExpiry, v)
 				}
 			}
@@ -64,8 +69,8 @@
 			n.emit(ConfigLeaseRenewed{Version: m.Version, Until: until, Since: since})
 		}
 	}
-	for _, via := range slices.Sorted(maps.Keys(next)) {
-		for part := range slices.Chunk(next[via], maxMembers) {
+	for _, via := range slices.Sorted(maps.Keys(byNextHop)) {
+		for part := range slices.Chunk(byNextHop[via], maxMembers) {
 			n.send(via, &Message{Kind: KindConfigLeases, Positions: part})
 		}
 	}
--- /dev/null
+++ b/router/harness_test.go
@@ -0,0 +1,163 @@
+package router
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"dapplerouter/routing"
+)
+
+const ms = time.Millisecond
+
+// Request types of testDeployment.
+const (
+	anyRead = iota
+	boundedRead
+	sessionRead
+	strongRead
+	write
+	nonIdempotentWrite
+)
+
+func testDeployment() routing.Options {
+	read := routing.RequestType{LatencyObjective: 200 * ms, Deadline: 800 * ms, PriorityWeight: 1, Idempotency: routing.Idempotent}
+	s := routing.Options{
+		Seed:        7,
+		Topology:    routing.Topology{ZoneCount: 2, FleetSize: 1, TickInterval: 5 * ms, RoleListing: routing.RolesDelayed},
+		Replication: routing.Replication{StalenessCheck: routing.WaitUntilFresh, FreshnessWait: 50 * ms, PositionInResponses: true},
+		Guardrails: routing.Guardrails{AnswerSlack: 20 * ms, DrainGrace: time.Second, MaxPollInterval: 10 * time.Second,
+			InitialCapacity: 0.2, OverloadMultiple: 2.5, SlowStartDuration: 10 * time.Second, OverloadWindow: 2 * time.Second},
+		Limits: routing.Limits{MaxAttempts: 6, HealthChecks: true, Cancellation: true,
+			MaxRetryAfter: 400 * ms},
+	}
+	for _, level := range []routing.Consistency{routing.Eventual, routing.BoundedStaleness, routing.ReadYourWrites, routing.Strong} {
+		read.Consistency, read.MaxStaleness = level, 300*ms
+		s.RequestTypes = append(s.RequestTypes, read)
+	}
+	w := routing.RequestType{LatencyObjective: 600 * ms, Deadline: 2 * time.Second, PriorityWeight: 6, LateFraction: 0.3, Consistency: routing.Write,
+		Idempotency: routing.IdempotencyKey, DedupScope: routing.ScopeGroup, DedupWindow: 2 * time.Second}
+	once := w
+	once.Idempotency = routing.NonIdempotent
+	s.RequestTypes = append(s.RequestTypes, w, once)
+	return s
+}
+
+// harness is the host of one instance. It records the actions, drives the clock and makes requests and outcomes.
+type harness struct {
+	*Router
+	now      time.Duration
+	actions  []string
+	nextSlot uint32
+	attempts map[routing.RequestRef]int
+	sentTo   map[routing.RequestRef]int
+}
+
+func newHarness(_ *testing.T, s routing.Options) *harness {
+	h := &harness{attempts: map[routing.RequestRef]int{}, sentTo: map[routing.RequestRef]int{}}
+	h.Router = New(h, s).(*Router)
+	return h
+}
+
+// withGroup lists servers 0 to n-1 of group 0, server 0 as primary; odd ones are in the other zone.
+func (h *harness) withGroup(n int) *harness {
+	var list []routing.Endpoint
+	for i := range n {
+		list = append(list, routing.Endpoint{Server: i, Zone: i % 2, Primary: i == 0})
+	}
+	h.updateEndpoints(routing.CachedSnapshot, list...)
+	return h
+}
+
+func (h *harness) updateEndpoints(kind routing.UpdateKind, entries ...routing.Endpoint) {
+	h.EndpointsChanged(h.now, kind, 1, entries)
+	h.reconcile()
+}
+
+func (h *harness) reconcile() { h.Reconcile(h.now) }
+
+// advance moves the clock, with its ticks.
+func (h *harness) advance(d time.Duration) {
+	for end := h.now + d; h.now < end; {
+		h.now = min(end, h.now+h.tickInterval)
+		h.TimerFired(h.now)
+		h.reconcile()
+	}
+}
+
+func (h *harness) receive(ty int, change ...func(*routing.Request)) routing.RequestRef {
+	h.nextSlot++
+	t := routing.Request{Ref: routing.RequestRef{Slot: h.nextSlot, Generation: h.nextSlot}, Type: ty, Customer: routing.None, Session: 9,
+		Timeout: h.types[ty].Deadline, MaxStaleness: h.types[ty].MaxStaleness, DedupWindow: h.types[ty].DedupWindow}
+	for _, c := range change {
+		c(&t)
+	}
+	h.RequestReceived(h.now, t)
+	h.reconcile()
+	return t.Ref
+}
+
+// finish ends the latest attempt of a request; pos 0 stands for no position.
+func (h *harness) finish(r routing.RequestRef, e routing.AttemptResult, role routing.Role, pos time.Duration) {
+	h.AttemptFinished(h.now, routing.AttemptOutcome{Ref: r, AttemptNumber: h.attempts[r] - 1, Server: h.sentTo[r], Result: e, Role: role,
+		RequestFinished: e == routing.Succeeded, Latency: 30 * ms, Position: pos, HasPosition: pos != 0})
+	h.reconcile()
+}
+
+// fail ends the latest attempt of a request by result, and the next one to the same server as unreachable.
+func (h *harness) fail(r routing.RequestRef, e routing.AttemptResult) {
+	server := h.sentTo[r]
+	n := h.attempts[r]
+	h.finish(r, e, routing.UnknownRole, 0)
+	h.advance(2 * h.tickInterval) // after a failed connection there is a pause
+	if h.attempts[r] > n && h.sentTo[r] == server {
+		h.finish(r, routing.Unreachable, routing.UnknownRole, 0)
+	}
+}
+
+// reportRole reports a server's role and position, as a health check does.
+func (h *harness) reportRole(i int, role routing.Role, pos time.Duration) {
+	h.HealthCheckFinished(h.now, i, routing.Succeeded, ms, routing.LoadReport{InFlight: 0, Role: role, Position: pos, HasPosition: true})
+	h.reconcile()
+}
+
+// lastAction is the latest action with a prefix, or "".
+func (h *harness) lastAction(kind string) string {
+	for i := len(h.actions) - 1; i >= 0; i-- {
+		if len(h.actions[i]) >= len(kind) && h.actions[i][:len(kind)] == kind {
+			return h.actions[i]
+		}
+	}
+	return ""
+}
+
+func (h *harness) countActions(kind string) (n int) {
+	for _, a := range h.actions {
+		if len(a) >= len(kind) && a[:len(kind)] == kind {
+			n++
+		}
+	}
+	return n
+}
+
+func (h *harness) record(format string, args ...any) {
+	h.actions = append(h.actions, fmt.Sprintf(format, args...))
+}
+
+func (h *harness) StartAttempt(r routing.RequestRef, m int, _ time.Duration) {
+	h.attempts[r]++
+	h.sentTo[r] = m
+	h.record("send %d to %d", r.Slot, m)
+}
+func (h *harness) CancelAttempt(r routing.RequestRef, attemptNumber int) { h.record("cancel %d.%d", r.Slot, attemptNumber) }
+func (h *harness) Reject(r routing.RequestRef, retryAfter time.Duration) {
+	h.record("reject %d, retry after %v", r.Slot, retryAfter)
+}
+func (h *harness) Fail(r routing.RequestRef)     { h.record("fail %d", r.Slot) }
+func (h *harness) StartHealthCheck(m int)        { h.record("check %d", m) }
+func (h *harness) ReleaseServer(m int)           { h.record("release %d", m) }
+func (h *harness) WatchEndpoints(on bool)        { h.record("watch %v", on) }
+func (h *harness) FetchEndpoints()               { h.record("fetch") }
+func (h *harness) SendGossip(peer int, _ []byte) { h.record("gossip %d", peer) }
+func (h *harness) SetTimer(time.Duration)        {}
+func (h *harness) Log(message string)            { h.record("log %s", message) }
