--- a/sqlclass/corpus_test.go
+++ b/sqlclass/corpus_test.go
@@ -31,7 +31,7 @@
 	return all
 }
 
-func TestNoWriteOfTheCorpusIsARead(t *testing.T) {
+func TestNoCorpusWriteIsClassifiedAsRead(t *testing.T) {
 	c := New(Options{Lists: corpusLists(), CacheBytes: 8 << 20})
 	reads, recognized := 0, 0
 	all := corpus(t)
