--- a/fleet/agent/admin.go
+++ b/fleet/agent/admin.go
@@ -16,17 +16,17 @@
 	Name                string        `json:"name"`
 	Fleet               string        `json:"fleet"`
 	Incarnation         string        `json:"incarnation"`
-	Index               uint64        `json:"index"`
+	Index               uint64        `json:"index"` // of the replicated state
 	Isolated            bool          `json:"alone"`
 	Leader              string        `json:"gives"`
-	HeartbeatAgeSeconds float64       `json:"pulse_ago_s"`
-	VoterHaltReason     string        `json:"halted,omitempty"`
-	Peers               []string      `json:"peers"`
+	HeartbeatAgeSeconds float64       `json:"pulse_ago_s"`      // since the leader's last heartbeat came
+	VoterHaltReason     string        `json:"halted,omitempty"` // "" for a voter that works, and for a follower
+	Peers               []string      `json:"peers"`            // with a link
 	Voters              []fleet.Voter `json:"keepers"`
 	Fronts              []FrontStatus `json:"fronts"`
 	Leases              []LeaseStatus `json:"duties"`
-	FollowsFleet        bool          `json:"leans"`
-	ListIndex           int64         `json:"list_index"`
+	FollowsFleet        bool          `json:"leans"`          // the endpoint list comes from the fleet
+	ListIndex           int64         `json:"list_index"`     // version of the endpoint list, as the fleet has it
 	VoterDisk           *DiskStatus   `json:"disk,omitempty"` // at a voter
 }
 
@@ -52,8 +52,8 @@
 	Lease            string  `json:"duty"`
 	Term             uint64  `json:"term"`
 	Leaseholder      string  `json:"holder"`
-	Since            uint64  `json:"since_index"`
-	Reason           string  `json:"why"`
+	Since            uint64  `json:"since_index"`      // index of the grant
+	Reason           string  `json:"why"`              // of the last grant or release
 	RemainingSeconds float64 `json:"left_s,omitempty"` // at the leaseholder only: until the lease expires
 }
 
@@ -96,11 +96,12 @@
 
 // status returns the admin API's view of the fleet, sorted by name.
 func (a *Agent) status() (s Status) {
-	s.Name, s.Fleet, s.FollowsFleet = a.name, a.config.ID, a.endpoints.watcher.UsesSharedList()
+	s.FollowsFleet = a.endpoints.watcher.UsesSharedList()
 	a.mesh.Do(func(n *fleet.Node, now time.Duration) {
 		state := n.State()
 		leader, age := n.LastHeartbeat(now)
-		s.Incarnation, s.Index, s.Isolated = hexIncarnation(n.Incarnation()), state.Index, n.Isolated()
+		s.Name, s.Fleet, s.Incarnation = a.name, a.config.ID, hexIncarnation(n.Incarnation())
+		s.Index, s.Isolated = state.Index, n.Isolated()
 		s.Leader, s.HeartbeatAgeSeconds, s.VoterHaltReason = leader, age.Seconds(), n.VoterHaltReason()
 		s.Peers, s.ListIndex = n.Peers(), a.endpoints.list.Index()
 		if p, ok := n.VoterDiskPosition(); ok {
--- a/fleet/agent/admin_rollout.go
+++ b/fleet/agent/admin_rollout.go
@@ -18,21 +18,21 @@
 // RolloutStatus is the state of rollouts as the admin API shows it. Its fields are flat, since they are those of the JSON object.
 type RolloutStatus struct {
 	Phase              string              `json:"phase"`
-	Base               uint64              `json:"base"`
-	Next               uint64              `json:"next,omitempty"`
-	Must               bool                `json:"must,omitempty"`
+	Base               uint64              `json:"base"`           // the version in force, 0 for each front's own file
+	Next               uint64              `json:"next,omitempty"` // the version on its way, 0 for none
+	Must               bool                `json:"must,omitempty"` // mandatory: no front may use Base once Next is in force
 	Paused             bool                `json:"held,omitempty"`
-	Stage              int                 `json:"wave,omitempty"`
-	Stages             []uint16            `json:"waves,omitempty"`
-	Watch              string              `json:"watch,omitempty"`
+	Stage              int                 `json:"wave,omitempty"`   // the open one, from 1
+	Stages             []uint16            `json:"waves,omitempty"`  // in thousandths of the fleet
+	Watch              string              `json:"watch,omitempty"`  // observation time of a stage
 	Within             string              `json:"within,omitempty"` // by which Next has to be in force
 	Reason             string              `json:"why"`
-	Meaning            [2]string           `json:"meaning"`
-	Waiting            []WaitingStatus     `json:"waiting,omitempty"` // publications for the next version
-	Unproven           []string            `json:"unproven,omitempty"`
-	ActiveVersion      uint64              `json:"acts"`         // of the front that answers
-	ConfigLeaseSeconds float64             `json:"right_left_s"` // until its configuration lease expires
-	Fronts             []ParticipantStatus `json:"fronts"`       // as reported to the leader; none without a leader
+	Meaning            [2]string           `json:"meaning"`            // hashes of the rules of Base and Next
+	Waiting            []WaitingStatus     `json:"waiting,omitempty"`  // publications for the next version
+	Unproven           []string            `json:"unproven,omitempty"` // fronts that may go on with Base while they are isolated
+	ActiveVersion      uint64              `json:"acts"`               // of the front that answers
+	ConfigLeaseSeconds float64             `json:"right_left_s"`       // until its configuration lease expires
+	Fronts             []ParticipantStatus `json:"fronts"`             // as reported to the leader; none without a leader
 }
 
 // WaitingStatus is a publication that waits for the next version.
--- a/fleet/disk/segments.go
+++ b/fleet/disk/segments.go
@@ -289,6 +289,3 @@
 	defer s.mu.Unlock()
 	return s.seal()
 }
-
-// Dir returns the log's folder.
-func (s *Segments) Dir() string { return s.dir }
--- a/lab/capacity/settle.go
+++ b/lab/capacity/settle.go
@@ -84,7 +84,7 @@
 // transfer gives a lease to a real front. The leader refuses one whose report it has not heard yet: it is asked again.
 func (b *bench) transfer(ctx context.Context, lease string, to int) error {
 	b.o.Progress("the lease of %s is transferred to %s", lease, frontName(to))
-	q := url.Values{"duty": {lease}, "to": {frontName(to)}}
+	q := url.Values{"lease": {lease}, "to": {frontName(to)}}
 	for until := time.Now().Add(transferTime); ; {
 		s, err := b.seen(to)
 		if err != nil {
@@ -93,7 +93,7 @@
 		if holder(s, lease) == frontName(to) {
 			return nil
 		}
-		err = adminapi.Call(b.shared.socket(to), "POST", "/v1/fleet/hand", q, new(map[string]any))
+		err = adminapi.Call(b.shared.socket(to), "POST", "/v1/fleet/transfer", q, new(map[string]any))
 		if err != nil && time.Now().After(until) {
 			return fmt.Errorf("the lease of %s can't be transferred to %s: %w", lease, frontName(to), err)
 		}
--- a/lab/processtest/actions.go
+++ b/lab/processtest/actions.go
@@ -194,7 +194,7 @@
 			if s, err := f.seen(); err == nil && !s.Alone {
 				r.later.Go(func() {
 					var out map[string]bool
-					err := adminapi.Call(f.socket(), "POST", "/v1/fleet/hand", url.Values{"duty": {st.Lease}}, &out)
+					err := adminapi.Call(f.socket(), "POST", "/v1/fleet/transfer", url.Values{"lease": {st.Lease}}, &out)
 					r.say("-", "hand %s by %s: %s", st.Lease, f.Name, cmp.Or(errText(err), "done"))
 				})
 				return nil
