--- a/fleet/audit/read.go
+++ b/fleet/audit/read.go
@@ -105,7 +105,7 @@
 	if r.segments.last == 0 && number > 1 {
 		r.process.startMissing = true
 	}
-	skipped := r.segments.advance(r.log.Front, number)
+	place := r.segments.advance(r.log.Front, number)
 	text, err := source.Lines(name)
 	if err != nil {
 		r.violation("the segment can't be read: %v", err)
@@ -113,7 +113,6 @@
 	}
 	index := segmentIndex{}
 	index.data, index.err = source.IDs(name)
-	first := true
 	for len(text) > 0 {
 		r.line++
 		lineText, remaining, ended := bytes.Cut(text, []byte{'\n'})
@@ -123,8 +122,8 @@
 			r.violation("the line can't be read: torn, or no line of an audit")
 			continue
 		}
-		r.verifyChain(&l, first, skipped)
-		first = false
+		r.verifyChain(&l, place)
+		place = sameSegment
 		if l.Front != r.log.Front {
 			r.violation("the line is of front %s", l.Front)
 			continue
--- a/fleet/audit/verify.go
+++ b/fleet/audit/verify.go
@@ -7,14 +7,17 @@
 	missing []Finding // one for each segment that is not there, whether it was removed or not
 }
 
-// advance continues with a segment, and reports whether others are missing before it.
-func (s *segmentSequence) advance(front string, number uint64) (skipped bool) {
+// advance continues with a segment, and returns the place of its first line.
+func (s *segmentSequence) advance(front string, number uint64) linePlace {
+	place := nextSegment
+	if number > s.last+1 {
+		place = afterMissing
+	}
 	for k := s.last + 1; k < number; k++ {
 		s.missing = append(s.missing, Finding{SegmentName(front, k), 0, true, "the segment is missing"})
 	}
-	skipped = number > s.last+1
 	s.last = number
-	return skipped
+	return place
 }
 
 // chainPosition is the last line of the hash chain.
@@ -24,12 +27,20 @@
 	hash     string
 }
 
-// verifyChain verifies that a line is the one that was written after the one before; first says that it is its segment's first, and
-// skipped that segments are missing before that.
-func (r *logReader) verifyChain(l *Line, first, skipped bool) {
+// linePlace is where a line stands relative to the one read before it.
+type linePlace uint8
+
+const (
+	sameSegment  linePlace = iota
+	nextSegment            // the first of its segment
+	afterMissing           // the first of its segment, and segments are missing before that
+)
+
+// verifyChain verifies that a line is the one that was written after the one before.
+func (r *logReader) verifyChain(l *Line, place linePlace) {
 	c := &r.chain
 	previous := c.hash
-	if first && (skipped || !c.started) { // the line before is not here: the segment says what its hash is
+	if place == afterMissing || place == nextSegment && !c.started { // the line before is not here: the segment says what its hash is
 		if previous = l.PreviousHash; previous == noHash {
 			previous = ""
 		}
@@ -37,7 +48,7 @@
 	}
 	c.started = true
 	firstOfAll := l.PreviousHash == noHash && c.hash == ""
-	if first && !skipped && l.PreviousHash != c.hash && !firstOfAll {
+	if place == nextSegment && l.PreviousHash != c.hash && !firstOfAll {
 		r.violation("the segment does not go on where the one before it ended: restored from an old copy, or two fronts with one name")
 		previous, c.sequence = l.PreviousHash, l.Sequence-1
 	}
