--- a/cmd/dapplerouter/check.go
+++ b/cmd/dapplerouter/check.go
@@ -73,7 +73,7 @@
 // printErrors writes what makes a file unusable, a line each, and returns the exit code.
 func printErrors(w io.Writer, err error) int {
 	for _, err := range splitErrors(err) {
-		_, _ = fmt.Fprintln(w, err) // a reader that has gone is no error of the command
+		_, _ = fmt.Fprintln(w, err) // a closed pipe does not change the result
 	}
 	return exitUnusable
 }
--- a/cmd/dapplerouter/fleet_audit.go
+++ b/cmd/dapplerouter/fleet_audit.go
@@ -32,7 +32,7 @@
 var (
 	errNoAuditFolder = errors.New("no folder is named: give --dir DIR, or --file with a form audit")
 	errNoAuditLogs   = errors.New("there are no audit logs")
-	errNothingLogged = errors.New("no log tells of it")
+	errNothingLogged = errors.New("nothing of it is in these logs")
 )
 
 // open opens the logs of all folders.
@@ -247,7 +247,7 @@
 		for _, text := range strings.Split(string(b), "\n") {
 			var x audit.Line
 			if json.Unmarshal([]byte(text), &x) != nil || x.Event != audit.EventInterval || x.IndexOffset != m.IndexOffset+1 {
-				continue // another line, or one that is damaged, which fleet audit verify tells
+				continue // another line, or one that is damaged, which fleet audit verify reports
 			}
 			found = append(found, requestInterval{x.Front, x.Incarnation, x.Interval, x.Version, x.Start, x.End, x.Index, x.Requests})
 		}
@@ -272,13 +272,13 @@
 		printError(err)
 		return exitUnusable
 	}
-	lines, wrong := 0, 0
+	lines, violations := 0, 0
 	for _, j := range all {
 		lines += len(j.Lines)
 	}
 	for _, f := range found {
 		if f.Violation {
-			wrong++
+			violations++
 		}
 		if c.JSON {
 			printJSON(f)
@@ -287,9 +287,9 @@
 		}
 	}
 	if !c.JSON {
-		fmt.Printf("%d fronts, %d lines, %d wrong, %d notes\n", len(all), lines, wrong, len(found)-wrong)
+		fmt.Printf("%d fronts, %d lines, %d wrong, %d notes\n", len(all), lines, violations, len(found)-violations)
 	}
-	if wrong > 0 {
+	if violations > 0 {
 		return exitNegative
 	}
 	return exitOK
--- a/cmd/dapplerouter/fleet_publish.go
+++ b/cmd/dapplerouter/fleet_publish.go
@@ -31,7 +31,7 @@
 	errLastStageNotAll = errors.New("the last stage must be 100%")
 )
 
-const wholeFleet = 1000 // thousandths
+const allThousandths = 1000 // the whole fleet
 
 // parseShare reads a part of a fleet as 10%, in thousandths. It is at least one, which stands for a single front.
 func parseShare(s string) (uint16, error) {
@@ -62,7 +62,7 @@
 		last = n
 		stages = append(stages, strconv.Itoa(int(n)))
 	}
-	if last != wholeFleet {
+	if last != allThousandths {
 		return "", errLastStageNotAll
 	}
 	return strings.Join(stages, ","), nil
--- a/cmd/dapplerouter/gateway.go
+++ b/cmd/dapplerouter/gateway.go
@@ -61,7 +61,7 @@
 	return &gatewayLink{l, &link.Dispatcher{Local: o.local, Remote: l}, c.PeerSite}, nil
 }
 
-// newEpoch returns a number that tells this start of the process from others; it is not 0.
+// newEpoch returns a random number that identifies this incarnation of the process; it is not 0.
 func newEpoch() uint64 {
 	var b [8]byte
 	rand.Read(b[:]) // never fails
--- a/cmd/dapplerouter/log_queue.go
+++ b/cmd/dapplerouter/log_queue.go
@@ -25,7 +25,7 @@
 			if b == nil {
 				return
 			}
-			_, _ = w.Write(b) // there is nowhere to tell it, and service goes on
+			_, _ = w.Write(b) // the log is where errors are reported; service continues without it
 		}
 	}()
 	return q
--- a/cmd/dapplerouter/log_repeats.go
+++ b/cmd/dapplerouter/log_repeats.go
@@ -37,7 +37,7 @@
 
 const (
 	repeatInterval      = 30 * time.Second
-	maxRepeatedWarnings = 256 // kept in the table; further ones pass unchanged
+	maxRepeatedWarnings = 256 // in the table; further ones pass unchanged
 )
 
 func newRepeatedWarnings(h slog.Handler) *repeatedWarnings {
@@ -140,5 +140,5 @@
 
 const maxKeyText = 200 // bytes of an attribute
 
-// isExplanation tells whether an attribute's text may have numbers that differ each time, such as ports and byte counts.
+// isExplanation reports whether an attribute's text may have numbers that differ each time, such as ports and byte counts.
 func isExplanation(key string) bool { return key == "err" || key == "reason" || key == "why" }
--- a/cmd/dapplerouter/output.go
+++ b/cmd/dapplerouter/output.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// Errors of writing to standard output are dropped in this file: whoever read it has gone, and the exit code tells of what was asked.
+// Errors of writing to standard output are dropped in this file: the reader has closed the pipe, and the exit code is that of the command.
 
 // printJSON writes a value as a line of JSON.
 func printJSON(v any) { _ = json.NewEncoder(os.Stdout).Encode(v) }
--- a/cmd/dapplerouter/reload.go
+++ b/cmd/dapplerouter/reload.go
@@ -10,7 +10,7 @@
 
 // reloadOnSignal reads the instance's configuration again for each signal, and calls moved with the address of discovery. A file that
 // cannot be opened or is not complete is read again until the next signal begins anew; one that is invalid changes nothing. Settings
-// that take a restart are logged. It goes on while the service drains.
+// that take a restart are logged. It continues while the service drains.
 func reloadOnSignal(ctx context.Context, signals <-chan os.Signal, instance *deployment.Instance, moved func(discovery string)) {
 	loaded := make(chan *deployment.Instance)
 	cancelAttempt := func() {}
--- a/cmd/dapplerouter/retry.go
+++ b/cmd/dapplerouter/retry.go
@@ -63,7 +63,7 @@
 	}}.do(ctx)
 }
 
-// isPermanentConfigError tells whether the configuration would be found the same when read again.
+// isPermanentConfigError reports whether the configuration would be found the same when read again.
 func isPermanentConfigError(err error) bool {
 	var keyError *deployment.KeyError
 	return !errors.As(err, &keyError) || !keyError.Transient
@@ -80,7 +80,7 @@
 	}}.do(ctx)
 }
 
-// isPermanentListenError tells whether listening would fail in the same way again: the address is invalid, or not for this process.
+// isPermanentListenError reports whether listening would fail in the same way again: the address is invalid, or not for this process.
 // The other errors of Linux may pass: EADDRINUSE of a process that is about to end, ENFILE, ENOBUFS, EADDRNOTAVAIL and the like.
 func isPermanentListenError(err error) bool {
 	var errno syscall.Errno
--- a/cmd/dapplerouter/serve.go
+++ b/cmd/dapplerouter/serve.go
@@ -90,7 +90,7 @@
 	slog.SetDefault(slog.New(newRepeatedWarnings(slog.NewTextHandler(w, &slog.HandlerOptions{Level: level}))))
 }
 
-// programBytes is kept back for the program's own pages, which the garbage collector does not count: in a flood 10 MiB were resident
+// programBytes is reserved for the program's own pages, which the garbage collector does not count: in a flood 10 MiB were resident
 // beyond its limit.
 const programBytes = 12 << 20
 
--- a/cmd/dapplerouter/service.go
+++ b/cmd/dapplerouter/service.go
@@ -216,7 +216,7 @@
 	return listener, nil
 }
 
-// announce tells that clients can connect.
+// announce logs that clients can connect, and calls onReady.
 func (s *service) announce(address net.Addr) {
 	if s.classifier != nil {
 		slog.Info("statement classification enabled", "cache", s.operator.classing.CacheBytes, "rules", len(s.classifier.Rules()))
--- a/config/parse.go
+++ b/config/parse.go
@@ -71,11 +71,11 @@
 
 // explainSyntaxError turns a parser's message into one for an operator.
 func explainSyntaxError(message string, text []byte, at lexer.Position) (what, remedy string) {
-	rest := ""
+	next := ""
 	if at.Offset >= 0 && at.Offset < len(text) {
-		rest = string(text[at.Offset:min(at.Offset+1, len(text))])
+		next = string(text[at.Offset:min(at.Offset+1, len(text))])
 	}
-	switch rest {
+	switch next {
 	case `"`:
 		return "a text that begins here has no end", `end it with " on the same line`
 	case ")":
--- a/config/values.go
+++ b/config/values.go
@@ -32,7 +32,7 @@
 	return words
 }
 
-// Value returns the only item as an atom, and whether there is exactly one that is no list.
+// Value returns the only item as an atom, and whether there is exactly one item that is an atom.
 func (f *Form) Value() (Atom, bool) {
 	if len(f.items) != 1 || f.items[0].List != nil {
 		f.decoder.Errorf(f.Position, fmt.Sprintf("write (%s VALUE)", f.Name), "%s wants one value", f.Name)
