--- a/gateway/frame.go
+++ b/gateway/frame.go
@@ -36,7 +36,8 @@
 const MaxDataBytes = 512 << 10
 
 // Frame is what goes over the link. Which fields count depends on its kind; docs/gateway-wire.md has the table. Frames
-// are encoded as arrays: the order of the fields is the wire format.
+// are encoded as arrays of all fields, in this order, whatever the kind: that is the wire format, so the fields are not
+// grouped.
 type Frame struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // package msgpack reads the tag: fields by place, not by name
--- a/gateway/link/link.go
+++ b/gateway/link/link.go
@@ -70,7 +70,7 @@
 	return l, nil
 }
 
-// Addr returns the address of the listener.
+// Addr returns the address of the listener; there is none where we dial.
 func (l *Link) Addr() net.Addr { return l.listener.Addr() }
 
 // Run starts the link. It returns at once; Close ends it.
--- a/gateway/model_test.go
+++ b/gateway/model_test.go
@@ -112,18 +112,36 @@
 		Message: []byte{byte(id)}}
 }
 
-const steps = 9
+// event is something that may happen to the two sites.
+type event int
 
-// step makes the k-th event happen; false where it cannot now.
-func (m *model) step(k int, requests, disconnects, restarts int) bool {
-	switch k {
-	case 0:
-		if int(m.next) >= requests {
+const (
+	requestArrives event = iota
+	farReceives
+	nearReceives
+	nearLosesConnection // the far site goes on reading what is in flight
+	farLosesConnection
+	sitesConnect
+	serverCommits
+	farReceivesResult
+	farRestarts // what it sent to servers continues
+	timePasses
+	eventCount
+)
+
+// limits bound how often events happen.
+type limits struct{ requests, disconnects, restarts int }
+
+// step makes an event happen; false where it cannot now.
+func (m *model) step(e event, most limits) bool {
+	switch e {
+	case requestArrives:
+		if int(m.next) >= most.requests {
 			return false
 		}
 		m.next++
 		m.near.Forward(m.now, m.request(m.next))
-	case 1: // a frame arrives at the far site, on its present connection
+	case farReceives:
 		if m.farConn == nil || len(m.farConn.toFar) == 0 {
 			return false
 		}
@@ -132,7 +150,7 @@
 		if err := m.far.Receive(m.now, &f); err != nil {
 			m.fail("far endpoint: %v", err)
 		}
-	case 2:
+	case nearReceives:
 		if m.nearConn == nil || len(m.nearConn.toNear) == 0 {
 			return false
 		}
@@ -141,21 +159,21 @@
 		if err := m.near.Receive(m.now, &f); err != nil {
 			m.fail("near endpoint: %v", err)
 		}
-	case 3: // the near site loses the connection; the far one goes on reading what is in flight
-		if m.nearConn == nil || m.disconnects >= disconnects {
+	case nearLosesConnection:
+		if m.nearConn == nil || m.disconnects >= most.disconnects {
 			return false
 		}
 		m.disconnects++
 		m.nearConn = nil
 		m.near.ConnectionLost(m.now)
-	case 4: // the far site loses it
-		if m.farConn == nil || m.disconnects >= disconnects {
+	case farLosesConnection:
+		if m.farConn == nil || m.disconnects >= most.disconnects {
 			return false
 		}
 		m.disconnects++
 		m.farConn = nil
 		m.far.ConnectionLost(m.now)
-	case 5:
+	case sitesConnect:
 		if m.nearConn != nil && m.nearConn == m.farConn {
 			return false
 		}
@@ -166,7 +184,7 @@
 			m.fail("hello rejected")
 		}
 		m.nearConn, m.farConn = p, p
-	case 6: // a server commits
+	case serverCommits:
 		for _, j := range m.executions {
 			if !j.committed && !j.reported {
 				j.committed = true
@@ -182,7 +200,7 @@
 			}
 		}
 		return false
-	case 7: // and the far instance receives the result
+	case farReceivesResult:
 		for _, j := range m.executions {
 			if j.committed && !j.reported && j.epoch == m.epoch {
 				j.reported = true
@@ -192,14 +210,14 @@
 			}
 		}
 		return false
-	case 8: // the far instance restarts; what it sent to servers continues
-		if m.restarts >= restarts {
+	case farRestarts:
+		if m.restarts >= most.restarts {
 			return false
 		}
 		m.restarts++
 		m.epoch++
 		m.far, m.farConn = New(smallSettings, m.epoch), nil
-	default: // time passes
+	case timePasses:
 		m.now += 300 * ms
 		if m.near.Tick(m.now) != nil {
 			m.nearConn = nil
@@ -215,7 +233,7 @@
 // finish lets time pass until all requests must have an outcome, and checks that they have.
 func (m *model) finish() {
 	for range 20 {
-		m.step(steps, 0, 0, 0)
+		m.step(timePasses, limits{})
 	}
 	for id := uint64(1); id <= m.next; id++ {
 		if m.finished[id] != 1 {
@@ -252,11 +270,11 @@
 	return b.String()
 }
 
-func replay(path []byte, requests, disconnects, restarts int) (*model, bool) {
+func replay(path []event, most limits) (*model, bool) {
 	m := newModel()
-	m.step(5, 0, 0, 0)
-	for _, k := range path {
-		if !m.step(int(k), requests, disconnects, restarts) {
+	m.step(sitesConnect, limits{})
+	for _, e := range path {
+		if !m.step(e, most) {
 			return m, false
 		}
 	}
@@ -264,15 +282,15 @@
 }
 
 // explore tries every order of events up to a depth, from each state once.
-func explore(t *testing.T, depth, requests, disconnects, restarts, maxStates int) (states int) {
+func explore(t *testing.T, depth, maxStates int, most limits) (states int) {
 	seen := map[string]bool{}
-	level := [][]byte{nil}
+	level := [][]event{nil}
 	for d := 0; d < depth && len(level) > 0; d++ {
-		var next [][]byte
+		var next [][]event
 		for _, path := range level {
-			for k := range steps + 1 {
-				to := append(append([]byte{}, path...), byte(k))
-				m, ok := replay(to, requests, disconnects, restarts)
+			for e := range eventCount {
+				to := append(append([]event{}, path...), e)
+				m, ok := replay(to, most)
 				if !ok {
 					continue
 				}
@@ -295,13 +313,13 @@
 }
 
 func TestInvariantsHoldForEveryOrderOfEventsInSmallCases(t *testing.T) {
-	depth, most := 12, 30_000
+	depth, maxStates := 12, 30_000
 	if testing.Short() {
-		most = 5_000
+		maxStates = 5_000
 	}
-	for _, c := range []struct{ requests, disconnects, restarts int }{{1, 2, 1}, {2, 1, 1}, {2, 2, 0}, {3, 1, 0}} {
-		n := explore(t, depth, c.requests, c.disconnects, c.restarts, most)
-		t.Logf("%d requests, %d disconnects, %d restarts: %d states", c.requests, c.disconnects, c.restarts, n)
+	for _, most := range []limits{{1, 2, 1}, {2, 1, 1}, {2, 2, 0}, {3, 1, 0}} {
+		n := explore(t, depth, maxStates, most)
+		t.Logf("%d requests, %d disconnects, %d restarts: %d states", most.requests, most.disconnects, most.restarts, n)
 	}
 }
 
@@ -309,7 +327,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel()
 		for range 150 {
-			m.step(rapid.IntRange(0, steps).Draw(t, "step"), 12, 20, 3)
+			m.step(event(rapid.IntRange(0, int(eventCount)-1).Draw(t, "event")), limits{requests: 12, disconnects: 20, restarts: 3})
 			if len(m.violations) > 0 {
 				t.Fatalf("%v", m.violations)
 			}
--- a/pgwire/messages.go
+++ b/pgwire/messages.go
@@ -42,15 +42,23 @@
 // AppendReadyForQuery appends a ReadyForQuery outside any transaction.
 func AppendReadyForQuery(b []byte) []byte { return append(b, readyForQuery...) }
 
-// AppendErrorResponse appends an ErrorResponse without a ReadyForQuery; an empty detail is left out.
-func AppendErrorResponse(b []byte, severity, code, message, detail string) []byte {
+// ErrorResponse is an error that a client or server is sent.
+type ErrorResponse struct {
+	Severity string // ERROR or, where the connection ends, FATAL
+	Code     string // SQLSTATE
+	Message  string
+	Detail   string // left out where empty
+}
+
+// AppendErrorResponse appends an ErrorResponse without the ReadyForQuery that follows an ERROR.
+func AppendErrorResponse(b []byte, e ErrorResponse) []byte {
 	return appendMessage(b, 'E', func(b []byte) []byte {
-		b = appendCString(append(b, 'S'), severity)
-		b = appendCString(append(b, 'V'), severity)
-		b = appendCString(append(b, 'C'), code)
-		b = appendCString(append(b, 'M'), message)
-		if detail != "" {
-			b = appendCString(append(b, 'D'), detail)
+		b = appendCString(append(b, 'S'), e.Severity)
+		b = appendCString(append(b, 'V'), e.Severity)
+		b = appendCString(append(b, 'C'), e.Code)
+		b = appendCString(append(b, 'M'), e.Message)
+		if e.Detail != "" {
+			b = appendCString(append(b, 'D'), e.Detail)
 		}
 		return append(b, 0)
 	})
--- a/pgwire/pgwire_test.go
+++ b/pgwire/pgwire_test.go
@@ -178,10 +178,10 @@
 }
 
 func TestQueryResultHasTheCodeOfAnError(t *testing.T) {
-	a, done, err := feed(AppendErrorResponse(nil, "ERROR", CodeSnapshotTooOld, "behind", ""), AppendParameterStatus(nil, "role", "replica"), readyForQuery)
+	a, done, err := feed(AppendErrorResponse(nil, ErrorResponse{Severity: "ERROR", Code: CodeSnapshotTooOld, Message: "behind"}), AppendParameterStatus(nil, "role", "replica"), readyForQuery)
 	assert.True(t, done && err == nil && !a.Complete)
 	assert.Equal(t, CodeSnapshotTooOld, a.Code)
-	a, done, err = feed(AppendErrorResponse(nil, "FATAL", CodeTooManyConnections, "full", "250"))
+	a, done, err = feed(AppendErrorResponse(nil, ErrorResponse{Severity: "FATAL", Code: CodeTooManyConnections, Message: "full", Detail: "250"}))
 	assert.Equal(t, CodeTooManyConnections, a.Code)
 	assert.True(t, !done && errors.Is(err, io.EOF), "a fatal error needs nothing after it")
 }
@@ -206,7 +206,7 @@
 		assert.True(t, !done && IsProtocolError(err), name)
 		_ = a
 	}
-	a, _, err := feed(described, row, AppendErrorResponse(nil, "ERROR", "XX000", "broke", ""), readyForQuery)
+	a, _, err := feed(described, row, AppendErrorResponse(nil, ErrorResponse{Severity: "ERROR", Code: "XX000", Message: "broke"}), readyForQuery)
 	assert.True(t, err == nil && !a.Complete && a.Code == "XX000", "an error within the row")
 }
 
@@ -252,7 +252,7 @@
 
 func FuzzQueryResult(f *testing.F) {
 	f.Add(bytes.Join([][]byte{frame('T', described), frame('D', "\x00\x01\x00\x00\x00\x02hi"), frame('C', "SELECT 1\x00"), readyForQuery}, nil))
-	f.Add(append(AppendErrorResponse(nil, "ERROR", "25006", "no primary", ""), readyForQuery...))
+	f.Add(append(AppendErrorResponse(nil, ErrorResponse{Severity: "ERROR", Code: "25006", Message: "no primary"}), readyForQuery...))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		r := NewReader(bytes.NewReader(data), 64, 1<<12)
 		var a QueryResult
--- a/pgwire/wire_test.go
+++ b/pgwire/wire_test.go
@@ -29,9 +29,9 @@
 	add("one value", value.Rows)
 	for _, code := range []string{CodeTooManyConnections, CodeReadOnlyTransaction, CodeSnapshotTooOld, CodeProtocolViolation, CodeFeatureNotSupported, CodeSyntaxError, CodeInvalidParameterValue,
 		CodeTransactionRollback, CodeProgramLimitExceeded, CodeInternalError, CodeIdleSessionTimeout, CodeCannotConnectNow} {
-		add("error "+code, AppendErrorResponse(nil, "ERROR", code, "what", ""))
+		add("error "+code, AppendErrorResponse(nil, ErrorResponse{Severity: "ERROR", Code: code, Message: "what"}))
 	}
-	add("error with detail", AppendErrorResponse([]byte("x"), "FATAL", CodeTooManyConnections, "what", "250"))
+	add("error with detail", AppendErrorResponse([]byte("x"), ErrorResponse{Severity: "FATAL", Code: CodeTooManyConnections, Message: "what", Detail: "250"}))
 
 	s, err := statement(`INSERT INTO facts (code, data) VALUES ('it''s', '\x9f') /* id=7,d = 12000 ,c=o,r=1,k=5c,cluster=-3 */;`)
 	require.NoError(t, err)
--- a/server/client.go
+++ b/server/client.go
@@ -125,5 +125,5 @@
 	for range c.pipeline.Len() {
 		c.write(encodeError(pgwire.CodeInternalError, text, ""))
 	}
-	c.write(pgwire.AppendErrorResponse(nil, "FATAL", pgwire.CodeInternalError, text, "")) // for a message that was being taken
+	c.write(pgwire.AppendErrorResponse(nil, pgwire.ErrorResponse{Severity: "FATAL", Code: pgwire.CodeInternalError, Message: text})) // for a message that was being taken
 }
--- a/server/errors.go
+++ b/server/errors.go
@@ -27,5 +27,5 @@
 	default:
 		return nil
 	}
-	return pgwire.AppendErrorResponse(nil, "FATAL", code, err.Error(), "")
+	return pgwire.AppendErrorResponse(nil, pgwire.ErrorResponse{Severity: "FATAL", Code: code, Message: err.Error()})
 }
--- a/server/pipeline.go
+++ b/server/pipeline.go
@@ -208,7 +208,7 @@
 	case typ == 'H': // Flush: nothing is held back
 	case isExtendedProtocol(typ):
 		c.ahead.skipToSync = true
-		q := c.answer(pgwire.AppendErrorResponse(nil, "ERROR", pgwire.CodeFeatureNotSupported, "only simple queries are served here", ""))
+		q := c.answer(pgwire.AppendErrorResponse(nil, pgwire.ErrorResponse{Severity: "ERROR", Code: pgwire.CodeFeatureNotSupported, Message: "only simple queries are served here"}))
 		q.answer.partial = true
 	default:
 		c.end(pgwire.UnexpectedMessage(typ))
--- a/server/refuse.go
+++ b/server/refuse.go
@@ -71,7 +71,7 @@
 		if err != nil || typ != 'Q' {
 			return
 		}
-		if !c.write(pgwire.AppendErrorResponse(nil, "FATAL", pgwire.CodeTooManyConnections, errTooManyClients.Error(), "")) || !c.reader.MessageStarted() {
+		if !c.write(pgwire.AppendErrorResponse(nil, pgwire.ErrorResponse{Severity: "FATAL", Code: pgwire.CodeTooManyConnections, Message: errTooManyClients.Error()})) || !c.reader.MessageStarted() {
 			return
 		}
 	}
--- a/server/responses.go
+++ b/server/responses.go
@@ -114,5 +114,5 @@
 
 // encodeError returns an error after which the connection stays open.
 func encodeError(code, text, detail string) []byte {
-	return pgwire.AppendReadyForQuery(pgwire.AppendErrorResponse(nil, "ERROR", code, text, detail))
+	return pgwire.AppendReadyForQuery(pgwire.AppendErrorResponse(nil, pgwire.ErrorResponse{Severity: "ERROR", Code: code, Message: text, Detail: detail}))
 }
--- a/sqlclass/analyzer.go
+++ b/sqlclass/analyzer.go
@@ -238,7 +238,7 @@
 		a.unknown(name.first.Start, "an operator named by OPERATOR()")
 	case name.isReserved() && name.precededBy != "as":
 		distinctOn := name.isKeyword("on") && a.previous.keyword2 == "distinct"
-		inner.yieldsOperand = name.keyword.flags&kHolds != 0 && !distinctOn
+		inner.yieldsOperand = name.keyword.flags&flagTableOrOperand != 0 && !distinctOn
 		inner.inCast = name.isKeyword("cast") || name.isKeyword("treat")
 		outer.block.opened(name.keyword.name)
 	default:
--- a/sqlclass/clauses.go
+++ b/sqlclass/clauses.go
@@ -141,14 +141,14 @@
 		if kw.name == "analyze" || kw.name == "analyse" {
 			a.explain.analyze = true
 		}
-		if kw.flags&kQuery == 0 || !scope.atStatementStart { // an option, not the query itself
+		if kw.flags&flagQuery == 0 || !scope.atStatementStart { // an option, not the query itself
 			return true
 		}
 		scope.explainOptions = false // EXPLAIN (SELECT ...)
 		scope.yieldsOperand = true
 	}
 	if scope.inWithList {
-		if kw.flags&(kQuery|kDML) == 0 || kw.name == "with" || a.previous.keyword == "with" || a.previous.keyword == "recursive" {
+		if kw.flags&(flagQuery|flagChangesData) == 0 || kw.name == "with" || a.previous.keyword == "with" || a.previous.keyword == "recursive" {
 			return true
 		}
 		scope.inWithList = false
@@ -184,12 +184,12 @@
 func (a *analyzer) verb(t Token, kw *keyword) bool {
 	scope, outermost := a.top(), a.depth == 0
 	switch {
-	case kw.flags&kDML != 0:
+	case kw.flags&flagChangesData != 0:
 		a.write(t.Start, "changes data by "+kw.name)
 		scope.block.close(&a.rows)
 		scope.block.begin()
 		scope.block.changes, scope.block.inserts = true, kw.name == "insert"
-	case kw.flags&kQuery != 0:
+	case kw.flags&flagQuery != 0:
 		a.beginBlock()
 		scope.block.from = kw.name == "table"
 		if !outermost {
@@ -202,9 +202,9 @@
 		return false
 	case a.explain.seen:
 		a.unknown(t.Start, "an EXPLAIN of "+kw.name)
-	case kw.flags&kBound != 0:
+	case kw.flags&flagSessionBound != 0:
 		a.sessionBound(t.Start, kw.name+" works on the connection, which is shared")
-	case kw.flags&kChange != 0:
+	case kw.flags&flagMayWrite != 0:
 		a.write(t.Start, kw.name+" may change anything")
 	case kw.name == "show":
 	default:
--- a/sqlclass/keywords.go
+++ b/sqlclass/keywords.go
@@ -11,13 +11,14 @@
 // keywordFlags say what a keyword means to the analyzer.
 type keywordFlags uint16
 
+// The flags of keywords.
 const (
-	kReserved keywordFlags = 1 << iota // never the name of a function, so a ( after it opens something else
-	kDML                               // changes data where a statement begins
-	kBound                             // leaves something on the connection, or needs what is left there
-	kChange                            // another verb that writes, or may
-	kQuery                             // begins a query
-	kHolds                             // a ( after it contains a table, and an alias may follow its )
+	flagReserved       keywordFlags = 1 << iota // never the name of a function, so a ( after it opens something else
+	flagChangesData                             // changes data where a statement begins
+	flagSessionBound                            // leaves something on the connection, or needs what is left there
+	flagMayWrite                                // another verb that writes, or may
+	flagQuery                                   // begins a query
+	flagTableOrOperand                          // a ( after it contains a table, and an alias may follow its )
 )
 
 // keywordLists are the lists of PostgreSQL's manual, appendix C, for its versions 13 to 17. A word may be in several.
@@ -25,7 +26,7 @@
 	flags keywordFlags
 	names string
 }{
-	{kReserved, `all analyse analyze and any array as asc asymmetric both case cast check collate column constraint
+	{flagReserved, `all analyse analyze and any array as asc asymmetric both case cast check collate column constraint
 		create current_catalog current_date current_role current_time current_timestamp current_user default
 		deferrable desc distinct do else end except false fetch for foreign from grant group having in initially
 		intersect into lateral leading limit localtime localtimestamp not null offset on only or order placing
@@ -33,7 +34,7 @@
 		union unique user using variadic when where window with`},
 	// Column names that are no functions' names: their ( is the grammar's own. Those whose insides call nothing by
 	// themselves are held for reserved too; the rest (between, exists, values, row, ...) are listed as reading.
-	{kReserved, `between exists grouping values row setof none inout out treat`},
+	{flagReserved, `between exists grouping values row setof none inout out treat`},
 	{0, `bigint bit boolean char character coalesce dec decimal extract float greatest int integer interval
 		json json_array json_arrayagg json_exists json_object json_objectagg json_query json_scalar json_serialize
 		json_table json_value least merge_action national nchar normalize nullif numeric overlay position precision
@@ -66,13 +67,13 @@
 		truncate trusted type types uescape unbounded uncommitted unconditional unencrypted unknown unlisten unlogged
 		until update vacuum valid validate validator value varying version view views virtual volatile whitespace
 		within without work wrapper write xml year yes zone`},
-	{kDML, `insert update delete merge`},
-	{kQuery, `select values table with`},
-	{kBound, `begin start commit end abort rollback savepoint release set reset discard prepare execute deallocate
+	{flagChangesData, `insert update delete merge`},
+	{flagQuery, `select values table with`},
+	{flagSessionBound, `begin start commit end abort rollback savepoint release set reset discard prepare execute deallocate
 		declare fetch move close listen unlisten load lock copy`},
-	{kChange, `call do create alter drop truncate grant revoke vacuum analyze analyse cluster reindex refresh comment
+	{flagMayWrite, `call do create alter drop truncate grant revoke vacuum analyze analyse cluster reindex refresh comment
 		security import reassign notify checkpoint`},
-	{kHolds, `from join lateral only in any all some exists values row array cast using by and or not where on
+	{flagTableOrOperand, `from join lateral only in any all some exists values row array cast using by and or not where on
 		having select when then else case limit offset over filter union intersect except distinct`},
 }
 
@@ -89,7 +90,7 @@
 			all[name].flags |= list.flags
 		}
 	}
-	all["with"].flags &^= kHolds
+	all["with"].flags &^= flagTableOrOperand
 	return all
 }
 
--- a/sqlclass/names.go
+++ b/sqlclass/names.go
@@ -22,7 +22,7 @@
 
 // isReserved reports whether it is one word that is never the name of a function.
 func (n *qualifiedName) isReserved() bool {
-	return n.keyword != nil && n.parts == 1 && n.keyword.flags&kReserved != 0
+	return n.keyword != nil && n.parts == 1 && n.keyword.flags&flagReserved != 0
 }
 
 // isKeyword reports whether it is, or ends in, the given keyword.
--- a/sqlclass/normalize.go
+++ b/sqlclass/normalize.go
@@ -65,7 +65,7 @@
 				i = n.word(i)
 				continue
 			}
-		case leadMark:
+		case leadPunctuation:
 			n.punctuation(c)
 			i++
 			continue
@@ -76,13 +76,13 @@
 				continue
 			}
 		case leadDot:
-			if i+1 < len(text) && charClass[text[i+1]]&cStart != 0 {
+			if i+1 < len(text) && charClass[text[i+1]]&classNameStart != 0 {
 				n.separator(c)
 				i++
 				continue
 			}
-		case leadSign:
-			if i+1 < len(text) && charClass[text[i+1]]&cSign == 0 { // of one character, as most are
+		case leadOperator:
+			if i+1 < len(text) && charClass[text[i+1]]&classOperator == 0 { // of one character, as most are
 				n.operator(text[i : i+1])
 				i++
 				continue
@@ -283,7 +283,7 @@
 		}
 		j++
 	} else {
-		for j < len(text) && charClass[text[j]]&cDigit != 0 {
+		for j < len(text) && charClass[text[j]]&classDigit != 0 {
 			j++
 		}
 	}
@@ -294,7 +294,7 @@
 	case ',', ')':
 		return j
 	case ' ':
-		if j+1 < len(text) && charClass[text[j+1]]&cStart != 0 { // else it may go on in the next line
+		if j+1 < len(text) && charClass[text[j+1]]&classNameStart != 0 { // else it may go on in the next line
 			return j
 		}
 	}
--- a/sqlclass/scanner.go
+++ b/sqlclass/scanner.go
@@ -60,13 +60,13 @@
 
 // Classes of bytes, as bits of charClass.
 const (
-	cSpace = 1 << iota
-	cStart // of a name
-	cInner // of a name
-	cDigit
-	cSign
-	cMark
-	cPlain // a mark that begins nothing longer
+	classSpace     = 1 << iota
+	classNameStart // begins a name
+	classNamePart  // may follow in a name
+	classDigit
+	classOperator
+	classPunctuation
+	classSinglePunctuation // begins nothing longer than itself
 )
 
 // What a byte may begin, as values of leadClass.
@@ -74,13 +74,14 @@
 	leadOther = iota
 	leadSpace
 	leadWord
-	leadMark
+	leadPunctuation
 	leadDot
 	leadDigit
 	leadQuote
-	leadSign
+	leadOperator
 )
 
+// What a byte is and may begin, by byte.
 var (
 	charClass = makeCharClass()
 	leadClass = makeLeadClass()
@@ -91,23 +92,23 @@
 	for c := range class {
 		switch {
 		case c == ' ' || c >= '\t' && c <= '\r':
-			class[c] = cSpace
+			class[c] = classSpace
 		case c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '_' || c >= 0x80:
-			class[c] = cStart | cInner
+			class[c] = classNameStart | classNamePart
 		case c >= '0' && c <= '9':
-			class[c] = cDigit | cInner
+			class[c] = classDigit | classNamePart
 		case c == '$':
-			class[c] = cInner
+			class[c] = classNamePart
 		}
 	}
 	for _, c := range "+-*/<>=~!@#%^&|`?" {
-		class[c] |= cSign
+		class[c] |= classOperator
 	}
 	for _, c := range "()[],;.:" {
-		class[c] |= cMark
+		class[c] |= classPunctuation
 	}
 	for _, c := range "()[],;" {
-		class[c] |= cPlain
+		class[c] |= classSinglePunctuation
 	}
 	return class
 }
@@ -115,16 +116,16 @@
 func makeLeadClass() (lead [256]uint8) {
 	for c, class := range charClass {
 		switch {
-		case class&cSpace != 0:
+		case class&classSpace != 0:
 			lead[c] = leadSpace
-		case class&cStart != 0:
+		case class&classNameStart != 0:
 			lead[c] = leadWord
-		case class&cPlain != 0:
-			lead[c] = leadMark
-		case class&cDigit != 0:
+		case class&classSinglePunctuation != 0:
+			lead[c] = leadPunctuation
+		case class&classDigit != 0:
 			lead[c] = leadDigit
-		case class&cSign != 0:
-			lead[c] = leadSign
+		case class&classOperator != 0:
+			lead[c] = leadOperator
 		}
 	}
 	lead['.'], lead['\''] = leadDot, leadQuote
@@ -133,7 +134,7 @@
 
 func makeLowerCase() (low [256]byte) {
 	for c, class := range charClass {
-		if class&cInner == 0 {
+		if class&classNamePart == 0 {
 			continue
 		}
 		low[c] = byte(c)
@@ -163,7 +164,7 @@
 	for s.pos < len(s.text) {
 		c := s.text[s.pos]
 		switch class := charClass[c]; {
-		case class&cSpace != 0:
+		case class&classSpace != 0:
 			s.pos++
 			continue
 		case c == '-' && s.peek(1) == '-':
@@ -175,15 +176,15 @@
 				return s.invalid("the comment has no end", from)
 			}
 			continue
-		case class&cStart != 0:
+		case class&classNameStart != 0:
 			return s.word(c)
 		case c == '\'':
 			return s.literal(s.pos, false)
-		case class&cMark != 0 && (c != '.' || charClass[s.peek(1)]&cDigit == 0):
+		case class&classPunctuation != 0 && (c != '.' || charClass[s.peek(1)]&classDigit == 0):
 			return s.punctuation(c)
-		case class&cDigit != 0 || c == '.':
+		case class&classDigit != 0 || c == '.':
 			return s.number()
-		case class&cSign != 0:
+		case class&classOperator != 0:
 			return s.operator()
 		case c == '"':
 			return s.quotedName(s.pos, false)
@@ -266,7 +267,7 @@
 		}
 	}
 	i := s.pos + 1
-	for i < len(s.text) && charClass[s.text[i]]&cInner != 0 {
+	for i < len(s.text) && charClass[s.text[i]]&classNamePart != 0 {
 		i++
 	}
 	s.pos = i
@@ -316,7 +317,7 @@
 	lines := false
 	for i < len(s.text) {
 		switch c := s.text[i]; {
-		case charClass[c]&cSpace != 0:
+		case charClass[c]&classSpace != 0:
 			lines = lines || c == '\n' || c == '\r'
 			i++
 		case c == '-' && i+1 < len(s.text) && s.text[i+1] == '-':
@@ -352,14 +353,14 @@
 func (s *Scanner) dollarQuoted() Token {
 	from := s.pos
 	i := from + 1
-	if charClass[s.peek(1)]&cDigit != 0 {
-		for i < len(s.text) && charClass[s.text[i]]&cDigit != 0 {
+	if charClass[s.peek(1)]&classDigit != 0 {
+		for i < len(s.text) && charClass[s.text[i]]&classDigit != 0 {
 			i++
 		}
 		s.pos = i
 		return Token{Kind: Parameter, Start: from, End: i}
 	}
-	for i < len(s.text) && s.text[i] != '$' && charClass[s.text[i]]&cInner != 0 {
+	for i < len(s.text) && s.text[i] != '$' && charClass[s.text[i]]&classNamePart != 0 {
 		i++
 	}
 	if i >= len(s.text) || s.text[i] != '$' {
@@ -378,10 +379,10 @@
 // number reads a number: decimal, with a fraction and exponent, or hexadecimal, octal or binary.
 func (s *Scanner) number() Token {
 	from, i := s.pos, s.pos
-	for i < len(s.text) && charClass[s.text[i]]&cDigit != 0 {
+	for i < len(s.text) && charClass[s.text[i]]&classDigit != 0 {
 		i++
 	}
-	if i > from && (i == len(s.text) || charClass[s.text[i]]&cInner == 0 && s.text[i] != '.') { // as most are
+	if i > from && (i == len(s.text) || charClass[s.text[i]]&classNamePart == 0 && s.text[i] != '.') { // as most are
 		s.pos = i
 		return Token{Kind: NumberLiteral, Start: from, End: i}
 	}
@@ -459,7 +460,7 @@
 // characters, so that no run of operator characters is read again from each of them.
 func (s *Scanner) operator() Token {
 	from, i, odd := s.pos, s.pos, false
-	for i < len(s.text) && i < from+63 && charClass[s.text[i]]&cSign != 0 {
+	for i < len(s.text) && i < from+63 && charClass[s.text[i]]&classOperator != 0 {
 		c := s.text[i]
 		if i > from && i+1 < len(s.text) && (c == '-' && s.text[i+1] == '-' || c == '/' && s.text[i+1] == '*') {
 			break
--- a/sqlclass/settings.go
+++ b/sqlclass/settings.go
@@ -147,7 +147,7 @@
 // isPlainName reports whether a name needs no quotes.
 func isPlainName(name string) bool {
 	for i := range len(name) {
-		if charClass[name[i]]&cInner == 0 || i == 0 && charClass[name[i]]&cStart == 0 {
+		if charClass[name[i]]&classNamePart == 0 || i == 0 && charClass[name[i]]&classNameStart == 0 {
 			return false
 		}
 	}
@@ -210,9 +210,9 @@
 	verb := lower(a.Name)
 	flags := flagsOf(verb)
 	switch {
-	case flags&kBound != 0:
+	case flags&flagSessionBound != 0:
 		list.Errorf(a.Position, "connections are shared", "%s is never served", a.Name)
-	case flags&(kDML|kQuery|kChange) == 0 && verb != "show" || verb == "with":
+	case flags&(flagChangesData|flagQuery|flagMayWrite) == 0 && verb != "show" || verb == "with":
 		list.Errorf(a.Position, "a verb is select, insert, update, delete, merge, call or another first word of a statement",
 			"%s is no verb", a.Name)
 	}
--- a/testsupport/fakeserver/server.go
+++ b/testsupport/fakeserver/server.go
@@ -368,7 +368,7 @@
 }
 
 func (m *Member) refuse(code, what string) []byte {
-	return m.end(pgwire.AppendErrorResponse(nil, "ERROR", code, what, ""), m.primary(), time.Now())
+	return m.end(pgwire.AppendErrorResponse(nil, pgwire.ErrorResponse{Severity: "ERROR", Code: code, Message: what}), m.primary(), time.Now())
 }
 
 // end appends role and position, as servers report them, and that the connection is ready.
--- a/upstream/errors_test.go
+++ b/upstream/errors_test.go
@@ -28,7 +28,7 @@
 		},
 		"rejected": {
 			func(g *harness) {
-				g.AcceptStartup().Send(pgwire.AppendErrorResponse(nil, "FATAL", "28P01", "wrong password", "")...)
+				g.AcceptStartup().Send(pgwire.AppendErrorResponse(nil, pgwire.ErrorResponse{Severity: "FATAL", Code: "28P01", Message: "wrong password"})...)
 			},
 			func(t *testing.T, stage front.FailureStage, cause error) {
 				var rejected *RejectedError
--- a/upstream/pools_test.go
+++ b/upstream/pools_test.go
@@ -136,7 +136,7 @@
 			m.Close()
 		}, routing.Unreachable},
 		"rejected at startup": {func(g *harness) {
-			g.AcceptStartup().Send(pgwire.AppendErrorResponse(nil, "FATAL", "53300", "full", "")...)
+			g.AcceptStartup().Send(pgwire.AppendErrorResponse(nil, pgwire.ErrorResponse{Severity: "FATAL", Code: "53300", Message: "full"})...)
 		}, routing.Overloaded},
 		"closed after the query": {func(g *harness) { m := g.AcceptServer(); m.Expect("Q"); m.Close() }, routing.ConnectionLost},
 		"closed within the row":  {func(g *harness) { m := g.AcceptServer(); m.Expect("Q"); m.Send(conntest.Row("v")[:40]...); m.Close() }, routing.ConnectionLost},
@@ -156,7 +156,7 @@
 		"a fatal error": {func(g *harness) {
 			m := g.AcceptServer()
 			m.Expect("Q")
-			m.Send(pgwire.AppendErrorResponse(nil, "FATAL", "72000", "behind", "")...)
+			m.Send(pgwire.AppendErrorResponse(nil, pgwire.ErrorResponse{Severity: "FATAL", Code: "72000", Message: "behind"})...)
 			m.Close()
 		}, routing.Misrouted},
 	} {
