--- a/cmd/dapplerouter/repeats_test.go
+++ b/cmd/dapplerouter/log_repeats_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"fmt"
+	"io"
 	"log/slog"
 	"strings"
 	"testing"
@@ -11,11 +12,11 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestALineThatRepeatsIsToldOnceThenCountedAndItsEndIsTold(t *testing.T) {
+func TestRepeatedWarningIsLoggedOnceThenCounted(t *testing.T) {
 	var out bytes.Buffer
 	now := time.Unix(1000, 0)
-	h := newRepeats(slog.NewTextHandler(&out, &slog.HandlerOptions{Level: slog.LevelInfo}))
-	h.s.now = func() time.Time { return now }
+	h := newRepeatedWarnings(slog.NewTextHandler(&out, &slog.HandlerOptions{Level: slog.LevelInfo}))
+	h.state.now = func() time.Time { return now }
 	log := slog.New(h)
 	lines := func() []string {
 		all := strings.Split(strings.TrimSpace(out.String()), "\n")
@@ -23,9 +24,9 @@
 		return all
 	}
 	for i := range 100 { // a service that is away: a warning each second, of another port each time
-		log.Warn("discovery: the watch ended", "why", fmt.Sprintf("dial tcp 127.0.0.1:%d: refused", 40000+i), "after", time.Duration(i))
+		log.Warn("discovery: the watch ended", "err", fmt.Sprintf("dial tcp 127.0.0.1:%d: refused", 40000+i), "after", time.Duration(i))
 		if i == 5 {
-			log.Warn("discovery: the watch ended", "why", "discovery answered 503")
+			log.Warn("discovery: the watch ended", "err", "discovery answered 503")
 		}
 		now = now.Add(time.Second)
 	}
@@ -40,11 +41,21 @@
 	got = lines()
 	assert.Len(t, got, 3)
 	assert.Contains(t, got[0], "ended_after=9 for=1m39s")
-	log.Warn("discovery: the watch ended", "why", "dial tcp 127.0.0.1:1: refused")
+	log.Warn("discovery: the watch ended", "err", "dial tcp 127.0.0.1:1: refused")
 	assert.NotContains(t, lines()[0], "repeats", "it begins anew")
 	for i := range 400 {
 		log.Warn("odd", "member", fmt.Sprint("s-", i))
 	}
 	assert.Equal(t, 400, len(lines()), "what differs in a name is told, and the table is bounded")
-	assert.LessOrEqual(t, len(h.s.lines), repeatsMost)
+	assert.LessOrEqual(t, len(h.state.warnings), maxRepeatedWarnings)
+}
+
+func TestRepeatedErrorThatDiffersInNumbersIsOneLine(t *testing.T) {
+	var out bytes.Buffer
+	log := slog.New(newRepeatedWarnings(slog.NewTextHandler(&out, nil)))
+	for i := range 100 {
+		log.Warn("endpoint watch ended", "err", fmt.Errorf("dial tcp 127.0.0.1:%d: connection refused", 40000+i))
+	}
+	log.Warn("endpoint watch ended", "err", io.EOF)
+	assert.Equal(t, 2, strings.Count(out.String(), "\n"), out.String())
 }
--- a/pgwire/pinned_test.go
+++ b/pgwire/wire_test.go
@@ -29,9 +29,9 @@
 	add("one value", value.Rows)
 	for _, code := range []string{CodeTooManyConnections, CodeReadOnlyTransaction, CodeSnapshotTooOld, CodeProtocolViolation, CodeFeatureNotSupported, CodeSyntaxError, CodeInvalidParameterValue,
 		CodeTransactionRollback, CodeProgramLimitExceeded, CodeInternalError, CodeIdleSessionTimeout, CodeCannotConnectNow} {
-		add("error "+code, AppendErrorResponse(nil, "ERROR", code, "what", ""))
+		add("error "+code, AppendErrorResponse(nil, ErrorResponse{Severity: "ERROR", Code: code, Message: "what"}))
 	}
-	add("error with detail", AppendErrorResponse([]byte("x"), "FATAL", CodeTooManyConnections, "what", "250"))
+	add("error with detail", AppendErrorResponse([]byte("x"), ErrorResponse{Severity: "FATAL", Code: CodeTooManyConnections, Message: "what", Detail: "250"}))
 
 	s, err := statement(`INSERT INTO facts (code, data) VALUES ('it''s', '\x9f') /* id=7,d = 12000 ,c=o,r=1,k=5c,cluster=-3 */;`)
 	require.NoError(t, err)
@@ -59,7 +59,7 @@
 	}
 	described, row, end := frame('T', described), frame('D', "\x00\x01\x00\x00\x00\x02hi"), frame('C', "SELECT 1\x00")
 	for name, parts := range map[string][][]byte{
-		"1 two rows": {described, row, row}, "2 ready too early": {described, ready}, "3 two columns": {frame('T', "\x00\x02")},
+		"1 two rows": {described, row, row}, "2 ready too early": {described, readyForQuery}, "3 two columns": {frame('T', "\x00\x02")},
 		"4 column size": {described, frame('D', "\x00\x01\x00\x00\x00\x09hi")}, "5 error without code": {frame('E', "SERROR\x00\x00")},
 		"6 type": {frame('?', "")}, "7 position": {AppendParameterStatus(nil, "applied_ms", "now")}, "8 status": {frame('S', "role")},
 		"9 ready": {frame('Z', "II")}, "long": {frame('C', strings.Repeat("x", 9000))}, "row first": {row, end},
--- a/router/endpoints.go
+++ b/router/endpoints.go
@@ -7,102 +7,103 @@
 	"dapplerouter/routing"
 )
 
-// Who is there, and who drains? Inputs: the endpoint list. Invariant: a drain binds as soon as the list speaks, its grace is for what is
-// on its way (rule: drains kept); facts from answers beat the list.
+// Which servers are there, and which are draining? Input: the endpoint list. Invariant: a drain takes effect with the update that lists
+// it (rule: drains kept); what servers say of themselves goes before the list.
 
-// endpoint is what the list says of a member.
-type endpoint struct {
-	listed   bool
-	draining bool          // by the drain rule, nothing new goes there
-	away     bool          // the way there is cut
-	listedAt time.Duration // when the list last spoke of it
+// endpointState is what the endpoint list says of a server.
+type endpointState struct {
+	listed      bool
+	draining    bool          // or no longer listed: nothing new is sent there
+	partitioned bool          // the network to it is cut
+	listedAt    time.Duration // when the list last named it, or left it out
 }
 
-// endpointList is how the list is followed.
-type endpointList struct {
-	asks        bool // it answers only when asked
-	subscribing bool
-	subscribeAt time.Duration
-	askWithin   time.Duration
-	roles       routing.RoleListing
+// endpointWatch is how the endpoint list is followed.
+type endpointWatch struct {
+	pullEndpoints    bool // it answers only when asked
+	subscribePending bool
+	subscribeAt      time.Duration
+	maxPollInterval  time.Duration
+	roleListing      routing.RoleListing
 }
 
-func newEndpointList(at routing.Topology, rules routing.Guardrails) endpointList {
-	return endpointList{asks: at.PullEndpoints, subscribing: at.PullEndpoints, askWithin: rules.MaxPollInterval, roles: at.RoleListing}
+func newEndpointWatch(topology routing.Topology, rules routing.Guardrails) endpointWatch {
+	return endpointWatch{pullEndpoints: topology.PullEndpoints, subscribePending: topology.PullEndpoints,
+		maxPollInterval: rules.MaxPollInterval, roleListing: topology.RoleListing}
 }
 
-// subscriptionDue tells, once, that the list is to be asked for.
-func (l *endpointList) subscriptionDue(now time.Duration) bool {
-	due := l.subscribing && now >= l.subscribeAt
-	l.subscribing = l.subscribing && !due
+// subscriptionDue reports, once, that the list is to be subscribed to.
+func (w *endpointWatch) subscriptionDue(now time.Duration) bool {
+	due := w.subscribePending && now >= w.subscribeAt
+	w.subscribePending = w.subscribePending && !due
 	return due
 }
 
-// EndpointsChanged takes what the list says; facts from answers beat it. After a failure, which may mean that the
-// subscription broke, it is asked for anew, spread out.
+// EndpointsChanged takes an update of the list. A failure may mean that the subscription broke: it is made again after a
+// random pause, so that the instances of a fleet don't all ask at once.
 func (r *Router) EndpointsChanged(now time.Duration, kind routing.UpdateKind, _ int64, entries []routing.Endpoint) {
 	if kind == routing.UpdateFailed {
-		r.subscribing = r.asks
-		r.subscribeAt = now + time.Duration(float64(r.askWithin)*(1+4*r.draw())/50)
+		r.subscribePending = r.pullEndpoints
+		r.subscribeAt = now + time.Duration(float64(r.maxPollInterval)*(1+4*r.randomFloat())/50)
 		return
 	}
 	if kind != routing.Delta {
-		for i := range r.members {
-			r.members[i].listed, r.members[i].listedAt = false, now
+		for i := range r.servers {
+			r.servers[i].listed, r.servers[i].listedAt = false, now
 		}
 	}
 	for _, e := range entries {
-		r.listEntry(now, &e)
+		r.updateEndpoint(now, &e)
 	}
-	for i := range r.members {
-		m := &r.members[i]
-		m.draining = m.draining || !m.listed
-		if m.draining && m.group != none {
-			r.groups[m.group].doubt(i)
+	for i := range r.servers {
+		s := &r.servers[i]
+		s.draining = s.draining || !s.listed
+		if s.draining && s.group != none {
+			r.groups[s.group].clearPrimary(i)
 		}
 	}
-	r.askForPresent(now)
+	r.checkPrimaryClock(now)
 }
 
-// listEntry takes one entry.
-func (r *Router) listEntry(now time.Duration, e *routing.Endpoint) {
-	for len(r.members) <= e.Server {
-		r.members = append(r.members, unknownMember)
+// updateEndpoint takes one entry.
+func (r *Router) updateEndpoint(now time.Duration, e *routing.Endpoint) {
+	for len(r.servers) <= e.Server {
+		r.servers = append(r.servers, unknownServer)
 	}
-	m := &r.members[e.Server]
+	s := &r.servers[e.Server]
 	g := r.group(e.Group)
-	if m.group == none {
-		m.group = e.Group
-		g.members = append(g.members, e.Server)
+	if s.group == none {
+		s.group = e.Group
+		g.servers = append(g.servers, e.Server)
 	}
-	m.listed, m.listedAt, m.zone = e.State != routing.Removed, now, e.Zone
-	m.draining = e.State != routing.Serving
-	if away := e.State == routing.Partitioned; away != m.away {
-		m.away, g.away = away, away
-		if !away && g.restore(e.Server) {
-			m.recovered()
+	s.listed, s.listedAt, s.zone = e.State != routing.Removed, now, e.Zone
+	s.draining = e.State != routing.Serving
+	if partitioned := e.State == routing.Partitioned; partitioned != s.partitioned {
+		s.partitioned, g.partitioned = partitioned, partitioned
+		if !partitioned && g.restorePrimary(e.Server) {
+			s.clearFailures()
 		}
 	}
 	if e.HasStartTime {
-		r.startsTold = true
-		r.listStart(now, m, e.StartedAt)
+		r.startTimesListed = true
+		r.updateListedStart(now, s, e.StartedAt)
 	}
-	if e.Primary && r.roles != routing.RolesNotListed && !m.draining {
-		g.listed(e.Server)
+	if e.Primary && r.roleListing != routing.RolesNotListed && !s.draining {
+		g.observeListedPrimary(e.Server)
 	}
 }
 
-// forget gives back the place of a member that has left the list, once nothing is out there and it has been
-// away for as long as a start counts: a list that errs is mended sooner.
-func (r *Router) forget(now time.Duration, i int) {
-	m := &r.members[i]
-	if m.listed || m.group == none || now-m.listedAt <= r.warmUp || m.out > 0 || m.probeOut {
+// releaseIfGone gives back the index of a server that has left the list, once nothing is in flight there and it has been
+// gone for as long as a slow start takes: a list that was wrong is corrected sooner.
+func (r *Router) releaseIfGone(now time.Duration, i int) {
+	s := &r.servers[i]
+	if s.listed || s.group == none || now-s.listedAt <= r.slowStartDuration || s.inFlight > 0 || s.checkInFlight {
 		return
 	}
-	g := r.group(m.group)
-	g.members = slices.DeleteFunc(g.members, func(j int) bool { return j == i })
-	g.forget(i)
-	*m = unknownMember
-	m.draining = true // until it is a member's again
+	g := r.group(s.group)
+	g.servers = slices.DeleteFunc(g.servers, func(j int) bool { return j == i })
+	g.removeServer(i)
+	*s = unknownServer
+	s.draining = true // until the index is a server's again
 	r.host.ReleaseServer(i)
 }
