--- a/fleet/rollout/deadline.go
+++ b/fleet/rollout/deadline.go
@@ -42,7 +42,7 @@
 	return readDeadline(r, s).InForceWithin
 }
 
-// timeForStages is how much of a time is left for all stages, and for fronts that are heard and lag, before those are fenced: the
+// timeForStages is how much of a time is left for all stages, and for reachable fronts that lag, before those are fenced: the
 // rest goes to the end of their configuration leases, and a lease duration to the fleet's own answers.
 func timeForStages(timing fleet.Timing, configLease, within time.Duration) time.Duration {
 	return within - timing.ExpiredAfter(configLease) - timing.LeaseDuration
@@ -71,7 +71,7 @@
 type schedule struct {
 	stageTime time.Duration // of each stage
 	stageEnd  time.Duration // when the open stage is over, whatever its analysis found
-	fenceAt   time.Duration // when fronts that are heard and lag are fenced
+	fenceAt   time.Duration // when reachable fronts that lag are fenced
 }
 
 // scheduleFor gives each stage an equal share of the time for stages, and one more to fronts that lag in the last one.
