--- a/gateway/connection.go
+++ b/gateway/connection.go
@@ -98,7 +98,7 @@
 	return Frame{Kind: FrameHello, Site: site, Epoch: e.epoch, ConnectionNumber: number, CreditBytes: e.set.CreditBytes}
 }
 
-// AcceptHello takes the peer's hello on a new connection whose number here is number. A *HelloError rejects the
+// AcceptHello handles the peer's hello on a new connection whose number here is number. A *HelloError rejects the
 // connection and changes nothing. Accepting one ends any other: frames of older connections must not be passed to
 // Receive any more. answered says that the peer's hello answers ours, so that both directions are open; otherwise the
 // first frame will show that, and until then no request is sent and the peer timeout is fourfold.
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// ConnectionLost takes the end of the present connection. The outcome of what was sent is unknown; what was not sent was
+// ConnectionLost handles the end of the present connection. The outcome of what was sent is unknown; what was not sent was
 // not executed.
 func (e *Endpoint) ConnectionLost(now time.Duration) {
 	if e.state != Up {
--- a/gateway/errors_test.go
+++ b/gateway/errors_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestErrorsThatEndAConnectionAreTellable(t *testing.T) {
+func TestConnectionErrorsCanBeDistinguished(t *testing.T) {
 	e := connectedEndpoint(t, 5)
 	hello := func(epoch, number uint64) *Frame {
 		return &Frame{Kind: FrameHello, Epoch: epoch, ConnectionNumber: number, CreditBytes: 1 << 20}
--- a/gateway/execution.go
+++ b/gateway/execution.go
@@ -86,7 +86,7 @@
 	t.retained = append(t.retained[:0], t.retained[n:]...)
 }
 
-// ExecutionFinished takes the result of an execution; the frame needs neither kind nor request ID. It does nothing for
+// ExecutionFinished handles the result of an execution; the frame needs neither kind nor request ID. It does nothing for
 // an execution that was canceled.
 func (e *Endpoint) ExecutionFinished(now time.Duration, number uint64, f Frame) {
 	x := e.execs.running[number]
@@ -99,7 +99,7 @@
 	}
 }
 
-// receiveForward takes a request of the peer: it is executed, or joins the execution of an earlier attempt, or has its
+// receiveForward handles a request of the peer: it is executed, or joins the execution of an earlier attempt, or has its
 // outcome sent again.
 func (e *Endpoint) receiveForward(now time.Duration, f *Frame) error {
 	if f.Serial == 0 || f.Timeout <= 0 || f.MaxAttempts == 0 || len(f.Data) == 0 {
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -10,7 +10,7 @@
 	ID            uint64
 	AttemptNumber uint32 // rising within a request
 	Group         int64
-	Deadline      time.Duration // when its request gives up; its state is dropped then
+	Deadline      time.Duration // when its request times out; its state is dropped then
 	MaxAttempts   uint32        // that the remote site may make
 	Write         bool
 	After         int64 // replication position that a read must see, Unix milliseconds; 0 for none
@@ -122,8 +122,7 @@
 	delete(e.forwards.pending, f.ID)
 }
 
-// Cancel takes it that nobody waits for a request any more. It gets no Outcome; where the remote site may have it, it is
-// canceled there.
+// Cancel cancels a request. It gets no Outcome; where the remote site may have it, it is canceled there too.
 func (e *Endpoint) Cancel(id uint64, attempt uint32) {
 	p := e.forwards.pending[id]
 	if p == nil || p.AttemptNumber != attempt {
@@ -152,7 +151,7 @@
 	e.finish(p, Outcome{})
 }
 
-// suspendForwards takes the loss of the connection: queued requests were not executed, the outcome of the others is
+// suspendForwards handles the loss of the connection: queued requests were not executed, the outcome of the others is
 // unknown.
 func (e *Endpoint) suspendForwards(now time.Duration) {
 	e.forwards.clearQueues()
@@ -169,7 +168,7 @@
 	}
 }
 
-// requestOutcomes asks the peer, on a new connection, for the outcomes that are unknown. A peer that started anew knows
+// requestOutcomes asks the peer, on a new connection, for the outcomes that are unknown. A peer that restarted knows
 // none of them.
 func (e *Endpoint) requestOutcomes() {
 	for _, p := range e.forwards.pending {
@@ -189,7 +188,7 @@
 func (e *Endpoint) expireForwards(now time.Duration) {
 	for _, p := range e.forwards.pending {
 		switch {
-		case now >= p.Deadline: // its front gives up by itself; this bounds how long the link has state for it
+		case now >= p.Deadline: // its front times out by itself; this bounds how long the link has state for it
 			e.sendCancel(p)
 			e.finish(p, Outcome{NotExecuted: p.state == forwardQueued})
 		case (p.state == outcomeUnknown || p.state == outcomeRequested) && now-p.unknownSince >= e.set.RecoveryTimeout:
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,7 +1,7 @@
 // Package gateway is the core of a link between two sites: which requests are forwarded to the peer site, what became of
-// them, and what is known of that after the link broke. It has no I/O, no clock and no goroutine: events come in by
-// calls that take the time since the process started; what is to be done is taken out by NextFrame, TakeOutcomes and
-// TakePeerRequests. It chooses no server and never retries: that is the router's job, which sees the remote site as one
+// them, and what is known of that after the link broke. It has no I/O, no clock and no goroutine: events are passed
+// in by calls with the time since the process started; NextFrame, TakeOutcomes and TakePeerRequests return what is to be
+// done. It chooses no server and never retries: that is the router's job, which sees the remote site as one
 // more server of each remote group.
 //
 // An Endpoint owns the state of one instance's end of the link. It is not safe for concurrent use; package link guards
--- a/gateway/link/attempts.go
+++ b/gateway/link/attempts.go
@@ -37,7 +37,7 @@
 	l.changed.Broadcast()
 }
 
-// cancelAttempt takes it from the front that nobody waits for an attempt any more. It never blocks.
+// cancelAttempt cancels an attempt, for the front. It never blocks.
 func (l *Link) cancelAttempt(id uint64, number uint32) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/gateway/link/connection.go
+++ b/gateway/link/connection.go
@@ -114,7 +114,7 @@
 	return t, nil
 }
 
-// connectionEnded takes the end of a connection, where it was the present one.
+// connectionEnded handles the end of a connection, where it was the present one.
 func (l *Link) connectionEnded(c net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/gateway/link/errors_test.go
+++ b/gateway/link/errors_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestErrorsOfConnectionsAreTellable(t *testing.T) {
+func TestConnectionErrorsCanBeDistinguished(t *testing.T) {
 	hello := gateway.Frame{Kind: gateway.FrameHello, Site: "kathmandu", Epoch: 7, ConnectionNumber: 5, CreditBytes: gateway.DefaultSettings.CreditBytes}
 	l, _ := listening(t)
 	for _, c := range []struct {
@@ -95,7 +95,7 @@
 	assert.ErrorIs(t, err, ErrConnectionReplaced)
 }
 
-func TestErrorsOfAttemptsAreTellable(t *testing.T) {
+func TestAttemptErrorsCanBeDistinguished(t *testing.T) {
 	a := &front.Attempt{}
 	notSent := attemptFinished(a, &gateway.Outcome{NotExecuted: true})
 	assert.ErrorIs(t, notSent.Err, ErrLinkDown)
--- a/gateway/link/executions.go
+++ b/gateway/link/executions.go
@@ -66,7 +66,7 @@
 	return r
 }
 
-// Respond takes the front's response, on the goroutine of its core. It never blocks.
+// Respond handles the front's response, on the goroutine of its core. It never blocks.
 func (c *peerClient) Respond(r front.Response) {
 	l := c.link
 	l.mu.Lock()
--- a/gateway/receive.go
+++ b/gateway/receive.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Receive takes a frame from the present connection. An error wraps ErrProtocol: the connection must be closed.
+// Receive handles a frame from the present connection. An error wraps ErrProtocol: the connection must be closed.
 func (e *Endpoint) Receive(now time.Duration, f *Frame) error {
 	if e.state != Up {
 		return fmt.Errorf("%w: frame of kind %d before the hello", ErrProtocol, f.Kind)
--- a/pgwire/errors_test.go
+++ b/pgwire/errors_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestErrorsAreTellable(t *testing.T) {
+func TestErrorsCanBeDistinguished(t *testing.T) {
 	r := NewReader(bytes.NewReader(frame('Q', "SELECT 1\x00")), 64, 1<<10)
 	r.Reserve = func(int) bool { return false }
 	_, _, err := r.Next()
--- a/pgwire/reader.go
+++ b/pgwire/reader.go
@@ -91,7 +91,7 @@
 	return r.readBody()
 }
 
-// startBody takes the header of a message.
+// startBody handles the header of a message.
 func (r *Reader) startBody(typ byte, size int64, maxBody int) error {
 	if size < 0 || size > int64(maxBody) {
 		return &ProtocolError{fmt.Sprintf("a message of %d bytes", size)}
--- a/pgwire/result.go
+++ b/pgwire/result.go
@@ -11,7 +11,7 @@
 // QueryResult is what a server answered to one query: at most one row of one column or, where AnyStatement is set, the
 // result of any statement.
 type QueryResult struct {
-	Rows          []byte // RowDescription, DataRow and CommandComplete as they came
+	Rows          []byte // RowDescription, DataRow and CommandComplete as received
 	Complete      bool   // Rows hold a whole result
 	Code          string // SQLSTATE of the first error, "" for none
 	Role          string // as the server reported it, "" where it did not
@@ -19,7 +19,7 @@
 	HasApplied    bool   // AppliedMillis was reported
 	LoadReport    []byte // name=value pairs separated by commas
 	value         []byte
-	rowMessages   int // how many of rowMessageTypes came
+	rowMessages   int // how many of rowMessageTypes were received
 
 	// AnyStatement allows rows in any number and of any width, or none. Set it, and MaxBytes, before the first message.
 	AnyStatement  bool
--- a/sqlclass/analyzer.go
+++ b/sqlclass/analyzer.go
@@ -43,7 +43,7 @@
 
 func (p *previousTokens) set(operand bool, keyword string) { p.operand, p.keyword = operand, keyword }
 
-// setWord is set for a word: what was before it moves on.
+// setWord is set for a word: the keyword before it becomes keyword2.
 func (p *previousTokens) setWord(operand bool, keyword string) {
 	p.operand, p.keyword2, p.keyword = operand, p.keyword, keyword
 }
@@ -95,7 +95,7 @@
 
 const noVerb = "it begins with no verb that is known"
 
-// next takes the next token; more is false at the end, and where the rest of the text does not matter.
+// next handles the next token; more is false at the end, and where the rest of the text does not matter.
 func (a *analyzer) next(t Token) (more bool) {
 	switch {
 	case t.Kind == EndOfText:
@@ -127,7 +127,7 @@
 	a.result.Class, a.result.Reason, a.result.ReasonOffset = class, reason, offset
 }
 
-// unknown notes something that is not understood. The first reason is kept, and a write goes before.
+// unknown notes something that is not understood. The first reason counts, and a write takes precedence.
 func (a *analyzer) unknown(offset int, reason string) {
 	if a.result.Class == Read {
 		a.setClass(Unknown, offset, reason)
@@ -180,7 +180,7 @@
 	return true
 }
 
-// punctuation takes a punctuation mark; first says that a statement may begin with it.
+// punctuation handles a punctuation mark; first says that a statement may begin with it.
 func (a *analyzer) punctuation(t Token, first bool) (more bool) {
 	scope := a.top()
 	switch a.text[t.Start] {
--- a/sqlclass/class.go
+++ b/sqlclass/class.go
@@ -46,7 +46,7 @@
 	rows               rowEstimate
 }
 
-// Limits on what a text can make the analyzer keep.
+// Limits on the memory that a text can make the analyzer use.
 const (
 	maxDepth     = 100 // parentheses in each other
 	maxTables    = 16
--- a/sqlclass/classifier.go
+++ b/sqlclass/classifier.go
@@ -94,7 +94,7 @@
 	digest   xxhash.Digest
 }
 
-const maxScratchBytes = 16 << 10 // of a normal form's buffer that is kept for the next text
+const maxScratchBytes = 16 << 10 // of a normal form's buffer that is reused for the next text
 
 // release drops the references to the last text.
 func (w *scratch) release() {
@@ -121,8 +121,8 @@
 	normal, details, err := w.scan.Normalize(w.text[:0], text)
 	w.text = normal
 	if err != nil {
-		kept := *err // the scanner is used again
-		return nil, details, &kept
+		copied := *err // the scanner is used again
+		return nil, details, &copied
 	}
 	w.digest.ResetWithSeed(c.seed)
 	_, _ = w.digest.Write(normal) // it never fails
@@ -136,7 +136,7 @@
 	fresh := &NormalizedStatement{Classification: w.analyzer.classify(text, c.lists), text: bytes.Clone(normal)}
 	fresh.matchingRules = matchingRules(c.rules, &fresh.Classification)
 	switch {
-	case found: // the first one stays, so that nobody can push it out
+	case found: // the first entry stays, so that no client can evict it
 		c.collisions.Add(1)
 	case len(normal) > c.maxCachedText:
 		c.tooLong.Add(1)
--- a/sqlclass/clauses.go
+++ b/sqlclass/clauses.go
@@ -2,7 +2,7 @@
 
 // What the keywords of a statement do to its class.
 
-// word takes a name or a keyword.
+// word handles a name or a keyword.
 func (a *analyzer) word(t Token) {
 	name := &a.name
 	if name.active && name.trailingDot {
@@ -39,7 +39,7 @@
 	}
 }
 
-// otherWord takes a name that is not a keyword.
+// otherWord handles a name that is not a keyword.
 func (a *analyzer) otherWord(t Token) {
 	scope := a.top()
 	if scope.explainOptions && t.Kind == QuotedName { // "analyze" is an option too
@@ -52,16 +52,16 @@
 	a.previous.setWord(true, "")
 }
 
-// namePart takes the part of a name after a dot.
+// namePart handles the part of a name after a dot.
 func (a *analyzer) namePart(t Token) {
-	const most = 8
+	const maxParts = 8
 	name := &a.name
 	name.parts++
 	name.last, name.trailingDot, name.keyword = t, false, nil
 	a.previous.set(true, "")
-	if name.parts > most {
+	if name.parts > maxParts {
 		a.unknown(t.Start, "a name of too many parts")
-		name.parts = most
+		name.parts = maxParts
 	}
 }
 
@@ -134,7 +134,7 @@
 	return false
 }
 
-// statementStart takes a keyword where a statement may begin; done is false where the keyword means nothing there.
+// statementStart handles a keyword where a statement may begin; done is false where it has no meaning there.
 func (a *analyzer) statementStart(t Token, kw *keyword) (done bool) {
 	scope := a.top()
 	if scope.explainOptions {
@@ -163,7 +163,7 @@
 	return a.verb(t, kw)
 }
 
-// prefix takes what may stand before the verb: EXPLAIN with its options, and WITH.
+// prefix handles what may stand before the verb: EXPLAIN with its options, and WITH.
 func (a *analyzer) prefix(kw *keyword) bool {
 	scope, outermost := a.top(), a.depth == 0
 	switch {
@@ -180,7 +180,7 @@
 	return true
 }
 
-// verb takes the first keyword of a statement, or of a query in parentheses; false where it is none.
+// verb handles the first keyword of a statement, or of a query in parentheses; false where it is none.
 func (a *analyzer) verb(t Token, kw *keyword) bool {
 	scope, outermost := a.top(), a.depth == 0
 	switch {
--- a/sqlclass/cost.go
+++ b/sqlclass/cost.go
@@ -35,7 +35,7 @@
 	return m.intercept, m.slope
 }
 
-// observe takes a measurement: the logarithms of rows and seconds.
+// observe adds a measurement: the logarithms of rows and seconds.
 func (m *costModel) observe(x, y float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -61,7 +61,7 @@
 // EstimatedRows returns how many rows a text is thought to touch, from its normal form and details alone.
 func (s *NormalizedStatement) EstimatedRows(d *Details) float64 { return s.rows.forDetails(d) }
 
-// Estimate returns how long a text may take at a server, by its rows and by what was measured.
+// Estimate returns how long a text may take at a server, by its estimated rows and by measurements.
 func (c *Classifier) Estimate(s *NormalizedStatement, d *Details) time.Duration {
 	x := math.Log(s.EstimatedRows(d))
 	a, b := c.costs.line()
@@ -75,7 +75,7 @@
 	return time.Duration(min(math.Exp(y), longestEstimate.Seconds()) * float64(time.Second))
 }
 
-// Observe takes how long a text took at a server, from its first byte sent to the last byte received.
+// Observe records how long a text took at a server, from its first byte sent to the last byte received.
 func (c *Classifier) Observe(s *NormalizedStatement, d *Details, took time.Duration) {
 	if took <= 0 {
 		return
--- a/sqlclass/keywords.go
+++ b/sqlclass/keywords.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// keyword is a word of PostgreSQL's.
+// keyword is a keyword of PostgreSQL.
 type keyword struct {
 	name  string
 	flags keywordFlags
@@ -40,7 +40,7 @@
 		json_table json_value least merge_action national nchar normalize nullif numeric overlay position precision
 		real smallint substring time timestamp trim varchar xmlattributes xmlconcat xmlelement xmlexists xmlforest
 		xmlnamespaces xmlparse xmlpi xmlroot xmlserialize xmltable`},
-	// These may name functions, so only what stands before them tells.
+	// These may name functions, so only what stands before them decides.
 	{0, `authorization binary collation concurrently cross current_schema freeze full ilike inner is isnull join left
 		like natural notnull outer overlaps right similar tablesample verbose`},
 	{0, `abort absent absolute access action add admin after aggregate also alter always asensitive assertion
@@ -140,7 +140,7 @@
 	national nchar numeric numrange oid path pg_lsn real regclass regnamespace regproc regrole regtype smallint text time
 	timestamp timestamptz timetz tsquery tsrange tstzrange tsvector uuid varbit varchar varying xid xid8 xml`
 
-// Functions of PostgreSQL's own that write; writing names stand above reading ones.
+// Functions of PostgreSQL's own that write; they take precedence over reading names.
 const writingNames = `nextval setval currval lastval lo_create lo_creat lo_unlink lo_import lo_export lo_from_bytea lo_put
 	lowrite lo_truncate pg_notify txid_current pg_current_xact_id pg_create_restore_point
 	pg_switch_wal pg_terminate_backend pg_cancel_backend pg_reload_conf pg_rotate_logfile pg_promote
--- a/sqlclass/normalize.go
+++ b/sqlclass/normalize.go
@@ -106,7 +106,7 @@
 	return n.out, n.details, nil
 }
 
-// word takes a name or keyword.
+// word handles a name or keyword.
 func (n *normalizer) word(i int) (end int) {
 	rest, out := n.text[i:], n.out
 	if cap(out)-len(out) <= len(rest) {
@@ -144,7 +144,7 @@
 	n.inLiteralList, n.previous, n.afterLimit, n.afterLiteral = false, previousOther, false, false
 }
 
-// punctuation takes one of ( ) [ ] , and ;.
+// punctuation handles one of ( ) [ ] , and ;.
 func (n *normalizer) punctuation(c byte) {
 	switch c {
 	case '[':
@@ -213,7 +213,7 @@
 	n.afterLiteral, n.afterLimit, n.previous = true, false, previousOther
 }
 
-// simpleLiteral takes a literal whose end simpleLiteralEnd found.
+// simpleLiteral handles a literal whose end simpleLiteralEnd found.
 func (n *normalizer) simpleLiteral(i, end int) {
 	switch {
 	case n.text[i] != '\'':
@@ -226,7 +226,7 @@
 	n.literal()
 }
 
-// separator takes a . or : that stands alone.
+// separator handles a . or : that stands alone.
 func (n *normalizer) separator(c byte) {
 	n.out = append(n.out, c, ' ')
 	n.afterOther()
@@ -241,7 +241,7 @@
 	n.previous, n.afterLimit, n.afterLiteral = previousOther, false, false
 }
 
-// token takes a token of the scanner.
+// token handles a token of the scanner.
 func (n *normalizer) token(t Token) {
 	piece := n.text[t.Start:t.End]
 	switch t.Kind {
--- a/sqlclass/rowestimate.go
+++ b/sqlclass/rowestimate.go
@@ -49,7 +49,7 @@
 
 func (b *queryBlock) begin() { *b = queryBlock{on: true} }
 
-// keyword takes a keyword of the block.
+// keyword handles a keyword of the block.
 func (b *queryBlock) keyword(name string) {
 	switch name {
 	case "where":
@@ -73,21 +73,21 @@
 	}
 }
 
-// comma takes a comma; in a FROM it joins a table.
+// comma handles a comma; in a FROM it joins a table.
 func (b *queryBlock) comma(inFromList bool) {
 	if inFromList && !b.inCondition {
 		b.joins++
 	}
 }
 
-// opened takes the parenthesis after a keyword.
+// opened handles the parenthesis after a keyword.
 func (b *queryBlock) opened(keyword string) {
 	if keyword == "in" && b.inCondition {
 		b.list = true
 	}
 }
 
-// literal takes a literal after a token.
+// literal handles a literal after a token.
 func (b *queryBlock) literal(before Token, text []byte) {
 	if b.where && b.inCondition && before.Kind == Operator && string(text[before.Start:before.End]) == "=" {
 		b.keyed = true
