--- a/cmd/routertest/capacity.go
+++ b/cmd/routertest/capacity.go
@@ -51,8 +51,8 @@
 	}
 	out := bufio.NewWriter(os.Stdout)
 	defer out.Flush()
-	size := capacity.Size{Fronts: c.Fronts, HollowPerProcess: c.HollowPerProcess, Databases: c.Databases, Zones: c.Zones,
-		ChangesPerHour: c.ChangesPerHour, Duration: c.Duration, Span: c.Span, Must: c.Must, CutOff: c.CutOff}
+	size := capacity.Size{Fronts: c.Fronts, SimulatedPerProcess: c.HollowPerProcess, Databases: c.Databases, Zones: c.Zones,
+		ChangesPerHour: c.ChangesPerHour, Duration: c.Duration, LeaseDuration: c.Span, Mandatory: c.Must, PausedOneIn: c.CutOff}
 	if c.JSON {
 		header, err := capacity.NewHeader("bin/routertest "+strings.Join(os.Args[1:], " "), size)
 		if err == nil {
@@ -90,8 +90,8 @@
 
 // ended tells what became of a run, and gives the exit code.
 func (c *capacityCall) ended(err error, dir string, remove func()) int {
-	var refusal capacity.Refusal
-	var death *capacity.Death
+	var refusal capacity.SizeError
+	var death *capacity.ProcessExitError
 	switch {
 	case err == nil:
 		remove()
--- a/lab/capacity/scale_test.go
+++ b/lab/capacity/capacity_test.go
@@ -19,11 +19,11 @@
 	"dapplerouter/fleet"
 )
 
-// workerVariable makes the test's own program a worker.
-const workerVariable = "SCALE_TEST_WORKER"
+// workerEnv makes the test's own program a worker.
+const workerEnv = "SCALE_TEST_WORKER"
 
 func TestMain(m *testing.M) {
-	if kind := os.Getenv(workerVariable); kind != "" {
+	if kind := os.Getenv(workerEnv); kind != "" {
 		if err := Work(kind, os.Stdin, os.Stdout); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
@@ -35,8 +35,8 @@
 
 func itoa(n int) string { return strconv.Itoa(n) }
 
-// options are those of a run on a program that is built once.
-func options(t *testing.T, size Size) Options {
+// testOptions are those of a run on a program that is built once.
+func testOptions(t *testing.T, size Size) Options {
 	if testing.Short() {
 		t.Skip("processes are started")
 	}
@@ -49,7 +49,7 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { os.RemoveAll(dir) })
 	return Options{Size: size, Program: program(t), Dir: dir, Progress: t.Logf, Worker: func(kind string) []string {
-		return []string{"env", workerVariable + "=" + kind, self}
+		return []string{"env", workerEnv + "=" + kind, self}
 	}}
 }
 
@@ -88,17 +88,17 @@
 // Slopes are asserted as counts, which a loaded machine does not change: messages, bytes and objects, for each front, database
 // and change.
 func TestSlopesAreThoseOfTheDesign(t *testing.T) {
-	sizes := []Size{small(12), small(24), small(48), small(12)}
+	sizes := []Size{smallSize(12), smallSize(24), smallSize(48), smallSize(12)}
 	sizes[3].Databases *= 4
 	runs := make([][]Record, len(sizes))
 	t.Run("runs", func(t *testing.T) {
 		for i, size := range sizes {
 			t.Run(fmt.Sprintf("%d fronts, %d databases", size.Fronts, size.Databases), func(t *testing.T) {
 				t.Parallel()
-				all, err := Run(context.Background(), options(t, size))
+				all, err := Run(context.Background(), testOptions(t, size))
 				require.NoError(t, err)
 				runs[i] = all
-				holds(t, size, all)
+				assertInvariants(t, size, all)
 			})
 		}
 	})
@@ -106,58 +106,58 @@
 		return
 	}
 	act := func(run int, phase, resource string) float64 {
-		return value(t, runs[run], phase, HollowFollower, resource+fleet.KindBroadcast.String()).Value
+		return value(t, runs[run], phase, RoleSimulatedFollower, resource+fleet.KindBroadcast.String()).Value
 	}
-	per := (act(3, WholeList, kindBytes) - act(0, WholeList, kindBytes)) / float64(sizes[3].Databases-sizes[0].Databases)
+	per := (act(3, PhaseSnapshot, kindBytes) - act(0, PhaseSnapshot, kindBytes)) / float64(sizes[3].Databases-sizes[0].Databases)
 	assert.InDelta(t, 300, per, 250, "bytes of a whole list at a front for each database: an entry on each of its links but one")
-	assert.Less(t, act(2, EntryChange, kindMessages), 3*act(0, EntryChange, kindMessages), "a front's messages for a change don't grow with fronts")
-	links := func(run int) float64 { return value(t, runs[run], Rest, HollowFollower, "links").Value }
+	assert.Less(t, act(2, PhaseEntryChange, kindMessages), 3*act(0, PhaseEntryChange, kindMessages), "a front's messages for a change don't grow with fronts")
+	links := func(run int) float64 { return value(t, runs[run], PhaseIdle, RoleSimulatedFollower, "links").Value }
 	assert.Less(t, links(2), 2*links(0), "its links neither")
 }
 
-// holds checks what is so at every size.
-func holds(t *testing.T, size Size, all []Record) {
-	hollow, changes := size.hollow(), size.changes()
+// assertInvariants checks what is so at every size.
+func assertInvariants(t *testing.T, size Size, all []Record) {
+	hollow, changes := size.simulated(), size.changes()
 	for _, role := range roleOrder {
-		r := value(t, all, Rest, role, "processor")
+		r := value(t, all, PhaseIdle, role, "processor")
 		assert.Positive(t, r.Fronts, role)
-		assert.Positive(t, value(t, all, Rest, role, "resident memory").Value, role)
+		assert.Positive(t, value(t, all, PhaseIdle, role, "resident memory").Value, role)
 	}
-	assert.Equal(t, 1.0, value(t, all, Rest, Discovery, "watches").Value, "one front watches for all")
-	assert.Less(t, value(t, all, EntryChange, Discovery, "bytes sent").Value, 400.0, "an entry goes to one watch")
-	for _, phase := range []string{EntryChange, WholeList} {
-		r := value(t, all, phase, wholeFleet, "from discovery to a hollow front")
+	assert.Equal(t, 1.0, value(t, all, PhaseIdle, RoleDiscovery, "watches").Value, "one front watches for all")
+	assert.Less(t, value(t, all, PhaseEntryChange, RoleDiscovery, "bytes sent").Value, 400.0, "an entry goes to one watch")
+	for _, phase := range []string{PhaseEntryChange, PhaseSnapshot} {
+		r := value(t, all, phase, roleFleet, "from discovery to a hollow front")
 		assert.Zero(t, r.Missing, phase)
 		assert.Equal(t, int64(hollow*changes), r.Quantiles.Count, "each change came to each front")
-		links := value(t, all, Rest, HollowFollower, "links").Value
-		assert.LessOrEqual(t, value(t, all, phase, HollowFollower, kindMessages+fleet.KindBroadcast.String()).Value, 3*links,
+		links := value(t, all, PhaseIdle, RoleSimulatedFollower, "links").Value
+		assert.LessOrEqual(t, value(t, all, phase, RoleSimulatedFollower, kindMessages+fleet.KindBroadcast.String()).Value, 3*links,
 			"a change passes a link once or twice; the beats that it is told from are one more or less")
 	}
-	r := value(t, all, Configuration, wholeFleet, "from the publish to a hollow front")
+	r := value(t, all, PhaseConfiguration, roleFleet, "from the publish to a hollow front")
 	assert.Equal(t, int64(hollow*changes), r.Quantiles.Count+int64(r.Missing), "%s", r.Note)
-	assert.Equal(t, HollowFollower, value(t, all, Rest, HollowFollower, "processor").Role)
-	assert.Equal(t, hollowNote, value(t, all, Rest, HollowFollower, "processor").Note)
+	assert.Equal(t, RoleSimulatedFollower, value(t, all, PhaseIdle, RoleSimulatedFollower, "processor").Role)
+	assert.Equal(t, simulatedNote, value(t, all, PhaseIdle, RoleSimulatedFollower, "processor").Note)
 }
 
 func TestAHollowProcessThatDiesIsNamedAndNotCounted(t *testing.T) {
-	o := options(t, small(24))
-	o.settled = func(b *bench) { b.hollow[1].cmd.Process.Kill() }
+	o := testOptions(t, smallSize(24))
+	o.onConverged = func(b *testbed) { b.simulated[1].cmd.Process.Kill() }
 	all, err := Run(context.Background(), o)
-	var death *Death
+	var death *ProcessExitError
 	require.ErrorAs(t, err, &death)
 	assert.Equal(t, "hollow-2 (n21 to n32)", death.Process)
 	assert.Contains(t, err.Error(), "signal: killed")
 	for _, r := range all {
-		assert.Equal(t, Start, r.Phase, "nothing of a phase in which it died is told")
+		assert.Equal(t, PhaseStart, r.Phase, "nothing of a phase in which it died is told")
 	}
 }
 
 func TestAnInterruptEndsEveryProcess(t *testing.T) {
-	o := options(t, small(12))
+	o := testOptions(t, smallSize(12))
 	ctx, interrupt := context.WithCancelCause(context.Background())
 	var pids []int
 	stop := errors.New("interrupted")
-	o.settled = func(b *bench) {
+	o.onConverged = func(b *testbed) {
 		for _, p := range b.processes() {
 			pids = append(pids, p.cmd.Process.Pid)
 		}
--- a/lab/capacity/databases.go
+++ b/lab/capacity/database_host.go
@@ -7,31 +7,31 @@
 	"dapplerouter/testsupport/fakeserver"
 )
 
-// databaseWork is what a fake database takes for a statement.
-const databaseWork = time.Millisecond
+// statementTime is what a fake database takes for a statement.
+const statementTime = time.Millisecond
 
-// databases is a worker that holds fake databases, in groups of a primary and its replicas.
-type databases struct{ groups []*fakeserver.Group }
+// databaseHost is a worker that holds fake databases, in groups of a primary and its replicas.
+type databaseHost struct{ groups []*fakeserver.Group }
 
-func (d *databases) answer(q Request) (r Reply, err error) {
-	switch q.Do {
-	case doStart:
+func (d *databaseHost) serve(q Request) (r Reply, err error) {
+	switch q.Operation {
+	case opStart:
 		r.Addresses, err = d.start(q.Databases)
-	case doCounters:
+	case opCounters:
 		r.Counters, err = ownCounters()
 		for _, g := range d.groups {
 			r.Counters.Statements += uint64(g.Probes.Load())
 		}
 	default:
-		err = fmt.Errorf("databases don't do %q", q.Do)
+		err = fmt.Errorf("databases don't do %q", q.Operation)
 	}
 	return r, err
 }
 
-func (d *databases) start(n int) (addresses []string, err error) {
+func (d *databaseHost) start(n int) (addresses []string, err error) {
 	data := fakeserver.Restaurants(1, 1, 1)
 	for n > 0 {
-		g, err := fakeserver.Start(data, min(n, groupSize), 1, databaseWork, 0)
+		g, err := fakeserver.Start(data, min(n, groupSize), 1, statementTime, 0)
 		if err != nil {
 			return nil, err
 		}
@@ -44,8 +44,8 @@
 	return addresses, nil
 }
 
-// endpoints lists databases by their addresses, spread over zones.
-func endpoints(addresses []string, zones int) (all []Endpoint) {
+// endpointList lists databases by their addresses, spread over zones.
+func endpointList(addresses []string, zones int) (all []Endpoint) {
 	for i, a := range addresses {
 		role := "replica"
 		if i%groupSize == 0 {
--- a/lab/capacity/discovery.go
+++ b/lab/capacity/discovery.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// discoveryBeat is how often a watch hears an empty line.
-const discoveryBeat = 2 * time.Second
+// heartbeatInterval is how often a watch hears an empty line.
+const heartbeatInterval = 2 * time.Second
 
 // discoveryServer is a fake of the endpoint list's service: the whole list, and watches that are told of changes.
 type discoveryServer struct {
@@ -26,18 +26,18 @@
 	watches map[chan []byte]bool
 }
 
-func (s *discoveryServer) answer(q Request) (r Reply, err error) {
-	switch q.Do {
-	case doStart:
+func (s *discoveryServer) serve(q Request) (r Reply, err error) {
+	switch q.Operation {
+	case opStart:
 		r.Address, err = s.start(q.Entries)
-	case doChange:
-		r.Index, r.At = s.change()
-	case doWhole:
-		r.Index, r.At = s.whole()
-	case doCounters:
+	case opEntryChange:
+		r.Index, r.ChangedAt = s.changeEntry()
+	case opSnapshot:
+		r.Index, r.ChangedAt = s.sendSnapshot()
+	case opCounters:
 		r.Counters, err = s.counters()
 	default:
-		err = fmt.Errorf("discovery doesn't do %q", q.Do)
+		err = fmt.Errorf("discovery doesn't do %q", q.Operation)
 	}
 	return r, err
 }
@@ -47,12 +47,12 @@
 	if s.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		return "", err
 	}
-	go http.Serve(&countingListener{s.listener, s}, http.HandlerFunc(s.serve))
+	go http.Serve(&countingListener{s.listener, s}, http.HandlerFunc(s.handle))
 	return s.listener.Addr().String(), nil
 }
 
-// object writes a list as the service does; with the lock held.
-func (s *discoveryServer) object(whole bool, entries []Endpoint) []byte {
+// marshalList writes a list as the service does; with the lock held.
+func (s *discoveryServer) marshalList(whole bool, entries []Endpoint) []byte {
 	b, err := json.Marshal(map[string]any{"index": s.index, "snapshot": whole, "endpoints": entries})
 	if err != nil {
 		panic("a list that is no JSON: " + err.Error()) // of our own making
@@ -60,11 +60,11 @@
 	return append(b, '\n')
 }
 
-func (s *discoveryServer) serve(w http.ResponseWriter, r *http.Request) {
+func (s *discoveryServer) handle(w http.ResponseWriter, r *http.Request) {
 	s.calls.Add(1)
 	if r.URL.Query().Get("watch") == "" {
 		s.mu.Lock()
-		body := s.object(true, s.entries)
+		body := s.marshalList(true, s.entries)
 		s.mu.Unlock()
 		w.Write(body)
 		return
@@ -78,7 +78,7 @@
 	s.mu.Lock()
 	first := []byte("\n")
 	if r.URL.Query().Get("after") != fmt.Sprint(s.index) {
-		first = s.object(true, s.entries)
+		first = s.marshalList(true, s.entries)
 	}
 	s.watches[changes] = true
 	s.mu.Unlock()
@@ -87,7 +87,7 @@
 		delete(s.watches, changes)
 		s.mu.Unlock()
 	}()
-	beat := time.NewTicker(discoveryBeat)
+	beat := time.NewTicker(heartbeatInterval)
 	defer beat.Stop()
 	for next := first; ; {
 		if _, err := w.Write(next); err != nil {
@@ -104,8 +104,8 @@
 	}
 }
 
-// change alters one entry's weight, each time another's.
-func (s *discoveryServer) change() (index, at int64) {
+// changeEntry alters one entry's weight, each time another's.
+func (s *discoveryServer) changeEntry() (index, at int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.index++
@@ -113,18 +113,18 @@
 	if e.Weight = 1.5 - e.Weight; e.Weight < 0.5 {
 		e.Weight = 1
 	}
-	return s.tell(s.object(false, []Endpoint{*e}))
+	return s.notify(s.marshalList(false, []Endpoint{*e}))
 }
 
-// whole sends the whole list to all who watch.
-func (s *discoveryServer) whole() (index, at int64) {
+// sendSnapshot sends the whole list to all who watch.
+func (s *discoveryServer) sendSnapshot() (index, at int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.index++
-	return s.tell(s.object(true, s.entries))
+	return s.notify(s.marshalList(true, s.entries))
 }
 
-func (s *discoveryServer) tell(object []byte) (index, at int64) {
+func (s *discoveryServer) notify(object []byte) (index, at int64) {
 	at = time.Now().UnixMicro()
 	for c := range s.watches {
 		select {
@@ -147,7 +147,7 @@
 // countingListener counts what passes its connections.
 type countingListener struct {
 	net.Listener
-	s *discoveryServer
+	server *discoveryServer
 }
 
 func (l *countingListener) Accept() (net.Conn, error) {
@@ -155,22 +155,22 @@
 	if err != nil {
 		return nil, err
 	}
-	return &countingConn{c, l.s}, nil
+	return &countingConn{c, l.server}, nil
 }
 
 type countingConn struct {
 	net.Conn
-	s *discoveryServer
+	server *discoveryServer
 }
 
 func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.s.received.Add(uint64(n))
+	c.server.received.Add(uint64(n))
 	return n, err
 }
 
 func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.s.sent.Add(uint64(n))
+	c.server.sent.Add(uint64(n))
 	return n, err
 }
--- a/lab/capacity/files.go
+++ b/lab/capacity/front_config.go
@@ -12,15 +12,15 @@
 	"dapplerouter/fleet/rollout"
 )
 
-// Shared is what all fronts of a run are told alike.
-type Shared struct {
-	Network   string        `json:"network"` // the first two numbers of the fronts' loopback addresses
-	Dir       string        `json:"dir"`
-	Discovery string        `json:"discovery"`
-	Fronts    int           `json:"fronts"`
-	Zones     int           `json:"zones"`
-	Span      time.Duration `json:"span_ns"`
-	Right     time.Duration `json:"right_ns"`
+// RunSettings is what all fronts of a run are told alike.
+type RunSettings struct {
+	Network             string        `json:"network"` // the first two numbers of the fronts' loopback addresses
+	Dir                 string        `json:"dir"`
+	Discovery           string        `json:"discovery"`
+	Fronts              int           `json:"fronts"`
+	Zones               int           `json:"zones"`
+	LeaseDuration       time.Duration `json:"span_ns"`
+	ConfigLeaseDuration time.Duration `json:"right_ns"`
 }
 
 // Ports of a front at its own loopback address.
@@ -31,18 +31,18 @@
 
 // What a front may use.
 const (
-	frontCores = 1.0
-	frontMB    = 32
+	frontCores    = 1.0
+	frontMemoryMB = 32
 )
 
 func frontName(i int) string { return fmt.Sprintf("n%d", i+1) }
 
 // host is a front's own loopback address.
-func (s *Shared) host(i int) string   { return fmt.Sprintf("%s.%d.%d", s.Network, i/250, i%250+1) }
-func (s *Shared) mesh(i int) string   { return fmt.Sprintf("%s:%d", s.host(i), meshPort) }
-func (s *Shared) folder(i int) string { return filepath.Join(s.Dir, frontName(i)) }
-func (s *Shared) socket(i int) string { return filepath.Join(s.folder(i), "ctl") }
-func (s *Shared) history(i int) string {
+func (s *RunSettings) host(i int) string        { return fmt.Sprintf("%s.%d.%d", s.Network, i/250, i%250+1) }
+func (s *RunSettings) meshAddress(i int) string { return fmt.Sprintf("%s:%d", s.host(i), meshPort) }
+func (s *RunSettings) folder(i int) string      { return filepath.Join(s.Dir, frontName(i)) }
+func (s *RunSettings) adminSocket(i int) string { return filepath.Join(s.folder(i), "ctl") }
+func (s *RunSettings) historyFile(i int) string {
 	return filepath.Join(s.folder(i), "history.jsonl")
 }
 
@@ -69,7 +69,7 @@
  }}`
 
 // configText is what a front is told at its start.
-func (s *Shared) configText(i int) string {
+func (s *RunSettings) configText(i int) string {
 	var zones []string
 	for z := range s.Zones {
 		zones = append(zones, zoneName(z))
@@ -78,28 +78,28 @@
 	if err != nil {
 		panic("zones that are no JSON: " + err.Error()) // of our own making
 	}
-	return fmt.Sprintf(instanceConfigFormat, frontName(i), s.host(i), clientPort, s.Discovery, uint64(i)*2654435761+1, frontCores, frontMB,
+	return fmt.Sprintf(instanceConfigFormat, frontName(i), s.host(i), clientPort, s.Discovery, uint64(i)*2654435761+1, frontCores, frontMemoryMB,
 		names, zoneName(i%s.Zones), s.Fronts, i, browseType, bookType)
 }
 
 // operatorText is a front's operator's file: its part in the fleet and in rollouts.
-func (s *Shared) operatorText(i int, real bool) string {
+func (s *RunSettings) operatorText(i int, real bool) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "(fleet (id \"scale\") (listen %q) (span %v) (plain loopback)\n (keepers", s.mesh(i), s.Span)
-	for v := range voters {
-		fmt.Fprintf(&b, " (%s %q)", frontName(v), s.mesh(v))
+	fmt.Fprintf(&b, "(fleet (id \"scale\") (listen %q) (span %v) (plain loopback)\n (keepers", s.meshAddress(i), s.LeaseDuration)
+	for v := range voterCount {
+		fmt.Fprintf(&b, " (%s %q)", frontName(v), s.meshAddress(v))
 	}
 	fmt.Fprint(&b, ")")
-	if i < voters {
+	if i < voterCount {
 		fmt.Fprintf(&b, "\n (keeper %q)", filepath.Join(s.folder(i), "fleet.db"))
 	}
 	if real {
-		fmt.Fprintf(&b, "\n (control %q)", s.socket(i))
+		fmt.Fprintf(&b, "\n (control %q)", s.adminSocket(i))
 	}
-	if i == witnessReal {
-		fmt.Fprintf(&b, "\n (history %q)", s.history(i))
+	if i == historyOrdinal {
+		fmt.Fprintf(&b, "\n (history %q)", s.historyFile(i))
 	}
-	fmt.Fprintf(&b, ")\n(roll (right %v) (when-alone serve) (dir %q))\n", s.Right, filepath.Join(s.folder(i), "roll"))
+	fmt.Fprintf(&b, ")\n(roll (right %v) (when-alone serve) (dir %q))\n", s.ConfigLeaseDuration, filepath.Join(s.folder(i), "roll"))
 	return b.String()
 }
 
--- a/lab/capacity/usage.go
+++ b/lab/capacity/host.go
@@ -21,13 +21,13 @@
 // resident is a process's resident memory in bytes.
 func resident(pid int) (int64, error) {
 	path := fmt.Sprintf("/proc/%d/status", pid)
-	kib, err := field(path, "VmRSS:")
+	kib, err := readField(path, "VmRSS:")
 	return kib << 10, err
 }
 
 // ThisMachine is what the machine has.
 func ThisMachine() (Machine, error) {
-	kib, err := field("/proc/meminfo", "MemTotal:")
+	kib, err := readField("/proc/meminfo", "MemTotal:")
 	if err != nil {
 		return Machine{}, err
 	}
@@ -38,8 +38,8 @@
 	return Machine{Memory: kib << 10, Descriptors: int(min(l.Cur, 1<<30))}, nil
 }
 
-// field reads a number of KiB behind a name at the beginning of a line.
-func field(path, name string) (int64, error) {
+// readField reads a number of KiB behind a name at the beginning of a line.
+func readField(path, name string) (int64, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return 0, err
--- a/lab/capacity/print.go
+++ b/lab/capacity/print.go
@@ -12,10 +12,10 @@
 func Print(w io.Writer, all []Record) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "ROLE\tOVER\tRESOURCE\tSTART\tAT REST\tONE ENTRY\tWHOLE LIST\tCONFIGURATION\tNOTE")
-	for _, role := range append(slices.Clone(roleOrder), wholeFleet) {
+	for _, role := range append(slices.Clone(roleOrder), roleFleet) {
 		for _, resource := range resourcesOf(all, role) {
 			if !strings.HasPrefix(resource, kindMessages) && !strings.HasPrefix(resource, kindBytes) { // these are in the JSON
-				row(t, all, role, resource)
+				printRow(t, all, role, resource)
 			}
 		}
 	}
@@ -25,7 +25,7 @@
 	fmt.Fprintln(t, "\nTIME, ms\tPHASE\tCHANGES\tTIMES\tP50\tP90\tP99\tMOST\tNOT SEEN\tNOTE")
 	for _, r := range all {
 		if q := r.Quantiles; q != nil {
-			fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%d\t%s\n", r.Resource, r.Phase, r.Changes, q.Count, q.P50, q.P90, q.P99, q.Most,
+			fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%d\t%s\n", r.Resource, r.Phase, r.Changes, q.Count, q.P50, q.P90, q.P99, q.Max,
 				r.Missing, r.Note)
 		}
 	}
@@ -42,7 +42,7 @@
 	return names
 }
 
-func row(w io.Writer, all []Record, role, resource string) {
+func printRow(w io.Writer, all []Record, role, resource string) {
 	over, cells, notes := "", map[string]string{}, []string{}
 	for _, r := range all {
 		if r.Role != role || r.Resource != resource || r.Quantiles != nil {
@@ -50,7 +50,7 @@
 		}
 		cells[r.Phase] = fmt.Sprintf("%.4g %s", r.Value, r.Unit)
 		over = fmt.Sprintf("%d fronts", r.Fronts)
-		if r.Role == Discovery || r.Role == Databases {
+		if r.Role == RoleDiscovery || r.Role == RoleDatabases {
 			over = "process"
 		}
 		note := r.Note
@@ -61,6 +61,6 @@
 			notes = append(notes, note)
 		}
 	}
-	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", role, over, resource, cells[Start], cells[Rest], cells[EntryChange], cells[WholeList], cells[Configuration],
+	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", role, over, resource, cells[PhaseStart], cells[PhaseIdle], cells[PhaseEntryChange], cells[PhaseSnapshot], cells[PhaseConfiguration],
 		strings.Join(notes, "; "))
 }
--- a/lab/capacity/process.go
+++ b/lab/capacity/process.go
@@ -15,31 +15,31 @@
 )
 
 const (
-	endGrace   = 3 * time.Second  // for a process to end by itself before it is killed
-	answerTime = 90 * time.Second // for a worker's answer; a start of many hollow fronts is the longest
+	exitGrace    = 3 * time.Second  // for a process to end by itself before it is killed
+	replyTimeout = 90 * time.Second // for a worker's answer; a start of many hollow fronts is the longest
 )
 
 // process is a child of this one.
 type process struct {
-	name  string // with what it holds: "hollow-2 (n57 to n104)"
-	cmd   *exec.Cmd
-	log   string
-	ended chan struct{} // closed once it has ended
-	exit  error         // of Wait, once ended
+	name    string // with what it holds: "hollow-2 (n57 to n104)"
+	cmd     *exec.Cmd
+	logPath string
+	ended   chan struct{} // closed once it has ended
+	exitErr error         // of Wait, once ended
 
 	mu      sync.Mutex // one question at a time
 	in      io.WriteCloser
-	answers *json.Decoder
+	replies *json.Decoder
 }
 
-// Death is a process that ended before it was told to.
-type Death struct {
+// ProcessExitError is a process that ended before it was told to.
+type ProcessExitError struct {
 	Process string
 	Exit    string
 	Log     string // the end of what it wrote
 }
 
-func (d *Death) Error() string {
+func (d *ProcessExitError) Error() string {
 	text := fmt.Sprintf("%s ended during the run (%s); its measurements are not counted", d.Process, d.Exit)
 	if d.Log != "" {
 		text += "; it wrote last: " + d.Log
@@ -50,11 +50,11 @@
 // startProcess starts a child; with pipes it is a worker that is asked by ask. The child ends with the thread that started it, so
 // whoever calls is locked to its own (runtime.LockOSThread).
 func startProcess(name, dir string, command, env []string, pipes bool) (*process, error) {
-	p := &process{name: name, ended: make(chan struct{}), log: filepath.Join(dir, "log")}
+	p := &process{name: name, ended: make(chan struct{}), logPath: filepath.Join(dir, "log")}
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	log, err := os.OpenFile(p.log, os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o600)
+	log, err := os.OpenFile(p.logPath, os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, err
 	}
@@ -70,7 +70,7 @@
 		if p.in, err = p.cmd.StdinPipe(); err != nil {
 			return nil, err
 		}
-		p.answers = json.NewDecoder(out)
+		p.replies = json.NewDecoder(out)
 	}
 	if err := p.cmd.Start(); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
@@ -80,35 +80,35 @@
 		if err == nil && !state.Success() {
 			err = errors.New(state.String())
 		}
-		p.exit = err
+		p.exitErr = err
 		close(p.ended)
 	}()
 	return p, nil
 }
 
-// ask puts a question to a worker. The error is a Death where it has ended.
-func (p *process) ask(q Request) (r Reply, err error) {
+// call puts a question to a worker. The error is a Death where it has ended.
+func (p *process) call(q Request) (r Reply, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err = json.NewEncoder(p.in).Encode(q); err == nil {
-		r, err = p.answer()
+		r, err = p.readReply()
 	}
 	if err != nil {
 		select {
 		case <-p.ended:
-			return r, p.death()
-		case <-time.After(endGrace):
+			return r, p.newExitError()
+		case <-time.After(exitGrace):
 			return r, fmt.Errorf("%s does not answer: %w", p.name, err)
 		}
 	}
-	if r.Fault != "" {
-		return r, fmt.Errorf("%s: %s", p.name, r.Fault)
+	if r.Error != "" {
+		return r, fmt.Errorf("%s: %s", p.name, r.Error)
 	}
 	return r, nil
 }
 
-// answer waits for a worker's; one that has not come in time is an error, and the worker is not to be asked again.
-func (p *process) answer() (Reply, error) {
+// readReply waits for a worker's; one that has not come in time is an error, and the worker is not to be asked again.
+func (p *process) readReply() (Reply, error) {
 	type answer struct {
 		r   Reply
 		err error
@@ -116,33 +116,33 @@
 	came := make(chan answer, 1)
 	go func() {
 		var a answer
-		a.err = p.answers.Decode(&a.r)
+		a.err = p.replies.Decode(&a.r)
 		came <- a
 	}()
 	select {
 	case a := <-came:
 		return a.r, a.err
-	case <-time.After(answerTime):
-		return Reply{}, fmt.Errorf("nothing came in %v", answerTime)
+	case <-time.After(replyTimeout):
+		return Reply{}, fmt.Errorf("nothing came in %v", replyTimeout)
 	}
 }
 
-// dead is a Death where the process has ended.
-func (p *process) dead() error {
+// exitedError is a Death where the process has ended.
+func (p *process) exitedError() error {
 	select {
 	case <-p.ended:
-		return p.death()
+		return p.newExitError()
 	default:
 		return nil
 	}
 }
 
-func (p *process) death() error {
+func (p *process) newExitError() error {
 	exit := "exit status 0"
-	if p.exit != nil {
-		exit = p.exit.Error()
+	if p.exitErr != nil {
+		exit = p.exitErr.Error()
 	}
-	return &Death{Process: p.name, Exit: exit, Log: lastLine(p.log)}
+	return &ProcessExitError{Process: p.name, Exit: exit, Log: lastLine(p.logPath)}
 }
 
 // lastLine is the end of a log, for a message.
@@ -161,8 +161,8 @@
 	return last[max(0, len(last)-300):]
 }
 
-// hold stops the process from running, or lets it go on.
-func (p *process) hold(on bool) error {
+// setPaused stops the process from running, or lets it go on.
+func (p *process) setPaused(on bool) error {
 	sig := syscall.SIGCONT
 	if on {
 		sig = syscall.SIGSTOP
@@ -170,8 +170,8 @@
 	return p.cmd.Process.Signal(sig)
 }
 
-// askToEnd begins its end, end finishes it by force where it takes too long.
-func (p *process) askToEnd() {
+// terminate begins its end, end finishes it by force where it takes too long.
+func (p *process) terminate() {
 	p.cmd.Process.Signal(syscall.SIGCONT)
 	if p.in != nil {
 		p.in.Close()
@@ -180,7 +180,7 @@
 	p.cmd.Process.Signal(syscall.SIGTERM)
 }
 
-func (p *process) end(until time.Time) {
+func (p *process) waitOrKill(until time.Time) {
 	select {
 	case <-p.ended:
 	case <-time.After(time.Until(until)):
--- a/lab/capacity/record.go
+++ b/lab/capacity/record.go
@@ -15,30 +15,30 @@
 
 // Roles of processes.
 const (
-	VoterLeader        = "voter, leader"
-	VoterFollower      = "voter"
-	EndpointsHolder    = "leaseholder of the endpoint list"
-	RolloutsHolder     = "leaseholder of rollouts"
-	RealFollower       = "follower, real"
-	HollowFollower     = "follower, hollow"
-	Discovery          = "discovery"
-	Databases          = "databases"
-	wholeFleet         = "fleet"
-	supervisor         = "supervisor"
-	noRole             = ""
-	hollowNote         = "a process's figure by its hollow fronts"
-	unitMilliseconds   = "ms"
-	unitCorePerSecond  = "ms of a core/s"
-	unitBytesPerSecond = "B/s"
+	RoleLeader               = "voter, leader"
+	RoleVoter                = "voter"
+	RoleEndpointsLeaseholder = "leaseholder of the endpoint list"
+	RoleRolloutsLeaseholder  = "leaseholder of rollouts"
+	RoleRealFollower         = "follower, real"
+	RoleSimulatedFollower    = "follower, hollow"
+	RoleDiscovery            = "discovery"
+	RoleDatabases            = "databases"
+	roleFleet                = "fleet"
+	roleSupervisor           = "supervisor"
+	noRole                   = ""
+	simulatedNote            = "a process's figure by its hollow fronts"
+	unitMilliseconds         = "ms"
+	unitCorePerSecond        = "ms of a core/s"
+	unitBytesPerSecond       = "B/s"
 )
 
 // Phases of a run.
 const (
-	Start         = "start"
-	Rest          = "rest"
-	EntryChange   = "one entry"
-	WholeList     = "whole list"
-	Configuration = "configuration"
+	PhaseStart         = "start"
+	PhaseIdle          = "rest"
+	PhaseEntryChange   = "one entry"
+	PhaseSnapshot      = "whole list"
+	PhaseConfiguration = "configuration"
 )
 
 // Record is one measured value.
@@ -61,13 +61,13 @@
 
 // Header comes before a run's records: what was asked for, and of which machine.
 type Header struct {
-	Format   int     `json:"format"`
-	Command  string  `json:"command"`
-	Revision string  `json:"revision,omitempty"` // of the source, "+" behind it where files were changed since
-	Size     Size    `json:"size"`
-	Cores    int     `json:"cores"`
-	Memory   int64   `json:"memory_bytes"`
-	LoadAver float64 `json:"load_average"` // of one minute, as the run began: other work on the machine
+	Format      int     `json:"format"`
+	Command     string  `json:"command"`
+	Revision    string  `json:"revision,omitempty"` // of the source, "+" behind it where files were changed since
+	Size        Size    `json:"size"`
+	Cores       int     `json:"cores"`
+	Memory      int64   `json:"memory_bytes"`
+	LoadAverage float64 `json:"load_average"` // of one minute, as the run began: other work on the machine
 }
 
 // NewHeader makes one for this machine.
@@ -79,7 +79,7 @@
 	h := Header{Format: RecordFormat, Command: command, Revision: revision(), Size: size, Cores: runtime.NumCPU(), Memory: m.Memory}
 	data, err := os.ReadFile("/proc/loadavg")
 	if err == nil {
-		_, err = fmt.Sscan(string(data), &h.LoadAver)
+		_, err = fmt.Sscan(string(data), &h.LoadAverage)
 	}
 	return h, err
 }
@@ -108,24 +108,24 @@
 	P50   float64 `json:"p50"`
 	P90   float64 `json:"p90"`
 	P99   float64 `json:"p99"`
-	Most  float64 `json:"most"`
+	Max   float64 `json:"most"`
 }
 
 // Times of a histogram, in microseconds: up to ten minutes, three figures.
 const (
-	mostTime     = 600_000_000
-	timeFigures  = 3
-	usPerMilli   = 1000
-	msPerSecond  = 1000
-	bytesPerMega = 1 << 20
+	maxTime            = 600_000_000
+	significantFigures = 3
+	microsPerMilli     = 1000
+	millisPerSecond    = 1000
+	bytesPerMiB        = 1 << 20
 )
 
-func newTimes() *hdrhistogram.Histogram { return hdrhistogram.New(1, mostTime, timeFigures) }
+func newTimes() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxTime, significantFigures) }
 
 // quantiles gives a histogram's in milliseconds.
 func quantiles(h *hdrhistogram.Histogram) *Quantiles {
-	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / usPerMilli }
-	return &Quantiles{Count: h.TotalCount(), P50: at(50), P90: at(90), P99: at(99), Most: float64(h.Max()) / usPerMilli}
+	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / microsPerMilli }
+	return &Quantiles{Count: h.TotalCount(), P50: at(50), P90: at(90), P99: at(99), Max: float64(h.Max()) / microsPerMilli}
 }
 
 // rounded keeps five figures, which is more than a run can vouch for.
--- a/lab/capacity/roles.go
+++ b/lab/capacity/roles.go
@@ -16,11 +16,11 @@
 }
 
 // roleOrder is that of the table.
-var roleOrder = []string{VoterLeader, VoterFollower, EndpointsHolder, RolloutsHolder, RealFollower, HollowFollower, Discovery, Databases}
+var roleOrder = []string{RoleLeader, RoleVoter, RoleEndpointsLeaseholder, RoleRolloutsLeaseholder, RoleRealFollower, RoleSimulatedFollower, RoleDiscovery, RoleDatabases}
 
-// look finds who leads and who holds the two leases.
-func (b *bench) look() (r roles, err error) {
-	s, err := b.seen(endpointsReal)
+// pollRoles finds who leads and who holds the two leases.
+func (b *testbed) pollRoles() (r roles, err error) {
+	s, err := b.status(endpointsOrdinal)
 	if err != nil {
 		return r, err
 	}
@@ -30,18 +30,18 @@
 // of gives a real front's role.
 func (r roles) of(i int) string {
 	switch name := frontName(i); {
-	case i == witnessReal:
+	case i == historyOrdinal:
 		return noRole
-	case i < voters && name == r.leader:
-		return VoterLeader
-	case i < voters:
-		return VoterFollower
+	case i < voterCount && name == r.leader:
+		return RoleLeader
+	case i < voterCount:
+		return RoleVoter
 	case name == r.endpoints:
-		return EndpointsHolder
+		return RoleEndpointsLeaseholder
 	case name == r.rollouts:
-		return RolloutsHolder
+		return RoleRolloutsLeaseholder
 	}
-	return RealFollower
+	return RoleRealFollower
 }
 
 // sample is one process's counters.
@@ -53,7 +53,7 @@
 }
 
 // sample reads all counters at about one moment; each has its own time.
-func (b *bench) sample() ([]sample, error) {
+func (b *testbed) sample() ([]sample, error) {
 	var all []sample
 	var mu sync.Mutex
 	add := func(s sample) {
@@ -61,10 +61,10 @@
 		defer mu.Unlock()
 		all = append(all, s)
 	}
-	err := each(b.processes(), func(_ int, p *process) error {
+	err := forEach(b.processes(), func(_ int, p *process) error {
 		s, err := b.sampleOf(p)
 		if err != nil {
-			if death := p.dead(); death != nil {
+			if death := p.exitedError(); death != nil {
 				return death
 			}
 			return fmt.Errorf("%s: %w", p.name, err)
@@ -75,13 +75,13 @@
 	return all, err
 }
 
-func (b *bench) sampleOf(p *process) (s sample, err error) {
+func (b *testbed) sampleOf(p *process) (s sample, err error) {
 	s = sample{process: p.name, real: -1}
 	switch p {
 	case b.discovery:
-		s.role = Discovery
+		s.role = RoleDiscovery
 	case b.databases:
-		s.role = Databases
+		s.role = RoleDatabases
 	default:
 		for i, r := range b.real {
 			if r == p {
@@ -90,22 +90,22 @@
 				return s, err
 			}
 		}
-		s.role = HollowFollower
+		s.role = RoleSimulatedFollower
 	}
-	r, err := p.ask(Request{Do: doCounters})
+	r, err := p.call(Request{Operation: opCounters})
 	s.Counters = r.Counters
 	return s, err
 }
 
 // realCounters asks a process of the program.
-func (b *bench) realCounters(i int, p *process) (c Counters, err error) {
+func (b *testbed) realCounters(i int, p *process) (c Counters, err error) {
 	var x agent.Counters
-	if err := adminapi.Call(b.shared.socket(i), "GET", "/v1/fleet/counters", nil, &x); err != nil {
+	if err := adminapi.Call(b.settings.adminSocket(i), "GET", "/v1/fleet/counters", nil, &x); err != nil {
 		return c, err
 	}
-	c = Counters{At: nowMicro(), Fronts: 1, CPU: x.CPUSeconds, Links: x.Links, Sent: x.Sent, Received: x.Received, SentBytes: x.SentBytes,
-		ReceivedBytes: x.ReceivedBytes, Shed: x.Shed, Dials: x.Dials, LeastIndex: x.ListIndex, LogIndex: x.Index}
+	c = Counters{SampledAt: nowMicro(), Fronts: 1, CPUSeconds: x.CPUSeconds, Links: x.Links, Sent: x.Sent, Received: x.Received, SentBytes: x.SentBytes,
+		ReceivedBytes: x.ReceivedBytes, Shed: x.Shed, Dials: x.Dials, MinListIndex: x.ListIndex, LogIndex: x.Index}
 	c.addKinds(x.Kinds)
-	c.Resident, err = resident(p.cmd.Process.Pid)
+	c.ResidentBytes, err = resident(p.cmd.Process.Pid)
 	return c, err
 }
--- a/lab/capacity/worker.go
+++ b/lab/capacity/worker.go
@@ -11,26 +11,26 @@
 	"time"
 )
 
-// hollowCores is how many processors a process of hollow fronts may use at once.
-const hollowCores = 2
+// workerCores is how many processors a process of hollow fronts may use at once.
+const workerCores = 2
 
 // worker answers requests of one kind.
 type worker interface {
-	answer(q Request) (Reply, error)
+	serve(q Request) (Reply, error)
 }
 
 // Work is a worker process: it answers requests until its input ends, which it does with whoever started it.
 func Work(kind string, in io.Reader, out io.Writer) error {
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError})))
-	runtime.GOMAXPROCS(hollowCores)
+	runtime.GOMAXPROCS(workerCores)
 	var w worker
 	switch kind {
-	case HollowWorker:
-		w = &hollowFronts{}
+	case FollowerWorker:
+		w = &followerHost{}
 	case DiscoveryWorker:
 		w = &discoveryServer{}
 	case DatabaseWorker:
-		w = &databases{}
+		w = &databaseHost{}
 	default:
 		return fmt.Errorf("no worker is called %q", kind)
 	}
@@ -42,9 +42,9 @@
 		} else if err != nil {
 			return fmt.Errorf("a request that can't be read: %w", err)
 		}
-		r, err := w.answer(q)
+		r, err := w.serve(q)
 		if err != nil {
-			r = Reply{Fault: err.Error()}
+			r = Reply{Error: err.Error()}
 		}
 		if err := answers.Encode(r); err != nil {
 			return err
@@ -58,52 +58,52 @@
 	if err != nil {
 		return c, err
 	}
-	c.At, c.CPU = time.Now().UnixMicro(), cpu.Seconds()
+	c.SampledAt, c.CPUSeconds = time.Now().UnixMicro(), cpu.Seconds()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	c.Heap = int64(m.HeapInuse)
-	c.Resident, err = resident(os.Getpid())
+	c.HeapBytes = int64(m.HeapInuse)
+	c.ResidentBytes, err = resident(os.Getpid())
 	return c, err
 }
 
-// hollowFronts is a worker that holds hollow fronts.
-type hollowFronts struct{ fronts []*hollow }
+// followerHost is a worker that holds hollow fronts.
+type followerHost struct{ followers []*simulatedFollower }
 
-func (w *hollowFronts) answer(q Request) (r Reply, err error) {
-	switch q.Do {
-	case doStart:
+func (w *followerHost) serve(q Request) (r Reply, err error) {
+	switch q.Operation {
+	case opStart:
 		for _, i := range q.Ordinals {
-			h, err := startHollow(q.Shared, i)
+			h, err := startSimulatedFollower(q.Settings, i)
 			if err != nil {
 				return r, err
 			}
-			w.fronts = append(w.fronts, h)
+			w.followers = append(w.followers, h)
 		}
-	case doCounters:
+	case opCounters:
 		r.Counters, err = w.counters()
-	case doArrivals:
-		for _, h := range w.fronts {
+	case opArrivals:
+		for _, h := range w.followers {
 			at := int64(0)
 			if q.Version != 0 {
-				at = h.versionAt(q.Version)
+				at = h.versionArrival(q.Version)
 			} else {
-				at = h.listAt(q.Index)
+				at = h.listArrival(q.Index)
 			}
 			r.Arrivals = append(r.Arrivals, at)
 		}
 	default:
-		err = fmt.Errorf("hollow fronts don't do %q", q.Do)
+		err = fmt.Errorf("hollow fronts don't do %q", q.Operation)
 	}
 	return r, err
 }
 
 // counters adds up the fronts'.
-func (w *hollowFronts) counters() (c Counters, err error) {
+func (w *followerHost) counters() (c Counters, err error) {
 	if c, err = ownCounters(); err != nil {
 		return c, err
 	}
-	c.Fronts = len(w.fronts)
-	for i, h := range w.fronts {
+	c.Fronts = len(w.followers)
+	for i, h := range w.followers {
 		x := h.agent.Counters()
 		c.Links += x.Links
 		c.Sent += x.Sent
@@ -114,10 +114,10 @@
 		c.Dials += x.Dials
 		c.addKinds(x.Kinds)
 		if x.FollowsFleet {
-			c.Leaning++
+			c.UsingSharedList++
 		}
-		if i == 0 || x.ListIndex < c.LeastIndex {
-			c.LeastIndex = x.ListIndex
+		if i == 0 || x.ListIndex < c.MinListIndex {
+			c.MinListIndex = x.ListIndex
 		}
 	}
 	return c, nil
