--- /dev/null
+++ b/docs/pages_test.go
@@ -0,0 +1,125 @@
+package docs_test
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strconv"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// pagesOfTests name tests, files and declarations, and are kept in step with the tree.
+var pagesOfTests = []string{"endings.md", "terms-audit.md"}
+
+var (
+	testName     = regexp.MustCompile(`^(?:Test|Benchmark|Fuzz)[A-Z.]`)
+	pathInTree   = regexp.MustCompile(`^[\w.-]+(/[\w.-]+)+/?$`)
+	otherPackage = regexp.MustCompile(`^net\.`) // names of the standard library on these pages
+)
+
+// TestPagesNameOnlyWhatExists checks each code span of these pages that is the name of a test or a subtest, a path, or the name of
+// a declaration (package.Name or package.Type.Member).
+func TestPagesNameOnlyWhatExists(t *testing.T) {
+	tests, packages := testsInTree(t), packageFolders(t)
+	for _, page := range pagesOfTests {
+		t.Run(page, func(t *testing.T) {
+			text, err := os.ReadFile(page)
+			require.NoError(t, err)
+			for _, match := range codeSpan.FindAllStringSubmatch(string(text), -1) {
+				span := match[1]
+				name := qualifiedName.FindStringSubmatch(span)
+				switch {
+				case testName.MatchString(span):
+					tests.check(t, span)
+				case filePath.MatchString(span), folderPath.MatchString(span), name == nil && pathInTree.MatchString(span):
+					assert.True(t, exists(span), "%s is not there", span)
+				case name != nil && !exists(span) && !otherPackage.MatchString(span):
+					folders := packages[name[1]]
+					if assert.NotEmpty(t, folders, "%s: no package of that name", span) {
+						assert.True(t, declaredInAny(t, folders, name[2], name[3]), "%s is not declared", span)
+					}
+				}
+			}
+		})
+	}
+}
+
+// testFunctions are the tests, benchmarks and fuzz targets in the tree, and the string literals in their files, which have the names
+// of subtests.
+type testFunctions struct{ names, literals map[string]bool }
+
+func testsInTree(t *testing.T) testFunctions {
+	t.Helper()
+	found := testFunctions{names: map[string]bool{}, literals: map[string]bool{}}
+	eachGoFile(t, root, func(path string, file *ast.File) {
+		if !strings.HasSuffix(path, "_test.go") {
+			return
+		}
+		ast.Inspect(file, func(n ast.Node) bool {
+			switch x := n.(type) {
+			case *ast.FuncDecl:
+				if x.Recv == nil && testName.MatchString(x.Name.Name) {
+					found.names[x.Name.Name] = true
+				}
+			case *ast.BasicLit:
+				if text, err := strconv.Unquote(x.Value); err == nil && x.Kind == token.STRING {
+					found.literals[text] = true
+				}
+			}
+			return true
+		})
+	})
+	require.Greater(t, len(found.names), 400, "tests in the tree")
+	return found
+}
+
+// check checks a name as a page has it: with subtests behind slashes, or with "..." for what is left out of it.
+func (f testFunctions) check(t *testing.T, span string) {
+	t.Helper()
+	parts := strings.Split(span, "/")
+	assert.True(t, f.has(parts[0]), "%s is no test", parts[0])
+	for _, subtest := range parts[1:] {
+		assert.True(t, f.literals[subtest] || f.literals[strings.ReplaceAll(subtest, "_", " ")], "%s: no such subtest", span)
+	}
+}
+
+func (f testFunctions) has(name string) bool {
+	if f.names[name] || !strings.Contains(name, "...") {
+		return f.names[name]
+	}
+	pattern := regexp.MustCompile("^" + strings.ReplaceAll(regexp.QuoteMeta(name), `\.\.\.`, ".*") + "$")
+	for known := range f.names {
+		if pattern.MatchString(known) {
+			return true
+		}
+	}
+	return false
+}
+
+// eachGoFile parses the Go files below a folder, but for hidden folders and the journal.
+func eachGoFile(t *testing.T, folder string, call func(path string, file *ast.File)) {
+	t.Helper()
+	require.NoError(t, filepath.WalkDir(folder, func(path string, entry fs.DirEntry, err error) error {
+		switch {
+		case err != nil:
+			return err
+		case entry.IsDir() && path != folder && (entry.Name() == "journal" || strings.HasPrefix(entry.Name(), ".")):
+			return filepath.SkipDir
+		case entry.IsDir() || filepath.Ext(path) != ".go":
+			return nil
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+		if err == nil {
+			call(path, file)
+		}
+		return err
+	}))
+}
