--- a/cmd/routertest/capacity.go
+++ b/cmd/routertest/capacity.go
@@ -16,19 +16,19 @@
 )
 
 type capacityCommand struct {
-	Fronts           int           `default:"540" help:"Fronts, real and hollow together."`
-	HollowPerProcess int           `default:"48" help:"Hollow fronts in one process."`
-	Databases        int           `default:"650" help:"Databases that discovery lists."`
-	Zones            int           `default:"8" help:"Zones over which both are spread."`
-	ChangesPerHour   float64       `default:"720" help:"Changes an hour in each phase that has some; 50 are 1,200 a day."`
-	Duration         time.Duration `default:"30s" help:"Of each of the phases: rest, one entry, whole list, configuration."`
-	Span             time.Duration `default:"3s" help:"The fleet's lease duration; longer ones bear a machine that is short of processors."`
-	CutOff           int           `default:"0" help:"One front in so many stands still during each configuration change; 0 for none."`
-	Must             bool          `help:"Publish configurations as the operator's --must does: lagging fronts are fenced sooner."`
-	Program          string        `type:"path" placeholder:"FILE" help:"The program; bin/dapplerouter beside this one where left out."`
-	Keep             string        `type:"path" placeholder:"DIR" help:"Keep files and logs there."`
-	JSON             bool          `help:"A line of JSON a record instead of the table."`
-	Quiet            bool          `help:"No progress on standard error."`
+	Fronts              int           `default:"540" help:"Fronts, real and simulated together."`
+	SimulatedPerProcess int           `default:"48" aliases:"hollow-per-process" help:"Simulated fronts in one process."`
+	Databases           int           `default:"650" help:"Databases that discovery lists."`
+	Zones               int           `default:"8" help:"Zones over which both are spread."`
+	ChangesPerHour      float64       `default:"720" help:"Changes an hour in each phase that has some; 50 are 1,200 a day."`
+	Duration            time.Duration `default:"30s" help:"Of each of the phases: rest, one entry, whole list, configuration."`
+	LeaseDuration       time.Duration `default:"3s" aliases:"span" help:"The fleet's lease duration; longer ones bear a machine that is short of processors."`
+	PausedOneIn         int           `default:"0" aliases:"cut-off" help:"One front in so many is paused during each configuration change; 0 for none."`
+	Must                bool          `help:"Publish configurations as the operator's --must does: lagging fronts are fenced sooner."`
+	Program             string        `type:"path" placeholder:"FILE" help:"The program; bin/dapplerouter beside this one where left out."`
+	Keep                string        `type:"path" placeholder:"DIR" help:"Keep files and logs there."`
+	JSON                bool          `help:"A line of JSON a record instead of the table."`
+	Quiet               bool          `help:"No progress on standard error."`
 }
 
 func (c *capacityCommand) run() int {
@@ -52,8 +52,8 @@
 
 // measure runs the measurement in dir and writes its records. Self is this program, of which the worker processes are.
 func (c *capacityCommand) measure(ctx context.Context, out *bufio.Writer, self, dir string) error {
-	size := capacity.Size{Fronts: c.Fronts, HollowPerProcess: c.HollowPerProcess, Databases: c.Databases, Zones: c.Zones,
-		ChangesPerHour: c.ChangesPerHour, Duration: c.Duration, Span: c.Span, Must: c.Must, CutOff: c.CutOff}
+	size := capacity.Size{Fronts: c.Fronts, SimulatedPerProcess: c.SimulatedPerProcess, Databases: c.Databases, Zones: c.Zones,
+		ChangesPerHour: c.ChangesPerHour, Duration: c.Duration, LeaseDuration: c.LeaseDuration, Mandatory: c.Must, PausedOneIn: c.PausedOneIn}
 	lines := json.NewEncoder(out)
 	if c.JSON {
 		header, err := capacity.NewHeader("bin/routertest "+strings.Join(os.Args[1:], " "), size)
@@ -85,22 +85,22 @@
 	if c.Keep != "" {
 		return c.Keep, func() {}, os.MkdirAll(c.Keep, 0o700)
 	}
-	dir, err = os.MkdirTemp("", "capacity")
+	dir, err = os.MkdirTemp("", "cap")
 	return dir, func() { _ = os.RemoveAll(dir) }, err // a temporary directory
 }
 
 // report writes the error of a run, if any, and gives the exit code. Files of a run that failed stay.
 func (c *capacityCommand) report(err error, dir string, remove func()) int {
-	var refusal capacity.Refusal
-	var death *capacity.Death
+	var sizeError capacity.SizeError
+	var processExit *capacity.ProcessExitError
 	switch {
 	case err == nil:
 		remove()
 		return exitOK
-	case errors.As(err, &refusal):
+	case errors.As(err, &sizeError):
 		remove()
 		return reportError(err)
-	case errors.As(err, &death):
+	case errors.As(err, &processExit):
 		fmt.Fprintf(os.Stderr, "routertest: %v\n", err)
 		fmt.Fprintf(os.Stderr, "logs: %s\n", dir)
 		return exitViolation
