--- a/fleet/agent/admin_recovery.go
+++ b/fleet/agent/admin_recovery.go
@@ -47,7 +47,10 @@
 	a.mesh.Do(func(n *fleet.Node, now time.Duration) {
 		if r := n.Recovery(); r != nil {
 			wait := max(0, r.DueAt-now)
-			s = RecoveryStatus{State: r.State, Reason: r.Reason, Fault: r.Refusal, WaitSeconds: wait.Seconds(), Lost: r.Lost, Index: n.State().Index}
+			s = RecoveryStatus{State: r.State, Reason: r.Reason, WaitSeconds: wait.Seconds(), Lost: r.Lost, Index: n.State().Index}
+			if r.Err != nil {
+				s.Fault = r.Err.Error()
+			}
 			err = nil
 		}
 	})
--- a/fleet/agent/events.go
+++ b/fleet/agent/events.go
@@ -72,8 +72,8 @@
 	case fleet.VoterHalted:
 		slog.Error("fleet: voter halted; this front continues as a follower", "reason", e.Reason)
 	case fleet.VotersRecovered:
-		if e.Refusal != "" {
-			slog.Warn("fleet: voter recovery rejected", "reason", e.Reason, "err", e.Refusal)
+		if e.Err != nil {
+			slog.Warn("fleet: voter recovery rejected", "reason", e.Reason, "err", e.Err)
 		} else {
 			slog.Warn("fleet: voters recovered from this front's disk", "removed", e.Lost, "index", e.Index, "term", e.Term, "reason", e.Reason)
 		}
--- a/fleet/agent/format_test.go
+++ b/fleet/agent/format_test.go
@@ -84,7 +84,7 @@
 		fleet.BroadcastReceived{Lease: "list", Term: 3, From: "n2", Number: 8, Data: []byte("x")}, fleet.BroadcastRejected{Lease: "list", Term: 2, From: "n2", Reason: "older"},
 		fleet.FrontJoined{Name: "n3", Incarnation: 9, Index: 44}, fleet.FrontLeft{Name: "n3", Index: 45}, fleet.FleetReached{Term: 4}, fleet.FleetLost{Reason: "silent"},
 		fleet.BecameLeader{Term: 4}, fleet.LostLeadership{}, fleet.VoterHalted{Reason: "disk"}, fleet.FrontDisplaced{Name: "n1", Reason: "another"},
-		fleet.VotersRecovered{Lost: []string{"n2", "n3"}, Index: 44, Term: 4, Reason: "lost"}, fleet.VotersRecovered{Refusal: "no", Reason: "lost"},
+		fleet.VotersRecovered{Lost: []string{"n2", "n3"}, Index: 44, Term: 4, Reason: "lost"}, fleet.VotersRecovered{Err: &fleet.VoterHaltError{Reason: "no"}, Reason: "lost"},
 		fleet.RequestDone{ID: 6, Error: "no", LeaderTerm: 4}, fleet.LinkClosed{Peer: "n2", Reason: "crowded"}, fleet.StateUnreadable{Index: 44, Reason: "format 2"},
 		fleet.DatagramReceived{From: "n2", Subsystem: "scout", Data: []byte("x")}, fleet.ConfigLeaseRenewed{Version: 5, Until: until, Since: since},
 	} {
--- a/fleet/errors.go
+++ b/fleet/errors.go
@@ -51,6 +51,14 @@
 	ErrMajorityPresent       = errors.New("a majority of voters that know the fleet is here: it elects a leader by itself")
 )
 
+// VoterHaltError is the end of a recovery by a voter that halted; its text is the reason alone.
+type VoterHaltError struct {
+	Reason string // see Node.VoterHaltReason
+}
+
+// Error implements error.
+func (e *VoterHaltError) Error() string { return e.Reason }
+
 // Errors of commands that have no effect, and of requests that the leader refuses. They are the same at each front, and are sent to the
 // requester as text: the texts change only with the format.
 var (
--- a/fleet/errors_test.go
+++ b/fleet/errors_test.go
@@ -105,6 +105,16 @@
 	assert.EqualError(t, err, "this voter has stopped (its disk is an old copy): recover at the voter that knows more")
 }
 
+func TestRecoveryEndsWithTheHaltOfItsVoter(t *testing.T) {
+	n := newTestVoter(t, "k1")
+	require.NoError(t, n.RecoverVoters(0, "lost"))
+	n.voter.halt("its disk is an old copy")
+	require.Equal(t, RecoveryRefused, n.Recovery().State)
+	var halted *VoterHaltError
+	require.ErrorAs(t, n.Recovery().Err, &halted)
+	assert.Equal(t, "its disk is an old copy", halted.Error())
+}
+
 func TestLinkRejectionsSayWhy(t *testing.T) {
 	n, err := New(Options{Fleet: "x", Name: "n1", Incarnation: 1, Timing: Timing{LeaseDuration: 3 * time.Second}}, nil)
 	require.NoError(t, err)
--- a/fleet/event.go
+++ b/fleet/event.go
@@ -99,7 +99,7 @@
 	Lost        []string // those that are no longer voters
 	Index, Term uint64   // of the recovered state
 	Reason      string   // the operator's
-	Refusal     string   // why it was refused, "" where it was done
+	Err         error    // why it was refused, nil where it was done
 }
 
 // FrontDisplaced says that another process has this front's name: this one stays out of the fleet.
--- a/fleet/history.go
+++ b/fleet/history.go
@@ -135,8 +135,8 @@
 
 // Fields implements Event.
 func (e VotersRecovered) Fields() EventFields {
-	if e.Refusal != "" {
-		return EventFields{Kind: historyRecoveryRefused, Reason: e.Refusal}
+	if e.Err != nil {
+		return EventFields{Kind: historyRecoveryRefused, Reason: e.Err.Error()}
 	}
 	return EventFields{Kind: historyVotersRecovered, Name: strings.Join(e.Lost, " "), Term: e.Term, Index: e.Index, Reason: e.Reason}
 }
--- a/fleet/history_test.go
+++ b/fleet/history_test.go
@@ -27,7 +27,7 @@
 		{LostLeadership{}, EventFields{Kind: "gives no more"}},
 		{VoterHalted{Reason: "y"}, EventFields{Kind: "keeper halted", Reason: "y"}},
 		{VotersRecovered{Lost: []string{"n", "m"}, Index: 6, Term: 2, Reason: "y"}, EventFields{Kind: "voters recovered", Name: "n m", Term: 2, Index: 6, Reason: "y"}},
-		{VotersRecovered{Reason: "x", Refusal: "y"}, EventFields{Kind: "recovery refused", Reason: "y"}},
+		{VotersRecovered{Reason: "x", Err: &VoterHaltError{Reason: "y"}}, EventFields{Kind: "recovery refused", Reason: "y"}},
 		{FrontDisplaced{Name: "n", Reason: "y"}, EventFields{Kind: "displaced", Name: "n", Reason: "y"}},
 		{RequestDone{ID: 5, Error: "y"}, EventFields{Kind: "answered", Number: 5, Reason: "y"}},
 		{LinkClosed{Peer: "n", Reason: "y"}, EventFields{Kind: "shed", Name: "n", Reason: "y"}},
--- a/fleet/voter.go
+++ b/fleet/voter.go
@@ -167,7 +167,7 @@
 		v.ready, v.pendingWrite, v.leaderID = nil, nil, 0
 		v.node.leader = nil
 		v.node.emit(VoterHalted{Reason: reason})
-		v.node.refuseRecovery(reason)
+		v.node.refuseRecovery(&VoterHaltError{Reason: reason})
 		v.node.closing = append(v.node.closing, v.node.Peers()...) // it connects to its peers again, as a follower
 	}
 }
--- a/fleet/voter_recovery.go
+++ b/fleet/voter_recovery.go
@@ -25,11 +25,11 @@
 
 // Recovery is a recovery of the voters that an operator requested, see Node.RecoverVoters.
 type Recovery struct {
-	State   RecoveryState
-	Reason  string        // the operator's
-	Refusal string        // why it was refused
-	DueAt   time.Duration // when the wait ends, on this front's clock
-	Lost    []string      // those that are no longer voters
+	State  RecoveryState
+	Reason string        // the operator's
+	Err    error         // why it was refused, nil elsewhere
+	DueAt  time.Duration // when the wait ends, on this front's clock
+	Lost   []string      // those that are no longer voters
 }
 
 // A recovered state skips indices and terms, so that none of its own is one that the lost voters may have used for something else.
@@ -133,7 +133,7 @@
 		write, err = v.recoveredDisk()
 	}
 	if err != nil {
-		v.node.refuseRecovery(err.Error())
+		v.node.refuseRecovery(err)
 		return
 	}
 	r.State = RecoveryWriting
@@ -141,13 +141,13 @@
 }
 
 // refuseRecovery ends a recovery that is under way without a change.
-func (n *Node) refuseRecovery(reason string) {
+func (n *Node) refuseRecovery(err error) {
 	r := n.recovery
 	if r == nil || r.State != RecoveryWaiting && r.State != RecoveryWriting {
 		return
 	}
-	r.State, r.Refusal = RecoveryRefused, reason
-	n.emit(VotersRecovered{Reason: r.Reason, Refusal: reason})
+	r.State, r.Err = RecoveryRefused, err
+	n.emit(VotersRecovered{Reason: r.Reason, Err: err})
 }
 
 // recoveredDisk returns what this voter's disk holds once it is the only voter: the replicated state with all entries of its log,
