--- a/fleet/node.go
+++ b/fleet/node.go
@@ -41,7 +41,7 @@
 	closing  []string // peers whose links must be closed
 }
 
-// New returns a Node. disk is what a voter's disk holds, nil for a follower.
+// New returns a Node. disk is what a voter's disk holds, nil for a follower; the error says what of it can't be used.
 func New(o Options, disk *DiskState) (*Node, error) {
 	if o.MaxFollowers == 0 {
 		o.MaxFollowers = defaultMaxFollowers
@@ -226,9 +226,9 @@
 }
 
 // flood queues a message to all peers but one.
-func (n *Node) flood(m *Message, but string) {
+func (n *Node) flood(m *Message, except string) {
 	for _, name := range slices.Sorted(maps.Keys(n.peers)) {
-		if name != but {
+		if name != except {
 			n.send(name, m)
 		}
 	}
--- a/gateway/link/connection.go
+++ b/gateway/link/connection.go
@@ -114,7 +114,7 @@
 	return t, nil
 }
 
-// connectionEnded takes the end of a connection, where it was the present one.
+// connectionEnded handles the end of a connection, where it was the present one.
 func (l *Link) connectionEnded(c net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -196,7 +196,7 @@
 	return nil
 }
 
-// reject tells the peer why its hello is not accepted.
+// reject sends the peer the reason why its hello is not accepted.
 func (l *Link) reject(k *Codec, reason string) {
 	if err := k.Append(&gateway.Frame{Kind: gateway.FrameReject, Reason: reason}); err == nil {
 		_ = k.Flush() // the connection ends in any case
--- a/router/clock_correction_test.go
+++ b/router/clock_correction_test.go
@@ -12,7 +12,7 @@
 // An instance whose clock was an hour off at its start learns so by a primary's answer: reported times are corrected and still count.
 func TestClockCorrectionMovesReportedTimes(t *testing.T) {
 	for _, off := range []time.Duration{-time.Hour, time.Hour} {
-		h := newHarness(t, testDeployment()).withGroup(3)
+		h := newHarness(testDeployment()).withGroup(3)
 		h.now = time.Minute
 		h.updateEndpoints(routing.Delta, routing.Endpoint{Server: 1, Zone: 1, HasStartTime: true, StartedAt: h.now + off - time.Second})
 		h.observeRole(h.now, 0, routing.Primary, h.now+off, true)
@@ -21,17 +21,17 @@
 		h.ClockCorrected(h.now, -off)
 		assert.Equal(t, h.now-time.Second, h.servers[1].startedAt)
 		assert.True(t, h.servers[1].warmingUp, "it has just started")
-		assert.Equal(t, h.now-50*ms+min(off, 0), h.servers[2].applied, "never corrected to be newer")
+		assert.Equal(t, h.now-50*ms+min(off, 0), h.servers[2].appliedPosition, "never corrected to be newer")
 		assert.Equal(t, min(h.now, h.now-20*ms+max(off, 0)), h.requiredPosition(h.now, &routing.Request{Session: 77}, h.group(0)), "never corrected to require less")
 		h.observeRole(h.now+ms, 1, routing.Primary, h.now+ms, true)
 		assert.Equal(t, 1, h.group(0).primary, "the next claim is the newer one")
-		assert.Equal(t, never, h.servers[1].applied, "what is not known stays unknown")
+		assert.Equal(t, never, h.servers[1].appliedPosition, "what is not known stays unknown")
 	}
 }
 
 // What this instance measured by its own clock stays, and a warm server does not warm up again by a start long ago.
 func TestClockCorrectionKeepsLocalMeasurements(t *testing.T) {
-	h := newHarness(t, testDeployment()).withGroup(2)
+	h := newHarness(testDeployment()).withGroup(2)
 	h.now = time.Minute
 	h.beginSlowStart(h.now, &h.servers[0], h.now-time.Second)
 	h.updateEndpoints(routing.Delta, routing.Endpoint{Server: 1, Zone: 1, HasStartTime: true, StartedAt: h.now - 30*time.Second})
