--- a/cmd/dapplerouter/operator_file_fixture_test.go
+++ b/cmd/dapplerouter/operator_file_fixture_test.go
@@ -1,9 +1,12 @@
 package main
 
 import (
+	"bytes"
 	"encoding/json"
+	"log/slog"
 	"os"
 	"path/filepath"
+	"regexp"
 	"strings"
 	"testing"
 
@@ -77,3 +80,60 @@
 	require.NoError(t, err)
 	return string(text) + "\n"
 }
+
+// The fleet form by its present names reads as by those of version 0.3.0, without the one warning that these bring.
+func TestPresentFormNamesReadAsDeprecatedOnes(t *testing.T) {
+	var log bytes.Buffer
+	previous := slog.Default()
+	t.Cleanup(func() { slog.SetDefault(previous) })
+	slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
+	present := strings.NewReplacer("(keepers ", "(voters ", "(keeper ", "(voter ", "(span ", "(lease-duration ", "(duties ", "(leases ")
+	for _, name := range []string{"rolling", "fleet", "defaults"} {
+		t.Run(name, func(t *testing.T) {
+			log.Reset()
+			deprecated, err := readOperatorFile("testdata/forms/" + name + ".sexp")
+			require.NoError(t, err)
+			assert.Equal(t, 1, strings.Count(log.String(), "deprecated forms in the operator's file"), log.String())
+			log.Reset()
+			text, err := os.ReadFile("testdata/forms/" + name + ".sexp")
+			require.NoError(t, err)
+			t.Chdir(t.TempDir()) // so that positions name the same file
+			require.NoError(t, os.MkdirAll("testdata/forms", 0o700))
+			require.NoError(t, os.WriteFile("testdata/forms/"+name+".sexp", []byte(present.Replace(string(text))), 0o600))
+			o, err := readOperatorFile("testdata/forms/" + name + ".sexp")
+			require.NoError(t, err)
+			assert.Empty(t, log.String())
+			assert.Equal(t, operatorAsJSON(t, deprecated), operatorAsJSON(t, o))
+		})
+	}
+}
+
+// shownForm matches the first line of a form in a comment or an indented block.
+var shownForm = regexp.MustCompile(`(?m)^(?:; | {4,})\((classing|gateway|fleet)\b`)
+
+// The forms in deploy/dapplerouter.sexp and on the operating pages are valid, and by their present names.
+func TestFormsShownToOperatorsAreValid(t *testing.T) {
+	var log bytes.Buffer
+	previous := slog.Default()
+	t.Cleanup(func() { slog.SetDefault(previous) })
+	slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
+	for file, forms := range map[string]int{"deploy/dapplerouter.sexp": 3, "docs/operate/classing.md": 1, "docs/operate/gateway.md": 1, "docs/operate/fleet.md": 1} {
+		text, err := os.ReadFile("../../" + file)
+		require.NoError(t, err)
+		found := 0
+		for _, block := range strings.Split(strings.ReplaceAll(string(text), "\n;\n", "\n\n"), "\n\n") {
+			begin := shownForm.FindStringIndex(block)
+			if begin == nil {
+				continue
+			}
+			found++
+			path := filepath.Join(t.TempDir(), "operator.sexp")
+			form := regexp.MustCompile(`(?m)^; ?`).ReplaceAllString(block[begin[0]:], "")
+			require.NoError(t, os.WriteFile(path, []byte(form), 0o600))
+			_, err := readOperatorFile(path)
+			assert.NoError(t, err, file)
+		}
+		assert.Equal(t, forms, found, file)
+	}
+	assert.Empty(t, log.String())
+}
