--- a/lab/capacity/capacity_test.go
+++ b/lab/capacity/capacity_test.go
@@ -7,7 +7,6 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"strconv"
 	"sync"
 	"syscall"
 	"testing"
@@ -30,15 +29,18 @@
 		}
 		os.Exit(0)
 	}
-	os.Exit(m.Run())
+	code := m.Run()
+	if build.dir != "" {
+		_ = os.RemoveAll(build.dir) // a temporary directory
+	}
+	os.Exit(code)
 }
 
-func itoa(n int) string { return strconv.Itoa(n) }
-
-// testOptions are those of a run on a program that is built once.
+// testOptions returns the options of a run, with a directory of its own and the program that is built once.
 func testOptions(t *testing.T, size Size) Options {
+	t.Helper()
 	if testing.Short() {
-		t.Skip("processes are started")
+		t.Skip("it starts processes")
 	}
 	if raceOn {
 		t.Skip("the same processes are started without the race detector")
@@ -59,8 +61,9 @@
 	err error
 }
 
-// program builds the front once, as it is run.
+// program builds the program once, and returns its path.
 func program(t *testing.T) string {
+	t.Helper()
 	build.Do(func() {
 		if build.dir, build.err = os.MkdirTemp("", "scale-build"); build.err != nil {
 			return
@@ -74,8 +77,9 @@
 	return filepath.Join(build.dir, "dapplerouter")
 }
 
-// value finds one measured value.
-func value(t *testing.T, all []Record, phase, role, resource string) Record {
+// findRecord returns the record of a resource of a role in a phase.
+func findRecord(t *testing.T, all []Record, phase, role, resource string) Record {
+	t.Helper()
 	for _, r := range all {
 		if r.Phase == phase && r.Role == role && r.Resource == resource {
 			return r
@@ -85,9 +89,9 @@
 	return Record{}
 }
 
-// Slopes are asserted as counts, which a loaded machine does not change: messages, bytes and objects, for each front, database
+// TestCostsGrowAsDesigned asserts slopes as counts, which a loaded machine does not change: messages, bytes and objects, for each front, database
 // and change.
-func TestSlopesAreThoseOfTheDesign(t *testing.T) {
+func TestCostsGrowAsDesigned(t *testing.T) {
 	sizes := []Size{smallSize(12), smallSize(24), smallSize(48), smallSize(12)}
 	sizes[3].Databases *= 4
 	runs := make([][]Record, len(sizes))
@@ -105,54 +109,55 @@
 	if t.Failed() || t.Skipped() || runs[0] == nil {
 		return
 	}
-	act := func(run int, phase, resource string) float64 {
-		return value(t, runs[run], phase, RoleSimulatedFollower, resource+fleet.KindBroadcast.String()).Value
+	broadcast := func(run int, phase, resource string) float64 {
+		return findRecord(t, runs[run], phase, RoleSimulatedFollower, resource+fleet.KindBroadcast.String()).Value
 	}
-	per := (act(3, PhaseSnapshot, kindBytes) - act(0, PhaseSnapshot, kindBytes)) / float64(sizes[3].Databases-sizes[0].Databases)
-	assert.InDelta(t, 300, per, 250, "bytes of a whole list at a front for each database: an entry on each of its links but one")
-	assert.Less(t, act(2, PhaseEntryChange, kindMessages), 3*act(0, PhaseEntryChange, kindMessages), "a front's messages for a change don't grow with fronts")
-	links := func(run int) float64 { return value(t, runs[run], PhaseIdle, RoleSimulatedFollower, "links").Value }
-	assert.Less(t, links(2), 2*links(0), "its links neither")
+	perDatabase := (broadcast(3, PhaseSnapshot, kindBytes) - broadcast(0, PhaseSnapshot, kindBytes)) / float64(sizes[3].Databases-sizes[0].Databases)
+	assert.InDelta(t, 300, perDatabase, 250, "bytes of a snapshot at a front for each database: an entry on each of its links but one")
+	assert.Less(t, broadcast(2, PhaseEntryChange, kindMessages), 3*broadcast(0, PhaseEntryChange, kindMessages), "a front's messages for a change don't grow with fronts")
+	links := func(run int) float64 { return findRecord(t, runs[run], PhaseIdle, RoleSimulatedFollower, "links").Value }
+	assert.Less(t, links(2), 2*links(0), "nor do its links")
 }
 
-// assertInvariants checks what is so at every size.
+// assertInvariants checks what holds at every size.
 func assertInvariants(t *testing.T, size Size, all []Record) {
-	hollow, changes := size.simulated(), size.changes()
+	t.Helper()
+	followers, changes := size.simulated(), size.changes()
 	for _, role := range roleOrder {
-		r := value(t, all, PhaseIdle, role, "processor")
+		r := findRecord(t, all, PhaseIdle, role, "processor")
 		assert.Positive(t, r.Fronts, role)
-		assert.Positive(t, value(t, all, PhaseIdle, role, "resident memory").Value, role)
+		assert.Positive(t, findRecord(t, all, PhaseIdle, role, "resident memory").Value, role)
 	}
-	assert.Equal(t, 1.0, value(t, all, PhaseIdle, RoleDiscovery, "watches").Value, "one front watches for all")
-	assert.Less(t, value(t, all, PhaseEntryChange, RoleDiscovery, "bytes sent").Value, 400.0, "an entry goes to one watch")
+	assert.Equal(t, 1.0, findRecord(t, all, PhaseIdle, RoleDiscovery, "watches").Value, "one front watches for all")
+	assert.Less(t, findRecord(t, all, PhaseEntryChange, RoleDiscovery, "bytes sent").Value, 400.0, "an entry goes to one watch")
 	for _, phase := range []string{PhaseEntryChange, PhaseSnapshot} {
-		r := value(t, all, phase, roleFleet, "from discovery to a hollow front")
+		r := findRecord(t, all, phase, roleFleet, "from discovery to a hollow front")
 		assert.Zero(t, r.Missing, phase)
-		assert.Equal(t, int64(hollow*changes), r.Quantiles.Count, "each change came to each front")
-		links := value(t, all, PhaseIdle, RoleSimulatedFollower, "links").Value
-		assert.LessOrEqual(t, value(t, all, phase, RoleSimulatedFollower, kindMessages+fleet.KindBroadcast.String()).Value, 3*links,
-			"a change passes a link once or twice; the beats that it is told from are one more or less")
+		assert.Equal(t, int64(followers*changes), r.Quantiles.Count, "each change reached each front")
+		links := findRecord(t, all, PhaseIdle, RoleSimulatedFollower, "links").Value
+		assert.LessOrEqual(t, findRecord(t, all, phase, RoleSimulatedFollower, kindMessages+fleet.KindBroadcast.String()).Value, 3*links,
+			"a change passes a link once or twice; the heartbeats that are subtracted are one more or less")
 	}
-	r := value(t, all, PhaseConfiguration, roleFleet, "from the publish to a hollow front")
-	assert.Equal(t, int64(hollow*changes), r.Quantiles.Count+int64(r.Missing), "%s", r.Note)
-	assert.Equal(t, RoleSimulatedFollower, value(t, all, PhaseIdle, RoleSimulatedFollower, "processor").Role)
-	assert.Equal(t, simulatedNote, value(t, all, PhaseIdle, RoleSimulatedFollower, "processor").Note)
+	r := findRecord(t, all, PhaseConfiguration, roleFleet, "from the publish to a hollow front")
+	assert.Equal(t, int64(followers*changes), r.Quantiles.Count+int64(r.Missing), "%s", r.Note)
+	assert.Equal(t, RoleSimulatedFollower, findRecord(t, all, PhaseIdle, RoleSimulatedFollower, "processor").Role)
+	assert.Equal(t, simulatedNote, findRecord(t, all, PhaseIdle, RoleSimulatedFollower, "processor").Note)
 }
 
-func TestAHollowProcessThatDiesIsNamedAndNotCounted(t *testing.T) {
+func TestExitedProcessFailsRun(t *testing.T) {
 	o := testOptions(t, smallSize(24))
 	o.onConverged = func(b *testbed) { b.simulated[1].cmd.Process.Kill() }
 	all, err := Run(context.Background(), o)
-	var death *ProcessExitError
-	require.ErrorAs(t, err, &death)
-	assert.Equal(t, "hollow-2 (n21 to n32)", death.Process)
+	var exited *ProcessExitError
+	require.ErrorAs(t, err, &exited)
+	assert.Equal(t, "hollow-2 (n21 to n32)", exited.Process)
 	assert.Contains(t, err.Error(), "signal: killed")
 	for _, r := range all {
-		assert.Equal(t, PhaseStart, r.Phase, "nothing of a phase in which it died is told")
+		assert.Equal(t, PhaseStart, r.Phase, "a phase in which a process ended has no records")
 	}
 }
 
-func TestAnInterruptEndsEveryProcess(t *testing.T) {
+func TestInterruptEndsEveryProcess(t *testing.T) {
 	o := testOptions(t, smallSize(12))
 	ctx, interrupt := context.WithCancelCause(context.Background())
 	var pids []int
@@ -163,11 +168,11 @@
 		}
 		interrupt(stop)
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	_, err := Run(ctx, o)
 	assert.ErrorIs(t, err, stop)
 	assert.Len(t, pids, realFronts+1+2)
 	for _, pid := range pids {
-		assert.ErrorIs(t, syscall.Kill(pid, 0), syscall.ESRCH, "process %d is there still, %v behind the start", pid, time.Since(began))
+		assert.ErrorIs(t, syscall.Kill(pid, 0), syscall.ESRCH, "process %d still runs %v after the start", pid, time.Since(startedAt))
 	}
 }
--- a/lab/capacity/database_host.go
+++ b/lab/capacity/database_host.go
@@ -7,10 +7,10 @@
 	"dapplerouter/testsupport/fakeserver"
 )
 
-// statementTime is what a fake database takes for a statement.
+// statementTime is how long a fake database works on a statement.
 const statementTime = time.Millisecond
 
-// databaseHost is a worker that holds fake databases, in groups of a primary and its replicas.
+// databaseHost is a worker that hosts fake databases, in groups of a primary and its replicas.
 type databaseHost struct{ groups []*fakeserver.Group }
 
 func (d *databaseHost) serve(q Request) (r Reply, err error) {
@@ -23,11 +23,12 @@
 			r.Counters.Statements += uint64(g.Probes.Load())
 		}
 	default:
-		err = fmt.Errorf("databases don't do %q", q.Operation)
+		err = fmt.Errorf("databases: %w: %q", ErrUnknownOperation, q.Operation)
 	}
 	return r, err
 }
 
+// start starts n databases and returns their addresses, group by group.
 func (d *databaseHost) start(n int) (addresses []string, err error) {
 	data := fakeserver.Restaurants(1, 1, 1)
 	for n > 0 {
@@ -47,12 +48,13 @@
 // endpointList lists databases by their addresses, spread over zones.
 func endpointList(addresses []string, zones int) (all []Endpoint) {
 	for i, a := range addresses {
+		group := i / groupSize
 		role := "replica"
 		if i%groupSize == 0 {
 			role = "primary"
 		}
-		all = append(all, Endpoint{Name: fmt.Sprintf("db-%d-%d", i/groupSize, i%groupSize), Address: a, Zone: zoneName((i/groupSize + i) % zones), Type: "m",
-			Group: i / groupSize, Status: "up", Weight: 1, Role: role})
+		all = append(all, Endpoint{Name: fmt.Sprintf("db-%d-%d", group, i%groupSize), Address: a, Zone: zoneName((group + i) % zones), Type: "m",
+			Group: group, Status: "up", Weight: 1, Role: role})
 	}
 	return all
 }
--- a/lab/capacity/discovery.go
+++ b/lab/capacity/discovery.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"log/slog"
 	"net"
 	"net/http"
 	"sync"
@@ -10,20 +11,23 @@
 	"time"
 )
 
-// heartbeatInterval is how often a watch hears an empty line.
+// heartbeatInterval is how often an idle watch receives an empty line.
 const heartbeatInterval = 2 * time.Second
 
-// discoveryServer is a fake of the endpoint list's service: the whole list, and watches that are told of changes.
+// watchQueue is how many events may wait for a watch.
+const watchQueue = 64
+
+// discoveryServer is a worker that fakes the discovery service: it serves snapshots of the endpoint list and watches of it.
 type discoveryServer struct {
 	listener net.Listener
 	received atomic.Uint64
 	sent     atomic.Uint64
 	calls    atomic.Uint64
 
-	mu      sync.Mutex
+	mu      sync.Mutex // guards what follows
 	index   int64
 	entries []Endpoint
-	watches map[chan []byte]bool
+	watches map[chan []byte]bool // each receives encoded events
 }
 
 func (s *discoveryServer) serve(q Request) (r Reply, err error) {
@@ -37,7 +41,7 @@
 	case opCounters:
 		r.Counters, err = s.counters()
 	default:
-		err = fmt.Errorf("discovery doesn't do %q", q.Operation)
+		err = fmt.Errorf("discovery: %w: %q", ErrUnknownOperation, q.Operation)
 	}
 	return r, err
 }
@@ -47,15 +51,18 @@
 	if s.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		return "", err
 	}
-	go http.Serve(&countingListener{s.listener, s}, http.HandlerFunc(s.handle))
+	go func() { // until the process ends
+		err := http.Serve(&countingListener{s.listener, s}, http.HandlerFunc(s.handle))
+		slog.Error("fake discovery server stopped", "err", err)
+	}()
 	return s.listener.Addr().String(), nil
 }
 
-// marshalList writes a list as the service does; with the lock held.
-func (s *discoveryServer) marshalList(whole bool, entries []Endpoint) []byte {
-	b, err := json.Marshal(map[string]any{"index": s.index, "snapshot": whole, "endpoints": entries})
+// marshalList encodes a list as the service does, with s.mu held.
+func (s *discoveryServer) marshalList(snapshot bool, entries []Endpoint) []byte {
+	b, err := json.Marshal(map[string]any{"index": s.index, "snapshot": snapshot, "endpoints": entries})
 	if err != nil {
-		panic("a list that is no JSON: " + err.Error()) // of our own making
+		panic("marshal endpoint list: " + err.Error()) // texts and finite numbers always encode
 	}
 	return append(b, '\n')
 }
@@ -66,15 +73,15 @@
 		s.mu.Lock()
 		body := s.marshalList(true, s.entries)
 		s.mu.Unlock()
-		w.Write(body)
+		_, _ = w.Write(body) // a client that is gone asks again
 		return
 	}
 	s.watch(w, r)
 }
 
-// watch tells of changes until who watches goes; one who is behind when it begins is told the whole list.
+// watch sends changes until the client is gone. One that is behind at the beginning receives a snapshot first.
 func (s *discoveryServer) watch(w http.ResponseWriter, r *http.Request) {
-	changes := make(chan []byte, 64)
+	changes := make(chan []byte, watchQueue)
 	s.mu.Lock()
 	first := []byte("\n")
 	if r.URL.Query().Get("after") != fmt.Sprint(s.index) {
@@ -87,8 +94,8 @@
 		delete(s.watches, changes)
 		s.mu.Unlock()
 	}()
-	beat := time.NewTicker(heartbeatInterval)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
 	for next := first; ; {
 		if _, err := w.Write(next); err != nil {
 			return
@@ -96,7 +103,7 @@
 		w.(http.Flusher).Flush()
 		select {
 		case next = <-changes:
-		case <-beat.C:
+		case <-heartbeat.C:
 			next = []byte("\n")
 		case <-r.Context().Done():
 			return
@@ -104,7 +111,7 @@
 	}
 }
 
-// changeEntry alters one entry's weight, each time another's.
+// changeEntry changes one entry's weight, each time another's, and returns the new list's index and when it was sent.
 func (s *discoveryServer) changeEntry() (index, at int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,7 +123,7 @@
 	return s.notify(s.marshalList(false, []Endpoint{*e}))
 }
 
-// sendSnapshot sends the whole list to all who watch.
+// sendSnapshot sends all entries to all watches under a new index.
 func (s *discoveryServer) sendSnapshot() (index, at int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,12 +131,13 @@
 	return s.notify(s.marshalList(true, s.entries))
 }
 
-func (s *discoveryServer) notify(object []byte) (index, at int64) {
+// notify sends an encoded event to all watches, with s.mu held.
+func (s *discoveryServer) notify(event []byte) (index, at int64) {
 	at = time.Now().UnixMicro()
 	for c := range s.watches {
 		select {
-		case c <- object:
-		default: // who is that far behind asks again
+		case c <- event:
+		default: // a watch that is this far behind misses the event
 		}
 	}
 	return s.index, at
@@ -144,7 +152,7 @@
 	return c, err
 }
 
-// countingListener counts what passes its connections.
+// countingListener counts the bytes of its connections.
 type countingListener struct {
 	net.Listener
 	server *discoveryServer
--- a/lab/capacity/fit/fit.go
+++ b/lab/capacity/fit/fit.go
@@ -1,5 +1,6 @@
-// Package fit finds slopes: how a cost grows with a size, from values that were measured at several sizes. It tells how far
-// the values are from the straight line, so that a curve is not taken for one. For measurements only.
+// Package fit fits straight lines to costs that were measured at several sizes: the slope is how a cost grows with the size. It
+// reports how far the values are from the line, so that a curve is not taken for one. It keeps no state, and is for measurements
+// only.
 package fit
 
 import (
@@ -15,32 +16,32 @@
 // Point is a value that was measured at a size. A size may have several.
 type Point struct{ Size, Value float64 }
 
-// Line is the straight line of least squares through points, and how far they are from it.
+// Line is a least-squares fit to points, and how far they are from it.
 type Line struct {
 	Intercept float64 // in the value's unit
-	Slope     float64 // in the value's unit, for one of the size
-	Sizes     int     // different ones
+	Slope     float64 // in the value's unit, for each unit of the size
+	Sizes     int     // number of different sizes
 	Points    int
 	Residual  float64 // the greatest distance of a point from the line, as a share of the greatest value
-	Bend      float64 // of the means by size: the last piece's slope over the first piece's; 1 is straight, NaN where the first is flat
+	Bend      float64 // slope between the means at the two largest sizes over that at the two smallest; 1 is straight, NaN or infinite where the latter is 0
 }
 
-// LeastSizes is the number of different sizes from which on a line is drawn.
-const LeastSizes = 4
+// MinSizes is the least number of different sizes that a line is fitted to.
+const MinSizes = 4
 
-// straightResidual and straightBend bound what counts as straight.
+// maxStraightResidual and maxStraightBend bound what counts as straight.
 const (
-	straightResidual = 0.1
-	straightBend     = 2
+	maxStraightResidual = 0.1
+	maxStraightBend     = 2
 )
 
-// ErrTooFew is that there are points at fewer than LeastSizes sizes.
+// ErrTooFew is that points are of fewer than MinSizes sizes.
 var ErrTooFew = errors.New("a slope needs values at four sizes or more")
 
-// New draws the line. The error is ErrTooFew.
+// New fits a line. The error is ErrTooFew.
 func New(points []Point) (Line, error) {
-	means := byMean(points)
-	if len(means) < LeastSizes {
+	means := meansBySize(points)
+	if len(means) < MinSizes {
 		return Line{}, ErrTooFew
 	}
 	var xs, ys []float64
@@ -49,13 +50,13 @@
 	}
 	l := Line{Sizes: len(means), Points: len(points)}
 	l.Intercept, l.Slope = stat.LinearRegression(xs, ys, nil, false)
-	most := 0.0
+	largest := 0.0
 	for _, p := range points {
-		most = max(most, math.Abs(p.Value))
+		largest = max(largest, math.Abs(p.Value))
 	}
 	for _, p := range points {
-		if most > 0 {
-			l.Residual = max(l.Residual, math.Abs(p.Value-l.At(p.Size))/most)
+		if largest > 0 {
+			l.Residual = max(l.Residual, math.Abs(p.Value-l.At(p.Size))/largest)
 		}
 	}
 	n := len(means)
@@ -63,20 +64,20 @@
 	return l, nil
 }
 
-// At is the line's value at a size.
+// At returns the line's value at a size.
 func (l Line) At(size float64) float64 { return l.Intercept + l.Slope*size }
 
-// Straight tells whether a line describes the points: none is far from it.
-func (l Line) Straight() bool { return l.Residual <= straightResidual }
+// Straight reports whether the line describes the points: none is far from it.
+func (l Line) Straight() bool { return l.Residual <= maxStraightResidual }
 
-// String tells the line with what is to be known of it.
+// String returns the line, and how far it can be relied on.
 func (l Line) String() string {
 	how := "straight"
 	switch {
 	case l.Straight():
-	case l.Bend > straightBend:
+	case l.Bend > maxStraightBend:
 		how = "steeper towards large sizes: no line"
-	case l.Bend >= 0 && l.Bend < 1.0/straightBend:
+	case l.Bend >= 0 && l.Bend < 1.0/maxStraightBend:
 		how = "flatter towards large sizes: no line"
 	default:
 		how = "scattered: no line"
@@ -87,8 +88,8 @@
 
 func slope(a, b Point) float64 { return (b.Value - a.Value) / (b.Size - a.Size) }
 
-// byMean gives the mean at each size, sizes rising.
-func byMean(points []Point) (means []Point) {
+// meansBySize returns the mean at each size, in the order of sizes.
+func meansBySize(points []Point) (means []Point) {
 	sums, counts := map[float64]float64{}, map[float64]float64{}
 	for _, p := range points {
 		sums[p.Size] += p.Value
@@ -101,20 +102,20 @@
 	return means
 }
 
-// Series are points by what was measured.
+// Series are points by the name of what was measured.
 type Series map[string][]Point
 
-// Add adds a value.
-func (s Series) Add(what string, size, value float64) { s[what] = append(s[what], Point{size, value}) }
+// Add adds a value that was measured at a size.
+func (s Series) Add(name string, size, value float64) { s[name] = append(s[name], Point{size, value}) }
 
-// Lines tells each series' line, in the order of their names; one with too few sizes says so.
+// Lines returns each series' line as a text, sorted by name; one with too few sizes says so.
 func (s Series) Lines() (lines []string) {
-	for _, what := range slices.Sorted(maps.Keys(s)) {
+	for _, name := range slices.Sorted(maps.Keys(s)) {
 		text := ErrTooFew.Error()
-		if l, err := New(s[what]); err == nil {
+		if l, err := New(s[name]); err == nil {
 			text = l.String()
 		}
-		lines = append(lines, what+" = "+text)
+		lines = append(lines, name+" = "+text)
 	}
 	return lines
 }
--- a/lab/capacity/fit/fit_test.go
+++ b/lab/capacity/fit/fit_test.go
@@ -18,7 +18,7 @@
 	return all
 }
 
-func TestALineIsFoundAndACurveIsNotTakenForOne(t *testing.T) {
+func TestLineIsDistinguishedFromCurves(t *testing.T) {
 	line, err := New(points(func(x float64) float64 { return 7 + 3*x }, 50, 150, 300, 540))
 	require.NoError(t, err)
 	assert.InDelta(t, 7, line.Intercept, 1e-9)
@@ -39,7 +39,7 @@
 	assert.Contains(t, flat.String(), "flatter")
 }
 
-func TestOneValueFarOffIsTold(t *testing.T) {
+func TestOutlierIsReported(t *testing.T) {
 	all := append(points(func(x float64) float64 { return x }, 10, 20, 30, 40), Point{20, 60})
 	line, err := New(all)
 	require.NoError(t, err)
@@ -49,20 +49,20 @@
 	assert.Contains(t, line.String(), "no line")
 }
 
-func TestFewerThanFourSizesAreNoSlope(t *testing.T) {
+func TestTooFewSizes(t *testing.T) {
 	_, err := New(append(points(func(x float64) float64 { return x }, 10, 20, 30), Point{30, 31}))
 	require.ErrorIs(t, err, ErrTooFew)
 	assert.Equal(t, []string{"bytes = " + ErrTooFew.Error()}, Series{"bytes": {{10, 1}}}.Lines())
 }
 
-func TestAValueThatDoesNotGrowIsStraightAndFlat(t *testing.T) {
+func TestConstantValueIsStraight(t *testing.T) {
 	line, err := New(points(func(float64) float64 { return 100 }, 50, 150, 300, 540))
 	require.NoError(t, err)
 	assert.InDelta(t, 0, line.Slope, 1e-9)
 	assert.True(t, line.Straight())
 }
 
-// record is a line of routertest capacity --json, as far as it is of use here.
+// record is the part of a line of routertest capacity --json that is fitted.
 type record struct {
 	Fleet, Databases      float64
 	Phase, Role, Resource string
@@ -71,8 +71,8 @@
 	Partial               any
 }
 
-// BenchmarkRecords fits what routertest capacity measured: CAPACITY_RECORDS names the file, CAPACITY_BY is fleet (the usual) or
-// databases. Records that were partial are left out.
+// BenchmarkRecords fits what routertest capacity measured: CAPACITY_RECORDS names the file, CAPACITY_BY is fleet (the default) or
+// databases. Partial records are left out.
 func BenchmarkRecords(b *testing.B) {
 	file, err := os.Open(os.Getenv("CAPACITY_RECORDS"))
 	if err != nil {
--- a/lab/capacity/front_config.go
+++ b/lab/capacity/front_config.go
@@ -12,7 +12,7 @@
 	"dapplerouter/fleet/rollout"
 )
 
-// RunSettings is what all fronts of a run are told alike.
+// RunSettings are the settings that all fronts of a run share; the supervisor sends them to its workers.
 type RunSettings struct {
 	Network             string        `json:"network"` // the first two numbers of the fronts' loopback addresses
 	Dir                 string        `json:"dir"`
@@ -29,16 +29,26 @@
 	meshPort   = 7500
 )
 
-// What a front may use.
+// The limits of a front.
 const (
 	frontCores    = 1.0
 	frontMemoryMB = 32
 )
 
+// Seeds of fronts differ from each other by seedFactor.
+const seedFactor = 2654435761
+
+// hostsPerByte is how many fronts share the third number of their loopback addresses.
+const hostsPerByte = 250
+
+// frontName returns the name of the front with an ordinal from 0 on.
 func frontName(i int) string { return fmt.Sprintf("n%d", i+1) }
 
-// host is a front's own loopback address.
-func (s *RunSettings) host(i int) string        { return fmt.Sprintf("%s.%d.%d", s.Network, i/250, i%250+1) }
+// host returns a front's own loopback address.
+func (s *RunSettings) host(i int) string {
+	return fmt.Sprintf("%s.%d.%d", s.Network, i/hostsPerByte, i%hostsPerByte+1)
+}
+
 func (s *RunSettings) meshAddress(i int) string { return fmt.Sprintf("%s:%d", s.host(i), meshPort) }
 func (s *RunSettings) folder(i int) string      { return filepath.Join(s.Dir, frontName(i)) }
 func (s *RunSettings) adminSocket(i int) string { return filepath.Join(s.folder(i), "ctl") }
@@ -48,12 +58,13 @@
 
 func zoneName(i int) string { return fmt.Sprintf("z%d", i) }
 
-// The names that the rules of a published version speak of.
+// The transaction classes that the rules of a published configuration name.
 const (
 	browseType = "browse"
 	bookType   = "book"
 )
 
+// instanceConfigFormat is the instance configuration; configText fills it in.
 const instanceConfigFormat = `{"name": %q, "listen": "%s:%d", "discovery": %q, "seed": "%x",
  "limits": {"cores": %.1f, "memory_mb": %d, "sockets": 256}, "known": {"index": 0, "snapshot": true, "endpoints": []},
  "settings": {
@@ -68,7 +79,7 @@
    "RetryAfter": true, "MaxRetryAfter": 1000000000, "MayDuplicate": false, "Peers": false}
  }}`
 
-// configText is what a front is told at its start.
+// configText returns a front's instance configuration.
 func (s *RunSettings) configText(i int) string {
 	var zones []string
 	for z := range s.Zones {
@@ -76,24 +87,25 @@
 	}
 	names, err := json.Marshal(zones)
 	if err != nil {
-		panic("zones that are no JSON: " + err.Error()) // of our own making
+		panic("marshal zone names: " + err.Error()) // strings always encode
 	}
-	return fmt.Sprintf(instanceConfigFormat, frontName(i), s.host(i), clientPort, s.Discovery, uint64(i)*2654435761+1, frontCores, frontMemoryMB,
+	return fmt.Sprintf(instanceConfigFormat, frontName(i), s.host(i), clientPort, s.Discovery, uint64(i)*seedFactor+1, frontCores, frontMemoryMB,
 		names, zoneName(i%s.Zones), s.Fronts, i, browseType, bookType)
 }
 
-// operatorText is a front's operator's file: its part in the fleet and in rollouts.
-func (s *RunSettings) operatorText(i int, real bool) string {
+// operatorText returns a front's operator's file: its part in the fleet and in rollouts. Voters keep their state on disk, real
+// fronts serve the admin API, and one keeps a history.
+func (s *RunSettings) operatorText(i int) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "(fleet (id \"scale\") (listen %q) (span %v) (plain loopback)\n (keepers", s.meshAddress(i), s.LeaseDuration)
+	fmt.Fprintf(&b, "(fleet (id \"scale\") (listen %q) (lease-duration %v) (plain loopback)\n (voters", s.meshAddress(i), s.LeaseDuration)
 	for v := range voterCount {
 		fmt.Fprintf(&b, " (%s %q)", frontName(v), s.meshAddress(v))
 	}
 	fmt.Fprint(&b, ")")
 	if i < voterCount {
-		fmt.Fprintf(&b, "\n (keeper %q)", filepath.Join(s.folder(i), "fleet.db"))
+		fmt.Fprintf(&b, "\n (voter %q)", filepath.Join(s.folder(i), "fleet.db"))
 	}
-	if real {
+	if i < realFronts {
 		fmt.Fprintf(&b, "\n (control %q)", s.adminSocket(i))
 	}
 	if i == historyOrdinal {
@@ -103,19 +115,19 @@
 	return b.String()
 }
 
-// operatorForms reads such a file, as the program does.
+// operatorForms parses an operator's file, as the program does.
 func operatorForms(text string) (*fleet.Config, *rollout.Config, error) {
-	f, err := config.Parse("operator", []byte(text))
+	file, err := config.Parse("operator", []byte(text))
 	if err != nil {
 		return nil, nil, err
 	}
-	r := f.NewDecoder()
-	forms := r.Forms(fleet.FormName, rollout.FormName)
-	of, ro := fleet.ReadConfig(forms[fleet.FormName]), rollout.ReadConfig(forms[rollout.FormName])
-	return of, ro, r.Err()
+	decoder := file.NewDecoder()
+	forms := decoder.Forms(fleet.FormName, rollout.FormName)
+	fleetConfig, rolloutConfig := fleet.ReadConfig(forms[fleet.FormName]), rollout.ReadConfig(forms[rollout.FormName])
+	return fleetConfig, rolloutConfig, decoder.Err()
 }
 
-// rulesText is the text of a configuration; each differs in meaning from the one before.
+// rulesText returns the text of a configuration; each differs in meaning from the one before.
 func rulesText(n int) string {
 	return fmt.Sprintf("(rules (window %s %dms))", bookType, 1000+n%2*500)
 }
--- a/lab/capacity/host.go
+++ b/lab/capacity/host.go
@@ -9,36 +9,36 @@
 	"time"
 )
 
-// cpuTime is this process's processor time, user and system, all threads.
+// cpuTime returns this process's processor time, user and system, all threads.
 func cpuTime() (time.Duration, error) {
-	var u syscall.Rusage
-	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
+	var usage syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0, fmt.Errorf("getrusage: %w", err)
 	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano()), nil
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()), nil
 }
 
-// resident is a process's resident memory in bytes.
-func resident(pid int) (int64, error) {
+// residentMemory returns a process's resident memory in bytes.
+func residentMemory(pid int) (int64, error) {
 	path := fmt.Sprintf("/proc/%d/status", pid)
 	kib, err := readField(path, "VmRSS:")
 	return kib << 10, err
 }
 
-// ThisMachine is what the machine has.
+// ThisMachine returns what this machine has. The error says what can't be read.
 func ThisMachine() (Machine, error) {
 	kib, err := readField("/proc/meminfo", "MemTotal:")
 	if err != nil {
 		return Machine{}, err
 	}
-	var l syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &l); err != nil {
+	var limit syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		return Machine{}, fmt.Errorf("getrlimit: %w", err)
 	}
-	return Machine{Memory: kib << 10, Descriptors: int(min(l.Cur, 1<<30))}, nil
+	return Machine{Memory: kib << 10, Descriptors: int(min(limit.Cur, 1<<30))}, nil
 }
 
-// readField reads a number of KiB behind a name at the beginning of a line.
+// readField returns the number that follows a name at the beginning of a line. The error is ErrFieldMissing where there is none.
 func readField(path, name string) (int64, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -50,5 +50,5 @@
 			return strconv.ParseInt(string(words[1]), 10, 64)
 		}
 	}
-	return 0, fmt.Errorf("%s has no line %s", path, name)
+	return 0, fmt.Errorf("%s: %w: %s", path, ErrFieldMissing, name)
 }
--- a/lab/capacity/phases.go
+++ b/lab/capacity/phases.go
@@ -2,38 +2,40 @@
 
 import (
 	"context"
-	"fmt"
+	"sync"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// arrivalTimeout is how long a change of the endpoint list may take to every front.
+// arrivalTimeout is how long a change may take to reach every simulated follower.
 const arrivalTimeout = 30 * time.Second
 
-// phases measures one after the other, and emits each one's records once it is over.
-func (b *testbed) phases(ctx context.Context) error {
-	late := &wakeLatency{}
-	watched, end := context.WithCancel(ctx)
-	defer end()
-	late.swap()
-	go late.run(watched)
+// measurePhases measures one phase after the other, and emits each one's records once it is over.
+func (b *testbed) measurePhases(ctx context.Context) error {
+	latency := &wakeLatency{}
+	measuring, stop := context.WithCancel(ctx)
+	var sampling sync.WaitGroup
+	defer sampling.Wait()
+	defer stop()
+	latency.swap()
+	sampling.Go(func() { latency.run(measuring) })
 	for _, phase := range []func(context.Context) ([]Record, error){b.measureIdle, b.measureEntryChanges, b.measureSnapshots, b.measureConfigurations} {
-		late.swap()
+		latency.swap()
 		records, err := phase(ctx)
 		if err != nil {
 			return err
 		}
-		q := timeRecord(b.options.Size, records[0].Phase, "the machine wakes the supervisor late by", 0, late.swap(), 0)
-		q.Role = roleSupervisor
-		if err := b.emit(append(records, q)); err != nil {
+		r := timeRecord(b.options.Size, records[0].Phase, timing{resource: "the machine wakes the supervisor late by", times: latency.swap()})
+		r.Role = roleSupervisor
+		if err := b.emit(append(records, r)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// emit keeps records and hands them on.
+// emit keeps records and passes them to the caller of Run.
 func (b *testbed) emit(records []Record) error {
 	for _, r := range records {
 		r.Format = RecordFormat
@@ -47,55 +49,39 @@
 	return nil
 }
 
-// measure runs something between two samples and gives what each role spent; a role that changed hands is partial.
-func (b *testbed) measure(ctx context.Context, run func(ctx context.Context) error) (by map[string]roleUsage, partial map[string]string, err error) {
-	was, err := b.pollRoles()
+// measure calls run between two samples, and returns what each role used. A role whose front changed is partial.
+func (b *testbed) measure(ctx context.Context, run func(ctx context.Context) error) (u phaseUsage, err error) {
+	rolesBefore, err := b.pollRoles()
 	if err != nil {
-		return nil, nil, err
+		return u, err
 	}
 	before, err := b.sample()
 	if err != nil {
-		return nil, nil, err
+		return u, err
 	}
 	if err := run(ctx); err != nil {
-		return nil, nil, err
+		return u, err
 	}
 	after, err := b.sample()
 	if err != nil {
-		return nil, nil, err
+		return u, err
 	}
-	is, err := b.pollRoles()
+	rolesAfter, err := b.pollRoles()
 	if err != nil {
-		return nil, nil, err
+		return u, err
 	}
-	return usageBetween(before, after, is), roleChanges(was, is), nil
-}
-
-// roleChanges says which roles' figures are not whole, and why.
-func roleChanges(was, is roles) map[string]string {
-	out := map[string]string{}
-	if was.leader != is.leader {
-		why := fmt.Sprintf("the leader was %s and is %s", was.leader, is.leader)
-		out[RoleLeader], out[RoleVoter] = why, why
-	}
-	if was.endpoints != is.endpoints {
-		out[RoleEndpointsLeaseholder] = fmt.Sprintf("the lease was %s's and is %s's", was.endpoints, is.endpoints)
-	}
-	if was.rollouts != is.rollouts {
-		out[RoleRolloutsLeaseholder] = fmt.Sprintf("the lease was %s's and is %s's", was.rollouts, is.rollouts)
-	}
-	return out
+	return phaseUsage{byRole: usageBetween(before, after, rolesAfter), partial: roleChanges(rolesBefore, rolesAfter)}, nil
 }
 
 func (b *testbed) measureIdle(ctx context.Context) ([]Record, error) {
-	b.options.Progress("at rest for %v", b.options.Duration)
-	by, partial, err := b.measure(ctx, func(ctx context.Context) error {
+	b.options.Progress("idle for %v", b.options.Duration)
+	usage, err := b.measure(ctx, func(ctx context.Context) error {
 		return b.sleepUntil(ctx, time.Now().Add(b.options.Duration))
 	})
 	if err != nil {
 		return nil, err
 	}
-	return b.results.idleRecords(b.options.Size, by, partial), nil
+	return b.results.idleRecords(b.options.Size, usage), nil
 }
 
 func (b *testbed) measureEntryChanges(ctx context.Context) ([]Record, error) {
@@ -106,45 +92,52 @@
 	return b.measureListChanges(ctx, PhaseSnapshot, opSnapshot)
 }
 
-// measureListChanges has discovery make changes at the rate, and takes when each came to every hollow front.
-func (b *testbed) measureListChanges(ctx context.Context, phase, do string) ([]Record, error) {
+// measureListChanges has discovery make changes at the rate of the size, and measures when each reached every simulated follower.
+func (b *testbed) measureListChanges(ctx context.Context, phase, operation string) ([]Record, error) {
 	n := b.options.changes()
 	b.options.Progress("%s: %d changes in %v", phase, n, b.options.Duration)
-	var made []Reply
-	by, partial, err := b.measure(ctx, func(ctx context.Context) error {
-		began := time.Now()
+	var changes []Reply
+	usage, err := b.measure(ctx, func(ctx context.Context) error {
+		startedAt := time.Now()
 		for k := range n {
-			if err := b.sleepUntil(ctx, began.Add(b.options.Duration*time.Duration(k)/time.Duration(n))); err != nil {
+			if err := b.sleepUntil(ctx, b.dueTime(startedAt, k)); err != nil {
 				return err
 			}
-			r, err := b.discovery.call(Request{Operation: do})
+			r, err := b.discovery.call(Request{Operation: operation})
 			if err != nil {
 				return err
 			}
-			made = append(made, r)
+			changes = append(changes, r)
 		}
-		return b.sleepUntil(ctx, began.Add(b.options.Duration))
+		return b.sleepUntil(ctx, startedAt.Add(b.options.Duration))
 	})
 	if err != nil {
 		return nil, err
 	}
-	h, missing, err := b.waitForArrivals(ctx, made)
+	h, missing, err := b.waitForArrivals(ctx, changes)
 	if err != nil {
 		return nil, err
 	}
-	return append(b.results.changeRecords(b.options.Size, phase, n, by, partial), timeRecord(b.options.Size, phase, "from discovery to a hollow front", n, h, missing)), nil
+	return append(b.results.changeRecords(b.options.Size, phase, n, usage),
+		timeRecord(b.options.Size, phase, timing{resource: "from discovery to a hollow front", changes: n, times: h, missing: missing})), nil
+}
+
+// dueTime returns when the change k of a phase is due: changes are spread evenly over its duration.
+func (b *testbed) dueTime(startedAt time.Time, k int) time.Time {
+	return startedAt.Add(b.options.Duration * time.Duration(k) / time.Duration(b.options.changes()))
 }
 
-// waitForArrivals waits until each of the changes came to every hollow front, and tells how long that took.
-func (b *testbed) waitForArrivals(ctx context.Context, made []Reply) (h *hdrhistogram.Histogram, missing int, err error) {
+// waitForArrivals waits until each change reached every simulated follower, for arrivalTimeout at most, and returns how long each
+// took and how many are missing.
+func (b *testbed) waitForArrivals(ctx context.Context, changes []Reply) (h *hdrhistogram.Histogram, missing int, err error) {
 	for until := time.Now().Add(arrivalTimeout); ; {
-		h, missing = newTimes(), 0
-		for _, m := range made {
-			at, err := b.pollArrivals(Request{Operation: opArrivals, Index: m.Index})
+		h, missing = newHistogram(), 0
+		for _, c := range changes {
+			arrivals, err := b.pollArrivals(c.Index)
 			if err != nil {
 				return nil, 0, err
 			}
-			missing += recordTimes(h, m.ChangedAt, at)
+			missing += recordTimes(h, c.ChangedAt, arrivals)
 		}
 		if missing == 0 || time.Now().After(until) {
 			return h, missing, nil
@@ -155,29 +148,29 @@
 	}
 }
 
-// pollArrivals asks all hollow processes; 0 stands for a front to which it has not come.
-func (b *testbed) pollArrivals(q Request) ([]int64, error) {
-	parts := make([][]int64, len(b.simulated))
-	err := forEach(b.simulated, func(i int, p *process) error {
-		r, err := p.call(q)
-		parts[i] = r.Arrivals
+// pollArrivals asks all simulated followers when an endpoint list arrived; 0 stands for not yet.
+func (b *testbed) pollArrivals(index int64) ([]int64, error) {
+	byProcess := make([][]int64, len(b.simulated))
+	err := parallel(b.simulated, func(i int, p *process) error {
+		r, err := p.call(Request{Operation: opArrivals, Index: index})
+		byProcess[i] = r.Arrivals
 		return err
 	})
 	var all []int64
-	for _, p := range parts {
-		all = append(all, p...)
+	for _, arrivals := range byProcess {
+		all = append(all, arrivals...)
 	}
 	return all, err
 }
 
-// recordTimes puts the times since a moment into a histogram, and counts those that are lacking.
-func recordTimes(h *hdrhistogram.Histogram, from int64, at []int64) (missing int) {
-	for _, t := range at {
-		if t == 0 {
+// recordTimes adds the times from a moment until arrivals, all in microseconds, and returns how many have not arrived.
+func recordTimes(h *hdrhistogram.Histogram, from int64, arrivals []int64) (missing int) {
+	for _, at := range arrivals {
+		if at == 0 {
 			missing++
 			continue
 		}
-		h.RecordValue(max(1, min(t-from, maxTime)))
+		recordTime(h, max(1, min(at-from, maxTime)))
 	}
 	return missing
 }
--- a/lab/capacity/print.go
+++ b/lab/capacity/print.go
@@ -8,31 +8,41 @@
 	"text/tabwriter"
 )
 
-// Print writes records as a table for people: a role and resource a line, a phase a column; times below.
+// Print writes records as two tables: a role and resource a line with a column for each phase, and the times. The error is w's.
 func Print(w io.Writer, all []Record) error {
-	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(t, "ROLE\tOVER\tRESOURCE\tSTART\tAT REST\tONE ENTRY\tWHOLE LIST\tCONFIGURATION\tNOTE")
+	var resources strings.Builder
+	fmt.Fprintln(&resources, "ROLE\tOVER\tRESOURCE\tSTART\tAT REST\tONE ENTRY\tWHOLE LIST\tCONFIGURATION\tNOTE")
 	for _, role := range append(slices.Clone(roleOrder), roleFleet) {
 		for _, resource := range resourcesOf(all, role) {
 			if !strings.HasPrefix(resource, kindMessages) && !strings.HasPrefix(resource, kindBytes) { // these are in the JSON
-				printRow(t, all, role, resource)
+				printRow(&resources, all, role, resource)
 			}
 		}
 	}
-	if err := t.Flush(); err != nil {
+	if err := writeTable(w, resources.String()); err != nil {
 		return err
 	}
-	fmt.Fprintln(t, "\nTIME, ms\tPHASE\tCHANGES\tTIMES\tP50\tP90\tP99\tMOST\tNOT SEEN\tNOTE")
+	var times strings.Builder
+	fmt.Fprintln(&times, "\nTIME, ms\tPHASE\tCHANGES\tTIMES\tP50\tP90\tP99\tMOST\tNOT SEEN\tNOTE")
 	for _, r := range all {
 		if q := r.Quantiles; q != nil {
-			fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%d\t%s\n", r.Resource, r.Phase, r.Changes, q.Count, q.P50, q.P90, q.P99, q.Max,
+			fmt.Fprintf(&times, "%s\t%s\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%d\t%s\n", r.Resource, r.Phase, r.Changes, q.Count, q.P50, q.P90, q.P99, q.Max,
 				r.Missing, r.Note)
 		}
 	}
+	return writeTable(w, times.String())
+}
+
+// writeTable aligns the cells of a text.
+func writeTable(w io.Writer, text string) error {
+	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
+	if _, err := io.WriteString(t, text); err != nil {
+		return err
+	}
 	return t.Flush()
 }
 
-// resourcesOf names a role's resources in the order of the records.
+// resourcesOf returns a role's resources in the order of the records.
 func resourcesOf(all []Record, role string) (names []string) {
 	for _, r := range all {
 		if r.Role == role && r.Quantiles == nil && !slices.Contains(names, r.Resource) {
@@ -42,7 +52,7 @@
 	return names
 }
 
-func printRow(w io.Writer, all []Record, role, resource string) {
+func printRow(b *strings.Builder, all []Record, role, resource string) {
 	over, cells, notes := "", map[string]string{}, []string{}
 	for _, r := range all {
 		if r.Role != role || r.Resource != resource || r.Quantiles != nil {
@@ -61,6 +71,6 @@
 			notes = append(notes, note)
 		}
 	}
-	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", role, over, resource, cells[PhaseStart], cells[PhaseIdle], cells[PhaseEntryChange], cells[PhaseSnapshot], cells[PhaseConfiguration],
-		strings.Join(notes, "; "))
+	fmt.Fprintf(b, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", role, over, resource, cells[PhaseStart], cells[PhaseIdle], cells[PhaseEntryChange],
+		cells[PhaseSnapshot], cells[PhaseConfiguration], strings.Join(notes, "; "))
 }
--- a/lab/capacity/results.go
+++ b/lab/capacity/results.go
@@ -1,264 +1,220 @@
 package capacity
 
 import (
-	"maps"
 	"math"
-	"slices"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-func nowMicro() int64 { return time.Now().UnixMicro() }
-
-// results are what was measured so far.
+// results are the records so far, and what the phases with changes are compared with.
 type results struct {
 	all  []Record
-	idle map[string]roleUsage // by role: what a second at rest costs one front
+	idle map[string]roleUsage // by role, of the idle phase
 }
 
-// roleUsage is what a role's processes spent between two samples, of all their fronts.
-type roleUsage struct {
-	fronts        int
-	frontSeconds  float64 // between the samples, summed over fronts
-	cpu           float64 // seconds
-	sent          float64
-	received      float64
-	sentBytes     float64
-	receivedBytes float64
-	statements    float64
-	calls         float64
-	links         float64 // at the end
-	residentBytes float64
-	heapBytes     float64
-	watches       float64
-	logEntries    float64
-	shed          float64
-	kinds         map[string]kindUsage // of messages sent
+// phaseUsage is what each role used in a phase, and which of it is partial and why.
+type phaseUsage struct {
+	byRole  map[string]roleUsage
+	partial map[string]string
 }
 
-// kindUsage is what was sent of one kind of message.
-type kindUsage struct{ messages, bytes float64 }
-
-// usageBetween adds up by role; the roles are those at the end.
-func usageBetween(before, after []sample, current roles) map[string]roleUsage {
-	first := map[string]sample{}
-	for _, s := range before {
-		first[s.process] = s
-	}
-	byRole := map[string]roleUsage{}
-	for _, s := range after {
-		earlier, ok := first[s.process]
-		role := s.role
-		if s.real >= 0 {
-			role = current.of(s.real)
-		}
-		if !ok || role == noRole {
-			continue
-		}
-		n := max(1, s.Fronts)
-		usage := byRole[role]
-		usage.fronts += n
-		usage.frontSeconds += float64(s.SampledAt-earlier.SampledAt) / 1e6 * float64(n)
-		usage.cpu += s.CPUSeconds - earlier.CPUSeconds
-		usage.sent += float64(s.Sent - earlier.Sent)
-		usage.received += float64(s.Received - earlier.Received)
-		usage.sentBytes += float64(s.SentBytes - earlier.SentBytes)
-		usage.receivedBytes += float64(s.ReceivedBytes - earlier.ReceivedBytes)
-		usage.statements += float64(s.Statements - earlier.Statements)
-		usage.calls += float64(s.Calls - earlier.Calls)
-		usage.links += float64(s.Links)
-		usage.residentBytes += float64(s.ResidentBytes)
-		usage.heapBytes += float64(s.HeapBytes)
-		usage.watches += float64(s.Watches)
-		usage.logEntries += float64(s.LogIndex - earlier.LogIndex)
-		usage.shed += float64(s.Shed - earlier.Shed)
-		usage.addKinds(earlier.Kinds, s.Kinds)
-		byRole[role] = usage
-	}
-	return byRole
-}
-
-func (s *roleUsage) addKinds(before, after map[string]KindCounters) {
-	if s.kinds == nil {
-		s.kinds = map[string]kindUsage{}
-	}
-	for kind, k := range after {
-		x := s.kinds[kind]
-		x.messages += float64(k.Messages - before[kind].Messages)
-		x.bytes += float64(k.Bytes - before[kind].Bytes)
-		s.kinds[kind] = x
-	}
+// startResult is what the start of a fleet used, and how it ended.
+type startResult struct {
+	usage  map[string]roleUsage
+	took   time.Duration
+	failed error // nil for a fleet that converged
 }
 
-// kindNames are the kinds that a role sent, sorted.
-func (s *roleUsage) kindNames() []string { return slices.Sorted(maps.Keys(s.kinds)) }
-
-// counterResource is a resource that is spent over time.
+// counterResource is a resource that is used over time.
 type counterResource struct {
 	name       string
-	idleUnit   string // unit a second
-	changeUnit string // unit a change
+	idleUnit   string // for a second
+	changeUnit string // for a change
 	scale      float64
-	value      func(roleUsage) float64
+	value      func(*roleUsage) float64
 }
 
 var counterResources = []counterResource{
-	{"processor", unitCorePerSecond, "ms of a core", millisPerSecond, func(s roleUsage) float64 { return s.cpu }},
-	{"bytes sent", unitBytesPerSecond, "B", 1, func(s roleUsage) float64 { return s.sentBytes }},
-	{"bytes received", unitBytesPerSecond, "B", 1, func(s roleUsage) float64 { return s.receivedBytes }},
-	{"messages sent", "1/s", "messages", 1, func(s roleUsage) float64 { return s.sent }},
-	{"messages received", "1/s", "messages", 1, func(s roleUsage) float64 { return s.received }},
-	{"statements", "1/s", "statements", 1, func(s roleUsage) float64 { return s.statements }},
-	{"calls", "1/s", "calls", 1, func(s roleUsage) float64 { return s.calls }},
-	{"log entries", "1/s", "entries", 1, func(s roleUsage) float64 { return s.logEntries }},
-	{"slow peers let go", "1/s", "links", 1, func(s roleUsage) float64 { return s.shed }},
+	{"processor", unitCorePerSecond, "ms of a core", millisPerSecond, func(u *roleUsage) float64 { return u.cpuSeconds }},
+	{"bytes sent", unitBytesPerSecond, "B", 1, func(u *roleUsage) float64 { return u.mesh.sentBytes }},
+	{"bytes received", unitBytesPerSecond, "B", 1, func(u *roleUsage) float64 { return u.mesh.receivedBytes }},
+	{"messages sent", "1/s", "messages", 1, func(u *roleUsage) float64 { return u.mesh.sent }},
+	{"messages received", "1/s", "messages", 1, func(u *roleUsage) float64 { return u.mesh.received }},
+	{"statements", "1/s", "statements", 1, func(u *roleUsage) float64 { return u.server.statements }},
+	{"calls", "1/s", "calls", 1, func(u *roleUsage) float64 { return u.server.calls }},
+	{"log entries", "1/s", "entries", 1, func(u *roleUsage) float64 { return u.logEntries }},
+	{"slow peers let go", "1/s", "links", 1, func(u *roleUsage) float64 { return u.mesh.shed }},
 }
 
-// gaugeResource is a resource that is held.
+// gaugeResource is a resource that has a level.
 type gaugeResource struct {
 	name, unit string
 	scale      float64
-	value      func(roleUsage) float64
+	value      func(*roleUsage) float64
 }
 
 var gaugeResources = []gaugeResource{
-	{"resident memory", "MiB", 1.0 / bytesPerMiB, func(s roleUsage) float64 { return s.residentBytes }},
-	{"heap in use", "MiB", 1.0 / bytesPerMiB, func(s roleUsage) float64 { return s.heapBytes }},
-	{"links", "links", 1, func(s roleUsage) float64 { return s.links }},
-	{"watches", "watches", 1, func(s roleUsage) float64 { return s.watches }},
+	{"resident memory", "MiB", 1.0 / bytesPerMiB, func(u *roleUsage) float64 { return u.residentBytes }},
+	{"heap in use", "MiB", 1.0 / bytesPerMiB, func(u *roleUsage) float64 { return u.heapBytes }},
+	{"links", "links", 1, func(u *roleUsage) float64 { return u.mesh.links }},
+	{"watches", "watches", 1, func(u *roleUsage) float64 { return u.server.watches }},
 }
 
-// minMessages of a kind for a change are told; fewer are the difference between two times of rest.
+// minMessages of a kind for a change make a record: fewer are the difference between two idle times.
 const minMessages = 0.5
 
-// The beginnings of the names of what was sent of one kind of message.
+// Prefixes of the resources that are messages of one kind.
 const (
 	kindMessages = "messages sent: "
 	kindBytes    = "bytes sent: "
 )
 
-// applies tells whether a role has a resource: servers have no mesh, fronts no watches or statements of their own.
+// meshResources are those that the fake servers do not have.
+var meshResources = map[string]bool{"messages sent": true, "messages received": true, "links": true, "slow peers let go": true}
+
+// serverResources are those that fronts do not have.
+var serverResources = map[string]bool{"statements": true, "calls": true, "watches": true}
+
+// applies reports whether a role has a resource.
 func applies(role, resource string) bool {
-	server := map[string]bool{"messages sent": true, "messages received": true, "links": true, "slow peers let go": true}
 	if resource == "log entries" {
 		return role == RoleLeader
 	}
 	switch role {
 	case RoleDiscovery:
-		return !server[resource] && resource != "statements"
+		return !meshResources[resource] && resource != "statements"
 	case RoleDatabases:
 		return resource == "processor" || resource == "resident memory" || resource == "statements"
 	case RoleSimulatedFollower:
-		return resource != "statements" && resource != "calls" && resource != "watches"
+		return !serverResources[resource]
 	}
-	return resource != "statements" && resource != "calls" && resource != "watches" && resource != "heap in use"
+	return !serverResources[resource] && resource != "heap in use"
 }
 
-// roleNote says how a role's figure was taken.
-func roleNote(role string) string {
+// newRecord returns a record without a resource.
+func newRecord(size Size, phase, role string) Record {
+	r := Record{Fleet: size.Fronts, Databases: size.Databases, Phase: phase, Role: role}
 	if role == RoleSimulatedFollower {
-		return simulatedNote
+		r.Note = simulatedNote
 	}
-	return ""
+	return r
+}
+
+// with returns a copy that has a resource.
+func (r Record) with(resource, unit string, value float64) Record {
+	r.Resource, r.Unit, r.Value = resource, unit, rounded(value)
+	return r
 }
 
-// idleRecords makes the records of the phase at rest.
-func (r *results) idleRecords(size Size, by map[string]roleUsage, partial map[string]string) (all []Record) {
-	r.idle = by
+// idleRecords makes the records of the idle phase: each resource for one front and second. It keeps the usage, which changeRecords
+// needs.
+func (r *results) idleRecords(size Size, phase phaseUsage) (all []Record) {
+	r.idle = phase.byRole
 	for _, role := range roleOrder {
-		s, ok := by[role]
+		u, ok := phase.byRole[role]
 		if !ok {
 			continue
 		}
+		base := newRecord(size, PhaseIdle, role)
+		base.Fronts, base.Partial = u.fronts, phase.partial[role]
 		add := func(resource, unit string, value float64) {
 			if applies(role, resource) {
-				all = append(all, Record{Fleet: size.Fronts, Databases: size.Databases, Phase: PhaseIdle, Role: role, Resource: resource, Unit: unit, Value: rounded(value), Fronts: s.fronts,
-					Partial: partial[role], Note: roleNote(role)})
+				all = append(all, base.with(resource, unit, value))
 			}
 		}
-		for _, f := range counterResources {
-			add(f.name, f.idleUnit, f.value(s)*f.scale/s.frontSeconds)
+		for _, c := range counterResources {
+			add(c.name, c.idleUnit, u.perFrontSecond(c.value(&u)*c.scale))
 		}
-		for _, kind := range s.kindNames() {
-			add(kindMessages+kind, "1/s", s.kinds[kind].messages/s.frontSeconds)
-			add(kindBytes+kind, unitBytesPerSecond, s.kinds[kind].bytes/s.frontSeconds)
+		for _, kind := range u.kindNames() {
+			add(kindMessages+kind, "1/s", u.perFrontSecond(u.kinds[kind].messages))
+			add(kindBytes+kind, unitBytesPerSecond, u.perFrontSecond(u.kinds[kind].bytes))
 		}
-		for _, l := range gaugeResources {
-			add(l.name, l.unit, l.value(s)*l.scale/float64(s.fronts))
+		for _, g := range gaugeResources {
+			add(g.name, g.unit, u.perFront(g.value(&u)*g.scale))
 		}
 	}
 	return all
 }
 
-// startRecords makes those of the start: what each front spent from its first moment until the fleet had settled, or had not.
-func (r *results) startRecords(size Size, by map[string]roleUsage, took time.Duration, unsettled error) (all []Record) {
-	why := ""
-	if unsettled != nil {
-		why = unsettled.Error()
+// startRecords makes the records of the start: what each front used until the fleet converged, or failed to.
+func startRecords(size Size, start startResult) (all []Record) {
+	partial := ""
+	if start.failed != nil {
+		partial = start.failed.Error()
 	}
-	add := func(role, resource, unit string, value float64, fronts int) {
-		all = append(all, Record{Fleet: size.Fronts, Databases: size.Databases, Phase: PhaseStart, Role: role, Resource: resource, Unit: unit,
-			Value: rounded(value), Fronts: fronts, Partial: why, Note: roleNote(role)})
-	}
-	add(roleFleet, "time until it has settled", "s", took.Seconds(), size.Fronts)
+	fleet := newRecord(size, PhaseStart, roleFleet)
+	fleet.Fronts, fleet.Partial = size.Fronts, partial
+	all = append(all, fleet.with("time until it has settled", "s", start.took.Seconds()))
 	for _, role := range roleOrder {
-		s, ok := by[role]
+		u, ok := start.usage[role]
 		if !ok {
 			continue
 		}
-		for _, f := range counterResources {
-			if applies(role, f.name) {
-				add(role, f.name, f.changeUnit, f.value(s)*f.scale/float64(s.fronts), s.fronts)
+		base := newRecord(size, PhaseStart, role)
+		base.Fronts, base.Partial = u.fronts, partial
+		for _, c := range counterResources {
+			if applies(role, c.name) {
+				all = append(all, base.with(c.name, c.changeUnit, u.perFront(c.value(&u)*c.scale)))
 			}
 		}
-		for _, kind := range s.kindNames() {
-			add(role, kindMessages+kind, "messages", s.kinds[kind].messages/float64(s.fronts), s.fronts)
-			add(role, kindBytes+kind, "B", s.kinds[kind].bytes/float64(s.fronts), s.fronts)
+		for _, kind := range u.kindNames() {
+			all = append(all, base.with(kindMessages+kind, "messages", u.perFront(u.kinds[kind].messages)),
+				base.with(kindBytes+kind, "B", u.perFront(u.kinds[kind].bytes)))
 		}
 	}
 	return all
 }
 
-// changeRecords makes those of a phase with changes: what was spent beyond rest, for one change.
-func (r *results) changeRecords(size Size, phase string, changes int, by map[string]roleUsage, partial map[string]string) (all []Record) {
+// changeRecords makes the records of a phase with changes: what one front used for one change beyond the idle phase.
+func (r *results) changeRecords(size Size, phase string, changes int, usage phaseUsage) (all []Record) {
 	for _, role := range roleOrder {
-		s, ok := by[role]
-		rest, known := r.idle[role]
+		u, ok := usage.byRole[role]
+		idle, known := r.idle[role]
 		if !ok || !known {
 			continue
 		}
+		base := newRecord(size, phase, role)
+		base.Fronts, base.Changes, base.Partial = u.fronts, changes, usage.partial[role]
 		add := func(resource, unit string, value float64) {
 			if applies(role, resource) {
-				all = append(all, Record{Fleet: size.Fronts, Databases: size.Databases, Phase: phase, Role: role, Resource: resource, Unit: unit, Value: rounded(value), Fronts: s.fronts,
-					Changes: changes, Partial: partial[role], Note: roleNote(role)})
+				all = append(all, base.with(resource, unit, value))
 			}
 		}
-		for _, f := range counterResources {
-			beyond := f.value(s)/s.frontSeconds - f.value(rest)/rest.frontSeconds
-			elapsed := s.frontSeconds / float64(s.fronts)
-			add(f.name, f.changeUnit, beyond*elapsed*f.scale/float64(changes))
+		seconds := u.perFront(u.frontSeconds)
+		beyondIdle := func(total, idleTotal float64) float64 {
+			return (u.perFrontSecond(total) - idle.perFrontSecond(idleTotal)) * seconds / float64(changes)
 		}
-		for _, kind := range s.kindNames() {
-			beyond := func(of func(kindUsage) float64) float64 {
-				each := of(s.kinds[kind])/s.frontSeconds - of(rest.kinds[kind])/rest.frontSeconds
-				return each * s.frontSeconds / float64(s.fronts) / float64(changes)
-			}
-			messages := beyond(func(k kindUsage) float64 { return k.messages })
+		for _, c := range counterResources {
+			add(c.name, c.changeUnit, beyondIdle(c.value(&u), c.value(&idle))*c.scale)
+		}
+		for _, kind := range u.kindNames() {
+			k, idleKind := u.kinds[kind], idle.kinds[kind]
+			messages := beyondIdle(k.messages, idleKind.messages)
 			if math.Abs(messages) < minMessages {
 				continue
 			}
 			add(kindMessages+kind, "messages", messages)
-			add(kindBytes+kind, "B", beyond(func(k kindUsage) float64 { return k.bytes }))
+			add(kindBytes+kind, "B", beyondIdle(k.bytes, idleKind.bytes))
 		}
-		add("resident memory", "MiB", s.residentBytes/bytesPerMiB/float64(s.fronts))
+		add("resident memory", "MiB", u.perFront(u.residentBytes/bytesPerMiB))
 	}
 	return all
 }
 
-// timeRecord makes the record of a histogram.
-func timeRecord(size Size, phase, resource string, changes int, h *hdrhistogram.Histogram, missing int) Record {
-	q := quantiles(h)
-	return Record{Fleet: size.Fronts, Databases: size.Databases, Phase: phase, Role: roleFleet, Resource: resource, Unit: unitMilliseconds, Value: q.Max, Changes: changes,
-		Fronts: size.Fronts, Quantiles: q, Missing: missing}
+// timing is a time that was measured several times.
+type timing struct {
+	resource string // from when to when
+	changes  int    // 0 where it is not of changes
+	times    *hdrhistogram.Histogram
+	missing  int // that took too long to be measured
+}
+
+// timeRecord makes the record of a time; its value is the longest.
+func timeRecord(size Size, phase string, t timing) Record {
+	q := quantiles(t.times)
+	r := newRecord(size, phase, roleFleet)
+	r.Resource, r.Unit, r.Value, r.Quantiles = t.resource, unitMilliseconds, q.Max, q
+	r.Changes, r.Missing, r.Fronts = t.changes, t.missing, size.Fronts
+	return r
 }
--- /dev/null
+++ b/lab/capacity/role_usage.go
@@ -0,0 +1,106 @@
+package capacity
+
+import (
+	"maps"
+	"slices"
+)
+
+// roleUsage is what the processes of a role used between two samples, summed over their fronts. Levels (links, watches, memory)
+// are those at the end.
+type roleUsage struct {
+	fronts        int
+	frontSeconds  float64 // between the samples
+	cpuSeconds    float64
+	residentBytes float64
+	heapBytes     float64
+	logEntries    float64
+	mesh          meshUsage
+	server        serverUsage
+	kinds         map[string]kindUsage // messages sent, by kind
+}
+
+// meshUsage is what fronts exchanged with their peers.
+type meshUsage struct {
+	links, shed              float64
+	sent, received           float64 // messages
+	sentBytes, receivedBytes float64
+}
+
+func (u *meshUsage) add(before, after MeshCounters) {
+	u.links += float64(after.Links)
+	u.shed += float64(after.Shed - before.Shed)
+	u.sent += float64(after.Sent - before.Sent)
+	u.received += float64(after.Received - before.Received)
+	u.sentBytes += float64(after.SentBytes - before.SentBytes)
+	u.receivedBytes += float64(after.ReceivedBytes - before.ReceivedBytes)
+}
+
+// serverUsage is what the fake servers did.
+type serverUsage struct{ watches, calls, statements float64 }
+
+func (u *serverUsage) add(before, after ServerCounters) {
+	u.watches += float64(after.Watches)
+	u.calls += float64(after.Calls - before.Calls)
+	u.statements += float64(after.Statements - before.Statements)
+}
+
+// kindUsage is the messages of one kind that were sent.
+type kindUsage struct{ messages, bytes float64 }
+
+// usageBetween adds up what was used between samples, by the roles at the end. A process without a sample before is left out.
+func usageBetween(before, after []sample, current roles) map[string]roleUsage {
+	earlier := map[string]Counters{}
+	for _, s := range before {
+		earlier[s.process] = s.Counters
+	}
+	byRole := map[string]roleUsage{}
+	for _, s := range after {
+		role := s.role
+		if s.ordinal >= 0 {
+			role = current.of(s.ordinal)
+		}
+		first, ok := earlier[s.process]
+		if !ok || role == noRole {
+			continue
+		}
+		u := byRole[role]
+		u.add(first, s.Counters)
+		byRole[role] = u
+	}
+	return byRole
+}
+
+// add adds what one process used.
+func (u *roleUsage) add(before, after Counters) {
+	fronts := max(1, after.Fronts)
+	u.fronts += fronts
+	u.frontSeconds += float64(after.SampledAt-before.SampledAt) / 1e6 * float64(fronts)
+	u.cpuSeconds += after.CPUSeconds - before.CPUSeconds
+	u.residentBytes += float64(after.ResidentBytes)
+	u.heapBytes += float64(after.HeapBytes)
+	u.logEntries += float64(after.LogIndex - before.LogIndex)
+	u.mesh.add(before.MeshCounters, after.MeshCounters)
+	u.server.add(before.ServerCounters, after.ServerCounters)
+	u.addKinds(before.Kinds, after.Kinds)
+}
+
+func (u *roleUsage) addKinds(before, after map[string]KindCounters) {
+	if u.kinds == nil {
+		u.kinds = map[string]kindUsage{}
+	}
+	for kind, k := range after {
+		x := u.kinds[kind]
+		x.messages += float64(k.Messages - before[kind].Messages)
+		x.bytes += float64(k.Bytes - before[kind].Bytes)
+		u.kinds[kind] = x
+	}
+}
+
+// perFront divides by the fronts.
+func (u *roleUsage) perFront(total float64) float64 { return total / float64(u.fronts) }
+
+// perFrontSecond divides by the fronts and the time.
+func (u *roleUsage) perFrontSecond(total float64) float64 { return total / u.frontSeconds }
+
+// kindNames returns the kinds of messages that the role sent, sorted.
+func (u *roleUsage) kindNames() []string { return slices.Sorted(maps.Keys(u.kinds)) }
--- a/lab/capacity/roles.go
+++ b/lab/capacity/roles.go
@@ -2,32 +2,30 @@
 
 import (
 	"fmt"
-	"sync"
 
-	"dapplerouter/adminapi"
 	"dapplerouter/fleet"
-	"dapplerouter/fleet/agent"
 	"dapplerouter/fleet/rollout"
 )
 
-// roles says which real front has which at a moment, by ordinal; the witness has none.
+// roles are the names of the fronts that are leader and leaseholders at a time.
 type roles struct {
 	leader, endpoints, rollouts string
 }
 
-// roleOrder is that of the table.
-var roleOrder = []string{RoleLeader, RoleVoter, RoleEndpointsLeaseholder, RoleRolloutsLeaseholder, RoleRealFollower, RoleSimulatedFollower, RoleDiscovery, RoleDatabases}
+// roleOrder is that of records and the table.
+var roleOrder = []string{RoleLeader, RoleVoter, RoleEndpointsLeaseholder, RoleRolloutsLeaseholder, RoleRealFollower, RoleSimulatedFollower,
+	RoleDiscovery, RoleDatabases}
 
-// pollRoles finds who leads and who holds the two leases.
+// pollRoles asks a real front for the leader and the leaseholders.
 func (b *testbed) pollRoles() (r roles, err error) {
 	s, err := b.status(endpointsOrdinal)
 	if err != nil {
 		return r, err
 	}
-	return roles{leader: s.Leader, endpoints: holder(s, fleet.EndpointListLease), rollouts: holder(s, rollout.Lease)}, nil
+	return roles{leader: s.Leader, endpoints: leaseholder(s, fleet.EndpointListLease), rollouts: leaseholder(s, rollout.Lease)}, nil
 }
 
-// of gives a real front's role.
+// of returns a real front's role.
 func (r roles) of(i int) string {
 	switch name := frontName(i); {
 	case i == historyOrdinal:
@@ -44,68 +42,18 @@
 	return RoleRealFollower
 }
 
-// sample is one process's counters.
-type sample struct {
-	process string
-	real    int // ordinal, -1 for another
-	role    string
-	Counters
-}
-
-// sample reads all counters at about one moment; each has its own time.
-func (b *testbed) sample() ([]sample, error) {
-	var all []sample
-	var mu sync.Mutex
-	add := func(s sample) {
-		mu.Lock()
-		defer mu.Unlock()
-		all = append(all, s)
+// roleChanges returns the roles whose values are partial since their fronts changed in a phase, with the reasons.
+func roleChanges(before, after roles) map[string]string {
+	reasons := map[string]string{}
+	if before.leader != after.leader {
+		reason := fmt.Sprintf("the leader was %s and is %s", before.leader, after.leader)
+		reasons[RoleLeader], reasons[RoleVoter] = reason, reason
 	}
-	err := forEach(b.processes(), func(_ int, p *process) error {
-		s, err := b.sampleOf(p)
-		if err != nil {
-			if death := p.exitedError(); death != nil {
-				return death
-			}
-			return fmt.Errorf("%s: %w", p.name, err)
-		}
-		add(s)
-		return nil
-	})
-	return all, err
-}
-
-func (b *testbed) sampleOf(p *process) (s sample, err error) {
-	s = sample{process: p.name, real: -1}
-	switch p {
-	case b.discovery:
-		s.role = RoleDiscovery
-	case b.databases:
-		s.role = RoleDatabases
-	default:
-		for i, r := range b.real {
-			if r == p {
-				s.real = i
-				s.Counters, err = b.realCounters(i, p)
-				return s, err
-			}
-		}
-		s.role = RoleSimulatedFollower
+	if before.endpoints != after.endpoints {
+		reasons[RoleEndpointsLeaseholder] = fmt.Sprintf("the lease was %s's and is %s's", before.endpoints, after.endpoints)
 	}
-	r, err := p.call(Request{Operation: opCounters})
-	s.Counters = r.Counters
-	return s, err
-}
-
-// realCounters asks a process of the program.
-func (b *testbed) realCounters(i int, p *process) (c Counters, err error) {
-	var x agent.Counters
-	if err := adminapi.Call(b.settings.adminSocket(i), "GET", "/v1/fleet/counters", nil, &x); err != nil {
-		return c, err
+	if before.rollouts != after.rollouts {
+		reasons[RoleRolloutsLeaseholder] = fmt.Sprintf("the lease was %s's and is %s's", before.rollouts, after.rollouts)
 	}
-	c = Counters{SampledAt: nowMicro(), Fronts: 1, CPUSeconds: x.CPUSeconds, Links: x.Links, Sent: x.Sent, Received: x.Received, SentBytes: x.SentBytes,
-		ReceivedBytes: x.ReceivedBytes, Shed: x.Shed, Dials: x.Dials, MinListIndex: x.ListIndex, LogIndex: x.Index}
-	c.addKinds(x.Kinds)
-	c.ResidentBytes, err = resident(p.cmd.Process.Pid)
-	return c, err
+	return reasons
 }
--- a/lab/capacity/run.go
+++ b/lab/capacity/run.go
@@ -10,32 +10,33 @@
 	"time"
 )
 
-// Options are what a run is made of.
+// Options say what a run starts and measures, and who receives its results.
 type Options struct {
 	Size
 	Program     string                           // bin/dapplerouter
-	Worker      func(kind string) []string       // the command that calls Work
-	Dir         string                           // for files, logs and sockets; the caller's to remove
-	Progress    func(format string, args ...any) // nil for nobody
-	Emit        func(Record) error               // hears each record once its phase is over
-	onConverged func(*testbed)                   // tests: called once the fleet has settled
+	Worker      func(kind string) []string       // returns the command that calls Work
+	Dir         string                           // for files, logs and sockets; the caller removes it
+	Progress    func(format string, args ...any) // may be nil
+	Emit        func(Record) error               // receives each record once its phase is over; may be nil
+	onConverged func(*testbed)                   // for tests: called once, after the fleet has converged
 }
 
-// testbed is a fleet that runs.
+// testbed is a running fleet. It owns every process of it.
 type testbed struct {
 	options   Options
 	settings  RunSettings
-	guard     net.Listener // holds the network's numbers against another run
+	guard     net.Listener // reserves the network's addresses against another run
 	real      []*process   // by ordinal
-	simulated []*process
-	paused    *process // the one of them that stands still during configuration changes; nil for none
+	simulated []*process   // hosts of simulated followers
+	paused    *process     // the one of them that is paused during configuration changes; nil for none
 	discovery *process
 	databases *process
 	startedAt time.Time
 	results   results
 }
 
-// convergeTimeout is how long a fleet may take to come up, beside settlePerFront.
+// How long a fleet may take to converge (convergePerFront is added for each front) and a lease to be transferred, and how often
+// processes are polled.
 const (
 	convergeTimeout  = 90 * time.Second
 	convergePerFront = 500 * time.Millisecond
@@ -43,11 +44,12 @@
 	pollInterval     = 500 * time.Millisecond
 )
 
-// configLeaseFactor is how many lease durations a front's right to act on a configuration lasts.
+// configLeaseFactor is the duration of a configuration lease in lease durations.
 const configLeaseFactor = 4
 
-// Run starts the fleet, measures it, and ends it. The error is a Refusal before anything is started, a Death where a process
-// ended by itself, or what could not be set up; records of phases that were over before stand.
+// Run starts a fleet, measures it, and ends it. It returns the records of all phases that were over. The error is a SizeError
+// before anything is started, a ProcessExitError where a process ended by itself, ErrNotConverged, ErrNotInForce, ErrNoReply, the
+// cause of ctx, or what could not be set up.
 func Run(ctx context.Context, o Options) (all []Record, err error) {
 	machine, err := ThisMachine()
 	if err != nil {
@@ -59,7 +61,7 @@
 	if o.Progress == nil {
 		o.Progress = func(string, ...any) {}
 	}
-	runtime.LockOSThread()
+	runtime.LockOSThread() // children end with the thread that started them
 	defer runtime.UnlockOSThread()
 	b := &testbed{options: o, startedAt: time.Now()}
 	defer b.close()
@@ -69,12 +71,12 @@
 	if o.onConverged != nil {
 		o.onConverged(b)
 	}
-	err = b.phases(ctx)
+	err = b.measurePhases(ctx)
 	return b.results.all, err
 }
 
-// forEach calls for all at once and joins what is wrong.
-func forEach[T any](all []T, call func(i int, x T) error) error {
+// parallel calls for each element in a goroutine of its own, waits for all, and joins the errors.
+func parallel[T any](all []T, call func(i int, x T) error) error {
 	errs := make([]error, len(all))
 	var done sync.WaitGroup
 	for i, x := range all {
@@ -84,18 +86,22 @@
 	return errors.Join(errs...)
 }
 
-// processes are all children.
-func (b *testbed) processes() (all []*process) {
-	all = slices.Concat(b.real, b.simulated)
+// processes returns all children.
+func (b *testbed) processes() []*process {
+	return append(slices.Concat(b.real, b.simulated), b.servers()...)
+}
+
+// servers returns the fake servers that were started.
+func (b *testbed) servers() (started []*process) {
 	for _, p := range []*process{b.discovery, b.databases} {
 		if p != nil {
-			all = append(all, p)
+			started = append(started, p)
 		}
 	}
-	return all
+	return started
 }
 
-// exited names every process that ended by itself.
+// exited returns a ProcessExitError for every process that ended by itself, joined.
 func (b *testbed) exited() error {
 	var errs []error
 	for _, p := range b.processes() {
@@ -104,7 +110,7 @@
 	return errors.Join(errs...)
 }
 
-// sleepUntil sleeps; the error is an interrupt or a process that ended.
+// sleepUntil waits. The error is the cause of ctx, or a ProcessExitError.
 func (b *testbed) sleepUntil(ctx context.Context, until time.Time) error {
 	for {
 		if err := b.exited(); err != nil {
@@ -122,14 +128,9 @@
 	}
 }
 
-// close ends every process by its id, the hollow ones first, and waits.
+// close ends every process by its id, the simulated followers first, and waits for it.
 func (b *testbed) close() {
-	all := slices.Concat(b.simulated, b.real)
-	for _, p := range []*process{b.discovery, b.databases} {
-		if p != nil {
-			all = append(all, p)
-		}
-	}
+	all := append(slices.Concat(b.simulated, b.real), b.servers()...)
 	for _, p := range all {
 		p.terminate()
 	}
@@ -138,6 +139,6 @@
 		p.waitOrKill(until)
 	}
 	if b.guard != nil {
-		b.guard.Close()
+		_ = b.guard.Close() // nothing was ever accepted; the run is over
 	}
 }
--- a/lab/capacity/simulated_follower.go
+++ b/lab/capacity/simulated_follower.go
@@ -18,34 +18,32 @@
 	"dapplerouter/upstream"
 )
 
-// What databases are greeted with, as the program does.
+// The database session's user and database, as the program has them.
 const (
 	databaseUser = "portal"
 	databaseName = "crm"
 )
 
-// simulatedFollower is a front without clients: the core with the decision module, the fleet agent, the mesh, the pools and the endpoint
-// list's client, wired as cmd/dapplerouter wires them, with their sockets.
+// simulatedFollower is a front without clients: the core with the router, the fleet agent, the mesh, the pools and the watch of
+// the endpoint list, wired as cmd/dapplerouter wires them, with their sockets. It runs until its process ends.
 type simulatedFollower struct {
-	name  string
 	agent *agent.Agent
-	stop  context.CancelFunc
 
-	mu              sync.Mutex
-	listArrivals    map[int64]int64  // when each list came to the core, Unix microseconds
-	versionArrivals map[uint64]int64 // when each configuration was taken up
+	mu              sync.Mutex       // guards what follows
+	listArrivals    map[int64]int64  // when the core received each list, by index; Unix microseconds
+	versionArrivals map[uint64]int64 // when each configuration was adopted
 }
 
-// startSimulatedFollower starts one; the error names it.
+// startSimulatedFollower starts the follower with an ordinal; the error names it.
 func startSimulatedFollower(s *RunSettings, i int) (*simulatedFollower, error) {
-	h := &simulatedFollower{name: frontName(i), listArrivals: map[int64]int64{}, versionArrivals: map[uint64]int64{}}
-	if err := h.start(s, i); err != nil {
-		return nil, fmt.Errorf("hollow front %s: %w", h.name, err)
+	f := &simulatedFollower{listArrivals: map[int64]int64{}, versionArrivals: map[uint64]int64{}}
+	if err := f.start(s, i); err != nil {
+		return nil, fmt.Errorf("simulated follower %s: %w", frontName(i), err)
 	}
-	return h, nil
+	return f, nil
 }
 
-func (h *simulatedFollower) start(s *RunSettings, i int) error {
+func (f *simulatedFollower) start(s *RunSettings, i int) error {
 	if err := os.MkdirAll(s.folder(i), 0o700); err != nil {
 		return err
 	}
@@ -55,58 +53,56 @@
 	if err != nil {
 		return err
 	}
-	fleetConfig, rolloutConfig, err := operatorForms(s.operatorText(i, false))
+	fleetConfig, rolloutConfig, err := operatorForms(s.operatorText(i))
 	if err != nil {
 		return err
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	h.stop = stop
+	ctx := context.Background() // nothing ends a follower but the end of its process
 	clock := monotonic.NewClock()
-	limiter := limits.NewDescriptors(limits.SharesOf(instance.MaxDescriptors, deployment.ReservedDescriptors))
-	limits := instance.Settings.Limits
-	var core *front.Core
-	post := func(e front.Event) { core.Post(h.recordArrival(e)) }
-	deliver := func(e front.Event) { h.agent.Prober.OnFrontEvent(e) }
-	pools := upstream.NewPools(upstream.Options{Post: deliver, Limiter: limiter, User: databaseUser, Database: databaseName,
-		DialTimeout: limits.DialTimeout, IdleTimeout: limits.IdleConnTimeout, MemoryBytes: instance.MemoryBytes})
-	watcher := discovery.NewWatcher(ctx, discovery.NewClient(instance.Discovery, instance.CachedList.Index), func(u discovery.Update) { deliver(front.EndpointsChanged{Kind: u.Kind, List: u.List}) },
-		discovery.NewJitter(instance.Seed))
-	if h.agent, err = agent.New(agent.Config{Fleet: fleetConfig, Rollout: rolloutConfig}, instance, watcher, "hollow"); err != nil {
+	deliver := func(e front.Event) { f.agent.Prober.OnFrontEvent(e) }
+	pools := newPools(instance, deliver)
+	watcher := discovery.NewWatcher(ctx, discovery.NewClient(instance.Discovery, instance.CachedList.Index),
+		func(u discovery.Update) { deliver(front.EndpointsChanged{Kind: u.Kind, List: u.List}) }, discovery.NewJitter(instance.Seed))
+	if f.agent, err = agent.New(agent.Config{Fleet: fleetConfig, Rollout: rolloutConfig}, instance, watcher, "hollow"); err != nil {
 		return err
 	}
-	h.agent.Clock, h.agent.StartedAt, h.agent.Post = clock.Now, clock.StartedAt, post
-	h.agent.Prober.Pools, h.agent.Prober.Post = pools, post
+	var core *front.Core
+	post := func(e front.Event) { core.Post(f.recordArrival(e)) }
+	f.agent.Clock, f.agent.StartedAt, f.agent.Post = clock.Now, clock.StartedAt, post
+	f.agent.Prober.Pools, f.agent.Prober.Post = pools, post
 	core = front.NewCore(front.Options{StartedAt: clock.StartedAt, Seed: instance.Seed, Settings: instance.Settings,
-		NewRouter: router.New, Pools: h.agent.Prober, Endpoints: watcher})
-	core.JoinFleet(h.agent.CoreHooks())
+		NewRouter: router.New, Pools: f.agent.Prober, Endpoints: watcher})
+	core.JoinFleet(f.agent.CoreHooks())
 	deliver(front.EndpointsChanged{Kind: routing.CachedSnapshot, List: instance.CachedList})
 	go core.Run(clock, ctx.Done())
-	if err := h.agent.Start(); err != nil {
+	if err := f.agent.Start(); err != nil {
 		return err
 	}
 	watcher.Follow()
 	return nil
 }
 
-// recordArrival takes down when a list or a configuration reaches the core, on its way there.
-func (h *simulatedFollower) recordArrival(e front.Event) front.Event {
+// newPools makes an instance's connection pools; post receives their events.
+func newPools(instance *deployment.Instance, post func(front.Event)) *upstream.Pools {
+	limiter := limits.NewDescriptors(limits.SharesOf(instance.MaxDescriptors, deployment.ReservedDescriptors))
+	l := instance.Settings.Limits
+	return upstream.NewPools(upstream.Options{Post: post, Limiter: limiter, User: databaseUser, Database: databaseName,
+		DialTimeout: l.DialTimeout, IdleTimeout: l.IdleConnTimeout, MemoryBytes: instance.MemoryBytes})
+}
+
+// recordArrival records when a list reaches the core or a configuration is adopted, and returns the event to be posted.
+func (f *simulatedFollower) recordArrival(e front.Event) front.Event {
 	switch e := e.(type) {
 	case front.EndpointsChanged:
 		if e.Kind == routing.Snapshot || e.Kind == routing.Delta {
-			h.mu.Lock()
-			if _, ok := h.listArrivals[e.List.Index]; !ok {
-				h.listArrivals[e.List.Index] = time.Now().UnixMicro()
-			}
-			h.mu.Unlock()
+			f.recordList(e.List.Index)
 		}
 	case front.AdoptConfig:
-		done := e.OnAdopted
+		onAdopted := e.OnAdopted
 		e.OnAdopted = func(at time.Duration) {
-			h.mu.Lock()
-			h.versionArrivals[e.Version] = time.Now().UnixMicro()
-			h.mu.Unlock()
-			if done != nil {
-				done(at)
+			f.recordVersion(e.Version)
+			if onAdopted != nil {
+				onAdopted(at)
 			}
 		}
 		return e
@@ -114,11 +110,27 @@
 	return e
 }
 
-// listArrival and versionAt give when it came, 0 for not yet. A later list says all that an earlier one did.
-func (h *simulatedFollower) listArrival(index int64) (at int64) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for i, t := range h.listArrivals {
+// recordList keeps the first time of a list.
+func (f *simulatedFollower) recordList(index int64) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if _, ok := f.listArrivals[index]; !ok {
+		f.listArrivals[index] = time.Now().UnixMicro()
+	}
+}
+
+func (f *simulatedFollower) recordVersion(version uint64) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.versionArrivals[version] = time.Now().UnixMicro()
+}
+
+// listArrival returns when a list or a later one arrived, in Unix microseconds, 0 for not yet: a later list contains the changes
+// of an earlier one.
+func (f *simulatedFollower) listArrival(index int64) (at int64) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for i, t := range f.listArrivals {
 		if i >= index && (at == 0 || t < at) {
 			at = t
 		}
@@ -126,8 +138,9 @@
 	return at
 }
 
-func (h *simulatedFollower) versionArrival(version uint64) int64 {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.versionArrivals[version]
+// versionArrival returns when a configuration was adopted, in Unix microseconds, 0 for not yet.
+func (f *simulatedFollower) versionArrival(version uint64) int64 {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.versionArrivals[version]
 }
--- a/lab/capacity/size_test.go
+++ b/lab/capacity/size_test.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 	"os"
-	"path/filepath"
+	"strconv"
 	"testing"
 	"time"
 
@@ -16,11 +16,11 @@
 		LeaseDuration: 3 * time.Second}
 }
 
-func TestSizesThatMakeNoSenseOrDoNotFitAreRefusedWithWhatWould(t *testing.T) {
+func TestCheckRejectsInvalidAndOversizedRuns(t *testing.T) {
 	machine := Machine{Memory: 24 << 30, Descriptors: 20_000}
 	assert.NoError(t, smallSize(12).Check(machine))
 	full := Size{Fronts: 540, SimulatedPerProcess: 48, Databases: 650, Zones: 8, ChangesPerHour: 50, Duration: time.Minute, LeaseDuration: 3 * time.Second}
-	assert.NoError(t, full.Check(machine), "the size that is designed for fits such a machine")
+	assert.NoError(t, full.Check(machine), "the size of the design fits such a machine")
 	for name, x := range map[string]struct {
 		change  func(*Size)
 		machine Machine
@@ -48,18 +48,18 @@
 	}
 }
 
-func TestWhatWouldFitFits(t *testing.T) {
+func TestSuggestedSizeFits(t *testing.T) {
 	s := smallSize(12)
 	s.Fronts, s.SimulatedPerProcess, s.Databases = 540, 48, 650
-	var m Machine
-	for m = (Machine{Memory: 4 << 30, Descriptors: 20_000}); s.Check(m) != nil; s.Fronts-- {
+	m := Machine{Memory: 4 << 30, Descriptors: 20_000}
+	for ; s.Check(m) != nil; s.Fronts-- {
 		require.Greater(t, s.Fronts, realFronts)
 	}
-	assert.Contains(t, Size{Fronts: 540, SimulatedPerProcess: 48, Databases: 650}.largestFit(func(t Size) bool { return t.memory() <= m.Memory/2 }),
-		"--fronts "+itoa(s.Fronts)+" would fit")
+	assert.Contains(t, Size{Fronts: 540, SimulatedPerProcess: 48, Databases: 650}.largestSize(func(t Size) bool { return t.memory() <= m.Memory/2 }),
+		"--fronts "+strconv.Itoa(s.Fronts)+" would fit")
 }
 
-func TestNothingIsStartedOfASizeThatIsRefused(t *testing.T) {
+func TestRejectedSizeStartsNothing(t *testing.T) {
 	dir := t.TempDir()
 	s := smallSize(12)
 	s.SimulatedPerProcess = 0
@@ -73,7 +73,7 @@
 	assert.Empty(t, left)
 }
 
-func TestFrontsThatAreCutOffHaveAProcessOfTheirOwn(t *testing.T) {
+func TestPausedFollowersHaveTheirOwnProcess(t *testing.T) {
 	s := Size{Fronts: 100, SimulatedPerProcess: 30, PausedOneIn: 20}
 	var sizes []int
 	next := realFronts
@@ -85,54 +85,3 @@
 	assert.Equal(t, []int{30, 30, 27, 5}, sizes)
 	assert.Equal(t, s.Fronts, next)
 }
-
-func TestTheWitnessTellsEndsOfRolloutsApart(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "history")
-	write := func(text string) {
-		f, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
-		require.NoError(t, err)
-		_, err = f.WriteString(text)
-		require.NoError(t, err)
-		require.NoError(t, f.Close())
-	}
-	w := &historyReader{path: path}
-	steady := func(version uint64) int64 {
-		at, err := w.finished(version)
-		require.NoError(t, err)
-		return at
-	}
-	write(`{"at":5,"what":"turned","term":1,"name":"rolling"}` + "\n" + `{"at":9,"what":"turned","name":"steady","num`)
-	assert.Zero(t, steady(1), "half a line says nothing yet")
-	write(`ber":1}` + "\n" + `{"at":11,"what":"came","duty":"list"}` + "\n")
-	assert.Equal(t, int64(9), steady(1))
-	write(`{"at":12,"what":"turned","number":1,"term":2,"name":"rolling"}` + "\n" +
-		`{"at":13,"what":"turned","number":1,"term":2,"name":"going back","why":"n7 can't use it"}` + "\n")
-	assert.Zero(t, steady(2))
-	write(`{"at":14,"what":"turned","number":1,"name":"steady"}` + "\n")
-	assert.Equal(t, int64(rolledBack), steady(2), "an end, but not in force")
-	assert.Equal(t, "n7 can't use it", w.rollbackReasons[2])
-	assert.Equal(t, int64(9), steady(1), "the first time stands")
-}
-
-func TestARoleThatChangedHandsIsPartial(t *testing.T) {
-	was := roles{leader: "n1", endpoints: "n4", rollouts: "n5"}
-	assert.Empty(t, roleChanges(was, was))
-	is := roles{leader: "n2", endpoints: "n4", rollouts: "n6"}
-	why := roleChanges(was, is)
-	assert.Equal(t, "the leader was n1 and is n2", why[RoleLeader])
-	assert.Contains(t, why, RoleVoter)
-	assert.NotContains(t, why, RoleEndpointsLeaseholder)
-	assert.Equal(t, "the lease was n5's and is n6's", why[RoleRolloutsLeaseholder])
-	assert.Equal(t, noRole, is.of(historyOrdinal), "it keeps a history, and counts in no role")
-}
-
-func TestAProcessWithoutAFirstSampleIsNotCountedAsZero(t *testing.T) {
-	before := []sample{{process: "hollow-1", real: -1, role: RoleSimulatedFollower, Counters: Counters{SampledAt: 1e6, Fronts: 4, Sent: 10}}}
-	after := []sample{
-		{process: "hollow-1", real: -1, role: RoleSimulatedFollower, Counters: Counters{SampledAt: 3e6, Fronts: 4, Sent: 90}},
-		{process: "hollow-2", real: -1, role: RoleSimulatedFollower, Counters: Counters{SampledAt: 3e6, Fronts: 4, Sent: 500}}}
-	s := usageBetween(before, after, roles{})[RoleSimulatedFollower]
-	assert.Equal(t, 4, s.fronts)
-	assert.Equal(t, 80.0, s.sent)
-	assert.Equal(t, 8.0, s.frontSeconds, "two seconds of four fronts")
-}
--- a/lab/capacity/startup.go
+++ b/lab/capacity/startup.go
@@ -14,11 +14,14 @@
 	"dapplerouter/fleet/rollout"
 )
 
-// reserveNetwork finds loopback numbers that no other run has.
+// networkAttempts is how many loopback networks are tried; the first depends on the process id.
+const networkAttempts = 200
+
+// reserveNetwork finds a loopback network that no other run uses.
 func (b *testbed) reserveNetwork() (err error) {
-	for i := range 200 {
-		network := fmt.Sprintf("127.%d", 20+(os.Getpid()+i)%200)
-		if b.guard, err = net.Listen("tcp", network+".0.254:7500"); err == nil {
+	for i := range networkAttempts {
+		network := fmt.Sprintf("127.%d", 20+(os.Getpid()+i)%networkAttempts)
+		if b.guard, err = net.Listen("tcp", fmt.Sprintf("%s.0.254:%d", network, meshPort)); err == nil {
 			b.settings.Network = network
 			return nil
 		}
@@ -26,9 +29,12 @@
 	return fmt.Errorf("no loopback network is free: %w", err)
 }
 
+// start starts all processes, waits until the fleet has converged, emits what that cost, and gives the leases to the fronts that
+// are measured as their leaseholders.
 func (b *testbed) start(ctx context.Context) error {
 	o := b.options
-	b.settings = RunSettings{Dir: o.Dir, Fronts: o.Fronts, Zones: o.Zones, LeaseDuration: o.LeaseDuration, ConfigLeaseDuration: configLeaseFactor * o.LeaseDuration}
+	b.settings = RunSettings{Dir: o.Dir, Fronts: o.Fronts, Zones: o.Zones, LeaseDuration: o.LeaseDuration,
+		ConfigLeaseDuration: configLeaseFactor * o.LeaseDuration}
 	if err := b.reserveNetwork(); err != nil {
 		return err
 	}
@@ -54,25 +60,26 @@
 	return b.waitConverged(ctx)
 }
 
-// emitStart emits what the start of the fleet cost, be it that it did not settle.
-func (b *testbed) emitStart(unsettled error) error {
+// emitStart emits what the start of the fleet cost, also where it failed to converge with an error, which is returned.
+func (b *testbed) emitStart(failed error) error {
 	after, err := b.sample()
 	if err != nil {
-		return errors.Join(unsettled, err)
+		return errors.Join(failed, err)
 	}
-	is, err := b.pollRoles()
+	current, err := b.pollRoles()
 	if err != nil {
-		return errors.Join(unsettled, err)
+		return errors.Join(failed, err)
 	}
 	before := make([]sample, len(after))
 	for i, s := range after {
 		before[i] = sample{process: s.process, Counters: Counters{SampledAt: b.startedAt.UnixMicro()}}
 	}
-	records := b.results.startRecords(b.options.Size, usageBetween(before, after, is), time.Since(b.startedAt), unsettled)
-	return errors.Join(unsettled, b.emit(records))
+	records := startRecords(b.options.Size, startResult{
+		usage: usageBetween(before, after, current), took: time.Since(b.startedAt), failed: failed})
+	return errors.Join(failed, b.emit(records))
 }
 
-// startServers starts the fake databases and discovery.
+// startServers starts the fake databases and the fake discovery server, which lists them.
 func (b *testbed) startServers() (err error) {
 	if b.databases, err = b.startWorker(DatabaseWorker, "databases"); err != nil {
 		return err
@@ -91,7 +98,7 @@
 
 func (b *testbed) startWorker(kind, name string) (*process, error) {
 	folder, _, _ := strings.Cut(name, " ") // of "hollow-2 (n57 to n104)"
-	return startProcess(name, filepath.Join(b.options.Dir, folder), b.options.Worker(kind), nil, true)
+	return startProcess(child{name: name, dir: filepath.Join(b.options.Dir, folder), command: b.options.Worker(kind), worker: true})
 }
 
 // startReal starts a process of the program.
@@ -104,18 +111,19 @@
 	if err := os.WriteFile(configFile, []byte(b.settings.configText(i)), 0o600); err != nil {
 		return err
 	}
-	if err := os.WriteFile(operatorFile, []byte(b.settings.operatorText(i, true)), 0o600); err != nil {
+	if err := os.WriteFile(operatorFile, []byte(b.settings.operatorText(i)), 0o600); err != nil {
 		return err
 	}
-	env := []string{"EDGE_CONFIG=" + configFile, "DAPPLEROUTER_FILE=" + operatorFile}
-	p, err := startProcess("real front "+frontName(i), dir, []string{b.options.Program, "serve"}, env, false)
-	if err == nil {
-		b.real = append(b.real, p)
+	p, err := startProcess(child{name: "real front " + frontName(i), dir: dir, command: []string{b.options.Program, "serve"},
+		env: []string{"EDGE_CONFIG=" + configFile, "DAPPLEROUTER_FILE=" + operatorFile}})
+	if err != nil {
+		return err
 	}
-	return err
+	b.real = append(b.real, p)
+	return nil
 }
 
-// startSimulated starts the hollow processes, one after the other: what a start of all at once costs is no part of a run.
+// startSimulated starts the hosts of simulated followers one after the other: what a start of all at once costs is not measured.
 func (b *testbed) startSimulated(ctx context.Context) error {
 	for k, ordinals := range b.options.ordinalsByProcess() {
 		if ctx.Err() != nil {
@@ -130,7 +138,7 @@
 		if _, err := p.call(Request{Operation: opStart, Settings: &b.settings, Ordinals: ordinals}); err != nil {
 			return err
 		}
-		b.options.Progress("%d of %d fronts are started", ordinals[len(ordinals)-1]+1, b.options.Fronts)
+		b.options.Progress("%d of %d fronts started", ordinals[len(ordinals)-1]+1, b.options.Fronts)
 	}
 	if b.options.PausedOneIn > 0 {
 		b.paused = b.simulated[len(b.simulated)-1]
--- a/lab/capacity/wake_latency.go
+++ b/lab/capacity/wake_latency.go
@@ -8,32 +8,33 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// latenessInterval is how often the supervisor looks how late it is woken.
-const latenessInterval = 10 * time.Millisecond
+// wakeInterval is how often wakeLatency takes a sample.
+const wakeInterval = 10 * time.Millisecond
 
-// wakeLatency is how late the machine wakes a goroutine that sleeps: what other work on the machine does to every time of a run.
+// wakeLatency measures how late the machine wakes a goroutine that sleeps: other work on the machine delays every time of a run
+// by as much.
 type wakeLatency struct {
-	mu    sync.Mutex
+	mu    sync.Mutex // guards times
 	times *hdrhistogram.Histogram
 }
 
-// run goes on until ctx ends; take comes before it.
+// run takes samples until ctx is done. Call swap before it.
 func (l *wakeLatency) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		due := time.Now().Add(latenessInterval)
-		time.Sleep(latenessInterval)
+		due := time.Now().Add(wakeInterval)
+		time.Sleep(wakeInterval)
 		late := max(1, time.Since(due).Microseconds())
 		l.mu.Lock()
-		l.times.RecordValue(min(late, maxTime))
+		recordTime(l.times, min(late, maxTime))
 		l.mu.Unlock()
 	}
 }
 
-// swap gives the times since the last call.
+// swap returns the times since the last call, nil for the first one.
 func (l *wakeLatency) swap() *hdrhistogram.Histogram {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	was := l.times
-	l.times = newTimes()
-	return was
+	previous := l.times
+	l.times = newHistogram()
+	return previous
 }
--- a/lab/capacity/worker.go
+++ b/lab/capacity/worker.go
@@ -3,23 +3,27 @@
 import (
 	"bufio"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
 	"os"
 	"runtime"
 	"time"
+
+	"dapplerouter/fleet/agent"
 )
 
-// workerCores is how many processors a process of hollow fronts may use at once.
+// workerCores is how many processors a worker process may use at once.
 const workerCores = 2
 
-// worker answers requests of one kind.
+// worker carries out requests of one kind, one at a time.
 type worker interface {
 	serve(q Request) (Reply, error)
 }
 
-// Work is a worker process: it answers requests until its input ends, which it does with whoever started it.
+// Work runs a worker process: it answers requests until its input ends, which it does when the supervisor does. The error is
+// ErrUnknownWorker, or a broken pipe.
 func Work(kind string, in io.Reader, out io.Writer) error {
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError})))
 	runtime.GOMAXPROCS(workerCores)
@@ -32,27 +36,27 @@
 	case DatabaseWorker:
 		w = &databaseHost{}
 	default:
-		return fmt.Errorf("no worker is called %q", kind)
+		return fmt.Errorf("%w: %q", ErrUnknownWorker, kind)
 	}
-	questions, answers := json.NewDecoder(bufio.NewReader(in)), json.NewEncoder(out)
+	requests, replies := json.NewDecoder(bufio.NewReader(in)), json.NewEncoder(out)
 	for {
 		var q Request
-		if err := questions.Decode(&q); err == io.EOF {
+		if err := requests.Decode(&q); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
-			return fmt.Errorf("a request that can't be read: %w", err)
+			return fmt.Errorf("decode request: %w", err)
 		}
 		r, err := w.serve(q)
 		if err != nil {
 			r = Reply{Error: err.Error()}
 		}
-		if err := answers.Encode(r); err != nil {
-			return err
+		if err := replies.Encode(r); err != nil {
+			return fmt.Errorf("encode reply: %w", err)
 		}
 	}
 }
 
-// ownCounters are those of this process, without its fronts'.
+// ownCounters returns those of this process, without its fronts'.
 func ownCounters() (c Counters, err error) {
 	cpu, err := cpuTime()
 	if err != nil {
@@ -62,63 +66,66 @@
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	c.HeapBytes = int64(m.HeapInuse)
-	c.ResidentBytes, err = resident(os.Getpid())
+	c.ResidentBytes, err = residentMemory(os.Getpid())
 	return c, err
 }
 
-// followerHost is a worker that holds hollow fronts.
+// followerHost is a worker that hosts simulated followers.
 type followerHost struct{ followers []*simulatedFollower }
 
 func (w *followerHost) serve(q Request) (r Reply, err error) {
 	switch q.Operation {
 	case opStart:
-		for _, i := range q.Ordinals {
-			h, err := startSimulatedFollower(q.Settings, i)
-			if err != nil {
-				return r, err
-			}
-			w.followers = append(w.followers, h)
-		}
+		err = w.start(q.Settings, q.Ordinals)
 	case opCounters:
 		r.Counters, err = w.counters()
 	case opArrivals:
-		for _, h := range w.followers {
-			at := int64(0)
+		for _, f := range w.followers {
 			if q.Version != 0 {
-				at = h.versionArrival(q.Version)
+				r.Arrivals = append(r.Arrivals, f.versionArrival(q.Version))
 			} else {
-				at = h.listArrival(q.Index)
+				r.Arrivals = append(r.Arrivals, f.listArrival(q.Index))
 			}
-			r.Arrivals = append(r.Arrivals, at)
 		}
 	default:
-		err = fmt.Errorf("hollow fronts don't do %q", q.Operation)
+		err = fmt.Errorf("simulated followers: %w: %q", ErrUnknownOperation, q.Operation)
 	}
 	return r, err
 }
 
-// counters adds up the fronts'.
+func (w *followerHost) start(s *RunSettings, ordinals []int) error {
+	for _, i := range ordinals {
+		f, err := startSimulatedFollower(s, i)
+		if err != nil {
+			return err
+		}
+		w.followers = append(w.followers, f)
+	}
+	return nil
+}
+
+// counters adds up the followers'.
 func (w *followerHost) counters() (c Counters, err error) {
 	if c, err = ownCounters(); err != nil {
 		return c, err
 	}
 	c.Fronts = len(w.followers)
-	for i, h := range w.followers {
-		x := h.agent.Counters()
-		c.Links += x.Links
-		c.Sent += x.Sent
-		c.Received += x.Received
-		c.SentBytes += x.SentBytes
-		c.ReceivedBytes += x.ReceivedBytes
-		c.Shed += x.Shed
-		c.Dials += x.Dials
-		c.addKinds(x.Kinds)
-		if x.FollowsFleet {
+	for i, f := range w.followers {
+		of := f.agent.Counters()
+		c.addMesh(meshCounters(of))
+		c.addKinds(of.Kinds)
+		if of.FollowsFleet {
 			c.UsingSharedList++
 		}
-		if i == 0 || x.ListIndex < c.MinListIndex {
-			c.MinListIndex = x.ListIndex
+		if i == 0 || of.ListIndex < c.MinListIndex {
+			c.MinListIndex = of.ListIndex
 		}
 	}
 	return c, nil
 }
+
+// meshCounters returns the part of a front's own counters that is its mesh's.
+func meshCounters(of agent.Counters) MeshCounters {
+	return MeshCounters{Links: of.Links, Sent: of.Sent, Received: of.Received, SentBytes: of.SentBytes, ReceivedBytes: of.ReceivedBytes,
+		Shed: of.Shed, Dials: of.Dials}
+}
