--- a/cmd/routertest/capacity.go
+++ b/cmd/routertest/capacity.go
@@ -90,16 +90,16 @@
 
 // ended tells what became of a run, and gives the exit code.
 func (c *capacityCall) ended(err error, dir string, remove func()) int {
-	var refusal capacity.SizeError
-	var death *capacity.ProcessExitError
+	var sizeError capacity.SizeError
+	var exited *capacity.ProcessExitError
 	switch {
 	case err == nil:
 		remove()
 		return exitDone
-	case errors.As(err, &refusal):
+	case errors.As(err, &sizeError):
 		remove()
 		return faults(err)
-	case errors.As(err, &death):
+	case errors.As(err, &exited):
 		fmt.Fprintf(os.Stderr, "routertest: %v\n", err)
 		fmt.Fprintf(os.Stderr, "logs: %s\n", dir)
 		return exitNegative
