--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -104,6 +104,84 @@
 	return false
 }
 
+// servicePackages run in service; their log messages are for the operators.
+var servicePackages = []string{"cmd/dapplerouter", "server", "upstream", "discovery", "front", "gateway", "gateway/link", "fleet",
+	"fleet/agent", "fleet/mesh", "fleet/disk", "fleet/rollout", "fleet/audit", "framing", "adminapi", "deployment", "config", "router"}
+
+// TestLogMessagesAreOnTheOperatorsPages checks that each constant message that is logged as Info or above in service stands, whole, in
+// a code span of the pages for operators.
+func TestLogMessagesAreOnTheOperatorsPages(t *testing.T) {
+	pages, err := filepath.Glob("operate/*.md")
+	require.NoError(t, err)
+	documented := map[string]bool{}
+	for _, page := range append(pages, "oncall.md") {
+		text, err := os.ReadFile(page)
+		require.NoError(t, err)
+		for _, match := range codeSpan.FindAllStringSubmatch(string(text), -1) {
+			documented[match[1]] = true
+		}
+	}
+	checked := 0
+	for _, folder := range servicePackages {
+		eachGoFile(t, filepath.Join(root, folder), func(path string, file *ast.File) {
+			if strings.HasSuffix(path, "_test.go") || filepath.Dir(path) != filepath.Join(root, folder) {
+				return
+			}
+			for _, message := range logMessages(file) {
+				assert.True(t, documented[message], "%s: %q is on no page for operators", path, message)
+				checked++
+			}
+		})
+	}
+	require.Greater(t, checked, 60, "log messages found")
+}
+
+// logMessages returns the constant messages of the calls of slog.Info, Warn and Error in a file, and of their forms with a context.
+func logMessages(file *ast.File) (messages []string) {
+	ast.Inspect(file, func(n ast.Node) bool {
+		call, ok := n.(*ast.CallExpr)
+		if !ok {
+			return true
+		}
+		function, ok := call.Fun.(*ast.SelectorExpr)
+		if !ok {
+			return true
+		}
+		if from, ok := function.X.(*ast.Ident); !ok || from.Name != "slog" {
+			return true
+		}
+		argument := 0
+		switch function.Sel.Name {
+		case "Info", "Warn", "Error":
+		case "InfoContext", "WarnContext", "ErrorContext":
+			argument = 1
+		default:
+			return true
+		}
+		if message, ok := constantText(call.Args[argument]); ok {
+			messages = append(messages, message)
+		}
+		return true
+	})
+	return messages
+}
+
+// constantText returns the text of a string literal, or of literals that are joined.
+func constantText(x ast.Expr) (text string, ok bool) {
+	switch x := x.(type) {
+	case *ast.BasicLit:
+		text, err := strconv.Unquote(x.Value)
+		return text, err == nil && x.Kind == token.STRING
+	case *ast.BinaryExpr:
+		left, constantLeft := constantText(x.X)
+		right, constantRight := constantText(x.Y)
+		return left + right, constantLeft && constantRight && x.Op == token.ADD
+	case *ast.ParenExpr:
+		return constantText(x.X)
+	}
+	return "", false
+}
+
 // eachGoFile parses the Go files below a folder, but for hidden folders and the journal.
 func eachGoFile(t *testing.T, folder string, call func(path string, file *ast.File)) {
 	t.Helper()
