--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -52,6 +52,35 @@
 	}
 }
 
+// records stay as they were written, with the names of their day.
+var records = map[string]bool{"results.md": true, "brink.md": true}
+
+// TestEveryPageNamesTestsThatExist checks the names of tests in the code spans of all pages but the records.
+func TestEveryPageNamesTestsThatExist(t *testing.T) {
+	tests := testsInTree(t)
+	var pages []string
+	for _, pattern := range []string{"*.md", "operate/*.md", "capacity/*.md"} {
+		found, err := filepath.Glob(pattern)
+		require.NoError(t, err)
+		pages = append(pages, found...)
+	}
+	checked := 0
+	for _, page := range pages {
+		if records[page] {
+			continue
+		}
+		text, err := os.ReadFile(page)
+		require.NoError(t, err)
+		for _, match := range codeSpan.FindAllStringSubmatch(string(text), -1) {
+			if testName.MatchString(match[1]) {
+				tests.check(t, match[1])
+				checked++
+			}
+		}
+	}
+	require.Greater(t, checked, 250, "names of tests found")
+}
+
 // testFunctions are the tests, benchmarks and fuzz targets in the tree, and the string literals in their files, which have the names
 // of subtests.
 type testFunctions struct{ names, literals map[string]bool }
