--- a/deployment/rules_text.go
+++ b/deployment/rules_text.go
@@ -44,8 +44,8 @@
 	return []byte(b.String())
 }
 
-// Meaning returns the digest of what a text says, "" for a text that can't be read.
-func (RulesText) Meaning(text []byte) string {
+// Digest returns the digest of what a text says, "" for a text that can't be read.
+func (RulesText) Digest(text []byte) string {
 	r, err := ParseRules("published", text)
 	if err != nil {
 		return ""
--- a/deployment/rules_text_test.go
+++ b/deployment/rules_text_test.go
@@ -14,7 +14,7 @@
 	require.NoError(t, err)
 	assert.Len(t, rules, 4)
 	joined := text.Join(rules)
-	assert.Equal(t, text.Meaning(original), text.Meaning(joined), string(joined))
+	assert.Equal(t, text.Digest(original), text.Digest(joined), string(joined))
 	again, err := text.Split(joined)
 	require.NoError(t, err)
 	assert.Equal(t, rules, again)
--- a/fleet/rollout/merge.go
+++ b/fleet/rollout/merge.go
@@ -10,7 +10,7 @@
 type RuleSet interface {
 	Split(text []byte) (map[string]string, error) // the text of each rule by its key; an empty text has no rules
 	Join(rules map[string]string) []byte
-	Meaning(text []byte) string // hash of what the rules say, whatever their order and spelling
+	Digest(text []byte) string // hash of what the rules say, whatever their order and spelling
 }
 
 // changesBetween returns the rules that differ, with their text after the change, "" for a rule that is removed.
@@ -88,7 +88,7 @@
 		}
 	}
 	m.action.Text = rules.Join(merged)
-	m.action.RulesHash = rules.Meaning(m.action.Text)
+	m.action.RulesHash = rules.Digest(m.action.Text)
 	if m.count > 0 && m.action.RulesHash == base.hash && base.number > 0 {
 		m.count = 0
 		for i, o := range m.outcomes {
--- a/fleet/rollout/merge_test.go
+++ b/fleet/rollout/merge_test.go
@@ -26,7 +26,7 @@
 	return b
 }
 
-func (jsonRules) Meaning(text []byte) string { return string(text) }
+func (jsonRules) Digest(text []byte) string { return string(text) }
 
 var ruleTexts = rapid.MapOfN(rapid.SampledFrom([]string{"a", "b", "c", "d"}), rapid.SampledFrom([]string{"1", "2", "3"}), 0, 4)
 
@@ -56,7 +56,7 @@
 				}
 			}
 		}
-		m, err := merge(all, jsonRules{}, ruleVersion{base, jsonRules{}.Join(inForce), jsonRules{}.Meaning(jsonRules{}.Join(inForce))})
+		m, err := merge(all, jsonRules{}, ruleVersion{base, jsonRules{}.Join(inForce), jsonRules{}.Digest(jsonRules{}.Join(inForce))})
 		if err != nil {
 			t.Fatal(err)
 		}
