--- a/fleet/rollout/merge.go
+++ b/fleet/rollout/merge.go
@@ -10,7 +10,7 @@
 type RuleSet interface {
 	Split(text []byte) (map[string]string, error) // the text of each rule by its key; an empty text has no rules
 	Join(rules map[string]string) []byte
-	Digest(text []byte) string // hash of what the rules say, whatever their order and spelling
+	Digest(text []byte) string // digest of what the rules say, whatever their order and spelling
 }
 
 // changesBetween returns the rules that differ, with their text after the change, "" for a rule that is removed.
