--- a/cmd/dapplerouter/fleet.go
+++ b/cmd/dapplerouter/fleet.go
@@ -11,12 +11,12 @@
 
 // fleetCommands look at a fleet and change it, by the admin API of one of its fronts; fleet audit reads logs instead.
 type fleetCommands struct {
-	Status   fleetStatusCommand   `cmd:"" help:"Say how the fleet looks from one front."`
-	Leases   fleetLeasesCommand   `cmd:"" help:"Say who holds which lease, in which term."`
+	Status   fleetStatusCommand   `cmd:"" help:"Show the fleet as one front sees it."`
+	Leases   fleetLeasesCommand   `cmd:"" help:"Show who holds which lease, in which term."`
 	Transfer fleetTransferCommand `cmd:"" help:"Transfer a lease to another front."`
-	Publish  fleetPublishCommand  `cmd:"" help:"Bring rules to all fronts, in stages that are watched."`
-	Roll     rolloutCommands      `cmd:"" help:"Look at a version on its way, and turn it."`
-	Audit    auditCommands        `cmd:"" help:"Read which front acted on which version."`
+	Publish  fleetPublishCommand  `cmd:"" help:"Publish rules to all fronts, in stages that are watched."`
+	Roll     rolloutCommands      `cmd:"" help:"Show the rollout in progress, and change it."`
+	Audit    auditCommands        `cmd:"" help:"Read from audit logs which front acted on which version."`
 	Voters   votersCommands       `cmd:"" help:"Add or remove a voter, or recover from the loss of most of them."`
 	ID       fleetIDCommands      `cmd:"" name:"id" help:"Make a fleet's id."`
 
--- a/cmd/dapplerouter/fleet_audit.go
+++ b/cmd/dapplerouter/fleet_audit.go
@@ -15,10 +15,10 @@
 
 // auditCommands read audit logs from folders; they call no front.
 type auditCommands struct {
-	At       auditAtCommand       `cmd:"" help:"Say which front acted on which version at a time."`
-	Request  auditRequestCommand  `cmd:"" aliases:"txn" help:"Say which front took a request, when, and on which version."`
-	Front    auditFrontCommand    `cmd:"" help:"Say what one front acted on, over time."`
-	Versions auditVersionsCommand `cmd:"" help:"Say of each version when it was in use, by how many fronts, and what was served on it."`
+	At       auditAtCommand       `cmd:"" help:"Show which front acted on which version at a time."`
+	Request  auditRequestCommand  `cmd:"" aliases:"txn" help:"Show which front accepted a request, when, and on which version."`
+	Front    auditFrontCommand    `cmd:"" help:"Show the versions that one front acted on, over time."`
+	Versions auditVersionsCommand `cmd:"" help:"Show for each version when it was in use, by how many fronts, and the outcomes of requests on it."`
 	Verify   auditVerifyCommand   `cmd:"" help:"Verify that the logs are complete and consistent."`
 }
 
--- a/cmd/dapplerouter/fleet_rollout.go
+++ b/cmd/dapplerouter/fleet_rollout.go
@@ -8,12 +8,12 @@
 	"dapplerouter/fleet/agent"
 )
 
-// rolloutCommands look at a version on its way, and turn it.
+// rolloutCommands show the rollout in progress, and change it.
 type rolloutCommands struct {
-	Status rolloutStatusCommand `cmd:"" help:"Say which version is in force, which is on its way, and how each front stands."`
-	Back   rolloutBackCommand   `cmd:"" help:"Take the version that is on its way back."`
-	Hold   rolloutHoldCommand   `cmd:"" help:"Let it go no further."`
-	Resume rolloutResumeCommand `cmd:"" help:"Let it go on."`
+	Status rolloutStatusCommand `cmd:"" help:"Show which version is in force, which is being rolled out, and the version of each front."`
+	Back   rolloutBackCommand   `cmd:"" help:"Roll back the version that is being rolled out."`
+	Hold   rolloutHoldCommand   `cmd:"" help:"Pause the rollout."`
+	Resume rolloutResumeCommand `cmd:"" help:"Resume the rollout."`
 }
 
 type rolloutStatusCommand struct{ adminClient }
--- a/cmd/dapplerouter/fleet_voters.go
+++ b/cmd/dapplerouter/fleet_voters.go
@@ -14,8 +14,8 @@
 
 type votersCommands struct {
 	Add     votersAddCommand     `cmd:"" help:"Make a front a voter; it is started with (voter FILE) (joins)."`
-	Remove  votersRemoveCommand  `cmd:"" help:"Make a voter one no more; it is started again without its file."`
-	Recover votersRecoverCommand `cmd:"" help:"Go on from one voter's disk, where most voters have lost theirs."`
+	Remove  votersRemoveCommand  `cmd:"" help:"Remove a voter; its front is started again without its file."`
+	Recover votersRecoverCommand `cmd:"" help:"Recover the voters from one disk, where most voters have lost theirs."`
 }
 
 type votersAddCommand struct {
--- a/cmd/dapplerouter/keys.go
+++ b/cmd/dapplerouter/keys.go
@@ -17,7 +17,7 @@
 type keysCommands struct {
 	New   keysNewCommand   `cmd:"" help:"Make a site's key and certificate, or with --root the operator's own root."`
 	Sign  keysSignCommand  `cmd:"" help:"Sign a site's certificate with the root."`
-	Show  keysShowCommand  `cmd:"" help:"Say what a certificate is for, whose it is and when it ends."`
+	Show  keysShowCommand  `cmd:"" help:"Show what a certificate is for, whose it is and when it expires."`
 	Check keysCheckCommand `cmd:"" help:"Check the keys that an operator's file names."`
 }
 
--- a/cmd/dapplerouter/main.go
+++ b/cmd/dapplerouter/main.go
@@ -26,13 +26,13 @@
 const version = "0.3.0"
 
 type commands struct {
-	Serve    serveCommand    `cmd:"" default:"1" help:"Be a front, configured by EDGE_CONFIG; the default."`
-	Gateway  gatewayCommand  `cmd:"" help:"Be one site's instance of a gateway between two."`
-	Keys     keysCommands    `cmd:"" help:"Make and look at the keys of a gateway's link."`
-	Fleet    fleetCommands   `cmd:"" help:"Look at a fleet of fronts and its leases, and change them."`
+	Serve    serveCommand    `cmd:"" default:"1" help:"Run a front, configured by EDGE_CONFIG; the default."`
+	Gateway  gatewayCommand  `cmd:"" help:"Run one site's instance of a gateway between two."`
+	Keys     keysCommands    `cmd:"" help:"Make and check the keys of a gateway's link."`
+	Fleet    fleetCommands   `cmd:"" help:"Show a fleet of fronts and its leases, and change them."`
 	Check    checkCommand    `cmd:"" help:"Check an operator's file."`
-	Classify classifyCommand `cmd:"" help:"Say of statements what they do, what they may cost and which request type they are."`
-	Version  versionCommand  `cmd:"" help:"Say which version this is."`
+	Classify classifyCommand `cmd:"" help:"Show what statements do, their estimated cost and their request type."`
+	Version  versionCommand  `cmd:"" help:"Show the version."`
 }
 
 // command is a parsed command; run returns the exit code.
