--- a/cmd/routertest/audit.go
+++ b/cmd/routertest/audit.go
@@ -19,25 +19,34 @@
 }
 
 func (c *auditCommand) run() int {
-	logs, err := disk.OpenAuditLogs(c.Dirs...)
+	violated, err := c.writePage()
 	if err != nil {
 		return reportError(err)
 	}
+	fmt.Println(c.Out)
+	if violated {
+		return exitViolation
+	}
+	return exitOK
+}
+
+// writePage writes the page, and reports whether the logs violate an invariant.
+func (c *auditCommand) writePage() (violated bool, err error) {
+	logs, err := disk.OpenAuditLogs(c.Dirs...)
+	if err != nil {
+		return false, err
+	}
 	if len(logs.Names()) == 0 {
-		return reportError(fmt.Errorf("%w in %v", errNoAuditLogs, c.Dirs))
+		return false, fmt.Errorf("%w in %v", errNoAuditLogs, c.Dirs)
 	}
 	fronts, findings := audit.ReadLogs(logs)
 	findings = append(findings, logs.Conflicts...)
-	f, err := os.Create(c.Out)
-	if err == nil {
-		err = errors.Join(report.Audit(f, fronts, findings), f.Close())
-	}
+	page, err := os.Create(c.Out)
 	if err != nil {
-		return reportError(err)
+		return false, err
 	}
-	fmt.Println(c.Out)
-	if slices.ContainsFunc(findings, func(f audit.Finding) bool { return f.Violation }) {
-		return exitViolation
+	if err := errors.Join(report.Audit(page, fronts, findings), page.Close()); err != nil {
+		return false, fmt.Errorf("write %s: %w", c.Out, err)
 	}
-	return exitOK
+	return slices.ContainsFunc(findings, func(f audit.Finding) bool { return f.Violation }), nil
 }
--- a/cmd/routertest/capacity.go
+++ b/cmd/routertest/capacity.go
@@ -92,7 +92,7 @@
 // report writes the error of a run, if any, and gives the exit code. Files of a run that failed stay.
 func (c *capacityCommand) report(err error, dir string, remove func()) int {
 	var sizeError capacity.SizeError
-	var processExit *capacity.ProcessExitError
+	var exited *capacity.ProcessExitError
 	switch {
 	case err == nil:
 		remove()
@@ -100,7 +100,7 @@
 	case errors.As(err, &sizeError):
 		remove()
 		return reportError(err)
-	case errors.As(err, &processExit):
+	case errors.As(err, &exited):
 		fmt.Fprintf(os.Stderr, "routertest: %v\n", err)
 		fmt.Fprintf(os.Stderr, "logs: %s\n", dir)
 		return exitViolation
--- a/lab/processtest/harness.go
+++ b/lab/processtest/harness.go
@@ -114,7 +114,7 @@
 			return err
 		}
 	}
-	return h.waitUntilReady()
+	return h.waitUntilReady(readyLimit)
 }
 
 // playSteps carries the steps out, each at its time, and waits for the end of the script.
--- a/lab/processtest/harness_test.go
+++ b/lab/processtest/harness_test.go
@@ -92,3 +92,15 @@
 	r := h.check(observations{began: time.Now(), unsettled: "nobody holds list"})
 	assert.Len(t, r.Violations, 3)
 }
+
+func TestFrontThatDoesNotListenIsNotReady(t *testing.T) {
+	var ports portBlock
+	require.NoError(t, ports.reserve(2))
+	defer ports.release()
+	addresses, err := ports.take(1)
+	require.NoError(t, err)
+	h := &Harness{Script: &Script{WithoutFleet: true}, fronts: []*Front{{Name: "n1", clientAddress: addresses[0]}}}
+	err = h.waitUntilReady(time.Millisecond)
+	require.ErrorIs(t, err, errNotReady)
+	assert.ErrorContains(t, err, "n1 does not listen")
+}
--- a/lab/processtest/parse.go
+++ b/lab/processtest/parse.go
@@ -11,12 +11,14 @@
 	"dapplerouter/config"
 )
 
-// formName is the form of a script.
-const formName = "process-test"
+// The form of a script, and that of earlier ones.
+const (
+	formName    = "process-test"
+	oldFormName = "rig"
+)
 
 // oldNames are the words of earlier scripts, with those that replace them. They are read as before.
-var oldNames = struct{ form, settings, steps, selectors map[string]string }{
-	form:     map[string]string{"rig": formName},
+var oldNames = struct{ settings, steps, selectors map[string]string }{
 	settings: map[string]string{"keepers": "voters", "members": "servers", "span": "lease-duration", "alone": "without-fleet", "ask": "poll", "versions": "rollouts"},
 	steps: map[string]string{
 		"stop": "pause", "end": "terminate", "cut": "partition", "one-way": "partition-one-way", "apart": "isolate",
@@ -53,8 +55,8 @@
 		return nil, err
 	}
 	d := f.NewDecoder()
-	forms := d.Forms(formName, "rig")
-	form := cmp.Or(forms[formName], forms["rig"])
+	forms := d.Forms(formName, oldFormName)
+	form := cmp.Or(forms[formName], forms[oldFormName])
 	if form == nil {
 		d.Errorf(config.Position{File: name, Line: 1, Column: 1}, "(process-test (fronts 5) ... (at 3s (pause n1 2s)))", "the file has no form %s", formName)
 		return nil, d.Err()
--- a/lab/processtest/parse_test.go
+++ b/lab/processtest/parse_test.go
@@ -50,7 +50,7 @@
 	earlier, earlierText := read("earlier-words.sexp")
 	present, _ := read("present-words.sexp")
 	assert.Equal(t, present, earlier)
-	for _, words := range []map[string]string{oldNames.form, oldNames.settings, oldNames.steps} {
+	for _, words := range []map[string]string{{oldFormName: formName}, oldNames.settings, oldNames.steps} {
 		for word := range words {
 			assert.Contains(t, earlierText, "("+word, "the earlier script lacks a word")
 		}
--- a/lab/processtest/process.go
+++ b/lab/processtest/process.go
@@ -111,11 +111,13 @@
 	return f.cmd.Process.Pid
 }
 
+// readyLimit is how long a fleet may take until it serves, on a loaded machine.
+const readyLimit = 20 * time.Second
+
 var errNotReady = errors.New("the fleet is not ready")
 
 // waitUntilReady waits until every front serves a client and, in a fleet, has settled.
-func (h *Harness) waitUntilReady() error {
-	const limit = 20 * time.Second
+func (h *Harness) waitUntilReady(limit time.Duration) error {
 	for deadline := time.Now().Add(limit); ; time.Sleep(20 * time.Millisecond) {
 		missing := h.notServing()
 		if missing == "" && !h.Script.WithoutFleet {
--- a/lab/processtest/steps.go
+++ b/lab/processtest/steps.go
@@ -81,14 +81,26 @@
 	if n := len(s.Durations); n > 0 {
 		running.lasts = s.Durations[n-1]
 	}
-	if len(running.fronts) > 0 {
-		h.logf(running.fronts[0].Name, "%s %s for %v", s.Kind, frontNames(running.fronts), running.lasts)
-	} else {
-		h.logf("-", "%s %s %v", s.Kind, cmp.Or(s.Lease, strings.Join(s.Arguments, " ")), s.Durations)
-	}
+	h.logStep(running)
 	return stepKinds[s.Kind].run(h, running)
 }
 
+func (h *Harness) logStep(s runningStep) {
+	words := append([]string{s.Kind}, s.Arguments...)
+	about := "-"
+	if len(s.fronts) > 0 {
+		about = s.fronts[0].Name
+		words = append(words, frontNames(s.fronts))
+	}
+	if s.Lease != "" {
+		words = append(words, s.Lease)
+	}
+	for _, d := range s.Durations {
+		words = append(words, d.String())
+	}
+	h.logf(about, "%s", strings.Join(words, " "))
+}
+
 // waitForFront waits up to two lease durations for a front that the selector names, nil for none.
 func (h *Harness) waitForFront(s FrontSelector) *Front {
 	for deadline := time.Now().Add(2 * h.Script.LeaseDuration); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
@@ -392,7 +404,7 @@
 				}
 				var out struct{ Version uint64 }
 				err = adminapi.Call(f.controlSocket(), "POST", "/v1/fleet/roll", q, &out)
-				h.logf("-", "%s %s by %s: %s", s.Kind, strings.Join(s.Arguments, " "), f.Name,
+				h.logf("-", "%s by %s: %s", strings.Join(append([]string{s.Kind}, s.Arguments...), " "), f.Name,
 					cmp.Or(errorText(err), fmt.Sprintf("done, version %d", out.Version)))
 				if err == nil {
 					succeeded(out.Version)
