--- a/lab/capacity/capacity_test.go
+++ b/lab/capacity/capacity_test.go
@@ -42,7 +42,7 @@
 	if testing.Short() {
 		t.Skip("it starts processes")
 	}
-	if raceOn {
+	if raceEnabled {
 		t.Skip("the same processes are started without the race detector")
 	}
 	self, err := os.Executable()
@@ -115,7 +115,9 @@
 	perDatabase := (broadcast(3, PhaseSnapshot, kindBytes) - broadcast(0, PhaseSnapshot, kindBytes)) / float64(sizes[3].Databases-sizes[0].Databases)
 	assert.InDelta(t, 300, perDatabase, 250, "bytes of a snapshot at a front for each database: an entry on each of its links but one")
 	assert.Less(t, broadcast(2, PhaseEntryChange, kindMessages), 3*broadcast(0, PhaseEntryChange, kindMessages), "a front's messages for a change don't grow with fronts")
-	links := func(run int) float64 { return findRecord(t, runs[run], PhaseIdle, RoleSimulatedFollower, "links").Value }
+	links := func(run int) float64 {
+		return findRecord(t, runs[run], PhaseIdle, RoleSimulatedFollower, "links").Value
+	}
 	assert.Less(t, links(2), 2*links(0), "nor do its links")
 }
 
--- a/lab/capacity/front_config.go
+++ b/lab/capacity/front_config.go
@@ -29,7 +29,7 @@
 	meshPort   = 7500
 )
 
-// The limits of a front.
+// The resource limits of a front.
 const (
 	frontCores    = 1.0
 	frontMemoryMB = 32
@@ -60,8 +60,8 @@
 
 // The transaction classes that the rules of a published configuration name.
 const (
-	browseType = "browse"
-	bookType   = "book"
+	browseClass = "browse"
+	bookClass   = "book"
 )
 
 // instanceConfigFormat is the instance configuration; configText fills it in.
@@ -90,7 +90,7 @@
 		panic("marshal zone names: " + err.Error()) // strings always encode
 	}
 	return fmt.Sprintf(instanceConfigFormat, frontName(i), s.host(i), clientPort, s.Discovery, uint64(i)*seedFactor+1, frontCores, frontMemoryMB,
-		names, zoneName(i%s.Zones), s.Fronts, i, browseType, bookType)
+		names, zoneName(i%s.Zones), s.Fronts, i, browseClass, bookClass)
 }
 
 // operatorText returns a front's operator's file: its part in the fleet and in rollouts. Voters keep their state on disk, real
@@ -129,5 +129,5 @@
 
 // rulesText returns the text of a configuration; each differs in meaning from the one before.
 func rulesText(n int) string {
-	return fmt.Sprintf("(rules (window %s %dms))", bookType, 1000+n%2*500)
+	return fmt.Sprintf("(rules (window %s %dms))", bookClass, 1000+n%2*500)
 }
--- a/lab/capacity/norace_test.go
+++ b/lab/capacity/norace_test.go
@@ -2,4 +2,4 @@
 
 package capacity
 
-const raceOn = false
+const raceEnabled = false
--- a/lab/capacity/process.go
+++ b/lab/capacity/process.go
@@ -23,7 +23,7 @@
 
 // process is a child of this one.
 type process struct {
-	name    string // with what it holds: "hollow-2 (n57 to n104)"
+	name    string // with the fronts that it hosts: "hollow-2 (n57 to n104)"
 	cmd     *exec.Cmd
 	logPath string
 	ended   chan struct{} // closed once it has ended
--- a/lab/capacity/race_test.go
+++ b/lab/capacity/race_test.go
@@ -2,4 +2,4 @@
 
 package capacity
 
-const raceOn = true
+const raceEnabled = true
--- a/lab/capacity/record.go
+++ b/lab/capacity/record.go
@@ -143,7 +143,7 @@
 
 func nowMicros() int64 { return time.Now().UnixMicro() }
 
-// rounded keeps five figures, more than a run is exact to.
+// rounded returns a value with five significant figures, more than a run is exact to.
 func rounded(x float64) float64 {
 	y, err := strconv.ParseFloat(strconv.FormatFloat(x, 'g', 5, 64), 64)
 	if err != nil {
