--- a/lab/capacity/discovery.go
+++ b/lab/capacity/discovery.go
@@ -158,6 +158,7 @@
 	server *discoveryServer
 }
 
+// Accept wraps the next connection.
 func (l *countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -166,17 +167,20 @@
 	return &countingConn{c, l.server}, nil
 }
 
+// countingConn counts its bytes at the server.
 type countingConn struct {
 	net.Conn
 	server *discoveryServer
 }
 
+// Read counts the bytes that were received.
 func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.server.received.Add(uint64(n))
 	return n, err
 }
 
+// Write counts the bytes that were sent.
 func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.server.sent.Add(uint64(n))
