--- a/lab/capacity/capacity_test.go
+++ b/lab/capacity/capacity_test.go
@@ -42,7 +42,7 @@
 	if testing.Short() {
 		t.Skip("it starts processes")
 	}
-	if raceOn {
+	if raceEnabled {
 		t.Skip("the same processes are started without the race detector")
 	}
 	self, err := os.Executable()
