--- a/cmd/dapplerouter/classification_test.go
+++ b/cmd/dapplerouter/classification_test.go
@@ -34,8 +34,8 @@
 		require.NoError(t, err, l.SQL)
 	}
 	atPrimary, atReplicas := 0, 0
-	for _, m := range g.Members {
-		for _, s := range m.Seen() {
+	for _, m := range g.Servers {
+		for _, s := range m.Statements() {
 			if s.Primary {
 				atPrimary++
 				continue
@@ -53,7 +53,7 @@
 func TestWriteUnderReadTypeRunsOnceAtPrimary(t *testing.T) {
 	g := startGroup(t, 3)
 	c := dial(t, startFront(t, g, operatorFile))
-	g.Members[0].Break(func(n int, sql string) fakeserver.Fault {
+	g.Servers[0].SetFault(func(n int, sql string) fakeserver.Fault {
 		return fakeserver.Fault{BreakAfter: strings.Contains(sql, "id=lost")}
 	})
 	for i := range 20 {
@@ -65,8 +65,8 @@
 	require.NoError(t, err)
 	assert.Equal(t, "40000", a.Code, "it may have run, and nothing tells: rolled back for the client, not sent again")
 	seen := 0
-	for i, m := range g.Members {
-		for _, s := range m.Seen() {
+	for i, m := range g.Servers {
+		for _, s := range m.Statements() {
 			assert.Zero(t, i, "at %s: %s", m.Name, s.SQL)
 			if s.ID == "lost" {
 				seen++
@@ -74,7 +74,7 @@
 		}
 	}
 	assert.Equal(t, 1, seen)
-	assert.Equal(t, 1, g.Succeeded("lost"))
+	assert.Equal(t, 1, g.ExecutionCount("lost"))
 }
 
 func TestSimpleStatementsAreServedWithAllRows(t *testing.T) {
@@ -109,8 +109,8 @@
 		assert.Equal(t, bad.code, a.Code, bad.sql)
 		assert.Contains(t, a.Message, bad.what)
 	}
-	for _, m := range g.Members {
-		for _, s := range m.Seen() {
+	for _, m := range g.Servers {
+		for _, s := range m.Statements() {
 			assert.NotEqual(t, "bad", s.ID, s.SQL)
 		}
 	}
@@ -119,15 +119,15 @@
 func TestStatementErrorIsForwardedWithoutRetry(t *testing.T) {
 	g := startGroup(t, 1)
 	c := dial(t, startFront(t, g, operatorFile))
-	g.Members[0].Break(func(_ int, sql string) fakeserver.Fault {
+	g.Servers[0].SetFault(func(_ int, sql string) fakeserver.Fault {
 		switch {
 		case strings.Contains(sql, "id=twice"):
 			return fakeserver.Fault{Code: "23505"}
 		case strings.Contains(sql, "id=open"): // a transaction is left open
 			raw := []byte("C\x00\x00\x00\x0bINSERT\x00Z\x00\x00\x00\x05T")
-			return fakeserver.Fault{Raw: raw}
+			return fakeserver.Fault{RawResponse: raw}
 		case strings.Contains(sql, "id=copy"):
-			return fakeserver.Fault{Raw: []byte("H\x00\x00\x00\x07\x00\x00\x00Z\x00\x00\x00\x05I")}
+			return fakeserver.Fault{RawResponse: []byte("H\x00\x00\x00\x07\x00\x00\x00Z\x00\x00\x00\x05I")}
 		}
 		return fakeserver.Fault{}
 	})
@@ -145,14 +145,14 @@
 	require.NoError(t, err)
 	assert.Len(t, a.Rows, 1)
 	times := map[string]int{}
-	for _, s := range g.Members[0].Seen() {
+	for _, s := range g.Servers[0].Statements() {
 		times[s.ID]++
 	}
 	assert.Equal(t, []int{1, 1, 1}, []int{times["twice"], times["open"], times["after"]}, "none was sent again")
 }
 
 func TestResultOverMemoryLimitFailsOnlyItsRequest(t *testing.T) {
-	g, err := fakeserver.Start(fakeserver.Restaurants(20, 60, 40_000), 2, 4, 0, 0)
+	g, err := fakeserver.Start(fakeserver.NewBookingData(20, 60, 40_000), 2, 4, 0, 0)
 	require.NoError(t, err)
 	t.Cleanup(g.Close)
 	c := dial(t, startFront(t, g, operatorFile))
@@ -163,8 +163,8 @@
 	require.NoError(t, err)
 	assert.Len(t, a.Rows, 3)
 	seen := 0
-	for _, m := range g.Members {
-		seen += len(m.Seen())
+	for _, m := range g.Servers {
+		seen += len(m.Statements())
 	}
 	assert.Equal(t, 2, seen, "another member would have answered as much")
 }
--- a/cmd/dapplerouter/deadlines_test.go
+++ b/cmd/dapplerouter/deadlines_test.go
@@ -34,7 +34,7 @@
 }
 
 // excess is by how much the deadline in a statement exceeds what its client has left.
-func (s sentRequest) excess(t *testing.T, seen fakeserver.Seen) time.Duration {
+func (s sentRequest) excess(t *testing.T, seen fakeserver.Statement) time.Duration {
 	told := deadlineComment.FindStringSubmatch(seen.SQL)
 	require.NotNil(t, told, seen.SQL)
 	ms, err := strconv.Atoi(told[1])
@@ -48,7 +48,7 @@
 	t.Parallel()
 	const wait = 3 * time.Second
 	g := startGroup(t, 1)
-	g.Members[0].WelcomeAfter(800 * time.Millisecond)
+	g.Servers[0].DelayGreeting(800 * time.Millisecond)
 	p := startListed(t, g, 8*time.Second)
 	late := schedulingDelay(t)
 	requests := map[string]sentRequest{}
@@ -62,7 +62,7 @@
 		})
 	}
 	clients.Wait()
-	seen := g.Members[0].Seen()
+	seen := g.Servers[0].Statements()
 	require.NotEmpty(t, seen)
 	for _, s := range seen {
 		excess := requests[s.ID].excess(t, s)
@@ -110,8 +110,8 @@
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGCONT))
 	require.Eventually(t, func() bool { return p.isServed("after") }, 5*time.Second, time.Millisecond)
 	time.Sleep(200 * time.Millisecond)
-	for _, m := range g.Members {
-		for _, s := range m.Seen() {
+	for _, m := range g.Servers {
+		for _, s := range m.Statements() {
 			if at, ok := left.Load(s.ID); ok {
 				assert.Less(t, s.At.Sub(at.(time.Time)), departureSlack+time.Duration(late.Load()), "%s was sent for a client that had left", s.ID)
 			}
@@ -126,7 +126,7 @@
 	g := startGroup(t, 3)
 	p := startListed(t, g, 8*time.Second)
 	late := schedulingDelay(t)
-	for _, m := range g.Members {
+	for _, m := range g.Servers {
 		m.Hang(true)
 	}
 	var clients []*fakeserver.Client
@@ -135,14 +135,14 @@
 		require.NoError(t, c.Send(readStatement(fmt.Sprintf("f%d", i), 6000)))
 		clients = append(clients, c)
 	}
-	require.Eventually(t, func() bool { return g.Swallowed.Load() > 3 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return g.Unanswered.Load() > 3 }, 10*time.Second, time.Millisecond)
 	time.Sleep(20 * time.Millisecond)
 	require.NoError(t, p.cmd.Process.Signal(syscall.SIGSTOP))
 	left := time.Now()
 	for _, c := range clients {
 		c.Close()
 	}
-	for _, m := range g.Members {
+	for _, m := range g.Servers {
 		m.Hang(false) // which ends its connections
 	}
 	time.Sleep(maxSuspension)
@@ -151,8 +151,8 @@
 		t.Fatalf("the front said:\n%s", p.logged())
 	}
 	time.Sleep(200 * time.Millisecond)
-	for _, m := range g.Members {
-		for _, s := range m.Seen() {
+	for _, m := range g.Servers {
+		for _, s := range m.Statements() {
 			if s.ID[0] == 'f' {
 				assert.Less(t, s.At.Sub(left), departureSlack+time.Duration(late.Load()), "%s was sent for a client that had left", s.ID)
 			}
@@ -171,7 +171,7 @@
 			g := startGroup(t, 2)
 			p := startListed(t, g, deadline)
 			p.readers(4)
-			for _, m := range g.Members {
+			for _, m := range g.Servers {
 				m.Hang(true)
 			}
 			from := time.Now()
@@ -202,8 +202,8 @@
 			l := startEndpointList(t, g)
 			p := startProcess(t, g, l.address(), 8*time.Second, setting{"StopSendingWithin", grace})
 			require.Eventually(t, func() bool { return l.watches.Load() > 0 }, 10*time.Second, time.Millisecond)
-			for _, m := range g.Members {
-				m.WelcomeAfter(1800 * time.Millisecond)
+			for _, m := range g.Servers {
+				m.DelayGreeting(1800 * time.Millisecond)
 			}
 			answers := make(chan string, 8)
 			for i := range cap(answers) {
@@ -217,14 +217,14 @@
 				}()
 			}
 			time.Sleep(200 * time.Millisecond)
-			g.Members[0].WelcomeAfter(0)
+			g.Servers[0].DelayGreeting(0)
 			told := time.Now()
-			l.setEndpoint(g.Members[1], "status", state)
+			l.setEndpoint(g.Servers[1], "status", state)
 			for range cap(answers) { // connections to the other server are slow too, so some requests are rejected
 				assert.Contains(t, []string{"", "53300"}, <-answers)
 			}
 			time.Sleep(2 * time.Second)
-			for _, s := range g.Members[1].Seen() {
+			for _, s := range g.Servers[1].Statements() {
 				assert.Less(t, s.At.Sub(told), grace, "%s was sent to a server that is %s", s.ID, state)
 			}
 		})
--- a/cmd/dapplerouter/endpoint_list_harness_test.go
+++ b/cmd/dapplerouter/endpoint_list_harness_test.go
@@ -40,7 +40,7 @@
 
 func startEndpointList(t *testing.T, g *fakeserver.Group) *endpointList {
 	l := &endpointList{t: t, changed: make(chan struct{}), up: true}
-	require.NoError(t, json.Unmarshal(g.Listed(), &l.snapshot))
+	require.NoError(t, json.Unmarshal(g.EndpointSnapshot(), &l.snapshot))
 	l.Server = httptest.NewServer(l)
 	t.Cleanup(func() { l.CloseClientConnections(); l.Close() })
 	return l
@@ -60,7 +60,7 @@
 func (l *endpointList) setUp(up bool) { l.update(func() { l.up = up }) }
 
 // setEndpoint changes a value of a server's endpoint.
-func (l *endpointList) setEndpoint(m *fakeserver.Member, key string, value any) {
+func (l *endpointList) setEndpoint(m *fakeserver.Server, key string, value any) {
 	l.update(func() {
 		l.snapshot["index"] = l.snapshot["index"].(float64) + 1
 		for _, e := range l.snapshot["endpoints"].([]any) {
--- a/cmd/dapplerouter/front_bench_test.go
+++ b/cmd/dapplerouter/front_bench_test.go
@@ -75,10 +75,10 @@
 	for name, file := range map[string]string{"without": "", "with": strings.Replace(operatorFile, "2MiB", "8MiB", 1)} {
 		b.Run(name, func(b *testing.B) {
 			g := startGroup(b, 2)
-			list := g.List()
+			list := g.ServeEndpoints()
 			defer list.Close()
 			address := reserveAddress(b)
-			text := configure(b, list.Listener.Addr().String(), g.Listed(), setting{"listen", address}, setting{"memory_mb", 32})
+			text := configure(b, list.Listener.Addr().String(), g.EndpointSnapshot(), setting{"listen", address}, setting{"memory_mb", 32})
 			config, operator := filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.sexp")
 			require.NoError(b, os.WriteFile(config, text, 0o600))
 			require.NoError(b, os.WriteFile(operator, []byte(file), 0o600))
--- a/cmd/dapplerouter/gateway_bench_test.go
+++ b/cmd/dapplerouter/gateway_bench_test.go
@@ -28,7 +28,7 @@
 		for _, delay := range []time.Duration{0, 5 * time.Millisecond} {
 			b.Run(fmt.Sprintf("%s/%v", way, delay), func(b *testing.B) {
 				s := startSites(b, [2]string{})
-				s.remoteGroup.Each = 0
+				s.remoteGroup.MinDuration = 0
 				bare, err := faultproxy.New(s.remote.address, 3)
 				if err != nil {
 					b.Fatal(err)
@@ -38,14 +38,14 @@
 				if way != "link" {
 					used = bare
 				}
-				used.Set(faultproxy.Out, faultproxy.Weather{Delay: delay})
-				used.Set(faultproxy.Back, faultproxy.Weather{Delay: delay})
+				used.SetConditions(faultproxy.ToTarget, faultproxy.Conditions{Delay: delay})
+				used.SetConditions(faultproxy.FromTarget, faultproxy.Conditions{Delay: delay})
 				time.Sleep(50 * time.Millisecond)
 				var n, no atomic.Int64
 				var mu sync.Mutex
 				var took []time.Duration
 				var all sync.WaitGroup
-				before, beforeCPU := used.Passed, cpu()
+				before, beforeCPU := used.BytesRead, cpu()
 				b.ResetTimer()
 				for range 16 {
 					all.Go(func() {
@@ -85,7 +85,7 @@
 				b.ReportMetric(quantile(took, 0.5), "p50-ms")
 				b.ReportMetric(quantile(took, 0.99), "p99-ms")
 				b.ReportMetric(float64(len(took))/b.Elapsed().Seconds(), "request/s")
-				b.ReportMetric(float64(used.Passed[0]+used.Passed[1]-before[0]-before[1])/float64(b.N), "bytes/request")
+				b.ReportMetric(float64(used.BytesRead[0]+used.BytesRead[1]-before[0]-before[1])/float64(b.N), "bytes/request")
 				b.ReportMetric(float64(cpu()-beforeCPU)/float64(b.N)/1e3, "cpu-us/request")
 				b.ReportMetric(float64(no.Load()), "not-served")
 			})
@@ -99,7 +99,7 @@
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for b.Loop() {
 		s := startSites(b, [2]string{})
-		s.remoteGroup.Each = 0
+		s.remoteGroup.MinDuration = 0
 		stop := make(chan struct{})
 		var all sync.WaitGroup
 		var mu sync.Mutex
@@ -134,12 +134,12 @@
 			return float64(m.HeapAlloc) / (1 << 20)
 		}
 		calm := memory()
-		s.proxy.Set(faultproxy.Out, faultproxy.Weather{Stall: true})
+		s.proxy.SetConditions(faultproxy.ToTarget, faultproxy.Conditions{Stall: true})
 		time.Sleep(5 * time.Second)
 		half := memory()
 		time.Sleep(5 * time.Second)
 		full := memory()
-		s.proxy.Set(faultproxy.Out, faultproxy.Weather{})
+		s.proxy.SetConditions(faultproxy.ToTarget, faultproxy.Conditions{})
 		back := time.Now()
 		time.Sleep(3 * time.Second)
 		close(stop)
--- a/cmd/dapplerouter/gateway_test.go
+++ b/cmd/dapplerouter/gateway_test.go
@@ -27,7 +27,7 @@
 	remote      *instance
 	localGroup  *fakeserver.Group
 	remoteGroup *fakeserver.Group
-	proxy       *faultproxy.Hop
+	proxy       *faultproxy.Proxy
 	remoteFile  string
 	settings    []setting // of both instances
 }
@@ -42,7 +42,7 @@
 // startSitesWith lets the test change the fake servers before anything else starts.
 func startSitesWith(t testing.TB, keys [2]string, change func(*twoSites)) *twoSites {
 	s := &twoSites{t: t, localGroup: startGroup(t, 2), remoteGroup: startGroup(t, 2)}
-	s.remoteGroup.ID, s.remoteGroup.Each = 1, 3*time.Millisecond
+	s.remoteGroup.ID, s.remoteGroup.MinDuration = 1, 3*time.Millisecond
 	change(s)
 	address := reserveAddress(t) // so that the remote site can restart on it
 	s.remoteFile = fmt.Sprintf(plainLink, "pokhara", "kathmandu", "listen", address, 0)
@@ -99,7 +99,7 @@
 			a, err := c.Query(keyedInsert(id, g))
 			require.NoError(t, err)
 			require.Equal(t, [][]string{{id}}, a.Rows, "%+v", a)
-			assert.Equal(t, 1, group.Succeeded(id))
+			assert.Equal(t, 1, group.ExecutionCount(id))
 		}
 	}
 	c := dial(t, s.local.address)
@@ -112,26 +112,26 @@
 }
 
 // injectFaults disturbs the connection in ways drawn by a seed until stop; it leaves none behind.
-func injectFaults(h *faultproxy.Hop, seed uint64, stop <-chan struct{}) {
+func injectFaults(h *faultproxy.Proxy, seed uint64, stop <-chan struct{}) {
 	r := rand.New(rand.NewPCG(seed, 2))
 	for {
 		fair := time.Duration(10+r.IntN(60)) * time.Millisecond
 		switch r.IntN(7) {
 		case 0:
-			h.Break()
+			h.ResetConnections()
 		case 1:
-			h.Set(faultproxy.Out, faultproxy.Weather{Stall: true})
+			h.SetConditions(faultproxy.ToTarget, faultproxy.Conditions{Stall: true})
 		case 2:
-			h.Set(faultproxy.Back, faultproxy.Weather{Swallow: true})
+			h.SetConditions(faultproxy.FromTarget, faultproxy.Conditions{Blackhole: true})
 		case 3:
-			h.Set(faultproxy.Way(r.IntN(2)), faultproxy.Weather{BreakAfter: 1 + r.Int64N(3000)})
+			h.SetConditions(faultproxy.Direction(r.IntN(2)), faultproxy.Conditions{BreakAfterBytes: 1 + r.Int64N(3000)})
 		case 4:
-			h.Set(faultproxy.Back, faultproxy.Weather{Delay: 30 * time.Millisecond, Jitter: 60 * time.Millisecond})
+			h.SetConditions(faultproxy.FromTarget, faultproxy.Conditions{Delay: 30 * time.Millisecond, Jitter: 60 * time.Millisecond})
 		case 5:
-			h.Set(faultproxy.Way(r.IntN(2)), faultproxy.Weather{Spoil: 0.02})
+			h.SetConditions(faultproxy.Direction(r.IntN(2)), faultproxy.Conditions{CorruptProbability: 0.02})
 		case 6: // ten breaks a second
 			for range 5 {
-				h.Break()
+				h.ResetConnections()
 				time.Sleep(100 * time.Millisecond)
 			}
 		}
@@ -139,13 +139,13 @@
 		for _, d := range []time.Duration{bad, fair} {
 			select {
 			case <-stop:
-				h.Set(faultproxy.Out, faultproxy.Weather{})
-				h.Set(faultproxy.Back, faultproxy.Weather{})
+				h.SetConditions(faultproxy.ToTarget, faultproxy.Conditions{})
+				h.SetConditions(faultproxy.FromTarget, faultproxy.Conditions{})
 				return
 			case <-time.After(d):
 			}
-			h.Set(faultproxy.Out, faultproxy.Weather{})
-			h.Set(faultproxy.Back, faultproxy.Weather{})
+			h.SetConditions(faultproxy.ToTarget, faultproxy.Conditions{})
+			h.SetConditions(faultproxy.FromTarget, faultproxy.Conditions{})
 		}
 	}
 }
@@ -211,7 +211,7 @@
 		heard := 0
 		said.Range(func(k, code any) bool {
 			heard++
-			id, did := k.(string), s.remoteGroup.Succeeded(k.(string))
+			id, did := k.(string), s.remoteGroup.ExecutionCount(k.(string))
 			assert.LessOrEqual(t, did, 1, "%s took effect %d times", id, did)
 			if code == "" {
 				assert.Equal(t, 1, did, "%s was served", id)
@@ -251,7 +251,7 @@
 		out, said := s.clients(8, 1500, unkeyedInsert, "p")
 		assert.Zero(t, out.wrong.Load())
 		said.Range(func(k, code any) bool {
-			did := s.remoteGroup.Succeeded(k.(string))
+			did := s.remoteGroup.ExecutionCount(k.(string))
 			assert.LessOrEqual(t, did, 1)
 			if code == "53300" {
 				assert.Zero(t, did, "%s was declined", k)
@@ -270,8 +270,8 @@
 // Whatever the link does, a forwarded read is never answered from data older than its staleness bound, a second here.
 func TestForwardedReadsStayWithinStalenessBound(t *testing.T) {
 	s := startSites(t, [2]string{})
-	s.remoteGroup.Lag.Store(int64(400 * time.Millisecond))
-	s.proxy.Set(faultproxy.Back, faultproxy.Weather{Delay: 500 * time.Millisecond, Jitter: 200 * time.Millisecond})
+	s.remoteGroup.ReplicaLag.Store(int64(400 * time.Millisecond))
+	s.proxy.SetConditions(faultproxy.FromTarget, faultproxy.Conditions{Delay: 500 * time.Millisecond, Jitter: 200 * time.Millisecond})
 	time.Sleep(300 * time.Millisecond) // the first gap ends the link, which comes up again behind it
 	s.awaitLink()
 	served, late := 0, 0
@@ -309,8 +309,8 @@
 
 func TestForwardedRequestsAreRejectedAtOnceWhileLinkIsDown(t *testing.T) {
 	s := startSites(t, [2]string{})
-	s.proxy.Refuse(true)
-	s.proxy.Break()
+	s.proxy.RejectConnections(true)
+	s.proxy.ResetConnections()
 	require.Eventually(t, func() bool { return !s.local.link.link.Up() }, 5*time.Second, time.Millisecond)
 	c := dial(t, s.local.address)
 	for i := range 5 {
@@ -324,7 +324,7 @@
 		require.NoError(t, err)
 		assert.Empty(t, a.Code, "what lives here goes on")
 	}
-	s.proxy.Refuse(false)
+	s.proxy.RejectConnections(false)
 	s.awaitLink()
 	require.Eventually(t, func() bool {
 		a, err := c.Query(keyedInsert(fmt.Sprintf("back%d", time.Now().UnixNano()), 1))
@@ -364,7 +364,7 @@
 	write("kathmandu.crt", cert)
 	write("trusted", old)
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "kathmandu.crt"), old, 0o600))
-	s.proxy.Break()
+	s.proxy.ResetConnections()
 	time.Sleep(300 * time.Millisecond) // the key does not fit its certificate: the link stays down
 	assert.False(t, s.remote.link.link.Up())
 	// Keys are changed: the new certificate is trusted beside the old, then shown.
@@ -379,7 +379,7 @@
 // own write all the same, since its position is forwarded with the read.
 func TestReadYourWritesAcrossRestartOfRemoteInstance(t *testing.T) {
 	s := startSitesWith(t, [2]string{}, func(s *twoSites) { s.settings = []setting{{"Checks", "silent"}} }) // its servers do not check
-	s.remoteGroup.Lag.Store(int64(time.Hour))
+	s.remoteGroup.ReplicaLag.Store(int64(time.Hour))
 	c := dial(t, s.local.address)
 	for i := range 3 {
 		id := fmt.Sprintf("diner%d", i)
@@ -407,8 +407,8 @@
 func TestClientDisconnectCancelsForwardedRequest(t *testing.T) {
 	s := startSites(t, [2]string{})
 	arrived := make(chan struct{}, 1)
-	for _, m := range s.remoteGroup.Members {
-		m.Break(func(_ int, sql string) fakeserver.Fault {
+	for _, m := range s.remoteGroup.Servers {
+		m.SetFault(func(_ int, sql string) fakeserver.Fault {
 			if strings.Contains(sql, "id=leaves") {
 				arrived <- struct{}{}
 				return fakeserver.Fault{Delay: 500 * time.Millisecond}
@@ -485,7 +485,7 @@
 	all.Wait()
 	s.awaitLink()
 	for _, id := range ids {
-		assert.LessOrEqual(t, s.remoteGroup.Succeeded(id), 1, id)
+		assert.LessOrEqual(t, s.remoteGroup.ExecutionCount(id), 1, id)
 	}
 	assert.Zero(t, wrong.Load())
 	assert.Greater(t, heard.Load(), int64(50))
@@ -494,12 +494,12 @@
 // A replica of the remote group is at the local site. While the link is down it answers the reads that it may; the rest is rejected at
 // once, and no server here is taken for a primary.
 func TestLocalReplicaServesRemoteGroupWhileLinkIsDown(t *testing.T) {
-	s := startSitesWith(t, [2]string{}, func(s *twoSites) { s.localGroup.Guests = s.remoteGroup.Members[1:] })
-	s.proxy.Refuse(true)
-	s.proxy.Break()
+	s := startSitesWith(t, [2]string{}, func(s *twoSites) { s.localGroup.ForeignServers = s.remoteGroup.Servers[1:] })
+	s.proxy.RejectConnections(true)
+	s.proxy.ResetConnections()
 	require.Eventually(t, func() bool { return !s.local.link.link.Up() }, 5*time.Second, time.Millisecond)
 	c := dial(t, s.local.address)
-	before := len(s.remoteGroup.Members[0].Seen())
+	before := len(s.remoteGroup.Servers[0].Statements())
 	for i := range 5 {
 		a, err := c.Query(fmt.Sprintf("SELECT 'x' /* id=l%d,c=browse,d=3000,cluster=1 */", i))
 		require.NoError(t, err)
@@ -509,10 +509,10 @@
 		require.NoError(t, err)
 		assert.Equal(t, "53300", a.Code)
 		assert.Less(t, time.Since(began), 500*time.Millisecond)
-		assert.Zero(t, s.remoteGroup.Succeeded(fmt.Sprintf("lw%d", i)))
+		assert.Zero(t, s.remoteGroup.ExecutionCount(fmt.Sprintf("lw%d", i)))
 	}
-	assert.Equal(t, before, len(s.remoteGroup.Members[0].Seen()), "the primary at the other site")
-	for _, seen := range s.remoteGroup.Members[1].Seen() {
+	assert.Equal(t, before, len(s.remoteGroup.Servers[0].Statements()), "the primary at the other site")
+	for _, seen := range s.remoteGroup.Servers[1].Statements() {
 		assert.NotContains(t, seen.SQL, "INSERT", "a replica here was sent a write")
 	}
 }
--- a/cmd/dapplerouter/graceful_shutdown_test.go
+++ b/cmd/dapplerouter/graceful_shutdown_test.go
@@ -18,7 +18,7 @@
 func TestGracefulShutdownLosesNoRequestOfBusyClients(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 2)
-	g.Each = 5 * time.Millisecond
+	g.MinDuration = 5 * time.Millisecond
 	p := startListed(t, g, time.Second)
 	u := &busyClients{unanswered: map[string]bool{}}
 	var clients sync.WaitGroup
@@ -29,8 +29,8 @@
 	took := p.terminate()
 	clients.Wait()
 	assert.Less(t, took, 1700*time.Millisecond, "the moment from which it may be ended by force")
-	for _, m := range g.Members {
-		for _, s := range m.Seen() {
+	for _, m := range g.Servers {
+		for _, s := range m.Statements() {
 			assert.False(t, u.unanswered[s.ID], "request %s was sent on and never answered", s.ID)
 		}
 	}
@@ -41,7 +41,7 @@
 	t.Parallel()
 	g := startGroup(t, 1)
 	front := startListed(t, g, 8*time.Second)
-	g.Members[0].Hang(true)
+	g.Servers[0].Hang(true)
 	codes := make(chan string, 2)
 	for _, sql := range []string{readStatement("r", 8000), strings.Replace(unkeyedInsert("w", 0), "d=3000", "d=8000", 1)} {
 		go func() {
@@ -54,7 +54,7 @@
 			codes <- a.Code
 		}()
 	}
-	require.Eventually(t, func() bool { return g.Swallowed.Load() == 2 || len(codes) > 0 }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return g.Unanswered.Load() == 2 || len(codes) > 0 }, 20*time.Second, time.Millisecond)
 	require.Empty(t, codes, "answered before the stop")
 	took := front.terminate()
 	assert.ElementsMatch(t, []string{"53300", "40000"}, []string{<-codes, <-codes}, "what can't have harmed may come again")
@@ -69,7 +69,7 @@
 	a, err := dial(t, p.address).Query(unkeyedInsert("before", 0))
 	require.NoError(t, err)
 	require.Empty(t, a.Code)
-	g.Members[0].Hang(true)
+	g.Servers[0].Hang(true)
 	ends := make(chan error, 10)
 	for i := range 5 {
 		for _, sql := range []string{"SELECT 'x' /* id=r%d,c=browse,d=8000,cluster=0 */", unkeyedInsert("w%d", 0)} {
@@ -80,22 +80,22 @@
 			}()
 		}
 	}
-	require.Eventually(t, func() bool { return g.Swallowed.Load() >= 2 }, 10*time.Second, time.Millisecond, "some are out, the others wait")
+	require.Eventually(t, func() bool { return g.Unanswered.Load() >= 2 }, 10*time.Second, time.Millisecond, "some are out, the others wait")
 	require.NoError(t, p.cmd.Process.Kill())
 	<-p.ended
 	for range 10 {
 		require.Error(t, <-ends, "nobody is told what is not so")
 	}
-	g.Members[0].Hang(false)
+	g.Servers[0].Hang(false)
 	p.start()
 	for _, sql := range []string{readStatement("after", 3000), unkeyedInsert("after-w", 0)} {
 		a, err := dial(t, p.address).Query(sql)
 		require.NoError(t, err)
 		assert.Empty(t, a.Code, "%+v", a)
 	}
-	assert.Equal(t, []int{1, 1}, []int{g.Succeeded("before"), g.Succeeded("after-w")})
+	assert.Equal(t, []int{1, 1}, []int{g.ExecutionCount("before"), g.ExecutionCount("after-w")})
 	for i := range 5 {
-		assert.Zero(t, g.Succeeded(fmt.Sprint("w", i)), "a silent member has it or nobody, and it is not sent again")
+		assert.Zero(t, g.ExecutionCount(fmt.Sprint("w", i)), "a silent member has it or nobody, and it is not sent again")
 	}
 }
 
--- a/cmd/dapplerouter/instance_harness_test.go
+++ b/cmd/dapplerouter/instance_harness_test.go
@@ -100,10 +100,10 @@
 
 // startInstance is startFront for a test that stops the instance itself.
 func startInstance(t testing.TB, g *fakeserver.Group, text string, settings ...setting) *instance {
-	list := g.List()
+	list := g.ServeEndpoints()
 	dir := t.TempDir()
 	config, file := filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.sexp")
-	require.NoError(t, os.WriteFile(config, configure(t, list.Listener.Addr().String(), g.Listed(), settings...), 0o600))
+	require.NoError(t, os.WriteFile(config, configure(t, list.Listener.Addr().String(), g.EndpointSnapshot(), settings...), 0o600))
 	start, err := deployment.Load(func(name string) string {
 		if name == deployment.FileVariable {
 			return config
@@ -145,7 +145,7 @@
 
 // startGroup starts a group of so many fake servers, the first of them the primary.
 func startGroup(t testing.TB, members int) *fakeserver.Group {
-	g, err := fakeserver.Start(fakeserver.Restaurants(20, 60, 500), members, 4, 0, 0)
+	g, err := fakeserver.Start(fakeserver.NewBookingData(20, 60, 500), members, 4, 0, 0)
 	require.NoError(t, err)
 	t.Cleanup(g.Close)
 	return g
@@ -174,7 +174,7 @@
 		}
 	})
 	for n := range fronts {
-		text := configure(t, discovery, g.Listed(), append(slices.Clone(settings), setting{"FleetSize", fronts}, setting{"Ordinal", n},
+		text := configure(t, discovery, g.EndpointSnapshot(), append(slices.Clone(settings), setting{"FleetSize", fronts}, setting{"Ordinal", n},
 			setting{"seed", fmt.Sprintf("8c1f30d27a5be9%02x", n)})...)
 		start, err := deployment.Load(func(name string) string { return map[string]string{deployment.FileVariable: "x"}[name] },
 			func(string) ([]byte, error) { return text, nil })
@@ -193,7 +193,7 @@
 }
 
 // countWithin counts the statements that a server saw in an interval.
-func countWithin(seen []fakeserver.Seen, from, to time.Time) (n float64) {
+func countWithin(seen []fakeserver.Statement, from, to time.Time) (n float64) {
 	for _, s := range seen {
 		if !s.At.Before(from) && s.At.Before(to) {
 			n++
--- a/cmd/dapplerouter/many_clients_bench_test.go
+++ b/cmd/dapplerouter/many_clients_bench_test.go
@@ -17,7 +17,7 @@
 	for _, takes := range []time.Duration{0, 5 * time.Millisecond, 40 * time.Millisecond} {
 		for _, clients := range []int{64, 200} {
 			b.Run(fmt.Sprintf("%v/%d", takes, clients), func(b *testing.B) {
-				g, err := fakeserver.Start(fakeserver.Restaurants(20, 60, 500), 1, 1000, takes, 0)
+				g, err := fakeserver.Start(fakeserver.NewBookingData(20, 60, 500), 1, 1000, takes, 0)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/cmd/dapplerouter/many_servers_test.go
+++ b/cmd/dapplerouter/many_servers_test.go
@@ -82,7 +82,7 @@
 	for n := 0; time.Now().Before(until); n++ {
 		time.Sleep(span / 10)
 		u.descriptors = max(u.descriptors, p.descriptors())
-		l.setEndpoint(g.Members[n%5], "weight", 1.0+float64(n))
+		l.setEndpoint(g.Servers[n%5], "weight", 1.0+float64(n))
 	}
 	clients.Wait()
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
--- a/cmd/dapplerouter/memory_flood_test.go
+++ b/cmd/dapplerouter/memory_flood_test.go
@@ -29,7 +29,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := startGroup(t, 1)
 			p := startListed(t, g, 8*time.Second, setting{"memory_mb", 32})
-			g.Members[0].Hang(true)
+			g.Servers[0].Hang(true)
 			before, most := p.resident(), 0
 			for n := range 180 {
 				c, err := net.Dial("tcp", p.address)
@@ -41,7 +41,7 @@
 			}
 			t.Log("KiB resident before", before, "at most", most)
 			assert.Less(t, most, 32<<10)
-			g.Members[0].Hang(false)
+			g.Servers[0].Hang(false)
 			require.Eventually(t, func() bool { // there may be no room at first
 				c, err := fakeserver.Dial(p.address)
 				if err != nil {
--- a/cmd/dapplerouter/process_harness_test.go
+++ b/cmd/dapplerouter/process_harness_test.go
@@ -50,12 +50,12 @@
 // startProcess starts the program before a group of fake servers; discovery is the address of the endpoint list, deadline is
 // that of all request types.
 func startProcess(t *testing.T, g *fakeserver.Group, discovery string, deadline time.Duration, settings ...setting) *process {
-	return startWithEndpoints(t, discovery, g.Listed(), append(settings, setting{"Deadline", deadline})...)
+	return startWithEndpoints(t, discovery, g.EndpointSnapshot(), append(settings, setting{"Deadline", deadline})...)
 }
 
 // startListed is startProcess with the group's own, fixed endpoint list.
 func startListed(t *testing.T, g *fakeserver.Group, deadline time.Duration, settings ...setting) *process {
-	list := g.List()
+	list := g.ServeEndpoints()
 	t.Cleanup(list.Close)
 	return startProcess(t, g, list.Listener.Addr().String(), deadline, settings...)
 }
@@ -329,12 +329,12 @@
 
 // warmConnections has the front open connections to its servers, which are idle then, so that the next requests wait for none.
 func (p *process) warmConnections(g *fakeserver.Group, many int) {
-	each := g.Each
-	g.Each = 30 * time.Millisecond
+	each := g.MinDuration
+	g.MinDuration = 30 * time.Millisecond
 	var clients sync.WaitGroup
 	for i := range many {
 		clients.Go(func() { p.isServed(fmt.Sprint("warm", i)) })
 	}
 	clients.Wait()
-	g.Each = each
+	g.MinDuration = each
 }
--- a/cmd/dapplerouter/restart_test.go
+++ b/cmd/dapplerouter/restart_test.go
@@ -18,25 +18,25 @@
 	t.Parallel()
 	const told = 4 * time.Second
 	g := startGroup(t, 4)
-	g.Each = 2 * time.Millisecond
+	g.MinDuration = 2 * time.Millisecond
 	old, next := startEndpointList(t, g), startEndpointList(t, g)
-	draining := g.Members[3]
+	draining := g.Servers[3]
 	p := startProcess(t, g, old.address(), 8*time.Second)
 	require.Eventually(t, func() bool { return old.watches.Load() > 0 }, 10*time.Second, time.Millisecond)
 	p.readers(8)
-	require.Eventually(t, func() bool { return len(draining.Seen()) > 0 }, 10*time.Second, time.Millisecond, "it has work")
+	require.Eventually(t, func() bool { return len(draining.Statements()) > 0 }, 10*time.Second, time.Millisecond, "it has work")
 	next.setUp(false) // the first call to it gets no answer
 	p.reload(old, next)
 	from := time.Now()
 	next.setEndpoint(draining, "status", "draining")
 	require.Eventually(t, func() bool { return next.calls.Load() > 0 }, told, time.Millisecond)
-	old.setEndpoint(g.Members[0], "weight", 2.0) // the old one still reports other changes
+	old.setEndpoint(g.Servers[0], "weight", 2.0) // the old one still reports other changes
 	next.setUp(true)
 	time.Sleep(told - time.Since(from))
-	seen := draining.Seen()
+	seen := draining.Statements()
 	last := seen[len(seen)-1].At.Sub(from)
 	time.Sleep(time.Second / 2)
-	assert.Equal(t, len(seen), len(draining.Seen()), "something new goes there still")
+	assert.Equal(t, len(seen), len(draining.Statements()), "something new goes there still")
 	t.Logf("last asked %v after the signal; watches of the new service %d", last, next.watches.Load())
 	assert.Less(t, last, told)
 }
@@ -54,9 +54,9 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			g := startGroup(t, 4)
-			g.Each = 2 * time.Millisecond
+			g.MinDuration = 2 * time.Millisecond
 			old := startEndpointList(t, g)
-			draining := g.Members[3]
+			draining := g.Servers[3]
 			var next []*endpointList
 			for range services {
 				next = append(next, startEndpointList(t, g))
@@ -66,14 +66,14 @@
 			p := startProcess(t, g, old.address(), 8*time.Second, setting{"StopSendingWithin", grace})
 			require.Eventually(t, func() bool { return old.watches.Load() > 0 }, 10*time.Second, time.Millisecond)
 			p.readers(8)
-			require.Eventually(t, func() bool { return len(draining.Seen()) > 0 }, 10*time.Second, time.Millisecond, "it has work")
+			require.Eventually(t, func() bool { return len(draining.Statements()) > 0 }, 10*time.Second, time.Millisecond, "it has work")
 			from, at := time.Now(), old
 			for n := 0; time.Since(from) < told+time.Second; n++ {
 				p.reload(at, next[n%services])
 				at = next[n%services]
 				time.Sleep(pause)
 			}
-			seen := draining.Seen()
+			seen := draining.Statements()
 			last := seen[len(seen)-1].At.Sub(from)
 			t.Logf("last asked %v after the first signal", last)
 			assert.Less(t, last, told+grace)
@@ -85,7 +85,7 @@
 func TestReloadDuringShutdownLosesNoRequest(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 2)
-	g.Each = 5 * time.Millisecond
+	g.MinDuration = 5 * time.Millisecond
 	old, next := startEndpointList(t, g), startEndpointList(t, g)
 	p := startProcess(t, g, old.address(), time.Second)
 	u := &busyClients{unanswered: map[string]bool{}}
@@ -100,8 +100,8 @@
 	took := p.terminate()
 	clients.Wait()
 	assert.Less(t, took, 1700*time.Millisecond, "the moment from which it may be ended by force")
-	for _, m := range g.Members {
-		for _, s := range m.Seen() {
+	for _, m := range g.Servers {
+		for _, s := range m.Statements() {
 			assert.False(t, u.unanswered[s.ID], "request %s was sent on and never answered", s.ID)
 		}
 	}
@@ -117,7 +117,7 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { silent.Close() })
 	p := startProcess(t, g, silent.Addr().String(), time.Second)
-	g.Members[2].Hang(true)
+	g.Servers[2].Hang(true)
 	var clients sync.WaitGroup
 	stop := make(chan struct{})
 	t.Cleanup(func() { close(stop); clients.Wait() })
@@ -158,13 +158,13 @@
 	g := startGroup(t, 3)
 	p := startListed(t, g, time.Second, setting{"Aim", 200 * time.Millisecond})
 	p.readers(20)
-	require.Eventually(t, func() bool { return len(g.Members[1].Seen()) > 0 }, 10*time.Second, time.Millisecond)
-	for _, m := range g.Members {
+	require.Eventually(t, func() bool { return len(g.Servers[1].Statements()) > 0 }, 10*time.Second, time.Millisecond)
+	for _, m := range g.Servers {
 		m.Hang(true)
 	}
-	require.Eventually(t, func() bool { return g.Swallowed.Load() > 3 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return g.Unanswered.Load() > 3 }, 10*time.Second, time.Millisecond)
 	time.Sleep(3 * time.Second) // the pauses between trials are at their longest
-	for _, m := range g.Members {
+	for _, m := range g.Servers {
 		m.Hang(false)
 	}
 	back := time.Now()
@@ -179,12 +179,12 @@
 	t.Parallel()
 	const grace = time.Second
 	g := startGroup(t, 5)
-	g.Each = 2 * time.Millisecond
+	g.MinDuration = 2 * time.Millisecond
 	l := startEndpointList(t, g)
 	p := startProcess(t, g, l.address(), 8*time.Second, setting{"StopSendingWithin", grace})
 	require.NoError(t, p.cmd.Process.Kill())
 	<-p.ended
-	l.setEndpoint(g.Members[3], "status", "draining")
+	l.setEndpoint(g.Servers[3], "status", "draining")
 	l.update(func() { // removed from the snapshot
 		all := l.snapshot["endpoints"].([]any)
 		l.snapshot["endpoints"] = all[:4]
@@ -195,9 +195,9 @@
 	p.start()
 	p.readers(10)
 	time.Sleep(3 * time.Second)
-	assert.NotEmpty(t, g.Members[1].Seen())
-	for _, m := range g.Members[3:] {
-		for _, s := range m.Seen() {
+	assert.NotEmpty(t, g.Servers[1].Statements())
+	for _, m := range g.Servers[3:] {
+		for _, s := range m.Statements() {
 			assert.Less(t, s.At.Sub(from), grace, "%s", m.Name)
 		}
 	}
--- a/cmd/dapplerouter/slow_start_test.go
+++ b/cmd/dapplerouter/slow_start_test.go
@@ -58,13 +58,13 @@
 	}
 	time.Sleep(cold) // the load by which the fronts know the warm servers
 	started := time.Now()
-	l.setEndpoint(g.Members[0], "since_ms", started.UnixMilli())
+	l.setEndpoint(g.Servers[0], "since_ms", started.UnixMilli())
 	time.Sleep(cold)
 	close(stop)
 	clients.Wait()
-	seen := make([][]fakeserver.Seen, len(g.Members))
-	for i, m := range g.Members {
-		seen[i] = m.Seen()
+	seen := make([][]fakeserver.Statement, len(g.Servers))
+	for i, m := range g.Servers {
+		seen[i] = m.Statements()
 	}
 	borne := 0.0
 	for _, s := range seen {
--- a/cmd/dapplerouter/soak_test.go
+++ b/cmd/dapplerouter/soak_test.go
@@ -48,7 +48,7 @@
 
 	mu           sync.Mutex
 	requests     map[string]*soakRequest
-	drainKnownAt map[*fakeserver.Member]time.Time // when the front counts as notified
+	drainKnownAt map[*fakeserver.Server]time.Time // when the front counts as notified
 }
 
 func (s *soak) note(change func()) {
@@ -116,7 +116,7 @@
 
 // receive waits for a request's answer, and reports whether the connection is still open.
 func (s *soak) receive(c *fakeserver.Client, id string) bool {
-	a, err := c.Answer()
+	a, err := c.ReadResponse()
 	s.note(func() {
 		if r := s.requests[id]; err != nil {
 			r.ended = time.Now()
@@ -147,7 +147,7 @@
 	for c := s.connect(); c != nil; c = s.connect() {
 		id, sql := s.request('r')
 		if c.Send(sql) == nil && s.receive(c, id) {
-			c.AwaitEnd()
+			c.AwaitClose()
 		}
 		c.Close()
 	}
@@ -177,7 +177,7 @@
 
 // injectFaults happen until the stop; signals come in series.
 func (s *soak) injectFaults(service, next *endpointList) {
-	drains := s.g.Members[3]
+	drains := s.g.Servers[3]
 	moves := s.rand.IntN(2) == 0
 	for range 6 {
 		time.Sleep(time.Duration(50+s.rand.IntN(250)) * time.Millisecond)
@@ -185,9 +185,9 @@
 		case 0:
 			s.suspend()
 		case 1:
-			s.g.Members[1+s.rand.IntN(2)].Hang(true)
+			s.g.Servers[1+s.rand.IntN(2)].Hang(true)
 		case 2:
-			for _, m := range s.g.Members {
+			for _, m := range s.g.Servers {
 				m.Hang(false)
 			}
 		case 3:
@@ -209,9 +209,9 @@
 				}
 			}
 		case 5:
-			service.setEndpoint(s.g.Members[4], "since_ms", s.g.Now().UnixMilli())
+			service.setEndpoint(s.g.Servers[4], "since_ms", s.g.Now().UnixMilli())
 		case 6:
-			s.g.Members[2].WelcomeAfter(time.Duration(s.rand.IntN(240)) * time.Millisecond)
+			s.g.Servers[2].DelayGreeting(time.Duration(s.rand.IntN(240)) * time.Millisecond)
 		}
 	}
 }
@@ -224,7 +224,7 @@
 
 // terminate stops the front, holds it up meanwhile, and ends it by force at the earliest moment.
 func (s *soak) terminate() {
-	for _, m := range s.g.Members[1 : 1+s.rand.IntN(3)] {
+	for _, m := range s.g.Servers[1 : 1+s.rand.IntN(3)] {
 		m.Hang(true)
 	}
 	time.Sleep(time.Duration(s.rand.IntN(100)) * time.Millisecond)
@@ -249,10 +249,10 @@
 
 // verify holds what was noted to the rules; late is how late this process itself was at most.
 func (s *soak) verify(late time.Duration) {
-	seen := map[string][]fakeserver.Seen{}
-	for _, m := range s.g.Members {
+	seen := map[string][]fakeserver.Statement{}
+	for _, m := range s.g.Servers {
 		told, drains := s.drainKnownAt[m]
-		for _, x := range m.Seen() {
+		for _, x := range m.Statements() {
 			seen[x.ID] = append(seen[x.ID], x)
 			if drains {
 				assert.Less(s.t, x.At.Sub(told), s.drainGrace+50*time.Millisecond+late, "drain: %s at %s", x.ID, m.Name)
@@ -268,7 +268,7 @@
 				assert.Less(s.t, x.At.Sub(r.left), departureSlack+late, "%s was sent for a client that had left", id)
 			}
 		}
-		committed := s.g.Succeeded(id)
+		committed := s.g.ExecutionCount(id)
 		switch {
 		case !r.answered.IsZero():
 			assert.Less(s.t, r.answered.Sub(r.at), r.timeout+500*time.Millisecond+late, "%s was answered too late: %q", id, r.code)
@@ -304,20 +304,20 @@
 }
 
 func playSoak(t *testing.T, seed uint64) {
-	s := &soak{t: t, rand: rand.New(rand.NewPCG(seed, 46)), stop: make(chan struct{}), requests: map[string]*soakRequest{}, drainKnownAt: map[*fakeserver.Member]time.Time{}}
+	s := &soak{t: t, rand: rand.New(rand.NewPCG(seed, 46)), stop: make(chan struct{}), requests: map[string]*soakRequest{}, drainKnownAt: map[*fakeserver.Server]time.Time{}}
 	s.timeout = []time.Duration{600 * time.Millisecond, time.Second, 2 * time.Second, 3 * time.Second}[s.rand.IntN(4)]
 	s.dedupWindow = []time.Duration{500 * time.Millisecond, 2 * time.Second}[s.rand.IntN(2)]
 	s.drainGrace = []time.Duration{500 * time.Millisecond, 2 * time.Second}[s.rand.IntN(2)]
 	crowded := s.rand.IntN(4) == 0
 	s.g = startGroup(t, 5)
-	s.g.Each, s.g.Window = time.Duration(2+s.rand.IntN(8))*time.Millisecond, s.dedupWindow
+	s.g.MinDuration, s.g.DedupWindow = time.Duration(2+s.rand.IntN(8))*time.Millisecond, s.dedupWindow
 	if s.rand.IntN(3) == 0 { // the front's machine had its clock stepped before it started
-		s.g.Wall.Store(int64(steps[s.rand.IntN(len(steps))]))
+		s.g.WallClockOffset.Store(int64(steps[s.rand.IntN(len(steps))]))
 	}
 	breaks := rand.New(rand.NewPCG(seed, 47))
 	var lock sync.Mutex
-	for _, m := range s.g.Members {
-		m.Break(func(int, string) (f fakeserver.Fault) {
+	for _, m := range s.g.Servers {
+		m.SetFault(func(int, string) (f fakeserver.Fault) {
 			lock.Lock()
 			defer lock.Unlock()
 			switch breaks.IntN(60) {
@@ -359,7 +359,7 @@
 	s.injectFaults(service, next)
 	s.terminate()
 	close(s.stop)
-	for _, m := range s.g.Members {
+	for _, m := range s.g.Servers {
 		m.Hang(false)
 	}
 	s.group.Wait()
--- a/cmd/dapplerouter/system_calls_test.go
+++ b/cmd/dapplerouter/system_calls_test.go
@@ -39,7 +39,7 @@
 			t.Parallel()
 			g := startGroup(t, 2)
 			l := startEndpointList(t, g)
-			p := newProcess(t, l.address(), g.Listed())
+			p := newProcess(t, l.address(), g.EndpointSnapshot())
 			_, err := buildProgram()
 			require.NoError(t, err)
 			mend := fail(p)
@@ -93,7 +93,7 @@
 	g := startGroup(t, 2)
 	l := startEndpointList(t, g)
 	for range 5 {
-		p := newProcess(t, l.address(), g.Listed())
+		p := newProcess(t, l.address(), g.EndpointSnapshot())
 		p.spawn()
 		for !p.handlesSignal(syscall.SIGHUP) {
 			time.Sleep(50 * time.Microsecond)
@@ -116,7 +116,7 @@
 func TestRepeatedSignalsDoNotShortenShutdown(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 2)
-	g.Each = 300 * time.Millisecond
+	g.MinDuration = 300 * time.Millisecond
 	p := startListed(t, g, time.Second)
 	answers := make(chan string, 8)
 	for i := range cap(answers) {
@@ -129,7 +129,7 @@
 			answers <- a.Code
 		}()
 	}
-	require.Eventually(t, func() bool { return len(g.Members[0].Seen())+len(g.Members[1].Seen()) > 1 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return len(g.Servers[0].Statements())+len(g.Servers[1].Statements()) > 1 }, 5*time.Second, time.Millisecond)
 	for range 5 {
 		for _, signal := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGINT} {
 			require.NoError(t, p.cmd.Process.Signal(signal))
@@ -148,7 +148,7 @@
 	t.Parallel()
 	g := startGroup(t, 2)
 	l := startEndpointList(t, g)
-	p := newProcess(t, l.address(), g.Listed())
+	p := newProcess(t, l.address(), g.EndpointSnapshot())
 	read, write, err := os.Pipe()
 	require.NoError(t, err)
 	p.log = write
@@ -157,7 +157,7 @@
 	require.Eventually(t, func() bool { return p.isServed("first") }, 10*time.Second, 5*time.Millisecond)
 	read.Close()
 	for n := range 5 {
-		l.setEndpoint(g.Members[1], "weight", float64(n+2)) // which is logged
+		l.setEndpoint(g.Servers[1], "weight", float64(n+2)) // which is logged
 		time.Sleep(20 * time.Millisecond)
 		assert.True(t, p.isServed(fmt.Sprint("later", n)))
 	}
--- a/cmd/dapplerouter/wall_clock_test.go
+++ b/cmd/dapplerouter/wall_clock_test.go
@@ -32,8 +32,8 @@
 		t.Run(step.String(), func(t *testing.T) {
 			t.Parallel()
 			g := startGroup(t, 3)
-			g.Wall.Store(int64(step))
-			g.Lag.Store(int64(behind))
+			g.WallClockOffset.Store(int64(step))
+			g.ReplicaLag.Store(int64(behind))
 			p := startListed(t, g, 8*time.Second, setting{"Checks", "silent"})
 			t.Cleanup(func() {
 				if t.Failed() {
@@ -59,7 +59,7 @@
 				})
 			}
 			clients.Wait()
-			t.Logf("%d served, %d probes", served.Load(), g.Probes.Load())
+			t.Logf("%d served, %d probes", served.Load(), g.HealthChecks.Load())
 			assert.Greater(t, served.Load(), int64(300))
 		})
 	}
@@ -71,7 +71,7 @@
 		t.Run(step.String(), func(t *testing.T) {
 			t.Parallel()
 			g := startGroup(t, 3)
-			g.Wall.Store(int64(step))
+			g.WallClockOffset.Store(int64(step))
 			p := startListed(t, g, 8*time.Second, setting{"Checks", "silent"})
 			c := dial(t, p.address)
 			for n := range 60 {
@@ -79,7 +79,7 @@
 				require.NoError(t, err)
 				time.Sleep(5 * time.Millisecond)
 			}
-			assert.NotZero(t, g.Probes.Load(), "the front said:\n%s", p.logged())
+			assert.NotZero(t, g.HealthChecks.Load(), "the front said:\n%s", p.logged())
 		})
 	}
 }
@@ -91,14 +91,14 @@
 		t.Run(step.String(), func(t *testing.T) {
 			t.Parallel()
 			g := startGroup(t, 3)
-			g.Lag.Store(int64(behind))
+			g.ReplicaLag.Store(int64(behind))
 			p := startListed(t, g, 8*time.Second, setting{"Checks", "silent"})
 			late := schedulingDelay(t)
 			c := dial(t, p.address)
 			served := 0
 			for n := range 300 {
 				if n%100 == 50 {
-					g.Wall.Add(int64(step))
+					g.WallClockOffset.Add(int64(step))
 				}
 				asked := g.Now()
 				a, err := c.Query(fmt.Sprintf("SELECT 'age_of_data' /* id=l%d,c=slots,d=3000,cluster=0 */", n))
@@ -122,21 +122,21 @@
 		t.Run(step.String(), func(t *testing.T) {
 			t.Parallel()
 			g := startGroup(t, 3)
-			g.Wall.Store(int64(step))
-			g.Each = 2 * time.Millisecond
+			g.WallClockOffset.Store(int64(step))
+			g.MinDuration = 2 * time.Millisecond
 			l := startEndpointList(t, g)
 			p := startProcess(t, g, l.address(), 8*time.Second, setting{"Cold", cold}, setting{"StartCapacity", 0.1}, setting{"FallMultiple", 1.5})
 			p.readers(6)
 			time.Sleep(warmUp)
 			started := time.Now()
-			l.setEndpoint(g.Members[1], "since_ms", g.Now().UnixMilli())
+			l.setEndpoint(g.Servers[1], "since_ms", g.Now().UnixMilli())
 			time.Sleep(cold * 3)
 			share := func(from, to time.Duration) float64 {
 				one, all := 0.0, 0.0
-				for _, m := range g.Members {
-					n := countWithin(m.Seen(), started.Add(from), started.Add(to))
+				for _, m := range g.Servers {
+					n := countWithin(m.Statements(), started.Add(from), started.Add(to))
 					all += n
-					if m == g.Members[1] {
+					if m == g.Servers[1] {
 						one = n
 					}
 				}
@@ -156,9 +156,9 @@
 		t.Run(step.String(), func(t *testing.T) {
 			t.Parallel()
 			g := startGroup(t, 2)
-			g.Wall.Store(int64(step))
+			g.WallClockOffset.Store(int64(step))
 			l := startEndpointList(t, g)
-			for _, m := range g.Members {
+			for _, m := range g.Servers {
 				l.setEndpoint(m, "since_ms", g.Now().Add(-time.Minute).UnixMilli())
 			}
 			p := startProcess(t, g, l.address(), 8*time.Second, setting{"Cold", 17 * time.Second}, setting{"StartCapacity", 0.1}, setting{"FallMultiple", 1.5})
@@ -186,16 +186,16 @@
 		t.Run(step.String(), func(t *testing.T) {
 			t.Parallel()
 			g := startGroup(t, 3)
-			g.Wall.Store(int64(step))
-			g.Each = 2 * time.Millisecond
+			g.WallClockOffset.Store(int64(step))
+			g.MinDuration = 2 * time.Millisecond
 			l := startEndpointList(t, g)
-			l.setEndpoint(g.Members[1], "since_ms", g.Now().UnixMilli())
+			l.setEndpoint(g.Servers[1], "since_ms", g.Now().UnixMilli())
 			p := startProcess(t, g, l.address(), 8*time.Second, setting{"Cold", cold}, setting{"StartCapacity", 0.1}, setting{"FallMultiple", 1.5})
 			started := time.Now()
 			p.readers(6)
 			time.Sleep(2 * time.Second)
 			within := func(m int, to time.Duration) float64 {
-				return countWithin(g.Members[m].Seen(), started, started.Add(to))
+				return countWithin(g.Servers[m].Statements(), started, started.Add(to))
 			}
 			for _, span := range []time.Duration{200 * time.Millisecond, time.Second} {
 				t.Logf("requests within %v: %v at the primary, %v at the one that started, %v at the warm one", span, within(0, span), within(1, span), within(2, span))
--- a/lab/capacity/database_host.go
+++ b/lab/capacity/database_host.go
@@ -20,7 +20,7 @@
 	case opCounters:
 		r.Counters, err = ownCounters()
 		for _, g := range d.groups {
-			r.Counters.Statements += uint64(g.Probes.Load())
+			r.Counters.Statements += uint64(g.HealthChecks.Load())
 		}
 	default:
 		err = fmt.Errorf("databases: %w: %q", ErrUnknownOperation, q.Operation)
@@ -30,17 +30,17 @@
 
 // start starts n databases and returns their addresses, group by group.
 func (d *databaseHost) start(n int) (addresses []string, err error) {
-	data := fakeserver.Restaurants(1, 1, 1)
+	data := fakeserver.NewBookingData(1, 1, 1)
 	for n > 0 {
 		g, err := fakeserver.Start(data, min(n, groupSize), 1, statementTime, 0)
 		if err != nil {
 			return nil, err
 		}
 		d.groups = append(d.groups, g)
-		for _, m := range g.Members {
+		for _, m := range g.Servers {
 			addresses = append(addresses, m.Address())
 		}
-		n -= len(g.Members)
+		n -= len(g.Servers)
 	}
 	return addresses, nil
 }
--- a/lab/processtest/backends.go
+++ b/lab/processtest/backends.go
@@ -16,17 +16,17 @@
 }
 
 func (b *backends) startBackends(s *Script) (err error) {
-	if b.servers, err = fakeserver.Start(fakeserver.Restaurants(5, 20, 50), s.Servers, 8, time.Millisecond, 0); err != nil {
+	if b.servers, err = fakeserver.Start(fakeserver.NewBookingData(5, 20, 50), s.Servers, 8, time.Millisecond, 0); err != nil {
 		return err
 	}
 	if s.Rollouts.Enabled() {
-		if b.givenUp, err = fakeserver.Start(fakeserver.Restaurants(5, 20, 50), 2, 8, time.Millisecond, 0); err != nil {
+		if b.givenUp, err = fakeserver.Start(fakeserver.NewBookingData(5, 20, 50), 2, 8, time.Millisecond, 0); err != nil {
 			return err
 		}
-		b.givenUp.ID, b.servers.Guests = 1, b.givenUp.Members
+		b.givenUp.ID, b.servers.ForeignServers = 1, b.givenUp.Servers
 	}
 	var list struct{ Endpoints json.RawMessage }
-	if err := json.Unmarshal(b.servers.Listed(), &list); err != nil {
+	if err := json.Unmarshal(b.servers.EndpointSnapshot(), &list); err != nil {
 		return fmt.Errorf("endpoint list of the fake servers: %w", err)
 	}
 	b.endpoints = startEndpointService(list.Endpoints)
--- a/lab/processtest/checks_requests.go
+++ b/lab/processtest/checks_requests.go
@@ -21,7 +21,7 @@
 		if q.group == 1 {
 			servers = c.harness.givenUp
 		}
-		effects := servers.Succeeded(q.id)
+		effects := servers.ExecutionCount(q.id)
 		switch {
 		case q.connectionLost:
 			counts.Unanswered++
--- a/lab/processtest/checks_versions.go
+++ b/lab/processtest/checks_versions.go
@@ -134,8 +134,8 @@
 			continue
 		}
 		since := c.history[inForce].At
-		for _, server := range c.harness.givenUp.Members {
-			for _, s := range server.Seen() {
+		for _, server := range c.harness.givenUp.Servers {
+			for _, s := range server.Statements() {
 				if late := s.At.UnixMicro() - since; late > 0 {
 					c.violated("%s reached %s %v after version %d, which gives its group up, was in force", s.ID, server.Name,
 						time.Duration(late)*time.Microsecond, version)
--- a/lab/processtest/configuration.go
+++ b/lab/processtest/configuration.go
@@ -53,7 +53,7 @@
 	if h.Script.Rollouts.DifferingLimits && f.index%2 == 1 {
 		window = 1e9
 	}
-	return fmt.Sprintf(instanceConfigFormat, f.Name, f.clientAddress, h.endpoints.address(), seed, h.servers.Listed(),
+	return fmt.Sprintf(instanceConfigFormat, f.Name, f.clientAddress, h.endpoints.address(), seed, h.servers.EndpointSnapshot(),
 		string(rune('a'+f.index%3)), len(h.fronts), f.index, discovery, window)
 }
 
--- a/lab/processtest/harness.go
+++ b/lab/processtest/harness.go
@@ -64,13 +64,13 @@
 	}
 	h.logf("-", "%d fronts serve; the script begins", len(h.fronts))
 	o := observations{began: time.Now()}
-	callsBefore, probesBefore, cpuBefore := h.endpoints.callCount(), h.servers.Probes.Load(), h.cpuTime()
+	callsBefore, probesBefore, cpuBefore := h.endpoints.callCount(), h.servers.HealthChecks.Load(), h.cpuTime()
 	clients := h.startClients(h.Script.Clients)
 	if err := h.playSteps(o.began); err != nil {
 		return nil, err
 	}
 	h.background.Wait()
-	o.usage.EndpointCalls, o.usage.Probes = h.endpoints.callCount()-callsBefore, h.servers.Probes.Load()-probesBefore
+	o.usage.EndpointCalls, o.usage.Probes = h.endpoints.callCount()-callsBefore, h.servers.HealthChecks.Load()-probesBefore
 	o.requests = clients.stop()
 	o.usage.CPU = h.cpuTime() - cpuBefore
 	o.unsettled = h.waitUntilSettled()
--- a/lab/processtest/network.go
+++ b/lab/processtest/network.go
@@ -14,12 +14,12 @@
 
 // network is the fault proxies, one for each ordered pair of fronts.
 type network struct {
-	proxies map[link]*faultproxy.Hop
+	proxies map[link]*faultproxy.Proxy
 }
 
 // startNetwork starts a proxy for each pair; on an error those that run are stopped.
 func startNetwork(fronts []*Front, seed uint64) (network, error) {
-	n := network{proxies: map[link]*faultproxy.Hop{}}
+	n := network{proxies: map[link]*faultproxy.Proxy{}}
 	for i := range fronts {
 		for j, to := range fronts {
 			if i == j {
@@ -40,13 +40,13 @@
 func (n *network) address(from, to int) string { return n.proxies[link{from, to}].Address() }
 
 // set gives new conditions to the bytes that go from a front to another one, whichever of them dialled, where affects says so.
-func (n *network) set(affects func(from, to int) bool, conditions faultproxy.Weather) {
+func (n *network) set(affects func(from, to int) bool, conditions faultproxy.Conditions) {
 	for l, p := range n.proxies {
 		if affects(l.from, l.to) {
-			p.Set(faultproxy.Out, conditions)
+			p.SetConditions(faultproxy.ToTarget, conditions)
 		}
 		if affects(l.to, l.from) {
-			p.Set(faultproxy.Back, conditions)
+			p.SetConditions(faultproxy.FromTarget, conditions)
 		}
 	}
 }
@@ -55,7 +55,7 @@
 func (n *network) reset() {
 	byPair := func(a, b link) int { return cmp.Or(a.from-b.from, a.to-b.to) }
 	for _, l := range slices.SortedFunc(maps.Keys(n.proxies), byPair) {
-		n.proxies[l].Break()
+		n.proxies[l].ResetConnections()
 	}
 }
 
--- a/lab/processtest/steps.go
+++ b/lab/processtest/steps.go
@@ -264,9 +264,9 @@
 
 // stallLinks stops bytes between fronts while the step lasts.
 func (h *Harness) stallLinks(s runningStep, affects func(from, to int) bool) error {
-	h.network.set(affects, faultproxy.Weather{Stall: true})
+	h.network.set(affects, faultproxy.Conditions{Stall: true})
 	h.after(s.lasts, func() {
-		h.network.set(affects, faultproxy.Weather{})
+		h.network.set(affects, faultproxy.Conditions{})
 		h.logf("-", "%s of %s is over", s.Kind, frontNames(s.fronts))
 	})
 	return nil
@@ -298,16 +298,16 @@
 }
 
 func (h *Harness) delayLinks(s runningStep) error {
-	return h.degradeLinks(s, faultproxy.Weather{Delay: s.Durations[0], Jitter: s.Durations[0]})
+	return h.degradeLinks(s, faultproxy.Conditions{Delay: s.Durations[0], Jitter: s.Durations[0]})
 }
 
 func (h *Harness) corruptLinks(s runningStep) error {
-	return h.degradeLinks(s, faultproxy.Weather{Spoil: 0.05})
+	return h.degradeLinks(s, faultproxy.Conditions{CorruptProbability: 0.05})
 }
 
-func (h *Harness) degradeLinks(s runningStep, conditions faultproxy.Weather) error {
+func (h *Harness) degradeLinks(s runningStep, conditions faultproxy.Conditions) error {
 	h.network.set(everyLink, conditions)
-	h.after(s.lasts, func() { h.network.set(everyLink, faultproxy.Weather{}) })
+	h.after(s.lasts, func() { h.network.set(everyLink, faultproxy.Conditions{}) })
 	return nil
 }
 
@@ -334,7 +334,7 @@
 }
 
 func (h *Harness) hangServer(s runningStep) error {
-	server := h.servers.Members[len(h.servers.Members)-1]
+	server := h.servers.Servers[len(h.servers.Servers)-1]
 	server.Hang(true)
 	h.after(s.lasts, func() {
 		server.Hang(false)
--- a/testsupport/fakeserver/client.go
+++ b/testsupport/fakeserver/client.go
@@ -11,12 +11,12 @@
 
 // Client is a client of the protocol that sends one statement at a time.
 type Client struct {
-	conn net.Conn
-	r    *pgwire.Reader
+	conn   net.Conn
+	reader *pgwire.Reader
 }
 
-// Answer is the response to a statement.
-type Answer struct {
+// Response is the response to a statement.
+type Response struct {
 	Rows          [][]string
 	Tag           string
 	Code, Message string // of an error
@@ -42,10 +42,10 @@
 }
 
 // DialAndQuery connects and sends the startup message and a statement in one write, and waits for both answers.
-func DialAndQuery(address, sql string) (*Client, Answer, error) {
+func DialAndQuery(address, sql string) (*Client, Response, error) {
 	c, err := net.DialTimeout("tcp", address, 5*time.Second)
 	if err != nil {
-		return nil, Answer{}, err
+		return nil, Response{}, err
 	}
 	cl := &Client{c, pgwire.NewReader(c, 4096, 1<<24)}
 	if _, err = c.Write(pgwire.AppendQuery(pgwire.AppendStartup(nil, "portal", "crm"), sql)); err == nil {
@@ -53,7 +53,7 @@
 	}
 	if err != nil {
 		_ = c.Close()
-		return nil, Answer{}, err
+		return nil, Response{}, err
 	}
 	a, err := cl.answer()
 	return cl, a, err
@@ -63,9 +63,9 @@
 func (c *Client) Close() { _ = c.conn.Close() }
 
 // Query sends a statement and waits for its answer.
-func (c *Client) Query(sql string) (Answer, error) {
+func (c *Client) Query(sql string) (Response, error) {
 	if err := c.Send(sql); err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	return c.answer()
 }
@@ -76,15 +76,15 @@
 	return err
 }
 
-// Answer waits for the answer of the first statement that has none yet.
-func (c *Client) Answer() (Answer, error) { return c.answer() }
+// ReadResponse waits for the answer of the first statement that has none yet.
+func (c *Client) ReadResponse() (Response, error) { return c.answer() }
 
-// AwaitEnd waits until the other side sends a message or closes the connection, at most answerTimeout.
-func (c *Client) AwaitEnd() {
+// AwaitClose waits until the other side sends a message or closes the connection, at most answerTimeout.
+func (c *Client) AwaitClose() {
 	if c.setAnswerDeadline() != nil {
 		return // it is closed
 	}
-	_, _, _ = c.r.Next()
+	_, _, _ = c.reader.Next()
 }
 
 // answerTimeout is how long a client waits for an answer.
@@ -94,12 +94,12 @@
 	return c.conn.SetReadDeadline(time.Now().Add(answerTimeout))
 }
 
-func (c *Client) answer() (a Answer, err error) {
+func (c *Client) answer() (a Response, err error) {
 	if err := c.setAnswerDeadline(); err != nil {
 		return a, err
 	}
 	for {
-		typ, body, err := c.r.Next()
+		typ, body, err := c.reader.Next()
 		if err != nil {
 			if a.Code != "" { // a fatal error ends the connection
 				return a, nil
@@ -132,7 +132,7 @@
 }
 
 // parseError reads the fields of an ErrorResponse message: a type byte and a string each.
-func (a *Answer) parseError(fields []byte) {
+func (a *Response) parseError(fields []byte) {
 	for len(fields) > 1 {
 		text, rest, _ := bytes.Cut(fields[1:], []byte{0})
 		switch fields[0] {
--- a/testsupport/fakeserver/cost_test.go
+++ b/testsupport/fakeserver/cost_test.go
@@ -96,10 +96,10 @@
 // Costs rank statements as a stand-in's times do: at first by the shape alone, then by what was measured. The times
 // are the stand-in's own, told by the rows that it really touched.
 func TestCostsRankStatementsAsMeasuredTimesDo(t *testing.T) {
-	g, err := Start(Restaurants(50, 200, 1500), 1, 1, 200*time.Microsecond, 20*time.Microsecond)
+	g, err := Start(NewBookingData(50, 200, 1500), 1, 1, 200*time.Microsecond, 20*time.Microsecond)
 	require.NoError(t, err)
 	defer g.Close()
-	c, err := Dial(g.Members[0].Address())
+	c, err := Dial(g.Servers[0].Address())
 	require.NoError(t, err)
 	defer c.Close()
 	by := sqlclass.New(sqlclass.Options{CacheBytes: 1 << 20})
@@ -149,11 +149,11 @@
 }
 
 func TestTheStandInsWorkIsWhatAStatementTouches(t *testing.T) {
-	d := Restaurants(10, 40, 1000)
+	d := NewBookingData(10, 40, 1000)
 	scan, key := d.Run("SELECT * FROM bookings WHERE guests = 3"), d.Run("SELECT * FROM bookings WHERE id = 3")
-	assert.Equal(t, 1000, scan.Touched)
-	assert.Equal(t, 2, key.Touched)
-	assert.Equal(t, 10, d.Run("SELECT * FROM bookings LIMIT 10").Touched)
+	assert.Equal(t, 1000, scan.RowsTouched)
+	assert.Equal(t, 2, key.RowsTouched)
+	assert.Equal(t, 10, d.Run("SELECT * FROM bookings LIMIT 10").RowsTouched)
 	join := d.Run("SELECT b.id FROM bookings b JOIN tables t ON t.id = b.table_id WHERE t.seats = 4")
 	assert.Len(t, join.Rows, 125)
 	assert.True(t, d.Run("DELETE FROM bookings WHERE house = 3").Changed)
@@ -164,5 +164,5 @@
 	d.Run("UPDATE houses SET area = 9 WHERE id = 77")
 	rows := d.Run("SELECT * FROM houses WHERE area = 9").Rows
 	assert.Equal(t, "new", slices.Concat(rows...)[1])
-	assert.False(t, d.Run("SELECT next_seat(1)").Known)
+	assert.False(t, d.Run("SELECT next_seat(1)").Parsed)
 }
--- a/testsupport/fakeserver/discovery.go
+++ b/testsupport/fakeserver/discovery.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// List serves the endpoint list over HTTP as the discovery service does: a snapshot, and a watch that stays open with a heartbeat
+// ServeEndpoints serves the endpoint list over HTTP as the discovery service does: a snapshot, and a watch that stays open with a heartbeat
 // each second. The caller closes the server.
-func (g *Group) List() *httptest.Server {
+func (g *Group) ServeEndpoints() *httptest.Server {
 	return httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if _, err := w.Write(g.Listed()); err != nil {
+		if _, err := w.Write(g.EndpointSnapshot()); err != nil {
 			return // the client has gone
 		}
 		if r.URL.Query().Get("watch") == "" {
@@ -32,8 +32,8 @@
 	}))
 }
 
-// Listed is the snapshot in the discovery service's JSON.
-func (g *Group) Listed() []byte {
+// EndpointSnapshot is the snapshot in the discovery service's JSON.
+func (g *Group) EndpointSnapshot() []byte {
 	type entry struct {
 		Name    string  `json:"name"`
 		Address string  `json:"address"`
@@ -46,16 +46,16 @@
 		Role    string  `json:"role"`
 	}
 	var all []entry
-	for _, m := range append(append([]*Member{}, g.Members...), g.Guests...) {
+	for _, m := range append(append([]*Server{}, g.Servers...), g.ForeignServers...) {
 		role := "replica"
 		if m.primary() {
 			role = "primary"
 		}
 		name := m.Name
-		if m.g != g { // servers of two groups have the same names
-			name = fmt.Sprintf("guest-%d-%s", m.g.ID, name)
+		if m.group != g { // servers of two groups have the same names
+			name = fmt.Sprintf("guest-%d-%s", m.group.ID, name)
 		}
-		all = append(all, entry{name, m.Address(), "a", "m", m.g.ID, "up", 1, 0, role})
+		all = append(all, entry{name, m.Address(), "a", "m", m.group.ID, "up", 1, 0, role})
 	}
 	b, err := json.Marshal(map[string]any{"index": 1, "snapshot": true, "endpoints": all})
 	if err != nil {
--- a/testsupport/fakeserver/modify.go
+++ b/testsupport/fakeserver/modify.go
@@ -46,10 +46,10 @@
 		for _, col := range t.Indexed {
 			v := row[slices.Index(t.Columns, col)]
 			t.index[col][v] = append(t.index[col][v], len(t.Rows))
-			r.Touched++
+			r.RowsTouched++
 		}
 		t.Rows = append(t.Rows, row)
-		r.Touched += writeCost
+		r.RowsTouched += writeCost
 		p.take(",")
 	}
 	r.Changed = true
@@ -108,8 +108,8 @@
 	if !ok {
 		return nil, false
 	}
-	rows = t.pick(alias, conditions, 0, &r.Touched)
-	r.Touched += writeCost * len(rows)
+	rows = t.pick(alias, conditions, 0, &r.RowsTouched)
+	r.RowsTouched += writeCost * len(rows)
 	r.Changed = true
 	return rows, true
 }
--- a/testsupport/fakeserver/select.go
+++ b/testsupport/fakeserver/select.go
@@ -248,23 +248,23 @@
 	if !ok {
 		return r, false
 	}
-	rows := q.table.pick(q.alias, q.conditions, q.scanLimit(), &r.Touched)
+	rows := q.table.pick(q.alias, q.conditions, q.scanLimit(), &r.RowsTouched)
 	names := q.table.named(q.alias)
 	for _, j := range q.joins {
-		if names, rows, ok = j.run(names, rows, q.conditions, &r.Touched); !ok {
+		if names, rows, ok = j.run(names, rows, q.conditions, &r.RowsTouched); !ok {
 			return r, false
 		}
 	}
 	orderBy := q.orderBy
 	if q.aggregates() {
-		rows = countByGroup(rows, column(names, q.groupBy), &r.Touched)
+		rows = countByGroup(rows, column(names, q.groupBy), &r.RowsTouched)
 		if len(rows) == 0 && q.groupBy == "" {
 			rows = [][]string{{"", "0"}}
 		}
 		orderBy = ""
 	}
 	if at := column(names, orderBy); orderBy != "" && at >= 0 {
-		sortRows(rows, at, q.descending, &r.Touched)
+		sortRows(rows, at, q.descending, &r.RowsTouched)
 	}
 	if q.limit > 0 && len(rows) > q.limit {
 		rows = rows[:q.limit]
--- a/testsupport/fakeserver/tables.go
+++ b/testsupport/fakeserver/tables.go
@@ -54,10 +54,10 @@
 
 // Result is what a statement brought, and the rows that it touched on the way.
 type Result struct {
-	Rows    [][]string
-	Touched int
-	Known   bool // it could be read
-	Changed bool
+	Rows        [][]string
+	RowsTouched int
+	Parsed      bool // it could be read
+	Changed     bool
 }
 
 // Run runs a statement.
@@ -79,12 +79,12 @@
 	if !ok {
 		return Result{Rows: [][]string{{"1"}}}
 	}
-	r.Known = true
+	r.Parsed = true
 	return r
 }
 
-// Restaurants makes tables like those of a booking service, of sizes that differ a hundredfold.
-func Restaurants(houses, tables, bookings int) *Data {
+// NewBookingData makes tables like those of a booking service, of sizes that differ a hundredfold.
+func NewBookingData(houses, tables, bookings int) *Data {
 	h := &Table{Columns: []string{"id", "name", "area"}, Indexed: []string{"id"}}
 	for i := range houses {
 		h.Rows = append(h.Rows, []string{strconv.Itoa(i), fmt.Sprintf("house-%d", i), strconv.Itoa(i % 7)})
