--- a/Makefile
+++ b/Makefile
@@ -24,13 +24,13 @@
 	go test ./pgwire -fuzz FuzzStatement -fuzztime 30s
 	go test ./pgwire -fuzz FuzzQueryResult -fuzztime 30s
 
-# 20,000 rough runs of the fleet in virtual time; about half an hour on 6 cores.
+# 20,000 runs of the fleet under random faults in virtual time; about half an hour on 6 cores.
 fleet-soak:
-	FLEET_SEEDS=20000 go test ./lab/fleetsim -run Rough -timeout 3h
+	FLEET_SEEDS=20000 go test ./lab/fleetsim -run RandomFaults -timeout 3h
 
-# 10,000 rough runs of versions in virtual time, and every pair of faults over two publishes; about a quarter of an hour each.
+# 10,000 runs of rollouts under random faults in virtual time, and every pair of faults over two publishes; about a quarter of an hour each.
 roll-soak:
-	ROLL_SEEDS=10000 go test ./lab/proxysim -run Rough -timeout 3h
+	ROLL_SEEDS=10000 go test ./lab/proxysim -run RandomFaults -timeout 3h
 
 roll-walk:
 	ROLL_WALK=all go test ./lab/proxysim -run EveryPair -timeout 3h
--- a/lab/fleetsim/declarations_test.go
+++ b/lab/fleetsim/declarations_test.go
@@ -12,108 +12,108 @@
 	"dapplerouter/fleet"
 )
 
-// declareEverywhere makes a world in which each front declares so many leases at once, as it does when it has read the endpoint
-// list. requests counts the fronts' requests as they arrive at the leader.
-func declareEverywhere(fronts, leases int) (w *World, requests *int) {
-	w, requests = New(1, fronts, 3, pace, two), new(int)
-	w.Hear = func(to *Host, _ string, m *fleet.Message) {
+// declareEverywhere starts a fleet in which each front declares many leases at once, as it does when it has read the endpoint list.
+// requests counts the fronts' requests as they arrive at the leader.
+func declareEverywhere(fronts, leases int) (sim *Simulation, requests *int) {
+	sim, requests = New(Options{Seed: 1, Fronts: fronts, Voters: 3, Timing: testTiming, Leases: twoLeases}), new(int)
+	sim.OnReceive = func(to *Host, _ string, m *fleet.Message) {
 		if m.Kind == fleet.KindRequest && to.Node.IsLeader() {
 			*requests++
 		}
 	}
-	w.Born = func(h *Host) {
+	sim.OnStart = func(h *Host) {
 		for i := range leases {
 			h.Node.DeclareLease(fmt.Sprintf("scout/%d", 100+i), 0)
 		}
 	}
-	w.StartAll()
-	return w, requests
+	sim.StartAll()
+	return sim, requests
 }
 
 // The start of a fleet costs a declaration and a grant of each lease and a join of each front, not a declaration of each lease by
 // each front; and a front asks for all that it lacks at once.
 func TestALeaseIsDeclaredOnceHoweverManyFrontsAsk(t *testing.T) {
-	for _, x := range []struct{ fronts, leases int }{{6, 40}, {24, 40}, {24, 160}, {48, 217}} {
-		t.Run(fmt.Sprintf("%d fronts, %d leases", x.fronts, x.leases), func(t *testing.T) {
-			w, requests := declareEverywhere(x.fronts, x.leases)
-			w.Run(20 * time.Second)
-			require.Empty(t, w.Wrong)
-			state := w.Leader().Node.State()
+	for _, c := range []struct{ fronts, leases int }{{6, 40}, {24, 40}, {24, 160}, {48, 217}} {
+		t.Run(fmt.Sprintf("%d fronts, %d leases", c.fronts, c.leases), func(t *testing.T) {
+			sim, requests := declareEverywhere(c.fronts, c.leases)
+			sim.Run(20 * time.Second)
+			require.Empty(t, sim.Violations)
+			state := sim.Leader().Node.State()
 			t.Log("log entries", state.Index, "requests at the leader", *requests)
-			require.Len(t, state.Leases, x.leases+len(two))
+			require.Len(t, state.Leases, c.leases+len(twoLeases))
 			for _, lease := range state.Leases {
 				assert.NotEmpty(t, lease.Leaseholder, lease.Name)
 			}
-			assert.LessOrEqual(t, int(state.Index), 2*(x.leases+len(two))+2*x.fronts+20)
-			assert.LessOrEqual(t, *requests, 8*x.fronts)
-			for _, h := range w.Hosts {
+			assert.LessOrEqual(t, int(state.Index), 2*(c.leases+len(twoLeases))+2*c.fronts+20)
+			assert.LessOrEqual(t, *requests, 8*c.fronts)
+			for _, h := range sim.Hosts {
 				assert.Equal(t, state.Index, h.Node.State().Index, h.Name)
 			}
 		})
 	}
 }
 
-// Over slow links a front repeats each request several times before its answer comes: each is proposed once, however many are out.
-func TestARepeatedRequestIsProposedOnceHoweverManyAreOut(t *testing.T) {
+// Over slow links a front repeats each request several times before its reply arrives: each is proposed once, however many are in flight.
+func TestRepeatedRequestIsProposedOnceHoweverManyAreInFlight(t *testing.T) {
 	for _, puts := range []int{10, 60, 200} {
 		t.Run(fmt.Sprint(puts), func(t *testing.T) {
-			w := started(t, 2, 6)
-			before := w.Leader().Node.State().Index
-			w.Delay = 250 * time.Millisecond
-			holder := w.Holder("list")
-			answered := told[fleet.RequestDone](holder)
+			sim := started(t, 2, 6)
+			before := sim.Leader().Node.State().Index
+			sim.Delay = 250 * time.Millisecond
+			holder := sim.Leaseholder("list")
+			replies := countEvents[fleet.RequestDone](holder)
 			holder.Do(func(n *fleet.Node, now time.Duration) {
 				for i := range puts {
 					_, ok := n.PutValue(now, "list", fmt.Sprint("key", i), 0, []byte("x"))
 					require.True(t, ok)
 				}
 			})
-			w.Run(10 * time.Second)
-			require.Empty(t, w.Wrong)
-			require.Len(t, w.Leader().Node.State().Values, puts)
-			assert.Equal(t, puts, told[fleet.RequestDone](holder)-answered, "each is answered")
-			assert.LessOrEqual(t, int(w.Leader().Node.State().Index-before), puts+2, "and proposed once")
+			sim.Run(10 * time.Second)
+			require.Empty(t, sim.Violations)
+			require.Len(t, sim.Leader().Node.State().Values, puts)
+			assert.Equal(t, puts, countEvents[fleet.RequestDone](holder)-replies, "each has a reply")
+			assert.LessOrEqual(t, int(sim.Leader().Node.State().Index-before), puts+2, "and proposed once")
 		})
 	}
 }
 
-// A membership record renews a bounded number of leases: a front is granted no more, be it the only one that takes leases, and no link
-// is closed for a record that is too long. The others are granted once another front takes leases.
+// A membership record renews a bounded number of leases: a front is granted no more, even as the only one that accepts leases, and no
+// link is closed for a record that is too long. The others are granted once another front accepts leases.
 func TestNoFrontIsGrantedMoreLeasesThanItCanRenew(t *testing.T) {
-	const most, leases = 256, 300
-	w := New(1, 5, 3, pace, nil)
+	const maxLeases, leases = 256, 300
+	sim := New(Options{Seed: 1, Fronts: 5, Voters: 3, Timing: testTiming})
 	closed := 0
-	w.Trace = func(s string) {
+	sim.Trace = func(s string) {
 		if strings.Contains(s, "closes the link") {
 			closed++
 			t.Log(s)
 		}
 	}
-	for _, h := range w.Hosts[1:] {
-		h.Unwilling = true
+	for _, h := range sim.Hosts[1:] {
+		h.DeclinesLeases = true
 	}
-	w.Born = func(h *Host) {
+	sim.OnStart = func(h *Host) {
 		for i := range leases {
 			h.Node.DeclareLease(fmt.Sprintf("scout/%d", 100+i), 0)
 		}
 	}
-	w.StartAll()
+	sim.StartAll()
 	count := func() map[string]int {
 		held := map[string]int{}
-		for _, lease := range w.Leader().Node.State().Leases {
+		for _, lease := range sim.Leader().Node.State().Leases {
 			held[lease.Leaseholder]++
 		}
 		return held
 	}
-	w.Run(20 * time.Second)
-	require.Empty(t, w.Wrong)
+	sim.Run(20 * time.Second)
+	require.Empty(t, sim.Violations)
 	assert.Zero(t, closed)
-	assert.Equal(t, map[string]int{"f000": most, "": leases - most}, count())
-	w.Hosts[4].Crash()
-	w.Hosts[4].Unwilling = false
-	w.Hosts[4].Start()
-	w.Run(10 * time.Second)
-	require.Empty(t, w.Wrong)
+	assert.Equal(t, map[string]int{"f000": maxLeases, "": leases - maxLeases}, count())
+	sim.Hosts[4].Crash()
+	sim.Hosts[4].DeclinesLeases = false
+	sim.Hosts[4].Start()
+	sim.Run(10 * time.Second)
+	require.Empty(t, sim.Violations)
 	assert.Equal(t, 0, count()[""])
-	assert.LessOrEqual(t, count()["f000"], most)
+	assert.LessOrEqual(t, count()["f000"], maxLeases)
 }
--- a/lab/fleetsim/disk.go
+++ b/lab/fleetsim/disk.go
@@ -5,47 +5,47 @@
 	"maps"
 	"slices"
 
-	pb "go.etcd.io/raft/v3/raftpb"
+	"go.etcd.io/raft/v3/raftpb"
 
 	"dapplerouter/fleet"
 )
 
-// A host's disk: what is saved stays over a crash.
-
-// Disk is what a keeper's disk holds.
+// Disk is a voter's disk. What was written survives a crash.
 type Disk struct {
+	Full  bool // writes fail
 	state fleet.DiskState
-	Full  bool
 }
 
-func (d *Disk) copied() *Disk {
+func (d *Disk) clone() *Disk {
 	c := *d
 	c.state.Entries = slices.Clone(d.state.Entries)
 	c.state.Floors = maps.Clone(d.state.Floors)
 	return &c
 }
 
-var errFull = errors.New("no space left on device")
+// errNoSpace is the error of every write to a full disk.
+var errNoSpace = errors.New("no space left on device")
 
-func (d *Disk) save(s *fleet.DiskWrite) error {
+// write applies a node's write as a whole: a snapshot replaces the entries up to its index, entries replace those from the first on.
+func (d *Disk) write(w *fleet.DiskWrite) error {
 	if d.Full {
-		return errFull
+		return errNoSpace
 	}
-	if s.Snapshot != nil {
-		d.state.Snapshot = s.Snapshot
-		at := s.Snapshot.GetMetadata().GetIndex()
-		d.state.Entries = slices.DeleteFunc(slices.Clone(d.state.Entries), func(e *pb.Entry) bool { return e.GetIndex() <= at })
+	if w.Snapshot != nil {
+		d.state.Snapshot = w.Snapshot
+		index := w.Snapshot.GetMetadata().GetIndex()
+		d.state.Entries = slices.DeleteFunc(slices.Clone(d.state.Entries), func(e *raftpb.Entry) bool { return e.GetIndex() <= index })
 	}
-	if len(s.Entries) > 0 {
-		first := s.Entries[0].GetIndex()
-		d.state.Entries = slices.DeleteFunc(slices.Clone(d.state.Entries), func(e *pb.Entry) bool { return e.GetIndex() >= first })
-		d.state.Entries = append(d.state.Entries, s.Entries...)
+	if len(w.Entries) > 0 {
+		first := w.Entries[0].GetIndex()
+		d.state.Entries = slices.DeleteFunc(slices.Clone(d.state.Entries), func(e *raftpb.Entry) bool { return e.GetIndex() >= first })
+		d.state.Entries = append(d.state.Entries, w.Entries...)
 	}
-	if s.Hard != nil {
-		d.state.Hard = s.Hard
+	if w.Hard != nil {
+		d.state.Hard = w.Hard
 	}
-	if s.Floors != nil {
-		d.state.Floors = maps.Clone(s.Floors)
+	if w.Floors != nil {
+		d.state.Floors = maps.Clone(w.Floors)
 	}
 	return nil
 }
--- /dev/null
+++ b/lab/fleetsim/leases_test.go
@@ -0,0 +1,67 @@
+package fleetsim
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"dapplerouter/fleet"
+)
+
+func TestBroadcastAfterPauseIsRejectedByFrontsThatKnowTheNextTerm(t *testing.T) {
+	sim := started(t, 3, 6)
+	h := sim.Leaseholder("list")
+	term, _ := h.Node.HoldsLease(h.Clock(), "list")
+	sim.BroadcastLate(h, "list", term, 10*time.Second)
+	sim.Run(9 * time.Second)
+	require.NotNil(t, sim.Leaseholder("list"))
+	require.NotEqual(t, h, sim.Leaseholder("list"))
+	sim.Run(3 * time.Second)
+	require.Empty(t, sim.Violations)
+	rejected := 0
+	for _, o := range sim.Hosts {
+		rejected += countEvents[fleet.BroadcastRejected](o)
+	}
+	assert.Positive(t, rejected)
+}
+
+func TestLeaseholderWithoutProgressLosesItsLease(t *testing.T) {
+	sim := New(Options{Seed: 9, Fronts: 5, Voters: 3, Timing: testTiming, Leases: map[string]time.Duration{"list": 4 * time.Second}})
+	sim.StartAll()
+	var report func()
+	stuck := ""
+	report = func() {
+		for _, h := range sim.Hosts {
+			if h.Name != stuck {
+				h.Do(func(n *fleet.Node, now time.Duration) { n.ReportProgress("list") })
+			}
+		}
+		sim.After(500*time.Millisecond, report)
+	}
+	report()
+	sim.Run(20 * time.Second)
+	h := sim.Leaseholder("list")
+	term, _ := h.Node.HoldsLease(h.Clock(), "list")
+	require.EqualValues(t, 1, term, "a holder that reports progress keeps its lease")
+	stuck = h.Name
+	sim.Run(8 * time.Second)
+	require.NotNil(t, sim.Leaseholder("list"))
+	assert.NotEqual(t, stuck, sim.Leaseholder("list").Name)
+	assert.Equal(t, "it got nothing done", sim.Leader().Node.State().Leases["list"].Reason)
+	require.Empty(t, sim.Violations)
+}
+
+func TestLeaseDoesNotFlapBetweenTwoDegradedFronts(t *testing.T) {
+	sim := New(Options{Seed: 10, Fronts: 5, Voters: 3, Timing: testTiming, Leases: map[string]time.Duration{"list": 4 * time.Second}})
+	for _, h := range sim.Hosts[:3] {
+		h.DeclinesLeases = true
+	}
+	sim.StartAll()
+	sim.Run(20 * time.Minute) // nobody ever reports progress
+	require.Empty(t, sim.Violations)
+	term := sim.Leader().Node.State().Leases["list"].Term
+	assert.Greater(t, term, uint64(4))
+	assert.Less(t, term, uint64(30), "without a backoff it would move every five seconds, 240 times")
+}
--- a/lab/fleetsim/norace_test.go
+++ b/lab/fleetsim/norace_test.go
@@ -2,4 +2,4 @@
 
 package fleetsim
 
-const raceOn = false
+const raceEnabled = false
--- a/lab/fleetsim/race_test.go
+++ b/lab/fleetsim/race_test.go
@@ -2,4 +2,4 @@
 
 package fleetsim
 
-const raceOn = true
+const raceEnabled = true
--- a/lab/fleetsim/snapshot_test.go
+++ b/lab/fleetsim/snapshot_test.go
@@ -13,61 +13,60 @@
 	"dapplerouter/fleet"
 )
 
-// A voter that lacks so much that it needs a snapshot is sent one; the link breaks before it arrives. The leader must send it anew.
+// A voter that is so far behind that it needs a snapshot is sent one, and the link breaks before it arrives. The leader must send it
+// again.
 func TestAVoterWhoseSnapshotWasLostCatchesUp(t *testing.T) {
-	w := started(t, 9, 5)
-	leader := w.Leader()
+	sim := started(t, 9, 5)
+	leader := sim.Leader()
 	var behind *Host
-	for _, h := range w.Hosts[:3] {
+	for _, h := range sim.Hosts[:3] {
 		if h != leader {
 			behind = h
 		}
 	}
 	behind.Crash()
 	for i := range 800 { // more than the log keeps
-		w.Holder("list").Do(func(n *fleet.Node, _ time.Duration) { n.DeclareLease(fmt.Sprintf("scout/%d", 100+i), 0) })
+		sim.Leaseholder("list").Do(func(n *fleet.Node, _ time.Duration) { n.DeclareLease(fmt.Sprintf("scout/%d", 100+i), 0) })
 		if i%200 == 0 {
-			w.Run(500 * time.Millisecond)
+			sim.Run(500 * time.Millisecond)
 		}
 	}
-	w.Run(10 * time.Second)
-	require.Same(t, leader, w.Leader())
+	sim.Run(10 * time.Second)
+	require.Same(t, leader, sim.Leader())
 	require.Greater(t, leader.Node.State().Index, uint64(800))
 	lost := 0
-	w.Weigh = func(m *fleet.Message) int {
+	sim.MessageSize = func(m *fleet.Message) int {
 		var x raftpb.Message
 		if m.Kind == fleet.KindConsensus && proto.Unmarshal(m.Data, &x) == nil && x.GetType() == raftpb.MsgSnap && lost == 0 {
 			lost++
-			w.Cut(leader.Name, behind.Name)
-			w.Cut(behind.Name, leader.Name)
+			sim.cutBoth(leader, behind)
 		}
 		return 0
 	}
 	behind.Start()
-	w.Run(5 * time.Second)
-	require.Equal(t, 1, lost, "a snapshot was on its way")
-	w.Heal()
-	w.Run(20 * time.Second)
-	require.Empty(t, w.Wrong)
-	require.Same(t, leader, w.Leader(), "no new leader begins it anew")
+	sim.Run(5 * time.Second)
+	require.Equal(t, 1, lost, "a snapshot was in flight")
+	sim.Heal()
+	sim.Run(20 * time.Second)
+	require.Empty(t, sim.Violations)
+	require.Same(t, leader, sim.Leader(), "no new leader starts over")
 	assert.Equal(t, leader.Node.State().Index, behind.Node.State().Index)
 }
 
 // A voter falls behind by more than the log keeps while its link to the leader is cut, so that the leader's snapshot for it finds no
-// link at all. It is sent anew once there is one.
+// link at all. It is sent again once there is one.
 func TestAVoterWhoseSnapshotFoundNoLinkCatchesUp(t *testing.T) {
-	w := started(t, 9, 5)
-	leader := w.Leader()
+	sim := started(t, 9, 5)
+	leader := sim.Leader()
 	var behind *Host
-	for _, h := range w.Hosts[:3] {
+	for _, h := range sim.Hosts[:3] {
 		if h != leader {
 			behind = h
 		}
 	}
-	w.Cut(leader.Name, behind.Name)
-	w.Cut(behind.Name, leader.Name)
+	sim.cutBoth(leader, behind)
 	sent := 0
-	w.Weigh = func(m *fleet.Message) int { // of messages that have a link
+	sim.MessageSize = func(m *fleet.Message) int { // called for messages that have a link
 		var x raftpb.Message
 		if m.Kind == fleet.KindConsensus && proto.Unmarshal(m.Data, &x) == nil && x.GetType() == raftpb.MsgSnap {
 			sent++
@@ -75,19 +74,19 @@
 		return 0
 	}
 	for range 10 { // more than the log keeps, before the link is given up and after
-		w.Holder("list").Do(func(n *fleet.Node, now time.Duration) {
+		sim.Leaseholder("list").Do(func(n *fleet.Node, now time.Duration) {
 			for i := range 200 {
 				n.PutValue(now, "list", fmt.Sprint("key", i), 0, []byte("x"))
 			}
 		})
-		w.Run(500 * time.Millisecond)
+		sim.Run(500 * time.Millisecond)
 	}
-	w.Run(5 * time.Second)
+	sim.Run(5 * time.Second)
 	require.Zero(t, sent)
-	w.Heal()
-	w.Run(20 * time.Second)
-	require.Empty(t, w.Wrong)
-	require.Same(t, leader, w.Leader(), "no new leader begins it anew")
+	sim.Heal()
+	sim.Run(20 * time.Second)
+	require.Empty(t, sim.Violations)
+	require.Same(t, leader, sim.Leader(), "no new leader starts over")
 	assert.Positive(t, sent)
 	assert.Equal(t, leader.Node.State().Index, behind.Node.State().Index)
 }
--- /dev/null
+++ b/lab/proxysim/helpers_test.go
@@ -0,0 +1,72 @@
+package proxysim
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"dapplerouter/fleet/rollout"
+)
+
+// noOutcome stands for the outcome of an action while there is none.
+const noOutcome = "no outcome"
+
+// newRolloutCluster starts a cluster of nine servers under load, in which versions can be published.
+func newRolloutCluster(seed uint64, fronts int, stopWhenIsolated bool) *Cluster {
+	cluster := New(Options{
+		Seed:          seed,
+		Fronts:        fronts,
+		Voters:        3,
+		Fleet:         true,
+		LeaseDuration: 3 * time.Second,
+		Servers:       ServerOptions{Groups: 3, PerGroup: 3, Concurrency: 4, ServiceTime: 2 * time.Millisecond},
+		Load:          LoadOptions{Rate: 20, WriteFraction: 0.25},
+		Rollout:       RolloutOptions{ConfigLease: 6 * time.Second, StopWhenIsolated: stopWhenIsolated},
+	})
+	cluster.StartAll()
+	cluster.Run(10 * time.Second)
+	return cluster
+}
+
+// publishAction publishes a text in stages, in thousandths of the fleet.
+func publishAction(text string, stages ...uint16) rollout.Action {
+	if len(stages) == 0 {
+		stages = []uint16{10, 500, 1000}
+	}
+	return rollout.Action{Type: rollout.ActionPublish, Text: []byte(text), Stages: stages, ObservationTime: 2 * time.Second, MaxFenced: 200}
+}
+
+// publish submits an action at the first front and waits for its outcome: why it was rejected, "" for success.
+func publish(t *testing.T, cluster *Cluster, a rollout.Action) (rejectedReason string) {
+	t.Helper()
+	rejectedReason = noOutcome
+	cluster.Publish(cluster.Fronts[0], a, func(reason string) { rejectedReason = reason })
+	for range 100 {
+		cluster.Run(300 * time.Millisecond)
+		if rejectedReason != noOutcome {
+			break
+		}
+	}
+	return rejectedReason
+}
+
+// awaitSteady waits until a rollout has ended, and returns its state.
+func awaitSteady(t *testing.T, cluster *Cluster, timeout time.Duration) rollout.State {
+	t.Helper()
+	end := cluster.Now + timeout
+	for cluster.Now < end && (cluster.State().Phase != rollout.PhaseSteady || cluster.State().LastVersion == 0) {
+		cluster.Run(250 * time.Millisecond)
+	}
+	require.Empty(t, cluster.Violations)
+	require.Equal(t, rollout.PhaseSteady, cluster.State().Phase, cluster.State().Reason)
+	return cluster.State()
+}
+
+// activeVersions returns the version that each front acts on.
+func activeVersions(cluster *Cluster) (all []uint64) {
+	for _, f := range cluster.Fronts {
+		all = append(all, f.Core.ConfigVersion())
+	}
+	return all
+}
--- /dev/null
+++ b/lab/proxysim/in_force_test.go
@@ -0,0 +1,253 @@
+package proxysim
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"dapplerouter/deployment"
+	"dapplerouter/fleet"
+	"dapplerouter/fleet/rollout"
+)
+
+// newClusterWithDeadline starts a cluster whose versions have to be in force everywhere within 20 s, with the default ratio of lease
+// durations.
+func newClusterWithDeadline(seed uint64, fronts int) *Cluster {
+	cluster := New(Options{
+		Seed:          seed,
+		Fronts:        fronts,
+		Voters:        3,
+		Fleet:         true,
+		LeaseDuration: 3 * time.Second,
+		Servers:       ServerOptions{Groups: 3, PerGroup: 3, Concurrency: 4, ServiceTime: 2 * time.Millisecond},
+		Load:          LoadOptions{Rate: 4, WriteFraction: 0.25},
+		Rollout:       RolloutOptions{ConfigLease: 12 * time.Second, StopWhenIsolated: true, InForceWithin: 20 * time.Second},
+	})
+	cluster.StartAll()
+	cluster.Run(20 * time.Second)
+	return cluster
+}
+
+// inForce publishes rules at a front and returns how long it takes until they are in force.
+func inForce(t *testing.T, cluster *Cluster, at *Front, text string) time.Duration {
+	t.Helper()
+	base, began, rejectedReason := cluster.State().Base, cluster.Now, noOutcome
+	x := publishAction(text, 1000)
+	x.Base, x.ObservationTime = base, 0
+	cluster.Publish(at, x, func(reason string) { rejectedReason = reason })
+	for cluster.Now < began+2*time.Minute && (cluster.State().Base == base || cluster.State().Phase != rollout.PhaseSteady) {
+		cluster.Run(50 * time.Millisecond)
+	}
+	require.Empty(t, cluster.Violations)
+	require.Empty(t, rejectedReason)
+	require.Greater(t, cluster.State().Base, base, cluster.State().Reason)
+	return cluster.Now - began
+}
+
+func TestVersionIsInForceWithinItsTimeWhoeverIsCutOff(t *testing.T) {
+	for _, cutBefore := range []time.Duration{0, 2 * time.Second, 8 * time.Second, 30 * time.Second} {
+		cluster := newClusterWithDeadline(51, 20)
+		cluster.partition(cluster.Hosts[19], bothDirections)
+		cluster.Run(cutBefore + time.Millisecond)
+		took := inForce(t, cluster, cluster.Fronts[0], "(rules (given-up 2))")
+		t.Logf("cut off %v before: %v", cutBefore, took)
+		assert.LessOrEqual(t, took, 20*time.Second, "cut off %v before", cutBefore)
+		if cutBefore > 20*time.Second {
+			assert.LessOrEqual(t, took, 6*time.Second, "its lease has expired, so the rollout does not wait for it")
+		}
+		cluster.Heal()
+		cluster.Run(10 * time.Second)
+		assert.EqualValues(t, 1, cluster.Fronts[19].Core.ConfigVersion(), "it adopts the version afterwards")
+		require.Empty(t, cluster.Violations)
+	}
+}
+
+// A change is published each 5 s for a minute, and a front is cut off half-way: each change is in force within its time, and in the end
+// the rules have all changes.
+func TestABurstOfChangesIsCoalescedAndEachIsInForceInItsTime(t *testing.T) {
+	cluster := newClusterWithDeadline(53, 20)
+	inForce(t, cluster, cluster.Fronts[0], "(rules (given-up 1))")
+	began, published := cluster.Now, 0
+	type change struct{ requestedAt, acceptedAt, inForceAt time.Duration }
+	changes := make([]*change, 12)
+	rules := map[string]string{"given-up 1": "(given-up 1)"}
+	var publishNext func()
+	publishNext = func() {
+		i := published
+		published++
+		x := &change{requestedAt: cluster.Now}
+		changes[i] = x
+		var text []byte
+		cluster.Fronts[0].host.Do(func(n *fleet.Node, _ time.Duration) {
+			s, _ := rollout.ReadState(n.State())
+			base := max(s.Base, s.Next) // the operator also sees the version that is being rolled out
+			seen, err := deployment.RulesText{}.Split(rollout.VersionText(n.State(), base))
+			require.NoError(t, err)
+			key := fmt.Sprintf("given-up %d", 100+i)
+			seen[key] = fmt.Sprintf("(given-up %d)", 100+i)
+			rules[key] = seen[key]
+			text = deployment.RulesText{}.Join(seen)
+			action := rollout.Action{Type: rollout.ActionPublish, Base: base, Text: text, Stages: []uint16{1000}, MaxFenced: 300}
+			cluster.Publish(cluster.Fronts[0], action, func(rejectedReason string) {
+				require.Empty(t, rejectedReason, "change %d", i)
+				x.acceptedAt = cluster.Now
+			})
+		})
+		if published < len(changes) {
+			cluster.After(5*time.Second, publishNext)
+		}
+	}
+	cluster.After(0, publishNext)
+	cluster.After(12*time.Second, func() { cluster.partition(cluster.Hosts[19], bothDirections) })
+	maxQueued := 0
+	for cluster.Now < began+2*time.Minute {
+		cluster.Run(100 * time.Millisecond)
+		cluster.Fronts[0].host.Do(func(n *fleet.Node, _ time.Duration) {
+			maxQueued = max(maxQueued, len(rollout.QueuedPublications(n.State())))
+		})
+		if s := cluster.State(); s.Phase == rollout.PhaseSteady {
+			for _, x := range changes {
+				if x != nil && x.acceptedAt > 0 && x.inForceAt == 0 && x.acceptedAt < cluster.Now-time.Second {
+					x.inForceAt = cluster.Now
+				}
+			}
+		}
+	}
+	require.Empty(t, cluster.Violations)
+	var took []time.Duration
+	for i, x := range changes {
+		require.NotZero(t, x.inForceAt, "change %d", i)
+		took = append(took, x.inForceAt-x.requestedAt)
+	}
+	t.Logf("in force after %v; at most %d queued; versions %d", took, maxQueued, cluster.State().Base)
+	assert.Positive(t, maxQueued, "an operator sees the queue")
+	cluster.Fronts[0].host.Do(func(n *fleet.Node, _ time.Duration) {
+		got, err := deployment.RulesText{}.Split(rollout.VersionText(n.State(), cluster.State().Base))
+		require.NoError(t, err)
+		assert.Equal(t, rules, got)
+		assert.Empty(t, rollout.QueuedPublications(n.State()))
+	})
+}
+
+// A zone of the fleet is lost with the leader in it, some time before a version is published.
+func TestVersionIsInForceInTimeAfterTheLeadersZoneIsLost(t *testing.T) {
+	for _, after := range []time.Duration{0, 3 * time.Second, 6 * time.Second, 30 * time.Second} {
+		cluster := newClusterWithDeadline(52, 24)
+		inForce(t, cluster, cluster.Fronts[0], "(rules (given-up 1))")
+		leader := cluster.Leader()
+		require.NotNil(t, leader)
+		at := cluster.Fronts[0]
+		for i, h := range cluster.Hosts {
+			if h == leader || i >= 21 {
+				h.Crash()
+			} else {
+				at = cluster.Fronts[i]
+			}
+		}
+		cluster.Run(after + time.Millisecond)
+		took := inForce(t, cluster, at, "(rules (given-up 2))")
+		t.Logf("published %v after the loss: %v", after, took)
+		assert.LessOrEqual(t, took, 20*time.Second, "published %v after the loss", after)
+	}
+}
+
+// A timed stage ends as soon as its canary analysis has decided, or when its share of the time is over; the action says what happens
+// then.
+func TestTimedStageEndsOnItsObservation(t *testing.T) {
+	for _, x := range []struct {
+		name        string
+		failureRate float64 // on either version
+		additional  float64 // on the new one
+		onUndecided uint8
+		base        uint64
+		lastReason  string
+	}{
+		{"decided", 0.2, 0, rollout.UndecidedPause, 1, "is in force"},
+		{"worse", 0.02, 0.3, rollout.UndecidedContinue, 0, "serves worse"},
+		{"continue", 0, 0, rollout.UndecidedContinue, 1, "is in force"},
+		{"pause", 0, 0, rollout.UndecidedPause, 0, "held: the time of wave 1 is over"},
+		{"roll back", 0, 0, rollout.UndecidedRollBack, 0, "the time of wave 1 is over"},
+	} {
+		t.Run(x.name, func(t *testing.T) {
+			cluster := New(Options{
+				Seed:          61,
+				Fronts:        12,
+				Voters:        3,
+				Fleet:         true,
+				LeaseDuration: 3 * time.Second,
+				Servers:       ServerOptions{Groups: 3, PerGroup: 3, Concurrency: 8, ServiceTime: 2 * time.Millisecond},
+				Load:          LoadOptions{Rate: 40, WriteFraction: 0.25},
+				Rollout:       RolloutOptions{ConfigLease: 6 * time.Second, StopWhenIsolated: true, InForceWithin: 40 * time.Second},
+			})
+			for _, f := range cluster.Fronts {
+				f.FailureRate = func(v uint64) float64 { return x.failureRate + x.additional*float64(v) }
+			}
+			cluster.StartAll()
+			cluster.Run(10 * time.Second)
+			action := publishAction("(rules (window book 1s))", 500, 1000)
+			action.ObservationTime, action.OnUndecided = 30*time.Second, x.onUndecided
+			began := cluster.Now
+			require.Empty(t, publish(t, cluster, action))
+			for cluster.Now < began+time.Minute && cluster.State().Phase != rollout.PhaseSteady && !cluster.State().Paused {
+				cluster.Run(100 * time.Millisecond)
+			}
+			took := cluster.Now - began
+			s := cluster.State()
+			require.Empty(t, cluster.Violations)
+			t.Logf("%v: %s", took, s.Reason)
+			assert.Equal(t, x.base, s.Base)
+			assert.LessOrEqual(t, took, 40*time.Second)
+			if x.onUndecided == rollout.UndecidedPause && s.Paused {
+				f := cluster.Fronts[0]
+				cluster.Publish(f, rollout.Action{Type: rollout.ActionResume}, func(string) {})
+				cluster.Run(30 * time.Second)
+				assert.EqualValues(t, 1, cluster.State().Base, "an operator resumes it")
+				return
+			}
+			found := false
+			for _, change := range cluster.RolloutChanges {
+				found = found || strings.Contains(change.Reason, x.lastReason)
+			}
+			assert.True(t, found, s.Reason)
+		})
+	}
+}
+
+// The only front of the first stage is paused: the stage ends with its time all the same.
+func TestTimedStageOfUnreachableFrontsEndsWithItsTime(t *testing.T) {
+	cluster := New(Options{
+		Seed:          3,
+		Fronts:        12,
+		Voters:        3,
+		Fleet:         true,
+		LeaseDuration: 3 * time.Second,
+		Servers:       ServerOptions{Groups: 2, PerGroup: 3, Concurrency: 8, ServiceTime: 2 * time.Millisecond},
+		Rollout:       RolloutOptions{ConfigLease: 6 * time.Second, StopWhenIsolated: true, InForceWithin: 20 * time.Second},
+	})
+	cluster.StartAll()
+	cluster.Run(10 * time.Second)
+	x := publishAction("(rules (given-up 2))", 1, 500, 1000)
+	x.ObservationTime = 30 * time.Second
+	began := cluster.Now
+	cluster.Publish(cluster.Fronts[0], x, func(string) {})
+	for cluster.Now < began+5*time.Second && cluster.State().Next == 0 {
+		cluster.Run(10 * time.Millisecond)
+	}
+	s := cluster.State()
+	for _, f := range cluster.Fronts {
+		if s.VersionFor(f.Name) == s.Next {
+			f.host.Pause()
+		}
+	}
+	for cluster.Now < began+time.Minute && (cluster.State().Phase != rollout.PhaseSteady || cluster.State().LastVersion == 0) {
+		cluster.Run(100 * time.Millisecond)
+	}
+	require.Empty(t, cluster.Violations)
+	assert.EqualValues(t, 1, cluster.State().Base, cluster.State().Reason)
+	assert.LessOrEqual(t, cluster.Now-began, 20*time.Second)
+	t.Logf("in force after %v", cluster.Now-began)
+}
--- a/lab/proxysim/norace_test.go
+++ b/lab/proxysim/norace_test.go
@@ -2,4 +2,4 @@
 
 package proxysim
 
-const raceOn = false
+const raceEnabled = false
--- a/lab/proxysim/race_test.go
+++ b/lab/proxysim/race_test.go
@@ -2,4 +2,4 @@
 
 package proxysim
 
-const raceOn = true
+const raceEnabled = true
--- /dev/null
+++ b/lab/proxysim/random_rollouts.go
@@ -0,0 +1,132 @@
+package proxysim
+
+import (
+	"fmt"
+	"time"
+
+	"dapplerouter/fleet/rollout"
+)
+
+// RandomRolloutOptions are a random run of rollouts.
+type RandomRolloutOptions struct {
+	Seed             uint64
+	Fronts           int
+	StopWhenIsolated bool
+	Trace            func(line string)
+}
+
+// versionKind is what is wrong with a version of a random run.
+type versionKind int
+
+const (
+	goodVersion       versionKind = iota
+	rejectedVersion               // by some fronts
+	crashingVersion               // on every front
+	failingVersion                // part of its requests
+	versionKindsCount = int(iota)
+)
+
+// randomRollouts publishes versions and injects faults until its end. Each draw depends on those before it: a change of their order
+// changes what seeds give.
+type randomRollouts struct {
+	*Cluster
+	end   time.Duration
+	kinds map[uint64]versionKind
+}
+
+// RunRolloutsWithRandomFaults publishes versions, some of them bad, under faults drawn from the seed, and then awaits recovery. It
+// returns the violations.
+func RunRolloutsWithRandomFaults(o RandomRolloutOptions) (*Cluster, []string) {
+	c := New(randomRolloutCluster(o))
+	c.Trace = o.Trace
+	for _, h := range c.Hosts {
+		h.ClockRate = 0.95 + 0.1*c.Rand.Float64()
+	}
+	c.StartAll()
+	c.Run(8 * time.Second)
+	r := &randomRollouts{Cluster: c, end: c.Now + time.Minute, kinds: map[uint64]versionKind{}}
+	for _, f := range c.Fronts {
+		f.VersionFaults = r.versionFaults(f)
+	}
+	c.After(time.Second, r.injectNext)
+	c.After(500*time.Millisecond, r.publishNext)
+	c.Run(r.end - c.Now)
+	clear(r.kinds)
+	return c, c.AwaitRecovery(3 * time.Minute)
+}
+
+func randomRolloutCluster(o RandomRolloutOptions) Options {
+	options := Options{
+		Seed:          o.Seed,
+		Fronts:        o.Fronts,
+		Voters:        3,
+		Fleet:         true,
+		LeaseDuration: 3 * time.Second,
+		Servers:       ServerOptions{Groups: 2, PerGroup: 2, Concurrency: 4, ServiceTime: 2 * time.Millisecond},
+		Load:          LoadOptions{Rate: 8, WriteFraction: 0.3},
+		Rollout:       RolloutOptions{ConfigLease: 6 * time.Second, StopWhenIsolated: o.StopWhenIsolated},
+	}
+	if o.StopWhenIsolated && o.Seed/2%2 == 0 { // a limit needs StopWhenIsolated; half of these runs have one
+		options.Rollout.InForceWithin = 15 * time.Second
+	}
+	return options
+}
+
+// versionFaults are what the kinds of versions do on a front. The first two fronts accept a rejectedVersion.
+func (r *randomRollouts) versionFaults(f *Front) VersionFaults {
+	return VersionFaults{
+		RejectsVersion:   func(v uint64) bool { return r.kinds[v] == rejectedVersion && f.Name > "f001" },
+		CrashesOnVersion: func(v uint64) bool { return r.kinds[v] == crashingVersion },
+		FailureRate: func(v uint64) float64 {
+			if r.kinds[v] == failingVersion {
+				return 0.3
+			}
+			return 0
+		},
+	}
+}
+
+// injectNext schedules the next fault and injects one now, at a host that runs.
+func (r *randomRollouts) injectNext() {
+	if r.Now >= r.end {
+		return
+	}
+	r.After(time.Duration(500+r.Rand.Int64N(6000))*time.Millisecond, r.injectNext)
+	fault := Faults[r.Rand.IntN(len(Faults))]
+	h := r.Hosts[r.Rand.IntN(len(r.Hosts))]
+	if h.Up() && !h.Paused() {
+		fault.Inject(r.Cluster, h)
+	}
+}
+
+// publishNext schedules the next action and submits one now: a version of a random kind, a rollback, or one on a version that is not in
+// force.
+func (r *randomRollouts) publishNext() {
+	if r.Now >= r.end {
+		return
+	}
+	r.After(time.Duration(1000+r.Rand.Int64N(9000))*time.Millisecond, r.publishNext)
+	f := r.Fronts[r.Rand.IntN(len(r.Fronts))]
+	if !f.host.Up() {
+		return
+	}
+	s := r.State()
+	a := rollout.Action{
+		Type:            rollout.ActionPublish,
+		Base:            s.Base,
+		Text:            fmt.Appendf(nil, "(rules (window book %dms))", 1+r.Rand.IntN(1900)),
+		ObservationTime: time.Second,
+		Stages:          [][]uint16{{1000}, {1, 1000}, {300, 600, 1000}}[r.Rand.IntN(3)],
+		MaxFenced:       400,
+		Mandatory:       r.Rand.IntN(2) == 0,
+	}
+	switch k := r.Rand.IntN(8); {
+	case k == 0:
+		a.Type = rollout.ActionRollBack
+	case k == 1 && s.Next == 0:
+		a.Base++ // the operator is mistaken
+	case k <= versionKindsCount:
+		r.kinds[s.LastVersion+1] = versionKind(k - 1)
+	}
+	r.Publish(f, a, func(string) {})
+}
--- /dev/null
+++ b/lab/proxysim/rollouts.go
@@ -0,0 +1,193 @@
+package proxysim
+
+import (
+	"errors"
+	"slices"
+	"time"
+
+	"dapplerouter/deployment"
+	"dapplerouter/fleet"
+	"dapplerouter/fleet/rollout"
+	"dapplerouter/front"
+)
+
+// errVersionRejected is why a front rejects a version that VersionFaults.RejectsVersion is true of.
+var errVersionRejected = errors.New("limits do not fit")
+
+// VersionFaults are what is wrong with a configuration version on one front. A nil function stands for nothing.
+type VersionFaults struct {
+	RejectsVersion   func(version uint64) bool
+	CrashesOnVersion func(version uint64) bool    // soon after the adoption
+	FailureRate      func(version uint64) float64 // part of the requests that fail
+}
+
+// frontRollout is a front's part in rollouts.
+type frontRollout struct {
+	Participant *rollout.Participant
+
+	version      uint64 // that was adopted last
+	counts       []rollout.Counts
+	disk         savedVersions
+	lastIsolated time.Duration // when it was isolated, or paused, last
+}
+
+// savedVersions is what a front's own disk has of versions; it survives a crash.
+type savedVersions struct {
+	version     uint64
+	unconfirmed uint64 // adopted last, and perhaps not confirmed
+	text        []byte
+}
+
+// participate makes the front a participant in rollouts, as fleet/agent does.
+func (f *Front) participate(s *deployment.Settings) {
+	c := f.cluster
+	f.Core.JoinFleet(front.FleetOptions{Clock: f.host.Clock, Auditor: &requestCounter{front: f}})
+	f.counts = make([]rollout.Counts, len(s.TypeNames))
+	f.version = f.disk.version
+	o := rollout.Options{
+		Name:               f.Name,
+		Timing:             c.Timing,
+		ConfigLease:        c.Options.Rollout.ConfigLease,
+		StopWhenIsolated:   c.Options.Rollout.StopWhenIsolated,
+		InForceWithin:      c.Options.Rollout.InForceWithin,
+		Rules:              deployment.RulesText{},
+		InitialVersion:     f.disk.version,
+		UnconfirmedVersion: f.disk.unconfirmed,
+	}
+	f.Participant = rollout.NewParticipant(o, rollout.Hooks{
+		Adopt: func(a rollout.Adoption) {
+			f.host.After(0, func(time.Duration) { f.adopt(a, s) })
+		},
+		Renew: func(version uint64, until time.Duration) {
+			f.host.After(0, func(now time.Duration) {
+				if until > now {
+					f.post(front.RenewLease{Version: version, Expiry: until})
+				} else {
+					f.post(front.ExpireLease{Version: version})
+				}
+			})
+		},
+		Counts:    func() (uint32, []rollout.Counts) { return 1, slices.Clone(f.counts) },
+		WallClock: func() int64 { return c.wallMillis(c.Now) * 1000 },
+	})
+	if f.disk.version != 0 {
+		if r, err := deployment.ParseRules("saved", f.disk.text); err == nil {
+			f.post(front.AdoptConfig{Version: f.disk.version, Rules: r})
+		}
+	}
+	f.Participant.DeclareLeases(f.host.Node)
+	f.scheduleParticipantTicks()
+}
+
+// scheduleParticipantTicks ticks the participant for as long as the process lives, and checks versions after each tick.
+func (f *Front) scheduleParticipantTicks() {
+	incarnation, interval := f.incarnation, f.cluster.Timing.TickInterval()
+	var tick func(time.Duration)
+	tick = func(time.Duration) {
+		if f.incarnation != incarnation || f.host.Node == nil {
+			return
+		}
+		f.host.Do(func(n *fleet.Node, now time.Duration) {
+			f.Participant.Tick(now, n)
+			f.recordRolloutChange(n)
+		})
+		f.cluster.checkVersions(f)
+		f.host.After(interval, tick)
+	}
+	f.host.After(interval, tick)
+}
+
+// adopt adopts a version, or rejects it, as the rollout asks.
+func (f *Front) adopt(a rollout.Adoption, s *deployment.Settings) {
+	rules, err := f.parseVersion(a, s)
+	if err != nil {
+		f.host.Do(func(n *fleet.Node, now time.Duration) { f.Participant.Rejected(now, n, a.Version, err.Error()) })
+		return
+	}
+	f.disk.unconfirmed = a.Version
+	if f.CrashesOnVersion != nil && f.CrashesOnVersion(a.Version) {
+		f.host.After(300*time.Millisecond, func(time.Duration) { f.crashFor(time.Second) })
+	}
+	f.post(front.AdoptConfig{
+		Version:     a.Version,
+		Rules:       rules,
+		LeaseExpiry: a.Until,
+		OnAdopted: func(time.Duration) {
+			f.host.After(0, func(time.Duration) { f.onAdopted(a) })
+		},
+		OnOlderFinished: func() {
+			f.host.After(0, func(time.Duration) {
+				f.host.Do(func(n *fleet.Node, now time.Duration) { f.Participant.Acknowledge(now, n, a.Version) })
+			})
+		},
+	})
+}
+
+// parseVersion returns a version's rules, nil where the adoption has no text.
+func (f *Front) parseVersion(a rollout.Adoption, s *deployment.Settings) (*deployment.Rules, error) {
+	if a.Text == nil {
+		return nil, nil
+	}
+	rules, err := deployment.ParseRules("published", a.Text)
+	if err != nil {
+		return nil, err
+	}
+	if err := rules.Validate(s); err != nil {
+		return nil, err
+	}
+	if f.RejectsVersion != nil && f.RejectsVersion(a.Version) {
+		return nil, errVersionRejected
+	}
+	return rules, nil
+}
+
+// onAdopted counts anew, and saves the version once it has lasted for two lease durations.
+func (f *Front) onAdopted(a rollout.Adoption) {
+	f.version, f.counts = a.Version, make([]rollout.Counts, len(f.counts))
+	f.Participant.Adopted(a.Version)
+	f.host.After(2*f.cluster.Timing.LeaseDuration, func(time.Duration) {
+		if f.version == a.Version {
+			f.disk = savedVersions{version: a.Version, text: a.Text}
+		}
+	})
+}
+
+func (f *Front) crashFor(d time.Duration) {
+	f.host.Crash()
+	f.cluster.restartAfter(f.host, d)
+}
+
+// requestCounter counts a front's finished requests, as the audit log does in service. It implements front.Auditor.
+type requestCounter struct{ front *Front }
+
+func (r *requestCounter) RequestAccepted(time.Duration, []byte, int) uint32 { return 0 }
+func (r *requestCounter) EndpointsChanged(time.Duration, int64)             {}
+func (r *requestCounter) ConfigAdopted(time.Duration, uint64)               {}
+func (r *requestCounter) Tick(time.Duration)                                {}
+func (r *requestCounter) Close(time.Duration)                               {}
+func (r *requestCounter) LeaseChanged(time.Duration, time.Duration, bool)   {}
+
+func (r *requestCounter) RequestFinished(_ time.Duration, _ uint32, typ int, s front.Status) {
+	counts := &r.front.counts[typ]
+	counts.Finished++
+	if s == front.StatusSucceeded {
+		counts.Succeeded++
+	}
+}
+
+// Publish lets an operator submit an action at a front. outcome gets the reason of a rejection, "" for success, when it is known.
+func (c *Cluster) Publish(f *Front, a rollout.Action, outcome func(rejectedReason string)) {
+	if r, err := deployment.ParseRules("x", a.Text); err == nil {
+		a.RulesHash = r.Digest()
+	}
+	a.ID = c.Rand.Uint64() | 1
+	f.host.Do(func(n *fleet.Node, now time.Duration) {
+		f.Participant.Submit(now, a, 10*c.Timing.LeaseDuration, func(err error) {
+			reason := ""
+			if err != nil {
+				reason = err.Error()
+			}
+			outcome(reason)
+		})
+	})
+}
