--- a/lab/fleetsim/scheduler.go
+++ b/lab/fleetsim/scheduler.go
@@ -16,16 +16,21 @@
 // events is a heap by time; events of one moment keep the order in which they were scheduled, so that a seed replays.
 type events []event
 
+// Len implements heap.Interface.
 func (e events) Len() int { return len(e) }
 
+// Less implements heap.Interface.
 func (e events) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
 
+// Swap implements heap.Interface.
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
+// Push implements heap.Interface.
 func (e *events) Push(x any) { *e = append(*e, x.(event)) }
 
+// Pop implements heap.Interface.
 func (e *events) Pop() any { o := *e; x := o[len(o)-1]; *e = o[:len(o)-1]; return x }
 
 // Scheduler is virtual time: a clock and the calls that are due later. Calls run one at a time, on the goroutine of Run.
--- a/lab/proxysim/rollouts.go
+++ b/lab/proxysim/rollouts.go
@@ -160,13 +160,25 @@
 // requestCounter counts a front's finished requests, as the audit log does in service. It implements front.Auditor.
 type requestCounter struct{ front *Front }
 
+// RequestAccepted implements front.Auditor.
 func (r *requestCounter) RequestAccepted(time.Duration, []byte, int) uint32 { return 0 }
-func (r *requestCounter) EndpointsChanged(time.Duration, int64)             {}
-func (r *requestCounter) ConfigAdopted(time.Duration, uint64)               {}
-func (r *requestCounter) Tick(time.Duration)                                {}
-func (r *requestCounter) Close(time.Duration)                               {}
-func (r *requestCounter) LeaseChanged(time.Duration, time.Duration, bool)   {}
 
+// EndpointsChanged implements front.Auditor.
+func (r *requestCounter) EndpointsChanged(time.Duration, int64) {}
+
+// ConfigAdopted implements front.Auditor.
+func (r *requestCounter) ConfigAdopted(time.Duration, uint64) {}
+
+// Tick implements front.Auditor.
+func (r *requestCounter) Tick(time.Duration) {}
+
+// Close implements front.Auditor.
+func (r *requestCounter) Close(time.Duration) {}
+
+// LeaseChanged implements front.Auditor.
+func (r *requestCounter) LeaseChanged(time.Duration, time.Duration, bool) {}
+
+// RequestFinished implements front.Auditor.
 func (r *requestCounter) RequestFinished(_ time.Duration, _ uint32, typ int, s front.Status) {
 	counts := &r.front.counts[typ]
 	counts.Finished++
