--- /dev/null
+++ b/lab/capacity/database_host.go
@@ -0,0 +1,60 @@
+package capacity
+
+import (
+	"fmt"
+	"time"
+
+	"dapplerouter/testsupport/fakeserver"
+)
+
+// statementTime is how long a fake database works on a statement.
+const statementTime = time.Millisecond
+
+// databaseHost is a worker that hosts fake databases, in groups of a primary and its replicas.
+type databaseHost struct{ groups []*fakeserver.Group }
+
+func (d *databaseHost) serve(q Request) (r Reply, err error) {
+	switch q.Operation {
+	case opStart:
+		r.Addresses, err = d.start(q.Databases)
+	case opCounters:
+		r.Counters, err = ownCounters()
+		for _, g := range d.groups {
+			r.Counters.Statements += uint64(g.Probes.Load())
+		}
+	default:
+		err = fmt.Errorf("databases: %w: %q", ErrUnknownOperation, q.Operation)
+	}
+	return r, err
+}
+
+// start starts n databases and returns their addresses, group by group.
+func (d *databaseHost) start(n int) (addresses []string, err error) {
+	data := fakeserver.Restaurants(1, 1, 1)
+	for n > 0 {
+		g, err := fakeserver.Start(data, min(n, groupSize), 1, statementTime, 0)
+		if err != nil {
+			return nil, err
+		}
+		d.groups = append(d.groups, g)
+		for _, m := range g.Members {
+			addresses = append(addresses, m.Address())
+		}
+		n -= len(g.Members)
+	}
+	return addresses, nil
+}
+
+// endpointList lists databases by their addresses, spread over zones.
+func endpointList(addresses []string, zones int) (all []Endpoint) {
+	for i, a := range addresses {
+		group := i / groupSize
+		role := "replica"
+		if i%groupSize == 0 {
+			role = "primary"
+		}
+		all = append(all, Endpoint{Name: fmt.Sprintf("db-%d-%d", group, i%groupSize), Address: a, Zone: zoneName((group + i) % zones), Type: "m",
+			Group: group, Status: "up", Weight: 1, Role: role})
+	}
+	return all
+}
--- a/lab/capacity/discovery.go
+++ b/lab/capacity/discovery.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"log/slog"
 	"net"
 	"net/http"
 	"sync"
@@ -10,34 +11,37 @@
 	"time"
 )
 
-// discoveryBeat is how often a watch hears an empty line.
-const discoveryBeat = 2 * time.Second
+// heartbeatInterval is how often an idle watch receives an empty line.
+const heartbeatInterval = 2 * time.Second
 
-// discoveryServer is a fake of the endpoint list's service: the whole list, and watches that are told of changes.
+// watchQueue is how many events may wait for a watch.
+const watchQueue = 64
+
+// discoveryServer is a worker that fakes the discovery service: it serves snapshots of the endpoint list and watches of it.
 type discoveryServer struct {
 	listener net.Listener
 	received atomic.Uint64
 	sent     atomic.Uint64
 	calls    atomic.Uint64
 
-	mu      sync.Mutex
+	mu      sync.Mutex // guards what follows
 	index   int64
 	entries []Endpoint
-	watches map[chan []byte]bool
+	watches map[chan []byte]bool // each receives encoded events
 }
 
-func (s *discoveryServer) answer(q Request) (r Reply, err error) {
-	switch q.Do {
-	case doStart:
+func (s *discoveryServer) serve(q Request) (r Reply, err error) {
+	switch q.Operation {
+	case opStart:
 		r.Address, err = s.start(q.Entries)
-	case doChange:
-		r.Index, r.At = s.change()
-	case doWhole:
-		r.Index, r.At = s.whole()
-	case doCounters:
+	case opEntryChange:
+		r.Index, r.ChangedAt = s.changeEntry()
+	case opSnapshot:
+		r.Index, r.ChangedAt = s.sendSnapshot()
+	case opCounters:
 		r.Counters, err = s.counters()
 	default:
-		err = fmt.Errorf("discovery doesn't do %q", q.Do)
+		err = fmt.Errorf("discovery: %w: %q", ErrUnknownOperation, q.Operation)
 	}
 	return r, err
 }
@@ -47,38 +51,41 @@
 	if s.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		return "", err
 	}
-	go http.Serve(&countingListener{s.listener, s}, http.HandlerFunc(s.serve))
+	go func() { // until the process ends
+		err := http.Serve(&countingListener{s.listener, s}, http.HandlerFunc(s.handle))
+		slog.Error("fake discovery server stopped", "err", err)
+	}()
 	return s.listener.Addr().String(), nil
 }
 
-// object writes a list as the service does; with the lock held.
-func (s *discoveryServer) object(whole bool, entries []Endpoint) []byte {
-	b, err := json.Marshal(map[string]any{"index": s.index, "snapshot": whole, "endpoints": entries})
+// marshalList encodes a list as the service does, with s.mu held.
+func (s *discoveryServer) marshalList(snapshot bool, entries []Endpoint) []byte {
+	b, err := json.Marshal(map[string]any{"index": s.index, "snapshot": snapshot, "endpoints": entries})
 	if err != nil {
-		panic("a list that is no JSON: " + err.Error()) // of our own making
+		panic("marshal endpoint list: " + err.Error()) // texts and finite numbers always encode
 	}
 	return append(b, '\n')
 }
 
-func (s *discoveryServer) serve(w http.ResponseWriter, r *http.Request) {
+func (s *discoveryServer) handle(w http.ResponseWriter, r *http.Request) {
 	s.calls.Add(1)
 	if r.URL.Query().Get("watch") == "" {
 		s.mu.Lock()
-		body := s.object(true, s.entries)
+		body := s.marshalList(true, s.entries)
 		s.mu.Unlock()
-		w.Write(body)
+		_, _ = w.Write(body) // a client that is gone asks again
 		return
 	}
 	s.watch(w, r)
 }
 
-// watch tells of changes until who watches goes; one who is behind when it begins is told the whole list.
+// watch sends changes until the client is gone. One that is behind at the beginning receives a snapshot first.
 func (s *discoveryServer) watch(w http.ResponseWriter, r *http.Request) {
-	changes := make(chan []byte, 64)
+	changes := make(chan []byte, watchQueue)
 	s.mu.Lock()
 	first := []byte("\n")
 	if r.URL.Query().Get("after") != fmt.Sprint(s.index) {
-		first = s.object(true, s.entries)
+		first = s.marshalList(true, s.entries)
 	}
 	s.watches[changes] = true
 	s.mu.Unlock()
@@ -87,8 +94,8 @@
 		delete(s.watches, changes)
 		s.mu.Unlock()
 	}()
-	beat := time.NewTicker(discoveryBeat)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
 	for next := first; ; {
 		if _, err := w.Write(next); err != nil {
 			return
@@ -96,7 +103,7 @@
 		w.(http.Flusher).Flush()
 		select {
 		case next = <-changes:
-		case <-beat.C:
+		case <-heartbeat.C:
 			next = []byte("\n")
 		case <-r.Context().Done():
 			return
@@ -104,8 +111,8 @@
 	}
 }
 
-// change alters one entry's weight, each time another's.
-func (s *discoveryServer) change() (index, at int64) {
+// changeEntry changes one entry's weight, each time another's, and returns the new list's index and when it was sent.
+func (s *discoveryServer) changeEntry() (index, at int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.index++
@@ -113,23 +120,24 @@
 	if e.Weight = 1.5 - e.Weight; e.Weight < 0.5 {
 		e.Weight = 1
 	}
-	return s.tell(s.object(false, []Endpoint{*e}))
+	return s.notify(s.marshalList(false, []Endpoint{*e}))
 }
 
-// whole sends the whole list to all who watch.
-func (s *discoveryServer) whole() (index, at int64) {
+// sendSnapshot sends all entries to all watches under a new index.
+func (s *discoveryServer) sendSnapshot() (index, at int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.index++
-	return s.tell(s.object(true, s.entries))
+	return s.notify(s.marshalList(true, s.entries))
 }
 
-func (s *discoveryServer) tell(object []byte) (index, at int64) {
+// notify sends an encoded event to all watches, with s.mu held.
+func (s *discoveryServer) notify(event []byte) (index, at int64) {
 	at = time.Now().UnixMicro()
 	for c := range s.watches {
 		select {
-		case c <- object:
-		default: // who is that far behind asks again
+		case c <- event:
+		default: // a watch that is this far behind misses the event
 		}
 	}
 	return s.index, at
@@ -144,10 +152,10 @@
 	return c, err
 }
 
-// countingListener counts what passes its connections.
+// countingListener counts the bytes of its connections.
 type countingListener struct {
 	net.Listener
-	s *discoveryServer
+	server *discoveryServer
 }
 
 func (l *countingListener) Accept() (net.Conn, error) {
@@ -155,22 +163,22 @@
 	if err != nil {
 		return nil, err
 	}
-	return &countingConn{c, l.s}, nil
+	return &countingConn{c, l.server}, nil
 }
 
 type countingConn struct {
 	net.Conn
-	s *discoveryServer
+	server *discoveryServer
 }
 
 func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.s.received.Add(uint64(n))
+	c.server.received.Add(uint64(n))
 	return n, err
 }
 
 func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.s.sent.Add(uint64(n))
+	c.server.sent.Add(uint64(n))
 	return n, err
 }
--- /dev/null
+++ b/lab/capacity/simulated_follower.go
@@ -0,0 +1,146 @@
+package capacity
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"sync"
+	"time"
+
+	"dapplerouter/deployment"
+	"dapplerouter/discovery"
+	"dapplerouter/fleet/agent"
+	"dapplerouter/front"
+	"dapplerouter/limits"
+	"dapplerouter/monotonic"
+	"dapplerouter/router"
+	"dapplerouter/routing"
+	"dapplerouter/upstream"
+)
+
+// The database session's user and database, as the program has them.
+const (
+	databaseUser = "portal"
+	databaseName = "crm"
+)
+
+// simulatedFollower is a front without clients: the core with the router, the fleet agent, the mesh, the pools and the watch of
+// the endpoint list, wired as cmd/dapplerouter wires them, with their sockets. It runs until its process ends.
+type simulatedFollower struct {
+	agent *agent.Agent
+
+	mu              sync.Mutex       // guards what follows
+	listArrivals    map[int64]int64  // when the core received each list, by index; Unix microseconds
+	versionArrivals map[uint64]int64 // when each configuration was adopted
+}
+
+// startSimulatedFollower starts the follower with an ordinal; the error names it.
+func startSimulatedFollower(s *RunSettings, i int) (*simulatedFollower, error) {
+	f := &simulatedFollower{listArrivals: map[int64]int64{}, versionArrivals: map[uint64]int64{}}
+	if err := f.start(s, i); err != nil {
+		return nil, fmt.Errorf("simulated follower %s: %w", frontName(i), err)
+	}
+	return f, nil
+}
+
+func (f *simulatedFollower) start(s *RunSettings, i int) error {
+	if err := os.MkdirAll(s.folder(i), 0o700); err != nil {
+		return err
+	}
+	instance, err := deployment.Load(func(name string) string {
+		return map[string]string{deployment.FileVariable: "config.json"}[name]
+	}, func(string) ([]byte, error) { return []byte(s.configText(i)), nil })
+	if err != nil {
+		return err
+	}
+	fleetConfig, rolloutConfig, err := operatorForms(s.operatorText(i))
+	if err != nil {
+		return err
+	}
+	ctx := context.Background() // nothing ends a follower but the end of its process
+	clock := monotonic.NewClock()
+	deliver := func(e front.Event) { f.agent.Prober.OnFrontEvent(e) }
+	pools := newPools(instance, deliver)
+	watcher := discovery.NewWatcher(ctx, discovery.NewClient(instance.Discovery, instance.CachedList.Index),
+		func(u discovery.Update) { deliver(front.EndpointsChanged{Kind: u.Kind, List: u.List}) }, discovery.NewJitter(instance.Seed))
+	if f.agent, err = agent.New(agent.Config{Fleet: fleetConfig, Rollout: rolloutConfig}, instance, watcher, "hollow"); err != nil {
+		return err
+	}
+	var core *front.Core
+	post := func(e front.Event) { core.Post(f.recordArrival(e)) }
+	f.agent.Clock, f.agent.StartedAt, f.agent.Post = clock.Now, clock.StartedAt, post
+	f.agent.Prober.Pools, f.agent.Prober.Post = pools, post
+	core = front.NewCore(front.Options{StartedAt: clock.StartedAt, Seed: instance.Seed, Settings: instance.Settings,
+		NewRouter: router.New, Pools: f.agent.Prober, Endpoints: watcher})
+	core.JoinFleet(f.agent.CoreHooks())
+	deliver(front.EndpointsChanged{Kind: routing.CachedSnapshot, List: instance.CachedList})
+	go core.Run(clock, ctx.Done())
+	if err := f.agent.Start(); err != nil {
+		return err
+	}
+	watcher.Follow()
+	return nil
+}
+
+// newPools makes an instance's connection pools; post receives their events.
+func newPools(instance *deployment.Instance, post func(front.Event)) *upstream.Pools {
+	limiter := limits.NewDescriptors(limits.SharesOf(instance.MaxDescriptors, deployment.ReservedDescriptors))
+	l := instance.Settings.Limits
+	return upstream.NewPools(upstream.Options{Post: post, Limiter: limiter, User: databaseUser, Database: databaseName,
+		DialTimeout: l.DialTimeout, IdleTimeout: l.IdleConnTimeout, MemoryBytes: instance.MemoryBytes})
+}
+
+// recordArrival records when a list reaches the core or a configuration is adopted, and returns the event to be posted.
+func (f *simulatedFollower) recordArrival(e front.Event) front.Event {
+	switch e := e.(type) {
+	case front.EndpointsChanged:
+		if e.Kind == routing.Snapshot || e.Kind == routing.Delta {
+			f.recordList(e.List.Index)
+		}
+	case front.AdoptConfig:
+		onAdopted := e.OnAdopted
+		e.OnAdopted = func(at time.Duration) {
+			f.recordVersion(e.Version)
+			if onAdopted != nil {
+				onAdopted(at)
+			}
+		}
+		return e
+	}
+	return e
+}
+
+// recordList keeps the first time of a list.
+func (f *simulatedFollower) recordList(index int64) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if _, ok := f.listArrivals[index]; !ok {
+		f.listArrivals[index] = time.Now().UnixMicro()
+	}
+}
+
+func (f *simulatedFollower) recordVersion(version uint64) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.versionArrivals[version] = time.Now().UnixMicro()
+}
+
+// listArrival returns when a list or a later one arrived, in Unix microseconds, 0 for not yet: a later list contains the changes
+// of an earlier one.
+func (f *simulatedFollower) listArrival(index int64) (at int64) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for i, t := range f.listArrivals {
+		if i >= index && (at == 0 || t < at) {
+			at = t
+		}
+	}
+	return at
+}
+
+// versionArrival returns when a configuration was adopted, in Unix microseconds, 0 for not yet.
+func (f *simulatedFollower) versionArrival(version uint64) int64 {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.versionArrivals[version]
+}
