--- a/router/clock_correction.go
+++ b/router/clock_correction.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// What becomes of times by the other processes' clock when that turns out to differ? Input: by how much (front/timeline.go). Invariant:
+// What becomes of times by the other processes' clock when that turns out to differ? Input: by how much (front/wallclock.go). Invariant:
 // what servers have applied is never taken to be newer, what a read requires never to be older (TERMS, a wall clock may be stepped).
 
 // ClockCorrected corrects what is known by the other processes' clock: log positions and listed start times. What was
--- a/router/health_check.go
+++ b/router/health_check.go
@@ -23,7 +23,7 @@
 
 // checkPrimaryClock sends a health check to the first known primary, while the endpoint list has start times and no primary
 // has reported its position. Until one has, the offset of the other processes' clock is not known, and a server that has
-// just started may look as if it had started long ago (front/timeline.go). Reads alone need not bring such an answer.
+// just started may look as if it had started long ago (front/wallclock.go). Reads alone need not bring such an answer.
 func (r *Router) checkPrimaryClock(now time.Duration) {
 	if r.primaryPositionSeen || !r.startTimesListed {
 		return
