--- a/server/refuse_test.go
+++ b/server/refuse_test.go
@@ -27,8 +27,8 @@
 	c.Send(append(pgwire.AppendStartup(nil, "portal", "crm"), conntest.ReadQuery("4000")...)...)
 	assert.Contains(t, string(c.Expect("RSSSSZE")), pgwire.CodeTooManyConnections)
 	slow[0].Read(make([]byte, 1)) // cut off
-	g.server.mu.Lock()
-	defer g.server.mu.Unlock()
+	g.server.refusals.mu.Lock()
+	defer g.server.refusals.mu.Unlock()
 	assert.LessOrEqual(t, len(g.server.refusals.oldest), maxRefusals+1, "they hold a bounded number of descriptors")
 }
 
