--- a/limits/descriptors.go
+++ b/limits/descriptors.go
@@ -12,10 +12,10 @@
 	Overshoot  int // how far the limits may be exceeded briefly while other connections are being closed
 }
 
-// SharesOf divides the process's descriptor limit, less a number reserved for other purposes. From a quarter of the
-// limit on, each new client evicts the client that has been idle longest. Clients in ordinary use therefore stay below
-// a third. Otherwise clients that send one request and stay connected would use up that third. If no client is idle,
-// clients may hold three quarters.
+// SharesOf divides the process's descriptor limit, less a number reserved for other purposes. In ordinary use,
+// clients hold at most a third. From a quarter of the limit on, each new client evicts the client that has been idle
+// longest, since clients that send one request and stay connected would otherwise use up that third. If no client is
+// idle, clients may hold three quarters.
 func SharesOf(limit, reserved int) DescriptorShares {
 	total := limit - reserved
 	return DescriptorShares{Total: total, MaxClients: total * 3 / 4, EvictFrom: limit / 4, Overshoot: max(2, reserved/4)}
--- a/router/admission.go
+++ b/router/admission.go
@@ -13,7 +13,7 @@
 
 // admission holds the state by which requests are ranked and admitted.
 type admission struct {
-	workByDensity [64]float64   // recent work in seconds, in buckets by the logarithm of weight per unit of work
+	workByDensity [64]float64   // recent work in seconds, in buckets by the logarithm of weight per unit of work (density)
 	lastAttemptAt time.Duration // start of the latest attempt at any server
 	errorRate     float64       // error rate of all servers together
 	retryAfter    time.Duration // sent to clients with a rejection
--- a/router/freshness.go
+++ b/router/freshness.go
@@ -20,7 +20,7 @@
 var unknownReplicationState = replicationState{appliedPosition: never, lagMeasuredAt: never}
 
 // estimatedPosition returns the estimated log position of a server. It assumes that the server is as far behind the
-// primary as when last measured, and less so as the measurement ages. A primary is at the present.
+// primary as when last measured, and less so as the measurement ages. A primary's position is the present.
 func (r *Router) estimatedPosition(s *server, now time.Duration) time.Duration {
 	if s.role == routing.Primary {
 		return now
@@ -50,7 +50,7 @@
 	case o.HasPosition:
 		s.observe(now, o.Position, 0)
 	case r.positionsInReports && l.HasPosition:
-		if l.Role == routing.Primary && s.role == routing.Primary { // a primary's position is the present, so its lag is the age of the report
+		if l.Role == routing.Primary && s.role == routing.Primary { // a primary has no lag, so this is the age of the report
 			r.reportAge += (now - l.Position - r.reportAge) / 4
 		}
 		s.observe(now, l.Position, r.reportAge)
--- a/router/harness_test.go
+++ b/router/harness_test.go
@@ -108,32 +108,32 @@
 // receive delivers a request of the given type with the type's defaults, modified by change, and returns its reference.
 func (h *harness) receive(ty int, change ...func(*routing.Request)) routing.RequestRef {
 	h.nextSlot++
-	t := routing.Request{Ref: routing.RequestRef{Slot: h.nextSlot, Generation: h.nextSlot}, Type: ty, Customer: routing.None, Session: 9,
+	in := routing.Request{Ref: routing.RequestRef{Slot: h.nextSlot, Generation: h.nextSlot}, Type: ty, Customer: routing.None, Session: 9,
 		Timeout: h.requestTypes[ty].Deadline, MaxStaleness: h.requestTypes[ty].MaxStaleness, DedupWindow: h.requestTypes[ty].DedupWindow}
 	for _, c := range change {
-		c(&t)
+		c(&in)
 	}
-	h.RequestReceived(h.now, t)
+	h.RequestReceived(h.now, in)
 	h.reconcile()
-	return t.Ref
+	return in.Ref
 }
 
 // finish ends the latest attempt of a request. A pos of 0 means no position.
-func (h *harness) finish(r routing.RequestRef, result routing.AttemptResult, role routing.Role, pos time.Duration) {
-	h.AttemptFinished(h.now, routing.AttemptOutcome{Ref: r, AttemptNumber: h.attempts[r] - 1, Server: h.sentTo[r], Result: result, Role: role,
+func (h *harness) finish(ref routing.RequestRef, result routing.AttemptResult, role routing.Role, pos time.Duration) {
+	h.AttemptFinished(h.now, routing.AttemptOutcome{Ref: ref, AttemptNumber: h.attempts[ref] - 1, Server: h.sentTo[ref], Result: result, Role: role,
 		RequestFinished: result == routing.Succeeded, Latency: 30 * ms, Position: pos, HasPosition: pos != 0})
 	h.reconcile()
 }
 
 // fail ends the latest attempt of a request with the given result. If the request is sent to the same server again, that
 // attempt ends as unreachable.
-func (h *harness) fail(r routing.RequestRef, result routing.AttemptResult) {
-	server := h.sentTo[r]
-	n := h.attempts[r]
-	h.finish(r, result, routing.UnknownRole, 0)
+func (h *harness) fail(ref routing.RequestRef, result routing.AttemptResult) {
+	server := h.sentTo[ref]
+	n := h.attempts[ref]
+	h.finish(ref, result, routing.UnknownRole, 0)
 	h.advance(2 * h.tickInterval) // the router pauses after a failed connection
-	if h.attempts[r] > n && h.sentTo[r] == server {
-		h.finish(r, routing.Unreachable, routing.UnknownRole, 0)
+	if h.attempts[ref] > n && h.sentTo[ref] == server {
+		h.finish(ref, routing.Unreachable, routing.UnknownRole, 0)
 	}
 }
 
@@ -169,18 +169,18 @@
 }
 
 // StartAttempt implements routing.Host, as do the methods below.
-func (h *harness) StartAttempt(r routing.RequestRef, server int, _ time.Duration) {
-	h.attempts[r]++
-	h.sentTo[r] = server
-	h.record("send %d to %d", r.Slot, server)
+func (h *harness) StartAttempt(ref routing.RequestRef, server int, _ time.Duration) {
+	h.attempts[ref]++
+	h.sentTo[ref] = server
+	h.record("send %d to %d", ref.Slot, server)
 }
-func (h *harness) CancelAttempt(r routing.RequestRef, attemptNumber int) {
-	h.record("cancel %d.%d", r.Slot, attemptNumber)
+func (h *harness) CancelAttempt(ref routing.RequestRef, attemptNumber int) {
+	h.record("cancel %d.%d", ref.Slot, attemptNumber)
 }
-func (h *harness) Reject(r routing.RequestRef, retryAfter time.Duration) {
-	h.record("reject %d, retry after %v", r.Slot, retryAfter)
+func (h *harness) Reject(ref routing.RequestRef, retryAfter time.Duration) {
+	h.record("reject %d, retry after %v", ref.Slot, retryAfter)
 }
-func (h *harness) Fail(r routing.RequestRef)     { h.record("fail %d", r.Slot) }
+func (h *harness) Fail(ref routing.RequestRef)   { h.record("fail %d", ref.Slot) }
 func (h *harness) StartHealthCheck(server int)   { h.record("check %d", server) }
 func (h *harness) ReleaseServer(server int)      { h.record("release %d", server) }
 func (h *harness) WatchEndpoints(on bool)        { h.record("watch %v", on) }
--- a/router/latency.go
+++ b/router/latency.go
@@ -61,7 +61,7 @@
 	at     time.Duration // time of the last update
 }
 
-// add adds a value x at the time now.
+// add includes the value x at the time now, after the decay of the older values.
 func (d *decayingMean) add(now time.Duration, x float64, l *latencies) {
 	f := l.decay(now - d.at)
 	d.sum, d.n, d.at = d.sum*f+x, d.n*f+1, now
--- a/router/recorded_actions_test.go
+++ b/router/recorded_actions_test.go
@@ -174,16 +174,16 @@
 			sim.inFlight = append(sim.inFlight, a)
 			continue
 		}
-		p := &sim.slots[a.ref.Slot]
-		p.inFlight--
-		p.finished = p.finished || a.result == routing.Succeeded
+		s := &sim.slots[a.ref.Slot]
+		s.inFlight--
+		s.finished = s.finished || a.result == routing.Succeeded
 		srv := &sim.servers[a.server]
-		o := routing.AttemptOutcome{Ref: a.ref, AttemptNumber: a.attemptNumber, Server: a.server, Result: a.result, RequestFinished: p.finished, Latency: sim.now - a.sent, Load: sim.report(srv)}
+		o := routing.AttemptOutcome{Ref: a.ref, AttemptNumber: a.attemptNumber, Server: a.server, Result: a.result, RequestFinished: s.finished, Latency: sim.now - a.sent, Load: sim.report(srv)}
 		if answered := a.result == routing.Succeeded || a.result == routing.Misrouted; answered && sim.chance(0.8) {
 			o.Role, o.Position, o.HasPosition = o.Load.Role, o.Load.Position, true
 		}
 		sim.router.AttemptFinished(sim.now, o)
-		sim.free(p)
+		sim.free(s)
 	}
 	checks := sim.checks
 	sim.checks = nil
@@ -212,11 +212,11 @@
 // clientsLeave simulates clients that leave, and requests whose answers are overdue.
 func (sim *simulation) clientsLeave() {
 	for i := range sim.slots {
-		p := &sim.slots[i]
-		if p.inUse && !p.finished && (sim.now > p.receivedAt+p.timeout || sim.chance(0.0005)) {
-			p.finished = true
-			sim.router.ClientGone(sim.now, routing.RequestRef{Slot: uint32(i), Generation: p.generation})
-			sim.free(p)
+		s := &sim.slots[i]
+		if s.inUse && !s.finished && (sim.now > s.receivedAt+s.timeout || sim.chance(0.0005)) {
+			s.finished = true
+			sim.router.ClientGone(sim.now, routing.RequestRef{Slot: uint32(i), Generation: s.generation})
+			sim.free(s)
 		}
 	}
 }
@@ -224,8 +224,8 @@
 // receive delivers a new request if the randomly chosen slot is free.
 func (sim *simulation) receive() {
 	i := sim.random.IntN(len(sim.slots))
-	p := &sim.slots[i]
-	if p.inUse {
+	s := &sim.slots[i]
+	if s.inUse {
 		return
 	}
 	ty := sim.random.IntN(len(sim.types))
@@ -233,14 +233,14 @@
 	if sim.chance(0.1) {
 		timeout /= 2
 	}
-	*p = slot{generation: p.generation + 1, write: sim.types[ty].Consistency == routing.Write, inUse: true, receivedAt: sim.now, timeout: timeout}
-	t := routing.Request{Ref: routing.RequestRef{Slot: uint32(i), Generation: p.generation}, Type: ty, Customer: routing.None, Session: uint64(sim.random.IntN(6)),
+	*s = slot{generation: s.generation + 1, write: sim.types[ty].Consistency == routing.Write, inUse: true, receivedAt: sim.now, timeout: timeout}
+	in := routing.Request{Ref: routing.RequestRef{Slot: uint32(i), Generation: s.generation}, Type: ty, Customer: routing.None, Session: uint64(sim.random.IntN(6)),
 		Group: sim.random.IntN(simulatedGroups), Timeout: timeout, MaxStaleness: sim.types[ty].MaxStaleness, DedupWindow: sim.types[ty].DedupWindow, Retry: sim.chance(0.1),
 		Write: sim.types[ty].Consistency == routing.Write}
 	if sim.chance(0.1) {
-		t.TokenAge = time.Duration(sim.random.IntN(300)) * time.Millisecond
+		in.TokenAge = time.Duration(sim.random.IntN(300)) * time.Millisecond
 	}
-	sim.router.RequestReceived(sim.now, t)
+	sim.router.RequestReceived(sim.now, in)
 }
 
 // change simulates changes of servers, primaries, the endpoint list and clocks.
@@ -294,7 +294,7 @@
 }
 
 // free frees a slot once its request has ended and no attempt is in flight.
-func (sim *simulation) free(p *slot) { p.inUse = p.inUse && (!p.finished || p.inFlight > 0) }
+func (sim *simulation) free(s *slot) { s.inUse = s.inUse && (!s.finished || s.inFlight > 0) }
 
 // act records an action. The words for the kinds of action are part of the recorded digests.
 func (sim *simulation) act(what, format string, args ...any) {
@@ -305,10 +305,10 @@
 // StartAttempt implements routing.Host, as do the methods below.
 func (sim *simulation) StartAttempt(ref routing.RequestRef, server int, timeout time.Duration) {
 	sim.act("submit", "%v to %d within %v", ref, server, timeout)
-	p, srv := &sim.slots[ref.Slot], &sim.servers[server]
+	s, srv := &sim.slots[ref.Slot], &sim.servers[server]
 	latency := time.Duration(sim.random.ExpFloat64() * 40 * float64(time.Millisecond))
 	result := routing.Succeeded
-	write := p.write
+	write := s.write
 	switch chance := sim.random.Float64(); {
 	case srv.faulty && chance < 0.5:
 		result = []routing.AttemptResult{routing.ServerError, routing.Overloaded, routing.TimedOut, routing.Unreachable, routing.ConnectionLost, routing.NotSent}[sim.random.IntN(6)]
@@ -320,9 +320,9 @@
 	if result == routing.TimedOut {
 		latency += 500 * time.Millisecond
 	}
-	sim.inFlight = append(sim.inFlight, attempt{ref: ref, attemptNumber: p.attempts, server: server, sent: sim.now, due: sim.now + latency, result: result})
-	p.attempts++
-	p.inFlight++
+	sim.inFlight = append(sim.inFlight, attempt{ref: ref, attemptNumber: s.attempts, server: server, sent: sim.now, due: sim.now + latency, result: result})
+	s.attempts++
+	s.inFlight++
 }
 
 func (sim *simulation) CancelAttempt(ref routing.RequestRef, attemptNumber int) {
@@ -346,9 +346,9 @@
 
 // finish records that a request has its final answer.
 func (sim *simulation) finish(ref routing.RequestRef) {
-	p := &sim.slots[ref.Slot]
-	p.finished = true
-	sim.free(p)
+	s := &sim.slots[ref.Slot]
+	s.finished = true
+	sim.free(s)
 }
 
 func (sim *simulation) StartHealthCheck(server int) {
--- a/router/router.go
+++ b/router/router.go
@@ -55,8 +55,8 @@
 var unknownServer = server{group: none, replicationState: unknownReplicationState, concurrency: unknownConcurrency, health: unknownHealth,
 	slowStart: unknownSlowStart, healthCheckState: neverChecked}
 
-// Router is one instance and implements routing.Router. Its state is in the embedded structs. Each of them is changed
-// only by the methods of its own file.
+// Router is one instance and implements routing.Router. Its state is in the embedded structs. Each of them is defined
+// in the file whose methods maintain it.
 type Router struct {
 	host routing.Host
 	randomSource
@@ -122,7 +122,9 @@
 	}
 }
 
-// Reconcile plans the queued requests and starts, cancels and answers what the plans call for.
+// Reconcile plans the queued requests, and carries out the plans by calls to the host: it starts and cancels attempts
+// and ends requests. It also starts health checks, subscribes to the endpoint list, and sets the timer for the next
+// tick.
 func (r *Router) Reconcile(now time.Duration) {
 	// Highest weight per unit of work first. Among equals the newest goes first, since its client will wait the
 	// longest.
