--- a/router/slow_start.go
+++ b/router/slow_start.go
@@ -22,7 +22,8 @@
 	warmServers       int           // number of servers with full capacity
 }
 
-// safetyFactor times the multiple at which a warming-up server fails is what such a server is sent.
+// safetyFactor keeps the traffic to a warming-up server below the multiple of its capacity at which it fails. The margin
+// allows for chance.
 const safetyFactor = 0.6
 
 func newSlowStartRules(rules routing.Guardrails) slowStartRules {
