--- a/front/attempt.go
+++ b/front/attempt.go
@@ -8,24 +8,24 @@
 	"dapplerouter/routing"
 )
 
-// Attempt is one sending of a request, or of a health check, to a server.
+// Attempt is one attempt to send a request, or a health check, to a server.
 //
-// The core owns it, save for Begin, Message and Forwarded, which the goroutine that sends it calls. The two agree by state on
-// whether anything was sent: whoever changes it from stateWaiting first has decided that.
+// The core owns an Attempt. Only Begin, Message and Forwarded are called by the sender, the goroutine that sends the attempt. The field
+// state settles races between the core and the sender: the one that changes it from stateWaiting first decides whether anything is sent.
 type Attempt struct {
 	ref        routing.RequestRef // zero for a health check
 	server     int
-	number     int // of the request's attempts, from 0
+	number     int // attempt number within the request, from 0
 	startedAt  time.Duration
-	deadline   time.Duration // when it is given up
+	deadline   time.Duration // when the core times the attempt out
 	query      pgwire.TimedQuery
-	forwarded  ForwardedAttempt // where the server stands for another site
+	forwarded  ForwardedAttempt // set if the server represents another site
 	conditions sendConditions
 
 	healthCheck bool
-	generation  uint32 // of a health check: that of its server
+	generation  uint32 // for a health check: the generation of the server's index
 
-	finished bool // the core's: its result was passed on, or will be in the next batch
+	finished bool // the result was passed to the router, or will be in the next batch; used by the core only
 	state    atomic.Int32
 	abort    func() // set by the sender before state becomes stateSending
 }
@@ -37,36 +37,37 @@
 	stateCancelled              // nothing was sent, and nothing will be
 )
 
-// sendConditions is what forbids an attempt to begin, as the core saw it when it started the attempt. What a connection waits for may take
-// long, so the sender checks it right before the first byte. Each field is nil or 0 where it forbids nothing.
+// sendConditions are the conditions under which an attempt may still be sent. The core sets them when it starts the attempt. The attempt
+// may wait long for a connection, so the sender checks them right before it writes the first byte. A field that is nil or 0 imposes no
+// condition.
 type sendConditions struct {
-	lease      *ConfigLease         // of the version under which the request was accepted
-	clientGone *atomic.Bool         // of the request
-	connection ClientConnection     // of the client, which may be closed though clientGone is not set yet
-	sendBy     time.Duration        // the end of the window in which the server's group drops a duplicate
-	clock      func() time.Duration // the core's, for sendBy and the deadline; nil where the host steps the core
+	lease      *ConfigLease         // of the configuration version under which the request was accepted; must be valid
+	clientGone *atomic.Bool         // set once the client of the request has disconnected
+	connection ClientConnection     // to the client; it may be closed although clientGone is not set yet
+	sendBy     time.Duration        // end of the deduplication window, in which the server's group drops a duplicate
+	clock      func() time.Duration // the core's clock, for sendBy and the deadline; nil if the host calls Step
 }
 
-// Begin is called by the sender before the first byte. Where it returns false the core has given the attempt up, or is about to, and
-// nothing may be sent. Afterwards the core ends the attempt by abort, which must not block and must have closed the connection, as
-// the server sees it, when it returns.
+// Begin must be called by the sender before it writes the first byte. If Begin returns false, the core has ended the attempt or is about
+// to, and nothing may be sent. If it returns true, the core may call abort to end the attempt. abort must not block. When it returns,
+// the server must see the connection as closed.
 func (a *Attempt) Begin(abort func()) bool {
-	g := &a.conditions
+	conditions := &a.conditions
 	switch {
-	case g.lease != nil && !g.lease.Valid():
+	case conditions.lease != nil && !conditions.lease.Valid():
 		return false
-	case g.connection != nil && g.connection.Disconnected():
+	case conditions.connection != nil && conditions.connection.Disconnected():
 		return false
-	case g.clientGone != nil && g.clientGone.Load():
+	case conditions.clientGone != nil && conditions.clientGone.Load():
 		return false
-	case g.clock != nil && g.clock() >= a.sendDeadline():
+	case conditions.clock != nil && conditions.clock() >= a.sendDeadline():
 		return false
 	}
 	a.abort = abort
 	return a.state.CompareAndSwap(stateWaiting, stateSending)
 }
 
-// sendDeadline is the moment from which on nothing of the attempt may be sent.
+// sendDeadline returns the time from which the attempt must no longer be sent.
 func (a *Attempt) sendDeadline() time.Duration {
 	if a.conditions.sendBy > 0 {
 		return min(a.conditions.sendBy, a.deadline)
@@ -74,25 +75,26 @@
 	return a.deadline
 }
 
-// The time that a server is given is less than what is left, by as long as the request may have lain in the socket before it was
-// read, or by a tenth of what is left: the request's time runs from its arrival, and the front may be held up between its look at
-// the clock and the write.
+// The timeout that a server is given is shorter than the remaining time, by maxReadDelay or by the remaining time divided by
+// readDelayDivisor, whichever is less. The timeout of a request runs from its arrival, but the request may have waited in the socket
+// buffer before it was read. In addition, the front may be delayed between reading the clock and writing the message.
 const (
-	maxReadDelay      = 20 * time.Millisecond
-	readDelayFraction = 10
+	maxReadDelay     = 20 * time.Millisecond
+	readDelayDivisor = 10
 )
 
-// Message is what is sent at this moment. It gives the server the time that is left: the connection may have come up late, or the
-// front may have been held up, since the router decided. Only the sender calls it, once.
+// Message returns the message to send at this moment. Its timeout for the server is the time that is left now, because the connection
+// may have opened late, or the front may have been delayed, since the router decided. Only the sender calls Message, and only once.
 func (a *Attempt) Message() []byte {
 	if a.healthCheck || a.conditions.clock == nil {
 		return a.query.Message
 	}
 	left := a.deadline - a.conditions.clock()
-	return a.query.ShortenTimeout(left - min(maxReadDelay, left/readDelayFraction))
+	return a.query.ShortenTimeout(left - min(maxReadDelay, left/readDelayDivisor))
 }
 
-// cancel gives an attempt up: afterwards nothing of it is sent, and what was sent is cut off. It reports whether anything was.
+// cancel ends an attempt: it prevents the sending, or aborts the attempt if the sending has begun. It reports whether anything may have
+// been sent.
 func (a *Attempt) cancel() (sent bool) {
 	a.finished = true
 	if a.state.CompareAndSwap(stateWaiting, stateCancelled) {
@@ -102,7 +104,7 @@
 	return true
 }
 
-// cancelUnsent gives an attempt up if nothing of it was sent, and reports whether it did.
+// cancelUnsent ends an attempt if nothing of it was sent, and reports whether it did.
 func (a *Attempt) cancelUnsent() bool {
 	if a.finished || !a.state.CompareAndSwap(stateWaiting, stateCancelled) {
 		return false
@@ -111,26 +113,26 @@
 	return true
 }
 
-// unsent reports whether nothing of the attempt was sent so far.
+// unsent reports whether the attempt is unfinished and nothing of it was sent so far.
 func (a *Attempt) unsent() bool { return !a.finished && a.state.Load() == stateWaiting }
 
-// ForwardedAttempt is what another site has to know of an attempt.
+// ForwardedAttempt describes an attempt to the site that executes it.
 type ForwardedAttempt struct {
-	RequestID     uint64 // of the request, in this front
+	RequestID     uint64 // identifies the request within this front
 	AttemptNumber int
 	Group         int64
-	Deadline      time.Duration // of the attempt, by the core's clock
-	MaxAttempts   int           // that the other site may make
+	Deadline      time.Duration // on the core's clock
+	MaxAttempts   int           // attempts that the other site may make
 	Write         bool
-	MinPosition   int64 // log position that a read must see, Unix milliseconds; 0 for none
+	MinPosition   int64 // log position that a read must have reached, in Unix milliseconds; 0 for none
 }
 
-// Forwarded returns what another site has to know of the attempt; a health check has nothing of the kind.
+// Forwarded returns the description of the attempt for another site. It is empty for a health check, which the second result reports.
 func (a *Attempt) Forwarded() (f ForwardedAttempt, healthCheck bool) {
 	return a.forwarded, a.healthCheck
 }
 
-// NewHealthCheck is an attempt of a message that asks a server for its load report and has no deadline for the server.
+// NewHealthCheck creates an attempt that sends a request for a server's load report. The message sets no timeout for the server.
 func NewHealthCheck(message []byte) *Attempt {
 	return &Attempt{healthCheck: true, query: pgwire.TimedQuery{Message: message}}
 }
--- a/front/attempts.go
+++ b/front/attempts.go
@@ -8,15 +8,15 @@
 	"dapplerouter/routing"
 )
 
-// This file has the life of an attempt in the core: it is started by StartAttempt or StartHealthCheck (host.go), sent, and ends by
-// its result (result.go), its timeout, or a cancellation.
+// This file contains the life cycle of an attempt in the core. StartAttempt or StartHealthCheck (host.go) starts the attempt. It is sent
+// and ends by its result (result.go), its timeout or a cancellation.
 
-// forwardedAttempts is how many attempts a site may make for a request that has so many left: half of them, so that some are left
-// should the site fail.
+// forwardedAttempts returns how many attempts another site may make for a request with the given number of attempts left. It is half of
+// them, so that some are left if the site fails, but at least one.
 func forwardedAttempts(left int) int { return max(1, left/2) }
 
-// forward describes an attempt for the site that its server stands for.
-func (c *Core) forward(a *Attempt, r *Request, maxAttempts int) {
+// setForwarded sets the description of an attempt for the site that its server represents.
+func (c *Core) setForwarded(a *Attempt, r *Request, maxAttempts int) {
 	a.forwarded = ForwardedAttempt{RequestID: uint64(a.ref.Slot)<<32 | uint64(a.ref.Generation), AttemptNumber: a.number,
 		Group: r.Statement.Group, Deadline: a.deadline, MaxAttempts: maxAttempts, Write: r.Statement.Write, MinPosition: r.Statement.After}
 	if position, ok := c.router.RequiredPosition(a.ref); ok {
@@ -25,18 +25,18 @@
 	}
 }
 
-// send hands an attempt to the pools and sets the timers of its end.
+// send passes an attempt to the pools and sets its timers.
 func (c *Core) send(a *Attempt) {
 	if e := c.requests.table.Get(a.ref); e != nil {
-		c.setConditions(a, e.Value)
+		c.registerInFlight(a, e.Value)
 	}
 	c.timers.add(timer{at: a.deadline, attempt: a, kind: timerAttemptTimeout})
 	c.metrics.attempts++
 	c.pools.Send(a.server, a)
 }
 
-// setConditions notes an attempt with its request, and what forbids it to begin.
-func (c *Core) setConditions(a *Attempt, r *Request) {
+// registerInFlight adds an attempt to the in-flight attempts of its request and sets the conditions under which it may be sent.
+func (c *Core) registerInFlight(a *Attempt, r *Request) {
 	r.inFlight = append(r.inFlight, a)
 	a.conditions = sendConditions{lease: r.version.lease, clientGone: r.clientGone, clock: c.clock}
 	if client, ok := r.Client.(ConnectedClient); ok {
@@ -50,12 +50,13 @@
 	}
 }
 
-// finishAttempt passes the outcome of an attempt on to the router, and releases the request if that was all it waited for.
+// finishAttempt passes the outcome of an attempt to the router. It releases the request if the request is finished and has no other
+// attempt in flight.
 func (c *Core) finishAttempt(a *Attempt, o routing.AttemptOutcome, err error) {
 	if a.healthCheck && a.generation != c.servers.at(a.server).generation {
-		return // the fleet asked for the health check, so the router did not wait for it before it released the server
+		return // the fleet requested this health check, so the router released the server without waiting for it
 	}
-	c.noteResult(a.server, o.Result, err)
+	c.logServerHealth(a.server, o.Result, err)
 	if a.healthCheck {
 		c.router.HealthCheckFinished(c.now, a.server, o.Result, c.now-a.startedAt, o.Load)
 		return
@@ -73,28 +74,28 @@
 	c.requests.table.Release(a.ref)
 }
 
-// finishWithout ends an attempt that has no response of its server.
-func (c *Core) finishWithout(a *Attempt, result routing.AttemptResult) {
+// finishWithoutResponse finishes an attempt to which the server has not responded.
+func (c *Core) finishWithoutResponse(a *Attempt, result routing.AttemptResult) {
 	c.finishAttempt(a, routing.AttemptOutcome{Result: result, Load: deployment.EmptyLoad}, nil)
 }
 
-// timeOut ends an attempt whose deadline has come.
+// timeOut ends an attempt whose deadline has passed.
 func (c *Core) timeOut(a *Attempt) {
 	if !a.finished {
 		a.cancel()
-		c.finishWithout(a, routing.TimedOut)
+		c.finishWithoutResponse(a, routing.TimedOut)
 	}
 }
 
-// cancelUnsent ends an attempt of which nothing was sent. A connection may come up late: what waits for it must not be sent once the
-// window in which the server's group drops a duplicate is over, nor for a client that has gone, nor to a server that drains.
+// cancelUnsent ends an attempt if nothing of it was sent. A connection may open late. An attempt that waits for one must not be sent
+// after the deduplication window of the server's group has ended, for a client that has disconnected, or to a server that drains.
 func (c *Core) cancelUnsent(a *Attempt) {
 	if a.cancelUnsent() {
-		c.finishWithout(a, routing.NotSent)
+		c.finishWithoutResponse(a, routing.NotSent)
 	}
 }
 
-// cancelUnsentToDraining ends the attempts that wait for a connection to a server that takes no new work any more.
+// cancelUnsentToDraining ends the attempts that wait for a connection to a server that no longer accepts new work.
 func (c *Core) cancelUnsentToDraining() {
 	var unsent []*Attempt
 	c.requests.table.Each(func(_ routing.RequestRef, e *RequestEntry[*Request]) {
@@ -111,15 +112,16 @@
 	}
 }
 
-// deferredResult is the end of an attempt that the router itself brought about; the router learns of it in the next batch.
+// deferredResult is the event of an attempt that ended during a call of the router. The router is notified in the next batch, so that the
+// core does not call the router back within that call.
 type deferredResult struct {
 	attempt *Attempt
 	result  routing.AttemptResult
 }
 
-func (d deferredResult) apply(c *Core, _ time.Duration) { c.finishWithout(d.attempt, d.result) }
+func (d deferredResult) apply(c *Core, _ time.Duration) { c.finishWithoutResponse(d.attempt, d.result) }
 
-// deferResult ends an attempt in the next batch.
+// deferResult reports the result of an attempt to the router in the next batch.
 func (c *Core) deferResult(a *Attempt, result routing.AttemptResult) {
 	c.queue.next = append(c.queue.next, deferredResult{a, result})
 }
--- a/front/catalog.go
+++ b/front/catalog.go
@@ -5,10 +5,10 @@
 	"dapplerouter/routing"
 )
 
-// catalog is what the deployment settings name: request types, customers and zones by index, and the limits. It does not change once
-// the core is made.
+// catalog holds what the deployment settings define: request types, customers and zones by index, and the limits. It does not change
+// after NewCore.
 type catalog struct {
-	types     []routing.RequestType // by index; a classifier adds some behind those that have a name
+	types     []routing.RequestType // by index; a classifier appends types without a name, for undeclared writes
 	typeNames *Index[string]
 	customers *Index[string]
 	zones     *Index[string]
--- a/front/classify.go
+++ b/front/classify.go
@@ -12,34 +12,34 @@
 	"dapplerouter/sqlclass"
 )
 
-// Classifier is what the operator's file configures for the classification of statements.
+// Classifier is the statement classification that the operator's configuration file defines.
 type Classifier struct {
 	*sqlclass.Classifier
-	UndeclaredWriteEffect routing.Idempotency // of a write whose request type reads
+	UndeclaredWriteEffect routing.Idempotency // of a write statement whose request type is a read type
 }
 
-// classifier maps what statements are classified as to request types.
+// classifier maps classified statements to request types. A write statement whose request type is a read type is an undeclared write.
 type classifier struct {
 	statements *sqlclass.Classifier
 	ruleTypes  []int // the request type of each rule
-	writeTypes []int // by request type: the same for an undeclared write; itself where the type writes anyway
+	writeTypes []int // by request type: the type for its undeclared writes; a write type maps to itself
 
 	classified, byRule, unmatched, undeclaredWrites int
 }
 
-// newClassifier maps the classifier's rules to request types and adds a type for undeclared writes to the catalog, for each that reads.
+// newClassifier maps the classifier's rules to request types. For each read type, it adds a type for undeclared writes to the catalog.
 func newClassifier(o *Classifier, catalog *catalog) *classifier {
 	k := &classifier{statements: o.Classifier}
 	for _, rule := range o.Rules() {
-		k.ruleTypes = append(k.ruleTypes, catalog.typeNames.Intern(rule.Type)) // known: ValidateClassification checked it
+		k.ruleTypes = append(k.ruleTypes, catalog.typeNames.Intern(rule.Type)) // ValidateClassification has checked that the type exists
 	}
 	catalog.types = k.addWriteTypes(catalog.types, o.UndeclaredWriteEffect)
 	return k
 }
 
-// addWriteTypes returns the types with one more for each that reads: like it, but a write with the effect that the operator gave
-// to undeclared writes. So the router decides on these as on all others: they go to the primary only, and are retried only as far as
-// the effect allows.
+// addWriteTypes returns the types followed by one type for the undeclared writes of each read type. The added type is a copy of the read
+// type, but a write with the effect that the operator configured for undeclared writes. The router therefore treats undeclared writes
+// like other writes: it sends them to the primary only, and retries them only as far as the effect allows.
 func (k *classifier) addWriteTypes(types []routing.RequestType, effect routing.Idempotency) []routing.RequestType {
 	all := slices.Clone(types)
 	for i, t := range types {
@@ -50,14 +50,14 @@
 		k.writeTypes[i] = len(all)
 		t.Consistency, t.Idempotency, t.MaxStaleness = routing.Write, effect, 0
 		if effect == routing.IdempotencyKey && t.DedupWindow == 0 {
-			t.Idempotency = routing.NonIdempotent // nothing says for how long a key is remembered
+			t.Idempotency = routing.NonIdempotent // it is not known for how long the servers remember a key
 		}
 		all = append(all, t)
 	}
 	return all
 }
 
-// ValidateClassification checks the operator's settings against the deployment's request types. The error is a config.ErrorList.
+// ValidateClassification checks the operator's rules against the deployment's request types. The error is a config.ErrorList.
 func ValidateClassification(classification *sqlclass.Settings, settings *deployment.Settings) error {
 	var errs config.ErrorList
 	for i, rule := range classification.Rules {
@@ -77,47 +77,48 @@
 	return errs
 }
 
-// classify finds the request type of a statement that was classified. A problem is a reason for the client why it has none.
-func (c *Core) classify(s *pgwire.Statement, t *routing.Request) (problem string) {
+// classify determines the request type of a classified statement, by its comment or by the first matching rule. If it finds none, it
+// returns a problem description for the client.
+func (c *Core) classify(s *pgwire.Statement, req *routing.Request) (problem string) {
 	k := c.classifier
 	k.classified++
-	t.ExpectedWork = k.statements.Estimate(s.Normalized, &s.Details)
+	req.ExpectedWork = k.statements.Estimate(s.Normalized, &s.Details)
 	if len(s.RequestType) > 0 {
 		var ok bool
-		if t.Type, ok = c.catalog.typeNames.Lookup(string(s.RequestType)); !ok {
+		if req.Type, ok = c.catalog.typeNames.Lookup(string(s.RequestType)); !ok {
 			return "c names no request type of this site"
 		}
 	} else {
-		rule := k.statements.MatchRule(s.Normalized, t.ExpectedWork)
+		rule := k.statements.MatchRule(s.Normalized, req.ExpectedWork)
 		if rule < 0 {
 			k.unmatched++
 			return "the comment names no request type, and no rule of the operator's file fits the statement"
 		}
 		k.byRule++
-		t.Type = k.ruleTypes[rule]
+		req.Type = k.ruleTypes[rule]
 	}
-	if s.Write && c.catalog.types[t.Type].Consistency != routing.Write {
-		slog.Debug("undeclared write", "id", string(s.ID), "type", c.catalog.typeNames.Key(t.Type), "class", s.Normalized.Class,
+	if s.Write && c.catalog.types[req.Type].Consistency != routing.Write {
+		slog.Debug("undeclared write", "id", string(s.ID), "type", c.catalog.typeNames.Key(req.Type), "class", s.Normalized.Class,
 			"reason", s.Normalized.Reason, "fingerprint", s.Normalized.Fingerprint())
 		k.undeclaredWrites++
-		t.Type = k.writeTypes[t.Type]
+		req.Type = k.writeTypes[req.Type]
 	}
-	consistency := c.catalog.types[t.Type].Consistency
-	t.Write = consistency == routing.Write // a read under a writing type goes where its type says
+	consistency := c.catalog.types[req.Type].Consistency
+	req.Write = consistency == routing.Write // a read statement of a write type is routed as a write
 	if consistency == routing.ReadYourWrites && len(s.Key) == 0 {
 		return "a read of this request type belongs to a session: s=NAME in the comment, or a quoted key"
 	}
 	return ""
 }
 
-// observeExecution has the classifier learn how long a statement took.
+// observeExecution reports the execution time of a classified statement to the classifier's cost model.
 func (c *Core) observeExecution(a *Attempt, s *pgwire.Statement) {
 	if c.classifier != nil && s.Normalized != nil {
 		c.classifier.statements.Observe(s.Normalized, &s.Details, c.now-a.startedAt)
 	}
 }
 
-// totals are the attributes of the log's totals.
+// totals returns the classifier's counters as log attributes for LogTotals.
 func (k *classifier) totals() []any {
 	t := k.statements.Stats()
 	return []any{"classified", k.classified, "by_rule", k.byRule, "unmatched", k.unmatched, "undeclared_writes", k.undeclaredWrites,
--- a/front/core.go
+++ b/front/core.go
@@ -1,18 +1,18 @@
-// Package front is the core of a front: it carries events between the network (client connections, server pools, the endpoint watch)
-// and the router, which makes all decisions.
+// Package front implements the core of a front. The core delivers events from the network (client connections, server pools, the
+// endpoint watch) to the router, which makes all routing decisions, and carries these decisions out.
 //
-// The core does no I/O. Events come in through Post; everything that goes out does so by calls that never block (Pools, Client,
-// EndpointSource, Auditor). One goroutine, that of Run or the caller of Step, owns the router and all state of the core:
+// The core does no I/O. Events arrive through Post. Its outgoing calls (Pools, Client, EndpointSource, Auditor) never block. The
+// goroutine that calls Run or Step owns the router and all state of the core:
 //
-//	requests  the requests that are not finished, their ids and their attempts (requests.go, request.go, attempt.go)
-//	servers   the endpoint list as the router was given it (servers.go, endpoints.go)
-//	timers    what falls due, for the router, for attempts and for leases (timers.go)
-//	versions  configuration versions and the leases to act on them (versions.go, lease.go)
-//	metrics   counts for the log (metrics.go)
+//	requests  the accepted requests, their ids and their attempts (requests.go, request.go, attempt.go)
+//	servers   the endpoint list that the router has (servers.go, endpoints.go)
+//	timers    timers of the router, of attempts and of leases (timers.go)
+//	versions  configuration versions and their leases (versions.go, lease.go)
+//	metrics   counters for the log (metrics.go)
 //
-// Invariants: an accepted request gets exactly one response, unless its client has gone. The router is notified of the result of every
-// attempt that it started exactly once; by then the attempt is complete or cut off. No attempt begins for a request whose client has
-// gone or whose configuration lease has expired, and none is started for one that is finished.
+// Invariants: An accepted request gets exactly one response, unless its client has disconnected. The router is notified exactly once of
+// the result of every attempt that it started, after the attempt was completed or aborted. No attempt begins to be sent for a request
+// whose client has disconnected or whose configuration lease has expired, and no attempt is started for a finished request.
 package front
 
 import (
@@ -23,55 +23,56 @@
 	"dapplerouter/routing"
 )
 
-// RouterFactory makes the Router of an instance.
+// RouterFactory creates the Router of an instance. The router calls h to carry out its decisions.
 type RouterFactory func(h routing.Host, o routing.Options) routing.Router
 
-// Event is something that happened outside the core; Post brings it in. The types are declared next to the code that handles them.
+// Event is an input of the core, delivered by Post. Each event type is declared next to the code that handles it.
 type Event interface {
 	apply(c *Core, now time.Duration)
 }
 
-// Pools carries attempts to servers. No call blocks.
+// Pools sends attempts to servers over pooled connections. Its methods do not block.
 type Pools interface {
-	SetAddress(server int, address string, age time.Duration) // age is the time since the server's last start
+	SetAddress(server int, address string, uptime time.Duration)
 	Send(server int, a *Attempt)
 	Remove(server int)
 }
 
-// EndpointSource is asked for the endpoint list where it has to be polled or subscribed to. No call blocks.
+// EndpointSource is the discovery client. Watch turns the subscription to the endpoint list on or off, Fetch requests the whole list;
+// results arrive as EndpointsChanged events. The methods do not block.
 type EndpointSource interface {
 	Watch(on bool)
 	Fetch()
 }
 
-// Clock is the time since the start of the instance, with one timer that each SetTimer sets anew.
+// Clock gives the time since the start of the instance and has a single timer. SetTimer replaces the time at which the timer fires.
 type Clock interface {
 	Now() time.Duration
 	SetTimer(at time.Duration)
 	TimerC() <-chan time.Time
 }
 
-// Options are what a Core is made with.
+// Options configure a Core.
 type Options struct {
-	StartedAt  time.Time // the wall clock's time at 0 of the core's clock
-	Seed       uint64    // of the router
+	StartedAt  time.Time // wall-clock time at 0 of the core's clock
+	Seed       uint64    // random seed of the router
 	Settings   *deployment.Settings
 	NewRouter  RouterFactory
 	Pools      Pools
 	Endpoints  EndpointSource
-	Classifier *Classifier // nil where statements are in the one form of the clients' protocol
+	Classifier *Classifier // nil if clients only send the fixed statement forms that pgwire.ParseStatement accepts
 }
 
-// Core owns the router. See the package comment for its parts.
+// Core dispatches events to the router and executes the router's decisions. It implements routing.Host.
 type Core struct {
 	router    routing.Router
 	pools     Pools
 	endpoints EndpointSource
 	fleet     FleetOptions
-	clock     func() time.Duration // for attempts; nil where the host steps the core
+	clock     func() time.Duration // checked by attempts before they send; nil if the host calls Step instead of Run
 
 	queue eventQueue
-	now   time.Duration // of the current batch
+	now   time.Duration // start time of the current batch
 
 	catalog    catalog
 	requests   requests
@@ -79,11 +80,11 @@
 	timers     timers
 	versions   versions
 	wall       wallClock
-	classifier *classifier // nil where statements are not classified
+	classifier *classifier // nil if statements are not classified
 	metrics    metrics
 }
 
-// NewCore makes a Core. The rules of the classifier must have passed ValidateClassification.
+// NewCore creates a Core. The rules of the classifier must have passed ValidateClassification.
 func NewCore(o Options) *Core {
 	s := o.Settings
 	c := &Core{pools: o.Pools, endpoints: o.Endpoints, queue: newEventQueue(), wall: wallClock{epoch: o.StartedAt.Round(0)},
@@ -97,20 +98,20 @@
 	return c
 }
 
-// SetStaticEndpoints sets endpoints that every snapshot of the list has beside its own. It is called before Run.
+// SetStaticEndpoints sets endpoints that are added to every snapshot of the endpoint list. It must be called before Run.
 func (c *Core) SetStaticEndpoints(endpoints []discovery.Endpoint) { c.servers.static = endpoints }
 
-// Post brings an event in; it blocks while too many wait.
+// Post queues an event for the core. It blocks while the queue is full.
 func (c *Core) Post(e Event) { c.queue.incoming <- e }
 
-// Step handles what was posted and what has fallen due, and returns when something falls due next. It is for a host with a clock of
-// its own, as in simulations; in service Run does the same.
+// Step handles the posted events and the due timers, and returns when the next batch is due; ok is false if no timer is set. Step is for
+// hosts with their own clock, such as simulations. In production, Run does the same.
 func (c *Core) Step(now time.Duration) (next time.Duration, ok bool) {
 	c.batch(now)
 	return c.nextDue()
 }
 
-// Run serves until stop is closed.
+// Run handles events and timers until stop is closed.
 func (c *Core) Run(clock Clock, stop <-chan struct{}) {
 	c.clock = clock.Now
 	for {
@@ -129,7 +130,7 @@
 	}
 }
 
-// nextDue returns when the next batch is due at the latest.
+// nextDue returns the latest time at which the next batch must run; it reports false if no timer is set.
 func (c *Core) nextDue() (time.Duration, bool) {
 	if len(c.queue.next) > 0 {
 		return c.now, true
@@ -137,7 +138,7 @@
 	return c.timers.next()
 }
 
-// batch handles all events at hand in the order of arrival, then what has fallen due, and lets the router reconcile once.
+// batch handles the available events in order of arrival, then the due timers, and finally calls the router's Reconcile once.
 func (c *Core) batch(now time.Duration) {
 	c.now = now
 	c.expireLeases(now)
@@ -162,7 +163,7 @@
 	c.router.Reconcile(now)
 }
 
-// fire acts on a timer that has fallen due.
+// fire performs the action of a due timer.
 func (c *Core) fire(t timer) {
 	switch t.kind {
 	case timerRouter:
@@ -177,26 +178,26 @@
 }
 
 const (
-	eventQueueLength = 4096 // events that may wait; who posts more waits
-	maxBatch         = 1024 // events in a batch, so that a flood delays no timer for long
+	eventQueueLength = 4096 // capacity of the queue in events; Post blocks while it is full
+	maxBatch         = 1024 // events taken from the queue per batch, so that a burst of events does not delay timers for long
 )
 
-// eventQueue holds the events that are not handled yet.
+// eventQueue holds the events that have not been handled yet.
 type eventQueue struct {
 	incoming chan Event
-	next     []Event // came of the current batch, by the core itself or by Run; the next batch begins with them
+	next     []Event // added by the core itself or received by Run; the next batch handles them first
 }
 
 func newEventQueue() eventQueue { return eventQueue{incoming: make(chan Event, eventQueueLength)} }
 
-// takeNext returns the events with which a batch begins.
+// takeNext removes and returns the events that a batch handles first.
 func (q *eventQueue) takeNext() []Event {
 	first := q.next
 	q.next = nil
 	return first
 }
 
-// poll returns an event that has been posted, if there is one.
+// poll removes and returns the oldest posted event without blocking; it reports false if there is none.
 func (q *eventQueue) poll() (Event, bool) {
 	select {
 	case e := <-q.incoming:
--- a/front/core_bench_test.go
+++ b/front/core_bench_test.go
@@ -10,12 +10,12 @@
 	"dapplerouter/routing"
 )
 
-// One request in the core, from its arrival to its response: for a front by itself, and for one of a fleet, with a lease, an audit and
-// the core's clock.
+// BenchmarkRequestThroughTheCore measures one request in the core, from its arrival to its response: in a standalone front, and in a front
+// of a fleet with a lease, an auditor and the core's clock.
 func BenchmarkRequestThroughTheCore(b *testing.B) {
 	for _, fleet := range []bool{false, true} {
 		b.Run(map[bool]string{false: "alone", true: "fleet"}[fleet], func(b *testing.B) {
-			c, m, w := newTestCore(b)
+			c, router, network := newTestCore(b)
 			now := time.Duration(0)
 			if fleet {
 				c.JoinFleet(FleetOptions{Clock: func() time.Duration { return now }, Auditor: &fakeAuditor{}})
@@ -25,24 +25,25 @@
 			}
 			statement, err := pgwire.ParseStatement([]byte(browse + "\x00"))
 			require.NoError(b, err)
-			answer := successResult()
-			cut := func() {}
-			submit := start(0)
+			result := successResult()
+			abort := func() {}
+			startAttempt := start(0)
 			b.ReportAllocs()
 			for b.Loop() {
 				now += ms
-				c.Post(NewRequest(w, statement, now))
-				m.onReconcile = submit
+				c.Post(NewRequest(network, statement, now))
+				router.onReconcile = startAttempt
 				c.batch(now)
-				s := w.sent[0]
-				s.Begin(cut)
-				s.Message()
-				c.Post(&AttemptFinished{Attempt: s, Answer: answer})
+				attempt := network.sent[0]
+				attempt.Begin(abort)
+				attempt.Message()
+				c.Post(&AttemptFinished{Attempt: attempt, Answer: result})
 				c.batch(now)
-				if len(w.responses) != 1 || w.responses[0].Status != StatusSucceeded || m.outcomes[0].Result != routing.Succeeded {
-					b.Fatal(w.responses)
+				if len(network.responses) != 1 || network.responses[0].Status != StatusSucceeded || router.outcomes[0].Result != routing.Succeeded {
+					b.Fatal(network.responses)
 				}
-				m.requests, m.outcomes, w.sent, w.responses = m.requests[:0], m.outcomes[:0], w.sent[:0], w.responses[:0]
+				router.requests, router.outcomes = router.requests[:0], router.outcomes[:0]
+				network.sent, network.responses = network.sent[:0], network.responses[:0]
 			}
 		})
 	}
--- a/front/endpoints.go
+++ b/front/endpoints.go
@@ -10,7 +10,7 @@
 	"dapplerouter/routing"
 )
 
-// EndpointsChanged is the event of an update of the endpoint list; a cached list and a failed call are updates too.
+// EndpointsChanged is the event that discovery has returned an update of the endpoint list, a cached list or an error.
 type EndpointsChanged struct {
 	Kind routing.UpdateKind
 	List discovery.List
@@ -20,7 +20,7 @@
 	endpoints := u.List.Endpoints
 	if u.Kind == routing.Snapshot || u.Kind == routing.CachedSnapshot {
 		endpoints = slices.Concat(endpoints, c.servers.static)
-		c.servers.noneServing()
+		c.servers.clearServing()
 	}
 	for _, e := range endpoints {
 		c.correctClock(c.wall.observePast(e.StartedAtMillis, now))
@@ -45,8 +45,8 @@
 	}
 }
 
-// updateServer takes an endpoint over into the state of its server and adds it to the router's update. It reports false for an endpoint
-// that is ignored, since the deployment settings do not name its zone.
+// updateServer copies an endpoint into the state of its server and adds it to the update for the router. It ignores an endpoint whose zone
+// is not in the deployment settings, and then reports false.
 func (c *Core) updateServer(e discovery.Endpoint) bool {
 	zone, ok := c.catalog.zones.Lookup(e.Zone)
 	if !ok {
--- a/front/fleet.go
+++ b/front/fleet.go
@@ -2,34 +2,36 @@
 
 import "time"
 
-// FleetOptions are for a front that is one of a fleet, which publishes configuration versions and audits requests. The zero value is a
-// front by itself.
+// FleetOptions configure a front that belongs to a fleet, which publishes configuration versions and audits requests. The zero value
+// configures a standalone front.
 type FleetOptions struct {
-	Clock     func() time.Duration // the core's, for leases; nil where no lease is needed
+	Clock     func() time.Duration // the core's clock, for leases; nil if no lease is needed
 	Auditor   Auditor              // nil for none
-	OnStandby func(standby bool)   // the front accepts no requests from now on, or accepts them again; it must not block
+	OnStandby func(standby bool)   // called when the front stops accepting requests (true) or resumes (false); must not block
 }
 
-// JoinFleet sets the options of a front that is one of a fleet. It is called before Run.
+// JoinFleet makes the core that of a front in a fleet. It must be called before Run. With a Clock, the core accepts no requests until
+// its first lease.
 func (c *Core) JoinFleet(o FleetOptions) {
 	c.fleet = o
-	c.versions.standby = o.Clock != nil // until the first lease
+	c.versions.standby = o.Clock != nil // until the first lease is granted
 	c.versions.current.lease = c.newLease()
 }
 
-// Auditor is notified of each request, by the core's goroutine; it must neither block nor allocate. RequestFinished follows exactly once
-// on each RequestAccepted, with the span that it returned.
+// Auditor records requests and changes of the core's state. The core's goroutine calls it; its methods must neither block nor allocate.
+// For each RequestAccepted there is exactly one later RequestFinished, with the audit interval that RequestAccepted returned.
 type Auditor interface {
-	RequestAccepted(now time.Duration, id []byte, typ int) (span uint32)
-	RequestFinished(now time.Duration, span uint32, typ int, status Status)
+	RequestAccepted(now time.Duration, id []byte, typ int) (interval uint32)
+	RequestFinished(now time.Duration, interval uint32, typ int, status Status)
 	EndpointsChanged(now time.Duration, index int64)
 	ConfigAdopted(now time.Duration, version uint64)
 	LeaseChanged(now, until time.Duration, standby bool)
-	Tick(now time.Duration)  // now and then, also where nothing else happens
-	Close(now time.Duration) // the front ends
+	Tick(now time.Duration)  // called for AuditTick events
+	Close(now time.Duration) // called when the front terminates
 }
 
-// AuditTick is the event that lets the auditor act on the time.
+// AuditTick is the event that calls the auditor's Tick. It is posted regularly, also while the front is idle, so that the auditor can close
+// its intervals in time.
 type AuditTick struct{}
 
 func (AuditTick) apply(c *Core, now time.Duration) {
@@ -38,7 +40,7 @@
 	}
 }
 
-// CloseAudit is the event that closes the audit log, behind all that was posted before; then it calls OnClosed.
+// CloseAudit is the event that closes the audit log after all events posted before it. It then calls OnClosed.
 type CloseAudit struct{ OnClosed func() }
 
 func (e CloseAudit) apply(c *Core, now time.Duration) {
--- a/front/forward_test.go
+++ b/front/forward_test.go
@@ -12,33 +12,33 @@
 	"dapplerouter/routing"
 )
 
-// newForwardingCore makes server 0 stand for another site, with a limit of attempts.
+// newForwardingCore creates a core whose server 0 represents another site, with the given limit of attempts.
 func newForwardingCore(t *testing.T, limit int) (*Core, *fakeRouter, *fakeNetwork) {
 	t.Helper()
-	c, m, w := newTestCore(t)
+	c, router, network := newTestCore(t)
 	c.catalog.limits.MaxAttempts = limit
 	c.Post(EndpointsChanged{Kind: routing.Delta, List: discovery.List{Endpoints: []discovery.Endpoint{
 		{Name: "s-1", Address: RemoteSitePrefix + "b/9", Zone: "a", Group: 9}}}})
 	c.batch(ms)
-	return c, m, w
+	return c, router, network
 }
 
-// Two sites start attempts; together they must stay within the limit.
+// Both this site and the other site start attempts of a forwarded request. Their total must stay within the limit of attempts.
 func TestForwardedAttemptsStayWithinLimit(t *testing.T) {
 	for limit, want := range map[int][]int{10: {5, 2, 1, 1, 1}, 2: {1, 1}, 1: {1}} {
 		t.Run(fmt.Sprint(limit), func(t *testing.T) {
-			c, m, w := newForwardingCore(t, limit)
-			receive(t, c, w, browse)
+			c, router, network := newForwardingCore(t, limit)
+			receive(t, c, network, browse)
 			var forwarded []int
 			for range 8 {
-				before := len(w.sent)
-				m.onReconcile = start(0)
+				before := len(network.sent)
+				router.onReconcile = start(0)
 				c.batch(10 * ms)
 				c.batch(10 * ms)
-				if len(w.sent) == before {
+				if len(network.sent) == before {
 					break
 				}
-				a := w.sent[len(w.sent)-1]
+				a := network.sent[len(network.sent)-1]
 				f, healthCheck := a.Forwarded()
 				assert.False(t, healthCheck)
 				forwarded = append(forwarded, f.MaxAttempts)
@@ -51,46 +51,47 @@
 }
 
 func TestMaxAttemptsOfForwardedRequest(t *testing.T) {
-	c, m, w := newTestCore(t)
-	r := receive(t, c, w, browse)
+	c, router, network := newTestCore(t)
+	r := receive(t, c, network, browse)
 	r.MaxAttempts = 2
 	for range 4 {
-		m.onReconcile = start(0)
+		router.onReconcile = start(0)
 		c.batch(10 * ms)
 		c.batch(10 * ms)
-		if n := len(w.sent); n > 0 {
-			c.Post(&AttemptFinished{Attempt: w.sent[n-1], Err: &ConnectionError{Stage: StageWrite, Err: assert.AnError}})
+		if n := len(network.sent); n > 0 {
+			c.Post(&AttemptFinished{Attempt: network.sent[n-1], Err: &ConnectionError{Stage: StageWrite, Err: assert.AnError}})
 		}
 		c.batch(10 * ms)
 	}
-	assert.Len(t, w.sent, 2)
+	assert.Len(t, network.sent, 2)
 	notSent := 0
-	for _, o := range m.outcomes {
+	for _, o := range router.outcomes {
 		if o.Result == routing.NotSent {
 			notSent++
 		}
 	}
-	assert.Equal(t, 2, notSent, "what is beyond the limit is not sent")
+	assert.Equal(t, 2, notSent, "attempts beyond the limit are not sent")
 }
 
-// A result that grew too old on its way from another site is misrouted for the router, and no response for the client.
+// A result from another site may be older than the maximum staleness when it arrives, or of unknown age. It must not be sent to the client;
+// the router is notified that the attempt was misrouted.
 func TestRemoteResultBeyondMaxStalenessIsMisrouted(t *testing.T) {
 	for name, x := range map[string]struct {
 		age       time.Duration
 		known     bool
 		responses int
-	}{"within the bound": {200 * ms, true, 1}, "beyond the bound": {301 * ms, true, 0}, "age not known": {0, false, 0}} {
+	}{"within the limit": {200 * ms, true, 1}, "beyond the limit": {301 * ms, true, 0}, "age not known": {0, false, 0}} {
 		t.Run(name, func(t *testing.T) {
-			c, m, w := newForwardingCore(t, 9)
+			c, router, network := newForwardingCore(t, 9)
 			c.catalog.types[0].Consistency, c.catalog.types[0].MaxStaleness = routing.BoundedStaleness, 300*ms
-			receiveAndStart(t, c, m, w)
-			w.begin(t, 0)
-			c.Post(&AttemptFinished{Attempt: w.sent[0], Answer: pgwire.QueryResult{Complete: true, Rows: []byte("r")}, Remote: true,
+			receiveAndStart(t, c, router, network)
+			network.begin(t, 0)
+			c.Post(&AttemptFinished{Attempt: network.sent[0], Answer: pgwire.QueryResult{Complete: true, Rows: []byte("r")}, Remote: true,
 				DataAge: x.age, DataAgeKnown: x.known})
 			c.batch(20 * ms)
-			assert.Len(t, w.responses, x.responses)
+			assert.Len(t, network.responses, x.responses)
 			if x.responses == 0 {
-				assert.Equal(t, routing.Misrouted, m.outcomes[0].Result)
+				assert.Equal(t, routing.Misrouted, router.outcomes[0].Result)
 			}
 		})
 	}
--- a/front/host.go
+++ b/front/host.go
@@ -7,19 +7,19 @@
 	"dapplerouter/routing"
 )
 
-// The core is the host of its router.
 var _ routing.Host = (*Core)(nil)
 
-// StartAttempt sends a request to a server and gives it up after a while, or at the request's deadline where giveUpAfter is 0. An
-// attempt that the limits forbid, or for which no time is left, ends as not sent in the next batch.
-func (c *Core) StartAttempt(ref routing.RequestRef, server int, giveUpAfter time.Duration) {
+// StartAttempt sends a request to a server. The attempt times out after the given time, or at the request's deadline if timeout is 0. If
+// the request is finished, the limit of attempts is reached or no time is left, the attempt is not sent and ends as NotSent in the next
+// batch.
+func (c *Core) StartAttempt(ref routing.RequestRef, server int, timeout time.Duration) {
 	e := c.requests.table.MustGet(ref)
 	r := e.Value
 	a := &Attempt{ref: ref, server: server, number: e.Attempts, startedAt: c.now, deadline: r.deadline}
 	e.InFlight++
 	e.Attempts++
-	if giveUpAfter != 0 {
-		a.deadline = min(a.deadline, c.now+giveUpAfter)
+	if timeout != 0 {
+		a.deadline = min(a.deadline, c.now+timeout)
 	}
 	limit, used, remote := c.catalog.limits.MaxAttempts, 1, c.servers.at(server).remote
 	if r.MaxAttempts > 0 {
@@ -35,12 +35,12 @@
 	}
 	a.query = r.Statement.QueryWithTimeout(a.deadline - c.now)
 	if remote {
-		c.forward(a, r, used)
+		c.setForwarded(a, r, used)
 	}
 	c.send(a)
 }
 
-// CancelAttempt gives an attempt up; its result comes in the next batch.
+// CancelAttempt cancels an attempt. The router is notified of its result in the next batch.
 func (c *Core) CancelAttempt(ref routing.RequestRef, number int) {
 	for _, a := range c.requests.table.MustGet(ref).Value.inFlight {
 		if a.number == number && !a.finished {
@@ -53,17 +53,17 @@
 	}
 }
 
-// Reject responds that the request may be sent again without harm, after retryAfter where that is not 0.
+// Reject responds to a request that it is safe to send it again, after retryAfter if that is not 0.
 func (c *Core) Reject(ref routing.RequestRef, retryAfter time.Duration) {
 	r := c.requests.table.MustGet(ref).Value
-	c.respondTo(ref, Response{Status: StatusRejected, RetryAfter: retryAfter,
+	c.respondAndRelease(ref, Response{Status: StatusRejected, RetryAfter: retryAfter,
 		MayHaveRun: r.mayHaveRun && c.catalog.types[r.typeIndex].Idempotency != routing.Idempotent})
 }
 
-// Fail responds without a promise of whether the request ran.
-func (c *Core) Fail(ref routing.RequestRef) { c.respondTo(ref, Response{Status: StatusFailed}) }
+// Fail responds that a request failed. The response does not say whether the request ran.
+func (c *Core) Fail(ref routing.RequestRef) { c.respondAndRelease(ref, Response{Status: StatusFailed}) }
 
-// StartHealthCheck asks a server for its load report.
+// StartHealthCheck requests a server's load report, with the dial timeout as its timeout.
 func (c *Core) StartHealthCheck(server int) {
 	a := NewHealthCheck(healthCheckMessage)
 	a.server, a.startedAt, a.deadline = server, c.now, c.now+c.catalog.limits.DialTimeout
@@ -72,7 +72,7 @@
 	c.send(a)
 }
 
-// HealthCheckRequested is the event that the router of another front in the fleet wants a server checked.
+// HealthCheckRequested is the event that the fleet requests a health check of a server, for the router of another front.
 type HealthCheckRequested struct{ Server string }
 
 func (h HealthCheckRequested) apply(c *Core, _ time.Duration) {
@@ -81,23 +81,23 @@
 	}
 }
 
-// ReleaseServer frees a server's index, which may stand for another from now on, and ends its connections.
+// ReleaseServer closes a server's connections and frees its index, which may be assigned to another server from then on.
 func (c *Core) ReleaseServer(server int) {
 	slog.Info("server released", "server", c.servers.names.Key(server))
 	c.servers.release(server)
 	c.pools.Remove(server)
 }
 
-// WatchEndpoints turns the watch of the endpoint list on or off.
+// WatchEndpoints subscribes to the endpoint list, or ends the subscription.
 func (c *Core) WatchEndpoints(on bool) { c.endpoints.Watch(on) }
 
-// FetchEndpoints asks for the whole endpoint list.
+// FetchEndpoints requests the whole endpoint list once.
 func (c *Core) FetchEndpoints() { c.endpoints.Fetch() }
 
-// SendGossip does nothing: the protocol has no way for fronts to send to each other.
+// SendGossip does nothing: fronts have no protocol for messages between their routers.
 func (c *Core) SendGossip(int, []byte) {}
 
-// SetTimer has the router's TimerFired called after a while.
+// SetTimer schedules a call of the router's TimerFired.
 func (c *Core) SetTimer(after time.Duration) {
 	c.timers.add(timer{at: c.now + after, kind: timerRouter})
 }
--- a/front/index.go
+++ b/front/index.go
@@ -2,14 +2,14 @@
 
 import "hash/fnv"
 
-// Index hands out small indices for keys: one that was released first, else the next.
+// Index assigns small integer indices to keys. A new key gets a released index if there is one, otherwise the next higher index.
 type Index[K comparable] struct {
 	byKey map[K]int
 	keys  []K
-	free  []int
+	free  []int // released indices
 }
 
-// NewIndex makes an Index of some keys, numbered in their order.
+// NewIndex creates an Index that contains the keys, numbered in the given order from 0.
 func NewIndex[K comparable](keys ...K) *Index[K] {
 	x := &Index[K]{byKey: make(map[K]int, len(keys))}
 	for _, k := range keys {
@@ -18,7 +18,7 @@
 	return x
 }
 
-// Intern returns a key's index, a new one if the key has none.
+// Intern returns the index of a key. It assigns one if the key has none.
 func (x *Index[K]) Intern(k K) int {
 	i, ok := x.byKey[k]
 	if ok {
@@ -34,25 +34,25 @@
 	return i
 }
 
-// Release takes an index back; it may stand for another key from now on.
+// Release frees an index, which may be assigned to another key from then on.
 func (x *Index[K]) Release(i int) {
 	delete(x.byKey, x.keys[i])
 	x.free = append(x.free, i)
 }
 
-// Lookup returns the index of a key, if it has one.
+// Lookup returns the index of a key; it reports false if the key has none.
 func (x *Index[K]) Lookup(k K) (int, bool) {
 	i, ok := x.byKey[k]
 	return i, ok
 }
 
-// Key returns what an index stands for.
+// Key returns the key to which an index was assigned last.
 func (x *Index[K]) Key(i int) K { return x.keys[i] }
 
-// Len is the number of indices in use.
+// Len returns the number of indices in use.
 func (x *Index[K]) Len() int { return len(x.byKey) }
 
-// SessionHash is the fingerprint of a session's name, never 0.
+// SessionHash returns a hash of a session's name. It is never 0, which stands for no session.
 func SessionHash(name []byte) uint64 {
 	h := fnv.New64a()
 	h.Write(name)
--- a/front/lease.go
+++ b/front/lease.go
@@ -6,44 +6,45 @@
 	"time"
 )
 
-// ConfigLease is the right to act on a configuration version, until a moment of the core's clock. Once it has expired no attempt
-// begins: whoever is about to send checks it, since the front may have stood still since the core looked. Only the core renews it.
+// ConfigLease permits the front to act on a configuration version until its expiry. After the expiry no attempt may be sent. Each sender
+// checks the lease itself, because the process may have been suspended since the core checked it. Only the core renews a lease.
 type ConfigLease struct {
 	clock        func() time.Duration
-	expiry       atomic.Int64 // nanoseconds of the clock
-	foundExpired atomic.Bool  // a sender found it expired: the core ends its requests though it be renewed meanwhile
+	expiry       atomic.Int64 // in nanoseconds of the clock
+	foundExpired atomic.Bool  // a sender found the lease expired: the core must finish its requests even if it is renewed meanwhile
 }
 
-// NewConfigLease makes a lease that has expired; clock is the core's.
+// NewConfigLease creates a lease that has already expired. clock is the core's clock.
 func NewConfigLease(clock func() time.Duration) *ConfigLease { return &ConfigLease{clock: clock} }
 
-// holds reports whether the lease has not expired.
-func (l *ConfigLease) holds() bool { return int64(l.clock()) < l.expiry.Load() }
+// unexpired reports whether the expiry is in the future.
+func (l *ConfigLease) unexpired() bool { return int64(l.clock()) < l.expiry.Load() }
 
-// Valid reports whether the lease has not expired; an expiry that it finds is final for the requests under the lease. It may be called
-// from any goroutine.
+// Valid reports whether the lease has not expired. If it returns false, the core finishes all requests under the lease, even if the
+// lease is renewed afterwards. Valid may be called from any goroutine.
 func (l *ConfigLease) Valid() bool {
-	if l.holds() {
+	if l.unexpired() {
 		return true
 	}
 	l.foundExpired.Store(true)
 	return false
 }
 
-// expired reports whether the lease has expired for the requests under it.
+// expired reports whether the requests under the lease must be finished: the lease has expired, or a sender found it expired.
 func (l *ConfigLease) expired(now time.Duration) bool {
 	return int64(now) >= l.expiry.Load() || l.foundExpired.Load()
 }
 
+// renew sets a later expiry and clears foundExpired.
 func (l *ConfigLease) renew(until time.Duration) {
 	l.expiry.Store(int64(until))
 	l.foundExpired.Store(false)
 }
 
-// end makes the lease expire now at the latest.
+// end makes the lease expire at now unless it has expired before.
 func (l *ConfigLease) end(now time.Duration) { l.expiry.Store(min(l.expiry.Load(), int64(now))) }
 
-// newLease makes the lease of a version; nil where none is needed.
+// newLease creates the lease of a configuration version. It returns nil if the front needs no lease.
 func (c *Core) newLease() *ConfigLease {
 	if c.fleet.Clock == nil {
 		return nil
@@ -51,8 +52,8 @@
 	return NewConfigLease(c.fleet.Clock)
 }
 
-// RenewLease is the event that the lease of a version is extended. Where the lease had expired, all requests under it are finished
-// first: none of them gets a response of an attempt that was started under the lease before.
+// RenewLease is the event that extends the lease of a configuration version. If the lease has expired, all requests under it are finished
+// first, so that none of them is answered by an attempt that was started before the renewal.
 type RenewLease struct {
 	Version uint64
 	Expiry  time.Duration
@@ -67,8 +68,8 @@
 	}
 }
 
-// renewLease extends the lease of a version, and ends the standby where that is the current one. An older version's lease that was
-// found expired is not renewed.
+// renewLease extends the lease of a version. If that version is the current one, it also ends the standby. The lease of an older version
+// is not renewed once a sender has found it expired.
 func (c *Core) renewLease(now time.Duration, v *configVersion, until time.Duration) {
 	current := v == c.versions.current
 	if until <= now || int64(until) <= v.lease.expiry.Load() || v.lease.foundExpired.Load() && !current {
@@ -87,7 +88,7 @@
 	}
 }
 
-// ExpireLease is the event that the lease of a version ends now.
+// ExpireLease is the event that makes the lease of a configuration version expire immediately.
 type ExpireLease struct{ Version uint64 }
 
 func (e ExpireLease) apply(c *Core, now time.Duration) {
@@ -99,8 +100,8 @@
 	c.expireLeases(now)
 }
 
-// expireLeases finishes all requests under a version whose lease has expired. Where that is the current version, the front is in
-// standby from then on.
+// expireLeases finishes all requests under versions whose lease has expired. If the lease of the current version has expired, the front
+// enters standby.
 func (c *Core) expireLeases(now time.Duration) {
 	expired := false
 	for _, v := range c.versions.older {
@@ -119,7 +120,7 @@
 	}
 }
 
-// setStandby begins or ends the standby, in which new requests are rejected for want of a lease.
+// setStandby begins or ends the standby, in which the front rejects new requests because it has no valid lease.
 func (c *Core) setStandby(on bool) {
 	c.versions.standby = on
 	if on {
--- a/front/metrics.go
+++ b/front/metrics.go
@@ -7,17 +7,17 @@
 	"dapplerouter/routing"
 )
 
-// metrics are counts since the start, for the log.
+// metrics are the counters that LogTotals writes to the log. They count from the start, except where noted.
 type metrics struct {
-	accepted, succeeded, rejected, failed, abandoned, invalid int
+	accepted, succeeded, rejected, failed, abandoned, invalid int // requests
 	attempts, healthChecks                                    int
 	results                                                   [routing.Misrouted + 1]int // of attempts
-	unreadable                                                int                        // responses of servers
-	maxTimerDelay, maxBatchTime                               time.Duration              // since the last totals
-	batches, timersFired                                      int                        // since the last totals
+	unreadable                                                int                        // responses of servers that could not be decoded
+	maxTimerDelay, maxBatchTime                               time.Duration              // since the last LogTotals
+	batches, timersFired                                      int                        // since the last LogTotals
 }
 
-// responded counts a response.
+// responded counts a response by its status.
 func (m *metrics) responded(status Status) {
 	switch status {
 	case StatusSucceeded:
@@ -31,18 +31,20 @@
 	}
 }
 
+// timerFired counts a timer; late is the time between its due time and its handling.
 func (m *metrics) timerFired(late time.Duration) {
 	m.timersFired++
 	m.maxTimerDelay = max(m.maxTimerDelay, late)
 }
 
+// batchDone counts a batch and its duration.
 func (m *metrics) batchDone(took time.Duration) {
 	m.batches++
 	m.maxBatchTime = max(m.maxBatchTime, took)
 }
 
-// noteResult logs when a server begins to fail and when it has recovered.
-func (c *Core) noteResult(server int, result routing.AttemptResult, err error) {
+// logServerHealth logs when a server begins to fail and when it has recovered.
+func (c *Core) logServerHealth(server int, result routing.AttemptResult, err error) {
 	failing := false
 	switch result {
 	case routing.Unreachable, routing.ConnectionLost, routing.TimedOut:
@@ -62,7 +64,7 @@
 	}
 }
 
-// LogTotals is the event that writes the totals to the log, with more attributes behind them.
+// LogTotals is the event that writes the totals to the log, followed by the attributes in Extra.
 type LogTotals struct{ Extra []any }
 
 func (l LogTotals) apply(c *Core, _ time.Duration) {
--- a/front/pipeline.go
+++ b/front/pipeline.go
@@ -6,14 +6,14 @@
 	"dapplerouter/pgwire"
 )
 
-// Pipeline holds the requests that one connection has sent and whose responses are not written yet, in the order in which they came.
+// Pipeline orders the requests of one client connection. It holds those whose responses have not been taken yet, in order of arrival.
 //
-// Requests that do not depend on one another run concurrently. Two that name the same row, and of which at least one writes, run one
-// after the other. Responses leave in the order of the requests. A request that has to wait keeps the deadline that it had when it
-// came. The zero value is an empty pipeline.
+// Independent requests run concurrently. Two requests for the same row run one after the other if at least one of them writes. Responses
+// are taken in the order of the requests. Waiting in the pipeline does not extend the deadline of a request. The zero value is an empty
+// pipeline.
 //
-// Invariants: a request is started at most once, and not before all earlier ones on which it depends have their responses. A Pipeline
-// does no I/O and is for one goroutine.
+// Invariant: A request is started at most once, and only after all earlier requests on which it depends have their responses. A Pipeline
+// does no I/O and must be used by a single goroutine.
 type Pipeline[T any] struct {
 	queue []*PipelineEntry[T]
 }
@@ -21,10 +21,11 @@
 // PipelineEntry is one request in a Pipeline.
 type PipelineEntry[T any] struct {
 	Request   T
-	statement *pgwire.Statement // nil for a request whose response was known when it came
+	statement *pgwire.Statement // nil for a request that was answered on arrival
 	state     pipelineState
 }
 
+// pipelineState is the state of a request in a Pipeline.
 type pipelineState uint8
 
 const (
@@ -33,10 +34,10 @@
 	pipelineAnswered
 )
 
-// Len is the number of requests whose responses are not taken off.
+// Len returns the number of requests in the pipeline.
 func (p *Pipeline[T]) Len() int { return len(p.queue) }
 
-// Add puts a request behind all others; statement is nil where its response is known already.
+// Add appends a request to the pipeline. statement is nil if the response is already known.
 func (p *Pipeline[T]) Add(request T, statement *pgwire.Statement) *PipelineEntry[T] {
 	entry := &PipelineEntry[T]{Request: request, statement: statement}
 	if statement == nil {
@@ -46,7 +47,7 @@
 	return entry
 }
 
-// StartNext marks the first request that was not started and may run now as running and returns it; ok is false where there is none.
+// StartNext returns the first queued request that does not have to wait and marks it as running; ok is false if there is none.
 func (p *Pipeline[T]) StartNext() (request T, ok bool) {
 	for i, entry := range p.queue {
 		if entry.state == pipelineQueued && !p.mustWait(i) {
@@ -57,7 +58,7 @@
 	return request, false
 }
 
-// mustWait reports whether an earlier request needs its response before the one at an index may be started.
+// mustWait reports whether the request at an index depends on an earlier request that has no response yet.
 func (p *Pipeline[T]) mustWait(index int) bool {
 	later := p.queue[index].statement
 	for _, earlier := range p.queue[:index] {
@@ -68,8 +69,8 @@
 	return false
 }
 
-// dependent reports whether two statements have to run in their order. Of a classified statement it is not known which rows it touches
-// beside the one it names.
+// dependent reports whether two statements must run one after the other. A classified statement may touch other rows than the one that
+// it names, so it depends on every other statement unless both are reads.
 func dependent(earlier, later *pgwire.Statement) bool {
 	if !earlier.Write && !later.Write {
 		return false
@@ -80,10 +81,10 @@
 	return earlier.Group == later.Group && bytes.Equal(earlier.Key, later.Key)
 }
 
-// MarkAnswered notes that a request's response is known.
+// MarkAnswered records that the response of the request is known.
 func (e *PipelineEntry[T]) MarkAnswered() { e.state = pipelineAnswered }
 
-// PopAnswered takes the first request off, if its response is known.
+// PopAnswered removes and returns the first request if its response is known; otherwise ok is false.
 func (p *Pipeline[T]) PopAnswered() (request T, ok bool) {
 	if len(p.queue) == 0 || p.queue[0].state != pipelineAnswered {
 		return request, false
@@ -97,7 +98,7 @@
 	return request, true
 }
 
-// Abandon empties the pipeline, for a client that has gone. It returns the requests that are running, and all others.
+// Abandon empties the pipeline of a client that has disconnected. It returns the running requests and the others separately.
 func (p *Pipeline[T]) Abandon() (running, others []T) {
 	for _, entry := range p.queue {
 		if entry.state == pipelineRunning {
--- a/front/pipeline_test.go
+++ b/front/pipeline_test.go
@@ -14,32 +14,33 @@
 func TestPipelineDependencies(t *testing.T) {
 	read := func(key string) *pgwire.Statement { return &pgwire.Statement{Key: []byte(key)} }
 	write := func(key string) *pgwire.Statement { return &pgwire.Statement{Key: []byte(key), Write: true} }
-	elsewhere := &pgwire.Statement{Key: []byte("a"), Group: 1, Write: true}
+	otherGroup := &pgwire.Statement{Key: []byte("a"), Group: 1, Write: true}
 	classified := &pgwire.Statement{Normalized: &sqlclass.NormalizedStatement{}, Write: true}
 	for name, x := range map[string]struct {
 		earlier, later *pgwire.Statement
 		want           bool
 	}{
-		"reads of one row":                  {read("a"), read("a"), false},
-		"a read behind a write":             {write("a"), read("a"), true},
-		"a write behind a read":             {read("a"), write("a"), true},
-		"writes of one row":                 {write("a"), write("a"), true},
-		"another row":                       {write("a"), read("b"), false},
-		"another group":                     {elsewhere, read("a"), false},
-		"a classified write, whatever rows": {classified, read("a"), true},
-		"a classified write behind a read":  {read("a"), classified, true},
+		"reads of one row":                {read("a"), read("a"), false},
+		"a read after a write":            {write("a"), read("a"), true},
+		"a write after a read":            {read("a"), write("a"), true},
+		"writes of one row":               {write("a"), write("a"), true},
+		"another row":                     {write("a"), read("b"), false},
+		"another group":                   {otherGroup, read("a"), false},
+		"a read after a classified write": {classified, read("a"), true},
+		"a classified write after a read": {read("a"), classified, true},
 	} {
 		t.Run(name, func(t *testing.T) { assert.Equal(t, x.want, dependent(x.earlier, x.later)) })
 	}
 }
 
-// Whatever comes and ends in whatever order: a request is started once, after all on which it depends, and responses keep the order.
+// For any order of arrivals and responses, a request is started once, after all requests on which it depends are answered, and responses
+// are taken in order of arrival.
 func TestPipelineOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var p Pipeline[int]
 		var entries []*PipelineEntry[int]
-		var running, written []int
-		began := map[int]bool{}
+		var running, taken []int
+		started := map[int]bool{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
@@ -47,8 +48,8 @@
 				entries = append(entries, p.Add(len(entries), s))
 			case 1:
 				for n, ok := p.StartNext(); ok; n, ok = p.StartNext() {
-					assert.False(t, began[n], "started once")
-					began[n] = true
+					assert.False(t, started[n], "each request is started once")
+					started[n] = true
 					running = append(running, n)
 					for i, earlier := range entries[:n] {
 						if dependent(earlier.statement, entries[n].statement) {
@@ -64,13 +65,13 @@
 				}
 			case 3:
 				for n, ok := p.PopAnswered(); ok; n, ok = p.PopAnswered() {
-					assert.Equal(t, len(written), n, "in the order in which they came")
-					written = append(written, n)
+					assert.Equal(t, len(taken), n, "responses are taken in order of arrival")
+					taken = append(taken, n)
 				}
 			}
 		}
-		assert.Equal(t, len(entries)-len(written), p.Len())
-		for p.Len() > 0 { // no request is stuck
+		assert.Equal(t, len(entries)-len(taken), p.Len())
+		for p.Len() > 0 { // every remaining request can be completed
 			for n, ok := p.StartNext(); ok; n, ok = p.StartNext() {
 				running = append(running, n)
 			}
@@ -90,13 +91,13 @@
 func TestPipelineAbandon(t *testing.T) {
 	var p Pipeline[string]
 	write := func() *pgwire.Statement { return &pgwire.Statement{Key: []byte("a"), Write: true} }
-	p.Add("runs", write())
-	p.Add("waits", write())
-	p.Add("is answered", nil)
+	p.Add("running", write())
+	p.Add("queued", write())
+	p.Add("answered", nil)
 	p.StartNext()
 	running, others := p.Abandon()
-	assert.Equal(t, []string{"runs"}, running)
-	assert.Equal(t, []string{"waits", "is answered"}, others)
+	assert.Equal(t, []string{"running"}, running)
+	assert.Equal(t, []string{"queued", "answered"}, others)
 	_, ok := p.StartNext()
 	assert.False(t, ok)
 }
--- a/front/requesttable.go
+++ b/front/requesttable.go
@@ -6,26 +6,26 @@
 	"dapplerouter/routing"
 )
 
-// RequestEntry is a request in a RequestTable, with what a host of a router counts of it.
+// RequestEntry is a request in a RequestTable, with the state that every host of a router tracks.
 type RequestEntry[T any] struct {
 	Value    T
 	InFlight int  // attempts that have not finished
 	Attempts int  // attempts started so far
-	Finished bool // the request has its response, or its client has gone
+	Finished bool // the request has its response, or its client has disconnected
 
 	inUse      bool
 	generation uint32
 }
 
-// RequestTable holds requests in slots that are reused. A reference has the slot and its generation, so that one to a request that
-// was released is never taken for a later one's.
+// RequestTable holds requests in reusable slots. A reference consists of a slot and its generation, so a reference to a released request
+// never refers to a later request in the same slot.
 type RequestTable[T any] struct {
 	slots []RequestEntry[T]
 	free  []uint32
 	inUse int
 }
 
-// Add puts a request into a slot.
+// Add puts a request into a free slot and returns its reference.
 func (t *RequestTable[T]) Add(value T) routing.RequestRef {
 	var slot uint32
 	if n := len(t.free); n > 0 {
@@ -40,7 +40,7 @@
 	return routing.RequestRef{Slot: slot, Generation: generation}
 }
 
-// Get returns the entry of a request, or nil once it was released. The zero reference has no entry.
+// Get returns the entry of a request, or nil if the request was released. The zero reference has no entry.
 func (t *RequestTable[T]) Get(ref routing.RequestRef) *RequestEntry[T] {
 	if int(ref.Slot) >= len(t.slots) {
 		return nil
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// MustGet returns the entry of a request that the router names; one that was released is a fault of the program.
+// MustGet returns the entry of a request. It panics if the request was released, since a router must not refer to such a request.
 func (t *RequestTable[T]) MustGet(ref routing.RequestRef) *RequestEntry[T] {
 	e := t.Get(ref)
 	if e == nil {
@@ -60,7 +60,7 @@
 	return e
 }
 
-// Each calls with every entry; the call may release it.
+// Each calls a function for every entry. The function may release the entry.
 func (t *RequestTable[T]) Each(call func(routing.RequestRef, *RequestEntry[T])) {
 	for i := range t.slots {
 		if e := &t.slots[i]; e.inUse {
@@ -69,7 +69,7 @@
 	}
 }
 
-// Release frees the slot of a request that is finished and has no attempt in flight, and reports whether it did.
+// Release frees the slot of a request if the request is finished and has no attempt in flight. It reports whether it did.
 func (t *RequestTable[T]) Release(ref routing.RequestRef) bool {
 	e := t.Get(ref)
 	if e == nil || !e.Finished || e.InFlight > 0 {
@@ -81,5 +81,5 @@
 	return true
 }
 
-// Len is the number of requests in the table.
+// Len returns the number of requests in the table.
 func (t *RequestTable[T]) Len() int { return t.inUse }
--- a/front/response.go
+++ b/front/response.go
@@ -10,40 +10,40 @@
 // Status is the kind of a response.
 type Status uint8
 
-// The order is that of the counts in audit records.
+// The statuses, in the order of the counts in audit records.
 const (
 	StatusSucceeded Status = iota
-	StatusRejected         // it may be sent again without harm
-	StatusFailed           // nothing is known of whether it ran
-	StatusInvalid          // the statement cannot be served anywhere
-	StatusAbandoned        // no response: the client went before. For the audit only
+	StatusRejected         // it is safe to send the request again
+	StatusFailed           // it is unknown whether the request ran
+	StatusInvalid          // no server can serve the statement
+	StatusAbandoned        // no response, because the client disconnected first; for the audit only
 	StatusCount            // the number of statuses
 )
 
-// Response is the one response of a request. Fields that belong to one status are zero for the others.
+// Response is the response to a request. A field that belongs to one status is zero for the others.
 type Response struct {
 	Status Status
 
-	Rows         []byte        // succeeded: the messages as the server sent them
-	FromPrimary  bool          // succeeded: by a primary
-	Position     int64         // succeeded: the log position that the server reported, Unix milliseconds; 0 for none
-	DataAge      time.Duration // succeeded: how old the data may have been when the result came
+	Rows         []byte        // succeeded: the result messages as the server sent them
+	FromPrimary  bool          // succeeded: the server was a primary
+	Position     int64         // succeeded: the log position that the server reported, in Unix milliseconds; 0 for none
+	DataAge      time.Duration // succeeded: upper bound on the age of the data when the result arrived
 	DataAgeKnown bool
 
-	RetryAfter time.Duration // rejected: 0 for none
-	MayHaveRun bool          // rejected: some attempt may have run, though sending the request again is harmless
+	RetryAfter time.Duration // rejected: how long the client should wait; 0 if not specified
+	MayHaveRun bool          // rejected: an attempt may have run, although sending the request again is safe
 
 	Code   string // invalid: SQLSTATE
-	Reason string // invalid: for the client
+	Reason string // invalid: explanation for the client
 }
 
-// respondTo gives a request its response on the router's decision.
-func (c *Core) respondTo(ref routing.RequestRef, response Response) {
+// respondAndRelease sends the response that the router decided on and releases the request if it has no attempt in flight.
+func (c *Core) respondAndRelease(ref routing.RequestRef, response Response) {
 	c.respond(c.requests.table.MustGet(ref), response)
 	c.requests.table.Release(ref)
 }
 
-// respond passes the one response on; a request that is finished gets none.
+// respond sends the response to the client of a request, unless the request is already finished.
 func (c *Core) respond(e *RequestEntry[*Request], response Response) {
 	if e.Finished {
 		return
@@ -57,20 +57,22 @@
 	r.Client.Respond(response)
 }
 
-// markFinished notes that a request is owed no response any more.
+// markFinished marks a request as finished, for its id and for its configuration version.
 func (c *Core) markFinished(e *RequestEntry[*Request]) {
 	c.requests.finish(e)
 	c.versions.requestFinished(e.Value.version)
 }
 
+// auditFinished reports the end of a request to the auditor, if there is one.
 func (c *Core) auditFinished(r *Request, status Status) {
 	if c.fleet.Auditor != nil {
-		c.fleet.Auditor.RequestFinished(c.now, r.auditSpan, r.typeIndex, status)
+		c.fleet.Auditor.RequestFinished(c.now, r.auditInterval, r.typeIndex, status)
 	}
 }
 
-// successResponse is the response to a request that a server completed. The age of its data, for another site, is the time since
-// the attempt was started and how far the server was behind then; only clocks of one site are compared.
+// successResponse returns the response to a request that a server completed. The data age, which another site may need, is the time since
+// the attempt was started plus, for a replica, how far its log position lies behind the present. Only clocks of one site are compared; a
+// result from another site comes with its data age.
 func (c *Core) successResponse(e *AttemptFinished, o *routing.AttemptOutcome) Response {
 	response := Response{Status: StatusSucceeded, Rows: e.Answer.Rows, FromPrimary: o.Role == routing.Primary}
 	if e.Answer.HasApplied {
--- a/front/result.go
+++ b/front/result.go
@@ -11,24 +11,24 @@
 	"dapplerouter/routing"
 )
 
-// FailureStage says how far an attempt had come when its connection failed.
+// FailureStage is the stage that an attempt had reached when its connection failed.
 type FailureStage uint8
 
 // The stages, in the order of an attempt.
 const (
-	StageLocal  FailureStage = iota // this machine could open no connection, for want of descriptors, ports or buffers
-	StageDial                       // no connection came up
-	StageWrite                      // the last byte was not written: the server cannot have run it
-	StageRead                       // all was written: the server may have run it
-	StageDecode                     // the server responded, but the response cannot be read: it may have run it
+	StageLocal  FailureStage = iota // this machine lacked descriptors, ports or buffers to open a connection
+	StageDial                       // the connection to the server could not be established
+	StageWrite                      // the last byte was not written, so the server cannot have run the request
+	StageRead                       // everything was written, so the server may have run the request
+	StageDecode                     // the response could not be decoded; the server may have run the request
 )
 
 var stageNames = [...]string{"no local resources", "not connected", "not fully written", "no response", "unreadable response"}
 
-// String names the stage, for messages.
+// String returns the description of the stage in error messages.
 func (s FailureStage) String() string { return stageNames[s] }
 
-// ConnectionError is the failure of a connection under an attempt.
+// ConnectionError is the failure of the connection that an attempt used or waited for.
 type ConnectionError struct {
 	Stage FailureStage
 	Err   error
@@ -40,24 +40,24 @@
 // Unwrap returns the cause.
 func (e *ConnectionError) Unwrap() error { return e.Err }
 
-// AttemptFinished is the event that an attempt has a server's response, or that its connection failed.
+// AttemptFinished is the event that an attempt has received a server's response, or that its connection has failed.
 type AttemptFinished struct {
 	Attempt *Attempt
-	Answer  pgwire.QueryResult // where Err is nil
+	Answer  pgwire.QueryResult // if Err is nil
 	Err     *ConnectionError
 
-	Remote       bool          // it comes from another site
-	DataAge      time.Duration // how old its data may be, by that site's account and this front's clock
+	Remote       bool          // the response comes from another site
+	DataAge      time.Duration // remote: upper bound on the age of the data, from that site's report and this front's clock
 	DataAgeKnown bool
 
-	Release func() // if not nil, called once the response has been passed on or dropped; it must not block
+	Release func() // if not nil, called after the response was passed on or dropped; must not block
 }
 
 func (e *AttemptFinished) apply(c *Core, _ time.Duration) {
 	if e.Release != nil {
 		defer e.Release()
 	}
-	if e.Attempt.finished { // given up before: its result was passed on then
+	if e.Attempt.finished { // ended before, for example by its timeout; the router has been notified of that result
 		return
 	}
 	e.Attempt.finished = true
@@ -72,14 +72,15 @@
 		}
 	}
 	if entry := c.requests.table.Get(e.Attempt.ref); entry != nil {
-		c.respondWith(entry, e, &o)
+		c.respondIfFinal(entry, e, &o)
 	}
 	slog.Debug("attempt finished", "server", c.servers.names.Key(e.Attempt.server), "health_check", e.Attempt.healthCheck,
 		"result", o.Result, "err", err, "load", o.Load)
 	c.finishAttempt(e.Attempt, o, err)
 }
 
-// readServerState takes the server's role, load and log position from its response.
+// readServerState copies the server's role, load and log position from its response into the outcome, and corrects the wall clock by a
+// primary's log position.
 func (c *Core) readServerState(e *AttemptFinished, o *routing.AttemptOutcome) {
 	answer, startedAt := &e.Answer, e.Attempt.startedAt
 	o.Role = roles[answer.Role]
@@ -96,32 +97,33 @@
 	}
 }
 
-// respondWith gives a request its response where the result is final, whatever the router would decide.
-func (c *Core) respondWith(entry *RequestEntry[*Request], e *AttemptFinished, o *routing.AttemptOutcome) {
+// respondIfFinal responds to a request if the result of its attempt is final, without a decision of the router. A result from another
+// site whose data is too old becomes Misrouted.
+func (c *Core) respondIfFinal(entry *RequestEntry[*Request], e *AttemptFinished, o *routing.AttemptOutcome) {
 	t := &entry.Value.version.types[entry.Value.typeIndex]
 	if o.Result == routing.Succeeded && e.Remote && t.Consistency == routing.BoundedStaleness && (!e.DataAgeKnown || e.DataAge > t.MaxStaleness) {
-		o.Result, o.HasPosition = routing.Misrouted, false // by now the data is older than the type allows
+		o.Result, o.HasPosition = routing.Misrouted, false // the data is now older than the type allows
 	}
 	switch {
 	case o.Result == routing.Succeeded:
 		c.observeExecution(e.Attempt, &entry.Value.Statement)
 		c.respond(entry, c.successResponse(e, o))
-	case e.Answer.IsStatementError(): // every server would respond so
+	case e.Answer.IsStatementError(): // every server would return the same error
 		c.respond(entry, Response{Status: StatusInvalid, Code: e.Answer.Code, Reason: cmp.Or(e.Answer.ErrorMessage, "the statement cannot be served")})
-	case e.Answer.TooLong: // it ran, and another server's result would be as long
+	case e.Answer.TooLong: // the statement ran, and the result of another server would be too long as well
 		c.respond(entry, Response{Status: StatusInvalid, Code: pgwire.CodeProgramLimitExceeded, Reason: e.Answer.ErrorMessage})
 	}
 }
 
 var roles = map[string]routing.Role{"primary": routing.Primary, "replica": routing.Replica}
 
-// attemptResult is the table of what a response or a failure means. Its line between what never ran and what may have run decides
-// whether a request that is not idempotent may be sent again.
+// attemptResult maps a response or a connection failure to the result of the attempt. A request that is not idempotent may only be sent
+// again after a result that proves that the attempt never ran; see routing.AttemptResult.NeverRan.
 func attemptResult(answer *pgwire.QueryResult, err *ConnectionError) routing.AttemptResult {
 	if err != nil {
 		switch err.Stage {
 		case StageDecode:
-			return routing.ServerError // the server is reachable, and it may have run
+			return routing.ServerError // the server is reachable, and the request may have run
 		case StageRead:
 			return routing.ConnectionLost
 		case StageLocal:
@@ -134,7 +136,7 @@
 	case answer.TooLong:
 		return routing.ServerError
 	case answer.Code == pgwire.CodeReadOnlyTransaction || answer.Code == pgwire.CodeSnapshotTooOld || answer.IsStatementError():
-		return routing.Misrouted // the server is well, and nothing ran
+		return routing.Misrouted // the server is healthy, and nothing ran
 	case answer.Code == pgwire.CodeTooManyConnections:
 		return routing.Overloaded
 	case answer.Code != "":
@@ -142,10 +144,11 @@
 	case answer.Complete:
 		return routing.Succeeded
 	}
-	return routing.ServerError // a result without a row: it may have run
+	return routing.ServerError // an incomplete result: the request may have run
 }
 
-// loadReport reads a server's load report. The first position of a primary's report may correct the clock, if no response has.
+// loadReport decodes a server's load report; if it is malformed, the result is empty. The position in a primary's report may correct the
+// wall clock as long as no response has confirmed it.
 func (c *Core) loadReport(pairs []byte, startedAt time.Duration) routing.LoadReport {
 	l := deployment.EmptyLoad
 	origin := c.wall.at(0)
--- a/front/servers.go
+++ b/front/servers.go
@@ -7,39 +7,39 @@
 	"dapplerouter/routing"
 )
 
-// RemoteSitePrefix begins the address of an endpoint that stands for another site's part of a group.
+// RemoteSitePrefix is the prefix of the address of an endpoint that represents the part of a group at another site.
 const RemoteSitePrefix = "site:"
 
-// servers are the servers that the endpoint list has named, by the index under which the router knows them. An index that the router
-// releases may stand for another server later.
+// servers holds the servers of the endpoint list, by the index that the router uses for them. After the router releases an index, it may
+// be assigned to another server.
 type servers struct {
 	names  *Index[string]
 	types  *Index[string]
 	groups *Index[int64]
 	states []serverState
-	static []discovery.Endpoint // every snapshot has them beside its own
+	static []discovery.Endpoint // added to every snapshot
 
-	endpoints []routing.Endpoint // of the current update; reused
+	endpoints []routing.Endpoint // buffer for the current update
 }
 
-// serverState is what the core knows of a server.
+// serverState is the core's state of a server.
 type serverState struct {
 	address    string
-	startedAt  int64  // Unix milliseconds, 0 for unknown
-	serving    bool   // the endpoint list lets new work go there
-	remote     bool   // it stands for another site
-	failing    bool   // by its last result; for the log
-	generation uint32 // how often its index was released
+	startedAt  int64  // in Unix milliseconds; 0 if unknown
+	serving    bool   // the endpoint list permits new work
+	remote     bool   // represents another site
+	failing    bool   // the last result was a failure to reach the server; used for the log
+	generation uint32 // number of times that the index was released
 }
 
-// unknownUptime is the uptime of a server whose start is not known.
+// unknownUptime is the uptime assumed for a server whose start time is unknown.
 const unknownUptime = 100 * 365 * 24 * time.Hour
 
 func newServers() servers {
 	return servers{names: NewIndex[string](), types: NewIndex[string](), groups: NewIndex[int64]()}
 }
 
-// at returns the state of a server.
+// at returns the state of the server with an index; it is empty for a new index.
 func (s *servers) at(index int) *serverState {
 	for len(s.states) <= index {
 		s.states = append(s.states, serverState{})
@@ -47,7 +47,7 @@
 	return &s.states[index]
 }
 
-// release frees a server's index.
+// release frees a server's index and clears the state that must not carry over to another server.
 func (s *servers) release(index int) {
 	s.names.Release(index)
 	st := s.at(index)
@@ -55,14 +55,14 @@
 	st.generation++
 }
 
-// noneServing notes that no server takes new work, until the list says so again.
-func (s *servers) noneServing() {
+// clearServing marks all servers as not accepting new work. The update that follows marks those that do.
+func (s *servers) clearServing() {
 	for i := range s.states {
 		s.states[i].serving = false
 	}
 }
 
-// updateStatic makes the next snapshot have a static endpoint as a later update had it.
+// updateStatic replaces the static endpoint that has the name of an updated endpoint, so that later snapshots contain the update.
 func (s *servers) updateStatic(e discovery.Endpoint) {
 	for i := range s.static {
 		if s.static[i].Name == e.Name {
@@ -71,14 +71,14 @@
 	}
 }
 
-// setAddress notes where a server is reached and when it started, and passes it on to the pools.
+// setAddress stores a server's address and start time and passes them to the pools.
 func (c *Core) setAddress(index int, address string, startedAt int64) {
 	st := c.servers.at(index)
 	st.address, st.startedAt = address, startedAt
 	c.pools.SetAddress(index, address, c.uptime(startedAt))
 }
 
-// uptime is the time since a server's start, which is given in Unix milliseconds.
+// uptime returns the time since a server's start, which is given in Unix milliseconds.
 func (c *Core) uptime(startedAt int64) time.Duration {
 	if startedAt == 0 {
 		return unknownUptime
@@ -86,7 +86,7 @@
 	return max(0, c.now-c.wall.at(startedAt))
 }
 
-// correctClock passes a correction of the wall clock on to the router and the pools, which keep times that others reported.
+// correctClock passes a shift of the wall clock to the router and the pools, which store times that were derived from it.
 func (c *Core) correctClock(shift time.Duration) {
 	if shift == 0 {
 		return
--- a/front/shutdown.go
+++ b/front/shutdown.go
@@ -7,7 +7,7 @@
 	"dapplerouter/routing"
 )
 
-// Shutdown is the event that finishes all requests, since their clients' connections will be closed soon. No request is accepted
+// Shutdown is the event that finishes all requests, because their clients' connections are about to be closed. No request is accepted
 // afterwards.
 type Shutdown struct{}
 
@@ -16,12 +16,12 @@
 	c.finishAll(now, func(*configVersion) bool { return true })
 }
 
-// finishAll gives each unfinished request under some versions its response at once and ends its attempts: a request that may have run
-// and is not idempotent fails, the others are rejected.
-func (c *Core) finishAll(now time.Duration, under func(*configVersion) bool) {
+// finishAll responds at once to every unfinished request under the selected versions and ends its attempts. A request that may have run
+// and is not idempotent fails; the others are rejected.
+func (c *Core) finishAll(now time.Duration, selected func(*configVersion) bool) {
 	c.requests.table.Each(func(ref routing.RequestRef, e *RequestEntry[*Request]) {
 		r := e.Value
-		if e.Finished || !under(r.version) {
+		if e.Finished || !selected(r.version) {
 			return
 		}
 		attempts := slices.Clone(r.inFlight)
@@ -37,16 +37,16 @@
 		}
 		for i, a := range attempts {
 			if results[i] != alreadyFinished {
-				c.finishWithout(a, results[i])
+				c.finishWithoutResponse(a, results[i])
 			}
 		}
 	})
 }
 
-// alreadyFinished stands, among the results of cancelAttempts, for an attempt that was not cancelled.
+// alreadyFinished is the result that cancelAttempts returns for an attempt that had finished before.
 const alreadyFinished = routing.Succeeded
 
-// cancelAttempts gives attempts of a request up and returns their results.
+// cancelAttempts cancels attempts of a request and returns their results.
 func (r *Request) cancelAttempts(attempts []*Attempt) []routing.AttemptResult {
 	results := make([]routing.AttemptResult, len(attempts))
 	for i, a := range attempts {
--- a/front/timers.go
+++ b/front/timers.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// timerKind says what a timer is for.
+// timerKind determines the action of a timer.
 type timerKind uint8
 
 const (
-	timerRouter         timerKind = iota // the router asked for it
-	timerAttemptTimeout                  // the attempt is given up
-	timerSendDeadline                    // the attempt is given up if nothing of it was sent
-	timerLeaseExpiry                     // a configuration lease may have expired
+	timerRouter         timerKind = iota // calls the router, which set the timer
+	timerAttemptTimeout                  // times the attempt out
+	timerSendDeadline                    // ends the attempt if nothing of it was sent
+	timerLeaseExpiry                     // checks the configuration leases, one of which may have expired
 )
 
-// timer falls due at a moment of the core's clock. Timers are not cancelled: one that is not needed any more does nothing.
+// timer is due at a time of the core's clock. Timers are not cancelled: a timer that is no longer needed has no effect.
 type timer struct {
 	at      time.Duration
-	attempt *Attempt // nil unless the timer is an attempt's
+	attempt *Attempt // for timerAttemptTimeout and timerSendDeadline
 	kind    timerKind
 }
 
-// timers are all that has not fallen due.
+// timers holds the timers that have not fired, ordered by due time.
 type timers struct{ heap timerHeap }
 
 func (t *timers) add(x timer) { heap.Push(&t.heap, x) }
 
-// next returns when the first timer falls due.
+// next returns when the first timer is due; it reports false if there is none.
 func (t *timers) next() (time.Duration, bool) {
 	if len(t.heap) == 0 {
 		return 0, false
@@ -35,7 +35,7 @@
 	return t.heap[0].at, true
 }
 
-// popDue removes the first timer, if it has fallen due.
+// popDue removes and returns the first timer if it is due.
 func (t *timers) popDue(now time.Duration) (timer, bool) {
 	if len(t.heap) == 0 || t.heap[0].at > now {
 		return timer{}, false
@@ -62,7 +62,7 @@
 func (h *timerHeap) Pop() any {
 	old := *h
 	x := old[len(old)-1]
-	old[len(old)-1] = timer{} // releases the attempt
+	old[len(old)-1] = timer{} // lets the attempt be garbage-collected
 	*h = old[:len(old)-1]
 	return x
 }
--- a/front/versions.go
+++ b/front/versions.go
@@ -9,38 +9,38 @@
 	"dapplerouter/routing"
 )
 
-// configVersion is a published version of the configuration: request types with their bounds, and the groups whose requests are
-// rejected. It never changes. A request keeps the version under which it was accepted.
+// configVersion is a published version of the configuration: request types with their limits, and the groups whose requests are
+// rejected. Except for its lease, it is immutable. A request keeps the version under which it was accepted.
 type configVersion struct {
 	number         uint64
 	types          []routing.RequestType
 	rejectedGroups map[int64]struct{}
-	lease          *ConfigLease // to act on the version; nil where none is needed
+	lease          *ConfigLease // permits the front to act on the version; nil if no lease is needed
 }
 
-// versions are the configuration versions on which the front acts: the current one for new requests, and older ones until the last
-// request under them is finished or their lease expires.
+// versions holds the configuration versions on which the front acts: the current one for new requests, and older ones until all requests
+// under older versions are finished.
 type versions struct {
 	current         *configVersion
-	older           []*configVersion // under which a request is not finished
-	olderUnfinished int              // requests that are not finished, under older versions
-	onOlderFinished func()           // called once, when there is none
+	older           []*configVersion // versions that may have unfinished requests
+	olderUnfinished int              // number of unfinished requests under older versions
+	onOlderFinished func()           // called once, when olderUnfinished reaches 0
 	standby         bool             // the lease of the current version has expired: no request is accepted
 }
 
-// all are the versions on which the front acts, the current one last.
+// all returns the versions on which the front acts. The current one is the last.
 func (v *versions) all() []*configVersion { return append(slices.Clip(v.older), v.current) }
 
-// adopt makes a version the current one while so many requests are not finished.
+// adopt makes a version the current one. unfinished is the number of unfinished requests under all earlier versions.
 func (v *versions) adopt(next *configVersion, unfinished int, onOlderFinished func()) {
-	if unfinished > v.olderUnfinished { // some are under the version that was current
+	if unfinished > v.olderUnfinished { // some of them are under the version that was current until now
 		v.older = append(v.older, v.current)
 	}
 	v.current = next
 	v.olderUnfinished, v.onOlderFinished = unfinished, onOlderFinished
 }
 
-// requestFinished notes that a request that was accepted under a version is finished.
+// requestFinished records that a request under the given version is finished.
 func (v *versions) requestFinished(under *configVersion) {
 	if under != v.current {
 		v.olderUnfinished--
@@ -48,7 +48,7 @@
 	}
 }
 
-// dropOlder forgets the older versions once no request is under them, and says so once.
+// dropOlder removes the older versions and calls onOlderFinished if all requests under older versions are finished.
 func (v *versions) dropOlder() {
 	if v.olderUnfinished != 0 {
 		return
@@ -60,31 +60,31 @@
 	}
 }
 
-// ConfigVersion is the number of the current version. It is for hosts that step the core themselves; elsewhere AdoptConfig.OnAdopted
-// reports the change.
+// ConfigVersion returns the number of the current configuration version. It is for hosts that call Step; other hosts learn of changes
+// through AdoptConfig.OnAdopted.
 func (c *Core) ConfigVersion() uint64 { return c.versions.current.number }
 
-// Standby reports whether the core accepts no requests since its lease has expired. It is for hosts that step the core themselves.
+// Standby reports whether the core accepts no requests because it has no valid lease. It is for hosts that call Step.
 func (c *Core) Standby() bool { return c.versions.standby }
 
-// ActiveVersions are the versions on which an attempt may begin at this moment. It is for hosts that step the core themselves.
+// ActiveVersions returns the configuration versions under which an attempt may be sent now. It is for hosts that call Step.
 func (c *Core) ActiveVersions() (active []uint64) {
 	for _, v := range c.versions.all() {
-		if v.lease == nil || v.lease.holds() {
+		if v.lease == nil || v.lease.unexpired() {
 			active = append(active, v.number)
 		}
 	}
 	return active
 }
 
-// AdoptConfig is the event that makes a version the current one: requests that come from now on are accepted under it, the others
-// keep theirs. Both calls are made by the core's goroutine.
+// AdoptConfig is the event that makes a configuration version the current one. New requests are accepted under it; earlier requests keep
+// their versions. The core's goroutine calls OnAdopted and OnOlderFinished.
 type AdoptConfig struct {
 	Version         uint64
 	Rules           *deployment.Rules // validated against the deployment settings; nil for none
-	LeaseExpiry     time.Duration     // of the lease to act on it, where one is needed
+	LeaseExpiry     time.Duration     // expiry of the version's lease, if the front needs leases
 	OnAdopted       func(at time.Duration)
-	OnOlderFinished func() // once no request under another version is left: from then on the front acts on this one alone
+	OnOlderFinished func() // called once no request under an older version is left, so that the front acts on this version only
 }
 
 func (e AdoptConfig) apply(c *Core, now time.Duration) {
@@ -112,7 +112,7 @@
 	c.versions.dropOlder()
 }
 
-// restrictedTypes are the request types under the rules of a version, which may only be stricter than the deployment's.
+// restrictedTypes returns the deployment's request types with the limits of a version's rules. The rules can only make limits stricter.
 func (c *Core) restrictedTypes(rules *deployment.Rules) []routing.RequestType {
 	types := slices.Clone(c.catalog.types)
 	restrict := func(name string, set func(*routing.RequestType)) {
--- a/front/wallclock.go
+++ b/front/wallclock.go
@@ -6,34 +6,34 @@
 	"dapplerouter/routing"
 )
 
-// wallClock puts Unix times that others report, in milliseconds, on the core's clock.
+// wallClock converts Unix times in milliseconds, as other processes report them, to the core's clock.
 //
-// The wall clock of this machine is read once, at the start, and may be wrong by hours then, since it may be stepped. Times that
-// servers report are better: the position of a primary is the present, so it lies between the moments in which its statement was sent
-// and its response came. The first such response is believed; later ones that contradict it are believed only where several agree,
-// since one may be corrupt, or of a server that was primary before.
+// The wall clock of this machine is read only once, at the start. It may be wrong by hours at that time, because it may be stepped later.
+// Times that servers report are better. The log position of a primary is its current time, so it lies between the time at which its
+// statement was sent and the time at which its response arrived. The first such response is trusted. Later responses that contradict it
+// are trusted only if several agree, because a single one may be corrupt or come from a server that is no longer primary.
 //
-// Invariant: a time that others reported moves on the core's clock only by a shift that is returned, so that whoever keeps such times
-// can move them too.
+// Invariant: The conversion of a given Unix time changes only by shifts that are returned to the caller, so that converted times that are
+// stored elsewhere can be shifted as well.
 type wallClock struct {
-	epoch     time.Time // the others' wall clock at 0 of the core's clock
+	epoch     time.Time // wall-clock time of the other processes at 0 of the core's clock
 	confirmed bool      // by a primary's response
 
-	earliest, latest time.Duration // the shifts that the last contradicting responses agree on
-	contradicting    int           // how many of them there are
+	earliest, latest time.Duration // the range of shifts on which the last contradicting responses agree
+	contradicting    int           // number of these responses
 }
 
 const (
-	clockSlack       = 20 * time.Millisecond // by which clocks in milliseconds, and of several machines, may differ
-	correctionQuorum = 3                     // contradicting responses in a row that are believed
-	maxLoadReportAge = 10 * time.Second      // of the position in a load report
+	clockSlack       = 20 * time.Millisecond // tolerance for rounding to milliseconds and for differences between machines' clocks
+	correctionQuorum = 3                     // number of consecutive contradicting responses after which they are trusted
+	maxLoadReportAge = 10 * time.Second      // maximum age of the log position in a load report
 )
 
-// at returns the moment of the core's clock for a Unix time in milliseconds.
+// at converts a Unix time in milliseconds to the core's clock.
 func (w *wallClock) at(ms int64) time.Duration { return time.UnixMilli(ms).Sub(w.epoch) }
 
-// observePresent takes a time that was the present at some moment between two. It returns by how much times have moved since, which
-// is mostly 0.
+// observePresent processes a reported time that was the current time at some point between from and until. It returns the shift by which
+// it has changed the conversion, which is usually 0.
 func (w *wallClock) observePresent(ms int64, from, until time.Duration) (shift time.Duration) {
 	observed := w.at(ms)
 	if observed >= from-clockSlack && observed <= until+clockSlack {
@@ -52,10 +52,11 @@
 		return 0
 	}
 	w.confirmed = true
-	return w.shiftBy(earliest) // so that positions look as old as they can be
+	return w.shiftBy(earliest) // the smallest possible shift makes positions look as old as possible
 }
 
-// observePast takes a time that lies in the past. Until the present is confirmed, one in the future shows that the clock is behind.
+// observePast processes a reported time that lies in the past. If it would be in the future, the wall clock is behind; it is corrected
+// unless a primary's response has confirmed it. The result is the shift, as in observePresent.
 func (w *wallClock) observePast(ms int64, now time.Duration) (shift time.Duration) {
 	if observed := w.at(ms); !w.confirmed && observed > now+clockSlack {
 		return w.shiftBy(now - observed)
@@ -63,15 +64,16 @@
 	return 0
 }
 
+// shiftBy adds a shift to all future conversions and returns it.
 func (w *wallClock) shiftBy(shift time.Duration) time.Duration {
 	w.epoch = w.epoch.Add(-shift)
 	w.contradicting = 0
 	return shift
 }
 
-// trusts reports whether a server's log position may count. A primary's is the present. Another's counts only once the present is
-// confirmed, not while a primary's response contradicts it, and never where it lies in the future: then a clock was stepped, and how
-// far the server is behind is not known.
+// trusts reports whether a server's log position may be used. A primary's position is its current time and is always trusted. The position
+// of another server is trusted only if the wall clock is confirmed, if no recent response of a primary contradicts it, and if the position
+// does not lie in the future. A position in the future means that a clock was stepped, so that the server's lag is unknown.
 func (w *wallClock) trusts(role routing.Role, position, now time.Duration) bool {
 	return role == routing.Primary || w.confirmed && w.contradicting == 0 && position <= now+clockSlack
 }
