--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -16,12 +16,12 @@
 
 // Sizes of buffers, in bytes.
 const (
-	readBuffer  = 4 << 10
-	maxReused   = 16 << 10 // longest body whose buffer is used again
-	spareBehind = 256      // room behind a long row, for the rest of its answer
+	readBuffer    = 4 << 10
+	maxReusedBody = 16 << 10 // longest message body whose buffer is kept for later messages
+	trailerSpace  = 256      // space after a long row for the remaining messages of its result
 )
 
-// conn is a connection to a server. Its fields belong to the goroutine that serves it, but for next and cancelled.
+// conn is a connection to a server. The goroutine that runs serve owns its fields, except next and cancelled.
 type conn struct {
 	pools    *Pools
 	pool     *pool
@@ -29,19 +29,19 @@
 	openedAt time.Time // on the monotonic clock
 	tcp      *net.TCPConn
 	reader   *pgwire.Reader
-	reserved int // bytes of the budget for long messages that the answer so far holds
+	reserved int // bytes reserved in Pools.bodies for the rows of the result so far
 
-	next      chan *front.Attempt // of capacity one: what it is to do next, nil for its end
+	next      chan *front.Attempt // capacity 1: the next attempt, or nil to close the connection
 	cancelled atomic.Bool         // the attempt in flight was cancelled
 }
 
-// pass gives a connection that was taken off its pool its next attempt, or nil for its end. It does not block.
+// pass passes the next attempt, or nil to close it, to a connection that was removed from its pool. It does not block.
 func (c *conn) pass(a *front.Attempt) {
 	c.next <- a
 	tcpconn.Wake(c.tcp)
 }
 
-// serve is the goroutine of a connection, from its first attempt to its end.
+// serve is the goroutine of a connection. It opens the connection, sends the first attempt and all later ones, and closes the connection.
 func (c *conn) serve(a *front.Attempt) {
 	if !c.pools.awaitDescriptor() {
 		c.pools.postError(a, front.StageLocal, ErrNoDescriptor)
@@ -75,7 +75,7 @@
 	}
 }
 
-// exchange sends an attempt and posts its result; it returns false when the connection cannot be used again.
+// exchange sends an attempt and posts its result. It returns false if the connection cannot be reused.
 func (c *conn) exchange(a *front.Attempt) bool {
 	if !a.Begin(c.cancel) {
 		c.putBack()
@@ -92,29 +92,29 @@
 		return false
 	}
 	result := &front.AttemptFinished{Attempt: a}
-	if c.readAnswer(result) {
+	if c.readResult(result) {
 		result.Release = c.detachBody()
-		c.reader.CheckMessage = nil // which would keep the answer for as long as the connection is idle
-		c.putBack()                 // before the result is posted, so that the next attempt finds it
+		c.reader.CheckMessage = nil // it refers to the result and would keep it in memory while the connection is idle
+		c.putBack()                 // before the result is posted, so that the next attempt can use this connection
 		c.pools.options.Post(result)
 		return true
 	}
-	tcpconn.Close(c.tcp) // before the result is posted: what replaces a failed attempt must find this one ended
+	tcpconn.Close(c.tcp) // before the result is posted, so that a retry is never in flight together with this attempt
 	c.pools.options.Post(result)
 	return false
 }
 
-// readAnswer reads the answer to an attempt into its result; it returns false when the connection cannot be used again.
-func (c *conn) readAnswer(result *front.AttemptFinished) bool {
+// readResult reads the server's response to an attempt. It returns false if the connection cannot be reused.
+func (c *conn) readResult(result *front.AttemptFinished) bool {
 	answer := &result.Answer
 	answer.AnyStatement, answer.MaxBytes = c.pools.anyResult, c.pools.maxMessage
 	c.reader.CheckMessage = answer.CheckMessage
 	for {
 		complete, err := c.readMessage(answer)
 		if complete && err == nil {
-			return !c.reader.MessageStarted() && !answer.InTransaction // what comes behind must not answer the next attempt
+			return !c.reader.MessageStarted() && !answer.InTransaction // surplus data must not be read as the next attempt's response
 		}
-		if err == nil || tcpconn.IsTimeout(err) && c.clearWake() {
+		if err == nil || tcpconn.IsTimeout(err) && c.clearStaleDeadline() {
 			continue
 		}
 		var tooLarge *pgwire.ResultTooLargeError
@@ -123,20 +123,20 @@
 			*answer = pgwire.QueryResult{AnyStatement: true, TooLong: true, ErrorMessage: err.Error()}
 		case pgwire.IsProtocolError(err) || errors.Is(err, pgwire.ErrBufferLimit):
 			result.Err, *answer = &front.ConnectionError{Stage: front.StageDecode, Err: err}, pgwire.QueryResult{}
-		case answer.Code == "": // a fatal error ends its connection without more, and is an answer
+		case answer.Code == "": // a FATAL error, which has a code, is a response although the server then closes the connection
 			result.Err, *answer = &front.ConnectionError{Stage: front.StageRead, Err: err}, pgwire.QueryResult{}
 		}
 		return false
 	}
 }
 
-// readMessage adds the next message to an answer, and reports whether the answer is complete.
+// readMessage reads the next message and adds it to a result. It reports whether the result is complete.
 func (c *conn) readMessage(answer *pgwire.QueryResult) (complete bool, err error) {
 	typ, body, err := c.reader.Next()
 	if err != nil {
 		return false, err
 	}
-	if typ != 'D' || len(body) <= maxReused {
+	if typ != 'D' || len(body) <= maxReusedBody {
 		return answer.AddMessage(typ, body)
 	}
 	inPlace, err := answer.AddRowInPlace(body)
@@ -147,7 +147,8 @@
 	return false, err
 }
 
-// detachBody passes the memory that a long answer reserved to whoever calls release; release is nil where there is none.
+// detachBody detaches the memory of a long result from the connection. It returns the function that releases the reserved memory, or nil
+// if none was reserved.
 func (c *conn) detachBody() (release func()) {
 	body, reserved := c.reader.Detach()
 	if reserved == 0 {
@@ -162,29 +163,31 @@
 	return func() { bodies.Reserve(-reserved) }
 }
 
-// cancel ends the attempt in flight without waiting: the server sees the end at once, the goroutine wakes and closes.
+// cancel ends the attempt in flight without blocking. The server sees the end of the connection immediately. The connection's goroutine
+// wakes up and closes the connection.
 func (c *conn) cancel() {
 	c.cancelled.Store(true)
 	tcpconn.CloseWrite(c.tcp)
 	tcpconn.SetDeadline(c.tcp, tcpconn.Past)
 }
 
-// clearWake clears a deadline that was meant to end an earlier wait; it returns false where the attempt was cancelled.
-func (c *conn) clearWake() bool {
+// clearStaleDeadline clears a read deadline that was set to wake an earlier wait. It returns false if the attempt was cancelled.
+func (c *conn) clearStaleDeadline() bool {
 	tcpconn.SetReadDeadline(c.tcp, time.Time{})
-	return !c.cancelled.Load() // read after the clearing: a cancellation after it sets the deadline anew
+	return !c.cancelled.Load() // loaded after the deadline is cleared, since a later cancellation sets the deadline again
 }
 
-// putBack makes the connection idle, unless its server has moved.
+// putBack returns the connection to its pool as idle. The pool closes it if the server has moved or restarted.
 func (c *conn) putBack() {
 	tcpconn.SetReadDeadline(c.tcp, time.Now().Add(c.pools.idleTimeout))
 	c.pools.put(c)
 }
 
-// awaitNext waits for the next attempt; nil when the connection is to end. Whatever the server sends meanwhile ends it, and another
-// connection gets an attempt that was passed at the same time: nothing of it was written.
+// awaitNext waits for the next attempt on an idle connection. It returns nil if the connection is to be closed, which is also the case if
+// the server sends data or closes it. An attempt that was passed at the same time is resent on another connection, which is safe because
+// nothing of it was written.
 func (c *conn) awaitNext() *front.Attempt {
-	_, _ = c.reader.WaitForInput() // input, the idle timeout and a failure alike end an idle connection
+	_, _ = c.reader.WaitForInput() // input, the idle timeout and an error all close an idle connection
 	if c.pools.takeIdle(c) {
 		return nil
 	}
@@ -198,8 +201,8 @@
 	return a
 }
 
-// hasInput reports whether something came in on a connection without an attempt: data would be taken for the answer of the next
-// attempt, and of an attempt that is written behind the server's close nobody knows whether it ran.
+// hasInput reports whether the server has sent data on a connection without an attempt, or closed it. Such data would be read as the
+// response to the next attempt. If an attempt were written after the server's close, it would be unknown whether it ran.
 func (c *conn) hasInput() bool {
 	return c.reader.MessageStarted() || tcpconn.Peek(c.tcp) != tcpconn.NoInput
 }
--- a/upstream/dial.go
+++ b/upstream/dial.go
@@ -13,10 +13,11 @@
 	"dapplerouter/tcpconn"
 )
 
-// localRetryPause lies between two attempts at what failed for want of a resource that this machine lacks for a moment.
+// localRetryPause is the pause before an operation is retried that failed because this machine temporarily lacks a resource.
 const localRetryPause = 5 * time.Millisecond
 
-// awaitDescriptor waits until a connection may be opened, for the dial timeout at most: evicted clients take a moment to leave.
+// awaitDescriptor waits until a file descriptor is available for a connection, but at most for the dial timeout. Evicted connections need
+// some time to close. It returns false on timeout.
 func (ps *Pools) awaitDescriptor() bool {
 	for deadline := time.Now().Add(ps.options.DialTimeout); ; time.Sleep(localRetryPause) {
 		if ps.options.Limiter.AdmitServer(ps.EvictIdle) {
@@ -28,7 +29,7 @@
 	}
 }
 
-// open dials and waits for the server's greeting, within the limit for both together.
+// open dials and performs the startup exchange. The dial timeout applies to both together.
 func (c *conn) open() error {
 	deadline := time.Now().Add(c.pools.options.DialTimeout)
 	tcp, err := c.dial(deadline)
@@ -44,8 +45,8 @@
 	return nil
 }
 
-// dial opens a connection until a deadline. What fails for want of this machine's own resources is retried; the deadline of a last
-// dial counts against the server only when it had most of the time.
+// dial opens a connection before the deadline. It retries failures for lack of a local resource. If a retry ends by the deadline and had
+// less than half of the dial timeout, dial returns the previous local error, so that the timeout does not count against the server.
 func (c *conn) dial(deadline time.Time) (*net.TCPConn, error) {
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
@@ -71,15 +72,14 @@
 	}
 }
 
-// startup sends the startup message and reads the server's greeting. The error is a *RejectedError where the server answered with an
-// error.
+// startup sends the startup message and reads the server's greeting. It returns a *RejectedError if the server responds with an error.
 func (c *conn) startup() error {
 	o := &c.pools.options
 	if _, err := c.tcp.Write(pgwire.AppendStartup(nil, o.User, o.Database)); err != nil {
 		return err
 	}
 	c.reader = pgwire.NewReader(c.tcp, readBuffer, c.pools.maxMessage)
-	c.reader.RetainedBytes, c.reader.SpareBytes, c.reader.Reserve = maxReused, spareBehind, c.pools.bodies.Reserve
+	c.reader.RetainedBytes, c.reader.SpareBytes, c.reader.Reserve = maxReusedBody, trailerSpace, c.pools.bodies.Reserve
 	var greeting pgwire.QueryResult
 	c.reader.CheckMessage = greeting.CheckMessage
 	for complete := false; !complete; {
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// postOpenError reports to the core that the connection of an attempt could not be opened.
+// postOpenError reports to the core that the connection for an attempt could not be opened.
 func (c *conn) postOpenError(a *front.Attempt, err error) {
 	var rejected *RejectedError
 	switch {
@@ -111,12 +111,13 @@
 	}
 }
 
-// isDialTimeout reports whether the deadline set here ended a dial: by the context, or by the wait for the connection.
+// isDialTimeout reports whether a dial ended by the deadline that was set here, either of the context or of the socket.
 func isDialTimeout(err error) bool {
 	return errors.Is(err, context.DeadlineExceeded) || tcpconn.IsTimeout(err)
 }
 
-// isLocal reports whether a dial failed for want of a resource of this machine, which is no fault of the server.
+// isLocal reports whether a dial failed for a cause on this machine, such as a lack of descriptors, ports or buffers. Such a failure is not
+// the server's fault.
 func isLocal(err error) bool {
 	var number syscall.Errno
 	if !errors.As(err, &number) {
--- a/upstream/errors_test.go
+++ b/upstream/errors_test.go
@@ -12,23 +12,24 @@
 	"dapplerouter/testsupport/conntest"
 )
 
-// The causes of failed connections that operators tell apart in the log.
+// Operators distinguish the causes of failed connections in the log, so each failure must carry its own cause.
 func TestConnectionErrorCauses(t *testing.T) {
 	greeting := pgwire.AppendGreeting(nil)
 	for name, x := range map[string]struct {
-		act  func(g *harness)
-		want func(t *testing.T, stage front.FailureStage, cause error)
+		act   func(h *harness)
+		check func(t *testing.T, stage front.FailureStage, cause error)
 	}{
 		"input with the greeting": {
-			func(g *harness) { g.AcceptStartup().Send(append(greeting, conntest.RowResponse("v")...)...) },
+			func(h *harness) { h.AcceptStartup().Send(append(greeting, conntest.RowResponse("v")...)...) },
 			func(t *testing.T, stage front.FailureStage, cause error) {
 				assert.ErrorIs(t, cause, ErrUnexpectedInput)
 				assert.Equal(t, front.StageDial, stage)
 			},
 		},
 		"rejected": {
-			func(g *harness) {
-				g.AcceptStartup().Send(pgwire.AppendErrorResponse(nil, pgwire.ErrorResponse{Severity: "FATAL", Code: "28P01", Message: "wrong password"})...)
+			func(h *harness) {
+				response := pgwire.ErrorResponse{Severity: "FATAL", Code: "28P01", Message: "wrong password"}
+				h.AcceptStartup().Send(pgwire.AppendErrorResponse(nil, response)...)
 			},
 			func(t *testing.T, stage front.FailureStage, cause error) {
 				var rejected *RejectedError
@@ -38,7 +39,7 @@
 			},
 		},
 		"no descriptor": {
-			func(g *harness) {},
+			func(h *harness) {},
 			func(t *testing.T, stage front.FailureStage, cause error) {
 				assert.ErrorIs(t, cause, ErrNoDescriptor)
 				assert.Equal(t, front.StageLocal, stage)
@@ -46,20 +47,20 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newHarness(t, 40)
+			h := newHarness(t, 40)
 			if name == "no descriptor" {
-				g.pools.options.DialTimeout = 10 * time.Millisecond
-				for g.Limiter.AdmitServer(func() bool { return false }) {
+				h.pools.options.DialTimeout = 10 * time.Millisecond
+				for h.Limiter.AdmitServer(func() bool { return false }) {
 				}
 			}
 			finished := make(chan *front.AttemptFinished, 1)
-			g.pools.options.Post = func(e front.Event) { finished <- e.(*front.AttemptFinished) }
-			g.Eventually(func() bool { return g.address() != "" })
-			g.pools.Send(0, front.NewHealthCheck(pgwire.AppendQuery(nil, "SHOW load")))
-			x.act(g)
+			h.pools.options.Post = func(e front.Event) { finished <- e.(*front.AttemptFinished) }
+			h.Eventually(func() bool { return h.address() != "" })
+			h.pools.Send(0, front.NewHealthCheck(pgwire.AppendQuery(nil, "SHOW load")))
+			x.act(h)
 			e := <-finished
 			require.NotNil(t, e.Err)
-			x.want(t, e.Err.Stage, e.Err.Err)
+			x.check(t, e.Err.Stage, e.Err.Err)
 		})
 	}
 }
--- a/upstream/harness_test.go
+++ b/upstream/harness_test.go
@@ -12,7 +12,7 @@
 	"dapplerouter/testsupport/conntest"
 )
 
-// harness is Pools between the connections of a test's clients and a fake server.
+// harness runs a core with Pools between the client connections of a test and a fake server.
 type harness struct {
 	*conntest.Harness
 	pools  *Pools
@@ -20,33 +20,35 @@
 }
 
 func newHarness(t *testing.T, descriptors int) *harness {
-	g := &harness{Harness: conntest.New(t, limits.NewDescriptors(limits.SharesOf(descriptors, 0)))}
-	g.pools = NewPools(Options{Post: g.Post, Limiter: g.Limiter, User: "portal", Database: "crm", DialTimeout: 5 * time.Second,
+	h := &harness{Harness: conntest.New(t, limits.NewDescriptors(limits.SharesOf(descriptors, 0)))}
+	h.pools = NewPools(Options{Post: h.Post, Limiter: h.Limiter, User: "portal", Database: "crm", DialTimeout: 5 * time.Second,
 		IdleTimeout: time.Minute, MemoryBytes: 32 << 20})
-	g.server = server.New(server.Options{Post: g.Post, Limiter: g.Limiter, Clock: g.Clock, WriteTimeout: 5 * time.Second,
+	h.server = server.New(server.Options{Post: h.Post, Limiter: h.Limiter, Clock: h.Clock, WriteTimeout: 5 * time.Second,
 		IdleTimeout: time.Minute, MemoryBytes: 32 << 20})
-	g.Start(g.pools, func(l *net.TCPListener) error { return g.server.Serve(l) })
-	return g
+	h.Start(h.pools, func(l *net.TCPListener) error { return h.server.Serve(l) })
+	return h
 }
 
-// serve takes one request through and leaves its connections idle.
-func (g *harness) serve() (c, m *conntest.Peer) {
-	c, m = g.Serve()
-	require.Equal(g.T, 1, g.idle())
-	return c, m
+// serve completes one request and returns its client connection and its server connection, both idle.
+func (h *harness) serve() (client, upstream *conntest.Peer) {
+	client, upstream = h.Serve()
+	require.Equal(h.T, 1, h.idle())
+	return client, upstream
 }
 
-func (g *harness) idle() int {
-	g.pools.mu.Lock()
-	defer g.pools.mu.Unlock()
-	return len(g.pools.pool(0).idle)
+// idle returns the number of idle connections to server 0.
+func (h *harness) idle() int {
+	h.pools.mu.Lock()
+	defer h.pools.mu.Unlock()
+	return len(h.pools.pool(0).idle)
 }
 
-func (g *harness) address() string {
-	g.pools.mu.Lock()
-	defer g.pools.mu.Unlock()
-	return g.pools.pool(0).address
+// address returns the address of server 0 that the pools have, or "".
+func (h *harness) address() string {
+	h.pools.mu.Lock()
+	defer h.pools.mu.Unlock()
+	return h.pools.pool(0).address
 }
 
-// settled waits until so many links are idle.
-func (g *harness) settled(idle int) { g.Eventually(func() bool { return g.idle() == idle }) }
+// awaitIdle waits until the given number of connections to server 0 are idle.
+func (h *harness) awaitIdle(idle int) { h.Eventually(func() bool { return h.idle() == idle }) }
--- a/upstream/pools_test.go
+++ b/upstream/pools_test.go
@@ -19,275 +19,294 @@
 	"dapplerouter/testsupport/conntest"
 )
 
-// A server connection that opens late must not carry a request whose client has left meanwhile, also where the deployment allows no
-// cancellation; nor while the core is busy.
+// A server connection that opens late must not carry a request whose client has disconnected in the meantime. This also holds if the
+// router cancels nothing, because the deployment forbids cancellation, and while the core is busy.
 func TestNothingSentForClientThatLeftDuringDial(t *testing.T) {
-	g := newHarness(t, 40)
-	c := g.Client()
-	c.Send(conntest.ReadQuery("4000")...)
-	m := g.AcceptStartup() // no greeting yet
-	<-g.Router.Received
-	c.Close()
-	<-g.Router.Gone // which cancels nothing
-	m.Send(pgwire.AppendGreeting(nil)...)
-	assert.Equal(t, routing.NotSent, (<-g.Router.Finished).Result)
-	g.settled(1) // the connection is kept for others
-	c = g.Client()
-	c.Send(conntest.ReadQuery("4000")...)
-	second := <-g.Router.Received
-	m.Expect("Q")
-	m.Send(conntest.RowResponse("v")...)
-	c.Expect("TDCZ")
-	assert.Equal(t, second.Ref, (<-g.Router.Finished).Ref, "the first statement that the server got is another client's")
+	h := newHarness(t, 40)
+	client := h.Client()
+	client.Send(conntest.ReadQuery("4000")...)
+	upstream := h.AcceptStartup() // the greeting is sent below
+	<-h.Router.Received
+	client.Close()
+	<-h.Router.Gone // the router does not cancel the attempt
+	upstream.Send(pgwire.AppendGreeting(nil)...)
+	assert.Equal(t, routing.NotSent, (<-h.Router.Finished).Result)
+	h.awaitIdle(1) // the connection is kept for other requests
+	client = h.Client()
+	client.Send(conntest.ReadQuery("4000")...)
+	second := <-h.Router.Received
+	upstream.Expect("Q")
+	upstream.Send(conntest.RowResponse("v")...)
+	client.Expect("TDCZ")
+	assert.Equal(t, second.Ref, (<-h.Router.Finished).Ref, "the first statement that the server receives is that of the second client")
 }
 
-// A server connection that opens after its request has ended carries nothing of it, and is kept for others.
+// A server connection that opens after its request has timed out carries nothing of the request and is kept for other requests.
 func TestLateConnectionIsKeptIdle(t *testing.T) {
-	g := newHarness(t, 40)
-	c := g.Client()
-	c.Send(conntest.ReadQuery("60")...)
-	m := g.AcceptStartup()
-	assert.Contains(t, string(c.Expect("EZ")), pgwire.CodeTransactionRollback)
-	m.Send(pgwire.AppendGreeting(nil)...)
-	g.settled(1)
-	c.Send(conntest.ReadQuery("4000")...)
-	m.Expect("Q")
-	m.Send(conntest.RowResponse("v")...)
-	c.Expect("TDCZ")
-	assert.Equal(t, 1, g.idle(), "one connection, used by the second alone")
+	h := newHarness(t, 40)
+	client := h.Client()
+	client.Send(conntest.ReadQuery("60")...)
+	upstream := h.AcceptStartup()
+	assert.Contains(t, string(client.Expect("EZ")), pgwire.CodeTransactionRollback)
+	upstream.Send(pgwire.AppendGreeting(nil)...)
+	h.awaitIdle(1)
+	client.Send(conntest.ReadQuery("4000")...)
+	upstream.Expect("Q")
+	upstream.Send(conntest.RowResponse("v")...)
+	client.Expect("TDCZ")
+	assert.Equal(t, 1, h.idle(), "there is one connection, used by the second request only")
 }
 
-// Servers' long messages share a part of the memory too. One that exceeds it counts as an answer that cannot be decoded.
+// Long messages of servers share a memory budget. A message that exceeds the budget counts as a response that cannot be decoded.
 func TestLongResultOverMemoryLimitIsAnError(t *testing.T) {
-	g := newHarness(t, 60)
-	held := func() int64 { return g.pools.bodies.Reserved() }
-	g.pools.bodies = limits.NewMemory(300 << 10)
+	h := newHarness(t, 60)
+	held := func() int64 { return h.pools.bodies.Reserved() }
+	h.pools.bodies = limits.NewMemory(300 << 10)
 	long := conntest.RowResponse(strings.Repeat("v", 200<<10))
-	first, second := g.Client(), g.Client()
+	first, second := h.Client(), h.Client()
 	first.Send(conntest.ReadQuery("4000")...)
-	m := g.AcceptServer()
-	m.Expect("Q")
-	m.Send(long[:len(long)-20]...)
-	g.Eventually(func() bool { return held() > 200<<10 })
+	upstream := h.AcceptServer()
+	upstream.Expect("Q")
+	upstream.Send(long[:len(long)-20]...)
+	h.Eventually(func() bool { return held() > 200<<10 })
 	second.Send(conntest.ReadQuery("4000")...)
-	n := g.AcceptServer()
-	n.Expect("Q")
-	n.Write(long) // it may be cut off midway
-	assert.Equal(t, routing.ServerError, (<-g.Router.Finished).Result)
+	secondUpstream := h.AcceptServer()
+	secondUpstream.Expect("Q")
+	secondUpstream.Write(long) // the connection may be closed before all is written
+	assert.Equal(t, routing.ServerError, (<-h.Router.Finished).Result)
 	assert.Contains(t, string(second.Expect("EZ")), pgwire.CodeTransactionRollback)
-	m.Send(long[len(long)-20:]...)
+	upstream.Send(long[len(long)-20:]...)
 	first.Expect("TDCZ")
-	g.Eventually(func() bool { return held() == 0 })
+	h.Eventually(func() bool { return held() == 0 })
 }
 
-// The memory of a long row is released as well where its answer never completes.
+// The memory that is reserved for a long row is also released if its result never completes.
 func TestIncompleteLongResultReleasesMemory(t *testing.T) {
-	g := newHarness(t, 60)
-	held := func() int64 { return g.pools.bodies.Reserved() }
+	h := newHarness(t, 60)
+	held := func() int64 { return h.pools.bodies.Reserved() }
 	long := conntest.RowResponse(strings.Repeat("v", 200<<10))
-	c := g.Client()
-	c.Send(conntest.ReadQuery("4000")...)
-	m := g.AcceptServer()
-	m.Expect("Q")
-	m.Send(long[:len(long)-20]...) // all of the row, nothing of its end
-	g.Eventually(func() bool { return held() > 200<<10 })
-	m.Close()
-	c.Expect("EZ")
-	g.Eventually(func() bool { return held() == 0 })
+	client := h.Client()
+	client.Send(conntest.ReadQuery("4000")...)
+	upstream := h.AcceptServer()
+	upstream.Expect("Q")
+	upstream.Send(long[:len(long)-20]...) // the complete row, but not the messages after it
+	h.Eventually(func() bool { return held() > 200<<10 })
+	upstream.Close()
+	client.Expect("EZ")
+	h.Eventually(func() bool { return held() == 0 })
 }
 
 func TestTimedOutAttemptIsCancelledAtServer(t *testing.T) {
-	g := newHarness(t, 40)
-	c := g.Client()
-	c.Send(conntest.ReadQuery("60")...)
-	m := g.AcceptServer()
-	m.Expect("Q")
-	m.ExpectClosed()
-	assert.Equal(t, routing.TimedOut, (<-g.Router.Finished).Result)
-	assert.Contains(t, string(c.Expect("EZ")), pgwire.CodeTransactionRollback)
-	c.Send(conntest.ReadQuery("4000")...)
-	m = g.AcceptServer()
-	m.Expect("Q")
-	m.Send(conntest.RowResponse("v")...)
-	c.Expect("TDCZ")
+	h := newHarness(t, 40)
+	client := h.Client()
+	client.Send(conntest.ReadQuery("60")...)
+	upstream := h.AcceptServer()
+	upstream.Expect("Q")
+	upstream.ExpectClosed()
+	assert.Equal(t, routing.TimedOut, (<-h.Router.Finished).Result)
+	assert.Contains(t, string(client.Expect("EZ")), pgwire.CodeTransactionRollback)
+	client.Send(conntest.ReadQuery("4000")...)
+	upstream = h.AcceptServer()
+	upstream.Expect("Q")
+	upstream.Send(conntest.RowResponse("v")...)
+	client.Expect("TDCZ")
 }
 
 func TestAttemptResultByStageOfFailure(t *testing.T) {
 	for name, x := range map[string]struct {
-		act  func(g *harness)
+		act  func(h *harness) // causes the failure
 		want routing.AttemptResult
 	}{
-		"connection refused":     {func(g *harness) { g.Upstream.Close() }, routing.Unreachable},
-		"closed before greeting": {func(g *harness) { g.AcceptStartup().Close() }, routing.Unreachable},
-		"malformed greeting":     {func(g *harness) { g.AcceptStartup().Send(conntest.Message('?', "")...) }, routing.Unreachable},
-		"an answer with the greeting": {func(g *harness) {
-			g.AcceptStartup().Send(append(pgwire.AppendGreeting(nil), conntest.RowResponse("v")...)...)
+		"connection refused":     {func(h *harness) { h.Upstream.Close() }, routing.Unreachable},
+		"closed before greeting": {func(h *harness) { h.AcceptStartup().Close() }, routing.Unreachable},
+		"malformed greeting":     {func(h *harness) { h.AcceptStartup().Send(conntest.Message('?', "")...) }, routing.Unreachable},
+		"a result with the greeting": {func(h *harness) {
+			h.AcceptStartup().Send(append(pgwire.AppendGreeting(nil), conntest.RowResponse("v")...)...)
 		}, routing.Unreachable},
-		"half a row with the greeting": {func(g *harness) {
-			g.AcceptStartup().Send(append(pgwire.AppendGreeting(nil), conntest.Row("v")[:20]...)...)
+		"half a row with the greeting": {func(h *harness) {
+			h.AcceptStartup().Send(append(pgwire.AppendGreeting(nil), conntest.Row("v")[:20]...)...)
 		}, routing.Unreachable},
-		"the end with the greeting": {func(g *harness) { // in one piece, however busy the machine is
-			m := g.AcceptStartup()
-			raw, err := m.Conn.(*net.TCPConn).SyscallConn()
-			require.NoError(g.T, err)
+		"closed with the greeting": {func(h *harness) { // TCP_CORK sends the greeting and the FIN in one segment
+			upstream := h.AcceptStartup()
+			raw, err := upstream.Conn.(*net.TCPConn).SyscallConn()
+			require.NoError(h.T, err)
 			raw.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_CORK, 1) })
-			require.NoError(g.T, err)
-			m.Send(pgwire.AppendGreeting(nil)...)
-			m.Close()
+			require.NoError(h.T, err)
+			upstream.Send(pgwire.AppendGreeting(nil)...)
+			upstream.Close()
 		}, routing.Unreachable},
-		"rejected at startup": {func(g *harness) {
-			g.AcceptStartup().Send(pgwire.AppendErrorResponse(nil, pgwire.ErrorResponse{Severity: "FATAL", Code: "53300", Message: "full"})...)
+		"rejected at startup": {func(h *harness) {
+			h.AcceptStartup().Send(pgwire.AppendErrorResponse(nil, pgwire.ErrorResponse{Severity: "FATAL", Code: "53300", Message: "full"})...)
 		}, routing.Overloaded},
-		"closed after the query": {func(g *harness) { m := g.AcceptServer(); m.Expect("Q"); m.Close() }, routing.ConnectionLost},
-		"closed within the row":  {func(g *harness) { m := g.AcceptServer(); m.Expect("Q"); m.Send(conntest.Row("v")[:40]...); m.Close() }, routing.ConnectionLost},
-		"two rows": {func(g *harness) {
-			m := g.AcceptServer()
-			m.Expect("Q")
-			m.Send(append(conntest.Row("v"), conntest.RowResponse("w")...)...)
+		"closed after the query": {func(h *harness) {
+			upstream := h.AcceptServer()
+			upstream.Expect("Q")
+			upstream.Close()
+		}, routing.ConnectionLost},
+		"closed within the row": {func(h *harness) {
+			upstream := h.AcceptServer()
+			upstream.Expect("Q")
+			upstream.Send(conntest.Row("v")[:40]...)
+			upstream.Close()
+		}, routing.ConnectionLost},
+		"two rows": {func(h *harness) {
+			upstream := h.AcceptServer()
+			upstream.Expect("Q")
+			upstream.Send(append(conntest.Row("v"), conntest.RowResponse("w")...)...)
 		}, routing.ServerError},
-		"a row's wrong length, the rest never sent": {func(g *harness) {
-			m := g.AcceptServer()
-			m.Expect("Q")
-			m.Send(conntest.Row("v")[:len(conntest.Row(""))-25]...)
-			m.Send('D', 0, 0, 9, 0, 0, 1, 0, 0, 0, 1)
+		"a row's wrong length, the rest never sent": {func(h *harness) {
+			upstream := h.AcceptServer()
+			upstream.Expect("Q")
+			upstream.Send(conntest.Row("v")[:len(conntest.Row(""))-25]...)
+			upstream.Send('D', 0, 0, 9, 0, 0, 1, 0, 0, 0, 1)
 		}, routing.ServerError},
-		"noise":     {func(g *harness) { m := g.AcceptServer(); m.Expect("Q"); m.Send([]byte("zzzz\x00")...) }, routing.ServerError},
-		"oversized": {func(g *harness) { m := g.AcceptServer(); m.Expect("Q"); m.Send('D', 127, 0, 0, 0) }, routing.ServerError},
-		"a fatal error": {func(g *harness) {
-			m := g.AcceptServer()
-			m.Expect("Q")
-			m.Send(pgwire.AppendErrorResponse(nil, pgwire.ErrorResponse{Severity: "FATAL", Code: "72000", Message: "behind"})...)
-			m.Close()
+		"bytes that are no message": {func(h *harness) {
+			upstream := h.AcceptServer()
+			upstream.Expect("Q")
+			upstream.Send([]byte("zzzz\x00")...)
+		}, routing.ServerError},
+		"oversized": {func(h *harness) {
+			upstream := h.AcceptServer()
+			upstream.Expect("Q")
+			upstream.Send('D', 127, 0, 0, 0)
+		}, routing.ServerError},
+		"a fatal error": {func(h *harness) {
+			upstream := h.AcceptServer()
+			upstream.Expect("Q")
+			upstream.Send(pgwire.AppendErrorResponse(nil, pgwire.ErrorResponse{Severity: "FATAL", Code: "72000", Message: "behind"})...)
+			upstream.Close()
 		}, routing.Misrouted},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newHarness(t, 40)
-			c := g.Client()
+			h := newHarness(t, 40)
+			client := h.Client()
 			if x.want == routing.Unreachable && name == "connection refused" {
-				x.act(g)
-				c.Send(conntest.ReadQuery("4000")...)
+				x.act(h)
+				client.Send(conntest.ReadQuery("4000")...)
 			} else {
-				c.Send(conntest.ReadQuery("4000")...)
-				x.act(g)
+				client.Send(conntest.ReadQuery("4000")...)
+				x.act(h)
 			}
-			assert.Equal(t, x.want, (<-g.Router.Finished).Result)
-			assert.Contains(t, string(c.Expect("EZ")), pgwire.CodeTransactionRollback, "no part of a value reaches the client")
+			assert.Equal(t, x.want, (<-h.Router.Finished).Result)
+			assert.Contains(t, string(client.Expect("EZ")), pgwire.CodeTransactionRollback, "no part of a value reaches the client")
 		})
 	}
 }
 
 func TestClosedIdleConnectionIsNotReused(t *testing.T) {
-	g := newHarness(t, 40)
-	c, m := g.serve()
-	m.Close()
-	g.Eventually(func() bool { return g.idle() == 0 })
-	c.Send(conntest.ReadQuery("4000")...)
-	m = g.AcceptServer()
-	m.Expect("Q")
-	m.Send(conntest.RowResponse("v")...)
-	c.Expect("TDCZ")
-	assert.Equal(t, routing.Succeeded, (<-g.Router.Finished).Result)
+	h := newHarness(t, 40)
+	client, upstream := h.serve()
+	upstream.Close()
+	h.Eventually(func() bool { return h.idle() == 0 })
+	client.Send(conntest.ReadQuery("4000")...)
+	upstream = h.AcceptServer()
+	upstream.Expect("Q")
+	upstream.Send(conntest.RowResponse("v")...)
+	client.Expect("TDCZ")
+	assert.Equal(t, routing.Succeeded, (<-h.Router.Finished).Result)
 }
 
-// Regression, on a day of faulty servers: surplus data answered the next attempt of the connection, and so on, 416 times.
+// Regression test: Faulty servers sent surplus data, which was read as the response to the connection's next attempt, and so on for each
+// later attempt, 416 times.
 func TestSurplusDataClosesOnlyItsConnection(t *testing.T) {
-	for name, after := range map[string]func(g *harness, m *conntest.Peer){
-		"with the answer": func(g *harness, m *conntest.Peer) {
-			m.Send(append(conntest.RowResponse("v"), conntest.RowResponse("stale")...)...)
+	for name, after := range map[string]func(h *harness, upstream *conntest.Peer){
+		"with the response": func(h *harness, upstream *conntest.Peer) {
+			upstream.Send(append(conntest.RowResponse("v"), conntest.RowResponse("stale")...)...)
 		},
-		"on an idle connection": func(g *harness, m *conntest.Peer) {
-			m.Send(conntest.RowResponse("v")...)
-			g.settled(1)
-			m.Send(conntest.RowResponse("stale")...)
+		"on an idle connection": func(h *harness, upstream *conntest.Peer) {
+			upstream.Send(conntest.RowResponse("v")...)
+			h.awaitIdle(1)
+			upstream.Send(conntest.RowResponse("stale")...)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newHarness(t, 40)
-			c := g.Client()
-			c.Send(conntest.ReadQuery("4000")...)
-			m := g.AcceptServer()
-			m.Expect("Q")
-			after(g, m)
-			c.Expect("TDCZ")
-			g.settled(0)
-			c.Send(conntest.ReadQuery("4000")...)
-			m = g.AcceptServer()
-			m.Expect("Q")
-			m.Send(conntest.RowResponse("w")...)
-			c.Expect("T")
-			assert.Equal(t, "w", string(c.Expect("D")[6:]))
+			h := newHarness(t, 40)
+			client := h.Client()
+			client.Send(conntest.ReadQuery("4000")...)
+			upstream := h.AcceptServer()
+			upstream.Expect("Q")
+			after(h, upstream)
+			client.Expect("TDCZ")
+			h.awaitIdle(0)
+			client.Send(conntest.ReadQuery("4000")...)
+			upstream = h.AcceptServer()
+			upstream.Expect("Q")
+			upstream.Send(conntest.RowResponse("w")...)
+			client.Expect("T")
+			assert.Equal(t, "w", string(client.Expect("D")[6:]))
 		})
 	}
 }
 
-// A connection that was taken just as its server sent data or closed is not used: nothing of the attempt was sent.
-func TestAttemptOnSpoiltConnectionUsesAnother(t *testing.T) {
-	for name, spoil := range map[string]func(m *conntest.Peer){
-		"bytes": func(m *conntest.Peer) { m.Send(conntest.RowResponse("stale")...) },
-		"end":   func(m *conntest.Peer) { m.Close() },
+// A connection may be taken from its pool at the moment at which its server sends data or closes it. It is not used, and the attempt, of
+// which nothing was sent, goes to another connection.
+func TestAttemptOnUnusableConnectionUsesAnother(t *testing.T) {
+	for name, act := range map[string]func(upstream *conntest.Peer){
+		"data":  func(upstream *conntest.Peer) { upstream.Send(conntest.RowResponse("stale")...) },
+		"close": func(upstream *conntest.Peer) { upstream.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newHarness(t, 40)
-			ended := make(chan front.Event, 1)
-			g.pools.options.Post = func(e front.Event) { ended <- e }
-			g.Eventually(func() bool { return g.address() != "" })
-			dialled, err := net.Dial("tcp", g.Upstream.Addr().String())
+			h := newHarness(t, 40)
+			finished := make(chan front.Event, 1)
+			h.pools.options.Post = func(e front.Event) { finished <- e }
+			h.Eventually(func() bool { return h.address() != "" })
+			dialled, err := net.Dial("tcp", h.Upstream.Addr().String())
 			require.NoError(t, err)
-			l := &conn{pools: g.pools, pool: g.pools.pool(0), address: g.address(), tcp: dialled.(*net.TCPConn), next: make(chan *front.Attempt, 1),
-				reader: pgwire.NewReader(dialled, 4096, 4096)}
-			c, err := g.Upstream.Accept()
+			idle := &conn{pools: h.pools, pool: h.pools.pool(0), address: h.address(), tcp: dialled.(*net.TCPConn),
+				next: make(chan *front.Attempt, 1), reader: pgwire.NewReader(dialled, 4096, 4096)}
+			accepted, err := h.Upstream.Accept()
 			require.NoError(t, err)
-			spoil(conntest.NewPeer(t, c))
-			g.Eventually(func() bool { return tcpconn.Peek(l.tcp) != tcpconn.NoInput })
-			s := front.NewHealthCheck(pgwire.AppendQuery(nil, "SELECT 2"))
-			l.next <- s
-			assert.Nil(t, l.awaitNext())
-			m := g.AcceptServer()
-			m.Expect("Q")
-			m.Send(conntest.RowResponse("w")...)
-			assert.Nil(t, (<-ended).(*front.AttemptFinished).Err)
+			act(conntest.NewPeer(t, accepted))
+			h.Eventually(func() bool { return tcpconn.Peek(idle.tcp) != tcpconn.NoInput })
+			idle.next <- front.NewHealthCheck(pgwire.AppendQuery(nil, "SELECT 2"))
+			assert.Nil(t, idle.awaitNext())
+			upstream := h.AcceptServer()
+			upstream.Expect("Q")
+			upstream.Send(conntest.RowResponse("w")...)
+			assert.Nil(t, (<-finished).(*front.AttemptFinished).Err)
 		})
 	}
 }
 
-// A retry must not be in flight beside the attempt that it replaces.
+// The connection of a failed attempt must be closed before its result is posted. Otherwise a retry could be in flight together with the
+// attempt that it replaces.
 func TestConnectionClosedBeforeFailureIsPosted(t *testing.T) {
-	g := newHarness(t, 40)
-	post, m, seen := g.pools.options.Post, make(chan *conntest.Peer, 1), make(chan error, 1)
-	g.pools.options.Post = func(e front.Event) {
-		_, _, err := (<-m).Reader.Next()
+	h := newHarness(t, 40)
+	post, peer, seen := h.pools.options.Post, make(chan *conntest.Peer, 1), make(chan error, 1)
+	h.pools.options.Post = func(e front.Event) {
+		_, _, err := (<-peer).Reader.Next()
 		seen <- err
 		post(e)
 	}
-	g.Client().Send(conntest.ReadQuery("4000")...)
-	up := g.AcceptServer()
-	up.Expect("Q")
-	up.Send(conntest.Message('?', "")...)
-	m <- up
+	h.Client().Send(conntest.ReadQuery("4000")...)
+	upstream := h.AcceptServer()
+	upstream.Expect("Q")
+	upstream.Send(conntest.Message('?', "")...)
+	peer <- upstream
 	assert.ErrorIs(t, <-seen, io.EOF)
-	assert.Equal(t, routing.ServerError, (<-g.Router.Finished).Result, "the server answered")
+	assert.Equal(t, routing.ServerError, (<-h.Router.Finished).Result, "the server responded, but not with a valid message")
 }
 
 func TestConnectionsBeforeServerRestartAreClosed(t *testing.T) {
-	g := newHarness(t, 40)
-	_, m := g.serve()
-	g.List(g.Upstream.Addr().String(), time.Now().Add(time.Hour).UnixMilli())
-	m.ExpectClosed()
-	g = newHarness(t, 40)
-	_, m = g.serve()
-	g.List("127.0.0.1:1", 0)
-	m.ExpectClosed() // it moved
+	h := newHarness(t, 40)
+	_, upstream := h.serve()
+	h.List(h.Upstream.Addr().String(), time.Now().Add(time.Hour).UnixMilli())
+	upstream.ExpectClosed()
+	h = newHarness(t, 40)
+	_, upstream = h.serve()
+	h.List("127.0.0.1:1", 0)
+	upstream.ExpectClosed() // the server's address has changed
 }
 
 func TestRemovedServersConnectionsAreNotReused(t *testing.T) {
-	g := newHarness(t, 40)
-	_, idle := g.serve()
-	g.pools.mu.Lock()
-	l := g.pools.pools[0].idle[0]
-	g.pools.mu.Unlock()
-	g.pools.Remove(0)
-	idle.ExpectClosed()
-	g.pools.SetAddress(0, g.Upstream.Addr().String(), 0)
-	l.putBack() // one that was at work meanwhile
-	assert.Zero(t, g.idle(), "it is the removed server's")
+	h := newHarness(t, 40)
+	_, upstream := h.serve()
+	h.pools.mu.Lock()
+	connection := h.pools.pools[0].idle[0]
+	h.pools.mu.Unlock()
+	h.pools.Remove(0)
+	upstream.ExpectClosed()
+	h.pools.SetAddress(0, h.Upstream.Addr().String(), 0)
+	connection.putBack() // like a connection that was busy while its server was removed
+	assert.Zero(t, h.idle(), "the connection belongs to the pool of the removed server")
 }
