--- a/adapter/adapter.go
+++ b/adapter/adapter.go
@@ -1,9 +1,9 @@
-// Package adapter hosts routers and lets the bench drive them: it maps the ids of package wire to the small indices of
-// package routing, and back. It decides nothing.
+// Package adapter hosts routers that the bench drives over the protocol of package wire. It maps the ids of package wire to the small
+// indices of package routing, and back. It makes no routing decisions.
 //
-// One goroutine, that of Run, owns all state. Invariants: events are taken within batches only, and a batch's actions are
-// written before its end is acknowledged; an attempt's outcome reaches the router once; a request's slot is free again when
-// it has its final answer and no attempt is in flight; after a panic of a router nothing more is decided.
+// The goroutine that calls Run owns all state. Invariants: Events are accepted within batches only, and the actions of a batch are written
+// before the batch is acknowledged. Each outcome of an attempt is passed to the router once. The slot of a request is freed when the
+// request is finished and has no attempt in flight. After a panic of a router, no router is called any more.
 package adapter
 
 import (
@@ -16,7 +16,7 @@
 	"dapplerouter/wire"
 )
 
-// Causes of an error of Run beside those of package wire, for errors.Is.
+// Causes of an EventError, for errors.Is.
 var (
 	ErrBatchOrder      = errors.New("event out of batch order")
 	ErrUnknownInstance = errors.New("unknown instance")
@@ -24,13 +24,13 @@
 	ErrDuplicateID     = errors.New("duplicate id")
 )
 
-// EventError is an event that can't be taken.
+// EventError reports an event that is well-formed but cannot be handled.
 type EventError struct {
 	Batch    string
-	Instance int    // -1 where the event has none
-	Field    string // "" where no field is the cause
+	Instance int    // -1 if the error does not belong to an instance
+	Field    string // "" if no field is the cause
 	Problem  string
-	Cause    error // one of the sentinels above
+	Cause    error // one of the sentinel errors above
 }
 
 func (e *EventError) Error() string {
@@ -49,9 +49,9 @@
 
 func (e *EventError) Unwrap() error { return e.Cause }
 
-// Run reads batches of events from in and writes their actions to out, until in ends between batches. Routers are made by
-// newRouter. It returns io.ErrUnexpectedEOF where in ends within a batch, a *wire.Error or an *EventError for an event that
-// can't be taken, or an error of in or out.
+// Run reads batches of events from in and writes the routers' actions to out. Instances get their routers from newRouter. Run returns nil
+// if in ends between batches, io.ErrUnexpectedEOF if in ends within a batch, a *wire.Error or an *EventError for an event that cannot be
+// handled, or an error of in or out.
 func Run(in io.Reader, out io.Writer, newRouter front.RouterFactory) error {
 	a := &adapter{out: wire.NewWriter(out), newRouter: newRouter, instances: map[int]*instance{}}
 	reader := wire.NewReader(in)
@@ -71,18 +71,18 @@
 		switch {
 		case e.Kind == wire.BatchStart:
 			if inBatch {
-				return &EventError{Batch: a.batch, Instance: -1, Problem: "a mark within the batch", Cause: ErrBatchOrder}
+				return &EventError{Batch: a.batch, Instance: -1, Problem: "mark within a batch", Cause: ErrBatchOrder}
 			}
 			inBatch, a.clock, a.batch = true, e.Batch.Clock, string(e.Batch.ID)
 		case !inBatch:
-			return &EventError{Instance: -1, Problem: "an event before any mark", Cause: ErrBatchOrder}
+			return &EventError{Instance: -1, Problem: "event outside a batch, before a mark", Cause: ErrBatchOrder}
 		case e.Kind == wire.BatchEnd:
 			inBatch = false
 			if err := a.endBatch(); err != nil {
 				return err
 			}
 		default:
-			if err := a.take(&e); err != nil {
+			if err := a.handle(&e); err != nil {
 				return err
 			}
 		}
@@ -93,28 +93,28 @@
 type adapter struct {
 	out       *wire.Writer
 	newRouter front.RouterFactory
-	clock     int64  // of the batch, in nanoseconds since the epoch
-	batch     string // its id
+	clock     int64  // time of the current batch, in nanoseconds since the epoch
+	batch     string // id of the current batch
 	pages     [wire.MaxPage + 1][]wire.Entry
 	instances map[int]*instance
-	active    []*instance // with an event in this batch, in the order of their first
-	panicked  bool        // a panic was reported: nothing more is decided
+	active    []*instance // the instances with an event in the current batch, in the order of their first events
+	panicked  bool        // a panic was reported; no router is called any more
 }
 
-// endBatch has every instance with an event emit its actions, and acknowledges the batch.
+// endBatch calls Reconcile of every instance that had an event in the batch, and acknowledges the batch.
 func (a *adapter) endBatch() error {
 	for _, i := range a.active {
 		i.inBatch = false
 		if a.instances[i.id] == i {
-			a.guard(i.id, func() { i.router.Reconcile(i.now()) })
+			a.callRouter(i.id, func() { i.router.Reconcile(i.now()) })
 		}
 	}
 	a.active = a.active[:0]
 	return a.out.EndBatch(a.batch)
 }
 
-// guard calls a router, and reports its panic as an action.
-func (a *adapter) guard(id int, call func()) {
+// callRouter executes a call of an instance's router. It recovers a panic and reports it to the bench as an action.
+func (a *adapter) callRouter(id int, call func()) {
 	if a.panicked {
 		return
 	}
@@ -127,11 +127,11 @@
 	call()
 }
 
-// take takes one event of a batch.
-func (a *adapter) take(e *wire.Event) error {
+// handle handles one event of a batch.
+func (a *adapter) handle(e *wire.Event) error {
 	switch e.Kind {
 	case wire.EndpointPage:
-		a.pages[e.Page.Number] = append([]wire.Entry{}, e.Page.Entries...) // not nil: an empty page is a page
+		a.pages[e.Page.Number] = append([]wire.Entry{}, e.Page.Entries...) // not nil, which stands for a page that was not received
 		return nil
 	case wire.InstanceCrashed:
 		delete(a.instances, e.Instance)
@@ -139,23 +139,23 @@
 	case wire.InstanceStarted:
 		i := newInstance(a, e.Instance, e.Start.Settings)
 		a.instances[e.Instance] = i
-		a.guard(i.id, func() {
+		a.callRouter(i.id, func() {
 			s := e.Start.Settings
 			i.router = a.newRouter(i, routing.Options{Seed: e.Start.Seed, Topology: s.Topology, RequestTypes: s.RequestTypes,
 				Customers: s.CustomerQuotas, Replication: s.Replication, Guardrails: s.Guardrails, Limits: s.Limits, CostWeights: s.CostWeights})
 		})
-	default: // of an instance that runs
+	default: // an event of a running instance
 	}
 	i := a.instances[e.Instance]
 	if i == nil {
 		return &EventError{Batch: a.batch, Instance: -1, Field: "Front",
-			Problem: fmt.Sprintf("an event for front-%d, which is not running", e.Instance), Cause: ErrUnknownInstance}
+			Problem: fmt.Sprintf("event for front-%d, which is not running", e.Instance), Cause: ErrUnknownInstance}
 	}
 	if !i.inBatch {
 		i.inBatch = true
 		a.active = append(a.active, i)
 	}
 	var err error
-	a.guard(i.id, func() { err = i.event(e) })
+	a.callRouter(i.id, func() { err = i.handle(e) })
 	return err
 }
--- a/adapter/instance.go
+++ b/adapter/instance.go
@@ -10,22 +10,22 @@
 	"dapplerouter/wire"
 )
 
-// instance is the host of one router: its clock, its ids, and its requests in flight.
+// instance hosts one router. It holds the router's clock, the mapping of ids, and the requests in flight.
 type instance struct {
 	adapter        *adapter
 	id             int
-	startedAt      int64         // nanoseconds since the epoch
-	positionOrigin time.Duration // from the start to the zero of log positions
+	startedAt      int64         // in nanoseconds since the epoch
+	positionOrigin time.Duration // log position 0, relative to the start of the instance
 	router         routing.Router
-	inBatch        bool // it is in adapter.active
+	inBatch        bool // the instance is in adapter.active
 	ids            ids
 	requestTypes   []routing.RequestType
-	requests       front.RequestTable[string] // by slot: the request's id
-	refs           map[string]routing.RequestRef
-	endpoints      []routing.Endpoint // of the present update
+	requests       front.RequestTable[string]    // values are the requests' ids
+	refs           map[string]routing.RequestRef // by request id
+	endpoints      []routing.Endpoint            // buffer for the current update
 }
 
-// ids maps the bench's ids to indices.
+// ids maps ids of the bench to indices for the router.
 type ids struct {
 	types, customers, zones, serverTypes *front.Index[string]
 	servers, groups                      *front.Index[int64]
@@ -46,24 +46,24 @@
 	}
 }
 
-// now is the time of the batch since the instance started.
+// now returns the time of the batch, relative to the start of the instance.
 func (i *instance) now() time.Duration { return time.Duration(i.adapter.clock - i.startedAt) }
 
-// fieldError is an error of an event's field.
+// fieldError returns an EventError for a field of the current event.
 func (i *instance) fieldError(field string, cause error, problem string, args ...any) error {
 	return &EventError{Batch: i.adapter.batch, Instance: i.id, Field: field, Problem: fmt.Sprintf(problem, args...), Cause: cause}
 }
 
-// server is the index of a server that was listed.
+// server returns the index of a server. It returns an error if no endpoint list of the instance has contained the server.
 func (i *instance) server(id int64) (int, error) {
 	s, ok := i.ids.servers.Lookup(id)
 	if !ok {
-		return 0, i.fieldError("Store", ErrUnknownID, "%d is on no list of this instance", id)
+		return 0, i.fieldError("Store", ErrUnknownID, "%d is not on the endpoint list of this instance", id)
 	}
 	return s, nil
 }
 
-// load is a load report with its position on the instance's time scale.
+// load returns a load report with its log position converted to the instance's clock.
 func (i *instance) load(a *wire.Attempt) routing.LoadReport {
 	l := a.Load
 	if l.HasPosition {
@@ -72,8 +72,8 @@
 	return l
 }
 
-// event takes an event of this instance.
-func (i *instance) event(e *wire.Event) error {
+// handle passes an event of this instance to the router.
+func (i *instance) handle(e *wire.Event) error {
 	now := i.now()
 	switch e.Kind {
 	case wire.EndpointsChanged:
@@ -95,15 +95,17 @@
 	case wire.GossipReceived:
 		i.router.GossipReceived(now, e.Gossip.Peer, e.Gossip.Message)
 	case wire.AttemptConnected, wire.InstanceStarted, wire.InstanceCrashed, wire.EndpointPage, wire.BatchStart, wire.BatchEnd:
-		// nothing more to do: the adapter has taken the others
+		// nothing to do, or handled by the adapter
 	}
 	return nil
 }
 
+// attemptFinished passes the outcome of an attempt to the router. It releases the request if it is finished and has no other attempt in
+// flight.
 func (i *instance) attemptFinished(now time.Duration, id []byte, a *wire.Attempt) error {
 	ref, ok := i.refs[string(id)]
 	if !ok {
-		return i.fieldError("Rid", ErrUnknownID, "%s was never submitted", id)
+		return i.fieldError("Rid", ErrUnknownID, "request %s is not in flight", id)
 	}
 	s, err := i.server(a.Server)
 	if err != nil {
@@ -111,7 +113,7 @@
 	}
 	entry := i.requests.MustGet(ref)
 	if a.Outcome.AttemptNumber < 0 || a.Outcome.AttemptNumber >= entry.Attempts {
-		return i.fieldError("Hop", ErrUnknownID, "%d of %s was never submitted", a.Outcome.AttemptNumber, id)
+		return i.fieldError("Hop", ErrUnknownID, "attempt %d of request %s was not started", a.Outcome.AttemptNumber, id)
 	}
 	o := a.Outcome
 	o.Ref, o.Server = ref, s
@@ -126,7 +128,7 @@
 	return nil
 }
 
-// clientGone takes the departure of a client, also where its request has its answer already.
+// clientGone notifies the router that the client of a request has disconnected. It ignores requests that are finished or unknown.
 func (i *instance) clientGone(now time.Duration, id []byte) {
 	ref, ok := i.refs[string(id)]
 	if !ok {
@@ -139,17 +141,18 @@
 	}
 }
 
+// endpointsChanged passes an update of the endpoint list to the router.
 func (i *instance) endpointsChanged(now time.Duration, u *wire.EndpointUpdate) error {
 	i.endpoints = i.endpoints[:0]
 	if u.Kind != routing.UpdateFailed {
 		pages := &i.adapter.pages
 		if u.Page < 0 || u.Page >= len(pages) || pages[u.Page] == nil {
-			return i.fieldError("Page", ErrUnknownID, "no catalog %d", u.Page)
+			return i.fieldError("Page", ErrUnknownID, "page %d was not received", u.Page)
 		}
 		for _, e := range pages[u.Page] {
 			zone, ok := i.ids.zones.Lookup(e.Zone)
 			if !ok {
-				return i.fieldError("RegionPart", ErrUnknownID, "%q is none of Zones", e.Zone)
+				return i.fieldError("RegionPart", ErrUnknownID, "%q is not in Zones", e.Zone)
 			}
 			i.endpoints = append(i.endpoints, routing.Endpoint{Server: i.ids.servers.Intern(e.Server), Zone: zone,
 				Kind: i.ids.serverTypes.Intern(e.ServerType), Group: i.ids.groups.Intern(e.Group),
@@ -161,16 +164,17 @@
 	return nil
 }
 
+// requestReceived adds a request to the table and passes it to the router.
 func (i *instance) requestReceived(now time.Duration, in *wire.Request) error {
 	req := in.Routing
 	var ok bool
 	if req.Type, ok = i.ids.types.Lookup(string(in.Type)); !ok {
-		return i.fieldError("Qos", ErrUnknownID, "%q is no class", in.Type)
+		return i.fieldError("Qos", ErrUnknownID, "%q is not a class", in.Type)
 	}
 	req.Customer = routing.None
 	if len(in.Customer) > 0 && string(in.Customer) != "0" && i.ids.customers.Len() > 0 {
 		if req.Customer, ok = i.ids.customers.Lookup(string(in.Customer)); !ok {
-			return i.fieldError("Customer", ErrUnknownID, "%q is no tenant", in.Customer)
+			return i.fieldError("Customer", ErrUnknownID, "%q is not a tenant", in.Customer)
 		}
 	}
 	if len(in.Session) > 0 {
@@ -180,7 +184,7 @@
 	req.MaxStaleness, req.DedupWindow = i.requestTypes[req.Type].MaxStaleness, i.requestTypes[req.Type].DedupWindow
 	id := string(in.ID)
 	if _, inFlight := i.refs[id]; inFlight {
-		return i.fieldError("Rid", ErrDuplicateID, "%s came twice", id)
+		return i.fieldError("Rid", ErrDuplicateID, "request %s is already in flight", id)
 	}
 	req.Ref = i.requests.Add(id)
 	i.refs[id] = req.Ref
@@ -188,7 +192,7 @@
 	return nil
 }
 
-// release frees a request's slot once it has its final answer and no attempt is in flight.
+// release frees the slot of a request if the request is finished and has no attempt in flight.
 func (i *instance) release(ref routing.RequestRef) {
 	entry := i.requests.Get(ref)
 	if entry == nil {
@@ -199,7 +203,7 @@
 	}
 }
 
-// finish notes a request's final answer and returns its id.
+// finish marks a request as finished, releases it if possible, and returns its id.
 func (i *instance) finish(ref routing.RequestRef) (id string) {
 	entry := i.requests.MustGet(ref)
 	id = entry.Value
@@ -208,7 +212,7 @@
 	return id
 }
 
-// StartAttempt implements routing.Host, as do the methods below it.
+// StartAttempt implements routing.Host.
 func (i *instance) StartAttempt(ref routing.RequestRef, server int, timeout time.Duration) {
 	entry := i.requests.MustGet(ref)
 	entry.InFlight++
--- a/wire/fields.go
+++ b/wire/fields.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// fail keeps the first error of a line.
+// fail records an error of a field. Only the first error of a line is kept.
 func (r *Reader) fail(field, problem string, cause error) {
 	if r.err == nil {
 		r.err = &Error{Line: r.line, Event: string(r.name), Field: field, Problem: problem, Cause: cause}
 	}
 }
 
-// get is a field's value, nil where the line hasn't it.
-func (r *Reader) get(field string) []byte {
+// value returns the value of a field, or nil if the line does not contain the field.
+func (r *Reader) value(field string) []byte {
 	for i := range r.fields {
 		if string(r.fields[i][0]) == field {
 			return r.fields[i][1]
@@ -25,16 +25,16 @@
 	return nil
 }
 
-// required is the value of a field that must not be empty.
+// required returns the value of a field that must be present and not empty.
 func (r *Reader) required(field string) []byte {
-	v := r.get(field)
+	v := r.value(field)
 	if len(v) == 0 {
 		r.fail(field, ErrMissingField.Error(), ErrMissingField)
 	}
 	return v
 }
 
-// parseInteger parses decimal digits with an optional sign, without an allocation.
+// parseInteger parses decimal digits with an optional minus sign. It does not allocate.
 func (r *Reader) parseInteger(field string, v []byte) int64 {
 	neg := len(v) > 1 && v[0] == '-'
 	digits := v
@@ -44,7 +44,7 @@
 	var n int64
 	for _, c := range digits {
 		if c < '0' || c > '9' || n > (math.MaxInt64-9)/10 {
-			r.fail(field, fmt.Sprintf("is no integer: %q", v), ErrInvalidField)
+			r.fail(field, fmt.Sprintf("is not an integer: %q", v), ErrInvalidField)
 			return 0
 		}
 		n = n*10 + int64(c-'0')
@@ -55,8 +55,8 @@
 	return n
 }
 
-// integer is the value of a required integer.
-func (r *Reader) integer(field string) int64 {
+// requiredInteger returns the value of a required integer field.
+func (r *Reader) requiredInteger(field string) int64 {
 	v := r.required(field)
 	if len(v) == 0 {
 		return 0
@@ -64,29 +64,33 @@
 	return r.parseInteger(field, v)
 }
 
-// optional is the value of an integer, 0 where the line hasn't it.
-func (r *Reader) optional(field string) int64 {
-	v := r.get(field)
+// optionalInteger returns the value of an integer field, or 0 if the field is missing or empty.
+func (r *Reader) optionalInteger(field string) int64 {
+	v := r.value(field)
 	if len(v) == 0 {
 		return 0
 	}
 	return r.parseInteger(field, v)
 }
 
-// duration is the value of a required integer in nanoseconds.
-func (r *Reader) duration(field string) time.Duration { return time.Duration(r.integer(field)) }
+// requiredDuration returns the value of a required integer field in nanoseconds.
+func (r *Reader) requiredDuration(field string) time.Duration {
+	return time.Duration(r.requiredInteger(field))
+}
 
-func (r *Reader) number(field string, v []byte) float64 {
+// parseNumber parses a finite floating-point number.
+func (r *Reader) parseNumber(field string, v []byte) float64 {
 	f, err := strconv.ParseFloat(string(v), 64)
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
-		r.fail(field, fmt.Sprintf("is no number: %q", v), ErrInvalidField)
+		r.fail(field, fmt.Sprintf("is not a finite number: %q", v), ErrInvalidField)
 		return 0
 	}
 	return f
 }
 
+// flag returns the value of an optional field that is 0 or 1.
 func (r *Reader) flag(field string) bool {
-	v := r.get(field)
+	v := r.value(field)
 	switch {
 	case len(v) == 0 || (len(v) == 1 && v[0] == '0'):
 		return false
@@ -97,27 +101,28 @@
 	return false
 }
 
-// instance is the number of the instance that the line is for.
+// instance returns the number of the instance to which the line is addressed.
 func (r *Reader) instance() int {
 	v := r.required("Front")
 	n, ok := bytes.CutPrefix(v, []byte("front-"))
 	if !ok || len(n) == 0 {
-		r.fail("Front", fmt.Sprintf("is no instance: %q", v), ErrInvalidField)
+		r.fail("Front", fmt.Sprintf("does not name an instance: %q", v), ErrInvalidField)
 		return 0
 	}
 	return int(r.parseInteger("Front", n))
 }
 
-func choice[T any](r *Reader, field string, v []byte, words map[string]T) T {
-	t, ok := words[string(v)]
+// parseKeyword returns the constant that a keyword of the protocol stands for.
+func parseKeyword[T any](r *Reader, field string, v []byte, keywords map[string]T) T {
+	t, ok := keywords[string(v)]
 	if !ok {
-		r.fail(field, fmt.Sprintf("has an unknown word: %q", v), ErrInvalidField)
+		r.fail(field, fmt.Sprintf("has an unknown keyword: %q", v), ErrInvalidField)
 	}
 	return t
 }
 
-// unhex decodes hexadecimal digits; "-" stands for no bytes.
-func unhex(r *Reader, field string, v []byte) []byte {
+// parseHex decodes hexadecimal digits. "-" stands for no bytes.
+func parseHex(r *Reader, field string, v []byte) []byte {
 	if string(v) == "-" {
 		return nil
 	}
@@ -125,13 +130,13 @@
 	for i := range out {
 		n, err := strconv.ParseUint(string(v[2*i:2*i+2]), 16, 8)
 		if err != nil {
-			r.fail(field, "is no hex", ErrInvalidField)
+			r.fail(field, "is not hexadecimal", ErrInvalidField)
 			return nil
 		}
 		out[i] = byte(n)
 	}
 	if len(v)%2 != 0 {
-		r.fail(field, "is no hex", ErrInvalidField)
+		r.fail(field, "is not hexadecimal", ErrInvalidField)
 	}
 	return out
 }
--- a/wire/reader.go
+++ b/wire/reader.go
@@ -15,20 +15,20 @@
 
 // Causes of an Error, for errors.Is.
 var (
-	ErrUnknownEvent = errors.New("unknown message")
+	ErrUnknownEvent = errors.New("unknown event")
 	ErrMissingField = errors.New("is missing")
 	ErrInvalidField = errors.New("is invalid")
 	ErrMalformed    = errors.New("malformed line")
-	ErrTruncated    = errors.New("cut off")
+	ErrTruncated    = errors.New("truncated line")
 )
 
-// Error is a line that can't be read.
+// Error reports a line that cannot be read.
 type Error struct {
 	Line    int
-	Event   string // name of the message, where it is known
-	Field   string // where a field is the cause
+	Event   string // the name of the event, if known
+	Field   string // the name of the field, if a field is the cause
 	Problem string
-	Cause   error // one of the sentinels above, or an error of the underlying reader
+	Cause   error // one of the sentinel errors above, or an error of the underlying reader
 }
 
 func (e *Error) Error() string {
@@ -43,32 +43,32 @@
 // Reader reads events.
 type Reader struct {
 	in     *bufio.Reader
-	line   int
-	long   []byte      // a line that is longer than the buffer of in
-	name   []byte      // of the present line
-	fields [][2][]byte // of the present line: name and value
-	err    error       // the first of the present line
+	line   int         // number of the current line, from 1
+	long   []byte      // buffer for a line that is longer than the buffer of in
+	name   []byte      // name of the current line
+	fields [][2][]byte // names and values of the fields of the current line
+	err    error       // first error of the current line
 }
 
-const readBuffer = 1 << 20
+const readBuffer = 1 << 20 // bytes
 
-// NewReader returns a Reader of r.
+// NewReader returns a Reader that reads from r.
 func NewReader(r io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(r, readBuffer)} }
 
-// Next reads one event into e. It returns io.EOF at the end of the input, between lines, and an *Error for a line that can't
-// be read; other errors are those of the underlying reader.
+// Next reads the next event into e. It returns io.EOF if the input ends at the end of a line, and an *Error for a line that cannot be read.
+// Other errors are those of the underlying reader.
 func (r *Reader) Next(e *Event) error {
 	if err := r.readLine(); err != nil {
 		return err
 	}
 	kind, ok := eventKinds[string(r.name)]
 	if !ok {
-		return &Error{Line: r.line, Problem: fmt.Sprintf("unknown message %q", r.name), Cause: ErrUnknownEvent}
+		return &Error{Line: r.line, Problem: fmt.Sprintf("unknown event %q", r.name), Cause: ErrUnknownEvent}
 	}
 	e.Kind = kind
 	switch kind {
 	case BatchStart:
-		e.Batch.Clock, e.Batch.ID = r.integer("Clock"), r.required("batch")
+		e.Batch.Clock, e.Batch.ID = r.requiredInteger("Clock"), r.required("batch")
 	case BatchEnd:
 	case EndpointPage:
 		r.page(&e.Page)
@@ -79,21 +79,21 @@
 	return r.err
 }
 
-// event reads the fields of an event of an instance.
+// event reads the fields of an event that is addressed to an instance.
 func (r *Reader) event(e *Event) {
 	switch e.Kind {
 	case InstanceStarted:
 		r.instanceStart(&e.Start)
 	case EndpointsChanged:
-		e.Update = EndpointUpdate{Kind: choice(r, "Kind", r.required("Kind"), updateKinds), Page: -1, Version: e.Update.Version}
+		e.Update = EndpointUpdate{Kind: parseKeyword(r, "Kind", r.required("Kind"), updateKinds), Page: -1, Version: e.Update.Version}
 		if e.Update.Kind != routing.UpdateFailed {
-			e.Update.Page, e.Update.Version = int(r.integer("Page")), r.integer("Epoch")
+			e.Update.Page, e.Update.Version = int(r.requiredInteger("Page")), r.requiredInteger("Epoch")
 		}
 	case RequestReceived:
 		r.request(&e.Request)
 	case AttemptConnected:
-		e.Request.ID, e.Attempt.Server = r.required("Rid"), r.integer("Store")
-		e.Attempt.Outcome = routing.AttemptOutcome{AttemptNumber: int(r.integer("Hop")), Latency: r.duration("Latency")}
+		e.Request.ID, e.Attempt.Server = r.required("Rid"), r.requiredInteger("Store")
+		e.Attempt.Outcome = routing.AttemptOutcome{AttemptNumber: int(r.requiredInteger("Hop")), Latency: r.requiredDuration("Latency")}
 	case AttemptFinished:
 		e.Request.ID = r.required("Rid")
 		r.attempt(&e.Attempt)
@@ -102,20 +102,21 @@
 	case TimerFired:
 		e.Timer = r.required("Token")
 	case HealthCheckFinished:
-		e.Attempt.Server = r.integer("Store")
-		e.Attempt.Outcome = routing.AttemptOutcome{Result: choice(r, "Ending", r.required("Ending"), attemptResults),
-			Latency: time.Duration(r.optional("Latency"))}
+		e.Attempt.Server = r.requiredInteger("Store")
+		e.Attempt.Outcome = routing.AttemptOutcome{Result: parseKeyword(r, "Ending", r.required("Ending"), attemptResults),
+			Latency: time.Duration(r.optionalInteger("Latency"))}
 		r.load(&e.Attempt)
 	case GossipReceived:
-		e.Gossip.Peer = int(r.integer("OriginPeer"))
-		e.Gossip.Message = unhex(r, "Contents", r.required("Contents"))
-	case BatchStart, BatchEnd, InstanceCrashed, EndpointPage: // without further fields, or read by Next
+		e.Gossip.Peer = int(r.requiredInteger("OriginPeer"))
+		e.Gossip.Message = parseHex(r, "Contents", r.required("Contents"))
+	case BatchStart, BatchEnd, InstanceCrashed, EndpointPage: // no further fields, or handled by Next
 	}
 }
 
+// instanceStart reads the fields of InstanceStarted.
 func (r *Reader) instanceStart(s *InstanceStart) {
-	s.Seed = uint64(r.integer("Entropy"))
-	settings, err := deployment.ReadSettings(func(path string) string { return string(r.get(path)) })
+	s.Seed = uint64(r.requiredInteger("Entropy"))
+	settings, err := deployment.ReadSettings(func(path string) string { return string(r.value(path)) })
 	s.Settings = settings
 	if err == nil {
 		return
@@ -128,32 +129,35 @@
 	}
 }
 
+// request reads the fields of RequestReceived.
 func (r *Reader) request(req *Request) {
-	req.ID, req.Type, req.Customer, req.Session = r.required("Rid"), r.required("Qos"), r.get("Customer"), r.get("User")
-	req.Group = r.integer("PartitionNo")
-	req.Routing = routing.Request{Timeout: r.duration("Budget"), ExpectedWork: time.Duration(r.optional("Hint")),
+	req.ID, req.Type, req.Customer, req.Session = r.required("Rid"), r.required("Qos"), r.value("Customer"), r.value("User")
+	req.Group = r.requiredInteger("PartitionNo")
+	req.Routing = routing.Request{Timeout: r.requiredDuration("Budget"), ExpectedWork: time.Duration(r.optionalInteger("Hint")),
 		Retry: r.flag("IsRetry"), Write: r.flag("Write")}
-	if v := r.get("TokenAgeMs"); v != nil {
-		req.Routing.TokenAge = time.Duration(math.Ceil(r.number("TokenAgeMs", v) * float64(time.Millisecond)))
+	if v := r.value("TokenAgeMs"); v != nil {
+		req.Routing.TokenAge = time.Duration(math.Ceil(r.parseNumber("TokenAgeMs", v) * float64(time.Millisecond)))
 	}
 }
 
+// attempt reads the fields of AttemptFinished.
 func (r *Reader) attempt(a *Attempt) {
-	a.Server = r.integer("Store")
-	a.Outcome = routing.AttemptOutcome{Result: choice(r, "Ending", r.required("Ending"), attemptResults), RequestFinished: r.flag("Closed"),
-		AttemptNumber: int(r.integer("Hop")), Latency: time.Duration(r.optional("Latency"))}
-	const roleBits = 2 // of a stamp: the lowest ones; the others are the position
-	stamp := r.optional("Stamp")
+	a.Server = r.requiredInteger("Store")
+	a.Outcome = routing.AttemptOutcome{Result: parseKeyword(r, "Ending", r.required("Ending"), attemptResults),
+		RequestFinished: r.flag("Closed"), AttemptNumber: int(r.requiredInteger("Hop")), Latency: time.Duration(r.optionalInteger("Latency"))}
+	const roleBits = 2 // the lowest bits of a stamp encode the role, the others the log position
+	stamp := r.optionalInteger("Stamp")
 	a.PositionMillis, a.Outcome.Role = stamp>>roleBits, routing.Role(stamp&(1<<roleBits-1))
 	if a.Outcome.Role > routing.Replica {
-		r.fail("Stamp", "names no role", ErrInvalidField)
+		r.fail("Stamp", "does not name a role", ErrInvalidField)
 	}
 	r.load(a)
 }
 
+// page reads the fields of EndpointPage and the entry lines that follow.
 func (r *Reader) page(p *Page) {
-	p.Number = int(r.integer("Page"))
-	n := r.integer("Elements")
+	p.Number = int(r.requiredInteger("Page"))
+	n := r.requiredInteger("Elements")
 	if p.Number < 0 || p.Number > MaxPage {
 		r.fail("Page", "is not within 0 to 15", ErrInvalidField)
 	}
@@ -165,30 +169,31 @@
 			return
 		}
 		if string(r.name) != "entry" {
-			r.err = &Error{Line: r.line, Problem: fmt.Sprintf("want entry, have %q", r.name), Cause: ErrUnknownEvent}
+			r.err = &Error{Line: r.line, Problem: fmt.Sprintf("expected entry, got %q", r.name), Cause: ErrUnknownEvent}
 			return
 		}
 		p.Entries = append(p.Entries, r.entry())
 	}
 }
 
+// entry reads the fields of an entry line.
 func (r *Reader) entry() Entry {
-	e := Entry{Server: r.integer("Store"), Group: r.integer("Db"), Zone: string(r.required("RegionPart")),
-		ServerType: string(r.required("Model")), State: choice(r, "State", r.required("State"), serverStates), Weight: 1,
-		StartedAt: r.optional("Born")}
-	if v := r.get("Nominal"); v != nil {
-		e.Weight = r.number("Nominal", v)
+	e := Entry{Server: r.requiredInteger("Store"), Group: r.requiredInteger("Db"), Zone: string(r.required("RegionPart")),
+		ServerType: string(r.required("Model")), State: parseKeyword(r, "State", r.required("State"), serverStates), Weight: 1,
+		StartedAt: r.optionalInteger("Born")}
+	if v := r.value("Nominal"); v != nil {
+		e.Weight = r.parseNumber("Nominal", v)
 	}
-	if v := r.get("Primary"); v != nil {
-		e.Primary = r.number("Primary", v) == 1
+	if v := r.value("Primary"); v != nil {
+		e.Primary = r.parseNumber("Primary", v) == 1
 	}
 	return e
 }
 
-// load reads a load report: name:value pairs with commas between.
+// load reads a load report, which consists of name:value pairs separated by commas.
 func (r *Reader) load(a *Attempt) {
 	l := deployment.EmptyLoad
-	rest := r.get("Pressure")
+	rest := r.value("Pressure")
 	for len(rest) > 0 {
 		var part []byte
 		part, rest, _ = bytes.Cut(rest, []byte(","))
@@ -197,7 +202,7 @@
 			r.fail("Pressure", fmt.Sprintf("has no value in %q", part), ErrInvalidField)
 			return
 		}
-		v := r.number("Pressure", value)
+		v := r.parseNumber("Pressure", value)
 		if string(name) == "x0" {
 			a.LoadPosition = v
 		}
@@ -206,7 +211,7 @@
 	a.Load = l
 }
 
-// readLine splits the next line into its name and fields. It returns io.EOF between lines.
+// readLine reads the next line and splits it into its name and fields. It returns io.EOF if the input ends at the end of a line.
 func (r *Reader) readLine() error {
 	r.line++
 	line, err := r.in.ReadSlice('\n')
@@ -220,7 +225,7 @@
 	}
 	if err != nil {
 		if errors.Is(err, io.EOF) && len(line) > 0 {
-			return &Error{Line: r.line, Problem: "cut off", Cause: ErrTruncated}
+			return &Error{Line: r.line, Problem: "truncated line", Cause: ErrTruncated}
 		}
 		return err
 	}
@@ -243,6 +248,7 @@
 	return nil
 }
 
+// noEOF converts io.EOF to io.ErrUnexpectedEOF.
 func noEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -250,6 +256,7 @@
 	return err
 }
 
+// The bench's keywords.
 var updateKinds = map[string]routing.UpdateKind{
 	"delta": routing.Delta, "full": routing.Snapshot, "cached": routing.CachedSnapshot, "failed": routing.UpdateFailed,
 }
--- a/wire/writer.go
+++ b/wire/writer.go
@@ -8,110 +8,113 @@
 	"strings"
 )
 
-// Writer writes actions, named by the methods of routing.Host. EndBatch ends the reply to a batch, flushes it, and returns
-// the first error of any write.
+// Writer writes actions. Its methods correspond to those of routing.Host. Write errors are returned by EndBatch.
 type Writer struct {
 	out    *bufio.Writer
-	digits []byte // of the latest number, kept so that a line allocates nothing
+	digits []byte // buffer for formatted numbers, so that writing a line does not allocate
 }
 
-const writeBuffer = 1 << 18
+const writeBuffer = 1 << 18 // bytes
 
-// NewWriter returns a Writer to w.
+// NewWriter returns a Writer that writes to w.
 func NewWriter(w io.Writer) *Writer { return &Writer{out: bufio.NewWriterSize(w, writeBuffer)} }
 
-// put writes a string. Its error stays with out, whose Flush in EndBatch returns it.
-func (w *Writer) put(s string) { _, _ = w.out.WriteString(s) }
+// writeString writes a string to out. out keeps the first error, and EndBatch returns it.
+func (w *Writer) writeString(s string) { _, _ = w.out.WriteString(s) }
 
-func (w *Writer) begin(action string, instance int) {
-	w.put(action)
+// beginAction writes the name of an action and the instance that performs it.
+func (w *Writer) beginAction(action string, instance int) {
+	w.writeString(action)
 	w.number("Front=front-", int64(instance))
 }
 
+// number writes a field with a number. name ends with "=".
 func (w *Writer) number(name string, n int64) {
-	w.put("\t")
-	w.put(name)
+	w.writeString("\t")
+	w.writeString(name)
 	w.digits = strconv.AppendInt(w.digits[:0], n, 10)
-	_, _ = w.out.Write(w.digits) // as put
+	_, _ = w.out.Write(w.digits) // out keeps the error, as in writeString
 }
 
+// text writes a field with a string. name ends with "=".
 func (w *Writer) text(name, v string) {
-	w.put("\t")
-	w.put(name)
-	w.put(v)
+	w.writeString("\t")
+	w.writeString(name)
+	w.writeString(v)
 }
 
-func (w *Writer) end() { w.put("\n") }
+// endLine ends the line of an action.
+func (w *Writer) endLine() { w.writeString("\n") }
 
-// StartAttempt sends a request to a server, with a timeout in nanoseconds.
+// StartAttempt sends a request to a server. The timeout is in nanoseconds; 0 stands for the request's own.
 func (w *Writer) StartAttempt(instance int, request string, server, timeout int64) {
-	w.begin("hand_off", instance)
+	w.beginAction("hand_off", instance)
 	w.text("Rid=", request)
 	w.number("Store=", server)
 	w.number("GiveUpAfter=", timeout)
-	w.end()
+	w.endLine()
 }
 
 // CancelAttempt cancels one attempt of a request.
 func (w *Writer) CancelAttempt(instance int, request string, attemptNumber int) {
-	w.begin("revoke", instance)
+	w.beginAction("revoke", instance)
 	w.text("Rid=", request)
 	w.number("Hop=", int64(attemptNumber))
-	w.end()
+	w.endLine()
 }
 
-// Reject ends a request: a retry is safe, after retryAfter nanoseconds where that is not 0.
+// Reject ends a request with the response that a retry is safe, after retryAfter nanoseconds if that is not 0.
 func (w *Writer) Reject(instance int, request string, retryAfter int64) {
-	w.begin("decline", instance)
+	w.beginAction("decline", instance)
 	w.text("Rid=", request)
 	if retryAfter > 0 {
 		w.number("RetryIn=", retryAfter)
 	}
-	w.end()
+	w.endLine()
 }
 
-// Fail ends a request that may have run.
+// Fail ends a request with the response that it may have run.
 func (w *Writer) Fail(instance int, request string) {
-	w.begin("lose", instance)
+	w.beginAction("lose", instance)
 	w.text("Rid=", request)
-	w.end()
+	w.endLine()
 }
 
-// SetTimer asks for a TimerFired event with the token after some nanoseconds.
+// SetTimer requests a TimerFired event with the given token after the given number of nanoseconds.
 func (w *Writer) SetTimer(instance int, after int64, token string) {
-	w.begin("timer", instance)
+	w.beginAction("timer", instance)
 	w.number("Delay=", after)
 	w.text("Token=", token)
-	w.end()
+	w.endLine()
 }
 
 // StartHealthCheck sends a health check to a server.
 func (w *Writer) StartHealthCheck(instance int, server int64) {
-	w.begin("sound_out", instance)
+	w.beginAction("sound_out", instance)
 	w.number("Store=", server)
-	w.end()
+	w.endLine()
 }
 
 // WatchEndpoints subscribes to the endpoint list, or ends the subscription.
 func (w *Writer) WatchEndpoints(instance int, on bool) {
-	w.begin("track", instance)
+	w.beginAction("track", instance)
 	n := int64(0)
 	if on {
 		n = 1
 	}
 	w.number("On=", n)
-	w.end()
+	w.endLine()
 }
 
-// FetchEndpoints asks for the whole endpoint list.
+// FetchEndpoints requests the whole endpoint list.
 func (w *Writer) FetchEndpoints(instance int) {
-	w.begin("query_all", instance)
-	w.end()
+	w.beginAction("query_all", instance)
+	w.endLine()
 }
 
-// SendGossip sends a message to a peer, to every peer where it is negative.
+// SendGossip sends a message to a peer, or to all peers if peer is negative.
 func (w *Writer) SendGossip(instance, peer int, message []byte) {
-	w.begin("write_peer", instance)
+	w.beginAction("write_peer", instance)
 	if peer < 0 {
 		w.text("Recipient=", "*")
 	} else {
@@ -122,30 +125,30 @@
 		v = hex.EncodeToString(message)
 	}
 	w.text("Contents=", v)
-	w.end()
+	w.endLine()
 }
 
-// oneLine replaces what would end a part or a line.
+// oneLine replaces the characters that separate fields or lines by spaces.
 var oneLine = strings.NewReplacer("\n", " ", "\r", " ", "\t", " ")
 
-// Log adds a line to the bench's report.
+// Log adds a message to the bench's report.
 func (w *Writer) Log(instance int, message string) {
-	w.begin("note_down", instance)
+	w.beginAction("note_down", instance)
 	w.text("Msg=", oneLine.Replace(message))
-	w.end()
+	w.endLine()
 }
 
 // Panic reports a panic of the router.
 func (w *Writer) Panic(instance int, message string) {
-	w.begin("panic", instance)
+	w.beginAction("panic", instance)
 	w.text("Msg=", oneLine.Replace(message))
-	w.end()
+	w.endLine()
 }
 
-// EndBatch ends the reply to a batch and flushes it.
+// EndBatch acknowledges a batch and flushes the actions. It returns the first error of any write.
 func (w *Writer) EndBatch(batch string) error {
-	w.put("ack")
+	w.writeString("ack")
 	w.text("batch=", batch)
-	w.end()
+	w.endLine()
 	return w.out.Flush()
 }
