--- a/tcpconn/tcpconn.go
+++ b/tcpconn/tcpconn.go
@@ -1,5 +1,5 @@
-// Package tcpconn has what the server of clients and the pools of server connections need of a TCP connection beyond package net:
-// whether input is pending, whether the other side has closed, and wakes by deadlines. It keeps no state.
+// Package tcpconn extends package net by functions on TCP connections that client connections and server connections need: checks for
+// pending input and for a close by the peer, and the interruption of blocked calls by deadlines. It has no state.
 package tcpconn
 
 import (
@@ -12,52 +12,54 @@
 	"golang.org/x/sys/unix"
 )
 
-// Past is a deadline that ends a blocked read or write at once.
+// Past is a deadline that ends blocked reads and writes immediately.
 var Past = time.Unix(1, 0)
 
-// IsTimeout reports whether a wait ended by a deadline that was set here. net.Error's Timeout would be true of ETIMEDOUT and EAGAIN
-// too, by which a broken connection or a call that failed for a moment may show.
+// IsTimeout reports whether a call ended by a deadline that this process set. The method Timeout of net.Error is not sufficient, because it
+// is also true for ETIMEDOUT and EAGAIN, which may be caused by a broken connection or a temporary failure.
 func IsTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
 
-// SetReadDeadline sets the deadline of reads; the zero time is none. It fails only on a closed connection, as the next read does.
+// SetReadDeadline sets the deadline of reads; the zero time means no deadline. It ignores the error, which occurs only on a closed
+// connection, where the next read fails as well.
 func SetReadDeadline(conn *net.TCPConn, at time.Time) { _ = conn.SetReadDeadline(at) }
 
-// SetWriteDeadline sets the deadline of writes; the zero time is none. It fails only on a closed connection, as the next write does.
+// SetWriteDeadline sets the deadline of writes; the zero time means no deadline. It ignores the error, which occurs only on a closed
+// connection, where the next write fails as well.
 func SetWriteDeadline(conn *net.TCPConn, at time.Time) { _ = conn.SetWriteDeadline(at) }
 
-// SetDeadline sets both deadlines.
+// SetDeadline sets the deadlines of reads and writes.
 func SetDeadline(conn *net.TCPConn, at time.Time) { _ = conn.SetDeadline(at) }
 
-// Wake ends a blocked read; its error is one of which IsTimeout holds.
+// Wake ends a blocked read. The read returns an error for which IsTimeout is true.
 func Wake(conn *net.TCPConn) { SetReadDeadline(conn, Past) }
 
-// Close closes a connection. There is nothing to do about an error: whatever it is, the descriptor is free.
+// Close closes a connection. It ignores the error, because the descriptor is released in any case.
 func Close(conn *net.TCPConn) { _ = conn.Close() }
 
-// CloseWrite ends this side's half; it fails only on a connection that the other side has reset.
+// CloseWrite closes the write half of a connection. It ignores the error, which occurs only if the peer has reset the connection.
 func CloseWrite(conn *net.TCPConn) { _ = conn.CloseWrite() }
 
-// Input is what is pending on a connection.
+// Input is the kind of input that is pending on a connection.
 type Input uint8
 
-// What may be pending.
+// Kinds of pending input.
 const (
 	NoInput     Input = iota
-	DataPending       // bytes
-	EndPending        // the end of the connection, or an error
+	DataPending       // at least one byte
+	EndPending        // the end of the stream, or an error
 )
 
-// Peek returns what is pending, whatever the read deadline is: between a deadline and what follows it a busy machine lets time
-// pass.
+// Peek returns the kind of input that is pending, without consuming it. It ignores the read deadline, because input may arrive after the
+// deadline has ended a read and before the caller reacts.
 func Peek(conn *net.TCPConn) Input {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return EndPending
 	}
 	pending := EndPending
-	_ = raw.Control(func(fd uintptr) { // it fails on a closed connection, whose end is pending
+	_ = raw.Control(func(fd uintptr) { // an error means that the connection is closed, so EndPending is right
 		var first [1]byte
-		n, err := uninterrupted(func() (int, error) {
+		n, err := retryInterrupted(func() (int, error) {
 			n, _, err := syscall.Recvfrom(int(fd), first[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 			return n, err
 		})
@@ -71,8 +73,8 @@
 	return pending
 }
 
-// AwaitHangup blocks until the other side has closed a connection, whatever it sent before and nobody has read; then it
-// returns nil. It wakes for each change of the connection and returns an error at the read deadline.
+// AwaitHangup blocks until the peer has closed the connection, and then returns nil. Unread input from the peer does not matter. It checks
+// the connection at each change of its state, and returns an error at the read deadline.
 func AwaitHangup(conn *net.TCPConn) error {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -81,29 +83,29 @@
 	return raw.Read(hungUp)
 }
 
-// PeerMonitor reports whether the other side of a connection has closed it, whatever it sent before and nobody has read. It may be asked
-// from any goroutine, also after the connection was closed here.
+// PeerMonitor reports whether the peer of a connection has closed it. Unread input from the peer does not matter. It may be used from any
+// goroutine, also after the connection was closed locally.
 type PeerMonitor struct{ raw syscall.RawConn }
 
 // NewPeerMonitor returns the PeerMonitor of a connection.
 func NewPeerMonitor(raw syscall.RawConn) *PeerMonitor { return &PeerMonitor{raw} }
 
-// Disconnected implements front.ClientConnection. A connection that was closed here counts as closed by the other side.
+// Disconnected implements front.ClientConnection. It returns true for a connection that was closed locally.
 func (p *PeerMonitor) Disconnected() bool {
 	gone := true
 	_ = p.raw.Control(func(fd uintptr) { gone = hungUp(fd) })
 	return gone
 }
 
-// hungUp reports whether the other side has closed.
+// hungUp reports whether the peer has closed the connection or it has failed.
 func hungUp(fd uintptr) bool {
 	p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-	n, err := uninterrupted(func() (int, error) { return unix.Poll(p, 0) })
+	n, err := retryInterrupted(func() (int, error) { return unix.Poll(p, 0) })
 	return err == nil && n > 0
 }
 
-// uninterrupted repeats a system call until no signal interrupts it.
-func uninterrupted(call func() (int, error)) (n int, err error) {
+// retryInterrupted repeats a system call for as long as signals interrupt it (EINTR).
+func retryInterrupted(call func() (int, error)) (n int, err error) {
 	for {
 		if n, err = call(); !errors.Is(err, syscall.EINTR) {
 			return n, err
--- a/tcpconn/tcpconn_test.go
+++ b/tcpconn/tcpconn_test.go
@@ -11,7 +11,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Only a deadline set here is a timeout: a broken connection that shows as ETIMEDOUT, or a call that would block, is not.
+// Only a deadline that this process set is a timeout. A broken connection that is reported as ETIMEDOUT is not, nor is a call that would
+// block.
 func TestIsTimeoutOnlyForOwnDeadline(t *testing.T) {
 	for err, want := range map[error]bool{
 		os.ErrDeadlineExceeded: true, syscall.ETIMEDOUT: false, syscall.EAGAIN: false, syscall.EHOSTUNREACH: false, io.EOF: false,
@@ -21,11 +22,11 @@
 	}
 }
 
-// A call that signals interrupt is repeated; what it then returns is passed on.
+// A system call that signals interrupt is repeated, and the result of the last call is returned.
 func TestInterruptedCallIsRepeated(t *testing.T) {
 	for _, last := range []error{nil, syscall.EAGAIN, syscall.ENOMEM} {
 		calls := 0
-		n, err := uninterrupted(func() (int, error) {
+		n, err := retryInterrupted(func() (int, error) {
 			if calls++; calls <= 3 {
 				return -1, syscall.EINTR
 			}
