--- a/adapter/adapter_test.go
+++ b/adapter/adapter_test.go
@@ -76,13 +76,14 @@
 		cause error
 	}{
 		requestEvent: {"front-0, which is not running", ErrUnknownInstance},
-		startEvents + "ping_result\tFront=front-0\tStore=71\tEnding=success\n":           {"field Store: 71", ErrUnknownID},
-		startEvents + "targets\tFront=front-0\tKind=full\tEpoch=2\tPage=3\n":             {"field Page: page 3 was not received", ErrUnknownID},
+		startEvents + "ping_result\tFront=front-0\tStore=71\tEnding=success\n": {"field Store: 71", ErrUnknownID},
+		startEvents + "targets\tFront=front-0\tKind=full\tEpoch=2\tPage=3\n": {"field Page: page 3 was not received",
+			ErrUnknownID},
 		startEvents + strings.Replace(requestEvent, "Qos=r", "Qos=s", 1):                 {"field Qos: \"s\"", ErrUnknownID},
 		startEvents + "resolved\tFront=front-0\tRid=c:b\tStore=70\tHop=0\tEnding=void\n": {"field Rid: request c:b", ErrUnknownID},
 		startEvents + requestEvent + requestEvent:                                        {"field Rid: request c:a is already in flight", ErrDuplicateID},
 		"mark\tClock=5\tbatch=2\n":                                                       {"batch 1: mark within a batch", ErrBatchOrder},
-		"your_turn\n" + requestEvent:                                                     {"event outside a batch", ErrBatchOrder},
+		"your_turn\n" + requestEvent:                                                     {"event outside a batch, before a mark", ErrBatchOrder},
 		"what\tFront=front-0\n":                                                          {"unknown event", wire.ErrUnknownEvent},
 	} {
 		_, err := run(batch)
--- a/front/core.go
+++ b/front/core.go
@@ -33,13 +33,13 @@
 
 // Pools sends attempts to servers over pooled connections. Its methods do not block.
 type Pools interface {
-	SetAddress(server int, address string, uptime time.Duration)
+	SetAddress(server int, address string, uptime time.Duration) // uptime is the time since the server's last start
 	Send(server int, a *Attempt)
 	Remove(server int)
 }
 
-// EndpointSource is the discovery client. Watch turns the subscription to the endpoint list on or off, Fetch requests the whole list;
-// results arrive as EndpointsChanged events. The methods do not block.
+// EndpointSource obtains the endpoint list, by subscription or by polling. Watch turns the subscription on or off, and Fetch requests the
+// whole list. Results arrive as EndpointsChanged events. The methods do not block.
 type EndpointSource interface {
 	Watch(on bool)
 	Fetch()
--- a/front/core_test.go
+++ b/front/core_test.go
@@ -311,7 +311,7 @@
 	assert.Equal(t, before+1, router.reconciled)
 }
 
-// A statement error is the same at every server. If it were retried, the router would count a failure of each server that it tried.
+// Every server returns the same error for such a statement. If it were retried at ten servers, the router would count ten failures.
 func TestStatementErrorIsFinal(t *testing.T) {
 	for _, code := range []string{"42601", "08P01", "22P02"} {
 		t.Run(code, func(t *testing.T) {
--- a/front/lease.go
+++ b/front/lease.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// renewLease extends the lease of a version. If that version is the current one, it also ends the standby. The lease of an older version
-// is not renewed once a sender has found it expired.
+// renewLease extends the lease of a version. If that version is the current one, it also ends the standby. It ignores an expiry that has
+// passed or is not later than the present one. The lease of an older version is not renewed once a sender has found it expired.
 func (c *Core) renewLease(now time.Duration, v *configVersion, until time.Duration) {
 	current := v == c.versions.current
 	if until <= now || int64(until) <= v.lease.expiry.Load() || v.lease.foundExpired.Load() && !current {
--- a/front/request.go
+++ b/front/request.go
@@ -13,8 +13,8 @@
 // Client receives the response of a request. Respond must not block.
 type Client interface{ Respond(Response) }
 
-// ConnectedClient is a Client whose connection state can be queried. After a delay, the core handles the accumulated events one by one,
-// so a client may have disconnected before the core handles its ClientGone event.
+// ConnectedClient is a Client whose connection state can be queried. If the front was delayed, it handles the accumulated events in no
+// particular order, so a client may have disconnected although its ClientGone event has not been posted or handled yet.
 type ConnectedClient interface{ Connection() ClientConnection }
 
 // ClientConnection reports whether the client has closed its connection. Disconnected does not block and may be called from any
--- a/front/result.go
+++ b/front/result.go
@@ -43,7 +43,7 @@
 // AttemptFinished is the event that an attempt has received a server's response, or that its connection has failed.
 type AttemptFinished struct {
 	Attempt *Attempt
-	Answer  pgwire.QueryResult // if Err is nil
+	Answer  pgwire.QueryResult // valid if Err is nil
 	Err     *ConnectionError
 
 	Remote       bool          // the response comes from another site
--- a/front/servers.go
+++ b/front/servers.go
@@ -28,7 +28,7 @@
 	startedAt  int64  // in Unix milliseconds; 0 if unknown
 	serving    bool   // the endpoint list permits new work
 	remote     bool   // represents another site
-	failing    bool   // the last result was a failure to reach the server; used for the log
+	failing    bool   // the last result was Unreachable, ConnectionLost or TimedOut; used for the log
 	generation uint32 // number of times that the index was released
 }
 
--- a/wire/event.go
+++ b/wire/event.go
@@ -66,7 +66,7 @@
 	Settings *deployment.Settings
 }
 
-// Page is a set of endpoints that the bench transmits once. Endpoint updates refer to it by its number.
+// Page is a page of the endpoint list. Endpoint updates refer to it by its number.
 type Page struct {
 	Number  int // 0 to MaxPage
 	Entries []Entry
