--- a/fleet/disk/audit_logs.go
+++ b/fleet/disk/audit_logs.go
@@ -16,17 +16,17 @@
 	"dapplerouter/fleet/audit"
 )
 
-// AuditLogs reads the audit logs of many fronts from folders: a front's own, or one to which logs were exported or collected. It
-// implements audit.Files.
+// AuditLogs reads the audit logs of many fronts from directories: a front's own log directory, or one to which segments were exported or
+// collected. It implements audit.LogSource.
 type AuditLogs struct {
-	Conflicts []audit.Finding // segments of which there are two copies that differ
+	Conflicts []audit.Finding // one for each segment that has two copies with different content
 
-	names []string          // of all segments, sorted
-	dirs  map[string]string // by segment
+	names []string          // names of all segments, sorted
+	dirs  map[string]string // directory of the copy to read, by segment name
 }
 
-// OpenAuditLogs looks for segments in folders and in those below them. Of a segment with two copies the longer one is read, where it
-// continues the other; two that differ are a conflict.
+// OpenAuditLogs finds all segments in directories and their subdirectories. If a segment has two copies and one continues the other, the
+// longer copy is used. If their contents differ otherwise, the segment is added to Conflicts.
 func OpenAuditLogs(dirs ...string) (*AuditLogs, error) {
 	l := &AuditLogs{dirs: map[string]string{}}
 	for _, dir := range dirs {
@@ -37,7 +37,7 @@
 			if _, _, ok := audit.ParseLogName(d.Name()); !ok {
 				return nil
 			}
-			return l.add(strings.TrimSuffix(d.Name(), audit.LogSuffix), path)
+			return l.addSegment(strings.TrimSuffix(d.Name(), audit.LogSuffix), path)
 		})
 		if err != nil {
 			return nil, err
@@ -47,8 +47,8 @@
 	return l, nil
 }
 
-// add adds a segment, or a further copy of one.
-func (l *AuditLogs) add(name, path string) error {
+// addSegment adds a segment, or another copy of a known segment. path is its log file.
+func (l *AuditLogs) addSegment(name, path string) error {
 	dir, known := l.dirs[name]
 	if !known {
 		l.dirs[name] = filepath.Dir(path)
@@ -69,7 +69,8 @@
 		l.Conflicts = append(l.Conflicts, audit.Finding{
 			Segment:   name,
 			Violation: true,
-			Message:   "two copies differ, in " + dir + " and " + filepath.Dir(path) + ": two fronts of one name, or a log restored from an old copy",
+			Message: "two copies differ, in " + dir + " and " + filepath.Dir(path) + ":" +
+				" two fronts have the same name, or a log was restored from an old copy",
 		})
 	}
 	return nil
@@ -78,29 +79,29 @@
 // Names returns the names of all segments, sorted.
 func (l *AuditLogs) Names() []string { return l.names }
 
-// Lines returns the content of a segment's file of lines.
+// Lines returns the content of a segment's log file.
 func (l *AuditLogs) Lines(name string) ([]byte, error) {
 	return os.ReadFile(filepath.Join(l.dirs[name], name+audit.LogSuffix))
 }
 
-// IDs returns the content of a segment's index.
+// IDs returns the content of a segment's index file.
 func (l *AuditLogs) IDs(name string) ([]byte, error) {
 	return os.ReadFile(filepath.Join(l.dirs[name], name+audit.IndexSuffix))
 }
 
-// Match is an interval in which a front took a request of an id.
+// Match is an interval during which a front probably accepted a request with a given id.
 type Match struct {
 	Segment     string
-	Interval    uint32 // its number
-	IndexOffset int64  // of the interval's part of the index, in bytes
+	Interval    uint32 // number of the interval
+	IndexOffset int64  // position of the interval's part in the index file, in bytes
 }
 
-// indexHeadBytes is the size of the head of an interval's part of the index.
+// indexHeadBytes is the size of the header of an interval's part of the index.
 var indexHeadBytes = audit.IndexSize(0)
 
-// Find looks for a request's id in all indexes, in as many goroutines as there are processors. An interval of n requests that did not
-// take it is returned by mistake with a chance of n in 2^40. unread are the segments whose index could not be searched to its end: the
-// request may be there.
+// Find searches all indexes for a request's id, on one goroutine per available processor. An interval of n requests that does not contain
+// the id is returned as a false match with a probability of n in 2^40. unread lists the segments whose index could not be searched
+// completely: the request may be in one of them.
 func (l *AuditLogs) Find(id string) (matches []Match, unread []audit.Finding) {
 	hash := audit.HashID([]byte(id))
 	var mu sync.Mutex // guards matches and unread
@@ -109,7 +110,7 @@
 	for range runtime.GOMAXPROCS(0) {
 		workers.Go(func() {
 			for name := range names {
-				found, err := l.find(name, hash)
+				found, err := l.findInSegment(name, hash)
 				mu.Lock()
 				matches = append(matches, found...)
 				if err != nil {
@@ -129,10 +130,11 @@
 	return matches, unread
 }
 
-// find looks for a hash in a segment's index. A segment that was removed since OpenAuditLogs has none. What the index holds behind the
-// segment's lines is of a line that is not written yet, or never was.
-func (l *AuditLogs) find(name string, hash uint64) (matches []Match, err error) {
-	needed, err := indexBytesOf(filepath.Join(l.dirs[name], name+audit.LogSuffix))
+// findInSegment searches a segment's index for a hash. A segment that was removed after OpenAuditLogs has no matches. The index may
+// extend beyond the intervals that the log file records: those parts belong to a line that is not written yet or was never written, and
+// an error in them is ignored.
+func (l *AuditLogs) findInSegment(name string, hash uint64) (matches []Match, err error) {
+	needed, err := requiredIndexBytes(filepath.Join(l.dirs[name], name+audit.LogSuffix))
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
 	}
@@ -146,20 +148,22 @@
 	if err != nil {
 		return nil, fmt.Errorf("the index can't be read: %w", err)
 	}
-	defer func() { _ = f.Close() }() // it was read
+	defer func() { _ = f.Close() }() // opened for reading only
 	matches, end, err := searchIndex(f, name, hash)
 	if err == nil && end < needed {
 		err = errIndexIncomplete
 	}
 	if err != nil && end < needed {
-		return matches, fmt.Errorf("the index can't be read behind byte %d of %d: %w", end, needed, err)
+		return matches, fmt.Errorf("the index can't be read after byte %d of %d: %w", end, needed, err)
 	}
 	return matches, nil
 }
 
-var errIndexIncomplete = errors.New("it ends there, or is damaged")
+// errIndexIncomplete reports an index that is shorter than the log file requires, or has an invalid header.
+var errIndexIncomplete = errors.New("it ends there or is damaged")
 
-// searchIndex looks for a hash in an index, part by part. end is behind the last part that was searched.
+// searchIndex searches an index for a hash, interval by interval. end is the end of the last interval's part that was searched. The
+// search ends without an error at the end of the file or at an invalid header, and with an error at an incomplete part.
 func searchIndex(f io.ReaderAt, name string, hash uint64) (matches []Match, end int64, err error) {
 	var buffer [512]byte
 	read := func(offset int64, n int) ([]byte, error) {
@@ -180,7 +184,7 @@
 			return matches, end, nil
 		}
 		next := end + audit.IndexSize(ids)
-		if _, err := f.ReadAt(buffer[:1], next-1); err != nil { // the part is not there to its end
+		if _, err := f.ReadAt(buffer[:1], next-1); err != nil { // the part is incomplete
 			return matches, end, err
 		}
 		found, err := audit.FindID(hash, ids, end+indexHeadBytes, read)
@@ -194,21 +198,23 @@
 	}
 }
 
-// tailBytes is how much of a segment is read at first to find the last interval.
-const tailBytes = 16 << 10
+// initialTailBytes is how much of the end of a log file is read first to find its last interval; each further attempt reads four times as
+// much.
+const initialTailBytes = 16 << 10
 
-// indexBytesOf returns how many bytes of index a segment's lines tell of, by the last interval among them.
-func indexBytesOf(path string) (int64, error) {
+// requiredIndexBytes returns the size that a segment's index must have at least, according to the last interval line in the log file at
+// path.
+func requiredIndexBytes(path string) (int64, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = f.Close() }() // it was read
+	defer func() { _ = f.Close() }() // opened for reading only
 	info, err := f.Stat()
 	if err != nil {
 		return 0, err
 	}
-	for size := min(info.Size(), tailBytes); size > 0; size = min(info.Size(), 4*size) {
+	for size := min(info.Size(), initialTailBytes); size > 0; size = min(info.Size(), 4*size) {
 		tail := make([]byte, size)
 		if _, err := f.ReadAt(tail, info.Size()-size); err != nil && !errors.Is(err, io.EOF) {
 			return 0, err
@@ -220,7 +226,8 @@
 	return 0, nil
 }
 
-// lastIndexEnd returns where the index of the last interval among lines ends, 0 for none. Lines that can't be read are passed over.
+// lastIndexEnd returns where the part of the index ends that belongs to the last interval line in text, 0 if there is none. Lines that
+// can't be parsed are skipped.
 func lastIndexEnd(text []byte) int64 {
 	for len(text) > 0 {
 		begin := bytes.LastIndexByte(bytes.TrimSuffix(text, []byte{'\n'}), '\n') + 1
--- a/fleet/disk/audit_logs_bench_test.go
+++ b/fleet/disk/audit_logs_bench_test.go
@@ -11,8 +11,9 @@
 	"dapplerouter/fleet/audit"
 )
 
-// BenchmarkFind measures how long it takes to find a request in the logs of FIND_FRONTS fronts of a day: an interval each 30 s, of 10
-// requests a second. It writes 1.3 GB for 300 fronts, so it needs a folder: FIND_DIR.
+// BenchmarkFind measures how long it takes to find a request in one day's audit logs of FIND_FRONTS fronts (default 300). Each front has
+// an interval every 30 s with 300 requests, 10 per second. The logs of 300 fronts take 1.3 GB, so the benchmark needs a directory,
+// FIND_DIR, in which it keeps them between runs.
 func BenchmarkFind(b *testing.B) {
 	dir := os.Getenv("FIND_DIR")
 	if dir == "" {
--- a/fleet/disk/doc.go
+++ b/fleet/disk/doc.go
@@ -1,7 +1,8 @@
-// Package disk is a front's files in a fleet: a voter's state (VoterFile) and the audit log (Segments to write it, AuditLogs to read
-// many). It decides nothing.
+// Package disk stores a front's files in a fleet: the durable state of a voter (VoterFile) and the audit log (Segments writes it,
+// AuditLogs reads the logs of many fronts). It makes no decisions for the fleet.
 //
-// A VoterFile is one bbolt file, owned by one process at a time: what Save returned nil for is there after any crash, and a file that
-// is damaged, of another voter or in use is an error, never an empty voter. A Segments owns the open segment of one front; a closed
-// segment never changes. Files that appear under their final name (exports, collected segments, the version file) are complete.
+// A VoterFile is one bbolt file, which one process at a time has open. What a successful Save wrote survives any crash. A file that is
+// damaged, belongs to another voter or is in use is an error; it is never treated as the file of an empty voter. A Segments owns the open
+// segment of one front; a closed segment never changes. Files that appear under their final name (exported segments, collected segments,
+// the version file) are complete.
 package disk
--- a/fleet/disk/errors.go
+++ b/fleet/disk/errors.go
@@ -5,20 +5,22 @@
 	"fmt"
 )
 
-// Errors that an operator acts on, to be tested for with errors.Is.
+// Errors that an operator has to act on. Test for them with errors.Is.
 var (
 	ErrVoterFileInUse   = errors.New("in use by another process")
 	ErrVoterFileDamaged = errors.New("damaged")
-	ErrSegmentConflict  = errors.New("there is a file of this name with other content")
+	ErrSegmentConflict  = errors.New("a file of this name with different content already exists")
 )
 
-// replaceVoterRemedy is what an operator does about a damaged file: a voter that forgot a vote must not rejoin by its name.
-const replaceVoterRemedy = "move it away and add a voter of a new name"
+// replaceVoterRemedy tells an operator what to do about a damaged file. The voter must not rejoin under its old name, since it may have
+// forgotten a vote.
+const replaceVoterRemedy = "move it away and add a voter with a new name"
 
-// OtherVoterError says that a file belongs to another voter, or to a voter of another fleet. Both are FLEET/VOTER.
+// OtherVoterError reports that a file belongs to another voter, or to a voter of another fleet. Owner and Voter have the form
+// FLEET/VOTER.
 type OtherVoterError struct{ Owner, Voter string }
 
 // Error implements error.
 func (e OtherVoterError) Error() string {
-	return fmt.Sprintf("it belongs to %s, and this is %s: name another file", e.Owner, e.Voter)
+	return fmt.Sprintf("it belongs to %s, but this voter is %s: configure another file", e.Owner, e.Voter)
 }
--- a/fleet/disk/files.go
+++ b/fleet/disk/files.go
@@ -10,11 +10,11 @@
 	"dapplerouter/fleet/audit"
 )
 
-// ExportSegment copies a closed segment into a folder, once: under its own name, complete or not at all. One that is there already with
-// the same content counts as exported, so that an export whose end was not seen may be repeated; one with other content is an
-// ErrSegmentConflict and stays as it is.
+// ExportSegment copies the two files of a closed segment from directory dir to directory to, under the same names. Each file appears
+// there complete or not at all. A copy that already exists with the same content counts as exported, so an export of unknown outcome can
+// be repeated. If a copy exists with different content, the error is ErrSegmentConflict and the copy is left unchanged.
 func ExportSegment(dir, name, to string) error {
-	for _, suffix := range []string{audit.IndexSuffix, audit.LogSuffix} { // the lines last: a reader that finds them finds the index
+	for _, suffix := range []string{audit.IndexSuffix, audit.LogSuffix} { // the log file last: a reader that finds it also finds the index
 		b, err := os.ReadFile(filepath.Join(dir, name+suffix))
 		if err == nil {
 			err = WriteOnce(to, name+suffix, b)
@@ -26,7 +26,8 @@
 	return nil
 }
 
-// WriteOnce writes a file into a folder, complete or not at all; see ExportSegment.
+// WriteOnce writes a new file into directory to, complete or not at all. It succeeds if the file already exists with the same content. If
+// the file exists with different content, the error is ErrSegmentConflict and the file is left unchanged.
 func WriteOnce(to, name string, b []byte) error {
 	path := filepath.Join(to, name)
 	existing, err := os.ReadFile(path)
@@ -34,7 +35,8 @@
 	case err == nil && bytes.Equal(existing, b):
 		return nil
 	case err == nil:
-		return fmt.Errorf("%s: %w: two fronts of one name, or a log restored from an old copy; move it away to continue", path, ErrSegmentConflict)
+		return fmt.Errorf("%s: %w: two fronts have the same name, or a log was restored from an old copy; move the file away to continue",
+			path, ErrSegmentConflict)
 	case !errors.Is(err, os.ErrNotExist):
 		return err
 	}
@@ -42,8 +44,8 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.Remove(temporary) }()      // its content stands under the final name, or is not wanted
-	if err := os.Link(temporary, path); err != nil { // unlike a rename, it never replaces a file
+	defer func() { _ = os.Remove(temporary) }()      // either its content is linked under the final name, or it is not needed
+	if err := os.Link(temporary, path); err != nil { // unlike a rename, a link never replaces a file
 		return err
 	}
 	d, err := os.Open(to)
@@ -53,20 +55,20 @@
 	return err
 }
 
-// ReplaceFile writes a file in another's place, complete or not at all.
+// ReplaceFile writes a file, replacing an existing one atomically: path has either the old or the complete new content.
 func ReplaceFile(path string, b []byte) error {
 	temporary, err := writeTemporary(filepath.Dir(path), b)
 	if err != nil {
 		return err
 	}
 	if err := os.Rename(temporary, path); err != nil {
-		_ = os.Remove(temporary) // it is not wanted
+		_ = os.Remove(temporary) // the old file stays in use
 		return err
 	}
 	return nil
 }
 
-// writeTemporary writes a file through under a name of its own; on an error there is none.
+// writeTemporary writes b to a new temporary file in dir, syncs it and returns its path. After an error no temporary file is left.
 func writeTemporary(dir string, b []byte) (path string, err error) {
 	f, err := os.CreateTemp(dir, ".coming-*")
 	if err != nil {
@@ -74,7 +76,7 @@
 	}
 	_, err = f.Write(b)
 	if err = errors.Join(err, f.Sync(), f.Close()); err != nil {
-		_ = os.Remove(f.Name()) // the first error counts
+		_ = os.Remove(f.Name()) // only the first error is reported
 	}
 	return f.Name(), err
 }
--- a/fleet/disk/format_test.go
+++ b/fleet/disk/format_test.go
@@ -18,18 +18,18 @@
 	"dapplerouter/front"
 )
 
-// The files in testdata were written by version 0.3.0, and are never written again: programs of two versions read each other's files.
+// The files in testdata were written by version 0.3.0 and must not be regenerated: processes of two versions read each other's files.
 
-// sameAsFile compares bytes with a file of testdata.
-func sameAsFile(t *testing.T, name string, got []byte) {
+// assertMatchesFile compares bytes with a file of testdata.
+func assertMatchesFile(t *testing.T, name string, got []byte) {
 	t.Helper()
 	want, err := os.ReadFile(filepath.Join("testdata", name))
 	require.NoError(t, err)
 	assert.Equal(t, string(want), string(got), name)
 }
 
-// copyOf copies a file of testdata, since opening it writes to it.
-func copyOf(t *testing.T, name string) (path string) {
+// copyTestdata copies a file of testdata to a temporary directory, since opening the file writes to it.
+func copyTestdata(t *testing.T, name string) (path string) {
 	t.Helper()
 	b, err := os.ReadFile(filepath.Join("testdata", name))
 	require.NoError(t, err)
@@ -38,7 +38,8 @@
 	return path
 }
 
-// voterWrites are the writes of the voter k1 of fleet x, each with all kinds of data, that made testdata/voter.db.
+// voterWrites returns the disk writes that produced testdata/voter.db, the file of voter k1 of fleet x. Together they contain every kind
+// of data.
 func voterWrites() []*fleet.DiskWrite {
 	return []*fleet.DiskWrite{
 		{Snapshot: &pb.Snapshot{Data: []byte("state"), Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(300), Term: proto.Uint64(4),
@@ -50,7 +51,7 @@
 }
 
 func TestVoterFileOfVersion030IsRead(t *testing.T) {
-	f, s, err := OpenVoterFile(copyOf(t, "voter.db"), "x", "k1")
+	f, s, err := OpenVoterFile(copyTestdata(t, "voter.db"), "x", "k1")
 	require.NoError(t, err)
 	defer f.Close()
 	writes := voterWrites()
@@ -72,13 +73,13 @@
 		require.NoError(t, f.Save(w))
 	}
 	require.NoError(t, f.Close())
-	got, want := dumped(t, path), dumped(t, copyOf(t, "voter.db"))
+	got, want := dumpVoterFile(t, path), dumpVoterFile(t, copyTestdata(t, "voter.db"))
 	assert.Equal(t, want, got)
-	sameAsFile(t, "voter.txt", []byte(got))
+	assertMatchesFile(t, "voter.txt", []byte(got))
 }
 
-// dumped is a voter's file as text: a line for each key of each bucket.
-func dumped(t *testing.T, path string) string {
+// dumpVoterFile returns the content of a voter file as text: one line for each key of each bucket.
+func dumpVoterFile(t *testing.T, path string) string {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true})
 	require.NoError(t, err)
@@ -124,7 +125,7 @@
 	for _, end := range []string{audit.LogSuffix, audit.IndexSuffix} {
 		got, err := os.ReadFile(filepath.Join(dir, "n1.00000001"+end))
 		require.NoError(t, err)
-		sameAsFile(t, "n1.00000001"+end, got)
+		assertMatchesFile(t, "n1.00000001"+end, got)
 	}
 }
 
--- a/fleet/disk/segments.go
+++ b/fleet/disk/segments.go
@@ -13,55 +13,58 @@
 	"dapplerouter/fleet/audit"
 )
 
-// Bounds of a segment's files together, in bytes.
+// Minimum and default of the size at which a segment is closed: the size of its log file and its index together, in bytes.
 const (
 	MinSegmentBytes     = 4 << 10
 	DefaultSegmentBytes = 1 << 20
 )
 
-// Segments writes a front's audit log: segments of lines, each with an index beside it. A segment is closed at a size, and the oldest
-// are removed where the log is over its size. Lines that can't be written are counted, and recorded as a gap before the next one.
+// Segments writes a front's audit log as a sequence of segments. Each segment has a log file, which holds the lines, and an index file. A
+// segment is closed once it reaches segmentBytes. The oldest segments are removed when the log exceeds maxTotalBytes. Lines that can't be
+// written are counted and recorded as a gap before the next line.
 //
-// Reasons and errors that are recorded as lines stand in files that operators' tools read.
+// Reasons and errors that are recorded in lines are part of files that operators' tools read, so their texts must not change.
 type Segments struct {
-	Stamp func(l *audit.Line) // completes a line of the Segments' own with its front; set it before the first write
+	Stamp func(l *audit.Line) // adds the front's name and the like to lines that Segments generates; set it before the first write
 
 	dir, front    string
 	segmentBytes  int64
 	maxTotalBytes int64
 
-	mu          sync.Mutex // guards the fields below
-	chain       audit.HashChain
-	number      uint64      // of the open segment, or of the last one
-	open        openSegment // none after an error, until the next write
-	gap         gap
-	removedTail int64    // bytes that were cut off at the start, and are not recorded yet
-	lastDate    int64    // of the last line, Unix microseconds
-	sealed      []string // names of closed segments, without suffix, oldest first
+	mu             sync.Mutex // guards the fields below
+	chain          audit.HashChain
+	number         uint64      // number of the open segment, or of the last one if none is open
+	open           openSegment // empty after an error, until the next write opens a segment
+	gap            gap
+	truncatedBytes int64    // bytes truncated by OpenSegments and not recorded in the log yet
+	lastLineAt     int64    // time of the last line, Unix microseconds
+	sealed         []string // names of closed segments, without suffix, oldest first
 }
 
 // openSegment is the segment that lines are appended to.
 type openSegment struct {
-	log, index           *os.File // nil where none is open
+	log, index           *os.File // nil if no segment is open
 	logBytes, indexBytes int64
 }
 
-// gap is lines that could not be written and are not recorded yet.
+// gap counts lines that could not be written and are not recorded in the log yet.
 type gap struct {
 	lines  uint64
-	reason string // of the last one
+	reason string // why the last of them was lost
 }
 
+// add counts lines that were lost for a reason.
 func (g *gap) add(lines uint64, reason string) {
 	g.lines += lines
 	g.reason = reason
 }
 
-// OpenSegments opens a front's audit log in a folder, which is made where it does not exist. An incomplete last line is cut off, and
-// recorded in the first line of the new segment. The error names the folder and the file.
+// OpenSegments opens a front's audit log in a directory, creates the directory if necessary, and starts a new segment. If a crash left an
+// incomplete last line, it is truncated and the truncation is recorded before the first line that is written. The error names the
+// directory or the file.
 func OpenSegments(dir, front string, segmentBytes, maxTotalBytes int64) (*Segments, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return nil, fmt.Errorf("audit folder: %w", err)
+		return nil, fmt.Errorf("audit directory: %w", err)
 	}
 	s := &Segments{Stamp: func(*audit.Line) {}, dir: dir, front: front, segmentBytes: segmentBytes, maxTotalBytes: maxTotalBytes}
 	names, err := ListSegments(dir, front)
@@ -69,17 +72,18 @@
 		return nil, err
 	}
 	s.sealed = names
-	if err := s.resume(names); err != nil {
+	if err := s.resumeChain(names); err != nil {
 		return nil, err
 	}
-	return s, s.begin()
+	return s, s.openNext()
 }
 
-// ListSegments returns the names, without suffix, of a front's segments in a folder, oldest first; of all fronts for "".
+// ListSegments returns the names, without suffix, of a front's segments in a directory, sorted by name and so oldest first. An empty
+// front selects the segments of all fronts.
 func ListSegments(dir, front string) (names []string, err error) {
 	all, err := os.ReadDir(dir)
 	if err != nil {
-		return nil, fmt.Errorf("audit folder: %w", err)
+		return nil, fmt.Errorf("audit directory: %w", err)
 	}
 	for _, e := range all {
 		if f, _, ok := audit.ParseLogName(e.Name()); ok && (front == "" || f == front) {
@@ -90,11 +94,12 @@
 	return names, nil
 }
 
-// resume continues the hash chain behind the last line. A crash behind a start may have left segments without one.
-func (s *Segments) resume(names []string) error {
+// resumeChain continues the hash chain after the last complete line of the existing segments. More than one segment may have no complete
+// line: each process that crashes soon after its start leaves one.
+func (s *Segments) resumeChain(names []string) error {
 	for i, name := range slices.Backward(names) {
 		if i == len(names)-1 {
-			_, s.number, _ = audit.ParseLogName(name + audit.LogSuffix) // it is one of ListSegments
+			_, s.number, _ = audit.ParseLogName(name + audit.LogSuffix) // ListSegments returns only names that parse
 		}
 		found, err := s.recoverSegment(name)
 		if found || err != nil {
@@ -104,7 +109,8 @@
 	return nil
 }
 
-// recoverSegment cuts off what a crash left incomplete in a segment, and reports whether the hash chain continues behind a line of it.
+// recoverSegment truncates what a crash left incomplete at the end of a segment. found reports whether the segment has a complete line;
+// the hash chain then continues after the last one.
 func (s *Segments) recoverSegment(name string) (found bool, err error) {
 	path := filepath.Join(s.dir, name+audit.LogSuffix)
 	b, err := os.ReadFile(path)
@@ -125,13 +131,13 @@
 		complete += n + 1
 	}
 	if complete < len(b) {
-		s.removedTail += int64(len(b) - complete)
+		s.truncatedBytes += int64(len(b) - complete)
 		if err := os.Truncate(path, int64(complete)); err != nil {
 			return false, fmt.Errorf("incomplete line of the last audit segment: %w", err)
 		}
 	}
 	indexPath := filepath.Join(s.dir, name+audit.IndexSuffix)
-	if info, err := os.Stat(indexPath); err == nil && info.Size() > indexBytes { // of a line that was never written
+	if info, err := os.Stat(indexPath); err == nil && info.Size() > indexBytes { // belongs to a line that was never written
 		if err := os.Truncate(indexPath, indexBytes); err != nil {
 			return false, fmt.Errorf("index of the last audit segment: %w", err)
 		}
@@ -139,16 +145,16 @@
 	return complete > 0, nil
 }
 
-// begin opens the next segment. Where that fails none is open, and the next write tries again.
-func (s *Segments) begin() error {
+// openNext opens the next segment. If that fails, no segment is open and the next write tries again.
+func (s *Segments) openNext() error {
 	path := filepath.Join(s.dir, audit.SegmentName(s.front, s.number+1))
 	log, err := os.OpenFile(path+audit.LogSuffix, os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
-		return fmt.Errorf("the audit: %w", err) // a gap's reason in the log
+		return fmt.Errorf("the audit: %w", err) // recorded in the log as a gap's reason
 	}
 	index, err := os.OpenFile(path+audit.IndexSuffix, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
-		_ = log.Close() // it is empty
+		_ = log.Close() // the file is empty
 		_ = os.Remove(path + audit.LogSuffix)
 		return fmt.Errorf("the audit: %w", err)
 	}
@@ -158,22 +164,22 @@
 	return nil
 }
 
-// Write appends a line, with its interval's part of the index. A line that can't be written is counted in the gap; the error is for the
-// program's log.
+// Write appends a line, together with its interval's part of the index. A line that can't be written is added to the gap. The error is
+// only for the process log. Write may also close the segment and open the next one.
 func (s *Segments) Write(l *audit.Line, index []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.open.log == nil { // the folder failed where the last one was closed
-		if err := s.begin(); err != nil {
+	if s.open.log == nil { // the next segment could not be opened when the last one was closed
+		if err := s.openNext(); err != nil {
 			s.gap.add(1, err.Error())
 			return err
 		}
 	}
-	if s.removedTail > 0 {
-		cut := &audit.Line{Event: audit.EventTailTruncated, At: l.At, Lost: uint64(s.removedTail), Reason: "the last line of the segment before was not whole"}
+	if s.truncatedBytes > 0 {
+		cut := &audit.Line{Event: audit.EventTailTruncated, At: l.At, Lost: uint64(s.truncatedBytes), Reason: "the last line of the segment before was not whole"}
 		s.Stamp(cut)
 		if s.append(cut, nil) == nil {
-			s.removedTail = 0
+			s.truncatedBytes = 0
 		}
 	}
 	if s.gap.lines > 0 {
@@ -195,14 +201,15 @@
 	return nil
 }
 
-// CountLost adds lines to the gap that were lost before Write.
+// CountLost adds lines to the gap that were lost before they were passed to Write.
 func (s *Segments) CountLost(lines uint64, reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.gap.add(lines, reason)
 }
 
-// append writes a line at the end of the open segment; after an error the segment ends where it did.
+// append writes a line and its part of the index at the end of the open segment. After an error the segment still ends after its last
+// complete line.
 func (s *Segments) append(l *audit.Line, index []byte) error {
 	if len(index) > 0 {
 		if _, err := s.open.index.WriteAt(index, s.open.indexBytes); err != nil {
@@ -214,23 +221,24 @@
 	b := s.chain.Append(l)
 	if _, err := s.open.log.WriteAt(b, s.open.logBytes); err != nil {
 		s.chain = before
-		_ = s.open.log.Truncate(s.open.logBytes) // the next line is written at the same place in any case
+		_ = s.open.log.Truncate(s.open.logBytes) // the next line is written at this offset even if Truncate fails
 		return err
 	}
-	s.lastDate = l.At
+	s.lastLineAt = l.At
 	s.open.logBytes += int64(len(b))
 	s.open.indexBytes += int64(len(index))
 	return nil
 }
 
-// rotate closes the segment and opens the next; where the log is over its size the oldest are removed, each recorded.
+// rotate closes the open segment and opens the next. While the log exceeds its size, it then removes the oldest segment and records the
+// removal.
 func (s *Segments) rotate() error {
-	if err := errors.Join(s.seal(), s.begin()); err != nil { // an error of the closed segment loses no line of the next
+	if err := errors.Join(s.seal(), s.openNext()); err != nil { // open the next segment even if closing failed: no later line is lost
 		return err
 	}
 	for len(s.sealed) > 0 && s.totalBytes() > s.maxTotalBytes {
 		oldest := s.sealed[0]
-		removed := &audit.Line{Event: audit.EventSegmentRemoved, At: s.lastDate, Name: oldest, Reason: fmt.Sprintf("the audit may take %d bytes", s.maxTotalBytes)}
+		removed := &audit.Line{Event: audit.EventSegmentRemoved, At: s.lastLineAt, Name: oldest, Reason: fmt.Sprintf("the audit may take %d bytes", s.maxTotalBytes)}
 		s.Stamp(removed)
 		if err := s.append(removed, nil); err != nil {
 			return err
@@ -245,7 +253,7 @@
 	return nil
 }
 
-// seal closes the open segment, if there is one.
+// seal syncs and closes the open segment, if there is one.
 func (s *Segments) seal() error {
 	if s.open.log == nil {
 		return nil
@@ -256,6 +264,7 @@
 	return err
 }
 
+// totalBytes returns the size of all files of the log; files that can't be read count as empty.
 func (s *Segments) totalBytes() (sum int64) {
 	sum = s.open.logBytes + s.open.indexBytes
 	for _, name := range s.sealed {
@@ -268,7 +277,7 @@
 	return sum
 }
 
-// Sync writes through what was appended.
+// Sync flushes the lines written so far to stable storage.
 func (s *Segments) Sync() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -285,7 +294,8 @@
 	return slices.Clone(s.sealed)
 }
 
-// Rotate closes the open segment now, so that it can be exported, unless it is empty.
+// Rotate closes the open segment and opens the next, so that the closed one can be exported. It does nothing if the open segment is
+// empty.
 func (s *Segments) Rotate() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/fleet/disk/voter_file.go
+++ b/fleet/disk/voter_file.go
@@ -17,7 +17,7 @@
 	"dapplerouter/fleet"
 )
 
-// Buckets of the file. The key of an entry is its index, 8 bytes big-endian.
+// Buckets of a voter file. The key of a log entry is its index, 8 bytes big-endian.
 var (
 	metaBucket    = []byte("meta")
 	entriesBucket = []byte("entries")
@@ -32,20 +32,22 @@
 	openCountKey = []byte("opened") // 8 bytes big-endian
 )
 
+// lockTimeout is how long OpenVoterFile waits for another process to release the file.
 const lockTimeout = time.Second
 
-// VoterFile is a voter's open file.
+// VoterFile is the open file that holds the durable state of a voter.
 type VoterFile struct {
 	db *bbolt.DB
 }
 
-// OpenVoterFile opens or makes the file of a fleet's voter and reads its state. The error names the file and what to do:
-// ErrVoterFileInUse, ErrVoterFileDamaged, an OtherVoterError, or one of the system.
+// OpenVoterFile opens the file of a voter of a fleet, or creates it, and reads the voter's state. The error names the file and what to do
+// about it. It wraps ErrVoterFileInUse, ErrVoterFileDamaged, an OtherVoterError, or an error of the operating system or of bbolt.
 func OpenVoterFile(path, fleetID, voter string) (f *VoterFile, s *fleet.DiskState, err error) {
-	// The library reads the file through a memory map: a page behind the file's end is a fault, which would end the process.
+	// bbolt reads the file through a memory map: access to a page after the end of the file is a memory fault, which would otherwise end
+	// the process.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
-		if p := recover(); p != nil { // the library's, of an invalid page
+		if p := recover(); p != nil { // bbolt panics on an invalid page
 			f, s, err = nil, nil, fmt.Errorf("%s is %w (%v): %s", path, ErrVoterFileDamaged, p, replaceVoterRemedy)
 		}
 	}()
@@ -59,27 +61,28 @@
 		}
 	}
 	if err != nil {
-		_ = db.Close() // nothing was written that counts
+		_ = db.Close() // no state was written
 		return nil, nil, err
 	}
 	return &VoterFile{db}, s, nil
 }
 
+// openDB opens or creates the bbolt file and locks it. Its errors name the file and what to do about it.
 func openDB(path string) (*bbolt.DB, error) {
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType})
 	switch {
 	case errors.Is(err, berrors.ErrTimeout):
-		return nil, fmt.Errorf("%s is %w: end it, or name another file", path, ErrVoterFileInUse)
+		return nil, fmt.Errorf("%s is %w: stop that process or configure another file", path, ErrVoterFileInUse)
 	case errors.Is(err, os.ErrNotExist):
-		return nil, fmt.Errorf("%s: its folder does not exist (%w): make it", path, err)
+		return nil, fmt.Errorf("%s: its directory does not exist (%w): create it", path, err)
 	case err != nil:
-		return nil, fmt.Errorf("%s can't be opened (%w): where it is damaged, %s", path, err, replaceVoterRemedy)
+		return nil, fmt.Errorf("%s can't be opened (%w): if it is damaged, %s", path, err, replaceVoterRemedy)
 	}
 	return db, nil
 }
 
-// checkPages checks that all pages are there and consistent: the library notices a truncated file only when it reads a page behind its
-// end.
+// checkPages verifies that all pages are present and consistent. bbolt itself notices a truncated file only when it reads a page after
+// the end of the file.
 func checkPages(db *bbolt.DB, path string) error {
 	return db.View(func(tx *bbolt.Tx) error {
 		info, err := os.Stat(path)
@@ -96,7 +99,8 @@
 	})
 }
 
-// readState reads the state, makes a new file the voter's, and counts that it was opened.
+// readState reads a voter's state and increments its open count. A new file is assigned to the voter; a file of another voter is an
+// OtherVoterError. voter has the form FLEET/VOTER.
 func readState(db *bbolt.DB, voter string) (*fleet.DiskState, error) {
 	s := &fleet.DiskState{Floors: map[string]fleet.Floor{}}
 	return s, db.Update(func(tx *bbolt.Tx) error {
@@ -126,6 +130,7 @@
 	})
 }
 
+// readMeta reads the state that metaBucket holds. Keys that are missing leave their fields unset.
 func readMeta(meta *bbolt.Bucket, s *fleet.DiskState) error {
 	if b := meta.Get(openCountKey); len(b) == 8 {
 		s.OpenCount = binary.BigEndian.Uint64(b)
@@ -150,7 +155,7 @@
 	return nil
 }
 
-// readEntries reads the entries behind the snapshot; they must follow on it without a gap.
+// readEntries reads the log entries after the snapshot. They must follow the snapshot, and each other, without a gap.
 func readEntries(entries *bbolt.Bucket, s *fleet.DiskState) error {
 	next := s.Snapshot.GetMetadata().GetIndex() + 1
 	return entries.ForEach(func(k, v []byte) error {
@@ -170,7 +175,8 @@
 	})
 }
 
-// Save writes through; what it returned nil for is there after any crash. After an error nothing of the write is.
+// Save writes w in one transaction and syncs the file. After a nil error the data survives any crash. After an error nothing of w is
+// stored.
 func (f *VoterFile) Save(w *fleet.DiskWrite) error {
 	return f.db.Update(func(tx *bbolt.Tx) error {
 		meta, entries := tx.Bucket(metaBucket), tx.Bucket(entriesBucket)
@@ -183,7 +189,7 @@
 			return err
 		}
 		if w.Hard != nil {
-			if err := put(meta, hardStateKey, w.Hard); err != nil {
+			if err := putMessage(meta, hardStateKey, w.Hard); err != nil {
 				return err
 			}
 		}
@@ -198,9 +204,9 @@
 	})
 }
 
-// saveSnapshot writes a snapshot, which replaces all entries up to its index.
+// saveSnapshot stores a snapshot and deletes all log entries up to its index.
 func saveSnapshot(meta, entries *bbolt.Bucket, snapshot *pb.Snapshot) error {
-	if err := put(meta, snapshotKey, snapshot); err != nil {
+	if err := putMessage(meta, snapshotKey, snapshot); err != nil {
 		return err
 	}
 	index := snapshot.GetMetadata().GetIndex()
@@ -213,7 +219,7 @@
 	return nil
 }
 
-// saveEntries writes entries, which replace all from the first one's index on.
+// saveEntries stores log entries and deletes all existing entries from the index of the first one on.
 func saveEntries(entries *bbolt.Bucket, add []*pb.Entry) error {
 	if len(add) == 0 {
 		return nil
@@ -226,16 +232,18 @@
 		}
 	}
 	for _, entry := range add {
-		if err := put(entries, entryKey(entry), entry); err != nil {
+		if err := putMessage(entries, entryKey(entry), entry); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
+// entryKey returns the key of a log entry in entriesBucket.
 func entryKey(entry *pb.Entry) []byte { return binary.BigEndian.AppendUint64(nil, entry.GetIndex()) }
 
-func put(b *bbolt.Bucket, key []byte, x proto.Message) error {
+// putMessage stores the encoding of a protobuf message under a key.
+func putMessage(b *bbolt.Bucket, key []byte, x proto.Message) error {
 	data, err := proto.Marshal(x)
 	if err != nil {
 		return err
@@ -243,5 +251,5 @@
 	return b.Put(key, data)
 }
 
-// Close ends the use of the file.
+// Close closes the file and releases its lock.
 func (f *VoterFile) Close() error { return f.db.Close() }
--- a/fleet/disk/voter_file_test.go
+++ b/fleet/disk/voter_file_test.go
@@ -15,6 +15,7 @@
 	"dapplerouter/fleet"
 )
 
+// entry returns a log entry.
 func entry(index, term uint64, data string) *pb.Entry {
 	return &pb.Entry{Index: proto.Uint64(index), Term: proto.Uint64(term), Data: []byte(data)}
 }
@@ -29,7 +30,7 @@
 	require.NoError(t, f.Save(&fleet.DiskWrite{Snapshot: first}))
 	require.NoError(t, f.Save(&fleet.DiskWrite{Hard: &pb.HardState{Term: proto.Uint64(3), Vote: proto.Uint64(9), Commit: proto.Uint64(2)},
 		Entries: []*pb.Entry{entry(2, 2, "a"), entry(3, 2, "b"), entry(4, 2, "c")}, Floors: map[string]fleet.Floor{"k2": {Term: 5}}}))
-	require.NoError(t, f.Save(&fleet.DiskWrite{Entries: []*pb.Entry{entry(3, 3, "B")}}), "what conflicts goes")
+	require.NoError(t, f.Save(&fleet.DiskWrite{Entries: []*pb.Entry{entry(3, 3, "B")}}), "conflicting entries are replaced")
 	require.NoError(t, f.Close())
 
 	f, s, err = OpenVoterFile(path, "x", "k1")
@@ -48,7 +49,7 @@
 
 	f, s, err = OpenVoterFile(path, "x", "k1")
 	require.NoError(t, err)
-	require.Len(t, s.Entries, 1, "a snapshot takes the place of what it holds")
+	require.Len(t, s.Entries, 1, "a snapshot replaces the entries that it covers")
 	require.NoError(t, f.Close())
 	_, _, err = OpenVoterFile(path, "x", "k2")
 	assert.ErrorContains(t, err, "belongs to x/k1")
@@ -73,10 +74,10 @@
 	}
 	for _, size := range sizes {
 		t.Run(fmt.Sprintf("%d of %d bytes", size, len(complete)), func(t *testing.T) {
-			path := filepath.Join(t.TempDir(), "fleet.db") // its own: a file whose opening panicked stays locked
+			path := filepath.Join(t.TempDir(), "fleet.db") // a separate file: one whose opening panicked stays locked
 			require.NoError(t, os.WriteFile(path, complete[:size], 0o600))
 			f, s, err := OpenVoterFile(path, "x", "k1")
-			if int64(size) >= used { // the pages behind are not in use yet
+			if int64(size) >= used { // the pages after this size are not in use yet
 				require.NoError(t, err)
 				assert.EqualValues(t, 3, s.Hard.GetTerm())
 				assert.Len(t, s.Entries, 1)
@@ -84,15 +85,15 @@
 				return
 			}
 			assert.ErrorContains(t, err, path)
-			assert.ErrorContains(t, err, "add a voter of a new name")
+			assert.ErrorContains(t, err, "add a voter with a new name")
 			assert.NotErrorIs(t, err, ErrVoterFileInUse)
-			if size >= 8192 { // both meta pages: the library itself opens it
+			if size >= 8192 { // both meta pages are complete: bbolt itself opens the file
 				assert.ErrorIs(t, err, ErrVoterFileDamaged)
 			}
 		})
 	}
 	_, _, err = OpenVoterFile(filepath.Join(t.TempDir(), "no", "fleet.db"), "x", "k1")
-	assert.ErrorContains(t, err, "make it")
+	assert.ErrorContains(t, err, "create it")
 	assert.ErrorIs(t, err, os.ErrNotExist)
 }
 
