--- a/fleet/mesh/close_test.go
+++ b/fleet/mesh/close_test.go
@@ -14,8 +14,9 @@
 	"dapplerouter/framing"
 )
 
-// Closing a mesh while a connection was in its handshake read the variable that the handshake replaced with the TLS connection: two
-// words, so that the close could call one connection with the type of the other. Only the race detector fails here (go test -race).
+// Guards against a data race between Close and the TLS handshake. Close read the variable that the handshake overwrites with the TLS
+// connection. That variable is an interface value of two words, so Close could combine the type of one connection with the data of the
+// other. Only the race detector notices it (go test -race).
 func TestCloseDuringTLSHandshakeEndsTheConnection(t *testing.T) {
 	key, certificate, err := framing.NewKeyPair("a", false, 1)
 	require.NoError(t, err)
@@ -31,7 +32,7 @@
 	require.NoError(t, err)
 	defer c.Close()
 	require.NoError(t, c.SetDeadline(time.Now().Add(10*time.Second)))
-	time.Sleep(100 * time.Millisecond) // to read what it greets with would order the two for the race detector
+	time.Sleep(100 * time.Millisecond) // reading the greeting instead would synchronize both goroutines and hide the race
 	m.Close()
 	_, err = io.Copy(io.Discard, c)
 	assert.NotErrorIs(t, err, os.ErrDeadlineExceeded)
--- a/fleet/mesh/counters.go
+++ b/fleet/mesh/counters.go
@@ -7,38 +7,38 @@
 	"dapplerouter/fleet"
 )
 
-// Totals are counts since the start; Links is the present number.
+// Totals are counts since the mesh was created, except for Links, the present number of links.
 type Totals struct {
 	Links                    int
 	Sent, Received           uint64 // messages
-	SentBytes, ReceivedBytes uint64 // of frames and greetings, without TLS and TCP
+	SentBytes, ReceivedBytes uint64 // of frames and greetings, without the overhead of TLS and TCP
 	Shed                     uint64 // links to slow peers that were closed
-	Rejected                 uint64 // links that this front or a peer rejected
+	Rejected                 uint64 // links that this front or the peer rejected
 	Dials                    uint64
-	Kinds                    []KindTotals // of what was sent, none for kinds that were not
+	Kinds                    []KindTotals // messages sent, by kind; kinds without any are omitted
 }
 
-// KindTotals are what was sent of one kind of message.
+// KindTotals counts the messages of one kind that were sent.
 type KindTotals struct {
 	Kind     string `json:"kind"`
 	Messages uint64 `json:"messages"`
-	Bytes    uint64 `json:"bytes"` // of frames, without the greeting
+	Bytes    uint64 `json:"bytes"` // of their frames, without the greeting
 }
 
-// maxKinds is more than there are kinds of message.
+// maxKinds is greater than the largest fleet.Kind.
 const maxKinds = 32
 
-// counters count since the start.
+// counters are the counts behind Totals.
 type counters struct {
 	sent, received, sentBytes, receivedBytes atomic.Uint64
 	shed, rejected, dials                    atomic.Uint64
 	kinds                                    [maxKinds]kindCounter
 }
 
-// kindCounter counts what was sent of one kind of message.
+// kindCounter counts the messages of one kind that were sent, and the bytes of their frames.
 type kindCounter struct{ messages, bytes atomic.Uint64 }
 
-// countSent counts a message and the bytes of its frame.
+// countSent counts a message that was sent and the bytes of its frame.
 func (c *counters) countSent(kind fleet.Kind, bytes int) {
 	c.sent.Add(1)
 	if bytes >= 0 {
@@ -47,7 +47,7 @@
 	}
 }
 
-// Totals returns the counts since the start.
+// Totals returns the counts since the mesh was created.
 func (m *Mesh) Totals() Totals {
 	m.mu.Lock()
 	links := len(m.links)
@@ -66,7 +66,7 @@
 	}
 }
 
-// sentKinds are the totals of each kind that was sent.
+// sentKinds returns the totals of each kind of which a message was sent.
 func (c *counters) sentKinds() (all []KindTotals) {
 	for i := range c.kinds {
 		if n := c.kinds[i].messages.Load(); n > 0 {
@@ -76,7 +76,7 @@
 	return all
 }
 
-// countingConn counts the bytes that pass.
+// countingConn is a connection that counts the bytes read and written.
 type countingConn struct {
 	net.Conn
 	counters *counters
--- a/fleet/mesh/dial.go
+++ b/fleet/mesh/dial.go
@@ -8,7 +8,7 @@
 	"dapplerouter/fleet"
 )
 
-// dial opens a link to a peer, unless that is under way; m.mu must be held.
+// dial starts to open a link to a peer, unless a dial of that peer is in progress. m.mu must be held.
 func (m *Mesh) dial(d fleet.DialTarget) {
 	if m.dialling[d.Name] {
 		return
@@ -29,7 +29,7 @@
 	})
 }
 
-// dialFinished handles the end of a dial: an established link for nil, else why there is none. Only the first call for a dial counts.
+// dialFinished handles the end of a dial. A nil err means that the link is established. Only the first call for each dial has an effect.
 func (m *Mesh) dialFinished(name string, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -46,5 +46,5 @@
 	}
 	slog.Debug("fleet: dial failed", "peer", name, "err", err)
 	m.node.DialFailed(m.Now(), name, rejected.reason, rejected.alternatives)
-	m.pump()
+	m.processOutput()
 }
--- a/fleet/mesh/event_queue.go
+++ b/fleet/mesh/event_queue.go
@@ -7,19 +7,19 @@
 	"dapplerouter/fleet"
 )
 
-// maxQueuedEvents is how many events wait for OnEvent before those are dropped that may be.
+// maxQueuedEvents is how many events may wait for OnEvent before those that may be dropped are dropped.
 const maxQueuedEvents = 1 << 14
 
-// timedEvent is an event that waits for Options.OnEvent.
+// timedEvent is an event that waits for Options.OnEvent, with its time on this front's clock.
 type timedEvent struct {
 	at    time.Duration
 	event fleet.Event
 }
 
-// eventQueue holds events in their order. A disk that hangs holds OnEvent up for as long, and the node goes on: so what comes often
-// is dropped beyond a bound, and what happens once is kept.
+// eventQueue holds events for OnEvent in order. OnEvent may block, for example while a disk hangs, but the node continues to run.
+// Therefore frequent events are dropped once maxQueuedEvents are waiting, while events that are reported only once are always kept.
 type eventQueue struct {
-	wake chan struct{} // holds one value while events may wait
+	wake chan struct{} // receives a value when events are added
 
 	mu      sync.Mutex // guards the fields below
 	waiting []timedEvent
@@ -28,7 +28,7 @@
 
 func newEventQueue() *eventQueue { return &eventQueue{wake: make(chan struct{}, 1)} }
 
-// add adds an event, or drops it.
+// add queues an event, or drops it if the queue is full and the event may be dropped.
 func (q *eventQueue) add(e timedEvent) {
 	q.mu.Lock()
 	if len(q.waiting) >= maxQueuedEvents && mayBeDropped(e.event) {
@@ -43,7 +43,7 @@
 	}
 }
 
-// take returns the events that wait, and how many were dropped since the start.
+// take removes and returns the waiting events, and returns how many were dropped since the start.
 func (q *eventQueue) take() (events []timedEvent, dropped uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -51,9 +51,9 @@
 	return events, q.dropped
 }
 
-// mayBeDropped reports whether whoever handles events catches up with one that never came: broadcasts are followed by others of their
-// lease, datagrams are unreliable, the rest of these is recorded only. A lease that was acquired or has ended, or a request's end, is told
-// once.
+// mayBeDropped reports whether the handlers of events recover from the loss of an event. A broadcast is followed by others under the same
+// lease, datagrams are unreliable, and the other kinds listed here are only recorded. The acquisition or the end of a lease and the end
+// of a request are reported only once and must not be dropped.
 func mayBeDropped(e fleet.Event) bool {
 	switch e.(type) {
 	case fleet.BroadcastReceived, fleet.BroadcastRejected, fleet.DatagramReceived, fleet.LeaseRenewed, fleet.LeaseGranted,
--- a/fleet/mesh/event_queue_test.go
+++ b/fleet/mesh/event_queue_test.go
@@ -11,11 +11,12 @@
 	"dapplerouter/fleet"
 )
 
-// A front whose disk hung for a while missed that it had lost, or acquired, a lease.
+// Guards against a front that does not notice the acquisition or the end of a lease.
 //
-// OnEvent writes to the disk. While it waits, events queue up; beyond 16,384 all were dropped alike, a lease's end too, which is told
-// once: the front would go on following the endpoint list for a fleet that had another leaseholder, or have a rollout's lease and no
-// controller, for as long as it kept the lease. The count of lost events was read by nobody.
+// OnEvent writes to the disk. While it is blocked, events queue up. Beyond 16,384 waiting events all kinds were dropped, including the
+// end of a lease, which is reported only once. The front then continued to follow the endpoint list for a fleet that had another
+// leaseholder, or held a rollout's lease without running a controller, for as long as it kept the lease. Nothing read the count of
+// dropped events.
 func TestEndOfLeaseIsDeliveredThoughEventsAreDropped(t *testing.T) {
 	m, events, dropped, release := startBlockedVoter(t)
 	for range 20_000 {
@@ -24,10 +25,10 @@
 	m.Leave(time.Second)
 	release()
 	assert.Equal(t, "list", awaitEvent[fleet.LeaseEnded](t, events).Lease)
-	assert.Positive(t, <-dropped, "and what was dropped is told")
+	assert.Positive(t, <-dropped, "the number of dropped events is reported")
 }
 
-// startBlockedVoter is startVoter whose OnEvent is held up from the first lease on, until release.
+// startBlockedVoter is like startVoter, but OnEvent blocks from the first acquired lease on until release is called.
 func startBlockedVoter(t *testing.T) (m *Mesh, events chan fleet.Event, dropped chan uint64, release func()) {
 	t.Helper()
 	events, dropped = make(chan fleet.Event, 1<<16), make(chan uint64, 1<<10)
@@ -41,7 +42,7 @@
 			<-blocked
 		}
 	}, func(n uint64) { dropped <- n })
-	t.Cleanup(release) // before the mesh is closed, which waits for OnEvent
+	t.Cleanup(release) // runs before the cleanup that closes the mesh, which waits for OnEvent
 	<-held
 	return m, events, dropped, release
 }
--- a/fleet/mesh/format_test.go
+++ b/fleet/mesh/format_test.go
@@ -16,7 +16,8 @@
 	"dapplerouter/framing"
 )
 
-// wireMessages have a value in each field; testdata/wire.txt has their frames as version 0.3.0 sends them, behind the greeting.
+// wireMessages returns messages that together have a value in each field. testdata/wire.txt holds the greeting and then the frames of
+// these messages, as version 0.3.0 sends them.
 func wireMessages() []fleet.Message {
 	member := fleet.MembershipRecord{Name: "n1", Incarnation: 7, Seq: 9, Zone: "a", Address: "x:1", Version: "0.3.0", Index: 12, AcceptsLeases: true, Leaving: true,
 		Renewals: []fleet.LeaseRenewal{{Lease: "list", Term: 3, Progress: 4}}, ActiveVersion: 5, WantsConfigLease: true, PendingVersion: 6, HasPending: true,
--- a/fleet/mesh/handshake.go
+++ b/fleet/mesh/handshake.go
@@ -10,13 +10,14 @@
 	"dapplerouter/framing"
 )
 
-// codec carries the messages of a link.
+// codec encodes and decodes the messages of a link.
 type codec = framing.Codec[fleet.Message]
 
-// nameCheck reports whether a peer may have a name.
+// nameCheck reports whether a peer may use a name.
 type nameCheck func(name string) bool
 
-// secure wraps a connection in TLS where there are keys. mayHaveName reports whether the peer's certificate is for a name.
+// secure wraps a connection in TLS if the mesh has keys. to is the name of the peer that was dialled, or "" for an accepted connection.
+// mayHaveName reports whether the peer's certificate is valid for a name; without keys every name is accepted.
 func (m *Mesh) secure(c net.Conn, to string) (secured net.Conn, mayHaveName nameCheck, err error) {
 	if m.options.Keys == nil {
 		return c, func(string) bool { return true }, nil
@@ -37,8 +38,9 @@
 	}, nil
 }
 
-// handshake exchanges the first messages, and returns the peer's; to is the peer that was dialled, "" for an accepted connection. The
-// side that dialled sends first. The error is a rejectedError where the peer rejects the link, else the reason why this front does.
+// handshake exchanges the first messages of a link and returns the peer's. to is the name of the peer that was dialled, or "" for an
+// accepted connection; the side that dialled sends first. If the peer rejects the link, the error is a rejectedError. If this front
+// rejects the link, the error is the reason. Any other error is one of the connection or of the framing.
 func (m *Mesh) handshake(k *codec, to string, mayHaveName nameCheck) (*fleet.Message, error) {
 	dialled := to != ""
 	if dialled {
@@ -69,24 +71,24 @@
 	return &first, send(k, m.hello(first.Hello.Name, false))
 }
 
-// hello is this front's first message to a peer.
+// hello returns this front's first message to a peer; to is the peer's name.
 func (m *Mesh) hello(to string, dialled bool) *fleet.Message {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.node.Hello(to, dialled)
 }
 
-// reject sends a peer the reason why its link is rejected, and returns it.
+// reject sends the reason for which a link is rejected to the peer, and returns that reason.
 func (m *Mesh) reject(k *codec, reason error) error {
 	m.counters.rejected.Add(1)
 	m.mu.Lock()
 	rejection := m.node.Rejection(reason)
 	m.mu.Unlock()
-	_ = send(k, rejection) // the connection is closed in any case
+	_ = send(k, rejection) // the connection is closed after an error too
 	return reason
 }
 
-// send writes one message through.
+// send writes one message and flushes it.
 func send(k *codec, msg *fleet.Message) error {
 	if err := k.Append(msg); err != nil {
 		return err
--- a/fleet/mesh/link.go
+++ b/fleet/mesh/link.go
@@ -17,11 +17,11 @@
 type link struct {
 	peer        string
 	conn        net.Conn
-	queue       chan *fleet.Message // to be written
+	queue       chan *fleet.Message // messages to be written
 	queuedBytes atomic.Int64
 }
 
-// enqueue queues a message; it reports whether the peer keeps up.
+// enqueue queues a message. It returns false if the queue exceeds its bounds, because the peer is too slow.
 func (l *link) enqueue(msg *fleet.Message) bool {
 	select {
 	case l.queue <- msg:
@@ -31,13 +31,13 @@
 	}
 }
 
-// close ends the link: its goroutines find the connection closed.
+// close closes the connection, which ends the goroutines of the link.
 func (l *link) close() { _ = l.conn.Close() }
 
-// queuedSize is about how many bytes a queued message takes.
+// queuedSize returns the approximate memory, in bytes, that a queued message takes.
 func queuedSize(msg *fleet.Message) int64 { return int64(len(msg.Data) + 64) }
 
-// accept serves connections of others until Close.
+// accept serves incoming connections until Close.
 func (m *Mesh) accept() {
 	framing.AcceptLoop(m.ctx, m.listener, maxHandshakes, &m.goroutines, func(c net.Conn, established func()) {
 		if err := m.serve(c, "", established); err != nil && m.ctx.Err() == nil {
@@ -46,19 +46,19 @@
 	})
 }
 
-// serve brings a connection through the handshake and reads it to its end; to is the peer that was dialled, "" for an accepted
-// connection. established is called once the link is.
+// serve performs the handshake on a connection and then reads messages until the connection ends. to is the name of the peer that was
+// dialled, or "" for an accepted connection. serve calls established once the link is established, and closes the connection.
 func (m *Mesh) serve(c net.Conn, to string, established func()) (err error) {
 	raw := c
-	defer func() { _ = raw.Close() }() // it has ended
+	defer func() { _ = raw.Close() }() // an error has no effect: the connection is not used any more
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("%w: %v", errPanic, p)
 			slog.Error("panic in the mesh", "panic", p, "trace", string(debug.Stack()))
 		}
 	}()
-	_ = c.SetDeadline(time.Now().Add(m.options.Timing.HandshakeTimeout())) // fails for a closed connection, as the next read will
-	stop := context.AfterFunc(m.ctx, func() { _ = raw.Close() })           // c changes below, in another goroutine than this call's
+	_ = c.SetDeadline(time.Now().Add(m.options.Timing.HandshakeTimeout())) // fails only for a closed connection; the next read fails too
+	stop := context.AfterFunc(m.ctx, func() { _ = raw.Close() })           // not c, which is reassigned below
 	defer stop()
 	secured, mayHaveName, err := m.secure(c, to)
 	if err != nil {
@@ -78,7 +78,7 @@
 		return err
 	}
 	established()
-	_ = c.SetDeadline(time.Time{}) // as above
+	_ = c.SetDeadline(time.Time{}) // fails only for a closed connection
 	slog.Debug("fleet: link established", "peer", l.peer, "dialled", to != "")
 	ctx, stopWriting := context.WithCancel(m.ctx)
 	defer stopWriting()
@@ -89,8 +89,8 @@
 	return err
 }
 
-// attach adds a link, in place of an older one to the same peer. The node is asked again, since it may decide otherwise than at the
-// handshake.
+// attach adds a link to the table of links, replacing an older link to the same peer. It asks the node again whether to accept the peer,
+// since the answer may have changed since the handshake. Without an error, attached is false only if the mesh is closed.
 func (m *Mesh) attach(l *link, hello *fleet.Message) (attached bool, err error) {
 	m.mu.Lock()
 	err = m.node.CheckHello(m.Now(), hello)
@@ -101,7 +101,7 @@
 	old := m.links[l.peer]
 	m.links[l.peer] = l
 	m.node.LinkUp(m.Now(), hello)
-	m.pump()
+	m.processOutput()
 	m.mu.Unlock()
 	if old != nil {
 		old.close()
@@ -109,7 +109,7 @@
 	return true, nil
 }
 
-// detach removes a link that ended, unless a newer one to the same peer took its place.
+// detach removes a link that ended, unless a newer link to the same peer has replaced it.
 func (m *Mesh) detach(l *link) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -119,12 +119,12 @@
 	delete(m.links, l.peer)
 	if !m.closed {
 		m.node.LinkDown(m.Now(), l.peer)
-		m.pump()
+		m.processOutput()
 	}
 }
 
-// read hands a link's messages to the node until the link ends. The error is why: errSuperseded, an error of the connection or of the
-// frames, or the node's for a peer that violates the protocol.
+// read passes the messages of a link to the node until the link ends. The error is errSuperseded, an error of the connection or of the
+// framing, or the node's error for a peer that violates the protocol.
 func (m *Mesh) read(l *link, k *codec) error {
 	for {
 		var msg fleet.Message
@@ -138,7 +138,7 @@
 			return errSuperseded
 		}
 		err := m.node.Receive(m.Now(), l.peer, &msg)
-		m.pump()
+		m.processOutput()
 		m.mu.Unlock()
 		if err != nil {
 			slog.Warn("fleet: invalid message; link closed", "peer", l.peer, "err", err)
@@ -147,7 +147,7 @@
 	}
 }
 
-// write sends a link's queued messages, as many as there are in one write.
+// write sends the queued messages of a link, and combines several messages into one write, up to about maxWriteBytes.
 func (m *Mesh) write(ctx context.Context, l *link, k *codec) {
 	defer l.close()
 	for {
@@ -167,7 +167,7 @@
 				}
 			}
 		}
-		_ = l.conn.SetWriteDeadline(time.Now().Add(m.options.Timing.LinkTimeout())) // fails for a closed connection, as the write will
+		_ = l.conn.SetWriteDeadline(time.Now().Add(m.options.Timing.LinkTimeout())) // fails only for a closed connection, as the write will
 		if err := k.Flush(); err != nil {
 			return
 		}
--- a/fleet/mesh/mesh.go
+++ b/fleet/mesh/mesh.go
@@ -1,10 +1,15 @@
-// Package mesh carries a fleet.Node's messages over TCP: a listener, links with frames and TLS, reconnects, bounded buffers. It
-// decides nothing: which links are wanted, what is sent and what a message means is decided in package fleet.
+// Package mesh carries the messages of a fleet.Node over TCP: it listens, dials and reconnects, frames and encrypts (TLS), and bounds its
+// queues. Which links are wanted, what is sent and what a message means is decided in package fleet.
 //
-// A Mesh owns the node and the voter's disk from New to Close. Its lock guards the node and the table of links; it is held while
-// the disk is written, never while a connection is. Each link has a goroutine that reads and one that writes; one goroutine ticks,
-// and one hands events to Options.OnEvent. Invariants: nothing is sent that rests on a disk write before that write has succeeded;
-// there is one link per peer, the newest; a slow peer never holds up the others, since its link is closed when its queue is full.
+// A Mesh owns the node and the voter's disk from New to Close. Its lock guards the node and the table of links. The lock is held during
+// disk writes, but never during reads or writes of a connection. Each link has one goroutine that reads and one that writes. One
+// goroutine drives the node's clock, and one passes events to Options.OnEvent.
+//
+// Invariants:
+//
+//  1. A message that depends on a disk write is sent only after that write has succeeded.
+//  2. There is one link per peer, the newest.
+//  3. A slow peer does not delay the others: its link is closed when its queue is full.
 package mesh
 
 import (
@@ -19,10 +24,10 @@
 	"dapplerouter/framing"
 )
 
-// protocol of the mesh; docs/fleet.md describes it.
+// protocol is the framing protocol of the mesh, described in docs/fleet.md.
 var protocol = framing.Protocol{Magic: [4]byte{'D', 'R', 'F', 'M'}, Version: 2, PeerKind: "front of a fleet", MaxFrameBytes: fleet.MaxMessageBytes + 4096}
 
-// Disk stores what a voter must not forget; what Save returned nil for must survive any crash.
+// Disk stores the durable state of a voter. What a successful Save wrote must survive any crash.
 type Disk interface {
 	Save(*fleet.DiskWrite) error
 }
@@ -30,44 +35,44 @@
 // Options configure a Mesh.
 type Options struct {
 	Listen        string                                 // address to listen on
-	PeerAddresses map[string]string                      // addresses by front, in place of those that the fleet knows
+	PeerAddresses map[string]string                      // address by front name; overrides the one that the fleet knows
 	Keys          func(peer string) (*tls.Config, error) // nil for plain TCP; peer is "" for an accepted connection
 	Node          *fleet.Node
 	Timing        fleet.Timing
 	Disk          Disk                                  // nil for a follower
-	OnEvent       func(at time.Duration, e fleet.Event) // what happened, and when on this front's clock
-	OnDropped     func(events uint64)                   // so many broadcasts, datagrams and the like never came to OnEvent; may be nil
+	OnEvent       func(at time.Duration, e fleet.Event) // called for each event, with its time on this front's clock
+	OnDropped     func(events uint64)                   // called with the number of events dropped since the last call; may be nil
 }
 
 const (
-	maxHandshakes     = 32       // accepted connections without a handshake
-	maxQueuedMessages = 512      // messages for a peer
-	maxQueuedBytes    = 8 << 20  // bytes of messages for a peer
-	maxWriteBytes     = 64 << 10 // of messages in one write, and the last one
-	leavePollInterval = 5 * time.Millisecond
+	maxHandshakes     = 32                   // accepted connections whose handshake is not complete
+	maxQueuedMessages = 512                  // messages that wait to be sent to a peer
+	maxQueuedBytes    = 8 << 20              // bytes of messages that wait to be sent to a peer
+	maxWriteBytes     = 64 << 10             // bytes after which no further message is added to a write
+	leavePollInterval = 5 * time.Millisecond // how often Leave checks whether other fronts hold the leases
 )
 
-// Mesh is one front's links to other fronts of its fleet.
+// Mesh manages one front's links to the other fronts of its fleet.
 type Mesh struct {
 	options   Options
 	listener  net.Listener
-	startedAt time.Time // zero of Now
+	startedAt time.Time // the time at which Now was 0
 	events    *eventQueue
 	counters  counters
 
-	mu          sync.Mutex // guards the fields below, and the node
+	mu          sync.Mutex // guards the fields below and the state of the node
 	node        *fleet.Node
-	links       map[string]*link // by peer
+	links       map[string]*link // by peer name
 	dialling    map[string]bool  // peers to which a link is being opened
 	closed      bool
-	diskRetryAt time.Duration // until when no write to a failing disk is tried; 0 while it does not fail
+	diskRetryAt time.Duration // no write to a failing disk is attempted before this time; 0 while the disk does not fail
 
-	ctx        context.Context // ends with Close
+	ctx        context.Context // canceled by Close
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
 }
 
-// New makes a Mesh that listens; Run starts it. The error names the address that can't be listened on.
+// New returns a Mesh that listens for connections; Run starts it. The error names the address that can't be listened on.
 func New(o Options) (*Mesh, error) {
 	l, err := net.Listen("tcp", o.Listen)
 	if err != nil {
@@ -86,13 +91,13 @@
 	return m, nil
 }
 
-// Addr is the address that it listens on.
+// Addr returns the address that the mesh listens on.
 func (m *Mesh) Addr() net.Addr { return m.listener.Addr() }
 
-// Now is this front's clock in the fleet: monotonic, since New.
+// Now returns the time of this front's clock in the fleet: a monotonic clock that starts at 0 in New.
 func (m *Mesh) Now() time.Duration { return time.Since(m.startedAt) }
 
-// WallTime converts a time of that clock to the wall clock, for logs.
+// WallTime converts a time of the clock of Now to wall-clock time, for logs.
 func (m *Mesh) WallTime(d time.Duration) time.Time { return m.startedAt.Add(d) }
 
 // Run starts the mesh's goroutines; they end with Close.
@@ -102,9 +107,9 @@
 	m.goroutines.Go(m.deliverEvents)
 }
 
-// deliverEvents hands events to OnEvent, in their order, and tells OnDropped of those that had no room.
+// deliverEvents passes events to OnEvent in order, and reports to OnDropped how many were dropped.
 func (m *Mesh) deliverEvents() {
-	told := uint64(0)
+	reported := uint64(0)
 	for {
 		select {
 		case <-m.events.wake:
@@ -118,15 +123,15 @@
 			}
 			m.options.OnEvent(e.at, e.event)
 		}
-		if dropped > told && m.options.OnDropped != nil {
-			m.options.OnDropped(dropped - told)
+		if dropped > reported && m.options.OnDropped != nil {
+			m.options.OnDropped(dropped - reported)
 		}
-		told = dropped
+		reported = dropped
 	}
 }
 
-// Do calls a function with the node, under the mesh's lock. It waits for other calls and for the voter's disk only. After Close it
-// calls nothing.
+// Do calls a function with the node and the time, under the mesh's lock. It waits only for other calls and for the voter's disk. After
+// Close it does not call the function.
 func (m *Mesh) Do(call func(n *fleet.Node, now time.Duration)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -134,16 +139,16 @@
 		return
 	}
 	call(m.node, m.Now())
-	m.pump()
+	m.processOutput()
 }
 
-// Broadcast sends a broadcast under a lease; ok is false where this front does not hold the lease now.
+// Broadcast sends a broadcast under a lease. ok is false if this front does not hold the lease now.
 func (m *Mesh) Broadcast(leaseName string, data []byte) (ok bool) {
 	m.Do(func(n *fleet.Node, now time.Duration) { ok = n.Broadcast(now, leaseName, data) })
 	return ok
 }
 
-// Leave releases all leases and waits, for a time at most, until others hold them; all reports whether they do.
+// Leave releases all leases and waits until other fronts hold them, for the duration within at most. all reports whether they do.
 func (m *Mesh) Leave(within time.Duration) (all bool) {
 	m.Do(func(n *fleet.Node, now time.Duration) { n.Leave(now) })
 	for end := time.Now().Add(within); ; time.Sleep(leavePollInterval) {
@@ -154,10 +159,10 @@
 	}
 }
 
-// Close closes all links and waits for the mesh's goroutines.
+// Close closes all links and waits for all goroutines of the mesh.
 func (m *Mesh) Close() {
 	m.cancel()
-	_ = m.listener.Close() // nothing is accepted any more either way
+	_ = m.listener.Close() // it accepts no connections after an error either
 	m.mu.Lock()
 	m.closed = true
 	for _, l := range m.links {
@@ -167,11 +172,12 @@
 	m.goroutines.Wait()
 }
 
-// pump carries out what the node asks for; m.mu must be held.
-func (m *Mesh) pump() {
+// processOutput carries out what the node asks for after a call: disk writes, events, messages to send and links to close. m.mu must be
+// held.
+func (m *Mesh) processOutput() {
 	m.writePending()
 	now := m.Now()
-	for _, e := range m.node.Events() { // before any peer receives what follows from them
+	for _, e := range m.node.Events() { // queued before any peer receives messages that follow from them
 		m.events.add(timedEvent{now, e})
 	}
 	for _, out := range m.node.Outgoing() {
@@ -188,7 +194,7 @@
 	}
 }
 
-// tick calls the node's Tick until Close, and opens the links that it wants.
+// tick calls the node's Tick at each tick interval until Close, and dials the links that the node wants.
 func (m *Mesh) tick() {
 	t := time.NewTicker(m.options.Timing.TickInterval())
 	defer t.Stop()
--- a/fleet/mesh/mesh_test.go
+++ b/fleet/mesh/mesh_test.go
@@ -19,21 +19,23 @@
 	"dapplerouter/framing"
 )
 
+// noDisk is a Disk that discards all writes.
 type noDisk struct{}
 
 func (noDisk) Save(*fleet.DiskWrite) error { return nil }
 
+// timing is the timing of the fleet in the tests of this package.
 var timing = fleet.Timing{LeaseDuration: 600 * time.Millisecond}
 
-// startVoter starts the mesh of a fleet's only voter; events are what it delivers. Its node takes maxFollowers followers, any number
-// for 0.
+// startVoter starts the mesh of the only voter of a fleet and returns a channel of its events. maxFollowers limits the followers that its
+// node accepts; 0 means the default limit.
 func startVoter(t *testing.T, disk Disk, maxFollowers int) (m *Mesh, events chan fleet.Event) {
 	t.Helper()
 	events = make(chan fleet.Event, 1000)
 	return runVoter(t, disk, maxFollowers, func(_ time.Duration, e fleet.Event) { events <- e }, nil), events
 }
 
-// runVoter is startVoter with handlers of events.
+// runVoter is like startVoter, but passes events to the given handlers.
 func runVoter(t *testing.T, disk Disk, maxFollowers int, onEvent func(time.Duration, fleet.Event), onDropped func(uint64)) *Mesh {
 	t.Helper()
 	n, err := fleet.New(fleet.Options{Fleet: "x", Name: "a", Incarnation: 7, InitialVoters: []fleet.Voter{{Name: "a"}}, Timing: timing, Seed: 1, AcceptsLeases: true, MaxFollowers: maxFollowers},
@@ -47,10 +49,10 @@
 	return m
 }
 
-// awaitEvent returns the next event of a type; others are dropped.
+// awaitEvent returns the next event of type E and discards other events.
 func awaitEvent[E fleet.Event](t *testing.T, events <-chan fleet.Event) E {
 	t.Helper()
-	end := time.After(20 * time.Second) // whatever else comes
+	end := time.After(20 * time.Second) // in total, however many other events arrive
 	for {
 		select {
 		case e := <-events:
@@ -67,13 +69,13 @@
 	}
 }
 
-// peer is the other end of a link.
+// peer is the remote end of a link to the mesh under test.
 type peer struct {
 	net.Conn
 	*framing.Codec[fleet.Message]
 }
 
-// dialAs dials a mesh as a front of a fleet, and returns the link with the first message that comes.
+// dialAs connects to a mesh as the front name of the fleet id, and returns the link and the first message received.
 func dialAs(t *testing.T, m *Mesh, name, id string) (p peer, first fleet.Message) {
 	t.Helper()
 	c, err := net.Dial("tcp", m.Addr().String())
@@ -95,7 +97,7 @@
 	awaitEvent[fleet.LeaseRenewed](t, events)
 	assert.True(t, m.Broadcast("list", []byte("x")))
 	assert.EqualValues(t, 1, awaitEvent[fleet.BroadcastReceived](t, events).Term)
-	assert.False(t, m.Broadcast("scout/1", nil), "what it does not hold")
+	assert.False(t, m.Broadcast("scout/1", nil), "a lease that the front does not hold")
 }
 
 func TestRejectedHandshakeSaysWhy(t *testing.T) {
@@ -110,7 +112,7 @@
 	assert.Equal(t, fleet.KindHello, h.Kind)
 	_, h = dialAs(t, m, "c", "x")
 	assert.Contains(t, h.Reason, "as many followers")
-	require.Len(t, h.Members, 1, "and who may have room")
+	require.Len(t, h.Members, 1, "fronts that may accept the link instead")
 	assert.Equal(t, "b", h.Members[0].Name)
 }
 
@@ -129,14 +131,14 @@
 		p, h := dialAs(t, m, "b", "x")
 		require.Equal(t, fleet.KindHello, h.Kind, name)
 		send(p)
-		_, err := io.Copy(io.Discard, p.Conn) // until the mesh closes it
+		_, err := io.Copy(io.Discard, p.Conn) // returns when the mesh closes the connection
 		assert.NoError(t, err, name)
 		require.Eventually(t, func() bool { return m.Totals().Links == 0 }, 10*time.Second, time.Millisecond, name)
 	}
-	assert.True(t, m.Broadcast("list", []byte("x")), "the mesh works on")
+	assert.True(t, m.Broadcast("list", []byte("x")), "the mesh continues to work")
 }
 
-// The reasons are sent to the peer: their text is part of the protocol.
+// The reasons of rejections are sent to the peer, so their texts are part of the protocol.
 func TestHandshakeErrorsAndTheirTexts(t *testing.T) {
 	m, _ := startVoter(t, noDisk{}, 0)
 	hello := func(name string) *fleet.Message {
@@ -164,7 +166,7 @@
 	require.ErrorAs(t, err, &rejected)
 	assert.Equal(t, "full", rejected.reason)
 	assert.Equal(t, "c", rejected.alternatives[0].Name)
-	assert.Len(t, sent, 1, "the greeting, and no answer to a rejection")
+	assert.Len(t, sent, 1, "only the hello, and no answer to a rejection")
 
 	sent, err = handshake(hello("c"), anyName)
 	var name peerNameError
@@ -178,10 +180,10 @@
 	assert.Equal(t, "its key is for another name", sent[1].Reason)
 }
 
-// failingDisk fails with an error as long as it has one.
+// failingDisk is a Disk whose writes fail while an error is set.
 type failingDisk struct{ cause atomic.Pointer[error] }
 
-// fail sets the error, nil for none.
+// fail sets the error that the writes fail with, nil for none.
 func (d *failingDisk) fail(err error) { d.cause.Store(&err) }
 
 func (d *failingDisk) Save(*fleet.DiskWrite) error {
@@ -191,19 +193,19 @@
 	return nil
 }
 
-// TERMS.md: "Where a folder lasts: writes and syncs to it may fail for a while (ENOSPC, EIO)". A voter sends nothing that rests on what
-// is not written, and continues once it is.
+// Writes and syncs to a directory may fail for a while, for example with ENOSPC or EIO. Until the failed write has succeeded a voter must
+// not send anything that depends on it; afterwards it continues.
 func TestVoterResumesAfterTransientDiskError(t *testing.T) {
 	for _, errno := range []error{syscall.ENOSPC, syscall.EIO} {
 		disk := &failingDisk{}
 		m, events := startVoter(t, disk, 0)
 		awaitEvent[fleet.LeaseRenewed](t, events)
 		disk.fail(errno)
-		m.Do(func(n *fleet.Node, _ time.Duration) { n.DeclareLease("other", 0) }) // which has to be written
+		m.Do(func(n *fleet.Node, _ time.Duration) { n.DeclareLease("other", 0) }) // the new lease requires a disk write
 		time.Sleep(2 * timing.LeaseDuration)
 		for len(events) > 0 {
 			if e, ok := (<-events).(fleet.LeaseAcquired); ok {
-				assert.NotEqual(t, "other", e.Lease, "it rests on a write that failed")
+				assert.NotEqual(t, "other", e.Lease, "the lease depends on a write that failed")
 			}
 		}
 		disk.fail(nil)
--- a/fleet/mesh/voter_disk.go
+++ b/fleet/mesh/voter_disk.go
@@ -6,11 +6,11 @@
 	"syscall"
 )
 
-// diskRetryTicks lies between two attempts of a write that fails, in tick intervals: the mesh is held up by each.
+// diskRetryTicks is the time between two attempts of a failing write, in tick intervals. The mesh is blocked during each attempt.
 const diskRetryTicks = 10
 
-// writePending writes what the voter waits for; m.mu must be held. A write that fails for lack of space, or by an error of the device,
-// is retried: the voter sends nothing until it is on disk. By any other error the voter halts.
+// writePending performs the disk writes that the voter waits for; m.mu must be held. A write that fails with a transient error, such as a
+// full disk or a device error, is retried; the voter sends nothing until it succeeds. Any other error halts the voter.
 func (m *Mesh) writePending() {
 	for m.Now() >= m.diskRetryAt {
 		w, ok := m.node.PendingWrite()
@@ -25,7 +25,7 @@
 				slog.Info("fleet: voter disk write succeeded after retries")
 			}
 			m.node.WriteDone(m.Now())
-		case transientDiskError(err):
+		case isTransientDiskError(err):
 			if m.diskRetryAt == 0 {
 				slog.Error("fleet: voter disk write failed; retrying, the voter sends nothing until then", "err", err)
 			}
@@ -38,8 +38,8 @@
 	}
 }
 
-// transientDiskError reports whether a write may succeed later.
-func transientDiskError(err error) bool {
+// isTransientDiskError reports whether a write that failed with err may succeed later.
+func isTransientDiskError(err error) bool {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) {
 		return false
