--- a/fleet/agent/admin.go
+++ b/fleet/agent/admin.go
@@ -11,32 +11,32 @@
 	"dapplerouter/fleet"
 )
 
-// Status is what a front reports of its fleet over the admin API.
+// Status is the state of the fleet as a front reports it through the admin API.
 type Status struct {
 	Name                string        `json:"name"`
 	Fleet               string        `json:"fleet"`
 	Incarnation         string        `json:"incarnation"`
-	Index               uint64        `json:"index"` // of the replicated state
+	Index               uint64        `json:"index"` // index of the replicated state
 	Isolated            bool          `json:"alone"`
 	Leader              string        `json:"gives"`
-	HeartbeatAgeSeconds float64       `json:"pulse_ago_s"`      // since the leader's last heartbeat came
-	VoterHaltReason     string        `json:"halted,omitempty"` // "" for a voter that works, and for a follower
-	Peers               []string      `json:"peers"`            // with a link
+	HeartbeatAgeSeconds float64       `json:"pulse_ago_s"`      // time since the last heartbeat of the leader arrived
+	VoterHaltReason     string        `json:"halted,omitempty"` // empty for a working voter and for a follower
+	Peers               []string      `json:"peers"`            // fronts that this front has a link to
 	Voters              []fleet.Voter `json:"keepers"`
 	Fronts              []FrontStatus `json:"fronts"`
 	Leases              []LeaseStatus `json:"duties"`
-	FollowsFleet        bool          `json:"leans"`          // the endpoint list comes from the fleet
-	ListIndex           int64         `json:"list_index"`     // version of the endpoint list, as the fleet has it
-	VoterDisk           *DiskStatus   `json:"disk,omitempty"` // at a voter
+	FollowsFleet        bool          `json:"leans"`          // this front takes the endpoint list from the fleet
+	ListIndex           int64         `json:"list_index"`     // version of the endpoint list in the fleet
+	VoterDisk           *DiskStatus   `json:"disk,omitempty"` // nil for a follower
 }
 
-// DiskStatus is how new a voter's disk is, see fleet.DiskPosition.
+// DiskStatus says how recent the content of a voter's disk is; see fleet.DiskPosition.
 type DiskStatus struct {
 	LastTerm  uint64 `json:"last_term"`
 	LastIndex uint64 `json:"last_index"`
 }
 
-// FrontStatus is a front's replicated membership.
+// FrontStatus is the replicated membership record of a front.
 type FrontStatus struct {
 	Name        string `json:"name"`
 	Zone        string `json:"zone"`
@@ -44,20 +44,20 @@
 	Incarnation string `json:"incarnation"`
 	Address     string `json:"address"`
 	Voter       bool   `json:"keeper"`
-	Restarts    int    `json:"restarts"` // as far as the replicated state remembers
+	Restarts    int    `json:"restarts"` // as many as the replicated state records
 }
 
-// LeaseStatus is a lease's replicated state.
+// LeaseStatus is the replicated state of a lease.
 type LeaseStatus struct {
 	Lease            string  `json:"duty"`
 	Term             uint64  `json:"term"`
 	Leaseholder      string  `json:"holder"`
-	Since            uint64  `json:"since_index"`      // index of the grant
-	Reason           string  `json:"why"`              // of the last grant or release
-	RemainingSeconds float64 `json:"left_s,omitempty"` // at the leaseholder only: until the lease expires
+	Since            uint64  `json:"since_index"`      // index of the log entry that granted the lease
+	Reason           string  `json:"why"`              // reason of the last grant or release
+	RemainingSeconds float64 `json:"left_s,omitempty"` // time until the lease expires; reported by the leaseholder only
 }
 
-// registerHandlers registers the handlers of the admin API. Bodies of answers keep the field names of the first version, since
+// registerHandlers registers the handlers of the admin API. The field names in response bodies are those of the first version, since
 // operators' tools read them.
 func (a *Agent) registerHandlers(s *adminapi.Server) {
 	s.HandleGet("/v1/fleet", func(url.Values) (any, error) { return a.status(), nil })
@@ -69,32 +69,34 @@
 	if a.rollout != nil {
 		a.registerRollout(s)
 	}
-	// Of version 0.3.0, to be removed with the next one.
+	// Paths of version 0.3.0, to be removed in the next version.
 	s.HandleDeprecatedPost("/v1/fleet/hand", "/v1/fleet/transfer", func(q url.Values) (any, error) { return a.transferLease(q.Get("duty"), q.Get("to")) })
 	s.HandleDeprecatedPost("/v1/fleet/keepers/add", "/v1/fleet/voters/add", a.addVoter)
 	s.HandleDeprecatedPost("/v1/fleet/keepers/remove", "/v1/fleet/voters/remove", a.removeVoter)
 }
 
-// done is the answer to a request that was carried out.
-var done = map[string]bool{"done": true}
+// doneBody is the response body of a request that was carried out.
+var doneBody = map[string]bool{"done": true}
 
-// transferLease transfers a lease to a front; for "" the leader chooses one.
+// transferLease asks the leader to transfer a lease to a front; if to is empty, the leader chooses one.
 func (a *Agent) transferLease(leaseName, to string) (any, error) {
-	return done, a.requestLeader(func(n *fleet.Node, now time.Duration) uint64 { return n.TransferLease(now, leaseName, to) })
+	return doneBody, a.requestLeader(func(n *fleet.Node, now time.Duration) uint64 { return n.TransferLease(now, leaseName, to) })
 }
 
+// addVoter asks the leader to add a voter.
 func (a *Agent) addVoter(q url.Values) (any, error) {
-	return done, a.requestLeader(func(n *fleet.Node, now time.Duration) uint64 { return n.AddVoter(now, q.Get("name"), q.Get("address")) })
+	return doneBody, a.requestLeader(func(n *fleet.Node, now time.Duration) uint64 { return n.AddVoter(now, q.Get("name"), q.Get("address")) })
 }
 
+// removeVoter asks the leader to remove a voter.
 func (a *Agent) removeVoter(q url.Values) (any, error) {
-	return done, a.requestLeader(func(n *fleet.Node, now time.Duration) uint64 { return n.RemoveVoter(now, q.Get("name")) })
+	return doneBody, a.requestLeader(func(n *fleet.Node, now time.Duration) uint64 { return n.RemoveVoter(now, q.Get("name")) })
 }
 
-// hexIncarnation is an incarnation as operators see it.
+// hexIncarnation formats an incarnation as operators see it: ten hexadecimal digits.
 func hexIncarnation(n uint64) string { return fmt.Sprintf("%010x", n) }
 
-// status returns the admin API's view of the fleet, sorted by name.
+// status returns the state of the fleet as this front knows it. Voters, fronts and leases are sorted by name.
 func (a *Agent) status() (s Status) {
 	s.FollowsFleet = a.endpoints.watcher.UsesSharedList()
 	a.mesh.Do(func(n *fleet.Node, now time.Duration) {
--- a/fleet/agent/admin_counters.go
+++ b/fleet/agent/admin_counters.go
@@ -8,24 +8,24 @@
 	"dapplerouter/fleet/mesh"
 )
 
-// Counters are what a front's links carried and its process spent since its start.
+// Counters are the traffic of a front's links and the CPU time of its process since its start.
 type Counters struct {
 	Links         int     `json:"links"`
 	Sent          uint64  `json:"sent"` // messages
 	Received      uint64  `json:"received"`
-	SentBytes     uint64  `json:"sent_bytes"` // frames, without TCP
+	SentBytes     uint64  `json:"sent_bytes"` // of frames and greetings, without the overhead of TLS and TCP
 	ReceivedBytes uint64  `json:"received_bytes"`
 	Shed          uint64  `json:"shed"` // links to slow peers that were closed
 	Dials         uint64  `json:"dials"`
-	FollowsFleet  bool    `json:"leans"` // the endpoint list comes from the fleet
+	FollowsFleet  bool    `json:"leans"` // this front takes the endpoint list from the fleet
 	ListIndex     int64   `json:"list_index"`
-	Index         uint64  `json:"index"` // of the replicated state
-	CPUSeconds    float64 `json:"cpu_s"` // seconds of the whole process, user and system
+	Index         uint64  `json:"index"` // index of the replicated state
+	CPUSeconds    float64 `json:"cpu_s"` // CPU time of the whole process, user and system
 
-	Kinds []mesh.KindTotals `json:"kinds"` // of messages that were sent
+	Kinds []mesh.KindTotals `json:"kinds"` // messages sent, by kind
 }
 
-// Counters returns the counts since the start; CPUSeconds is 0 where the system does not report it.
+// Counters returns the counters since the start. CPUSeconds is 0 if the operating system does not report it.
 func (a *Agent) Counters() Counters {
 	t := a.mesh.Totals()
 	c := Counters{Links: t.Links, Sent: t.Sent, Received: t.Received, SentBytes: t.SentBytes, ReceivedBytes: t.ReceivedBytes, Shed: t.Shed,
--- a/fleet/agent/admin_recovery.go
+++ b/fleet/agent/admin_recovery.go
@@ -9,23 +9,23 @@
 	"dapplerouter/fleet"
 )
 
-// RecoveryStatus is a recovery of the voters as the admin API shows it.
+// RecoveryStatus is the state of a recovery of the voters as the admin API reports it.
 type RecoveryStatus struct {
 	State       fleet.RecoveryState `json:"state"`
 	Reason      string              `json:"reason"`
-	Fault       string              `json:"fault,omitempty"` // why it was rejected
-	WaitSeconds float64             `json:"wait_s"`          // until leases of the lost voters have expired
+	Fault       string              `json:"fault,omitempty"` // why the recovery was rejected
+	WaitSeconds float64             `json:"wait_s"`          // time until all leases of the lost voters have expired
 	Lost        []string            `json:"lost"`            // the voters that are removed
-	Index       uint64              `json:"index"`           // of this front's replicated state
+	Index       uint64              `json:"index"`           // index of this front's replicated state
 }
 
-// registerRecovery registers the handlers that recover the voters from this front's disk.
+// registerRecovery registers the handlers for a recovery of the voters from this front's disk.
 func (a *Agent) registerRecovery(s *adminapi.Server) {
 	s.HandlePost("/v1/fleet/voters/recover", a.startRecovery)
 	s.HandleGet("/v1/fleet/voters/recovery", func(url.Values) (any, error) { return a.recoveryStatus() })
 }
 
-// startRecovery starts a recovery, and returns its first status.
+// startRecovery starts a recovery if the request confirms it, and returns its status.
 func (a *Agent) startRecovery(q url.Values) (any, error) {
 	if q.Get("confirm") != "yes" {
 		return nil, adminapi.RejectedError("a recovery needs confirm=yes: it may lose what the lost voters acknowledged")
@@ -41,7 +41,7 @@
 	return a.recoveryStatus()
 }
 
-// recoveryStatus returns how far the last recovery has come.
+// recoveryStatus returns the status of the last recovery since this front started. The error is a RejectedError if there was none.
 func (a *Agent) recoveryStatus() (s RecoveryStatus, err error) {
 	err = adminapi.RejectedError("no recovery was asked for since this front started")
 	a.mesh.Do(func(n *fleet.Node, now time.Duration) {
--- a/fleet/agent/admin_rollout.go
+++ b/fleet/agent/admin_rollout.go
@@ -15,34 +15,34 @@
 	"dapplerouter/fleet/rollout"
 )
 
-// RolloutStatus is the state of rollouts as the admin API shows it. Its fields are flat, since they are those of the JSON object.
+// RolloutStatus is the state of rollouts as the admin API reports it. Its fields are flat because the JSON object is flat.
 type RolloutStatus struct {
 	Phase              string              `json:"phase"`
-	Base               uint64              `json:"base"`           // the version in force, 0 for each front's own file
-	Next               uint64              `json:"next,omitempty"` // the version on its way, 0 for none
-	Must               bool                `json:"must,omitempty"` // mandatory: no front may use Base once Next is in force
+	Base               uint64              `json:"base"`           // the version in force; 0 for each front's own file
+	Next               uint64              `json:"next,omitempty"` // the version that is being rolled out; 0 for none
+	Must               bool                `json:"must,omitempty"` // the version is mandatory: no front may use Base once Next is in force
 	Paused             bool                `json:"held,omitempty"`
-	Stage              int                 `json:"wave,omitempty"`   // the open one, from 1
-	Stages             []uint16            `json:"waves,omitempty"`  // in thousandths of the fleet
-	Watch              string              `json:"watch,omitempty"`  // observation time of a stage
-	Within             string              `json:"within,omitempty"` // by which Next has to be in force
+	Stage              int                 `json:"wave,omitempty"`   // the current stage, counted from 1
+	Stages             []uint16            `json:"waves,omitempty"`  // share of the fleet at each stage, in thousandths
+	Watch              string              `json:"watch,omitempty"`  // observation time of each stage
+	Within             string              `json:"within,omitempty"` // time within which Next must be in force
 	Reason             string              `json:"why"`
 	Meaning            [2]string           `json:"meaning"`            // hashes of the rules of Base and Next
-	Waiting            []WaitingStatus     `json:"waiting,omitempty"`  // publications for the next version
-	Unproven           []string            `json:"unproven,omitempty"` // fronts that may go on with Base while they are isolated
-	ActiveVersion      uint64              `json:"acts"`               // of the front that answers
-	ConfigLeaseSeconds float64             `json:"right_left_s"`       // until its configuration lease expires
-	Fronts             []ParticipantStatus `json:"fronts"`             // as reported to the leader; none without a leader
+	Waiting            []WaitingStatus     `json:"waiting,omitempty"`  // queued publications, for the version after Next
+	Unproven           []string            `json:"unproven,omitempty"` // fronts that may continue to use Base while they are isolated
+	ActiveVersion      uint64              `json:"acts"`               // version that the responding front uses
+	ConfigLeaseSeconds float64             `json:"right_left_s"`       // time until the configuration lease of the responding front expires
+	Fronts             []ParticipantStatus `json:"fronts"`             // as reported to the leader; empty without a leader
 }
 
-// WaitingStatus is a publication that waits for the next version.
+// WaitingStatus is a queued publication, which waits for the next version.
 type WaitingStatus struct {
 	Front   string `json:"front"`
 	Base    uint64 `json:"base"`
 	Changes string `json:"changes"`
 }
 
-// ParticipantStatus is what one front reports of its version.
+// ParticipantStatus is what a front reports about its configuration version.
 type ParticipantStatus struct {
 	Front           string  `json:"front"`
 	Zone            string  `json:"zone"`
@@ -60,7 +60,7 @@
 	s.HandlePost("/v1/fleet/roll", a.requestRollout)
 }
 
-// rolloutStatus returns the admin API's view of rollouts.
+// rolloutStatus returns the state of rollouts as this front knows it, with the reports of all fronts to the leader.
 func (a *Agent) rolloutStatus() (s RolloutStatus) {
 	reports := a.collectDigests(rollout.Part)
 	a.mesh.Do(func(n *fleet.Node, now time.Duration) {
@@ -96,9 +96,9 @@
 	return s
 }
 
-// participantStatus is a front's report to the leader as the admin API shows it.
+// participantStatus converts a front's report to the leader for the admin API.
 func participantStatus(report fleet.MemberReport) ParticipantStatus {
-	digest, _ := rollout.DecodeReport(report.Data) // zero for a front of another version
+	digest, _ := rollout.DecodeReport(report.Data) // zero if the front has another program version whose reports can't be decoded
 	p := ParticipantStatus{
 		Front:           report.Front,
 		Zone:            report.Zone,
@@ -114,7 +114,7 @@
 	return p
 }
 
-// requestRollout handles an operator's action and waits for its outcome.
+// requestRollout submits an operator's action and waits for its outcome. A rejected action is a RejectedError.
 func (a *Agent) requestRollout(q url.Values) (any, error) {
 	action, err := a.parseAction(q)
 	if err != nil {
@@ -136,16 +136,16 @@
 	}
 }
 
-// rolloutState returns this front's copy of the state of rollouts.
+// rolloutState returns the state of rollouts in this front's copy of the replicated state.
 func (a *Agent) rolloutState() (state rollout.State) {
 	a.mesh.Do(func(n *fleet.Node, _ time.Duration) { state, _ = rollout.ReadState(n.State()) })
 	return state
 }
 
-// parseAction reads an action from a request of the admin API. The error is a RejectedError that says what is wrong with the request.
+// parseAction parses an action from a request to the admin API. The error is a RejectedError that says what is wrong with the request.
 func (a *Agent) parseAction(q url.Values) (action rollout.Action, err error) {
 	var id [8]byte
-	_, _ = rand.Read(id[:]) // never fails: it ends the process instead
+	_, _ = rand.Read(id[:]) // crypto/rand.Read never returns an error: it crashes the process instead
 	action = rollout.Action{ID: binary.LittleEndian.Uint64(id[:]) | 1, Reason: q.Get("why"), Mandatory: q.Get("must") == "true"}
 	switch q.Get("do") {
 	case "publish":
@@ -163,7 +163,7 @@
 	return action, err
 }
 
-// parsePublish reads what a publication needs. Rules that this front can't use are rejected.
+// parsePublish parses the parameters of a publication into action. It rejects rules that this front can't use.
 func (a *Agent) parsePublish(q url.Values, action *rollout.Action) error {
 	if err := a.parsePublishedRules(q.Get("text"), action); err != nil {
 		return err
@@ -196,7 +196,7 @@
 	return nil
 }
 
-// parsePublishedRules reads the published file, and checks it as each front will.
+// parsePublishedRules parses the published file and validates it in the same way as each front that adopts it.
 func (a *Agent) parsePublishedRules(text string, action *rollout.Action) error {
 	action.Text = []byte(text)
 	rules, err := deployment.ParseRules("the file", action.Text)
@@ -213,7 +213,8 @@
 	return nil
 }
 
-// parseStages reads the stages, in thousandths of the fleet, and their times.
+// parseStages parses the stages, in thousandths of the fleet, their observation time, and the time within which the version must be in
+// force.
 func parseStages(q url.Values, action *rollout.Action) (err error) {
 	for _, p := range strings.Split(q.Get("waves"), ",") {
 		permille, err := strconv.ParseUint(p, 10, 16)
--- a/fleet/agent/admin_test.go
+++ b/fleet/agent/admin_test.go
@@ -24,10 +24,11 @@
 	"dapplerouter/front"
 )
 
-// startVoter starts the agent of a fleet's only voter n1, with an admin API, and waits until it holds the lease of the endpoint list.
+// startVoter starts the agent of n1, the only voter of its fleet, with an admin API. It waits until the agent holds the lease of the
+// endpoint list. forms adjust the configuration.
 func startVoter(t *testing.T, forms ...func(*Config)) *Agent {
 	t.Helper()
-	dir, err := os.MkdirTemp("", "agent") // short: a Unix socket's path has its limit
+	dir, err := os.MkdirTemp("", "agent") // not t.TempDir(): the path of a Unix socket has a length limit
 	require.NoError(t, err)
 	t.Cleanup(func() { os.RemoveAll(dir) })
 	post := func(e front.Event) {
@@ -57,8 +58,8 @@
 	return a
 }
 
-// answerOf is the status and the body of a request as they are on the socket.
-func answerOf(t *testing.T, a *Agent, method, path string, q url.Values) (status int, body string) {
+// requestAdminAPI sends a request to the admin API of an agent, and returns the status and the body of the response.
+func requestAdminAPI(t *testing.T, a *Agent, method, path string, q url.Values) (status int, body string) {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "unix", a.config.Control)
@@ -74,13 +75,13 @@
 	return res.StatusCode, string(b)
 }
 
-// The shapes of answers are those of version 0.3.0; a fault's text is for people.
+// Patterns of response bodies, which are those of version 0.3.0. The text of an error is free.
 const (
-	doneAnswer  = `^{"done":true}\n$`
-	faultAnswer = `^{"fault":"[^"]+"}\n$`
+	donePattern  = `^{"done":true}\n$`
+	faultPattern = `^{"fault":"[^"]+"}\n$`
 )
 
-// captureLog collects the log's lines until the test ends.
+// captureLog collects the log output until the test ends.
 func captureLog(t *testing.T) *lockedBuffer {
 	t.Helper()
 	log, before := &lockedBuffer{}, slog.Default()
@@ -89,7 +90,7 @@
 	return log
 }
 
-// lockedBuffer is a buffer that several goroutines write to.
+// lockedBuffer is a text buffer for concurrent writers.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  strings.Builder
@@ -107,7 +108,8 @@
 	return b.b.String()
 }
 
-// A path that was replaced answers as in version 0.3.0, as the new one does, and its first use is logged.
+// The old paths of the admin API respond as in version 0.3.0, in the same way as the paths that replaced them. The first use of an old
+// path is logged.
 func TestReplacedAdminAPIPathsAnswerAsInVersion030(t *testing.T) {
 	for _, paths := range []struct{ transfer, leaseParameter, add, remove string }{
 		{"/v1/fleet/hand", "duty", "/v1/fleet/keepers/add", "/v1/fleet/keepers/remove"},
@@ -122,15 +124,15 @@
 				status       int
 				body         string
 			}{
-				{"POST", paths.transfer, url.Values{paths.leaseParameter: {"other"}}, 409, faultAnswer},
-				{"POST", paths.transfer, url.Values{paths.leaseParameter: {"list"}, "to": {"n9"}}, 409, faultAnswer},
-				{"POST", paths.transfer, url.Values{paths.leaseParameter: {"list"}}, 200, doneAnswer},
-				{"POST", paths.add, url.Values{"name": {"n1"}, "address": {"127.0.0.1:1"}}, 409, faultAnswer},
-				{"POST", paths.remove, url.Values{"name": {"n9"}}, 409, faultAnswer},
-				{"POST", paths.add, url.Values{"name": {"n2"}, "address": {"127.0.0.1:2"}}, 200, doneAnswer},
+				{"POST", paths.transfer, url.Values{paths.leaseParameter: {"other"}}, 409, faultPattern},
+				{"POST", paths.transfer, url.Values{paths.leaseParameter: {"list"}, "to": {"n9"}}, 409, faultPattern},
+				{"POST", paths.transfer, url.Values{paths.leaseParameter: {"list"}}, 200, donePattern},
+				{"POST", paths.add, url.Values{"name": {"n1"}, "address": {"127.0.0.1:1"}}, 409, faultPattern},
+				{"POST", paths.remove, url.Values{"name": {"n9"}}, 409, faultPattern},
+				{"POST", paths.add, url.Values{"name": {"n2"}, "address": {"127.0.0.1:2"}}, 200, donePattern},
 				{"GET", paths.transfer, nil, 405, "^Method Not Allowed\n$"},
 			} {
-				status, body := answerOf(t, a, c.method, c.path, c.q)
+				status, body := requestAdminAPI(t, a, c.method, c.path, c.q)
 				assert.Equal(t, c.status, status, "%s %s %v", c.method, c.path, c.q)
 				assert.Regexp(t, c.body, body, "%s %s %v", c.method, c.path, c.q)
 			}
@@ -153,21 +155,21 @@
 		status       int
 		body         string
 	}{
-		{"POST", "/v1/fleet/voters/recover", 409, faultAnswer},
-		{"GET", "/v1/fleet/voters/recovery", 409, faultAnswer},
-		{"GET", "/v1/fleet/roll", 404, "^404 page not found\n$"}, // without the form
+		{"POST", "/v1/fleet/voters/recover", 409, faultPattern},
+		{"GET", "/v1/fleet/voters/recovery", 409, faultPattern},
+		{"GET", "/v1/fleet/roll", 404, "^404 page not found\n$"}, // the form rollout is missing
 	} {
-		status, body := answerOf(t, a, c.method, c.path, nil)
+		status, body := requestAdminAPI(t, a, c.method, c.path, nil)
 		assert.Equal(t, c.status, status, "%s %s", c.method, c.path)
 		assert.Regexp(t, c.body, body, "%s %s", c.method, c.path)
 	}
 	for _, path := range []string{"/v1/fleet", "/v1/fleet/counters"} {
-		_, body := answerOf(t, a, "GET", path, nil)
+		_, body := requestAdminAPI(t, a, "GET", path, nil)
 		assert.True(t, json.Valid([]byte(body)), path)
 	}
 }
 
-// A request to the leader that nobody answers ends by itself, and its late end goes nowhere.
+// A request to the leader that is never answered times out. An answer that arrives later is ignored.
 func TestRequestWithoutAnswerIsRejected(t *testing.T) {
 	a := startVoter(t)
 	err := a.requestLeader(func(*fleet.Node, time.Duration) uint64 { return 1 << 40 })
--- a/fleet/agent/agent.go
+++ b/fleet/agent/agent.go
@@ -1,12 +1,13 @@
-// Package agent makes a front a member of a fleet. It runs the fleet's state machines (fleet.Node, rollout.Participant, package
-// audit) on sockets and files, does the work of the leases that the front holds, and serves the admin API. It decides nothing: what
-// to send, whom to grant a lease and when to adopt a version is decided in those packages.
+// Package agent makes a front a member of a fleet. It runs the fleet's state machines (fleet.Node, rollout.Participant, package audit) on
+// sockets and files, does the work of the leases that the front holds, and serves the admin API. What to send, which front is granted a
+// lease and when a version is adopted is decided in those packages, not here.
 //
-// Ownership: the mesh's lock guards the Node and all that is changed by its events (the endpoint list, the rollout's participant);
-// Mesh.Do takes it. A goroutine that has it must not wait for the front's core, and the core never waits for it: a call of the core
-// that needs the fleet is answered from a copy, or continues in another goroutine. Each further mutex says what it guards.
+// Locking: the mesh's lock guards the Node and everything that the Node's events change (the endpoint list, the rollout participant);
+// Mesh.Do takes it. A goroutine that holds the lock must not wait for the front's core, and the core never waits for the lock. A call
+// from the core that needs fleet state is answered from a copy, or continues in another goroutine. Every other mutex has a comment that
+// says what it guards.
 //
-// No client's request passes through this package. A front whose fleet is out of reach serves on without it.
+// No client request passes through this package. A front that can't reach its fleet continues to serve requests.
 package agent
 
 import (
@@ -28,7 +29,8 @@
 	"dapplerouter/front"
 )
 
-// Agent is a front's membership in a fleet. New opens its files, Start starts its goroutines, Close ends them.
+// Agent is a front's membership in a fleet. New opens its files and the mesh's listener, Start starts its goroutines, and Close stops
+// them and closes the files.
 type Agent struct {
 	CoreAccess
 	identity
@@ -41,46 +43,46 @@
 	mesh      *mesh.Mesh
 	disk      *disk.VoterFile  // nil for a follower
 	admin     *adminapi.Server // nil without a control socket
-	history   *history         // nil where none is written
+	history   *history         // nil if no history file is configured
 	endpoints *endpointFollower
 	requests  pendingRequests
 }
 
-// CoreAccess is how the agent reaches the front's core. Set it before Start.
+// CoreAccess gives the agent access to the front's core. Set it before Start.
 type CoreAccess struct {
-	Clock     func() time.Duration // of the core
-	StartedAt time.Time            // the wall clock at Clock's zero
+	Clock     func() time.Duration // the clock of the core
+	StartedAt time.Time            // the wall-clock time at which Clock was 0
 	Post      func(front.Event)    // sends an event to the core; never blocks
-	OnStandby func(standby bool)   // called when the front's standby begins or ends; nil to ignore it
+	OnStandby func(standby bool)   // called when the front enters or leaves standby; nil to ignore it
 }
 
-// identity is what the front is in the fleet.
+// identity identifies the front and its process in the fleet.
 type identity struct {
 	name        string
-	program     string // its version
-	incarnation uint64 // of this start
+	program     string // version of the program
+	incarnation uint64 // drawn anew for each start
 	seed        uint64
 }
 
-// subsystems run on top of the fleet where the operator's file has their forms.
+// subsystems are the parts that run on top of the fleet. Each exists only if the operator's file has its form.
 type subsystems struct {
-	rollout  *rolloutHost      // nil without its form
-	audit    *auditWriter      // nil without its form
-	recorder *audit.Recorder   // nil without either form
-	initial  front.AdoptConfig // the version that the core starts with
+	rollout  *rolloutHost      // nil if its form does not exist
+	audit    *auditWriter      // nil if its form does not exist
+	recorder *audit.Recorder   // nil if neither form exists
+	initial  front.AdoptConfig // the version and rules that the core starts with
 }
 
-// lifetime is that of the agent's goroutines: they end with ctx, and Close waits for them.
+// lifetime controls the agent's goroutines: they end when ctx is canceled, and Close waits for them.
 type lifetime struct {
 	ctx        context.Context
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
 }
 
-// probeSubsystem is the part of a front that takes probe requests; see fleet.DatagramReceived.
+// probeSubsystem is the subsystem that probe requests to a front are addressed to; see fleet.DatagramReceived.
 const probeSubsystem = "scout"
 
-// Config are the forms of the operator's file; all but Fleet may be nil.
+// Config holds the forms of the operator's file that concern the fleet. All except Fleet may be nil.
 type Config struct {
 	Fleet   *fleet.Config
 	Rollout *rollout.Config
@@ -88,8 +90,8 @@
 	Rules   *deployment.Rules
 }
 
-// New makes the agent that the forms describe; version is the program's. Set CoreAccess before Start. The error names the file or
-// the address that can't be used.
+// New returns the agent that the forms describe and opens its files and its listener; version is the version of the program. Set
+// CoreAccess before Start. The error names the file or the address that can't be used.
 func New(forms Config, start *deployment.Instance, watcher *discovery.Watcher, version string) (*Agent, error) {
 	a := &Agent{
 		identity: identity{name: start.Name, program: version, incarnation: newIncarnation(), seed: start.Seed},
@@ -114,14 +116,14 @@
 	return a, err
 }
 
-// newIncarnation draws the number of this start: 40 bits, odd, so never 0.
+// newIncarnation returns a random number for this start of the front: 40 bits, odd and therefore never 0.
 func newIncarnation() uint64 {
 	var b [8]byte
-	_, _ = rand.Read(b[:]) // never fails: it ends the process instead
+	_, _ = rand.Read(b[:]) // crypto/rand.Read never returns an error: it crashes the process instead
 	return binary.LittleEndian.Uint64(b[:])>>24 | 1
 }
 
-// newProber makes the prober, which reaches the fleet over the mesh.
+// newProber returns the prober, connected to the fleet through the mesh.
 func (a *Agent) newProber(probeTimeout time.Duration) *Prober {
 	p := NewProber(a.config.LeaseDuration, probeTimeout)
 	p.DeclareLease = func(leaseName string) {
@@ -135,10 +137,10 @@
 	return p
 }
 
-// timing is that of the fleet.
+// timing returns the timing of the fleet.
 func (a *Agent) timing() fleet.Timing { return fleet.Timing{LeaseDuration: a.config.LeaseDuration} }
 
-// nodeOptions are the node's, as far as the operator's form and the deployment's settings give them.
+// nodeOptions returns the options of the node that come from the operator's form and the deployment's settings.
 func (a *Agent) nodeOptions() fleet.Options {
 	c := a.config
 	o := fleet.Options{
@@ -159,7 +161,7 @@
 	return o
 }
 
-// newNode makes the node, from the disk where this front is a voter.
+// newNode creates the node. If this front is a voter, it opens the voter file and restores the node from it.
 func (a *Agent) newNode(o fleet.Options) (node *fleet.Node, err error) {
 	var state *fleet.DiskState
 	if a.config.VoterPath != "" {
@@ -178,7 +180,7 @@
 	return node, nil
 }
 
-// meshOptions are the mesh's, with keys where the form names them.
+// meshOptions returns the options of the mesh, including the TLS keys if the form names them.
 func (a *Agent) meshOptions(node *fleet.Node) mesh.Options {
 	c := a.config
 	o := mesh.Options{Listen: c.Listen, PeerAddresses: c.AddressOverrides, Node: node, Timing: a.timing(), OnEvent: a.onEvent, OnDropped: a.onDroppedEvents}
@@ -192,7 +194,7 @@
 	return o
 }
 
-// newSubsystems makes the subsystems that have a form, and completes the node's options with what they need.
+// newSubsystems creates the subsystems whose forms exist, and sets the node options that they require.
 func (a *Agent) newSubsystems(forms Config, o *fleet.Options) (err error) {
 	a.initial = front.AdoptConfig{Rules: forms.Rules}
 	if forms.Rollout == nil && forms.Audit == nil {
--- a/fleet/agent/audit_collector.go
+++ b/fleet/agent/audit_collector.go
@@ -16,35 +16,39 @@
 	"dapplerouter/fleet/disk"
 )
 
-// auditCollector fetches other fronts' audit segments into this one's folder, and serves its own to those that ask.
+// auditCollector fetches the audit segments of other fronts into this front's collection directory, and sends this front's own segments
+// to fronts that request them.
 type auditCollector struct {
 	writer    *auditWriter
-	fetches   *audit.Collector // nil where nothing is collected here; used by run only
+	fetches   *audit.Collector // nil if this front collects nothing; used by run only
 	requests  chan fetchRequest
 	responses chan fetchResponse
 }
 
-// fetchRequest is another front's request for a part of this front's segments.
+// fetchRequest is another front's request for the names of this front's segments, or for a part of one.
 type fetchRequest struct {
 	from    string
 	request *audit.FetchRequest
 }
 
-// fetchResponse is another front's response to this front's request.
+// fetchResponse is another front's response to a request of this front.
 type fetchResponse struct {
 	from     string
 	response *audit.FetchResponse
 }
 
+// collectorQueueLength is how many requests, and how many responses, may wait.
 const collectorQueueLength = 64
 
+// newAuditCollector returns the collector of a writer. If this front collects segments, it creates the collection directory and continues
+// after the segments that are already there.
 func newAuditCollector(w *auditWriter) (*auditCollector, error) {
 	c := &auditCollector{writer: w, requests: make(chan fetchRequest, collectorQueueLength), responses: make(chan fetchResponse, collectorQueueLength)}
 	if w.config.CollectDir == "" {
 		return c, nil
 	}
 	if err := os.MkdirAll(w.config.CollectDir, 0o700); err != nil {
-		return nil, fmt.Errorf("folder of collected audits: %w", err)
+		return nil, fmt.Errorf("directory of collected audit segments: %w", err)
 	}
 	collected, err := disk.ListSegments(w.config.CollectDir, "")
 	if err != nil {
@@ -54,7 +58,8 @@
 	return c, nil
 }
 
-// onDatagram queues another front's message; it is dropped where the queue is full, and requested again.
+// onDatagram queues another front's request or response. If the queue is full the message is dropped; the requesting front repeats its
+// request.
 func (c *auditCollector) onDatagram(e fleet.DatagramReceived) {
 	request, response := audit.DecodeDatagram(e.Data)
 	switch {
@@ -71,7 +76,7 @@
 	}
 }
 
-// serve responds to requests, one after the other.
+// serve responds to requests one after the other, until the agent stops.
 func (c *auditCollector) serve() {
 	a := c.writer.agent
 	for {
@@ -85,7 +90,7 @@
 	}
 }
 
-// respond reads the requested part of this front's closed segments.
+// respond returns the response to a request: the names of this front's closed segments, or a chunk of one of their files.
 func (c *auditCollector) respond(q audit.FetchRequest) audit.FetchResponse {
 	r := audit.FetchResponse{Request: q}
 	sealed := c.writer.segments.Sealed()
@@ -106,7 +111,7 @@
 		r.Removed = true
 		return r
 	}
-	defer func() { _ = f.Close() }() // it was read
+	defer func() { _ = f.Close() }() // opened for reading only
 	if info, err := f.Stat(); err == nil {
 		r.Total = info.Size()
 	}
@@ -119,7 +124,7 @@
 	return r
 }
 
-// run requests other fronts' segments, and stores those that arrived complete.
+// run requests the segments of other fronts, and stores those that are complete, until the agent stops.
 func (c *auditCollector) run() {
 	a := c.writer.agent
 	t := time.NewTicker(a.config.LeaseDuration / 6)
@@ -143,7 +148,7 @@
 	}
 }
 
-// sendRequests sends the requests that are due.
+// sendRequests sends the requests that are due now.
 func (c *auditCollector) sendRequests(n *fleet.Node, now time.Duration) {
 	fronts := slices.Collect(maps.Keys(n.State().Fronts))
 	for _, fetch := range c.fetches.Step(now, fronts) {
--- a/fleet/agent/audit_export.go
+++ b/fleet/agent/audit_export.go
@@ -13,17 +13,17 @@
 	"dapplerouter/fleet/disk"
 )
 
-// segmentExports is which closed segments were exported.
+// segmentExports records which closed segments were exported.
 type segmentExports struct {
-	mu      sync.Mutex      // held while segments are exported; guards the next two
-	done    map[string]bool // exported, or removed before they were
+	mu      sync.Mutex      // held during an export; guards done and failing
+	done    map[string]bool // by segment name: exported, or removed before the export
 	failing bool            // the last export failed
 
-	count atomic.Uint64
+	count atomic.Uint64 // of exported segments
 }
 
-// export copies closed segments as they come, each once.
-func (w *auditWriter) export() {
+// runExports exports closed segments as they appear, each once, until the agent stops.
+func (w *auditWriter) runExports() {
 	for {
 		w.exportAll()
 		select {
@@ -34,8 +34,8 @@
 	}
 }
 
-// exportAll exports the closed segments that were not exported yet, in their order, up to the first that fails. After a crash a segment
-// may be tried again: a copy that is there already, and is the same, counts.
+// exportAll exports the closed segments that are not exported yet, oldest first, up to the first one that fails. After a restart all
+// segments are exported again: an existing copy with the same content counts as exported.
 func (w *auditWriter) exportAll() {
 	if w.config.ExportDir == "" {
 		return
@@ -48,7 +48,7 @@
 			continue
 		}
 		err := disk.ExportSegment(w.config.LogDir, name, w.config.ExportDir)
-		if errors.Is(err, os.ErrNotExist) && w.removed(name) {
+		if errors.Is(err, os.ErrNotExist) && w.isSegmentRemoved(name) {
 			x.done[name] = true
 			continue
 		}
@@ -65,8 +65,8 @@
 	}
 }
 
-// removed reports whether a segment was removed meanwhile, to keep the log within its size.
-func (w *auditWriter) removed(name string) bool {
+// isSegmentRemoved reports whether a segment was removed in the meantime to keep the log within its size.
+func (w *auditWriter) isSegmentRemoved(name string) bool {
 	_, err := os.Stat(filepath.Join(w.config.LogDir, name+audit.LogSuffix))
 	return err != nil
 }
--- a/fleet/agent/audit_writer.go
+++ b/fleet/agent/audit_writer.go
@@ -11,8 +11,8 @@
 	"dapplerouter/fleet/disk"
 )
 
-// auditWriter writes audit lines to segment files. Lines wait in a bounded queue; those that do not fit are counted, and the count is
-// written as a gap. One goroutine writes: run.
+// auditWriter writes audit lines to segments. Lines wait in a bounded queue. Lines that do not fit are counted, and the count is recorded
+// as a gap. Only the goroutine of run writes.
 type auditWriter struct {
 	agent     *Agent
 	config    *audit.Config
@@ -20,37 +20,38 @@
 	collector *auditCollector
 	exports   segmentExports
 
-	queue   chan queueEntry
-	dating  entryDates
-	lost    atomic.Uint64 // lines that did not fit and are not written as a gap yet
-	written atomic.Uint64
-	index   atomic.Uint64 // of the replicated state
-	failing bool          // of run: the last write failed
-	stopped chan struct{} // closed when run returns
+	queue      chan queueEntry
+	timestamps entryTimestamps
+	lost       atomic.Uint64 // lines that did not fit into the queue and are not recorded as a gap yet
+	written    atomic.Uint64
+	index      atomic.Uint64 // index of the replicated state
+	failing    bool          // the last write failed; used by run only
+	stopped    chan struct{} // closed when run returns
 }
 
-// queueEntry is a line, an interval or a sync, one of them, on its way to the files; none of them ends the writer.
+// queueEntry is an entry of the writer's queue: exactly one of a line, an interval or a request to sync. An entry without any of them
+// ends the writer.
 type queueEntry struct {
-	line     *audit.Line
-	interval *audit.Interval
-	date     int64 // of the interval, Unix microseconds
-	sync     chan struct{}
+	line      *audit.Line
+	interval  *audit.Interval
+	timestamp int64         // time of the entry, Unix microseconds
+	sync      chan struct{} // closed after the sync
 }
 
-// entryDates dates entries in the order in which they are queued.
-type entryDates struct {
-	mu   sync.Mutex // held while an entry is dated and queued
-	last int64
+// entryTimestamps assigns timestamps to entries, so that they never decrease in the order of the queue.
+type entryTimestamps struct {
+	mu   sync.Mutex // held while an entry gets its timestamp and is queued
+	last int64      // timestamp of the last entry
 }
 
 const (
-	auditQueueLength = 4096
-	syncTimeout      = time.Second
-	// Bounds of what close waits for: room in the queue, and what is queued to be written.
-	closeQueueTimeout = time.Second
-	closeWriteTimeout = 2 * time.Second
+	auditQueueLength  = 4096            // entries
+	syncTimeout       = time.Second     // how long syncAudit waits
+	closeQueueTimeout = time.Second     // how long close waits for room in the queue
+	closeWriteTimeout = 2 * time.Second // how long close then waits until the queued entries are written
 )
 
+// newAuditWriter opens the front's audit log and creates its collector. The writer runs from start to close.
 func newAuditWriter(a *Agent, c *audit.Config) (*auditWriter, error) {
 	w := &auditWriter{agent: a, config: c, queue: make(chan queueEntry, auditQueueLength), stopped: make(chan struct{})}
 	w.exports.done = map[string]bool{}
@@ -63,10 +64,10 @@
 	return w, err
 }
 
-// start starts the writer's goroutines and queues the line that says that the process started.
+// start starts the goroutines of the writer, and queues the line that records the start of the process.
 func (w *auditWriter) start() {
 	a := w.agent
-	go w.run() // ends with close, which waits for stopped
+	go w.run() // close ends it and waits for stopped
 	a.writeAudit(&audit.Line{
 		Event:         audit.EventProcessStarted,
 		Program:       a.program,
@@ -75,14 +76,14 @@
 		Version:       a.initial.Version,
 		RulesHash:     a.initial.Rules.Digest(),
 	})
-	go w.export() // not waited for: a folder on a server that is away may hold it up
+	go w.runExports() // close does not wait for it: an export directory on a server that is unreachable may block it
 	a.goroutines.Go(w.collector.serve)
 	if w.collector.fetches != nil {
 		a.goroutines.Go(w.collector.run)
 	}
 }
 
-// stamp adds to a line which front wrote it, and when.
+// stamp sets the front, the time and the index of the replicated state of a line, as far as they are not set yet.
 func (w *auditWriter) stamp(l *audit.Line) {
 	l.Front, l.Incarnation = w.agent.name, w.agent.incarnation
 	if l.At == 0 {
@@ -93,24 +94,25 @@
 	}
 }
 
-// date gives an entry its date, never one before the last; w.dating.mu must be held.
-func (w *auditWriter) date(e *queueEntry) {
+// setTimestamp sets the timestamp of an entry, which is never earlier than that of the entry before; w.timestamps.mu must be held.
+func (w *auditWriter) setTimestamp(e *queueEntry) {
 	at := w.agent.wallNow()
 	if e.line != nil && e.line.At > 0 {
 		at = e.line.At
 	}
-	w.dating.last = max(w.dating.last, at)
-	e.date = w.dating.last
+	w.timestamps.last = max(w.timestamps.last, at)
+	e.timestamp = w.timestamps.last
 	if e.line != nil {
-		e.line.At = w.dating.last
+		e.line.At = w.timestamps.last
 	}
 }
 
-// enqueue dates and queues an entry; it never blocks on the queue, and reports whether there was room.
+// enqueue sets the timestamp of an entry and queues it. It never blocks on a full queue: the entry is then counted as lost, and enqueue
+// returns false.
 func (w *auditWriter) enqueue(e queueEntry) bool {
-	w.dating.mu.Lock()
-	defer w.dating.mu.Unlock()
-	w.date(&e)
+	w.timestamps.mu.Lock()
+	defer w.timestamps.mu.Unlock()
+	w.setTimestamp(&e)
 	select {
 	case w.queue <- e:
 		return true
@@ -120,7 +122,7 @@
 	}
 }
 
-// run writes queued entries until an empty one comes.
+// run writes queued entries until it receives an empty entry.
 func (w *auditWriter) run() {
 	defer close(w.stopped)
 	for e := range w.queue {
@@ -137,7 +139,7 @@
 			return
 		case e.interval != nil:
 			l, index := w.intervalLine(e.interval)
-			l.At = e.date
+			l.At = e.timestamp
 			w.write(l, index)
 		default:
 			w.write(e.line, nil)
@@ -145,12 +147,13 @@
 	}
 }
 
+// write writes a line and its part of the index. It logs when writing begins to fail, and when it succeeds again.
 func (w *auditWriter) write(l *audit.Line, index []byte) {
 	w.stamp(l)
 	err := w.segments.Write(l, index)
 	if (err != nil) != w.failing {
 		if w.failing = err != nil; w.failing {
-			slog.Error("audit: writing failed; requests are served on, and the gap will be recorded", "err", err)
+			slog.Error("audit: writing failed; requests are still served, and the gap will be recorded", "err", err)
 		} else {
 			slog.Info("audit: writing resumed")
 		}
@@ -158,7 +161,7 @@
 	w.written.Add(1)
 }
 
-// intervalLine is an interval's line, and its part of the segment's index.
+// intervalLine returns the line that records an interval, and the interval's part of the segment's index.
 func (w *auditWriter) intervalLine(s *audit.Interval) (l *audit.Line, index []byte) {
 	l = &audit.Line{
 		Event:                audit.EventInterval,
@@ -180,7 +183,7 @@
 	return l, index
 }
 
-// close writes what is queued, closes the files and exports the last segment.
+// close writes what is queued, closes the open segment and exports it. Its waits are bounded by closeQueueTimeout and closeWriteTimeout.
 func (w *auditWriter) close() {
 	select {
 	case w.queue <- queueEntry{}:
@@ -196,14 +199,14 @@
 	w.exportAll()
 }
 
-// writeAudit queues an audit line, where there is an audit.
+// writeAudit queues an audit line, if an audit is configured.
 func (a *Agent) writeAudit(l *audit.Line) {
 	if a.audit != nil {
 		a.audit.enqueue(queueEntry{line: l})
 	}
 }
 
-// syncAudit waits until what was queued is on disk, for syncTimeout at most.
+// syncAudit waits until all lines queued so far are on disk, for syncTimeout at most.
 func (a *Agent) syncAudit() {
 	if a.audit == nil {
 		return
@@ -217,14 +220,14 @@
 	}
 }
 
-// noteIndex records the index of the replicated state, for the audit lines that follow.
-func (a *Agent) noteIndex(n *fleet.Node) {
+// recordIndex stores the index of the replicated state for the audit lines that follow.
+func (a *Agent) recordIndex(n *fleet.Node) {
 	if a.audit != nil {
 		a.audit.index.Store(max(n.State().Index, a.audit.index.Load()))
 	}
 }
 
-// auditEvent writes an event of the fleet into the audit.
+// auditEvent records the acquisition and the end of a lease in the audit log. Other events are ignored.
 func (a *Agent) auditEvent(e fleet.Event) {
 	if a.audit == nil {
 		return
--- a/fleet/agent/audit_writer_test.go
+++ b/fleet/agent/audit_writer_test.go
@@ -17,8 +17,8 @@
 	"dapplerouter/front"
 )
 
-// Lines of many goroutines, and intervals between them, are written late by a busy machine: their dates follow the order in which they
-// are written, or the audit's reader takes it for a clock that was set back.
+// Guards against timestamps that decrease from line to line, which the reader of an audit log takes for a clock that was set back. Lines
+// come from many goroutines, with intervals between them, and a busy machine writes them late.
 func TestAuditLineDatesFollowWriteOrder(t *testing.T) {
 	dir, began := t.TempDir(), time.Now()
 	a := &Agent{identity: identity{name: "n1"}, CoreAccess: CoreAccess{StartedAt: began, Clock: func() time.Duration { return time.Since(began) }}}
@@ -37,7 +37,7 @@
 		})
 	}
 	writers.Wait()
-	time.Sleep(100 * time.Millisecond) // the writer has had no turn so far
+	time.Sleep(100 * time.Millisecond) // the writer starts late
 	go w.run()
 	w.close()
 	last := int64(0)
@@ -49,7 +49,7 @@
 	assert.GreaterOrEqual(t, len(lines), 880)
 }
 
-// auditLines are the lines of a front's audit log.
+// auditLines returns the lines of a front's audit log.
 func auditLines(t *testing.T, dir, front string) (lines []audit.Line) {
 	t.Helper()
 	names, err := disk.ListSegments(dir, front)
@@ -66,13 +66,14 @@
 	return lines
 }
 
-// Guards against an audit that holds for wrong what a front did: a version was adopted behind the line that says that it stopped.
-func TestNothingIsAuditedBehindTheEndOfTheProcess(t *testing.T) {
+// Guards against audit lines after the line that records the end of the process. Verification reported a violation when a version was
+// adopted after that line.
+func TestProcessStoppedIsTheLastAuditLine(t *testing.T) {
 	dir := t.TempDir()
 	a := startVoter(t, func(c *Config) {
 		c.Audit = &audit.Config{LogDir: dir, SegmentBytes: disk.DefaultSegmentBytes, MaxTotalBytes: 1 << 24}
 	})
-	a.goroutines.Go(func() { // an adoption that is under way meanwhile
+	a.goroutines.Go(func() { // an adoption that is still in progress during Close
 		<-a.ctx.Done()
 		a.writeAudit(&audit.Line{Event: audit.EventVersionAdopted, Version: 1, RulesHash: "8899"})
 	})
--- a/fleet/agent/endpoint_follower_test.go
+++ b/fleet/agent/endpoint_follower_test.go
@@ -13,8 +13,8 @@
 	"dapplerouter/routing"
 )
 
-// Behind a disk that hung the event of a change may have been dropped: the server that drains would get requests until the list's next
-// change, since the updates between say only that the discovery service answers.
+// Guards against lost changes of the endpoint list. The event of a change may be dropped while a disk hangs. The following updates only
+// say that the discovery service still answers, so a draining server would receive requests until the next change of the list.
 func TestChangesOfDroppedEventsReachTheFront(t *testing.T) {
 	node, err := fleet.New(fleet.Options{Fleet: "x", Name: "n1", Incarnation: 7, Timing: fleet.Timing{LeaseDuration: time.Second}, Seed: 1}, nil)
 	require.NoError(t, err)
@@ -36,7 +36,7 @@
 	}
 	latest := func() (u discovery.Update) {
 		for u = range updates {
-			if u.Kind != routing.UpdateFailed { // of the watch of its own
+			if u.Kind != routing.UpdateFailed { // failures of the front's own watch
 				return u
 			}
 		}
--- a/fleet/agent/events.go
+++ b/fleet/agent/events.go
@@ -8,7 +8,7 @@
 	"dapplerouter/fleet/audit"
 )
 
-// onEvent handles an event of the fleet's node; events come in their order.
+// onEvent handles an event of the fleet's node. The mesh calls it for one event after the other, in order.
 func (a *Agent) onEvent(at time.Duration, e fleet.Event) {
 	a.history.record(a.mesh, at, e.Fields())
 	logEvent(e)
@@ -38,13 +38,14 @@
 	}
 }
 
-// onDroppedEvents catches up with events that never came: of the endpoint list this front may lack changes. Probe results and datagrams
-// come again by themselves.
+// onDroppedEvents recovers from dropped events. This front may have missed changes of the endpoint list, so it passes on the whole list
+// again. Probe results and datagrams need no recovery, since they are repeated.
 func (a *Agent) onDroppedEvents(events uint64) {
 	slog.Warn("fleet: events dropped; this front's disk or processor did not keep up", "events", events)
 	a.endpoints.resync()
 }
 
+// onBroadcast passes a broadcast on: updates of the endpoint list, and probe results of other fronts.
 func (a *Agent) onBroadcast(e fleet.BroadcastReceived) {
 	switch {
 	case e.Lease == fleet.EndpointListLease:
@@ -54,6 +55,7 @@
 	}
 }
 
+// onDatagram passes a datagram on to the subsystem that it is addressed to.
 func (a *Agent) onDatagram(e fleet.DatagramReceived) {
 	switch {
 	case e.Subsystem == probeSubsystem:
@@ -63,7 +65,8 @@
 	}
 }
 
-// logEvent logs what an operator acts on. The messages' prefix is the part of the program, as in all logs of the agent.
+// logEvent logs the events that an operator may have to act on. The prefix of the messages names the component, as in all log messages of
+// the agent.
 func logEvent(e fleet.Event) {
 	switch e := e.(type) {
 	case fleet.LeaseAcquired:
--- a/fleet/agent/format_test.go
+++ b/fleet/agent/format_test.go
@@ -19,17 +19,17 @@
 	"dapplerouter/fleet/rollout"
 )
 
-// The files in testdata were written by version 0.3.0, and are never written again: operators' tools read these formats.
+// The files in testdata were written by version 0.3.0 and must not be regenerated: operators' tools read these formats.
 
-// sameAsFile compares text with a file of testdata.
-func sameAsFile(t *testing.T, name string, got []byte) {
+// assertMatchesFile compares text with a file of testdata.
+func assertMatchesFile(t *testing.T, name string, got []byte) {
 	t.Helper()
 	want, err := os.ReadFile(filepath.Join("testdata", name))
 	require.NoError(t, err)
 	assert.Equal(t, string(want), string(got), name)
 }
 
-// zeroFields are the names of fields that are zero.
+// zeroFields returns the names of the fields of v that are zero.
 func zeroFields(v any) (names []string) {
 	r := reflect.ValueOf(v)
 	for i := range r.NumField() {
@@ -58,7 +58,7 @@
 		Counters{3, 1, 2, 100, 200, 4, 5, true, 17, 44, 1.5, []mesh.KindTotals{kind}},
 		storedVersion{5, "(rules)", 6},
 	} {
-		assert.Empty(t, zeroFields(full), "%T: a field that this test doesn't pin", full)
+		assert.Empty(t, zeroFields(full), "%T: a field that this test does not cover", full)
 		for _, v := range []any{full, reflect.Zero(reflect.TypeOf(full)).Interface()} {
 			b, err := json.Marshal(v)
 			require.NoError(t, err)
@@ -66,7 +66,7 @@
 			out.Write(append(b, '\n'))
 		}
 	}
-	sameAsFile(t, "admin_api.txt", out.Bytes())
+	assertMatchesFile(t, "admin_api.txt", out.Bytes())
 }
 
 func TestHistoryIsWrittenAsByVersion030(t *testing.T) {
@@ -96,9 +96,9 @@
 	got, err := os.ReadFile(path)
 	require.NoError(t, err)
 	zero := m.WallTime(0).UnixMicro()
-	for _, d := range []time.Duration{at, since, until} { // as microseconds since the mesh's start
+	for _, d := range []time.Duration{at, since, until} { // relative to the start of the mesh, in microseconds
 		got = bytes.ReplaceAll(got, strconv.AppendInt(nil, zero+d.Microseconds(), 10), strconv.AppendInt(nil, d.Microseconds(), 10))
 	}
-	got = regexp.MustCompile(`"at":[0-9]{12,}`).ReplaceAll(got, []byte(`"at":0`)) // of the two that were dated now
-	sameAsFile(t, "history.jsonl", got)
+	got = regexp.MustCompile(`"at":[0-9]{12,}`).ReplaceAll(got, []byte(`"at":0`)) // of the last two entries, which have the current time
+	assertMatchesFile(t, "history.jsonl", got)
 }
--- a/fleet/agent/history.go
+++ b/fleet/agent/history.go
@@ -13,17 +13,17 @@
 	"dapplerouter/fleet/rollout"
 )
 
-// Names of the agent's own entries in the history, beside the events of package fleet. Operators' tools and the checkers of
-// lab/processtest read them: they change only with a format version.
+// Kinds of the history entries that the agent itself writes, in addition to the events of package fleet. Operators' tools and the
+// checkers of lab/processtest read them, so they may change only with a new format version.
 const (
 	versionAdopted = "adopted"
-	versionInForce = "acts" // all requests in flight are of this version
+	versionInForce = "acts" // all requests in flight use this version
 	standbyBegan   = "stands by"
 	standbyEnded   = "acts again"
 	rolloutChanged = "turned"
 )
 
-// history writes a line of JSON for each event; a nil history writes nothing.
+// history appends one line of JSON for each event to a file. A nil history writes nothing.
 type history struct {
 	file        *os.File
 	front       string
@@ -33,7 +33,7 @@
 	failing bool       // the last write failed
 }
 
-// openHistory opens the history's file to be appended to; it is nil for no path.
+// openHistory opens the history file for appending. It returns nil if path is empty.
 func openHistory(path, front string, incarnation uint64) (*history, error) {
 	if path == "" {
 		return nil, nil
@@ -45,17 +45,17 @@
 	return &history{file: f, front: front, incarnation: incarnation}, nil
 }
 
-// recordVersion writes what became of a configuration version.
+// recordVersion writes a change in the use of a configuration version; change is one of the kinds above.
 func (h *history) recordVersion(m *mesh.Mesh, change string, version uint64) {
 	h.record(m, m.Now(), fleet.EventFields{Kind: change, Number: version})
 }
 
-// recordRollout writes a change of the rollout's state.
+// recordRollout writes a change of the state of the rollout; index is that of the replicated state.
 func (h *history) recordRollout(m *mesh.Mesh, s rollout.State, index uint64) {
 	h.record(m, m.Now(), fleet.EventFields{Kind: rolloutChanged, Number: s.Base, Term: s.Next, Name: s.Phase.String(), Index: index, Reason: s.Reason})
 }
 
-// record writes an event that happened at a time of the mesh's clock.
+// record writes an event that happened at a time of the mesh's clock. Failures are logged.
 func (h *history) record(m *mesh.Mesh, at time.Duration, e fleet.EventFields) {
 	if h == nil {
 		return
@@ -92,8 +92,9 @@
 	}
 }
 
+// close closes the file.
 func (h *history) close() {
 	if h != nil {
-		_ = h.file.Close() // each line is written at once
+		_ = h.file.Close() // an error is ignored: lines are not buffered
 	}
 }
--- a/fleet/agent/lifecycle.go
+++ b/fleet/agent/lifecycle.go
@@ -10,13 +10,13 @@
 	"dapplerouter/front"
 )
 
-// closeAuditTimeout is how long Close waits for the core to hand over its last audit interval.
+// closeAuditTimeout is how long Close waits for the core to pass on its last audit interval.
 const closeAuditTimeout = time.Second
 
-// Name is the agent's name in the front's list of parts.
+// Name returns the agent's name in the front's list of components.
 func (a *Agent) Name() string { return "fleet" }
 
-// Start listens for other fronts and for the operator, and starts all goroutines. The error is a socket that can't be used.
+// Start opens the control socket and starts all goroutines. The error names a socket that can't be opened.
 func (a *Agent) Start() error {
 	if a.config.Control != "" {
 		s, err := adminapi.Listen(a.config.Control)
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// startSubsystems starts those that have a form. The version that the front begins with goes to its core first.
+// startSubsystems starts the subsystems whose forms exist. It first posts the initial configuration version to the core.
 func (a *Agent) startSubsystems() {
 	if a.initial.Rules != nil || a.rollout != nil {
 		a.Post(a.initial)
@@ -49,7 +49,7 @@
 	}
 }
 
-// tickAudit lets the core close audit intervals in time, also where no request comes.
+// tickAudit makes the core close audit intervals on time even if no request arrives.
 func (a *Agent) tickAudit() {
 	t := time.NewTicker(audit.MaxIntervalDuration / 6)
 	defer t.Stop()
@@ -63,7 +63,8 @@
 	}
 }
 
-// CoreHooks is what the front's core needs of this agent: call it once, before the core runs. It is zero where no form needs it.
+// CoreHooks returns the options that connect the front's core with this agent. Call it once, before the core runs. The options are zero
+// if neither an audit nor rollouts are configured.
 func (a *Agent) CoreHooks() (o front.FleetOptions) {
 	if a.recorder == nil {
 		return o
@@ -75,7 +76,7 @@
 	return o
 }
 
-// Totals returns the counts since the start, as attributes of a log line.
+// Totals returns counts since the start as key-value pairs for a log line.
 func (a *Agent) Totals() []any {
 	t := a.mesh.Totals()
 	out := []any{"links", t.Links, "sent", t.Sent, "received", t.Received, "sent_bytes", t.SentBytes, "received_bytes", t.ReceivedBytes,
@@ -94,10 +95,10 @@
 	return out
 }
 
-// DiscoveryMoved changes to another address of the discovery service.
+// DiscoveryMoved switches to another address of the discovery service.
 func (a *Agent) DiscoveryMoved(address string) { a.endpoints.setAddress(address) }
 
-// Drain transfers the front's leases to other fronts, for a time at most.
+// Drain releases the front's leases so that other fronts take them over. It waits for that for the duration within at most.
 func (a *Agent) Drain(within time.Duration) {
 	if !a.mesh.Leave(within) {
 		slog.Warn("fleet: leases not transferred in time; they expire", "within", within)
@@ -109,7 +110,7 @@
 	if a.rollout != nil {
 		var active uint64
 		a.mesh.Do(func(*fleet.Node, time.Duration) { active = a.rollout.participant.Adopter.Active() })
-		a.rollout.confirm(active)
+		a.rollout.confirmVersion(active)
 	}
 	a.cancel()
 	if a.admin != nil {
@@ -129,8 +130,8 @@
 	a.history.close()
 }
 
-// closeAudit writes the last audit lines: what the core has counted, and that the process stops. Nothing that could adopt a version, or hold a
-// lease, is left by then.
+// closeAudit writes the last audit lines: the counts that the core still holds, and a line that the process stops. It must run after
+// everything that could adopt a version or hold a lease has stopped.
 func (a *Agent) closeAudit() {
 	closed := make(chan struct{})
 	a.Post(front.CloseAudit{OnClosed: func() { close(closed) }})
@@ -142,14 +143,14 @@
 	a.audit.close()
 }
 
-// wallNow is the wall clock as it was at the start, carried on by the core's clock, in Unix microseconds: a step of the machine's
-// clock meanwhile dates nothing backwards.
+// wallNow returns the current time in Unix microseconds. It advances with the core's clock from the wall-clock time at the start, so a
+// step of the machine's clock never makes it go back.
 func (a *Agent) wallNow() int64 {
-	if a.Clock == nil { // before Start
+	if a.Clock == nil { // Clock is set before Start
 		return time.Now().UnixMicro()
 	}
 	return a.wallMicros(a.Clock())
 }
 
-// wallMicros is a time of the core's clock as Unix microseconds.
+// wallMicros converts a time of the core's clock to Unix microseconds.
 func (a *Agent) wallMicros(at time.Duration) int64 { return a.StartedAt.Add(at).UnixMicro() }
--- a/fleet/agent/pending_requests.go
+++ b/fleet/agent/pending_requests.go
@@ -8,16 +8,16 @@
 	"dapplerouter/fleet"
 )
 
-// errNoAnswer is a request that no leader answered in time.
+// errNoAnswer reports that no leader answered a request in time.
 const errNoAnswer = adminapi.RejectedError("no answer of the fleet")
 
-// pendingRequests are requests to the leader that wait for their end.
+// pendingRequests tracks the requests to the leader that have not ended yet.
 type pendingRequests struct {
-	mu   sync.Mutex // guards byID
-	byID map[uint64]chan<- fleet.RequestDone
+	mu   sync.Mutex                          // guards byID
+	byID map[uint64]chan<- fleet.RequestDone // receives the end of the request with an id
 }
 
-// add adds a request; its end goes to done, which must have room for it.
+// add adds a request. Its end is sent to done, which must be buffered so that the send does not block.
 func (p *pendingRequests) add(id uint64, done chan<- fleet.RequestDone) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -27,14 +27,14 @@
 	p.byID[id] = done
 }
 
-// remove removes a request that nobody waits for any more.
+// remove removes a request whose caller has stopped waiting.
 func (p *pendingRequests) remove(id uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.byID, id)
 }
 
-// finish hands the end of a request to whoever waits for it.
+// finish passes the end of a request to its caller, if it is still waiting.
 func (p *pendingRequests) finish(e fleet.RequestDone) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -44,7 +44,8 @@
 	}
 }
 
-// requestLeader sends a request to the leader and waits for its answer: nil, or the reason of its rejection as a RejectedError.
+// requestLeader sends a request to the leader and waits until it ends. If the leader rejects it, the error is a RejectedError with the
+// reason. If no answer arrives in time, the error is errNoAnswer.
 func (a *Agent) requestLeader(send func(n *fleet.Node, now time.Duration) (id uint64)) error {
 	e, ok := a.awaitRequest(send)
 	if !ok {
@@ -56,13 +57,13 @@
 	return nil
 }
 
-// awaitRequest sends a request to the leader and waits for its end; ok is false where none came in time.
+// awaitRequest sends a request to the leader and waits until it ends. ok is false if that does not happen within five lease durations.
 func (a *Agent) awaitRequest(send func(n *fleet.Node, now time.Duration) (id uint64)) (e fleet.RequestDone, ok bool) {
 	done := make(chan fleet.RequestDone, 1)
 	var id uint64
 	a.mesh.Do(func(n *fleet.Node, now time.Duration) {
 		id = send(n, now)
-		a.requests.add(id, done) // before its end can come, since the mesh's lock is held
+		a.requests.add(id, done) // before the request can end, since the mesh's lock is held
 	})
 	select {
 	case e := <-done:
@@ -73,7 +74,7 @@
 	}
 }
 
-// collectDigests returns all fronts' digests of a part, none without a leader.
+// collectDigests returns the digests of a subsystem of all fronts, as reported to the leader. It returns none if no leader answers.
 func (a *Agent) collectDigests(part string) []fleet.MemberReport {
 	e, _ := a.awaitRequest(func(n *fleet.Node, now time.Duration) uint64 { return n.CollectDigests(now, part) })
 	return e.Reports
--- a/fleet/agent/prober.go
+++ b/fleet/agent/prober.go
@@ -13,46 +13,48 @@
 	"dapplerouter/routing"
 )
 
-// Prober lets one front of a fleet run a group's health checks for all. It stands before the pools of connections to servers and
-// looks at nothing but probes. What is probed, and when, is the routing module's decision; the holder of a group's probe lease
-// broadcasts how its probes ended, and the other fronts' probes are answered from that.
+// Prober lets one front of a fleet run the health checks of a group for all fronts. It sits between the front's core and its connection
+// pools, and intercepts only probes. The routing module decides which servers are probed, and when. The holder of a group's probe lease
+// broadcasts the results of its probes, and the other fronts answer their own probes from these results.
 type Prober struct {
-	pools front.Pools       // set by Connect, as is post
+	pools front.Pools       // set by Connect, like post
 	post  func(front.Event) // sends an event to the front's core
 
-	Broadcast    func(leaseName string, data []byte) bool // sends a broadcast under a lease, where this front holds it
+	Broadcast    func(leaseName string, data []byte) bool // sends a broadcast under a lease; false if this front does not hold it
 	DeclareLease func(leaseName string)                   // declares a lease
 	Now          func() time.Duration                     // the front's clock in the fleet
-	After        func(d time.Duration, call func())       // never calls within the call itself
-	RequestProbe func(front, server string)               // asks another front to probe a server; unreliable
-	probeTimeout time.Duration                            // after which the core ends a probe by itself
+	After        func(d time.Duration, call func())       // calls a function after a delay, never synchronously
+	RequestProbe func(front, server string)               // asks another front to probe a server; the request may be lost
+	probeTimeout time.Duration                            // after this time the core itself ends a probe
 
 	mu      sync.Mutex // guards the fields below
 	cache   *fleet.ProbeCache[waitingProbe]
 	servers serverTable
 	leases  probeLeases
-	pending map[*front.Attempt]probedServer // own probes as the leaseholder, not answered yet
+	pending map[*front.Attempt]probedServer // this front's unanswered probes of servers whose probe lease it holds
 }
 
-// waitingProbe is the core's probe of a server that waits for another front's result.
+// waitingProbe is a probe from this front's core that waits for the result of another front's probe.
 type waitingProbe struct {
-	server    int // the core's index
+	server    int // index of the server in the core
 	attempt   *front.Attempt
 	startedAt time.Duration
 }
 
 var (
-	// errSharedProbe is the cause of a probe's failure that another front's probe showed.
+	// errSharedProbe is the error of a probe that is answered with the failure of another front's probe.
 	errSharedProbe = errors.New("probe of another front failed")
-	// errProbePending is the cause of a probe's end that waited for another front's until too little time was left.
+	// errProbePending is the error of a probe that waited for the result of another front's probe until too little time was left to send
+	// it.
 	errProbePending = errors.New("probe of another front is pending")
 )
 
-// waitFraction is the part of a probe's timeout for which it waits for a result, twice that while the other front's probe is
-// pending: less than half, so that it ends before the core takes its silence for the server's.
+// waitFraction is the fraction of a probe's timeout for which the probe waits for a shared result. It waits twice as long while the other
+// front's probe is pending. The fraction is less than half, so that the wait ends before the core's timeout, which would count as a
+// failure of the server.
 const waitFraction = 2.0 / 5
 
-// NewProber makes a Prober for a fleet's lease duration; probeTimeout is how long the core waits for a probe.
+// NewProber returns a Prober. leaseDuration is the fleet's lease duration, and probeTimeout is how long the core waits for a probe.
 func NewProber(leaseDuration, probeTimeout time.Duration) *Prober {
 	return &Prober{
 		After:        func(d time.Duration, call func()) { time.AfterFunc(d, call) },
@@ -64,9 +66,9 @@
 	}
 }
 
-// Connect puts the prober between a front's core and its pools, and returns the pools that the core is made with. newPools makes the
-// pools that the prober stands before: they, and whoever follows the endpoint list, tell what happens to observe. post sends an event
-// to the core. The error is that of newPools.
+// Connect places the prober between a front's core and its pools, and returns the pools to create the core with. post sends an event to
+// the core. newPools creates the pools behind the prober; they, and whoever follows the endpoint list, must report their events to
+// observe. The error is that of newPools.
 func (p *Prober) Connect(post func(front.Event), newPools func(observe func(front.Event)) (front.Pools, error)) (front.Pools, error) {
 	p.post = post
 	pools, err := newPools(p.OnFrontEvent)
@@ -91,19 +93,20 @@
 // Remove implements front.Pools.
 func (p *Prober) Remove(server int) { p.pools.Remove(server) }
 
-// Send implements front.Pools. A probe is sent, answered with another front's result, or held back until that comes.
+// Send implements front.Pools. Requests are passed on. A probe is sent, answered from another front's result, or held back until that
+// result arrives.
 func (p *Prober) Send(server int, attempt *front.Attempt) {
 	if _, probe := attempt.Forwarded(); !probe {
 		p.pools.Send(server, attempt)
 		return
 	}
-	p.mu.Lock() // the core must not wait for the mesh: the state as of the fleet's last event is enough here
+	p.mu.Lock() // not the mesh's lock, for which the core must not wait: the state as of the last fleet event is sufficient
 	target, ok := p.servers.byAddress[p.servers.addresses[server]]
 	leaseName := fleet.ProbeLease(target.group)
-	ours := ok && p.leases.own[leaseName]
+	holdsLease := ok && p.leases.own[leaseName]
 	holder := p.leases.holders[leaseName]
-	decision, result := p.cache.Decide(p.Now(), target.name, waitingProbe{server, attempt, p.Now()}, ok && !ours && holder != "" && !p.leases.isolated)
-	if ours {
+	decision, result := p.cache.Decide(p.Now(), target.name, waitingProbe{server, attempt, p.Now()}, ok && !holdsLease && holder != "" && !p.leases.isolated)
+	if holdsLease {
 		p.pending[attempt] = target
 		p.cache.AcceptRequest(p.Now(), target.name)
 	}
@@ -111,22 +114,22 @@
 	switch decision {
 	case fleet.ProbeNow:
 		p.pools.Send(server, attempt)
-		if ours {
+		if holdsLease {
 			p.After(p.probeTimeout/4, func() { p.publishResult(attempt, fleet.ProbeResult{Pending: true}) })
-			p.After(p.probeTimeout, func() { p.publishResult(attempt, fleet.ProbeResult{}) }) // no answer
+			p.After(p.probeTimeout, func() { p.publishResult(attempt, fleet.ProbeResult{}) }) // no answer within the timeout
 		}
 	case fleet.UseResult:
-		p.After(0, func() { p.post(probeFinished(attempt, result)) }) // the caller is the core, which reads what is posted
+		p.After(0, func() { p.post(probeFinished(attempt, result)) }) // asynchronous: the caller is the core, which handles the event
 	case fleet.AwaitResult:
 		p.After(0, func() { p.RequestProbe(holder, target.name) })
-		p.After(p.cache.MaxWait, p.endWaits)
-		p.After(2*p.cache.MaxWait, p.endWaits)
+		p.After(p.cache.MaxWait, p.expireWaits)
+		p.After(2*p.cache.MaxWait, p.expireWaits)
 	}
 }
 
-// endWaits ends the waits of the probes for which no result came in time. They are sent, or end as not sent where they have waited so
-// long, for another front's pending probe, that the server could not answer in the time that is left.
-func (p *Prober) endWaits() {
+// expireWaits ends the wait of probes for which no result arrived in time, and sends them. A probe that waited twice as long because
+// another front's probe was pending has too little time left for the server to answer. It ends as not sent.
+func (p *Prober) expireWaits() {
 	p.mu.Lock()
 	now := p.Now()
 	expired := p.cache.Expired(now)
@@ -140,19 +143,20 @@
 	}
 }
 
-// OnFrontEvent passes an event on to the core, and takes from it the endpoint list and how own probes ended.
+// OnFrontEvent passes an event on to the core. Before that it takes the endpoint list from it, or the result of one of this front's own
+// probes.
 func (p *Prober) OnFrontEvent(e front.Event) {
 	switch e := e.(type) {
 	case front.EndpointsChanged:
-		p.onList(e.List)
+		p.onEndpointList(e.List)
 	case *front.AttemptFinished:
 		if _, probe := e.Attempt.Forwarded(); probe {
-			result, known := probeResult(e) // first: the core releases the answer
+			result, known := probeResult(e) // computed first, since the core releases the answer
 			p.post(e)
 			if known {
 				p.publishResult(e.Attempt, result)
 			} else {
-				p.forget(e.Attempt)
+				p.dropPending(e.Attempt)
 			}
 			return
 		}
@@ -160,7 +164,8 @@
 	p.post(e)
 }
 
-// probeResult is how an own probe ended. known is false where this machine could not send it, from which nothing is learnt of its server.
+// probeResult returns the result of this front's own probe. known is false if this machine could not send the probe, which says nothing
+// about the server.
 func probeResult(e *front.AttemptFinished) (result fleet.ProbeResult, known bool) {
 	if e.Err != nil {
 		return fleet.ProbeResult{ConnectionLost: e.Err.Stage == front.StageRead}, e.Err.Stage != front.StageLocal
@@ -172,21 +177,22 @@
 	return result, true
 }
 
-// forget drops a pending probe, of which nothing is published any more.
-func (p *Prober) forget(attempt *front.Attempt) {
+// dropPending drops a pending probe without publishing a result.
+func (p *Prober) dropPending(attempt *front.Attempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.pending, attempt)
 }
 
-// OnFleetEvent handles an event of the fleet; self is this front's name.
+// OnFleetEvent handles an event of the fleet; self is the name of this front.
 func (p *Prober) OnFleetEvent(e fleet.Event, self string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.leases.onEvent(e, self)
 }
 
-func (p *Prober) onList(l discovery.List) {
+// onEndpointList records the servers of an endpoint list, and declares the probe leases of new groups.
+func (p *Prober) onEndpointList(l discovery.List) {
 	p.mu.Lock()
 	newGroups := p.servers.add(l)
 	p.mu.Unlock()
@@ -195,7 +201,8 @@
 	}
 }
 
-// publishResult broadcasts that a probe is pending, and how it ended, each once.
+// publishResult broadcasts the result of a pending probe, or that it is still pending. It does nothing once the result is published or
+// the probe is dropped.
 func (p *Prober) publishResult(attempt *front.Attempt, result fleet.ProbeResult) {
 	p.mu.Lock()
 	target, ok := p.pending[attempt]
@@ -209,21 +216,22 @@
 	}
 }
 
-// OnProbeRequest handles another front's request to probe a server: the routing module is asked to, unless it just did.
+// OnProbeRequest handles another front's request to probe a server. It passes the request on to the routing module, if this front holds
+// the probe lease of the server's group and no probe was requested recently.
 func (p *Prober) OnProbeRequest(server string) {
 	p.mu.Lock()
-	ours := false
+	holdsLease := false
 	for _, s := range p.servers.byAddress {
-		ours = ours || s.name == server && p.leases.own[fleet.ProbeLease(s.group)]
+		holdsLease = holdsLease || s.name == server && p.leases.own[fleet.ProbeLease(s.group)]
 	}
-	accepted := ours && p.cache.AcceptRequest(p.Now(), server)
+	accepted := holdsLease && p.cache.AcceptRequest(p.Now(), server)
 	p.mu.Unlock()
 	if accepted {
 		p.post(front.HealthCheckRequested{Server: server})
 	}
 }
 
-// OnProbeResult handles the result that a leaseholder broadcast in a term of its lease.
+// OnProbeResult handles a probe result that the holder of a probe lease broadcast; term is the term of that lease.
 func (p *Prober) OnProbeResult(term uint64, data []byte) {
 	result, ok := fleet.DecodeProbeResult(data)
 	if !ok {
@@ -241,14 +249,14 @@
 	}
 }
 
-// AvoidedProbes is how many probes were answered from another front's result.
+// AvoidedProbes returns how many probes were answered from results of other fronts.
 func (p *Prober) AvoidedProbes() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cache.ProbesAvoided
 }
 
-// claimedRole is the role that a load report claims for its server.
+// claimedRole returns the role that a server claims in its load report.
 func claimedRole(answer *pgwire.QueryResult) fleet.ClaimedRole {
 	report := deployment.EmptyLoad
 	if !pgwire.ParseLoadReport(answer.Value(), func(name string, v float64) { deployment.SetLoadField(&report, name, v, 0) }) {
@@ -263,7 +271,8 @@
 	return fleet.ClaimedUnknown
 }
 
-// probeFinished is a shared result as the end of a probe: without position, role or load, whatever the leaseholder received.
+// probeFinished returns the event that ends a probe with a shared result. It carries no position, role or load, whatever the leaseholder
+// received.
 func probeFinished(attempt *front.Attempt, result fleet.ProbeResult) *front.AttemptFinished {
 	switch {
 	case result.Healthy:
--- a/fleet/agent/prober_state.go
+++ b/fleet/agent/prober_state.go
@@ -5,20 +5,20 @@
 	"dapplerouter/fleet"
 )
 
-// serverTable are the servers that the core knows, as the endpoint list names them.
+// serverTable holds the servers of the endpoint list, by their address, and the addresses by which the core knows them.
 type serverTable struct {
-	addresses []string // by the core's index of servers
+	addresses []string // address by the core's index of the server
 	byAddress map[string]probedServer
-	groups    map[int64]bool // whose probe lease is declared
+	groups    map[int64]bool // groups whose probe lease is declared
 }
 
-// probedServer is a server as the endpoint list names it.
+// probedServer is the name and the group of a server in the endpoint list.
 type probedServer struct {
 	name  string
 	group int64
 }
 
-// add adds the servers of an endpoint list, and returns the groups that are new.
+// add adds the servers of an endpoint list, and returns the groups that were not known before.
 func (t *serverTable) add(l discovery.List) (newGroups []int64) {
 	for _, e := range l.Endpoints {
 		if e.Address == "" {
@@ -33,14 +33,14 @@
 	return newGroups
 }
 
-// probeLeases are the probe leases and their holders, by the fleet's events so far.
+// probeLeases tracks which front holds each probe lease, according to the fleet's events so far.
 type probeLeases struct {
-	own      map[string]bool   // that this front holds
-	holders  map[string]string // other fronts, by lease
-	isolated bool              // what others hold is not known
+	own      map[string]bool   // leases that this front holds
+	holders  map[string]string // leaseholders other than this front, by lease
+	isolated bool              // this front is isolated: holders may be out of date
 }
 
-// onEvent follows the fleet's events; self is this front's name.
+// onEvent updates the leases from an event of the fleet; self is the name of this front.
 func (l *probeLeases) onEvent(e fleet.Event, self string) {
 	switch e := e.(type) {
 	case fleet.LeaseAcquired:
--- a/fleet/agent/prober_test.go
+++ b/fleet/agent/prober_test.go
@@ -14,7 +14,7 @@
 	"dapplerouter/routing"
 )
 
-// A shared result says how a probe ended and nothing else: no role, position or load comes with it, whatever the leaseholder received.
+// A shared result says only how a probe ended. It carries no role, position or load, whatever the leaseholder received.
 func TestSharedProbeResultCarriesNoRoleOrPosition(t *testing.T) {
 	for _, l := range []fleet.ProbeResult{{Healthy: true}, {Code: "57P03"}, {ConnectionLost: true}, {}} {
 		l.Server = "s-1"
@@ -45,8 +45,8 @@
 	assert.True(t, s.leases.own["scout/3"] && s.leases.holders["scout/3"] == "")
 }
 
-// proberHarness is the prober of front n1 between a core and pools, with a clock that the test moves. It records what the prober sends,
-// posts and publishes. The list has servers "a" and "b" of one group, as 0 and 1.
+// proberHarness runs the prober of front n1 between a core and pools, with a clock that the test controls. It records what the prober
+// sends, posts, publishes and requests. The endpoint list has servers "a" and "b" in one group; their indexes are 0 and 1.
 type proberHarness struct {
 	*Prober
 	now       time.Duration
@@ -63,12 +63,13 @@
 	attempt *front.Attempt
 }
 
+// harnessTimer is a call that the prober has scheduled with After.
 type harnessTimer struct {
 	at   time.Duration
 	call func()
 }
 
-// recordingPools are the harness's pools.
+// recordingPools are pools that record what is sent.
 type recordingPools struct{ h *proberHarness }
 
 // SetAddress implements front.Pools.
@@ -87,7 +88,7 @@
 	harnessProbeTimeout  = 500 * time.Millisecond
 )
 
-// newProberHarness is a prober whose group's probe lease the named front holds.
+// newProberHarness returns a harness in which the given front holds the probe lease of the group.
 func newProberHarness(leaseholder string) *proberHarness {
 	h := &proberHarness{Prober: NewProber(harnessLeaseDuration, harnessProbeTimeout)}
 	h.Now = func() time.Duration { return h.now }
@@ -114,7 +115,7 @@
 	return h
 }
 
-// run moves the clock and calls what falls due, in order.
+// run advances the clock by d and makes the calls that become due, in order.
 func (h *proberHarness) run(d time.Duration) {
 	for end := h.now + d; ; {
 		next := -1
@@ -134,17 +135,17 @@
 	}
 }
 
-// probe has the core's probe of a server sent.
+// probe sends a probe of a server as the core does.
 func (h *proberHarness) probe(server int) *front.Attempt {
 	a := front.NewHealthCheck(nil)
 	h.Send(server, a)
 	return a
 }
 
-// receive delivers the leaseholder's result of a probe.
+// receive delivers a probe result that the leaseholder broadcast.
 func (h *proberHarness) receive(result fleet.ProbeResult) { h.OnProbeResult(1, result.Encode()) }
 
-// answered returns the event that ended a probe, nil where none did.
+// answered returns the event that ended a probe, or nil if the probe has not ended.
 func (h *proberHarness) answered(a *front.Attempt) *front.AttemptFinished {
 	for _, e := range h.posted {
 		if f, ok := e.(*front.AttemptFinished); ok && f.Attempt == a {
@@ -154,7 +155,8 @@
 	return nil
 }
 
-// Guards against a probe that is sent to another server, whose role and position would count as this one's.
+// Guards against a probe that is sent to the wrong server. The core would take the role and the position of that server for those of the
+// probed one.
 func TestProbeThatWaitedIsSentToItsOwnServer(t *testing.T) {
 	h := newProberHarness("n2")
 	h.receive(fleet.ProbeResult{Server: "b", Pending: true})
@@ -170,12 +172,13 @@
 	}
 }
 
-// Guards against a probe that waits for another front's until its own time is over, and then counts as the server's silence.
+// Guards against a probe that waits for another front's result until its own timeout has passed. The core would then count it as a
+// failure of the server.
 func TestProbeThatWaitsIsSentInTimeOrEndsAsNotSent(t *testing.T) {
 	pending := fleet.ProbeResult{Server: "b", Pending: true}
 	for _, x := range []struct {
 		name           string
-		before, during bool // when the leaseholder reports that its own probe is pending
+		before, during bool // whether the leaseholder reports its own probe as pending before or during the wait
 		sent           bool
 	}{
 		{name: "nothing is reported", sent: true},
@@ -193,12 +196,12 @@
 			if x.during {
 				h.receive(pending)
 			}
-			h.run(harnessProbeTimeout/4 + harnessProbeTimeout/2 - 1) // right before the core ends it
+			h.run(harnessProbeTimeout/4 + harnessProbeTimeout/2 - 1) // just before the core ends the probe
 			if x.sent {
 				assert.Equal(t, []sentProbe{{1, probe}}, h.sent)
 				return
 			}
-			assert.Empty(t, h.sent, "it could not be answered in time")
+			assert.Empty(t, h.sent, "the server could not answer it in time")
 			finished := h.answered(probe)
 			if assert.NotNil(t, finished) && assert.NotNil(t, finished.Err) {
 				assert.Equal(t, front.StageLocal, finished.Err.Stage, "the server is not to blame")
@@ -207,7 +210,7 @@
 	}
 }
 
-// Guards against a server that the whole fleet holds for dead since the leaseholder had no descriptor or port left.
+// Guards against a server that the whole fleet takes for failed because the leaseholder had no file descriptor or port left.
 func TestProbeThatWasNotSentIsNotReportedAsFailed(t *testing.T) {
 	h := newProberHarness("n1")
 	probe := h.probe(0)
@@ -215,11 +218,11 @@
 	h.OnFrontEvent(&front.AttemptFinished{Attempt: probe, Err: &front.ConnectionError{Stage: front.StageLocal, Err: assert.AnError}})
 	h.run(2 * harnessProbeTimeout)
 	assert.Empty(t, h.published)
-	assert.NotNil(t, h.answered(probe), "the core hears of it")
+	assert.NotNil(t, h.answered(probe), "the core receives the end of the probe")
 }
 
-// Guards against one lost probe, or the role of a while ago, that stands for every front's probes for five lease durations.
-func TestSharedResultsDoNotOutliveWhatTheySay(t *testing.T) {
+// Guards against a single failed probe, or an outdated role, that answers the probes of every front for five lease durations.
+func TestSharedProbeResultsExpire(t *testing.T) {
 	for _, x := range []struct {
 		name     string
 		result   fleet.ProbeResult
@@ -232,7 +235,7 @@
 			h := newProberHarness("n2")
 			h.receive(x.result)
 			h.run(time.Minute)
-			h.receive(x.result) // the interval between results is long
+			h.receive(x.result) // a long time after the previous result
 			h.run(x.lifetime / 2)
 			early := h.probe(1)
 			h.run(x.lifetime / 2)
@@ -241,7 +244,7 @@
 			late := h.probe(1)
 			h.run(1)
 			assert.Nil(t, h.answered(late))
-			assert.Equal(t, []string{"b"}, h.requested, "the leaseholder is asked to look again")
+			assert.Equal(t, []string{"b"}, h.requested, "the leaseholder is asked to probe again")
 		})
 	}
 }
--- a/fleet/agent/rollout_host.go
+++ b/fleet/agent/rollout_host.go
@@ -15,48 +15,48 @@
 	"dapplerouter/front"
 )
 
-// rolloutHost runs a front's part in rollouts: it connects the participant with the front's core and with the disk.
+// rolloutHost runs a front's part in rollouts: it connects the rollout participant with the front's core and with the version file.
 type rolloutHost struct {
-	agent       *Agent
-	config      *rollout.Config
-	ownRules    *deployment.Rules    // of the operator's file
-	typesSum    uint32               // checksum of the request types' names
-	participant *rollout.Participant // guarded by the mesh's lock
-	lastIndex   uint64               // index of the rollout's state that was logged last; guarded by the mesh's lock
-	renewals    chan leaseRenewal    // the latest one only
+	agent         *Agent
+	config        *rollout.Config
+	ownRules      *deployment.Rules    // rules of the operator's file
+	typesChecksum uint32               // checksum of the names of the request types
+	participant   *rollout.Participant // guarded by the mesh's lock
+	lastIndex     uint64               // index of the rollout state that was logged last; guarded by the mesh's lock
+	renewals      chan leaseRenewal    // holds the latest renewal only
 
 	mu      sync.Mutex    // guards the fields below, and the version file
 	current storedVersion // the version in use
-	trying  uint64        // a version that is being adopted, or was and is not confirmed yet
+	trying  uint64        // the last version whose adoption began, until it is confirmed; 0 for none
 }
 
-// leaseRenewal is until when the front may use a version, on the mesh's clock.
+// leaseRenewal says until when, on the mesh's clock, the front may use a version. A time in the past ends the use.
 type leaseRenewal struct {
 	version uint64
 	until   time.Duration
 }
 
-// newRolloutHost makes the host; restore completes it.
+// newRolloutHost returns a host without a participant; restore completes it.
 func newRolloutHost(a *Agent, c *rollout.Config, ownRules *deployment.Rules) *rolloutHost {
 	return &rolloutHost{
-		agent:    a,
-		config:   c,
-		ownRules: ownRules,
-		typesSum: crc32.ChecksumIEEE([]byte(strings.Join(a.settings.TypeNames, ","))),
-		renewals: make(chan leaseRenewal, 1),
+		agent:         a,
+		config:        c,
+		ownRules:      ownRules,
+		typesChecksum: crc32.ChecksumIEEE([]byte(strings.Join(a.settings.TypeNames, ","))),
+		renewals:      make(chan leaseRenewal, 1),
 	}
 }
 
-// restore makes the participant, and returns the version that the front used last: the one that its core starts with.
+// restore creates the participant. It returns the version that the front used last, which is the one that its core starts with.
 func (h *rolloutHost) restore(configLease time.Duration) (initial front.AdoptConfig, err error) {
-	stored, err := h.load()
+	stored, err := h.loadVersion()
 	if err != nil {
 		return initial, err
 	}
 	initial = front.AdoptConfig{Rules: h.ownRules}
 	if stored.Version != 0 {
-		rules, err := h.parseRules(h.path(), []byte(stored.Text))
-		if err != nil { // the deployment's own settings have changed: the front must not say that it acts on a version whose rules it lacks
+		rules, err := h.parseRules(h.versionPath(), []byte(stored.Text))
+		if err != nil { // the settings of the deployment have changed: the front must not report a version whose rules it can't use
 			slog.Warn("fleet: stored configuration version does not fit; starting with the operator's file", "version", stored.Version, "err", err)
 		} else {
 			initial = front.AdoptConfig{Version: stored.Version, Rules: rules}
@@ -73,7 +73,7 @@
 		InitialVersion:     initial.Version,
 		UnconfirmedVersion: stored.Tried,
 	}, rollout.Hooks{
-		Adopt:     func(adoption rollout.Adoption) { go h.adopt(adoption) }, // the mesh's lock is held
+		Adopt:     func(adoption rollout.Adoption) { go h.adopt(adoption) }, // asynchronous, since the mesh's lock is held
 		Renew:     h.onRenewal,
 		Counts:    h.counts,
 		WallClock: h.agent.wallNow,
@@ -81,7 +81,7 @@
 	return initial, nil
 }
 
-// parseRules reads rules, and checks them against the deployment's settings.
+// parseRules parses rules, and validates them against the settings of the deployment.
 func (h *rolloutHost) parseRules(name string, text []byte) (*deployment.Rules, error) {
 	rules, err := deployment.ParseRules(name, text)
 	if err != nil {
@@ -90,15 +90,15 @@
 	return rules, rules.Validate(h.agent.settings)
 }
 
-// counts returns the front's counts on its version, and a checksum of its request types.
-func (h *rolloutHost) counts() (typesSum uint32, counts []rollout.Counts) {
+// counts returns a checksum of the front's request types, and by request type the requests that finished and succeeded on its version.
+func (h *rolloutHost) counts() (typesChecksum uint32, counts []rollout.Counts) {
 	h.agent.recorder.Totals(func(_ int, finished, succeeded uint64) {
 		counts = append(counts, rollout.Counts{Finished: finished, Succeeded: succeeded})
 	})
-	return h.typesSum, counts
+	return h.typesChecksum, counts
 }
 
-// onRenewal replaces the renewal that waits for the core; the caller holds the mesh's lock.
+// onRenewal replaces the renewal that waits for the core. It never blocks, since the caller holds the mesh's lock.
 func (h *rolloutHost) onRenewal(version uint64, until time.Duration) {
 	for {
 		select {
@@ -113,7 +113,7 @@
 	}
 }
 
-// run calls the participant's ticks, and hands renewals to the core.
+// run drives the participant with ticks and passes lease renewals to the core, until the agent stops.
 func (h *rolloutHost) run() {
 	a := h.agent
 	t := time.NewTicker(a.timing().TickInterval())
@@ -126,7 +126,7 @@
 			a.mesh.Do(func(n *fleet.Node, now time.Duration) {
 				h.participant.Tick(now, n)
 				h.logChange(n)
-				a.noteIndex(n)
+				a.recordIndex(n)
 			})
 		case r := <-h.renewals:
 			if leaseExpiry, left := h.coreTime(r.until); left {
@@ -138,14 +138,14 @@
 	}
 }
 
-// coreTime converts a time of the mesh's clock to the core's; left reports whether it is still to come.
+// coreTime converts a time of the mesh's clock to a time of the core's clock. left reports whether it is in the future.
 func (h *rolloutHost) coreTime(until time.Duration) (at time.Duration, left bool) {
-	now := h.agent.Clock() // read first: a pause between the two readings makes the lease shorter, never longer
+	now := h.agent.Clock() // read first, so that a pause between the two readings makes the lease shorter, never longer
 	ahead := until - h.agent.mesh.Now()
 	return now + ahead, ahead > 0
 }
 
-// logChange logs a change of the rollout's state, once; the caller holds the mesh's lock.
+// logChange writes a change of the rollout state to the log, the audit and the history, once; the caller holds the mesh's lock.
 func (h *rolloutHost) logChange(n *fleet.Node) {
 	e := n.State().Values["roll"]
 	if e == nil || e.Index <= h.lastIndex {
@@ -161,8 +161,8 @@
 	h.agent.history.recordRollout(h.agent.mesh, s, e.Index)
 }
 
-// adopt adopts a version, or rejects it. The version being tried is stored first: a front that crashes on it does not try it again
-// after its restart.
+// adopt passes a version to the core, or rejects it if its rules are invalid. It first stores that the version is being tried, so that a
+// front that crashes during the adoption does not try it again after a restart.
 func (h *rolloutHost) adopt(adoption rollout.Adoption) {
 	a := h.agent
 	rules := h.ownRules
@@ -177,7 +177,7 @@
 	}
 	h.mu.Lock()
 	h.trying = adoption.Version
-	h.save(storedVersion{Version: h.current.Version, Text: h.current.Text, Tried: h.trying})
+	h.saveVersion(storedVersion{Version: h.current.Version, Text: h.current.Text, Tried: h.trying})
 	h.mu.Unlock()
 	leaseExpiry, _ := h.coreTime(adoption.Until)
 	adopted := make(chan struct{})
@@ -187,7 +187,7 @@
 		LeaseExpiry: leaseExpiry,
 		OnAdopted: func(at time.Duration) {
 			a.writeAudit(&audit.Line{Event: audit.EventVersionAdopted, At: a.wallMicros(at), Version: adoption.Version, RulesHash: rules.Digest()})
-			go h.onAdopted(adoption, adopted) // the core must not wait
+			go h.onAdopted(adoption, adopted) // asynchronous, since the core must not wait
 		},
 		OnOlderFinished: func() {
 			go h.acknowledge(adoption.Version, adopted)
@@ -195,8 +195,8 @@
 	})
 }
 
-// onAdopted reports that the core uses a version, closes adopted, and later confirms the version. The audit line comes first, before
-// any interval of the version.
+// onAdopted handles the core's switch to a version: it reports it to the participant, closes adopted, and confirms the version after two
+// lease durations. It first waits until the audit line of the adoption is on disk, before any interval of the version.
 func (h *rolloutHost) onAdopted(adoption rollout.Adoption, adopted chan<- struct{}) {
 	a := h.agent
 	a.syncAudit()
@@ -208,12 +208,12 @@
 	close(adopted)
 	select {
 	case <-time.After(2 * a.config.LeaseDuration):
-		h.confirm(adoption.Version)
+		h.confirmVersion(adoption.Version)
 	case <-a.ctx.Done():
 	}
 }
 
-// acknowledge reports that all requests in flight are of the version that was adopted.
+// acknowledge reports to the fleet that all requests in flight use the adopted version. It waits until onAdopted has closed adopted.
 func (h *rolloutHost) acknowledge(version uint64, adopted <-chan struct{}) {
 	<-adopted
 	h.agent.mesh.Do(func(n *fleet.Node, now time.Duration) {
@@ -222,16 +222,16 @@
 	})
 }
 
-// onStandby is called by the core when the front's standby begins or ends.
-func (a *Agent) onStandby(on bool) {
+// onStandby handles the core's notification that the front enters or leaves standby.
+func (a *Agent) onStandby(standby bool) {
 	if a.OnStandby != nil {
-		a.OnStandby(on)
+		a.OnStandby(standby)
 	}
 	event, change := audit.EventConfigLeaseAcquired, standbyEnded
-	if on {
+	if standby {
 		event, change = audit.EventConfigLeaseExpired, standbyBegan
 	}
-	go func() { // the core must not wait
+	go func() { // asynchronous, since the core must not wait
 		a.writeAudit(&audit.Line{Event: event})
 		a.history.recordVersion(a.mesh, change, 0)
 	}()
--- a/fleet/agent/rollout_host_test.go
+++ b/fleet/agent/rollout_host_test.go
@@ -15,12 +15,12 @@
 	"dapplerouter/fleet/rollout"
 )
 
-// A front whose stored version no longer fits acted on the operator's own rules under that version's number.
+// Guards against a front that uses the operator's own rules under the number of a stored version that is no longer valid.
 //
-// The deployment's settings change between two starts: a request type that the stored rules name is gone. The front logged that
-// it starts with the operator's file, yet its core began with the stored number: the audit and the load reports named rules on
-// which it did not act, and a lease for the version that it really had, 0, renewed nothing.
-func TestStoredVersionThatDoesNotFitLeavesNoNumber(t *testing.T) {
+// The settings of the deployment change between two starts, so that a request type in the stored rules no longer exists. The front logged
+// that it starts with the operator's file, but its core started with the stored version number. Audit and load reports then named rules
+// that the front did not use, and a lease for version 0, which the front really used, renewed nothing.
+func TestInvalidStoredVersionIsNotReportedAsActive(t *testing.T) {
 	own := &deployment.Rules{RejectedGroups: []int64{3}}
 	for name, test := range map[string]struct {
 		text    string
@@ -36,15 +36,16 @@
 			require.NoError(t, os.WriteFile(filepath.Join(h.config.Dir, "version.json"), []byte(`{"version":5,"text":`+quote(t, test.text)+`,"tried":6}`), 0o600))
 			initial, err := h.restore(time.Second)
 			require.NoError(t, err)
-			assert.Equal(t, test.version, initial.Version, "of the core")
-			assert.Equal(t, test.version, h.participant.Adopter.Active(), "of the participant")
-			assert.Equal(t, test.version, h.current.Version, "that is stored with the next one")
+			assert.Equal(t, test.version, initial.Version, "version of the core")
+			assert.Equal(t, test.version, h.participant.Adopter.Active(), "version of the participant")
+			assert.Equal(t, test.version, h.current.Version, "version that is stored together with the next one")
 			assert.Equal(t, test.rules.RejectedGroups, initial.Rules.RejectedGroups)
 			assert.Equal(t, test.rules.Digest(), initial.Rules.Digest())
 		})
 	}
 }
 
+// quote returns text as a JSON string.
 func quote(t *testing.T, text string) string {
 	t.Helper()
 	b, err := json.Marshal(text)
--- a/fleet/agent/version_file.go
+++ b/fleet/agent/version_file.go
@@ -12,21 +12,23 @@
 	"dapplerouter/fleet/disk"
 )
 
-// storedVersion is what a front stores of configuration versions over its restarts, as JSON.
+// storedVersion is the content of version.json: the configuration version that a front uses, kept across restarts.
 type storedVersion struct {
 	Version uint64 `json:"version"`
 	Text    string `json:"text,omitempty"`
-	Tried   uint64 `json:"tried,omitempty"` // a version that was being adopted when this was written, and was not confirmed yet
+	Tried   uint64 `json:"tried,omitempty"` // a version whose adoption was not confirmed when this was written; 0 for none
 }
 
-func (h *rolloutHost) path() string { return filepath.Join(h.config.Dir, "version.json") }
+// versionPath returns the path of the version file.
+func (h *rolloutHost) versionPath() string { return filepath.Join(h.config.Dir, "version.json") }
 
-// load reads the stored version. A file that can't be read is logged, moved aside and skipped.
-func (h *rolloutHost) load() (stored storedVersion, err error) {
+// loadVersion reads the version file. A file that can't be read or parsed is logged, renamed and otherwise ignored. The error names a
+// directory that can't be created.
+func (h *rolloutHost) loadVersion() (stored storedVersion, err error) {
 	if err := os.MkdirAll(h.config.Dir, 0o700); err != nil {
-		return stored, fmt.Errorf("folder of versions: %w", err)
+		return stored, fmt.Errorf("directory of configuration versions: %w", err)
 	}
-	b, err := os.ReadFile(h.path())
+	b, err := os.ReadFile(h.versionPath())
 	if errors.Is(err, os.ErrNotExist) {
 		return storedVersion{}, nil
 	}
@@ -34,30 +36,31 @@
 		err = json.Unmarshal(b, &stored)
 	}
 	if err == nil && stored.Version != 0 {
-		_, err = deployment.ParseRules(h.path(), []byte(stored.Text))
+		_, err = deployment.ParseRules(h.versionPath(), []byte(stored.Text))
 	}
 	if err != nil {
-		slog.Warn("fleet: stored configuration version unreadable; starting with the operator's file", "file", h.path(), "err", err)
-		_ = os.Rename(h.path(), h.path()+".unreadable") // the next version replaces the file in any case
+		slog.Warn("fleet: stored configuration version unreadable; starting with the operator's file", "file", h.versionPath(), "err", err)
+		_ = os.Rename(h.versionPath(), h.versionPath()+".unreadable") // an error is ignored: the next version replaces the file
 		return storedVersion{}, nil
 	}
 	return stored, nil
 }
 
-// save stores a version; h.mu must be held. A failure costs no request: it is logged only.
-func (h *rolloutHost) save(stored storedVersion) {
+// saveVersion writes the version file; h.mu must be held. A failure affects no request and is only logged.
+func (h *rolloutHost) saveVersion(stored storedVersion) {
 	b, err := json.Marshal(stored)
 	if err == nil {
-		err = disk.ReplaceFile(h.path(), b)
+		err = disk.ReplaceFile(h.versionPath(), b)
 	}
 	if err != nil {
 		slog.Warn("fleet: configuration version not stored; after a restart this front starts with an older one", "err", err)
 	}
 }
 
-// confirm stores a version over restarts: it was in use for a while, or the front shuts down in order. Until then a new process starts
-// with the version before, and does not try this one.
-func (h *rolloutHost) confirm(version uint64) {
+// confirmVersion stores a version as the one to start with after a restart. It is called after the version has been in use for a while,
+// or when the front shuts down in an orderly way. Until then a restarted process starts with the previous version and does not try this
+// one again.
+func (h *rolloutHost) confirmVersion(version uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.current.Version != version {
@@ -66,5 +69,5 @@
 	if h.trying == version {
 		h.trying = 0
 	}
-	h.save(storedVersion{Version: version, Text: h.current.Text, Tried: h.trying})
+	h.saveVersion(storedVersion{Version: version, Text: h.current.Text, Tried: h.trying})
 }
--- a/fleet/agent/version_file_test.go
+++ b/fleet/agent/version_file_test.go
@@ -11,7 +11,7 @@
 	"dapplerouter/fleet/rollout"
 )
 
-// testdata/version.json was written by version 0.3.0, and is never written again: a front that is updated goes on with the version
+// testdata/version.json was written by version 0.3.0 and must not be regenerated: a front that is upgraded continues with the version
 // that it adopted before.
 func TestVersionFileIsThatOfVersion030(t *testing.T) {
 	want, err := os.ReadFile("testdata/version.json")
@@ -19,11 +19,11 @@
 	h := &rolloutHost{config: &rollout.Config{Dir: t.TempDir()}}
 	path := filepath.Join(h.config.Dir, "version.json")
 	require.NoError(t, os.WriteFile(path, want, 0o600))
-	stored, err := h.load()
+	stored, err := h.loadVersion()
 	require.NoError(t, err)
 	assert.Equal(t, storedVersion{Version: 5, Text: "(rules\n  (bound browse 2s)\n  (given-up 7 12))\n", Tried: 6}, stored)
 	require.NoError(t, os.Remove(path))
-	h.save(stored)
+	h.saveVersion(stored)
 	got, err := os.ReadFile(path)
 	require.NoError(t, err)
 	assert.Equal(t, string(want), string(got))
