--- a/fleet/agent/admin.go
+++ b/fleet/agent/admin.go
@@ -44,7 +44,7 @@
 	Incarnation string `json:"incarnation"`
 	Address     string `json:"address"`
 	Voter       bool   `json:"keeper"`
-	Restarts    int    `json:"restarts"` // as many as the replicated state records
+	Restarts    int    `json:"restarts"` // restarts that the replicated state records
 }
 
 // LeaseStatus is the replicated state of a lease.
--- a/fleet/agent/admin_counters.go
+++ b/fleet/agent/admin_counters.go
@@ -13,7 +13,7 @@
 	Links         int     `json:"links"`
 	Sent          uint64  `json:"sent"` // messages
 	Received      uint64  `json:"received"`
-	SentBytes     uint64  `json:"sent_bytes"` // of frames and greetings, without the overhead of TLS and TCP
+	SentBytes     uint64  `json:"sent_bytes"` // bytes of frames and greetings, without the overhead of TLS and TCP
 	ReceivedBytes uint64  `json:"received_bytes"`
 	Shed          uint64  `json:"shed"` // links to slow peers that were closed
 	Dials         uint64  `json:"dials"`
--- a/fleet/agent/admin_rollout.go
+++ b/fleet/agent/admin_rollout.go
@@ -32,7 +32,7 @@
 	Unproven           []string            `json:"unproven,omitempty"` // fronts that may continue to use Base while they are isolated
 	ActiveVersion      uint64              `json:"acts"`               // version that the responding front uses
 	ConfigLeaseSeconds float64             `json:"right_left_s"`       // time until the configuration lease of the responding front expires
-	Fronts             []ParticipantStatus `json:"fronts"`             // as reported to the leader; empty without a leader
+	Fronts             []ParticipantStatus `json:"fronts"`             // reports of all fronts to the leader; empty without a leader
 }
 
 // WaitingStatus is a queued publication, which waits for the next version.
--- a/fleet/agent/agent.go
+++ b/fleet/agent/agent.go
@@ -60,7 +60,7 @@
 type identity struct {
 	name        string
 	program     string // version of the program
-	incarnation uint64 // drawn anew for each start
+	incarnation uint64 // random number of this start
 	seed        uint64
 }
 
--- a/fleet/agent/audit_export.go
+++ b/fleet/agent/audit_export.go
@@ -16,10 +16,10 @@
 // segmentExports records which closed segments were exported.
 type segmentExports struct {
 	mu      sync.Mutex      // held during an export; guards done and failing
-	done    map[string]bool // by segment name: exported, or removed before the export
+	done    map[string]bool // segments that were exported, or removed before their export
 	failing bool            // the last export failed
 
-	count atomic.Uint64 // of exported segments
+	count atomic.Uint64 // exported segments
 }
 
 // runExports exports closed segments as they appear, each once, until the agent stops.
--- a/fleet/agent/format_test.go
+++ b/fleet/agent/format_test.go
@@ -99,6 +99,6 @@
 	for _, d := range []time.Duration{at, since, until} { // relative to the start of the mesh, in microseconds
 		got = bytes.ReplaceAll(got, strconv.AppendInt(nil, zero+d.Microseconds(), 10), strconv.AppendInt(nil, d.Microseconds(), 10))
 	}
-	got = regexp.MustCompile(`"at":[0-9]{12,}`).ReplaceAll(got, []byte(`"at":0`)) // of the last two entries, which have the current time
+	got = regexp.MustCompile(`"at":[0-9]{12,}`).ReplaceAll(got, []byte(`"at":0`)) // time of the last two entries, which differs in each run
 	assertMatchesFile(t, "history.jsonl", got)
 }
--- a/fleet/agent/prober_test.go
+++ b/fleet/agent/prober_test.go
@@ -162,7 +162,7 @@
 	h.receive(fleet.ProbeResult{Server: "b", Pending: true})
 	b := h.probe(1)
 	h.run(harnessProbeTimeout / 5)
-	h.receive(fleet.ProbeResult{Server: "b", Pending: true}) // of the leaseholder's next probe
+	h.receive(fleet.ProbeResult{Server: "b", Pending: true}) // a report about the leaseholder's next probe
 	h.run(harnessProbeTimeout / 2)
 	h.probe(0)
 	h.run(2 * harnessProbeTimeout)
--- a/fleet/disk/segments.go
+++ b/fleet/disk/segments.go
@@ -25,7 +25,7 @@
 //
 // Reasons and errors that are recorded in lines are part of files that operators' tools read, so their texts must not change.
 type Segments struct {
-	Stamp func(l *audit.Line) // adds the front's name and the like to lines that Segments generates; set it before the first write
+	Stamp func(l *audit.Line) // sets the front, incarnation and index of lines that Segments generates; set it before the first write
 
 	dir, front    string
 	segmentBytes  int64
--- a/fleet/mesh/counters.go
+++ b/fleet/mesh/counters.go
@@ -11,7 +11,7 @@
 type Totals struct {
 	Links                    int
 	Sent, Received           uint64 // messages
-	SentBytes, ReceivedBytes uint64 // of frames and greetings, without the overhead of TLS and TCP
+	SentBytes, ReceivedBytes uint64 // bytes of frames and greetings, without the overhead of TLS and TCP
 	Shed                     uint64 // links to slow peers that were closed
 	Rejected                 uint64 // links that this front or the peer rejected
 	Dials                    uint64
@@ -22,13 +22,13 @@
 type KindTotals struct {
 	Kind     string `json:"kind"`
 	Messages uint64 `json:"messages"`
-	Bytes    uint64 `json:"bytes"` // of their frames, without the greeting
+	Bytes    uint64 `json:"bytes"` // bytes of their frames, without the greeting
 }
 
 // maxKinds is greater than the largest fleet.Kind.
 const maxKinds = 32
 
-// counters are the counts behind Totals.
+// counters holds the counts that Totals returns.
 type counters struct {
 	sent, received, sentBytes, receivedBytes atomic.Uint64
 	shed, rejected, dials                    atomic.Uint64
--- a/fleet/mesh/link.go
+++ b/fleet/mesh/link.go
@@ -58,7 +58,7 @@
 		}
 	}()
 	_ = c.SetDeadline(time.Now().Add(m.options.Timing.HandshakeTimeout())) // fails only for a closed connection; the next read fails too
-	stop := context.AfterFunc(m.ctx, func() { _ = raw.Close() })           // not c, which is reassigned below
+	stop := context.AfterFunc(m.ctx, func() { _ = raw.Close() })           // not c: it is reassigned below, perhaps while this runs
 	defer stop()
 	secured, mayHaveName, err := m.secure(c, to)
 	if err != nil {
