--- a/pgwire/bench_test.go
+++ b/pgwire/bench_test.go
@@ -7,7 +7,7 @@
 )
 
 func BenchmarkParseStatement(b *testing.B) {
-	body := []byte(read + "\x00")
+	body := []byte(readStatement + "\x00")
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := ParseStatement(body); err != nil {
@@ -17,7 +17,7 @@
 }
 
 func BenchmarkStatementWithNewTimeout(b *testing.B) {
-	s, err := statement(read)
+	s, err := statement(readStatement)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -29,20 +29,20 @@
 }
 
 func BenchmarkReadOneRow(b *testing.B) {
-	text := bytes.Join([][]byte{frame('T', described), frame('D', "\x00\x01\x00\x00\x00\x02hi"), frame('C', "SELECT 1\x00"), readyForQuery}, nil)
+	text := bytes.Join([][]byte{frame('T', rowDescription), frame('D', "\x00\x01\x00\x00\x00\x02hi"), frame('C', "SELECT 1\x00"), readyForQuery}, nil)
 	in := bytes.NewReader(text)
 	r := NewReader(in, 4<<10, 1<<20)
 	b.ReportAllocs()
 	for b.Loop() {
 		in.Reset(text)
-		var a QueryResult
-		r.CheckMessage = a.CheckMessage
+		var result QueryResult
+		r.CheckMessage = result.CheckMessage
 		for done := false; !done; {
 			typ, body, err := r.Next()
 			if err != nil {
 				b.Fatal(err)
 			}
-			if done, err = a.AddMessage(typ, body); err != nil {
+			if done, err = result.AddMessage(typ, body); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/pgwire/classified.go
+++ b/pgwire/classified.go
@@ -6,10 +6,11 @@
 	"dapplerouter/sqlclass"
 )
 
-// ParseClassified parses the body of a Query message where statements are classified: any verb passes, what is not known
-// to read is a write, and the comment may leave the request type out where there are rules. Its s names the session;
-// otherwise the first string literal does. A statement that works on the connection itself is rejected: connections to
-// servers are shared. Errors are those of ParseStatement.
+// ParseClassified parses the body of a Query message and classifies its statement with by. It accepts any verb. A
+// statement that is not known to be a read counts as a write. If by has rules, the comment may omit the request type. The
+// key of the statement is the field s of the comment or, without it, the first string literal. A statement that changes
+// the state of its connection is rejected, because connections to servers are shared. The errors are those of
+// ParseStatement.
 func ParseClassified(body []byte, by *sqlclass.Classifier) (s Statement, err error) {
 	if s.text, err = queryText(body); err != nil {
 		return s, err
@@ -34,6 +35,7 @@
 	return s, s.parseComment(details.LastComment[0], details.LastComment[1], len(by.Rules()) == 0)
 }
 
+// sessionBoundMessage returns the error text for a statement that changes the state of its connection.
 func sessionBoundMessage(c sqlclass.Classification) string {
 	reason := c.Reason
 	if reason == "" {
--- a/pgwire/codes.go
+++ b/pgwire/codes.go
@@ -1,10 +1,10 @@
 package pgwire
 
-// SQLSTATEs of the errors that fronts and servers answer with, named as in appendix A of PostgreSQL's manual.
+// SQLSTATE codes of the errors that fronts and servers return, named as in appendix A of the PostgreSQL manual.
 const (
-	CodeTooManyConnections    = "53300" // rejected, nothing was executed
-	CodeReadOnlyTransaction   = "25006" // a write at a server that is not the primary
-	CodeSnapshotTooOld        = "72000" // the server lags too far behind for the read
+	CodeTooManyConnections    = "53300" // the request was rejected and nothing was executed
+	CodeReadOnlyTransaction   = "25006" // a write was sent to a server that is not the primary
+	CodeSnapshotTooOld        = "72000" // the server's data is too old for the read
 	CodeProtocolViolation     = "08P01"
 	CodeFeatureNotSupported   = "0A000"
 	CodeSyntaxError           = "42601"
--- a/pgwire/comment.go
+++ b/pgwire/comment.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// maxTimeout bounds the timeout of a comment, so that sums of durations do not overflow.
+// maxTimeout is the longest timeout that a comment may set. It keeps sums of durations from overflowing.
 const maxTimeout = 24 * time.Hour
 
-// parseComment reads the fields of the comment, which lies in the text from start to end. Without a request type it is
-// invalid where typed is set.
-func (s *Statement) parseComment(start, end int, typed bool) error {
+// parseComment parses the fields of the comment at text[start:end]. The fields id, d and cluster are required, and so is
+// c, the request type, if requireType is set.
+func (s *Statement) parseComment(start, end int, requireType bool) error {
 	var found commentFields
 	for at := start; at < end; {
 		next := end
@@ -30,16 +30,17 @@
 		return statementErrorf(CodeInvalidParameterValue, "the comment lacks d")
 	case !found.group:
 		return statementErrorf(CodeInvalidParameterValue, "the comment lacks cluster")
-	case typed && len(s.RequestType) == 0:
+	case requireType && len(s.RequestType) == 0:
 		return statementErrorf(CodeInvalidParameterValue, "the comment lacks c")
 	}
 	return nil
 }
 
-// commentFields says which fields a comment has.
+// commentFields records which of the required fields a comment has. The other required fields must not be empty, so their
+// values show whether they are present.
 type commentFields struct{ timeout, group bool }
 
-// parseField reads the name=value at text[start:end]. Unknown names are ignored.
+// parseField parses the name=value pair at text[start:end]. It ignores unknown names.
 func (s *Statement) parseField(start, end int, found *commentFields) (err error) {
 	name, value, _ := bytes.Cut(s.text[start:end], []byte{'='})
 	valueStart := start + len(name) + 1
--- a/pgwire/errors_test.go
+++ b/pgwire/errors_test.go
@@ -16,7 +16,7 @@
 	assert.False(t, IsProtocolError(err))
 
 	q := &QueryResult{AnyStatement: true, MaxBytes: 10}
-	_, err = q.AddMessage('T', []byte(described))
+	_, err = q.AddMessage('T', []byte(rowDescription))
 	var tooLarge *ResultTooLargeError
 	if assert.ErrorAs(t, err, &tooLarge) {
 		assert.Equal(t, 10, tooLarge.Limit)
--- a/pgwire/loadreport.go
+++ b/pgwire/loadreport.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// ParseLoadReport calls each with the name=value pairs of a load report and reports whether all were well formed; it
-// stops at the first that is not.
+// ParseLoadReport calls each for every name=value pair of a load report. It stops at the first malformed pair and reports
+// whether all pairs were well formed.
 func ParseLoadReport(report []byte, each func(name string, value float64)) bool {
 	for len(report) > 0 {
 		var pair []byte
--- a/pgwire/pgwire_test.go
+++ b/pgwire/pgwire_test.go
@@ -15,16 +15,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-const read = "SELECT data FROM facts WHERE code = '7f3a' /* id=9b1f,c=basket,t=acme,d=480,cluster=2,after=17,new=1 */"
+// readStatement is a valid statement that reads.
+const readStatement = "SELECT data FROM facts WHERE code = '7f3a' /* id=9b1f,c=basket,t=acme,d=480,cluster=2,after=17,new=1 */"
 
+// frame returns a message of type typ with the given body.
 func frame(typ byte, body string) []byte {
 	return appendMessage(nil, typ, func(b []byte) []byte { return append(b, body...) })
 }
 
+// statement parses the text of a statement.
 func statement(text string) (Statement, error) { return ParseStatement([]byte(text + "\x00")) }
 
 func TestForwardedStatementDiffersInItsTimeoutOnly(t *testing.T) {
-	s, err := statement(read)
+	s, err := statement(readStatement)
 	require.NoError(t, err)
 	assert.Equal(t, []string{"7f3a", "9b1f", "basket", "acme"},
 		[]string{string(s.Key), string(s.ID), string(s.RequestType), string(s.Customer)})
@@ -32,7 +35,7 @@
 	assert.Equal(t, int64(17), s.After)
 	assert.Equal(t, 480*time.Millisecond, s.Timeout)
 	assert.False(t, s.Write || s.Retry)
-	want := strings.Replace(read, "d=480", "d=1480", 1) + "\x00"
+	want := strings.Replace(readStatement, "d=480", "d=1480", 1) + "\x00"
 	assert.Equal(t, "Q"+string(binary.BigEndian.AppendUint32(nil, uint32(len(want)+4)))+want,
 		string(s.Query(1479500*time.Microsecond)))
 }
@@ -48,22 +51,22 @@
 
 func TestInvalidStatementsHaveTheirErrorCode(t *testing.T) {
 	for text, code := range map[string]string{
-		strings.Replace(read, "/*", "", 1):                CodeSyntaxError,
-		strings.Replace(read, "*/", "", 1):                CodeSyntaxError,
-		strings.Replace(read, "'7f3a'", "'7f3a", 1):       CodeSyntaxError,
-		strings.Replace(read, "'7f3a'", "7", 1):           CodeSyntaxError,
-		read + "; SELECT 2":                               CodeSyntaxError,
-		strings.Replace(read, "cluster=2", "cluster=", 1): CodeInvalidParameterValue,
-		strings.Replace(read, "cluster=2", "", 1):         CodeInvalidParameterValue,
-		strings.Replace(read, "c=basket", "", 1):          CodeInvalidParameterValue,
-		strings.Replace(read, "id=9b1f", "id=", 1):        CodeInvalidParameterValue,
-		strings.Replace(read, "id=9b1f", "", 1):           CodeInvalidParameterValue,
-		strings.Replace(read, "d=480", "d=0", 1):          CodeInvalidParameterValue,
-		strings.Replace(read, "d=480", "d=-4", 1):         CodeInvalidParameterValue,
-		strings.Replace(read, "d=480", "d", 1):            CodeInvalidParameterValue,
-		strings.Replace(read, "d=480", "", 1):             CodeInvalidParameterValue,
-		strings.Replace(read, "d=480", "d=4294967295", 1): CodeInvalidParameterValue,
-		strings.Replace(read, "SELECT", "DELETE", 1):      CodeFeatureNotSupported,
+		strings.Replace(readStatement, "/*", "", 1):                CodeSyntaxError,
+		strings.Replace(readStatement, "*/", "", 1):                CodeSyntaxError,
+		strings.Replace(readStatement, "'7f3a'", "'7f3a", 1):       CodeSyntaxError,
+		strings.Replace(readStatement, "'7f3a'", "7", 1):           CodeSyntaxError,
+		readStatement + "; SELECT 2":                               CodeSyntaxError,
+		strings.Replace(readStatement, "cluster=2", "cluster=", 1): CodeInvalidParameterValue,
+		strings.Replace(readStatement, "cluster=2", "", 1):         CodeInvalidParameterValue,
+		strings.Replace(readStatement, "c=basket", "", 1):          CodeInvalidParameterValue,
+		strings.Replace(readStatement, "id=9b1f", "id=", 1):        CodeInvalidParameterValue,
+		strings.Replace(readStatement, "id=9b1f", "", 1):           CodeInvalidParameterValue,
+		strings.Replace(readStatement, "d=480", "d=0", 1):          CodeInvalidParameterValue,
+		strings.Replace(readStatement, "d=480", "d=-4", 1):         CodeInvalidParameterValue,
+		strings.Replace(readStatement, "d=480", "d", 1):            CodeInvalidParameterValue,
+		strings.Replace(readStatement, "d=480", "", 1):             CodeInvalidParameterValue,
+		strings.Replace(readStatement, "d=480", "d=4294967295", 1): CodeInvalidParameterValue,
+		strings.Replace(readStatement, "SELECT", "DELETE", 1):      CodeFeatureNotSupported,
 	} {
 		_, err := statement(text)
 		var m *StatementError
@@ -101,7 +104,7 @@
 	assert.Equal(t, []string{"Qone\x00", "D" + big}, got)
 }
 
-// sequence reads its parts in turn; an error ends one part only.
+// sequence is an io.Reader that reads its parts in turn. An error of a part is returned once and ends only that part.
 type sequence struct{ parts []io.Reader }
 
 func (s *sequence) Read(b []byte) (int, error) {
@@ -147,80 +150,82 @@
 	}
 }
 
-const described = "\x00\x01data\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01"
+// rowDescription is the body of a RowDescription message with one column.
+const rowDescription = "\x00\x01data\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01"
 
-func feed(parts ...[]byte) (a *QueryResult, done bool, err error) {
-	a = &QueryResult{}
+// readMessages adds the messages in parts to a QueryResult until the result is finished or an error occurs.
+func readMessages(parts ...[]byte) (result *QueryResult, done bool, err error) {
+	result = &QueryResult{}
 	r := NewReader(bytes.NewReader(bytes.Join(parts, nil)), 64, 1<<16)
-	r.CheckMessage = a.CheckMessage
+	r.CheckMessage = result.CheckMessage
 	for err == nil && !done {
 		var typ byte
 		var body []byte
 		if typ, body, err = r.Next(); err == nil {
-			done, err = a.AddMessage(typ, body)
+			done, err = result.AddMessage(typ, body)
 		}
 	}
-	return a, done, err
+	return result, done, err
 }
 
 func TestQueryResultWithRowAndServerParameters(t *testing.T) {
-	row := [][]byte{frame('T', described), frame('D', "\x00\x01\x00\x00\x00\x02hi"), frame('C', "SELECT 1\x00")}
+	row := [][]byte{frame('T', rowDescription), frame('D', "\x00\x01\x00\x00\x00\x02hi"), frame('C', "SELECT 1\x00")}
 	all := append(append([][]byte{}, row...), AppendParameterStatus(nil, "role", "replica"), AppendParameterStatus(nil, "applied_ms", "1767225600123"),
 		AppendParameterStatus(nil, "load", "inflight=7"), readyForQuery)
-	a, done, err := feed(all...)
+	result, done, err := readMessages(all...)
 	require.True(t, done && err == nil)
-	assert.True(t, a.Complete && a.HasApplied)
-	assert.Equal(t, bytes.Join(row, nil), a.Rows)
-	assert.Equal(t, "hi", string(a.Value()))
-	assert.Equal(t, "replica", a.Role)
-	assert.Equal(t, int64(1767225600123), a.AppliedMillis)
-	assert.Equal(t, "inflight=7", string(a.LoadReport))
+	assert.True(t, result.Complete && result.HasApplied)
+	assert.Equal(t, bytes.Join(row, nil), result.Rows)
+	assert.Equal(t, "hi", string(result.Value()))
+	assert.Equal(t, "replica", result.Role)
+	assert.Equal(t, int64(1767225600123), result.AppliedMillis)
+	assert.Equal(t, "inflight=7", string(result.LoadReport))
 }
 
 func TestQueryResultHasTheCodeOfAnError(t *testing.T) {
-	a, done, err := feed(AppendErrorResponse(nil, ErrorResponse{Severity: "ERROR", Code: CodeSnapshotTooOld, Message: "behind"}), AppendParameterStatus(nil, "role", "replica"), readyForQuery)
-	assert.True(t, done && err == nil && !a.Complete)
-	assert.Equal(t, CodeSnapshotTooOld, a.Code)
-	a, done, err = feed(AppendErrorResponse(nil, ErrorResponse{Severity: "FATAL", Code: CodeTooManyConnections, Message: "full", Detail: "250"}))
-	assert.Equal(t, CodeTooManyConnections, a.Code)
-	assert.True(t, !done && errors.Is(err, io.EOF), "a fatal error needs nothing after it")
+	result, done, err := readMessages(AppendErrorResponse(nil, ErrorResponse{Severity: "ERROR", Code: CodeSnapshotTooOld, Message: "behind"}), AppendParameterStatus(nil, "role", "replica"), readyForQuery)
+	assert.True(t, done && err == nil && !result.Complete)
+	assert.Equal(t, CodeSnapshotTooOld, result.Code)
+	result, done, err = readMessages(AppendErrorResponse(nil, ErrorResponse{Severity: "FATAL", Code: CodeTooManyConnections, Message: "full", Detail: "250"}))
+	assert.Equal(t, CodeTooManyConnections, result.Code)
+	assert.True(t, !done && errors.Is(err, io.EOF), "no ReadyForQuery is required after a fatal error")
 }
 
 func TestMalformedResultsAreProtocolErrors(t *testing.T) {
-	described, row, end := frame('T', described), frame('D', "\x00\x01\x00\x00\x00\x02hi"), frame('C', "SELECT 1\x00")
+	description, row, end := frame('T', rowDescription), frame('D', "\x00\x01\x00\x00\x00\x02hi"), frame('C', "SELECT 1\x00")
 	for name, parts := range map[string][][]byte{
-		"two rows":            {described, row, row, end, readyForQuery},
-		"no description":      {row, end, readyForQuery},
-		"end within the row":  {described, readyForQuery},
-		"no end of the row":   {described, row, readyForQuery},
-		"two columns":         {described, frame('D', "\x00\x02\x00\x00\x00\x02hi\x00\x00\x00\x00"), end, readyForQuery},
-		"a longer column":     {described, frame('D', "\x00\x01\x00\x00\x00\x09hi"), end, readyForQuery},
-		"a negative column":   {described, frame('D', "\x00\x01\x80\x00\x00\x00"), end, readyForQuery},
-		"an error, no code":   {frame('E', "SERROR\x00\x00"), readyForQuery},
-		"an error, no end":    {frame('E', "C533"), readyForQuery},
-		"an unknown message":  {frame('?', ""), readyForQuery},
-		"a position in words": {AppendParameterStatus(nil, "applied_ms", "now"), readyForQuery},
-		"half a status":       {frame('S', "role"), readyForQuery},
+		"two rows":                        {description, row, row, end, readyForQuery},
+		"no description":                  {row, end, readyForQuery},
+		"end within the row":              {description, readyForQuery},
+		"no end of the row":               {description, row, readyForQuery},
+		"two columns":                     {description, frame('D', "\x00\x02\x00\x00\x00\x02hi\x00\x00\x00\x00"), end, readyForQuery},
+		"a longer column":                 {description, frame('D', "\x00\x01\x00\x00\x00\x09hi"), end, readyForQuery},
+		"a negative column":               {description, frame('D', "\x00\x01\x80\x00\x00\x00"), end, readyForQuery},
+		"an error, no code":               {frame('E', "SERROR\x00\x00"), readyForQuery},
+		"an error, no end":                {frame('E', "C533"), readyForQuery},
+		"an unknown message":              {frame('?', ""), readyForQuery},
+		"a position that is not a number": {AppendParameterStatus(nil, "applied_ms", "now"), readyForQuery},
+		"an incomplete status":            {frame('S', "role"), readyForQuery},
 	} {
-		a, done, err := feed(parts...)
+		result, done, err := readMessages(parts...)
 		assert.True(t, !done && IsProtocolError(err), name)
-		_ = a
+		_ = result
 	}
-	a, _, err := feed(described, row, AppendErrorResponse(nil, ErrorResponse{Severity: "ERROR", Code: "XX000", Message: "broke"}), readyForQuery)
-	assert.True(t, err == nil && !a.Complete && a.Code == "XX000", "an error within the row")
+	result, _, err := readMessages(description, row, AppendErrorResponse(nil, ErrorResponse{Severity: "ERROR", Code: "XX000", Message: "broke"}), readyForQuery)
+	assert.True(t, err == nil && !result.Complete && result.Code == "XX000", "an error after the row")
 }
 
-// Faulty servers keep the connection open: waiting for the rest would take the request's whole time.
+// Faulty servers often keep the connection open, so waiting for the rest of an invalid message would use up the whole time of the request.
 func TestProtocolErrorsAreFoundInTheFirstBytes(t *testing.T) {
-	for name, begun := range map[string]string{
-		"an unknown type":         "?\x00\x00\x00\x08",
-		"a value of 3 GB":         "D\xb2\xd0\x5e\x00",
-		"a row before its names":  "D\x00\x00\x00\x0c",
-		"a long status":           "S\x00\x01\x00\x00",
-		"a long end":              "Z\x00\x00\x00\x0c",
-		"a column that fits less": string(frame('T', described)) + "D\x00\x00\x01\x00\x00\x01\x00\x00\x00\x02",
+	for name, received := range map[string]string{
+		"an unknown type":               "?\x00\x00\x00\x08",
+		"a value of 3 GB":               "D\xb2\xd0\x5e\x00",
+		"a row before its description":  "D\x00\x00\x00\x0c",
+		"a long status":                 "S\x00\x01\x00\x00",
+		"a long end":                    "Z\x00\x00\x00\x0c",
+		"a column shorter than its row": string(frame('T', rowDescription)) + "D\x00\x00\x01\x00\x00\x01\x00\x00\x00\x02",
 	} {
-		_, done, err := feed([]byte(begun))
+		_, done, err := readMessages([]byte(received))
 		assert.True(t, !done && IsProtocolError(err), "%s: %v", name, err)
 	}
 }
@@ -235,7 +240,7 @@
 }
 
 func FuzzStatement(f *testing.F) {
-	f.Add([]byte(read + "\x00"))
+	f.Add([]byte(readStatement + "\x00"))
 	f.Add([]byte("INSERT INTO facts (code, data) VALUES ('a''b', '\\x9f') /* c=o,d=5,cluster=1 */;\x00"))
 	f.Add([]byte("/* d=1 */ SELECT ' /* d=,c==,cluster=9 */\x00"))
 	f.Fuzz(func(t *testing.T, body []byte) {
@@ -245,29 +250,29 @@
 		}
 		again, err := ParseStatement(s.Query(123 * time.Millisecond)[5:])
 		if err != nil || again.Timeout != 123*time.Millisecond || again.Group != s.Group || !bytes.Equal(again.Key, s.Key) {
-			t.Fatalf("%q is not forwarded as it came: %v", body, err)
+			t.Fatalf("%q is forwarded with a change other than its timeout: %v", body, err)
 		}
 	})
 }
 
 func FuzzQueryResult(f *testing.F) {
-	f.Add(bytes.Join([][]byte{frame('T', described), frame('D', "\x00\x01\x00\x00\x00\x02hi"), frame('C', "SELECT 1\x00"), readyForQuery}, nil))
+	f.Add(bytes.Join([][]byte{frame('T', rowDescription), frame('D', "\x00\x01\x00\x00\x00\x02hi"), frame('C', "SELECT 1\x00"), readyForQuery}, nil))
 	f.Add(append(AppendErrorResponse(nil, ErrorResponse{Severity: "ERROR", Code: "25006", Message: "no primary"}), readyForQuery...))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		r := NewReader(bytes.NewReader(data), 64, 1<<12)
-		var a QueryResult
+		var result QueryResult
 		for {
 			typ, body, err := r.Next()
 			if err != nil {
 				return
 			}
-			done, err := a.AddMessage(typ, body)
+			done, err := result.AddMessage(typ, body)
 			if err != nil {
 				return
 			}
 			if done {
-				if a.Complete && (a.Code != "" || !bytes.Contains(data, a.Rows)) {
-					t.Fatalf("a value that was not sent: %q", a.Rows)
+				if result.Complete && (result.Code != "" || !bytes.Contains(data, result.Rows)) {
+					t.Fatalf("the result contains a value that was not sent: %q", result.Rows)
 				}
 				return
 			}
@@ -275,7 +280,7 @@
 	})
 }
 
-// A message that is written later has a shorter timeout, and is the same byte for byte otherwise.
+// ShortenTimeout returns the same bytes as Query with the shorter timeout.
 func TestShortenTimeoutInPlace(t *testing.T) {
 	const text = "SELECT 'x' /* id=1,c=o,d=12000,k=5c,cluster=3 */"
 	s, err := ParseStatement(append([]byte(text), 0))
@@ -286,8 +291,8 @@
 	}
 	q := s.QueryWithTimeout(12 * time.Second)
 	for _, wait := range []time.Duration{11 * time.Second, 900 * time.Millisecond, 899 * time.Millisecond, time.Millisecond} {
-		assert.Equal(t, string(s.Query(wait)), string(q.ShortenTimeout(wait)), "repeatedly")
+		assert.Equal(t, string(s.Query(wait)), string(q.ShortenTimeout(wait)), "shortened repeatedly")
 	}
-	assert.Equal(t, string(s.Query(time.Millisecond)), string(q.ShortenTimeout(time.Minute)), "never longer")
+	assert.Equal(t, string(s.Query(time.Millisecond)), string(q.ShortenTimeout(time.Minute)), "a longer timeout is ignored")
 	assert.Equal(t, text, string(s.text))
 }
--- a/pgwire/result.go
+++ b/pgwire/result.go
@@ -8,50 +8,51 @@
 	"strconv"
 )
 
-// QueryResult is what a server answered to one query: at most one row of one column or, where AnyStatement is set, the
-// result of any statement.
+// QueryResult is a server's response to one query: at most one row of one column or, if AnyStatement is set, the result of
+// any statement.
 type QueryResult struct {
-	Rows          []byte // RowDescription, DataRow and CommandComplete as received
-	Complete      bool   // Rows hold a whole result
-	Code          string // SQLSTATE of the first error, "" for none
-	Role          string // as the server reported it, "" where it did not
-	AppliedMillis int64  // replication position that the server reported, Unix milliseconds
-	HasApplied    bool   // AppliedMillis was reported
+	Rows          []byte // RowDescription, DataRow and CommandComplete messages as received
+	Complete      bool   // Rows holds a complete result
+	Code          string // SQLSTATE of the first error, "" if there was none
+	Role          string // the role that the server reported, "" if it reported none
+	AppliedMillis int64  // log position that the server reported, in Unix milliseconds
+	HasApplied    bool   // whether AppliedMillis was reported
 	LoadReport    []byte // name=value pairs separated by commas
 	value         []byte
-	rowMessages   int // how many of rowMessageTypes were received
+	rowMessages   int // how many of rowMessageTypes were received; with AnyStatement 0 for none, 1 for a part and all for a complete result
 
-	// AnyStatement allows rows in any number and of any width, or none. Set it, and MaxBytes, before the first message.
+	// AnyStatement allows any number of rows with any number of columns. Set it and MaxBytes before the first message.
 	AnyStatement  bool
-	MaxBytes      int    // that Rows may hold; a longer result ends in a ResultTooLargeError
-	TooLong       bool   // the result was longer and was dropped: the statement was executed
-	ErrorMessage  string // of the first error
-	InTransaction bool   // a transaction is left open: the connection must not serve another request
+	MaxBytes      int    // maximum length of Rows; a longer result causes a ResultTooLargeError
+	TooLong       bool   // the result exceeded MaxBytes and was dropped, although the statement was executed
+	ErrorMessage  string // message of the first error
+	InTransaction bool   // the statement left a transaction open, so the connection must not serve another request
 }
 
-// rowMessageTypes are the messages of a row, in their order.
+// rowMessageTypes are the types of the messages of a result with one row, in their order: RowDescription, DataRow and
+// CommandComplete.
 const rowMessageTypes = "TDC"
 
 // Sizes of messages, in bytes.
 const (
-	headerBytes     = 5       // the type and the length before a body
-	trailerBytes    = 64      // room for what follows a row
-	maxControlBytes = 8 << 10 // body of a message other than a row
+	headerBytes     = 5       // the type and the length that precede a body
+	trailerBytes    = 64      // spare capacity for the messages that follow a row
+	maxControlBytes = 8 << 10 // maximum length of the body of a message other than a row
 )
 
-// Value returns the value of the one column of the row.
+// Value returns the value of the row's only column. With AnyStatement it is that of the last row that has a single column.
 func (q *QueryResult) Value() []byte { return q.value }
 
-// CheckMessage checks a message by its type, its length and what has come of its body; use it as Reader.CheckMessage.
-// Faulty servers often keep the connection open: waiting for the rest of a message that cannot be right would take the
-// request's whole time.
-func (q *QueryResult) CheckMessage(typ byte, size int, begun []byte) error {
+// CheckMessage checks a message by its type, its length and the received part of its body. It is meant to be used as
+// Reader.CheckMessage. Faulty servers often keep the connection open, so waiting for the rest of an invalid message would
+// use up the whole time of the request.
+func (q *QueryResult) CheckMessage(typ byte, size int, received []byte) error {
 	switch typ {
 	case 'T', 'D', 'C', 'I':
 		if q.AnyStatement {
-			return q.checkAnyMessage(typ, size)
+			return q.checkAnyStatementMessage(typ, size)
 		}
-		if err := q.checkRowMessage(typ, size, begun); err != nil {
+		if err := q.checkSingleRowMessage(typ, size, received); err != nil {
 			return err
 		}
 	case 'Z':
@@ -64,50 +65,55 @@
 	}
 	unlimited := typ == 'D' || q.AnyStatement && typ == 'E'
 	if size > maxControlBytes && !unlimited {
-		return tooLong(typ, size)
+		return messageTooLong(typ, size)
 	}
 	return nil
 }
 
-// checkRowMessage checks the messages of the one row: once each, in their order. An EmptyQueryResponse passes.
-func (q *QueryResult) checkRowMessage(typ byte, size int, begun []byte) error {
+// checkSingleRowMessage checks a message of a result with one row: each type may come once, in the order of
+// rowMessageTypes, and not after an error. An EmptyQueryResponse always passes.
+func (q *QueryResult) checkSingleRowMessage(typ byte, size int, received []byte) error {
 	switch {
 	case typ == 'I':
 	case q.rowMessages == len(rowMessageTypes) || typ != rowMessageTypes[q.rowMessages] || q.Code != "":
 		return outOfOrder(typ)
-	case typ == 'D' && (size < 6 || len(begun) >= 6 && !isSingleColumn(begun, size)):
+	case typ == 'D' && (size < 6 || len(received) >= 6 && !isSingleColumn(received, size)):
 		return &ProtocolError{"a row that is not one column of its length"}
 	}
 	return nil
 }
 
-// checkAnyMessage checks the messages of the result of any statement: a description, rows and one end, or the end alone.
-func (q *QueryResult) checkAnyMessage(typ byte, size int) error {
+// checkAnyStatementMessage checks a message of the result of any statement: a RowDescription, rows and a CommandComplete, or
+// a CommandComplete or EmptyQueryResponse alone.
+func (q *QueryResult) checkAnyStatementMessage(typ byte, size int) error {
 	ended := q.rowMessages == len(rowMessageTypes) || q.Code != ""
 	switch {
 	case ended, typ == 'T' && q.rowMessages > 0, typ == 'D' && q.rowMessages == 0, typ == 'I' && q.rowMessages > 0:
 		return outOfOrder(typ)
 	case typ == 'C' && size > maxControlBytes:
-		return tooLong(typ, size)
+		return messageTooLong(typ, size)
 	case len(q.Rows)+size > q.MaxBytes:
 		return &ResultTooLargeError{q.MaxBytes}
 	}
 	return nil
 }
 
-func tooLong(typ byte, size int) error {
+// messageTooLong returns the error for a message that exceeds maxControlBytes.
+func messageTooLong(typ byte, size int) error {
 	return &ProtocolError{fmt.Sprintf("a message of type %q of %d bytes", typ, size)}
 }
 
-// isSingleColumn checks the beginning of a row: one column that takes all of it.
+// isSingleColumn reports whether b begins the body of a DataRow message of size bytes that consists of one column. b must
+// hold at least 6 bytes.
 func isSingleColumn(b []byte, size int) bool {
 	n := int32(binary.BigEndian.Uint32(b[2:]))
 	return binary.BigEndian.Uint16(b) == 1 && n >= -1 && int(max(n, 0)) == size-6
 }
 
-// IsStatementError reports whether the error is about the statement itself: the server will not execute it, nor would
-// another. By the classes of the SQL standard: feature, data, syntax or access, and a breach of the protocol; for any
-// statement also what its data or its own code rejects, since a statement that ends so did nothing.
+// IsStatementError reports whether the statement itself caused the error, so that no other server would execute it either.
+// These are the classes 0A (feature not supported), 22 (data exception) and 42 (syntax error or access rule violation) of
+// the SQL standard, and protocol violations. With AnyStatement they are also the classes of errors that constraints or the
+// statement's own code raise, because a statement that ends with such an error has changed nothing.
 func (q *QueryResult) IsStatementError() bool {
 	if len(q.Code) != 5 {
 		return false
@@ -117,7 +123,7 @@
 		q.AnyStatement && slices.Contains([]string{"21", "23", "2B", "44", "54", "P0"}, class)
 }
 
-// AddMessage adds a message; done means that the result has ended.
+// AddMessage checks a message and adds it to the result. done means that the result is finished.
 func (q *QueryResult) AddMessage(typ byte, body []byte) (done bool, err error) {
 	if err := q.CheckMessage(typ, len(body), body); err != nil {
 		return false, err
@@ -125,9 +131,9 @@
 	switch typ {
 	case 'T', 'D', 'C', 'I':
 		if q.AnyStatement {
-			q.addAnyMessage(typ, body)
+			q.addAnyStatementMessage(typ, body)
 		} else if typ != 'I' {
-			return false, q.addRowMessage(typ, body)
+			return false, q.addSingleRowMessage(typ, body)
 		}
 	case 'S':
 		return false, q.addParameterStatus(body)
@@ -143,8 +149,8 @@
 	return false, nil
 }
 
-// addRowMessage adds a message of the one row.
-func (q *QueryResult) addRowMessage(typ byte, body []byte) error {
+// addSingleRowMessage adds a RowDescription, DataRow or CommandComplete message to a result with one row.
+func (q *QueryResult) addSingleRowMessage(typ byte, body []byte) error {
 	q.rowMessages++
 	q.Complete = q.rowMessages == len(rowMessageTypes)
 	if typ == 'T' && (len(body) < 2 || binary.BigEndian.Uint16(body) != 1) {
@@ -153,19 +159,19 @@
 	if q.Rows == nil {
 		q.Rows = make([]byte, 0, 128)
 	}
-	if typ == 'D' && cap(q.Rows)-len(q.Rows) < len(body)+trailerBytes { // room for the end of the result too
+	if typ == 'D' && cap(q.Rows)-len(q.Rows) < len(body)+trailerBytes { // with capacity for the messages after the row
 		q.Rows = append(make([]byte, 0, len(q.Rows)+len(body)+trailerBytes), q.Rows...)
 	}
-	at := q.appendToRows(typ, body)
+	bodyStart := q.appendToRows(typ, body)
 	if typ == 'D' {
-		q.value = q.Rows[at+6:]
+		q.value = q.Rows[bodyStart+6:]
 	}
 	return nil
 }
 
-// AddRowInPlace is AddMessage for a row whose body the result may take over: where the body has room for what goes before
-// and after it, the result is put together in place, so that a long value is held once. taken says that the body belongs
-// to the result now.
+// AddRowInPlace adds a DataRow message as AddMessage does, and may take over its body. If the spare capacity of the body
+// suffices for the messages before and after the row, the result is assembled in the body, so that a long value is held in
+// memory only once. taken means that the body belongs to the result from now on.
 func (q *QueryResult) AddRowInPlace(body []byte) (taken bool, err error) {
 	before := len(q.Rows) + headerBytes
 	if q.AnyStatement || cap(body)-len(body) < before+trailerBytes {
@@ -187,17 +193,17 @@
 	return true, nil
 }
 
-// appendToRows appends a message to the rows and returns the offset of its body.
-func (q *QueryResult) appendToRows(typ byte, body []byte) (at int) {
+// appendToRows appends a message to Rows and returns the offset of its body.
+func (q *QueryResult) appendToRows(typ byte, body []byte) (bodyStart int) {
 	q.Rows = append(q.Rows, typ)
 	q.Rows = binary.BigEndian.AppendUint32(q.Rows, uint32(len(body)+4))
-	at = len(q.Rows)
+	bodyStart = len(q.Rows)
 	q.Rows = append(q.Rows, body...)
-	return at
+	return bodyStart
 }
 
-// addAnyMessage adds a message of the result of any statement.
-func (q *QueryResult) addAnyMessage(typ byte, body []byte) {
+// addAnyStatementMessage adds a message to the result of any statement.
+func (q *QueryResult) addAnyStatementMessage(typ byte, body []byte) {
 	switch typ {
 	case 'T', 'D':
 		q.rowMessages = 1
@@ -205,13 +211,13 @@
 		q.rowMessages = len(rowMessageTypes)
 		q.Complete = true
 	}
-	at := q.appendToRows(typ, body)
+	bodyStart := q.appendToRows(typ, body)
 	if typ == 'D' && len(body) >= 6 && isSingleColumn(body, len(body)) {
-		q.value = q.Rows[at+6:]
+		q.value = q.Rows[bodyStart+6:]
 	}
 }
 
-// addError adds an ErrorResponse. The first error counts.
+// addError adds an ErrorResponse message. The result keeps the code of the first error.
 func (q *QueryResult) addError(body []byte) error {
 	code := errorField(body, 'C')
 	if len(code) != 5 {
@@ -227,7 +233,7 @@
 	return nil
 }
 
-// addParameterStatus adds what a server reports of itself beside its result.
+// addParameterStatus adds a ParameterStatus message, in which the server reports its role, log position or load.
 func (q *QueryResult) addParameterStatus(body []byte) error {
 	name, value, ok := cutParameterStatus(body)
 	if !ok {
@@ -248,13 +254,14 @@
 	return nil
 }
 
+// cutParameterStatus returns the name and the value in the body of a ParameterStatus message.
 func cutParameterStatus(body []byte) (name, value []byte, ok bool) {
 	name, rest, ok := bytes.Cut(body, []byte{0})
 	value, _, ended := bytes.Cut(rest, []byte{0})
 	return name, value, ok && ended
 }
 
-// errorField returns a field of an ErrorResponse, nil for none.
+// errorField returns the field of type typ in the body of an ErrorResponse message, or nil if there is none.
 func errorField(body []byte, typ byte) []byte {
 	for len(body) > 0 && body[0] != 0 {
 		value, rest, ok := bytes.Cut(body[1:], []byte{0})
--- a/pgwire/row_test.go
+++ b/pgwire/row_test.go
@@ -12,31 +12,32 @@
 	"pgregory.net/rapid"
 )
 
-// readResult reads a result with spare bytes of room after a long row; inPlace says whether it lies in the body that was read.
-func readResult(t require.TestingT, from io.Reader, spare int) (a *QueryResult, inPlace bool) {
+// readResult reads a result with a Reader that adds the given spare capacity to long rows. inPlace reports whether the result was
+// assembled in the body of its row.
+func readResult(t require.TestingT, from io.Reader, spare int) (result *QueryResult, inPlace bool) {
 	r := NewReader(from, 4<<10, 1<<20)
 	r.RetainedBytes, r.SpareBytes = 16, spare
-	a = &QueryResult{}
-	r.CheckMessage = a.CheckMessage
+	result = &QueryResult{}
+	r.CheckMessage = result.CheckMessage
 	for done := false; !done; {
 		typ, body, err := r.Next()
 		require.NoError(t, err)
 		if typ != 'D' {
-			done, err = a.AddMessage(typ, body)
+			done, err = result.AddMessage(typ, body)
 			require.NoError(t, err)
 			continue
 		}
-		kept, err := a.AddRowInPlace(body)
+		taken, err := result.AddRowInPlace(body)
 		require.NoError(t, err)
-		if kept {
+		if taken {
 			inPlace = true
 			r.Detach()
 		}
 	}
-	return a, inPlace
+	return result, inPlace
 }
 
-// A result that is put together in the body of its row is the same as one that is not, however it was received.
+// A result that is assembled in the body of its row equals one that is not, in whatever pieces the messages are received.
 func TestRowAddedInPlaceGivesTheSameResult(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		value := rapid.SliceOfN(rapid.Byte(), 0, 3000).Draw(t, "value")
@@ -48,14 +49,15 @@
 			frame('Z', "I")}, nil)
 		readers := []io.Reader{bytes.NewReader(text), iotest.OneByteReader(bytes.NewReader(text)), iotest.HalfReader(bytes.NewReader(text))}
 		kind := rapid.IntRange(0, len(readers)-1).Draw(t, "reader")
-		a, _ := readResult(t, readers[kind], rapid.IntRange(0, 512).Draw(t, "spare"))
-		assert.Equal(t, text[:len(text)-6], a.Rows)
-		assert.True(t, a.Complete)
-		assert.Equal(t, value, append([]byte{}, a.Value()[:len(value)]...))
+		result, _ := readResult(t, readers[kind], rapid.IntRange(0, 512).Draw(t, "spare"))
+		assert.Equal(t, text[:len(text)-6], result.Rows)
+		assert.True(t, result.Complete)
+		assert.Equal(t, value, append([]byte{}, result.Value()[:len(value)]...))
 	})
 }
 
-// A long value with room after it is held once; without room, or for an invalid row, AddRowInPlace acts as AddMessage.
+// AddRowInPlace takes over the body of a long row that has spare capacity. Without the capacity, or for an invalid row, it behaves like
+// AddMessage.
 func TestLongRowIsAddedInPlaceWhereItHasRoom(t *testing.T) {
 	text := bytes.Join([][]byte{
 		frame('T', "\x00\x01data\x00"+strings.Repeat("\x00", 18)),
@@ -67,7 +69,7 @@
 	_, inPlace = readResult(t, bytes.NewReader(text), 0)
 	assert.False(t, inPlace)
 	body := append(make([]byte, 0, 4096), "\x00\x02\x00\x00\x00\x01v"...)
-	kept, err := (&QueryResult{rowMessages: 1, Rows: []byte("T")}).AddRowInPlace(body)
-	assert.False(t, kept)
+	taken, err := (&QueryResult{rowMessages: 1, Rows: []byte("T")}).AddRowInPlace(body)
+	assert.False(t, taken)
 	assert.True(t, IsProtocolError(err), "%v", err)
 }
--- a/pgwire/startup.go
+++ b/pgwire/startup.go
@@ -5,29 +5,30 @@
 	"fmt"
 )
 
-// ProtocolVersion is version 3.0, as startup messages carry it.
+// ProtocolVersion is the encoding of version 3.0 in startup messages.
 const ProtocolVersion = 3 << 16
 
-// Request codes of startup messages, in place of a version.
+// Request codes that a startup message may carry instead of a protocol version.
 const (
-	cancelCode = 1234<<16 | 5678
-	sslCode    = 1234<<16 | 5679
-	gssCode    = 1234<<16 | 5680
+	cancelRequestCode = 1234<<16 | 5678
+	sslRequestCode    = 1234<<16 | 5679
+	gssEncRequestCode = 1234<<16 | 5680
 )
 
-const maxStartupBytes = 10000 // as in PostgreSQL's own servers
+const maxStartupBytes = 10000 // the limit of PostgreSQL's own servers
 
-// Startup is the first message of a connection.
+// Startup is the first message that a client sends on a connection.
 type Startup struct {
-	EncryptionRequest bool // an answer of N makes the client continue without encryption
+	EncryptionRequest bool // a request for TLS or GSSAPI; the reply N makes the client continue without encryption
 	CancelRequest     bool
-	Version           uint32 // or the request code in its place
+	Version           uint32 // protocol version, or the request code in its place
 }
 
-// ReadStartup reads the first message, which has no type.
+// ReadStartup reads the startup message, which has no type byte. It accepts version 3 of the protocol and the requests for
+// encryption or cancellation, and returns a ProtocolError for anything else.
 func (r *Reader) ReadStartup() (s Startup, err error) {
 	if !r.headerRead {
-		r.allow(4)
+		r.setReadLimit(4)
 		h, err := r.r.Peek(4)
 		if err != nil {
 			return s, unexpectedEOF(err, len(h))
@@ -35,7 +36,7 @@
 		if err := r.startBody(0, int64(binary.BigEndian.Uint32(h))-4, maxStartupBytes); err != nil {
 			return s, err
 		}
-		_, _ = r.r.Discard(4) // they are buffered
+		_, _ = r.r.Discard(4) // cannot fail: these bytes are buffered
 	}
 	_, body, err := r.readBody()
 	if err != nil {
@@ -45,9 +46,9 @@
 		return s, &ProtocolError{"a startup message without a version"}
 	}
 	switch s.Version = binary.BigEndian.Uint32(body); s.Version {
-	case sslCode, gssCode:
+	case sslRequestCode, gssEncRequestCode:
 		s.EncryptionRequest = true
-	case cancelCode:
+	case cancelRequestCode:
 		s.CancelRequest = true
 	default:
 		if s.Version>>16 != ProtocolVersion>>16 {
--- a/pgwire/statement.go
+++ b/pgwire/statement.go
@@ -7,29 +7,29 @@
 	"dapplerouter/sqlclass"
 )
 
-// Statement is a client's query with what its comment says. Its slices lie in the text of the query.
+// Statement is a client's statement with the fields of its comment. Its slices refer to the text of the query.
 type Statement struct {
 	text                     []byte
-	timeoutStart, timeoutEnd int // offsets in text
+	timeoutStart, timeoutEnd int // offsets of the timeout's digits in text
 
 	Empty bool
 	Write bool
-	Key   []byte // the first string literal, or what the comment names in its place
+	Key   []byte // the first string literal, or the value of the comment's field s if statements are classified
 
-	// What the comment says.
+	// Fields of the comment.
 	ID, RequestType, Customer []byte
 	Group                     int64
-	Timeout                   time.Duration // how long the client will wait, from its sending
+	Timeout                   time.Duration // how long the client waits for the response, counted from when it sent the statement
 	Retry                     bool
-	After                     int64 // position of the session's last write, Unix milliseconds, 0 for none
+	After                     int64 // log position of the session's last write, in Unix milliseconds; 0 for none
 
-	// Normalized and Details are set where statements are classified.
+	// Normalized and Details are set only if statements are classified.
 	Normalized *sqlclass.NormalizedStatement
 	Details    sqlclass.Details
 }
 
-// ParseStatement parses the body of a Query message: one SELECT or INSERT with a key and a comment. An error is a
-// *StatementError, after which the connection continues, or a *ProtocolError.
+// ParseStatement parses the body of a Query message. The statement must be a single SELECT or INSERT with a key and a
+// comment. The error is a *StatementError, after which the connection continues, or a *ProtocolError.
 func ParseStatement(body []byte) (s Statement, err error) {
 	if s.text, err = queryText(body); err != nil {
 		return s, err
@@ -57,7 +57,7 @@
 
 func errNoComment() error { return statementErrorf(CodeSyntaxError, "the statement has no comment") }
 
-// queryText returns the text of a Query message, without the zero byte that ends it.
+// queryText returns the text in the body of a Query message, without its terminating zero byte.
 func queryText(body []byte) ([]byte, error) {
 	if len(body) == 0 || body[len(body)-1] != 0 || bytes.IndexByte(body, 0) != len(body)-1 {
 		return nil, &ProtocolError{"a query without its end"}
@@ -65,10 +65,11 @@
 	return body[:len(body)-1], nil
 }
 
-// scan finds the key, the offsets of the comment's content ({-1, -1} for none) and the end of the only statement.
+// scan scans the text. It sets Key to the first string literal, and Empty. It returns the offsets of the content of the
+// last comment, or {-1, -1} if there is none. It returns an error if the text has more than one statement.
 func (s *Statement) scan() (comment [2]int, err error) {
 	comment = [2]int{-1, -1}
-	ended, begun := false, false
+	ended, started := false, false
 	t := s.text
 	for i := 0; i < len(t); {
 		switch c := t[i]; {
@@ -82,13 +83,13 @@
 			comment = [2]int{i + 2, i + 2 + n}
 			i += n + 4
 		case c == ';':
-			ended = ended || begun
+			ended = ended || started
 			i++
 		case ended:
 			return comment, statementErrorf(CodeSyntaxError, "more than one statement")
 		case c == '\'':
-			begun = true
-			end := quotedEnd(t, i)
+			started = true
+			end := stringLiteralEnd(t, i)
 			if end < 0 {
 				return comment, statementErrorf(CodeSyntaxError, "a quoted text has no end")
 			}
@@ -97,16 +98,17 @@
 			}
 			i = end
 		default:
-			begun = true
+			started = true
 			i++
 		}
 	}
-	s.Empty = !begun
+	s.Empty = !started
 	return comment, nil
 }
 
-// quotedEnd returns the end of the string literal that begins at i, -1 for none. Two quotes in it are one.
-func quotedEnd(t []byte, i int) int {
+// stringLiteralEnd returns the offset behind the string literal that begins at i, or -1 if the literal has no closing
+// quote. A doubled quote within the literal stands for one quote.
+func stringLiteralEnd(t []byte, i int) int {
 	end := i + 1
 	for {
 		n := bytes.IndexByte(t[end:], '\'')
--- a/pgwire/timeout.go
+++ b/pgwire/timeout.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// TimedQuery is a Query message whose comment says how long its sender will wait.
+// TimedQuery is a Query message whose comment contains the timeout of the request.
 type TimedQuery struct {
 	Message    []byte
-	start, end int // offsets of the digits of the timeout in Message; 0 where there are none
+	start, end int // offsets of the timeout's digits in Message; 0 if it has none
 }
 
-// QueryWithTimeout returns the message that forwards the statement: as it came, but with another timeout.
+// QueryWithTimeout returns the Query message that forwards the statement. It differs from the received text only in the
+// timeout.
 func (s *Statement) QueryWithTimeout(timeout time.Duration) TimedQuery {
 	b := make([]byte, 0, len(s.text)+16)
 	b = append(b, 'Q', 0, 0, 0, 0)
@@ -25,11 +26,11 @@
 	return TimedQuery{b, start, end}
 }
 
-// Query returns the message of QueryWithTimeout.
+// Query returns the same message as QueryWithTimeout, as bytes.
 func (s *Statement) Query(timeout time.Duration) []byte { return s.QueryWithTimeout(timeout).Message }
 
-// ShortenTimeout replaces the timeout by one that is not longer, in place, and returns the message. A longer one is
-// ignored.
+// ShortenTimeout replaces the timeout in place and returns the message. The new timeout should not be longer than the
+// present one. If it has more digits, it does not fit and is ignored.
 func (q *TimedQuery) ShortenTimeout(timeout time.Duration) []byte {
 	if q.end == 0 {
 		return q.Message
@@ -40,7 +41,7 @@
 	if cut < 0 {
 		return q.Message
 	}
-	if cut > 0 { // what stands before the digits moves up to them
+	if cut > 0 { // move the part before the digits up to the new, shorter digits
 		copy(q.Message[cut:], q.Message[:q.start])
 		q.Message = q.Message[cut:]
 		q.end -= cut
@@ -50,7 +51,7 @@
 	return q.Message
 }
 
-// milliseconds returns a timeout as comments have it: rounded up, and 1 at least.
+// milliseconds converts a timeout to the unit of comments. It rounds up and returns at least 1.
 func milliseconds(timeout time.Duration) int64 {
 	return max(1, int64((timeout+time.Millisecond-1)/time.Millisecond))
 }
--- a/pgwire/wire_test.go
+++ b/pgwire/wire_test.go
@@ -13,20 +13,21 @@
 	"dapplerouter/sqlclass"
 )
 
-// What is written to clients and servers, byte for byte: testdata/messages.txt has a name and a quoted text a line.
+// TestMessagesOnTheWire compares every message and error text that is sent to clients and servers with the recorded bytes. Each line of
+// testdata/messages.txt has a quoted name and a quoted text.
 func TestMessagesOnTheWire(t *testing.T) {
 	var got []string
 	add := func(name string, b []byte) { got = append(got, fmt.Sprintf("%q %q", name, b)) }
-	add("welcome", AppendGreeting(nil))
-	add("welcome behind other bytes", AppendGreeting([]byte("x")))
-	add("status", AppendParameterStatus(nil, "role", "primary"))
+	add("greeting", AppendGreeting(nil))
+	add("greeting after other bytes", AppendGreeting([]byte("x")))
+	add("parameter status", AppendParameterStatus(nil, "role", "primary"))
 	add("empty", AppendEmptyQueryResponse(nil))
 	add("ready", AppendReadyForQuery(nil))
 	add("startup", AppendStartup([]byte("x"), "router", "facts"))
 	add("query", AppendQuery(nil, "SELECT 1"))
 	add("terminate", []byte{TypeTerminate})
 	value := SingleValueResult([]byte("x1=1"))
-	add("one value", value.Rows)
+	add("single value", value.Rows)
 	for _, code := range []string{CodeTooManyConnections, CodeReadOnlyTransaction, CodeSnapshotTooOld, CodeProtocolViolation, CodeFeatureNotSupported, CodeSyntaxError, CodeInvalidParameterValue,
 		CodeTransactionRollback, CodeProgramLimitExceeded, CodeInternalError, CodeIdleSessionTimeout, CodeCannotConnectNow} {
 		add("error "+code, AppendErrorResponse(nil, ErrorResponse{Severity: "ERROR", Code: code, Message: "what"}))
@@ -48,37 +49,38 @@
 		"SELECT 'x' /* id=7,d=5,c=o */", "SELECT 'x' /* id=7,d=5,cluster=1 */", "SELECT 'x' /* id=7,d=no,c=o,cluster=1 */",
 		"SELECT 'x' /* id=7,d=5,c=o,cluster=no */", "SELECT 'x' /* id=7,d=5,c=o,cluster=1,after=no */", "SELECT\x00"} {
 		_, err := statement(text)
-		add("plain "+text, errorText(err))
+		add("statement "+text, errorText(err))
 	}
 	by := sqlclass.New(sqlclass.Options{CacheBytes: sqlclass.MinCacheBytes})
 	for _, text := range []string{"BEGIN /* id=7,d=5,c=o,cluster=1 */", "SELECT 'x'", "SELECT 'x", "SELECT 1; SELECT 2",
 		"CREATE TEMP TABLE t (a int) /* id=7 */", "SELECT set_config('a', 'b', false)", "SELECT 1 /* id=7,d=5 */",
 		"SELECT 'x' /* id=7,d=5,cluster=1 */", "SELECT '\xff'"} {
 		_, err := ParseClassified([]byte(text+"\x00"), by)
-		add("classed "+text, errorText(err))
+		add("classified statement "+text, errorText(err))
 	}
-	described, row, end := frame('T', described), frame('D', "\x00\x01\x00\x00\x00\x02hi"), frame('C', "SELECT 1\x00")
+	description, row, end := frame('T', rowDescription), frame('D', "\x00\x01\x00\x00\x00\x02hi"), frame('C', "SELECT 1\x00")
 	for name, parts := range map[string][][]byte{
-		"1 two rows": {described, row, row}, "2 ready too early": {described, readyForQuery}, "3 two columns": {frame('T', "\x00\x02")},
-		"4 column size": {described, frame('D', "\x00\x01\x00\x00\x00\x09hi")}, "5 error without code": {frame('E', "SERROR\x00\x00")},
+		"1 two rows": {description, row, row}, "2 ready too early": {description, readyForQuery}, "3 two columns": {frame('T', "\x00\x02")},
+		"4 column size": {description, frame('D', "\x00\x01\x00\x00\x00\x09hi")}, "5 error without code": {frame('E', "SERROR\x00\x00")},
 		"6 type": {frame('?', "")}, "7 position": {AppendParameterStatus(nil, "applied_ms", "now")}, "8 status": {frame('S', "role")},
 		"9 ready": {frame('Z', "II")}, "long": {frame('C', strings.Repeat("x", 9000))}, "row first": {row, end},
 	} {
-		_, _, err := feed(parts...)
-		add("answer "+name, errorText(err))
+		_, _, err := readMessages(parts...)
+		add("result "+name, errorText(err))
 	}
 	for _, first := range []string{"\x7f\x00\x00\x00", "\x00\x00\x00\x05\x00", "\x00\x00\x00\x08\x00\x02\x00\x01", "\x00\x00\x00\x09\x00\x03\x00\x00x"} {
 		_, err := NewReader(strings.NewReader(first), 64, 1<<10).ReadStartup()
 		add(fmt.Sprintf("startup %q", first), errorText(err))
 	}
-	add("too long", errorText(&ResultTooLargeError{Limit: 10}))
-	add("no room", errorText(ErrBufferLimit))
+	add("result too long", errorText(&ResultTooLargeError{Limit: 10}))
+	add("buffer limit", errorText(ErrBufferLimit))
 
 	want, err := os.ReadFile("testdata/messages.txt")
 	require.NoError(t, err)
 	assert.ElementsMatch(t, strings.Split(strings.TrimSuffix(string(want), "\n"), "\n"), got)
 }
 
+// errorText returns the text of an error as bytes, or nil if there is no error.
 func errorText(err error) []byte {
 	if err == nil {
 		return nil
