--- a/server/accept_test.go
+++ b/server/accept_test.go
@@ -16,27 +16,27 @@
 	"dapplerouter/testsupport/conntest"
 )
 
-// failingListener fails so many calls of accept before it accepts.
+// failingListener returns each of the given errors from one call of AcceptTCP before it accepts connections.
 type failingListener struct {
 	*net.TCPListener
-	fails []syscall.Errno
+	errors []syscall.Errno
 }
 
 func (l *failingListener) AcceptTCP() (*net.TCPConn, error) {
-	if len(l.fails) > 0 {
-		number := l.fails[0]
-		l.fails = l.fails[1:]
-		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", number)}
+	if len(l.errors) > 0 {
+		errno := l.errors[0]
+		l.errors = l.errors[1:]
+		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", errno)}
 	}
 	return l.TCPListener.AcceptTCP()
 }
 
-// No error that accept may return for a moment ends the service.
+// No transient error of accept ends Serve.
 func TestServeSurvivesTransientAcceptErrors(t *testing.T) {
-	g := newHarness(t, 40)
+	h := newHarness(t, 40)
 	l := conntest.Listen(t)
 	clock := monotonic.NewClock()
-	server := New(Options{Post: func(e front.Event) { g.Core.Post(e) }, Limiter: g.Limiter, Clock: clock, WriteTimeout: 5 * time.Second, MemoryBytes: 32 << 20})
+	server := New(Options{Post: func(e front.Event) { h.Core.Post(e) }, Limiter: h.Limiter, Clock: clock, WriteTimeout: 5 * time.Second, MemoryBytes: 32 << 20})
 	served := make(chan error, 1)
 	go func() {
 		served <- server.Serve(&failingListener{l, []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS,
@@ -45,10 +45,10 @@
 	c, err := net.Dial("tcp", l.Addr().String())
 	require.NoError(t, err)
 	p := conntest.NewPeer(t, c)
-	p.Send([]byte{0, 0, 0, 8, 4, 210, 22, 47}...) // asks for encryption
+	p.Send([]byte{0, 0, 0, 8, 4, 210, 22, 47}...) // a request for encryption
 	var answer [1]byte
 	_, err = io.ReadFull(c, answer[:])
-	require.NoError(t, err, "it is served")
+	require.NoError(t, err, "the connection is served")
 	assert.Equal(t, "N", string(answer[:]))
 	server.Drain(l)
 	assert.NoError(t, <-served)
--- a/server/bad_input_test.go
+++ b/server/bad_input_test.go
@@ -13,17 +13,17 @@
 	"dapplerouter/testsupport/conntest"
 )
 
-// Long messages share a part of the memory. One that exceeds it is rejected and may be retried; the memory is released however its
-// connection ends.
+// Long messages share a memory budget. A message that exceeds the budget is rejected and may be retried. The memory of a message is
+// released whether the request is answered or its connection closed.
 func TestLongQueryOverMemoryLimitIsRejected(t *testing.T) {
-	g := newHarness(t, 60, bodyLimit(300<<10))
-	g.DiscardEvents()
-	g.AnswerAll()
-	held := func() int64 { return g.server.bodies.Reserved() }
+	h := newHarness(t, 60, messageMemoryLimit(300<<10))
+	h.DiscardEvents()
+	h.AnswerAll()
+	reserved := func() int64 { return h.server.messageMemory.Reserved() }
 	long := pgwire.AppendQuery(nil, "SELECT data FROM facts WHERE code = '"+strings.Repeat("k", 200<<10)+"' /* id=long,c=read,d=4000,cluster=2 */")
-	first, second, small := g.Client(), g.Client(), g.Client()
+	first, second, small := h.Client(), h.Client(), h.Client()
 	first.Send(long[:len(long)-1]...)
-	g.Eventually(func() bool { return held() > 200<<10 })
+	h.Eventually(func() bool { return reserved() > 200<<10 })
 	second.Send(long...)
 	assert.Contains(t, string(second.Expect("E")), pgwire.CodeTooManyConnections)
 	second.ExpectClosed()
@@ -31,20 +31,20 @@
 	small.Expect("TDCZ")
 	first.Send(long[len(long)-1])
 	first.Expect("TDCZ")
-	g.Eventually(func() bool { return held() == 0 })
-	third := g.Client()
+	h.Eventually(func() bool { return reserved() == 0 })
+	third := h.Client()
 	third.Send(long[:len(long)-1]...)
-	g.Eventually(func() bool { return held() > 200<<10 })
+	h.Eventually(func() bool { return reserved() > 200<<10 })
 	third.Close()
-	g.Eventually(func() bool { return held() == 0 })
+	h.Eventually(func() bool { return reserved() == 0 })
 }
 
-// Malformed input ends its own connection only.
+// Malformed input ends only the connection on which it was received.
 func TestMalformedInputClosesOnlyItsConnection(t *testing.T) {
-	g := newHarness(t, 60)
-	g.DiscardEvents()
-	g.AnswerAll()
-	good := g.Client()
+	h := newHarness(t, 60)
+	h.DiscardEvents()
+	h.AnswerAll()
+	good := h.Client()
 	for i, bad := range [][]byte{
 		append(pgwire.AppendStartup(nil, "portal", "crm"), 'Q', 127, 255, 255, 255),
 		append(pgwire.AppendStartup(nil, "portal", "crm"), pgwire.AppendQuery(nil, "SELECT \x00 1")...),
@@ -52,12 +52,12 @@
 		{0, 0, 40, 0}, {0, 0, 0, 4}, bytes.Repeat([]byte{'x'}, 9000),
 	} {
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
-			b := g.Dial()
+			b := h.Dial()
 			b.Send(bad...)
 			for {
 				typ, body, err := b.Reader.Next()
 				if err != nil {
-					require.Fail(t, "the connection ends without an error", err)
+					require.Fail(t, "the connection was closed without an error message", err)
 				}
 				if typ == 'E' {
 					assert.Contains(t, string(body), pgwire.CodeProtocolViolation)
--- a/server/client.go
+++ b/server/client.go
@@ -11,37 +11,37 @@
 	"dapplerouter/tcpconn"
 )
 
-// client is a client's connection, served by one goroutine, which owns its fields but for those marked as shared. Its messages are
-// awaited and read in messages.go, its requests are read ahead and answered in order in pipeline.go.
+// client is the connection of a client. One goroutine serves it and owns its fields, except for those marked as shared. messages.go
+// waits for messages and reads them; pipeline.go reads requests ahead and answers them in order.
 type client struct {
 	server    *Server
 	tcp       *net.TCPConn
-	monitor   *tcpconn.PeerMonitor // shared: asked by whoever sends an attempt
+	monitor   *tcpconn.PeerMonitor // shared: called by any goroutine that sends an attempt
 	reader    *pgwire.Reader
-	idleSince atomic.Int64 // shared: moment on the server's clock since when it has nothing to do, 0 while it has
-	evicted   atomic.Bool  // shared: it makes way for another
+	idleSince atomic.Int64 // shared: when the connection became idle, on the server's clock; 0 while it is not idle
+	evicted   atomic.Bool  // shared: the connection is to close, to free its descriptor or because of a standby
 
-	startBy  time.Time // by which its first complete request must have come
-	answered bool      // once at least
+	firstRequestDeadline time.Time // until then the first request must be complete
+	answered             bool      // at least one request was answered
 
-	pipeline front.Pipeline[*request]
-	ahead    readAhead
-	inbox    inbox // shared
+	pipeline  front.Pipeline[*request]
+	readAhead readAhead
+	inbox     inbox // shared
 }
 
-// serve is the connection's goroutine.
+// serve runs the connection until it ends, on the connection's goroutine.
 func (c *client) serve() {
-	defer c.server.running.Done()
+	defer c.server.goroutines.Done()
 	defer func() {
-		c.abandon()
+		c.cancelRequests()
 		c.reader.Close()
 		c.server.closeGracefully(c.tcp)
 		c.server.remove(c)
 	}()
 	defer c.answerAfterPanic()
-	err := c.await(c.startBy)
+	err := c.awaitInput(c.firstRequestDeadline)
 	if err == nil || tcpconn.IsTimeout(err) {
-		tcpconn.SetReadDeadline(c.tcp, c.startBy)
+		tcpconn.SetReadDeadline(c.tcp, c.firstRequestDeadline)
 		err = c.readStartup()
 	}
 	if err != nil {
@@ -52,22 +52,23 @@
 	}
 }
 
-// readStartup reads the startup message, which must be complete in time, and answers it with the greeting.
+// readStartup reads the startup message and answers it with the greeting. The message must be complete before the deadline for the first
+// request. Requests for encryption before it are declined.
 func (c *client) readStartup() error {
 	for {
 		startup, err := c.reader.ReadStartup()
 		switch {
 		case err != nil && tcpconn.IsTimeout(err):
 			if c.server.stage.Load() == closing {
-				return errDraining
+				return errClosedBetweenRequests
 			}
 			if c.evicted.Load() {
 				return errTooManyClients
 			}
-			if !time.Now().Before(c.startBy) {
-				return errIdle
+			if !time.Now().Before(c.firstRequestDeadline) {
+				return errRequestTimeout
 			}
-			if err := c.await(c.startBy); err != nil && !tcpconn.IsTimeout(err) {
+			if err := c.awaitInput(c.firstRequestDeadline); err != nil && !tcpconn.IsTimeout(err) {
 				return err
 			}
 		case err != nil:
@@ -87,25 +88,26 @@
 	}
 }
 
-// endsBetweenRequests reports whether the connection is to end as soon as no answer is owed on it.
+// endsBetweenRequests reports whether the connection is to end as soon as all requests that were read on it are answered.
 func (c *client) endsBetweenRequests() bool {
 	return c.server.stage.Load() >= draining || c.evicted.Load() || c.server.standby.state.Load() == onStandby
 }
 
-// evict has an idle connection make way for another.
+// evict marks the connection to be closed between requests and wakes its goroutine.
 func (c *client) evict() {
 	c.evicted.Store(true)
 	tcpconn.Wake(c.tcp)
 }
 
-// write writes b in one piece. It returns false where the client is gone, or does not read within the write timeout.
+// write writes b in a single call. It returns false if the client has disconnected or does not read within the write timeout.
 func (c *client) write(b []byte) bool {
 	tcpconn.SetWriteDeadline(c.tcp, time.Now().Add(c.server.options.WriteTimeout))
 	_, err := c.tcp.Write(b)
 	return err == nil
 }
 
-// writeFatal sends the client the error that ends its connection, where that is the client's fault or for want of resources.
+// writeFatal sends the client the error that ends its connection, if the client caused the error or resources are exhausted. It sends
+// nothing for other errors.
 func (c *client) writeFatal(err error) {
 	if message := fatalMessage(err); message != nil {
 		slog.Debug("client connection closed", "client", c.tcp.RemoteAddr(), "err", err)
@@ -113,8 +115,8 @@
 	}
 }
 
-// answerAfterPanic, deferred, stops a panic at its connection: each request that was read is answered with an error, which says
-// nothing about whether it ran.
+// answerAfterPanic is deferred and recovers from a panic, so that the panic ends only this connection. It answers each request that was
+// read with an error that does not say whether the request was executed.
 func (c *client) answerAfterPanic() {
 	p := recover()
 	if p == nil {
@@ -125,5 +127,6 @@
 	for range c.pipeline.Len() {
 		c.write(encodeError(pgwire.CodeInternalError, text, ""))
 	}
-	c.write(pgwire.AppendErrorResponse(nil, pgwire.ErrorResponse{Severity: "FATAL", Code: pgwire.CodeInternalError, Message: text})) // for a message that was being taken
+	// The answer to the message that was being handled.
+	c.write(pgwire.AppendErrorResponse(nil, pgwire.ErrorResponse{Severity: "FATAL", Code: pgwire.CodeInternalError, Message: text}))
 }
--- a/server/client_bytes_test.go
+++ b/server/client_bytes_test.go
@@ -14,15 +14,15 @@
 	"dapplerouter/testsupport/conntest"
 )
 
-// terminate ends a client's connection behind all that it is owed.
+// terminate is the message with which a client ends its connection. The server closes the connection after all earlier answers.
 var terminate = conntest.Message(pgwire.TypeTerminate, "")
 
-// TestBytesSentToClients compares all that a client's connection carries, from its first byte to its end.
+// TestBytesSentToClients compares all bytes that a client receives on a connection with the recorded ones.
 func TestBytesSentToClients(t *testing.T) {
 	hello := pgwire.AppendStartup(nil, "portal", "crm")
 	sends := func(parts ...[]byte) func(*harness) *conntest.Peer {
-		return func(g *harness) *conntest.Peer {
-			c := g.Dial()
+		return func(h *harness) *conntest.Peer {
+			c := h.Dial()
 			c.Send(bytes.Join(parts, nil)...)
 			return c
 		}
@@ -30,7 +30,7 @@
 	query := func(statement string) []byte { return pgwire.AppendQuery(nil, statement) }
 	for name, session := range map[string]func(*harness) *conntest.Peer{
 		"encryption, greeting": sends([]byte{0, 0, 0, 8, 4, 210, 22, 47}, hello, terminate),
-		"request to cancel":    sends([]byte{0, 0, 0, 16, 4, 210, 22, 46}, make([]byte, 8)),
+		"cancel request":       sends([]byte{0, 0, 0, 16, 4, 210, 22, 46}, make([]byte, 8)),
 		"startup too short":    sends([]byte{0, 0, 0, 3, 1}),
 		"startup of 2 GB":      sends([]byte{127, 0, 0, 0}),
 		"other protocol":       sends([]byte{0, 0, 0, 8, 0, 2, 0, 0}),
@@ -46,63 +46,63 @@
 		"unknown type":         sends(hello, query("SELECT data FROM facts WHERE code = 'k' /* id=1,c=other,d=60000,cluster=2 */"), terminate),
 		"type of a write":      sends(hello, query("SELECT data FROM facts WHERE code = 'k' /* id=1,c=write,d=60000,cluster=2 */"), terminate),
 		"unknown group":        sends(hello, query("SELECT data FROM facts WHERE code = 'k' /* id=1,c=read,d=60000,cluster=77 */"), terminate),
-		"silent":               sends(hello),
-		"served": func(g *harness) *conntest.Peer {
-			c := sends(hello, conntest.ReadQuery("60000"))(g)
-			m := g.AcceptServer()
-			m.Expect("Q")
-			m.Send(conntest.RowResponse("a value")...)
+		"no request":           sends(hello),
+		"served": func(h *harness) *conntest.Peer {
+			c := sends(hello, conntest.ReadQuery("60000"))(h)
+			upstream := h.AcceptServer()
+			upstream.Expect("Q")
+			upstream.Send(conntest.RowResponse("a value")...)
 			c.Send(terminate...)
 			return c
 		},
-		"failed": func(g *harness) *conntest.Peer {
-			c := sends(hello, conntest.ReadQuery("60000"))(g)
-			m := g.AcceptServer()
-			m.Expect("Q")
-			m.Close()
+		"failed": func(h *harness) *conntest.Peer {
+			c := sends(hello, conntest.ReadQuery("60000"))(h)
+			upstream := h.AcceptServer()
+			upstream.Expect("Q")
+			upstream.Close()
 			c.Send(terminate...)
 			return c
 		},
-		"shut down": func(g *harness) *conntest.Peer {
-			g.Core.Post(front.Shutdown{})
-			return sends(hello, conntest.ReadQuery("60000"), terminate)(g)
+		"request after a shutdown": func(h *harness) *conntest.Peer {
+			h.Core.Post(front.Shutdown{})
+			return sends(hello, conntest.ReadQuery("60000"), terminate)(h)
 		},
-		"newcomer behind a stop": func(g *harness) *conntest.Peer {
-			c := sends(hello)(g)
-			g.Eventually(func() bool { clients, _, _ := g.Limiter.InUse(); return clients == 1 })
-			g.server.Drain(g.Listener)
-			require.NoError(t, <-g.Served)
-			g.Served <- nil
+		"first request after draining": func(h *harness) *conntest.Peer {
+			c := sends(hello)(h)
+			h.Eventually(func() bool { clients, _, _ := h.Limiter.InUse(); return clients == 1 })
+			h.server.Drain(h.Listener)
+			require.NoError(t, <-h.Served)
+			h.Served <- nil
 			c.Send(conntest.ReadQuery("60000")...)
 			return c
 		},
-		"no room for a client": func(g *harness) *conntest.Peer {
-			g.server.SetStandby(true, 0)
-			return sends(hello, conntest.ReadQuery("60000"))(g)
+		"new connection on standby": func(h *harness) *conntest.Peer {
+			h.server.SetStandby(true, 0)
+			return sends(hello, conntest.ReadQuery("60000"))(h)
 		},
-		"evicted before its first request": func(g *harness) *conntest.Peer {
-			c := sends(hello)(g)
-			g.idleClient()
-			g.Eventually(g.server.evictIdle)
+		"evicted before its first request": func(h *harness) *conntest.Peer {
+			c := sends(hello)(h)
+			h.awaitIdleClient()
+			h.Eventually(h.server.evictIdle)
 			return c
 		},
-		"no room for a long message": func(g *harness) *conntest.Peer {
-			return sends(hello, query(strings.Repeat(" ", 200<<10)))(g)
+		"long message over the memory limit": func(h *harness) *conntest.Peer {
+			return sends(hello, query(strings.Repeat(" ", 200<<10)))(h)
 		},
-		"internal fault": func(g *harness) *conntest.Peer {
-			g.server.SetParser(func([]byte) (pgwire.Statement, error) { panic("a fault") })
-			return sends(hello, conntest.ReadQuery("60000"))(g)
+		"panic": func(h *harness) *conntest.Peer {
+			h.server.SetParser(func([]byte) (pgwire.Statement, error) { panic("injected fault") })
+			return sends(hello, conntest.ReadQuery("60000"))(h)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var limits []func(*Server)
-			if name == "no room for a long message" {
-				limits = append(limits, bodyLimit(100<<10))
+			var configure []func(*Server)
+			if name == "long message over the memory limit" {
+				configure = append(configure, messageMemoryLimit(100<<10))
 			}
-			g := newHarness(t, 40, limits...)
-			g.DiscardEvents()
-			c := session(g)
+			h := newHarness(t, 40, configure...)
+			h.DiscardEvents()
+			c := session(h)
 			sent, err := io.ReadAll(c.Conn)
 			require.NoError(t, err)
 			conntest.AssertRecorded(t, "testdata/client_sessions.txt", name, string(sent))
@@ -110,17 +110,17 @@
 	}
 }
 
-// TestBytesOfAResponse compares each kind of the core's responses as a client gets it.
+// TestBytesOfAResponse compares the bytes that a client receives for each kind of response with the recorded ones.
 func TestBytesOfAResponse(t *testing.T) {
 	for name, r := range map[string]front.Response{
 		"response served":                   {Status: front.StatusSucceeded, Rows: conntest.Row("v")},
 		"response rejected":                 {Status: front.StatusRejected},
-		"response rejected with a wait":     {Status: front.StatusRejected, RetryAfter: 1500*time.Millisecond + 1},
-		"response rejected, may run":        {Status: front.StatusRejected, MayHaveRun: true},
+		"response rejected with retry time": {Status: front.StatusRejected, RetryAfter: 1500*time.Millisecond + 1},
+		"response rejected, may have run":   {Status: front.StatusRejected, MayHaveRun: true},
 		"response failed":                   {Status: front.StatusFailed},
-		"response senseless":                {Status: front.StatusInvalid, Code: pgwire.CodeInvalidParameterValue, Reason: "a reason"},
-		"response without room for a read":  withoutRows(false),
-		"response without room for a write": withoutRows(true),
+		"response invalid":                  {Status: front.StatusInvalid, Code: pgwire.CodeInvalidParameterValue, Reason: "a reason"},
+		"response without rows for a read":  responseWithoutRows(false),
+		"response without rows for a write": responseWithoutRows(true),
 	} {
 		conntest.AssertRecorded(t, "testdata/client_sessions.txt", name, string(encode(&r)))
 	}
--- a/server/closing_test.go
+++ b/server/closing_test.go
@@ -16,24 +16,24 @@
 	"dapplerouter/testsupport/conntest"
 )
 
-// awaitHalfClose waits until the server's half of a connection has ended, without reading what came before.
+// awaitHalfClose waits until the server has closed its sending side of the connection. It does not read what was sent before.
 func awaitHalfClose(t *testing.T, p *conntest.Peer) {
 	done := make(chan struct{})
 	go func() { defer close(done); tcpconn.AwaitHangup(p.Conn.(*net.TCPConn)) }()
 	conntest.Within(t, "the server does not close its half", done)
 }
 
-// Regression, on short days: clients send their next request with the answer to the last, so no connection ended after a shutdown
-// began, and requests in flight were lost when the process was killed.
+// Regression test: Clients send their next request as soon as they receive an answer. No connection ended after a shutdown began, and
+// requests in flight were lost when the process was killed.
 func TestDrainClosesConnectionThatAlwaysHasMoreRequests(t *testing.T) {
-	g := newHarness(t, 40)
-	g.DiscardEvents()
-	asked := g.AnswerAll()
-	c := g.Client()
+	h := newHarness(t, 40)
+	h.DiscardEvents()
+	forwarded := h.AnswerAll()
+	c := h.Client()
 	c.SetDeadline(time.Now().Add(time.Minute))
-	gone := make(chan struct{})
-	go func() { // sends without end, and never pauses
-		defer close(gone)
+	writerDone := make(chan struct{})
+	go func() { // sends requests without a pause until the connection is closed
+		defer close(writerDone)
 		for {
 			if _, err := c.Write(conntest.ReadQuery("4000")); err != nil {
 				return
@@ -41,10 +41,10 @@
 		}
 	}()
 	served, refused := int64(0), int64(0)
-	hear := func() bool {
+	readMessage := func() bool {
 		typ, body, err := c.Reader.Next()
 		if err != nil {
-			assert.ErrorIs(t, err, io.EOF, "no reset takes an answer with it")
+			assert.ErrorIs(t, err, io.EOF, "the connection must not be reset, or answers could be lost")
 			return false
 		}
 		switch typ {
@@ -57,211 +57,218 @@
 		return true
 	}
 	for served < 50 {
-		require.True(t, hear())
+		require.True(t, readMessage())
 	}
-	g.server.Drain(g.Listener)
-	for hear() {
+	h.server.Drain(h.Listener)
+	for readMessage() {
 	}
-	assert.Equal(t, asked.Load(), served, "each statement that a server received is answered")
-	assert.Equal(t, g.server.RejectedWhileDraining(), refused, "and so is what was read and not forwarded")
+	assert.Equal(t, forwarded.Load(), served, "each forwarded statement is answered")
+	assert.Equal(t, h.server.RejectedWhileDraining(), refused, "each statement that was read and not forwarded is answered")
 	c.Close()
-	conntest.Within(t, "the client writes on", gone)
-	require.NoError(t, <-g.Served)
-	assert.True(t, g.server.Wait(10*time.Second))
-	g.Served <- nil
+	conntest.Within(t, "the client can still write", writerDone)
+	require.NoError(t, <-h.Served)
+	assert.True(t, h.server.Wait(10*time.Second))
+	h.Served <- nil
 }
 
-// A request that crosses the server's close is neither taken nor answered with a reset, which could overtake the last answer.
-func TestRequestThatCrossesCloseIsNeitherTakenNorReset(t *testing.T) {
-	for name, end := range map[string]func(g *harness){
-		"stop":     func(g *harness) { g.server.Drain(g.Listener) },
-		"eviction": func(g *harness) { g.server.evictIdle() },
-		"rest":     func(g *harness) { g.server.SetStandby(true, 0) },
+// A request that the client sends while the server closes the connection is not forwarded. It does not cause a reset either, because a
+// reset could destroy the last answer.
+func TestRequestSentDuringCloseIsNeitherForwardedNorReset(t *testing.T) {
+	for name, end := range map[string]func(h *harness){
+		"drain":    func(h *harness) { h.server.Drain(h.Listener) },
+		"eviction": func(h *harness) { h.server.evictIdle() },
+		"standby":  func(h *harness) { h.server.SetStandby(true, 0) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newHarness(t, 40)
-			c, _ := g.serve()
-			<-g.Router.Received
-			g.idleClient()
-			end(g)
+			h := newHarness(t, 40)
+			c, _ := h.serve()
+			<-h.Router.Received
+			h.awaitIdleClient()
+			end(h)
 			awaitHalfClose(t, c)
 			c.Send(conntest.ReadQuery("4000")...)
-			c.ExpectClosed() // again and again: no reset
+			c.ExpectClosed() // an orderly end, not a reset
 			c.Send(conntest.ReadQuery("4000")...)
 			c.ExpectClosed()
 			c.Close()
-			require.True(t, g.server.Wait(10*time.Second))
-			assert.Empty(t, g.Router.Received, "nothing of it is forwarded")
+			require.True(t, h.server.Wait(10*time.Second))
+			assert.Empty(t, h.Router.Received, "the request is not forwarded")
 		})
 	}
 }
 
 func TestLastAnswerArrivesWhileClientKeepsWriting(t *testing.T) {
-	g := newHarness(t, 40)
-	c := g.Client()
+	h := newHarness(t, 40)
+	c := h.Client()
 	c.Send(conntest.ReadQuery("4000")...)
-	m := g.AcceptServer()
-	m.Expect("Q")
-	g.server.Drain(g.Listener)
-	m.Send(conntest.RowResponse("the last")...)
+	upstream := h.AcceptServer()
+	upstream.Expect("Q")
+	h.server.Drain(h.Listener)
+	upstream.Send(conntest.RowResponse("last value")...)
 	awaitHalfClose(t, c)
 	c.Send(conntest.ReadQuery("4000")...)
 	c.Expect("T")
-	assert.Equal(t, "the last", string(c.Expect("D")[6:]))
+	assert.Equal(t, "last value", string(c.Expect("D")[6:]))
 	c.Expect("CZ")
 	c.ExpectClosed()
 }
 
-// An evicted client may be sending just then: what has come in when its connection would end is served first. The same holds for an
-// idle timeout and for a shutdown.
+// A client may be sending a request at the moment of its eviction. A request that was received when its connection would end is served
+// first. The same holds for an idle timeout and for a shutdown.
 func TestRequestPendingAtCloseIsServed(t *testing.T) {
 	for name, end := range map[string]func(*client){
 		"eviction": func(c *client) { c.evicted.Store(true) },
 		"idle":     func(c *client) { c.server.options.IdleTimeout = 0 },
-		"stop":     func(c *client) { c.server.stage.Store(draining) },
+		"drain":    func(c *client) { c.server.stage.Store(draining) },
 	} {
-		t.Run(name, func(t *testing.T) { sending(t, end) })
+		t.Run(name, func(t *testing.T) { testPendingRequestIsServed(t, end) })
 	}
 }
 
-// pair returns a client and the server's side of its connection, which no goroutine serves.
-func (g *harness) pair() (*conntest.Peer, *client) {
-	l := conntest.Listen(g.T)
+// unservedConnection connects a client. It returns the client's side and the server's side of the connection, without a goroutine that
+// serves it.
+func (h *harness) unservedConnection() (*conntest.Peer, *client) {
+	l := conntest.Listen(h.T)
 	out, err := net.Dial("tcp", l.Addr().String())
-	require.NoError(g.T, err)
+	require.NoError(h.T, err)
 	in, err := l.AcceptTCP()
-	require.NoError(g.T, err)
-	g.T.Cleanup(func() { in.Close() })
-	return conntest.NewPeer(g.T, out), &client{server: g.server, tcp: in, startBy: time.Now().Add(time.Minute), reader: g.server.newReader(in, readBuffer)}
+	require.NoError(h.T, err)
+	h.T.Cleanup(func() { in.Close() })
+	return conntest.NewPeer(h.T, out), &client{server: h.server, tcp: in, firstRequestDeadline: time.Now().Add(time.Minute),
+		reader: h.server.newReader(in, readBufferBytes)}
 }
 
-func sending(t *testing.T, end func(*client)) {
-	g := newHarness(t, 40)
-	p, c := g.pair()
+// testPendingRequestIsServed lets a connection end while a request is pending on it. The request must be served first.
+func testPendingRequestIsServed(t *testing.T, end func(*client)) {
+	h := newHarness(t, 40)
+	p, c := h.unservedConnection()
 	c.answered = true
 	p.Send(conntest.ReadQuery("4000")...)
-	g.Eventually(func() bool { return tcpconn.Peek(c.tcp) == tcpconn.DataPending }) // and nobody has read it
+	h.Eventually(func() bool { return tcpconn.Peek(c.tcp) == tcpconn.DataPending }) // received by the system, but not read
 	end(c)
-	require.NoError(t, c.awaitMessage(), "it is served")
+	require.NoError(t, c.awaitMessage(), "the pending request is served")
 	typ, _, err := c.nextMessage()
 	assert.True(t, err == nil && typ == 'Q')
-	assert.ErrorIs(t, c.awaitMessage(), errDraining, "and then the connection ends")
+	assert.ErrorIs(t, c.awaitMessage(), errClosedBetweenRequests, "the connection ends after it")
 }
 
-// Regression: the disconnect of a client that had sent more than is read ahead was not noticed, and its requests were forwarded.
+// Regression test: If a client had sent more than the server reads ahead, its disconnect was not noticed and its requests were forwarded.
 func TestDisconnectNoticedBehindUnreadRequests(t *testing.T) {
-	g := newHarness(t, 40)
-	c := g.Client()
-	c.Send(bytes.Repeat(conntest.ReadQuery("4000"), 3*readBuffer/len(conntest.ReadQuery("4000")))...)
-	g.AcceptServer().Expect("Q")
+	h := newHarness(t, 40)
+	c := h.Client()
+	c.Send(bytes.Repeat(conntest.ReadQuery("4000"), 3*readBufferBytes/len(conntest.ReadQuery("4000")))...)
+	h.AcceptServer().Expect("Q")
 	c.Close()
 	select {
-	case left := <-g.Router.Gone:
-		assert.Equal(t, (<-g.Router.Received).Ref, left)
+	case gone := <-h.Router.Gone:
+		assert.Equal(t, (<-h.Router.Received).Ref, gone)
 	case <-time.After(10 * time.Second):
-		require.Fail(t, "its disconnect is not noticed")
+		require.Fail(t, "the disconnect was not noticed")
 	}
-	require.True(t, g.eventuallyGone())
-	assert.Empty(t, g.Router.Received, "what it sent later is not taken")
+	require.True(t, h.awaitNoClients())
+	assert.Empty(t, h.Router.Received, "later requests are not forwarded")
 }
 
-func (g *harness) eventuallyGone() bool {
-	g.Eventually(func() bool { clients, _, _ := g.Limiter.InUse(); return clients == 0 })
+// awaitNoClients waits until all connections of clients are closed. It returns true.
+func (h *harness) awaitNoClients() bool {
+	h.Eventually(func() bool { clients, _, _ := h.Limiter.InUse(); return clients == 0 })
 	return true
 }
 
-// The process must not exit before the first request of a new connection is answered.
+// A request that a new connection sends after Serve has returned is answered with an error before the connection ends, so the process does
+// not exit without an answer to it.
 func TestRequestAfterDrainIsRejected(t *testing.T) {
-	g := newHarness(t, 40)
-	c := g.Client()
-	g.server.Drain(g.Listener)
-	require.NoError(t, <-g.Served) // no more connections are accepted, and requests are rejected
-	g.Served <- nil
+	h := newHarness(t, 40)
+	c := h.Client()
+	h.server.Drain(h.Listener)
+	require.NoError(t, <-h.Served) // no more connections are accepted, and requests are rejected
+	h.Served <- nil
 	c.Send(conntest.ReadQuery("4000")...)
 	assert.Contains(t, string(c.Expect("EZ")), pgwire.CodeCannotConnectNow)
 	c.ExpectClosed()
 	c.Close()
-	assert.True(t, g.server.Wait(10*time.Second))
-	assert.Empty(t, g.Router.Received)
+	assert.True(t, h.server.Wait(10*time.Second))
+	assert.Empty(t, h.Router.Received)
 }
 
 func TestCloseEndsConnectionsWithoutRequest(t *testing.T) {
 	for name, sent := range map[string]string{"nothing": "", "half a request": string(conntest.ReadQuery("4000")[:20])} {
 		t.Run(name, func(t *testing.T) {
-			g := newHarness(t, 40)
-			g.server.linger = 0
-			c := g.Client()
+			h := newHarness(t, 40)
+			h.server.linger = 0
+			c := h.Client()
 			c.Send([]byte(sent)...)
-			g.server.Drain(g.Listener)
-			require.NoError(t, <-g.Served)
-			g.Served <- nil
-			g.server.Close()
+			h.server.Drain(h.Listener)
+			require.NoError(t, <-h.Served)
+			h.Served <- nil
+			h.server.Close()
 			c.ExpectClosed()
-			assert.True(t, g.server.Wait(10*time.Second))
+			assert.True(t, h.server.Wait(10*time.Second))
 		})
 	}
 }
 
-// The rest of a request that was partly read when its connection would end is in the system or on its way: it is owed an answer.
-func TestRequestPartlyReadBeforeCloseIsTaken(t *testing.T) {
-	g := newHarness(t, 40)
-	p, c := g.pair()
+// A request of which a part was read when its connection would end must be read completely and answered, because the rest may be pending or
+// in transit.
+func TestRequestPartlyReadBeforeCloseIsReadCompletely(t *testing.T) {
+	h := newHarness(t, 40)
+	p, c := h.unservedConnection()
 	q := conntest.ReadQuery("4000")
 	p.Send(q[:20]...)
 	_, err := c.reader.WaitForInput()
 	require.NoError(t, err)
 	p.Send(q[20:]...)
-	g.Eventually(func() bool { return tcpconn.Peek(c.tcp) == tcpconn.DataPending })
-	g.server.stage.Store(closing)
+	h.Eventually(func() bool { return tcpconn.Peek(c.tcp) == tcpconn.DataPending })
+	h.server.stage.Store(closing)
 	typ, _, err := c.nextMessage()
 	assert.True(t, err == nil && typ == 'Q', "%v", err)
 	c.answered = true
 	p.Send(q[:20]...)
-	g.Eventually(func() bool { return tcpconn.Peek(c.tcp) == tcpconn.DataPending })
+	h.Eventually(func() bool { return tcpconn.Peek(c.tcp) == tcpconn.DataPending })
 	_, _, err = c.nextMessage()
-	assert.ErrorIs(t, err, errDraining, "a request that was not read was not taken, as its client sees")
-	c = &client{server: g.server, tcp: c.tcp, answered: true, reader: g.server.newReader(c.tcp, readBuffer)}
+	assert.ErrorIs(t, err, errClosedBetweenRequests, "a request of which nothing was read is not served; its client sees the close")
+	c = &client{server: h.server, tcp: c.tcp, answered: true, reader: h.server.newReader(c.tcp, readBufferBytes)}
 	c.tcp.SetReadDeadline(time.Time{})
 	_, err = c.reader.WaitForInput()
 	require.NoError(t, err)
-	g.server.linger = 0
+	h.server.linger = 0
 	_, _, err = c.nextMessage()
-	assert.ErrorIs(t, err, errDraining, "the rest is awaited, but not for long")
+	assert.ErrorIs(t, err, errClosedBetweenRequests, "the wait for the rest is limited")
 }
 
-// A server that can no longer accept connections answers the clients that it has.
+// A server whose listener has failed still answers the requests on its open connections.
 func TestListenerFailureLeavesNoRequestUnanswered(t *testing.T) {
-	g := newHarness(t, 40)
-	c := g.Client()
+	h := newHarness(t, 40)
+	c := h.Client()
 	c.Send(conntest.ReadQuery("4000")...)
-	m := g.AcceptServer()
-	m.Expect("Q")
-	g.Listener.Close()
-	require.ErrorIs(t, <-g.Served, net.ErrClosed)
-	g.Served <- nil
-	g.server.Drain(g.Listener)
-	m.Send(conntest.RowResponse("v")...)
+	upstream := h.AcceptServer()
+	upstream.Expect("Q")
+	h.Listener.Close()
+	require.ErrorIs(t, <-h.Served, net.ErrClosed)
+	h.Served <- nil
+	h.server.Drain(h.Listener)
+	upstream.Send(conntest.RowResponse("v")...)
 	c.Expect("TDCZ")
 	c.ExpectClosed()
 	c.Close()
-	assert.True(t, g.server.Wait(10*time.Second))
+	assert.True(t, h.server.Wait(10*time.Second))
 }
 
-// A shutdown answers requests in flight at once, and cancels their attempts at the servers.
+// A shutdown of the core answers requests in flight at once and cancels their attempts.
 func TestShutdownAnswersRequestsInFlight(t *testing.T) {
-	g := newHarness(t, 40)
-	c := g.Client()
+	h := newHarness(t, 40)
+	c := h.Client()
 	c.Send(conntest.ReadQuery("4000")...)
-	m := g.AcceptServer()
-	m.Expect("Q")
-	g.Core.Post(front.Shutdown{})
+	upstream := h.AcceptServer()
+	upstream.Expect("Q")
+	h.Core.Post(front.Shutdown{})
 	assert.Contains(t, string(c.Expect("EZ")), pgwire.CodeTooManyConnections)
-	m.ExpectClosed()
+	upstream.ExpectClosed()
 	c.Send(conntest.ReadQuery("4000")...)
-	assert.Contains(t, string(c.Expect("EZ")), pgwire.CodeTooManyConnections, "no request is accepted any more")
+	assert.Contains(t, string(c.Expect("EZ")), pgwire.CodeTooManyConnections, "no more requests are accepted")
 }
 
-// A disconnect is seen at once, though what the client sent before is unread and the connection's goroutine is busy.
+// A disconnect is detected at once, even if earlier bytes of the client are unread and the connection's goroutine is busy.
 func TestPeerMonitorSeesDisconnectBehindUnreadData(t *testing.T) {
 	l := conntest.Listen(t)
 	c, err := net.Dial("tcp", l.Addr().String())
@@ -278,5 +285,5 @@
 	c.Close()
 	require.Eventually(t, q.Disconnected, 5*time.Second, time.Millisecond)
 	conn.Close()
-	assert.True(t, q.Disconnected(), "a connection that was closed here counts as disconnected")
+	assert.True(t, q.Disconnected(), "a connection that this side closed counts as disconnected")
 }
--- a/server/errors.go
+++ b/server/errors.go
@@ -6,21 +6,21 @@
 	"dapplerouter/pgwire"
 )
 
-// Why a client's connection ends. Whether a client is sent the error is decided by fatalMessage.
+// The reasons why a client's connection ends. fatalMessage decides whether the client is sent the error.
 var (
-	errDraining       = errors.New("connection ends between requests")
-	errCancelRequest  = errors.New("cancel request, which is not supported")
-	errIdle           = errors.New("nothing was asked in time") // the text is sent to clients
-	errTooManyClients = errors.New("too many clients")          // the text is sent to clients
+	errClosedBetweenRequests = errors.New("connection closed between requests")
+	errCancelRequest         = errors.New("cancel requests are not supported")
+	errRequestTimeout        = errors.New("nothing was asked in time") // the text is sent to clients
+	errTooManyClients        = errors.New("too many clients")          // the text is sent to clients
 )
 
-// fatalMessage returns the message with the error that ends a client's connection, nil where the client is sent none.
+// fatalMessage returns the ErrorResponse message for the error that ends a client's connection, or nil if the client is sent no error.
 func fatalMessage(err error) []byte {
 	code := ""
 	switch {
 	case pgwire.IsProtocolError(err):
 		code = pgwire.CodeProtocolViolation
-	case errors.Is(err, errIdle):
+	case errors.Is(err, errRequestTimeout):
 		code = pgwire.CodeIdleSessionTimeout
 	case errors.Is(err, errTooManyClients) || errors.Is(err, pgwire.ErrBufferLimit):
 		code = pgwire.CodeTooManyConnections
--- a/server/eviction_test.go
+++ b/server/eviction_test.go
@@ -9,24 +9,25 @@
 	"dapplerouter/testsupport/conntest"
 )
 
-// Regression: evicted idle clients held their descriptors until they closed, and each of them counted as a free one: many clients that
-// never close took the servers' quarter too, and requests of open connections could not be forwarded.
+// Regression test: Evicted idle clients hold their descriptors until they close, but each of them counted as a free descriptor. Many
+// clients that never closed took the quarter reserved for server connections too, and requests of open connections could not be
+// forwarded.
 func TestEvictedClientsThatNeverCloseLeaveServerDescriptors(t *testing.T) {
-	g := newHarness(t, 40) // three quarters are 30
-	g.server.mu.Lock()
-	g.server.linger = time.Hour // longer than the test: no descriptor is released by a timeout
-	g.server.mu.Unlock()
-	worker, first := g.serve()
-	worker.Send(conntest.ReadQuery("4000")...) // it is in flight from here on, so its client is not evicted
-	first.Expect("Q")
-	<-g.Router.Received
+	h := newHarness(t, 40) // three quarters of 40 are 30
+	h.server.mu.Lock()
+	h.server.linger = time.Hour // longer than the test, so that no descriptor is released by a timeout
+	h.server.mu.Unlock()
+	busy, upstream := h.serve()
+	busy.Send(conntest.ReadQuery("4000")...) // the request stays in flight, so its client is not evicted
+	upstream.Expect("Q")
+	<-h.Router.Received
 	for range 60 {
-		g.Client() // after the greeting it is idle, or refused
+		h.Client() // idle after the greeting, or refused
 	}
-	clients, _, _ := g.Limiter.InUse()
+	clients, _, _ := h.Limiter.InUse()
 	assert.LessOrEqual(t, clients, 30+2)
 	t.Log("clients", clients)
-	for n := range 9 { // with the busy one these are the servers' quarter
-		assert.True(t, g.Limiter.AdmitServer(g.pools.EvictIdle), "connection %d to a server is not admitted", n)
+	for n := range 9 { // together with the one in use, these are the servers' quarter
+		assert.True(t, h.Limiter.AdmitServer(h.pools.EvictIdle), "connection %d to a server was not admitted", n)
 	}
 }
--- a/server/harness_test.go
+++ b/server/harness_test.go
@@ -12,45 +12,47 @@
 	"dapplerouter/upstream"
 )
 
-// harness is a Server between the connections of a test's clients and a fake server.
+// harness connects a Server with the clients of a test and with a fake database server.
 type harness struct {
 	*conntest.Harness
 	pools  *upstream.Pools
 	server *Server
 }
 
-// newHarness shares out a number of descriptors; each of configure is called before the server starts.
+// newHarness returns a harness whose limiter distributes the given number of descriptors. It calls each function of configure before the
+// server starts.
 func newHarness(t *testing.T, descriptors int, configure ...func(*Server)) *harness {
 	return newHarnessWith(t, limits.SharesOf(descriptors, 0), configure...)
 }
 
+// newHarnessWith is like newHarness with explicit shares of the descriptors.
 func newHarnessWith(t *testing.T, shares limits.DescriptorShares, configure ...func(*Server)) *harness {
-	g := &harness{Harness: conntest.New(t, limits.NewDescriptors(shares))}
-	g.pools = upstream.NewPools(upstream.Options{Post: g.Post, Limiter: g.Limiter, User: "portal", Database: "crm",
+	h := &harness{Harness: conntest.New(t, limits.NewDescriptors(shares))}
+	h.pools = upstream.NewPools(upstream.Options{Post: h.Post, Limiter: h.Limiter, User: "portal", Database: "crm",
 		DialTimeout: 5 * time.Second, IdleTimeout: time.Minute, MemoryBytes: 32 << 20})
-	g.server = New(Options{Post: g.Post, Limiter: g.Limiter, Clock: g.Clock, WriteTimeout: 5 * time.Second, IdleTimeout: time.Minute,
+	h.server = New(Options{Post: h.Post, Limiter: h.Limiter, Clock: h.Clock, WriteTimeout: 5 * time.Second, IdleTimeout: time.Minute,
 		MemoryBytes: 32 << 20})
-	for _, each := range configure {
-		each(g.server)
+	for _, configureServer := range configure {
+		configureServer(h.server)
 	}
-	g.Start(g.pools, func(l *net.TCPListener) error { return g.server.Serve(l) })
-	return g
+	h.Start(h.pools, func(l *net.TCPListener) error { return h.server.Serve(l) })
+	return h
 }
 
-// bodyLimit sets the budget for long messages.
-func bodyLimit(bytes int64) func(*Server) {
-	return func(s *Server) { s.bodies = limits.NewMemory(bytes) }
+// messageMemoryLimit sets the budget for long messages and requests that were read ahead.
+func messageMemoryLimit(bytes int64) func(*Server) {
+	return func(s *Server) { s.messageMemory = limits.NewMemory(bytes) }
 }
 
-// answerLimit sets the budget for answers that are not written yet.
-func answerLimit(bytes int64) func(*Server) {
-	return func(s *Server) { s.answers = limits.NewMemory(bytes) }
+// answerMemoryLimit sets the budget for answers that are not written yet.
+func answerMemoryLimit(bytes int64) func(*Server) {
+	return func(s *Server) { s.answerMemory = limits.NewMemory(bytes) }
 }
 
-// serve takes one request through and leaves its connections idle.
-func (g *harness) serve() (c, m *conntest.Peer) {
-	c, m = g.Serve()
-	clients, servers, _ := g.Limiter.InUse()
-	require.True(g.T, clients > 0 && servers == 1)
-	return c, m
+// serve serves one request. It returns the idle connections of its client and to the fake server.
+func (h *harness) serve() (c, server *conntest.Peer) {
+	c, server = h.Serve()
+	clients, servers, _ := h.Limiter.InUse()
+	require.True(h.T, clients > 0 && servers == 1)
+	return c, server
 }
--- a/server/messages.go
+++ b/server/messages.go
@@ -6,8 +6,8 @@
 	"dapplerouter/tcpconn"
 )
 
-// nextMessage waits for a message while no request is in flight. Once a message has begun it must be complete within the message
-// timeout: half a message holds a descriptor that is never idle.
+// nextMessage waits for a message while no request is in flight, and reads it. Once a part of a message was received, the rest must
+// follow within the message timeout. Otherwise an incomplete message would hold a descriptor that never counts as idle.
 func (c *client) nextMessage() (typ byte, body []byte, err error) {
 	if err := c.awaitMessage(); err != nil {
 		return 0, nil, err
@@ -15,16 +15,16 @@
 	if c.server.stage.Load() >= rejecting {
 		c.reader.StopReadAhead()
 	}
-	deadline := c.startBy
+	deadline := c.firstRequestDeadline
 	if c.answered {
 		deadline = time.Now().Add(messageTimeout)
 	}
-	for closed := false; ; {
+	for closingSeen := false; ; {
 		tcpconn.SetReadDeadline(c.tcp, deadline)
-		if !closed && c.server.stage.Load() == closing { // read after the deadline is set: a wake after it sets it anew
-			closed = true // of what has begun to come in, the rest may be on its way
-			if soon := time.Now().Add(min(c.server.linger, MaxCloseLinger)); soon.Before(deadline) {
-				deadline = soon
+		if !closingSeen && c.server.stage.Load() == closing { // checked after the deadline is set, because a later wake sets it again
+			closingSeen = true // a part of a message was received, and the rest may be on its way
+			if lingerEnd := time.Now().Add(min(c.server.linger, MaxCloseLinger)); lingerEnd.Before(deadline) {
+				deadline = lingerEnd
 			}
 			tcpconn.SetReadDeadline(c.tcp, deadline)
 		}
@@ -33,23 +33,24 @@
 		case err == nil || !tcpconn.IsTimeout(err):
 			return typ, body, err
 		case time.Now().Before(deadline): // the wake was meant for an earlier wait
-		case closed:
-			return 0, nil, errDraining
+		case closingSeen:
+			return 0, nil, errClosedBetweenRequests
 		default:
-			return 0, nil, errIdle
+			return 0, nil, errRequestTimeout
 		}
 	}
 }
 
-// awaitMessage waits until a message begins. A shutdown, an eviction or a standby ends the wait between requests; but what has come in
-// by then is taken, and a connection that came after the shutdown began still gets its first request answered.
+// awaitMessage waits until a part of a message is received. A shutdown, an eviction or a standby ends the wait between requests with an
+// error. But a message that has already been received by then is still read, and a connection that was opened after the shutdown began
+// still gets its first request answered.
 func (c *client) awaitMessage() error {
 	for !c.reader.MessageStarted() {
-		deadline := c.startBy
+		deadline := c.firstRequestDeadline
 		if c.answered {
 			deadline = time.Now().Add(c.server.options.IdleTimeout)
 		}
-		err := c.await(deadline)
+		err := c.awaitInput(deadline)
 		if err == nil {
 			continue
 		}
@@ -62,25 +63,26 @@
 		switch {
 		case !expired && !c.evicted.Load() && stage < closing && !mayEnd: // the wake was meant for an earlier wait
 		case (stage < rejecting || stage < closing && !c.answered) && tcpconn.Peek(c.tcp) == tcpconn.DataPending:
-			tcpconn.SetReadDeadline(c.tcp, time.Now().Add(messageTimeout)) // a read past its deadline does not look at all
-			_, _ = c.reader.WaitForInput()                                 // the next round finds what it found
+			tcpconn.SetReadDeadline(c.tcp, time.Now().Add(messageTimeout)) // a read whose deadline has passed does not look for input
+			_, _ = c.reader.WaitForInput()                                 // the next iteration sees the received bytes or the error
 		case c.answered || stage == closing:
-			return errDraining
+			return errClosedBetweenRequests
 		case c.evicted.Load():
 			return errTooManyClients
 		default:
-			return errIdle
+			return errRequestTimeout
 		}
 	}
 	return nil
 }
 
-// await blocks until something comes in, until a deadline at most; meanwhile the connection counts as idle and may be evicted.
-func (c *client) await(deadline time.Time) error {
+// awaitInput blocks until input is received or the deadline passes. Meanwhile the connection counts as idle and may be evicted.
+func (c *client) awaitInput(deadline time.Time) error {
 	tcpconn.SetReadDeadline(c.tcp, deadline)
 	c.idleSince.Store(int64(c.server.options.Clock.Now()))
 	defer c.idleSince.Store(0)
-	if c.evicted.Load() || c.answered && c.endsBetweenRequests() || c.server.stage.Load() == closing { // read after the deadline is set
+	// Checked after the deadline is set, because a later wake sets it again.
+	if c.evicted.Load() || c.answered && c.endsBetweenRequests() || c.server.stage.Load() == closing {
 		tcpconn.Wake(c.tcp)
 	}
 	_, err := c.reader.WaitForInput()
--- a/server/partial_messages_test.go
+++ b/server/partial_messages_test.go
@@ -12,84 +12,84 @@
 	"dapplerouter/testsupport/conntest"
 )
 
-// reading waits until the server has begun to read a message of its only client, which no longer counts as idle.
-func (g *harness) reading() {
-	g.Eventually(func() bool {
-		g.server.mu.Lock()
-		defer g.server.mu.Unlock()
-		for c := range g.server.clients {
+// awaitPartialMessage waits until the server has begun to read a message of its only client. The client then no longer counts as idle.
+func (h *harness) awaitPartialMessage() {
+	h.Eventually(func() bool {
+		h.server.mu.Lock()
+		defer h.server.mu.Unlock()
+		for c := range h.server.clients {
 			return c.idleSince.Load() == 0
 		}
 		return false
 	})
 }
 
-// A request comes in fragments, and between them the server drains, evicts for another client or goes on standby: each of these wakes
-// the read of the partial message, which is served all the same.
+// A request arrives in fragments, and between them the server drains, tries to evict a client or goes on standby. Each of these wakes the
+// read of the partial message. The request must still be served.
 func TestFragmentedRequestIsServedDespiteWakes(t *testing.T) {
-	for name, wake := range map[string]func(g *harness){
+	for name, wake := range map[string]func(h *harness){
 		"nothing":  func(*harness) {},
-		"a stop":   func(g *harness) { g.server.Drain(g.Listener) },
-		"room":     func(g *harness) { assert.False(t, g.server.evictIdle(), "it is not idle") },
-		"stand by": func(g *harness) { g.server.SetStandby(true, 0) },
-		"a wake of an earlier wait": func(g *harness) {
-			g.server.mu.Lock()
-			defer g.server.mu.Unlock()
-			for c := range g.server.clients {
+		"drain":    func(h *harness) { h.server.Drain(h.Listener) },
+		"eviction": func(h *harness) { assert.False(t, h.server.evictIdle(), "the connection is not idle") },
+		"standby":  func(h *harness) { h.server.SetStandby(true, 0) },
+		"wake meant for an earlier wait": func(h *harness) {
+			h.server.mu.Lock()
+			defer h.server.mu.Unlock()
+			for c := range h.server.clients {
 				c.tcp.SetReadDeadline(tcpconn.Past)
 			}
 		},
 	} {
-		for _, first := range []bool{true, false} { // its first message, and one behind an answer
+		for _, first := range []bool{true, false} { // the first request of the connection, or one after an answer
 			t.Run(name+map[bool]string{true: ", first", false: ", second"}[first], func(t *testing.T) {
-				g := newHarness(t, 40)
-				g.Upstream.SetDeadline(time.Now().Add(10 * time.Second)) // only so that a failing test ends
-				var c, m *conntest.Peer
+				h := newHarness(t, 40)
+				h.Upstream.SetDeadline(time.Now().Add(10 * time.Second)) // only so that a failing test ends
+				var c, upstream *conntest.Peer
 				message := conntest.ReadQuery("4000")
 				if first {
-					c = g.Client()
+					c = h.Client()
 				} else {
-					c, m = g.serve()
+					c, upstream = h.serve()
 				}
-				g.idleClient()
+				h.awaitIdleClient()
 				c.SendBytewise(message[:len(message)/2])
-				g.reading()
-				wake(g)
+				h.awaitPartialMessage()
+				wake(h)
 				c.SendBytewise(message[len(message)/2:])
 				if first {
-					m = g.AcceptServer()
+					upstream = h.AcceptServer()
 				}
-				m.Expect("Q")
-				m.Send(conntest.RowResponse("v")...)
+				upstream.Expect("Q")
+				upstream.Send(conntest.RowResponse("v")...)
 				c.Expect("TDCZ")
-				if name == "a stop" {
+				if name == "drain" {
 					c.ExpectClosed()
-					require.NoError(t, <-g.Served)
-					g.Served <- nil // for the clean-up
+					require.NoError(t, <-h.Served)
+					h.Served <- nil // read by the harness's cleanup
 				}
 			})
 		}
 	}
 }
 
-// A connection whose startup message comes in fragments is served its first request, also where the shutdown begins between them.
+// A connection whose startup message arrives in fragments gets its first request served, even if the shutdown begins between the fragments.
 func TestFragmentedStartupAndRequestAreServedWhileDraining(t *testing.T) {
-	g := newHarness(t, 40)
-	g.Upstream.SetDeadline(time.Now().Add(10 * time.Second)) // only so that a failing test ends
-	c := g.Dial()
+	h := newHarness(t, 40)
+	h.Upstream.SetDeadline(time.Now().Add(10 * time.Second)) // only so that a failing test ends
+	c := h.Dial()
 	hello := pgwire.AppendStartup(nil, "portal", "crm")
 	c.SendBytewise(hello[:9])
-	g.reading()
-	g.server.Drain(g.Listener)
+	h.awaitPartialMessage()
+	h.server.Drain(h.Listener)
 	c.SendBytewise(hello[9:])
 	c.Expect("RSSSSZ")
 	c.SendBytewise(conntest.ReadQuery("4000"))
-	m := g.AcceptServer()
-	m.Expect("Q")
-	m.Send(conntest.RowResponse("v")...)
+	upstream := h.AcceptServer()
+	upstream.Expect("Q")
+	upstream.Send(conntest.RowResponse("v")...)
 	c.Expect("TDCZ")
 	c.ExpectClosed()
-	require.NoError(t, <-g.Served)
-	g.Served <- nil
-	assert.True(t, g.server.Wait(10*time.Second))
+	require.NoError(t, <-h.Served)
+	h.Served <- nil
+	assert.True(t, h.server.Wait(10*time.Second))
 }
--- a/server/pipeline.go
+++ b/server/pipeline.go
@@ -9,45 +9,45 @@
 	"dapplerouter/tcpconn"
 )
 
-// What a connection may have read ahead: its requests that are not answered yet. Beyond it nothing is read, so its client waits.
+// Limits of the requests that a connection has read and not answered yet. At a limit nothing more is read, so the client has to wait.
 const (
-	maxPipelined = 32
-	maxReadAhead = 64 << 10 // bytes of their messages
+	maxPipelined      = 32
+	maxReadAheadBytes = 64 << 10 // total length of their messages
 )
 
-// readAhead is how far a connection has read beyond what is answered.
+// readAhead is the state of reading requests while earlier ones are not answered yet.
 type readAhead struct {
-	bytes      int       // of the requests in the pipeline
-	paused     bool      // nothing more is read until the pipeline is empty: others hold the memory
+	bytes      int       // total length of the messages of the requests in the pipeline
+	paused     bool      // nothing more is read until the pipeline is empty, because the message memory is exhausted
 	skipToSync bool      // messages are dropped up to the Sync that ends an exchange of the extended protocol
-	ended      bool      // nothing more is read: the client has terminated, or the connection is about to end
-	deadline   time.Time // for the rest of a message that has begun while requests are in flight; zero where none has
+	ended      bool      // nothing more is read, because the client has terminated or the connection is about to end
+	deadline   time.Time // for the rest of a partly received message while requests are in flight; zero if there is none
 }
 
-// request is a message of a client that is owed an answer.
+// request is a message of a client that must be answered.
 type request struct {
-	client   *client
-	core     *front.Request // nil where it is answered without the core
-	body     []byte         // the message, in which the statement of core lies
-	reserved int            // bytes of Server.bodies that the body takes
-	behind   bool           // it was read while earlier ones had no answer
-	entry    *front.PipelineEntry[*request]
+	client    *client
+	core      *front.Request // nil if it is answered without the core
+	body      []byte         // the body of the message, to which the statement of core refers
+	reserved  int            // bytes of Server.messageMemory that are reserved for the body
+	pipelined bool           // it was read while earlier requests were not answered
+	entry     *front.PipelineEntry[*request]
 
 	answer answer
 }
 
-// answer is what a client is sent for a request.
+// answer is the response to a request as the client is sent it.
 type answer struct {
-	message  []byte // complete, once known
-	reserved int    // bytes of Server.answers that it takes
-	partial  bool   // it ends no request: the connection does not count as answered by it
-	last     bool   // the connection ends behind it
+	message          []byte // the complete bytes, once they are known
+	reserved         int    // bytes of Server.answerMemory that are reserved for it
+	partial          bool   // the answer to the request continues in a later one, so the connection does not count as answered yet
+	closesConnection bool   // the connection ends after it
 }
 
-// step writes the answers that are due, starts the requests that may run, and takes what comes next. It returns false where the
+// step writes the answers that are due, starts the requests that may run, and handles the next message. It returns false if the
 // connection ends.
 func (c *client) step() bool {
-	c.collect()
+	c.collectResponses()
 	if !c.writeAnswers() {
 		return false
 	}
@@ -55,22 +55,22 @@
 	if c.pipeline.Len() > 0 {
 		return c.awaitProgress()
 	}
-	if c.ahead.ended {
+	if c.readAhead.ended {
 		return false
 	}
-	c.ahead.paused = false
-	c.ahead.deadline = time.Time{}
+	c.readAhead.paused = false
+	c.readAhead.deadline = time.Time{}
 	typ, body, err := c.nextMessage()
 	if err != nil {
 		c.writeFatal(err)
 		return false
 	}
-	c.take(typ, body)
+	c.handleMessage(typ, body)
 	return true
 }
 
-// collect takes the core's responses out of the inbox.
-func (c *client) collect() {
+// collectResponses takes the core's responses out of the inbox and marks their requests as answered.
+func (c *client) collectResponses() {
 	for _, r := range c.inbox.takeAll() {
 		r.request.answer.message = encode(&r.Response)
 		r.request.answer.reserved = r.reserved
@@ -78,7 +78,8 @@
 	}
 }
 
-// writeAnswers writes the answers of the first requests, as far as they are known. It returns false where the connection ends.
+// writeAnswers writes answers in the order of the requests, up to the first request whose answer is not known yet. It returns false if
+// the connection ends.
 func (c *client) writeAnswers() bool {
 	for {
 		q, ok := c.pipeline.PopAnswered()
@@ -87,27 +88,27 @@
 		}
 		written := len(q.answer.message) == 0 || c.write(q.answer.message)
 		c.release(q)
-		if !written || q.answer.last {
+		if !written || q.answer.closesConnection {
 			return false
 		}
 		c.answered = c.answered || !q.answer.partial
 	}
 }
 
-// release gives back the memory of a request.
+// release releases the memory of a request and reuses its buffer for the next message if possible.
 func (c *client) release(q *request) {
-	c.ahead.bytes -= len(q.body)
+	c.readAhead.bytes -= len(q.body)
 	c.releaseReserved(q)
-	if q.reserved == 0 && cap(q.body) <= maxReused && q.body != nil {
+	if q.reserved == 0 && cap(q.body) <= maxReusedBytes && q.body != nil {
 		c.reader.Reuse(q.body[:0])
 	}
 	q.body, q.answer.message, q.reserved, q.answer.reserved = nil, nil, 0, 0
 }
 
-// releaseReserved gives back what a request holds of the server's budgets.
+// releaseReserved releases the memory that is reserved for a request in the server's budgets.
 func (c *client) releaseReserved(q *request) {
-	c.server.bodies.Reserve(-q.reserved)
-	c.server.answers.Reserve(-q.answer.reserved)
+	c.server.messageMemory.Reserve(-q.reserved)
+	c.server.answerMemory.Reserve(-q.answer.reserved)
 }
 
 // startRequests passes the requests that may run to the core.
@@ -121,20 +122,20 @@
 	}
 }
 
-// awaitProgress waits, while requests are in flight, for an answer, for another message or for the client's end; it returns false
-// where the connection ends.
+// awaitProgress waits, while requests are in flight, for an answer, another message or the client's disconnect. It returns false if the
+// connection ends.
 func (c *client) awaitProgress() bool {
-	reads := c.mayReadAhead()
-	if reads && c.reader.MessageStarted() && c.ahead.deadline.IsZero() {
-		c.ahead.deadline = time.Now().Add(messageTimeout)
+	mayRead := c.mayReadAhead()
+	if mayRead && c.reader.MessageStarted() && c.readAhead.deadline.IsZero() {
+		c.readAhead.deadline = time.Now().Add(messageTimeout)
 	}
-	tcpconn.SetReadDeadline(c.tcp, c.ahead.deadline)
-	if !c.inbox.empty() { // read after the deadline is set: a wake after it sets it anew
+	tcpconn.SetReadDeadline(c.tcp, c.readAhead.deadline)
+	if !c.inbox.empty() { // checked after the deadline is set, because a later wake sets it again
 		return true
 	}
 	var err error
 	switch {
-	case !reads:
+	case !mayRead:
 		err = tcpconn.AwaitHangup(c.tcp)
 		if err == nil {
 			return false
@@ -143,17 +144,17 @@
 		var typ byte
 		var body []byte
 		if typ, body, err = c.readAheadMessage(); err == nil {
-			c.ahead.deadline = time.Time{}
-			c.take(typ, body)
+			c.readAhead.deadline = time.Time{}
+			c.handleMessage(typ, body)
 		}
 	default:
 		_, err = c.reader.WaitForInput()
 	}
-	return c.survives(err)
+	return c.handleReadError(err)
 }
 
-// mayReadAhead reports whether another message may be read while requests are in flight. Once the server rejects requests, only
-// what has begun to come in is read.
+// mayReadAhead reports whether another message may be read while requests are in flight. Once the server rejects requests, it only reads
+// the rest of a message that was partly received.
 func (c *client) mayReadAhead() bool {
 	if c.server.stage.Load() >= rejecting {
 		c.reader.StopReadAhead()
@@ -161,61 +162,62 @@
 			return false
 		}
 	}
-	return !c.ahead.ended && !c.ahead.paused && c.pipeline.Len() < maxPipelined && c.ahead.bytes < maxReadAhead
+	return !c.readAhead.ended && !c.readAhead.paused && c.pipeline.Len() < maxPipelined && c.readAhead.bytes < maxReadAheadBytes
 }
 
-// readAheadMessage reads a message behind requests that are in flight: whatever its length, it takes its part of the budget for long
-// messages.
+// readAheadMessage reads a message while requests are in flight. The message reserves message memory whatever its length.
 func (c *client) readAheadMessage() (typ byte, body []byte, err error) {
 	c.reader.RetainedBytes = 0
-	defer func() { c.reader.RetainedBytes = maxReused }()
+	defer func() { c.reader.RetainedBytes = maxReusedBytes }()
 	return c.reader.Next()
 }
 
-// survives reports whether a connection with requests in flight stays open after an error of a read.
-func (c *client) survives(err error) bool {
+// handleReadError handles the error of a read or a wait while requests are in flight; nil is no error. It returns false if the
+// connection ends at once. If the connection is to end after the requests in flight, it returns true so that they are answered first.
+func (c *client) handleReadError(err error) bool {
 	switch {
 	case err == nil:
 		return true
 	case tcpconn.IsTimeout(err):
-		if !c.ahead.deadline.IsZero() && !time.Now().Before(c.ahead.deadline) {
-			c.end(errIdle)
+		if !c.readAhead.deadline.IsZero() && !time.Now().Before(c.readAhead.deadline) {
+			c.endAfterAnswers(errRequestTimeout)
 		}
 		return true
 	case errors.Is(err, pgwire.ErrBufferLimit):
-		c.ahead.paused = true
-		c.ahead.deadline = time.Time{}
+		c.readAhead.paused = true
+		c.readAhead.deadline = time.Time{}
 		return true
 	case pgwire.IsProtocolError(err):
-		c.end(err)
+		c.endAfterAnswers(err)
 		return true
 	}
 	return false
 }
 
-// take adds a message to the pipeline; its answer comes in its turn.
-func (c *client) take(typ byte, body []byte) {
+// handleMessage handles a message of the client. If the message must be answered, it is added to the pipeline.
+func (c *client) handleMessage(typ byte, body []byte) {
 	switch {
 	case typ == pgwire.TypeTerminate:
-		c.end(errDraining)
-	case c.ahead.skipToSync && typ != 'S':
+		c.endAfterAnswers(errClosedBetweenRequests)
+	case c.readAhead.skipToSync && typ != 'S':
 	case typ == 'Q':
-		c.takeQuery(body)
+		c.handleQuery(body)
 		c.reader.ReleaseLargeBody()
 	case typ == 'S':
-		c.ahead.skipToSync = false
-		c.answer(pgwire.AppendReadyForQuery(nil))
-	case typ == 'H': // Flush: nothing is held back
+		c.readAhead.skipToSync = false
+		c.addAnswer(pgwire.AppendReadyForQuery(nil))
+	case typ == 'H': // Flush: needs no action, because no output is held back
 	case isExtendedProtocol(typ):
-		c.ahead.skipToSync = true
-		q := c.answer(pgwire.AppendErrorResponse(nil, pgwire.ErrorResponse{Severity: "ERROR", Code: pgwire.CodeFeatureNotSupported, Message: "only simple queries are served here"}))
+		c.readAhead.skipToSync = true
+		q := c.addAnswer(pgwire.AppendErrorResponse(nil, pgwire.ErrorResponse{Severity: "ERROR", Code: pgwire.CodeFeatureNotSupported, Message: "only simple queries are served here"}))
 		q.answer.partial = true
 	default:
-		c.end(pgwire.UnexpectedMessage(typ))
+		c.endAfterAnswers(pgwire.UnexpectedMessage(typ))
 	}
 }
 
-// isExtendedProtocol reports whether a message belongs to an extended query, which is rejected as a whole, up to its Sync.
+// isExtendedProtocol reports whether a message belongs to the extended query protocol. Such an exchange is rejected as a whole, up to its
+// Sync.
 func isExtendedProtocol(typ byte) bool {
 	switch typ {
 	case 'P', 'B', 'D', 'E', 'C', 'F':
@@ -224,47 +226,50 @@
 	return false
 }
 
-// takeQuery adds a statement to the pipeline, or its error.
-func (c *client) takeQuery(body []byte) {
+// handleQuery parses a statement and adds it to the pipeline. If the statement is malformed or requests are being rejected, it adds the
+// error instead.
+func (c *client) handleQuery(body []byte) {
 	receivedAt := c.server.options.Clock.Now()
 	statement, err := c.server.parse(body)
 	var malformed *pgwire.StatementError
 	switch {
 	case errors.As(err, &malformed):
-		c.answer(encodeError(malformed.Code, malformed.Message, ""))
+		c.addAnswer(encodeError(malformed.Code, malformed.Message, ""))
 	case err != nil:
-		c.end(err)
+		c.endAfterAnswers(err)
 	case statement.Empty:
-		c.answer(pgwire.AppendEmptyQueryResponse(nil))
-	case c.server.stage.Load() >= rejecting: // its answer could come too late for whoever stops this process
+		c.addAnswer(pgwire.AppendEmptyQueryResponse(nil))
+	case c.server.stage.Load() >= rejecting: // its answer could come after the process is killed
 		c.server.rejected.Add(1)
-		c.answer(encodeError(pgwire.CodeCannotConnectNow, "shutting down: try again elsewhere", ""))
+		c.addAnswer(encodeError(pgwire.CodeCannotConnectNow, "shutting down: try again elsewhere", ""))
 	default:
-		q := &request{client: c, behind: c.pipeline.Len() > 0}
+		q := &request{client: c, pipelined: c.pipeline.Len() > 0}
 		q.core = front.NewRequest(q, statement, receivedAt)
 		q.body, q.reserved = c.reader.Detach()
-		c.ahead.bytes += len(q.body)
+		c.readAhead.bytes += len(q.body)
 		q.entry = c.pipeline.Add(q, &q.core.Statement)
 	}
 }
 
-// answer adds an answer that needs no server to the pipeline.
-func (c *client) answer(message []byte) *request {
+// addAnswer adds a request to the pipeline whose answer is known already.
+func (c *client) addAnswer(message []byte) *request {
 	q := &request{client: c, answer: answer{message: message}}
 	q.entry = c.pipeline.Add(q, nil)
 	return q
 }
 
-// end has the connection end once all that came before is answered.
-func (c *client) end(cause error) {
-	q := c.answer(fatalMessage(cause))
-	q.answer.last = true
-	c.ahead.ended = true
-	c.ahead.deadline = time.Time{}
+// endAfterAnswers makes the connection end once all requests before are answered. The client is then sent the error if fatalMessage has
+// a message for it.
+func (c *client) endAfterAnswers(cause error) {
+	q := c.addAnswer(fatalMessage(cause))
+	q.answer.closesConnection = true
+	c.readAhead.ended = true
+	c.readAhead.deadline = time.Time{}
 }
 
-// abandon drops the requests of a client that is gone. What has not started goes nowhere, whatever the core is at.
-func (c *client) abandon() {
+// cancelRequests drops all requests of a connection that has ended. It marks all running requests before it notifies the core of the first
+// one, so that none of their attempts begins from then on, however busy the core is. Requests that were not started never reach the core.
+func (c *client) cancelRequests() {
 	for _, r := range c.inbox.close() {
 		r.request.answer.reserved = r.reserved
 		r.request.entry.MarkAnswered()
--- a/server/refuse.go
+++ b/server/refuse.go
@@ -13,19 +13,20 @@
 )
 
 const (
-	maxRefusals   = 8                      // connections that are being refused at a time
-	minRefusal    = 100 * time.Millisecond // after which the oldest of these is cut off for the next
-	refusalBuffer = readBuffer / 4
+	maxRefusals            = 8                      // connections that are being refused at the same time
+	minRefusalTime         = 100 * time.Millisecond // after this time the oldest refusal may be cut off to start the next
+	refusalReadBufferBytes = readBufferBytes / 4
 )
 
-// refusals are the new connections that are refused, until their clients have read the error.
+// refusals holds the new connections that are being refused. Each stays until it is closed after its client has read the error.
 type refusals struct {
-	slots chan struct{} // one is taken by each refusal
+	slots chan struct{} // semaphore: each refusal holds one slot
 
-	mu     sync.Mutex // guards what follows
-	oldest []refusal  // in progress, the oldest first
+	mu         sync.Mutex // guards inProgress
+	inProgress []refusal  // the oldest first
 }
 
+// refusal is a connection that is being refused.
 type refusal struct {
 	conn  *net.TCPConn
 	since time.Time
@@ -33,15 +34,15 @@
 
 func newRefusals() refusals { return refusals{slots: make(chan struct{}, maxRefusals)} }
 
-// refuse rejects the first request of a connection that was not admitted, which may have come with its startup, and closes it: the
-// request may be retried. Only so many connections are refused at a time; the one that takes longest is cut off
-// for the next, so that slow clients keep nobody waiting.
+// refuse answers the first request of a connection that was not admitted with an error and closes the connection. The client may retry
+// the request. At most maxRefusals connections are refused at a time. If there are more, the oldest one is cut off, so that slow clients
+// do not delay the others.
 func (s *Server) refuse(conn *net.TCPConn) {
 	s.refusals.acquire()
 	s.refusals.add(conn)
-	s.running.Add(1)
+	s.goroutines.Add(1)
 	go func() {
-		defer s.running.Done()
+		defer s.goroutines.Done()
 		defer s.refusals.release()
 		defer func() {
 			tcpconn.Close(conn)
@@ -52,9 +53,9 @@
 				logPanic(p)
 			}
 		}()
-		c := &client{server: s, tcp: conn, reader: s.newReader(conn, refusalBuffer), startBy: time.Now().Add(s.linger)}
+		c := &client{server: s, tcp: conn, reader: s.newReader(conn, refusalReadBufferBytes), firstRequestDeadline: time.Now().Add(s.linger)}
 		defer c.reader.Close()
-		tcpconn.SetReadDeadline(conn, c.startBy)
+		tcpconn.SetReadDeadline(conn, c.firstRequestDeadline)
 		if c.readStartup() != nil {
 			return
 		}
@@ -63,7 +64,8 @@
 	}()
 }
 
-// refuseRequests answers the first request, and each other that came in with it: what has been read is owed an answer.
+// refuseRequests answers the first request with an error, and also each further one that was received with it, because every request
+// that was read must be answered.
 func (c *client) refuseRequests() {
 	tcpconn.SetReadDeadline(c.tcp, time.Now().Add(c.server.linger))
 	for {
@@ -77,7 +79,7 @@
 	}
 }
 
-// acquire waits for a slot. Where there is none it cuts off the oldest refusal once that has had its time.
+// acquire waits for a slot. If all are taken, it closes the connection of the oldest refusal as soon as that is minRefusalTime old.
 func (r *refusals) acquire() {
 	select {
 	case r.slots <- struct{}{}:
@@ -86,8 +88,8 @@
 	}
 	r.mu.Lock()
 	wait := time.Duration(0)
-	if len(r.oldest) > 0 {
-		wait = minRefusal - time.Since(r.oldest[0].since)
+	if len(r.inProgress) > 0 {
+		wait = minRefusalTime - time.Since(r.inProgress[0].since)
 	}
 	r.mu.Unlock()
 	select {
@@ -96,31 +98,31 @@
 	case <-time.After(wait):
 	}
 	r.mu.Lock()
-	if len(r.oldest) > 0 {
-		tcpconn.Close(r.oldest[0].conn)
+	if len(r.inProgress) > 0 {
+		tcpconn.Close(r.inProgress[0].conn)
 	}
 	r.mu.Unlock()
 	r.slots <- struct{}{}
 }
 
-// release gives a slot back.
+// release frees a slot.
 func (r *refusals) release() { <-r.slots }
 
-// add notes a refusal that begins.
+// add records a refusal that begins.
 func (r *refusals) add(conn *net.TCPConn) {
 	r.mu.Lock()
-	r.oldest = append(r.oldest, refusal{conn, time.Now()})
+	r.inProgress = append(r.inProgress, refusal{conn, time.Now()})
 	r.mu.Unlock()
 }
 
-// remove forgets a refusal that has ended.
+// remove removes a refusal that has ended.
 func (r *refusals) remove(conn *net.TCPConn) {
 	r.mu.Lock()
-	r.oldest = slices.DeleteFunc(r.oldest, func(x refusal) bool { return x.conn == conn })
+	r.inProgress = slices.DeleteFunc(r.inProgress, func(x refusal) bool { return x.conn == conn })
 	r.mu.Unlock()
 }
 
-// logPanic logs a panic that ends one connection.
+// logPanic logs a recovered panic, which ends one connection only.
 func logPanic(p any) {
 	slog.Error("panic in a client connection", "panic", p, "trace", string(debug.Stack()))
 }
--- a/server/responses.go
+++ b/server/responses.go
@@ -10,28 +10,29 @@
 	"dapplerouter/tcpconn"
 )
 
-// answersPart is the part of the memory, as its denominator, that answers on their way to clients may hold together. One up to
-// shortAnswer bytes is not counted, unless it may have to wait for earlier ones of its connection.
+// Limits of the memory for answers that are not written yet. All of them together may hold one part in answerMemoryDivisor of
+// Options.MemoryBytes. An answer of up to maxUncountedBytes is not counted, unless it may have to wait for earlier answers of its
+// connection.
 const (
-	answersPart = 8
-	shortAnswer = 4 << 10
+	answerMemoryDivisor = 8
+	maxUncountedBytes   = 4 << 10
 )
 
 // response is the core's answer to a request.
 type response struct {
 	front.Response
 	request  *request
-	reserved int // bytes of Server.answers that it takes
+	reserved int // bytes of Server.answerMemory that are reserved for it
 }
 
 // inbox holds the core's responses until the connection's goroutine takes them.
 type inbox struct {
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards the fields below
 	responses []response
-	closed    bool // no response is taken any more
+	closed    bool // no more responses are accepted
 }
 
-// takeAll returns the responses that have come since it was last called.
+// takeAll returns the responses that were added since its last call.
 func (i *inbox) takeAll() []response {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -40,7 +41,7 @@
 	return responses
 }
 
-// close returns the last responses; none is taken from then on.
+// close returns the remaining responses. The inbox accepts no responses from then on.
 func (i *inbox) close() []response {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -49,15 +50,15 @@
 	return responses
 }
 
-// empty reports whether no response has come since takeAll was last called.
+// empty reports whether no response was added since the last call of takeAll.
 func (i *inbox) empty() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return len(i.responses) == 0
 }
 
-// add adds a response with the memory that its rows take of a budget, where they are counted. A response that finds none loses its
-// rows. It returns false where the connection has ended.
+// add adds a response and reserves answer memory for its rows, if they count. If the memory is exhausted, the response is replaced with
+// one without rows. add returns false if the connection has ended.
 func (i *inbox) add(q *request, f front.Response) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -65,44 +66,45 @@
 		return false
 	}
 	reserved := 0
-	if len(f.Rows) > shortAnswer || q.behind && len(f.Rows) > 0 {
-		if q.client.server.answers.Reserve(len(f.Rows)) {
+	if len(f.Rows) > maxUncountedBytes || q.pipelined && len(f.Rows) > 0 {
+		if q.client.server.answerMemory.Reserve(len(f.Rows)) {
 			reserved = len(f.Rows)
 		} else {
-			f = withoutRows(q.core.Statement.Write)
+			f = responseWithoutRows(q.core.Statement.Write)
 		}
 	}
 	i.responses = append(i.responses, response{f, q, reserved})
 	return true
 }
 
-// Connection implements front.ConnectedClient. What it returns outlives the request, and keeps nothing of it.
+// Connection implements front.ConnectedClient. The returned value may outlive the request and holds no reference to it.
 func (q *request) Connection() front.ClientConnection { return q.client.monitor }
 
-// Respond implements front.Client: it passes the core's response to the connection's goroutine and wakes it. Responses share a part of
-// the memory until they are written: a client may not read, or wait for an earlier one.
+// Respond implements front.Client. It passes the core's response to the connection's goroutine and wakes that. Responses share a budget
+// of memory until they are written, because a client may be slow to read or a response may have to wait for an earlier one.
 func (q *request) Respond(f front.Response) {
 	if q.client.inbox.add(q, f) {
 		tcpconn.Wake(q.client.tcp)
 	}
 }
 
-// withoutRows returns the response in place of one whose rows exceed the budget: a read may be retried, a write has run.
-func withoutRows(write bool) front.Response {
+// responseWithoutRows returns the response that replaces one whose rows exceed the memory budget. A read is rejected and may be retried.
+// A write has been executed, which the error says.
+func responseWithoutRows(write bool) front.Response {
 	if write {
 		return front.Response{Status: front.StatusInvalid, Code: pgwire.CodeProgramLimitExceeded, Reason: "executed, but there is no room for its answer"}
 	}
 	return front.Response{Status: front.StatusRejected}
 }
 
-// encode returns a response as its client gets it.
+// encode returns the messages that the client is sent for a response.
 func encode(f *front.Response) []byte {
 	switch f.Status {
 	case front.StatusSucceeded:
-		return pgwire.AppendReadyForQuery(f.Rows) // which have room for it
+		return pgwire.AppendReadyForQuery(f.Rows) // the capacity of Rows suffices for it
 	case front.StatusRejected:
 		detail := ""
-		if f.RetryAfter > 0 { // in milliseconds, rounded up
+		if f.RetryAfter > 0 { // sent in milliseconds, rounded up
 			detail = strconv.FormatInt(int64((f.RetryAfter+time.Millisecond-1)/time.Millisecond), 10)
 		}
 		return encodeError(pgwire.CodeTooManyConnections, "declined: try again", detail)
@@ -112,7 +114,7 @@
 	return encodeError(f.Code, f.Reason, "")
 }
 
-// encodeError returns an error after which the connection stays open.
+// encodeError returns the messages for an error after which the connection stays open.
 func encodeError(code, text, detail string) []byte {
 	return pgwire.AppendReadyForQuery(pgwire.AppendErrorResponse(nil, pgwire.ErrorResponse{Severity: "ERROR", Code: code, Message: text, Detail: detail}))
 }
--- a/server/server.go
+++ b/server/server.go
@@ -1,11 +1,13 @@
-// Package server serves the clients: the listener, one goroutine for each client's connection, and the order of requests and
-// answers on it. It decides nothing: statements go to the core, whose responses it writes in the order of their requests.
+// Package server accepts the connections of clients and serves them, each on its own goroutine. It passes statements to the core and
+// writes the core's responses in the order of the requests. All routing decisions are the core's.
 //
-// Server owns the table of its connections, guarded by its mutex, and the stage of its life, which only advances. A connection's
-// fields belong to its goroutine, but for its inbox, to which the core's goroutine adds responses, and what its type marks as shared.
+// Server owns the table of its connections, which its mutex guards, and the stage of its life cycle, which only advances. The fields of a
+// connection belong to its goroutine, except for those marked as shared. One of these is the inbox, to which the core's goroutine adds
+// responses.
 //
-// Invariants: each complete request that was read gets exactly one answer, in order, unless its client has left first; a connection
-// is closed only where no answer is owed on it; nothing of a request whose client has left begins to go out.
+// Invariants: Each complete request that was read gets exactly one answer, in order, unless its client disconnects first. The server
+// closes a connection only when every request that was read on it is answered. No attempt of a request begins to be sent once its client
+// has disconnected.
 package server
 
 import (
@@ -24,86 +26,88 @@
 )
 
 const (
-	readBuffer     = 4 << 10
-	maxReused      = 16 << 10        // longest body whose buffer is used again
-	maxQuery       = 256 << 10       // a value of 64 KiB in hex, and its statement
-	maxDiscarded   = maxQuery        // bytes that are read and dropped behind the server's half-close
-	closeLinger    = time.Second     // for the client to read the last of what it was sent
-	idleTimeout    = 2 * time.Second // clients that ask once and stay would keep others out of their own limit
-	messageTimeout = 2 * time.Second // from connecting to a first complete message, and for any message: the site's limit is 3 s
+	readBufferBytes   = 4 << 10
+	maxReusedBytes    = 16 << 10        // a longer body's buffer is not reused
+	maxQueryBytes     = 256 << 10       // fits a value of 64 KiB in hexadecimal and the rest of its statement
+	maxDiscardedBytes = maxQueryBytes   // bytes that are read and discarded after the server's half-close
+	closeLinger       = time.Second     // time for the client to read the last answer before the connection is closed
+	idleTimeout       = 2 * time.Second // otherwise clients that send one request and stay would use up the limit for all clients
+	messageTimeout    = 2 * time.Second // from connecting to the first complete request, and for each message; the site's limit is 3 s
 )
 
-// acceptGrace is how long after Drain new connections may still come; a tenth of it later all have been taken.
+// acceptGrace is how long after Drain new connections are still accepted. Afterwards Serve takes a tenth of it to accept the connections
+// that are left in the listener's queue.
 const acceptGrace = 500 * time.Millisecond
 
-// MaxCloseLinger is how long, once the server closes, a connection waits for the other side to read the last of what it was sent, and
-// for the rest of a message that has begun.
+// MaxCloseLinger is how long a connection waits, after Close was called, for the client to read the last answer or to send the rest of a
+// partly received message.
 const MaxCloseLinger = 100 * time.Millisecond
 
-// Options are what a Server is made of.
+// Options are the dependencies and settings of a Server.
 type Options struct {
-	Post         func(front.Event) // passes events to the core
+	Post         func(front.Event) // passes an event to the core
 	Limiter      *limits.Descriptors
 	Clock        *monotonic.Clock
-	WriteTimeout time.Duration // for a client that does not read: at least the longest that a request may take
-	IdleTimeout  time.Duration // after which a connection with nothing to do is closed; 0 for 2 s
-	MemoryBytes  int64         // of the process: messages and answers may hold a part of it
+	WriteTimeout time.Duration // for writes to clients that are slow to read; at least the longest time that a request may take
+	IdleTimeout  time.Duration // after which an idle connection is closed; 0 means 2 s
+	MemoryBytes  int64         // memory of the process, of which messages and answers may hold a part
 }
 
-// Server serves clients.
+// Server accepts the connections of clients and serves them.
 type Server struct {
-	options Options
-	linger  time.Duration // closeLinger, but in tests
-	parse   func(body []byte) (pgwire.Statement, error)
-	bodies  *limits.Memory // of long messages, and of requests read ahead
-	answers *limits.Memory // of answers that are not written yet
+	options       Options
+	linger        time.Duration // closeLinger, except in tests
+	parse         func(body []byte) (pgwire.Statement, error)
+	messageMemory *limits.Memory // budget for long messages and for requests that were read ahead
+	answerMemory  *limits.Memory // budget for answers that are not written yet
 
 	stage    atomic.Int32 // one of the stages below
-	rejected atomic.Int64 // requests since the stage rejecting
+	rejected atomic.Int64 // requests that were rejected in the stage rejecting or closing
 	standby  standby
 	refusals refusals
 
-	mu      sync.Mutex // guards clients, and orders a change of the stage with the wakes that it causes
-	clients map[*client]struct{}
-	running sync.WaitGroup // goroutines of connections
+	mu         sync.Mutex // guards clients, and is held from a change of the stage until all clients are woken
+	clients    map[*client]struct{}
+	goroutines sync.WaitGroup // goroutines of connections
 }
 
-// Stages of a server's life. Each request that was read is owed an answer, so before a connection may end the server
-// must stop reading, not wait for a pause of its client: some send their next request with the answer to the last.
+// The stages of a server's life cycle. Each request that was read must be answered, so the server must stop reading before a connection
+// can end. It cannot wait for a pause of the client, because some clients send their next request as soon as they receive an answer.
 const (
 	serving   int32 = iota
-	draining        // connections end between requests; what has come in by then, and a new connection's first, is served
-	rejecting       // further requests are rejected; a connection that was answered once ends whatever its client sends
-	closing         // connections end where no answer is owed
+	draining        // connections end between requests; requests already received, and the first one of a new connection, are served
+	rejecting       // further requests are rejected; a connection that was answered once ends even if its client keeps sending
+	closing         // connections end as soon as no answer is outstanding
 )
 
-// New returns a server that is not serving yet. It registers with the limiter as the one that closes idle clients.
+// New returns a server that is not serving yet. It registers itself with the limiter to close idle clients on request.
 func New(o Options) *Server {
 	if o.IdleTimeout == 0 {
 		o.IdleTimeout = idleTimeout
 	}
 	s := &Server{options: o, linger: closeLinger, parse: pgwire.ParseStatement, clients: map[*client]struct{}{},
-		bodies: limits.NewMemory(o.MemoryBytes / limits.LongMessagesPart), answers: limits.NewMemory(o.MemoryBytes / answersPart),
-		refusals: newRefusals()}
+		messageMemory: limits.NewMemory(o.MemoryBytes / limits.LongMessagesPart),
+		answerMemory:  limits.NewMemory(o.MemoryBytes / answerMemoryDivisor), refusals: newRefusals()}
 	o.Limiter.OnEvict(s.evictIdle)
 	return s
 }
 
-// SetParser sets how statements are parsed; the default is pgwire.ParseStatement. It is called before Serve.
+// SetParser sets the function that parses statements; the default is pgwire.ParseStatement. It must be called before Serve.
 func (s *Server) SetParser(parse func(body []byte) (pgwire.Statement, error)) { s.parse = parse }
 
-// Listener is where clients connect: a *net.TCPListener.
+// Listener is the listener on which clients connect. *net.TCPListener implements it.
 type Listener interface {
 	AcceptTCP() (*net.TCPConn, error)
 	SetDeadline(time.Time) error
 	Close() error
 }
 
-// Serve accepts connections until Drain was called and no more come, and then returns nil: what the machine has accepted is taken,
-// so whatever is in the listener's queue when the grace is over is served too. Any other error is the listener's.
+// Serve accepts connections until the grace period after Drain is over, and then returns nil. It also serves the connections that are in
+// the listener's queue at the end of the grace period, because the operating system has accepted them already. A non-nil error is the
+// listener's.
 func (s *Server) Serve(l Listener) error {
-	defer s.enter(rejecting)
-	defer func() { _ = l.Close() }() // it may have been closed to end Serve
+	defer s.advanceTo(rejecting)
+	defer func() { _ = l.Close() }() // fails if it was closed already to end Serve
 	for graceOver := false; ; {
 		conn, err := l.AcceptTCP()
 		switch {
@@ -114,34 +118,34 @@
 				return nil
 			}
 			graceOver = true
-			_ = l.SetDeadline(time.Now().Add(acceptGrace / 10)) // it fails on a closed listener, as the next accept does
+			_ = l.SetDeadline(time.Now().Add(acceptGrace / 10)) // fails only on a closed listener, as the next AcceptTCP does
 		case tcpconn.IsTimeout(err) || errors.Is(err, net.ErrClosed):
 			return err
-		default: // out of descriptors, or gone before it was accepted
+		default: // no descriptors are left, or the client disconnected before it was accepted
 			slog.Warn("accept failed", "err", err)
 			time.Sleep(time.Millisecond)
 		}
 	}
 }
 
-// Drain begins a graceful shutdown: each client's connection ends once its requests are answered, and Serve returns when no more
-// connections come. From then on requests are rejected.
+// Drain begins a graceful shutdown. Each connection ends once its requests are answered. Serve returns after a grace period, and from
+// then on requests are rejected.
 func (s *Server) Drain(l Listener) {
-	s.enter(draining)
-	_ = l.SetDeadline(time.Now().Add(acceptGrace)) // it fails on a closed listener, of which Serve has returned
+	s.advanceTo(draining)
+	_ = l.SetDeadline(time.Now().Add(acceptGrace)) // fails only on a closed listener, for which Serve has returned
 }
 
-// Close ends every connection on which no answer is owed.
-func (s *Server) Close() { s.enter(closing) }
+// Close ends every connection as soon as no answer is outstanding on it.
+func (s *Server) Close() { s.advanceTo(closing) }
 
-// RejectedWhileDraining returns how many requests were rejected since Serve returned.
+// RejectedWhileDraining returns the number of requests that were rejected after Serve returned.
 func (s *Server) RejectedWhileDraining() int64 { return s.rejected.Load() }
 
-// Wait returns true when all clients have left, or false after a timeout.
+// Wait waits until all connections have ended. It returns false if the timeout passes first.
 func (s *Server) Wait(timeout time.Duration) bool {
 	done := make(chan struct{})
 	go func() {
-		s.running.Wait()
+		s.goroutines.Wait()
 		close(done)
 	}()
 	select {
@@ -152,8 +156,8 @@
 	}
 }
 
-// enter advances to a stage, never back, and wakes the connections that wait for input.
-func (s *Server) enter(stage int32) {
+// advanceTo advances to a later stage and wakes all connections. It does nothing if the stage is reached already.
+func (s *Server) advanceTo(stage int32) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if stage <= s.stage.Load() {
@@ -165,27 +169,27 @@
 	}
 }
 
-// admit serves a new connection, or refuses it beyond the limits.
+// admit starts to serve a new connection. It refuses the connection because of a standby, or if the limiter does not admit it.
 func (s *Server) admit(conn *net.TCPConn) {
 	if s.standby.refuses(s.options.Clock.Now()) || !s.options.Limiter.AdmitClient(s.evictIdle) {
 		s.refuse(conn)
 		return
 	}
 	raw, err := conn.SyscallConn()
-	if err != nil { // it is closed
+	if err != nil { // the connection is closed
 		s.options.Limiter.ReleaseClient()
 		return
 	}
-	c := &client{server: s, tcp: conn, monitor: tcpconn.NewPeerMonitor(raw), startBy: time.Now().Add(messageTimeout),
-		reader: s.newReader(conn, readBuffer)}
+	c := &client{server: s, tcp: conn, monitor: tcpconn.NewPeerMonitor(raw), firstRequestDeadline: time.Now().Add(messageTimeout),
+		reader: s.newReader(conn, readBufferBytes)}
 	s.mu.Lock()
 	s.clients[c] = struct{}{}
 	s.mu.Unlock()
-	s.running.Add(1)
+	s.goroutines.Add(1)
 	go c.serve()
 }
 
-// remove forgets a connection that is closed.
+// remove removes a closed connection and releases its descriptor.
 func (s *Server) remove(c *client) {
 	s.mu.Lock()
 	delete(s.clients, c)
@@ -193,16 +197,16 @@
 	s.options.Limiter.ReleaseClient()
 }
 
-// newReader returns a reader of a client's messages.
+// newReader returns a reader for a client's messages that reserves memory for long ones from the server's budget.
 func (s *Server) newReader(conn *net.TCPConn, buffer int) *pgwire.Reader {
-	r := pgwire.NewReader(conn, buffer, maxQuery)
-	r.RetainedBytes = maxReused
-	r.Reserve = s.bodies.Reserve
+	r := pgwire.NewReader(conn, buffer, maxQueryBytes)
+	r.RetainedBytes = maxReusedBytes
+	r.Reserve = s.messageMemory.Reserve
 	return r
 }
 
-// evictIdle closes the connection that has been idle longest, whose client is the least likely to be sending just now. It returns
-// false where none is idle.
+// evictIdle starts to close the connection that has been idle longest, because its client is the least likely to be sending a request at
+// this moment. It returns false if no connection is idle.
 func (s *Server) evictIdle() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -219,13 +223,13 @@
 	return true
 }
 
-// closeGracefully ends a connection: this side's half first, so that what was sent last arrives. A close over unread bytes would be
-// a reset, which overtakes it: so what the client sends meanwhile is read, within bounds, and dropped. It was not taken: the client
-// finds its connection closed.
+// closeGracefully closes a connection such that the last answer arrives. It first shuts down the sending side. Closing a socket with unread
+// bytes sends a reset, which can destroy an answer that is still in transit. So closeGracefully reads and discards what the client
+// sends meanwhile, up to limits of time and length. Requests among it are not executed, and the client finds its connection closed.
 func (s *Server) closeGracefully(conn *net.TCPConn) {
 	defer tcpconn.Close(conn)
 	if conn.CloseWrite() != nil {
-		return // the other side has reset it
+		return // the client has reset the connection
 	}
 	linger := s.linger
 	if s.stage.Load() == closing {
@@ -233,7 +237,7 @@
 	}
 	tcpconn.SetReadDeadline(conn, time.Now().Add(linger))
 	var dropped [1 << 10]byte
-	for left := maxDiscarded; left > 0; {
+	for left := maxDiscardedBytes; left > 0; {
 		n, err := conn.Read(dropped[:])
 		if err != nil {
 			return
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -17,29 +17,29 @@
 )
 
 func TestStartupAndQueryInOneWrite(t *testing.T) {
-	g := newHarness(t, 40)
-	c := g.Dial()
+	h := newHarness(t, 40)
+	c := h.Dial()
 	c.Send(append(pgwire.AppendStartup(nil, "portal", "crm"), conntest.ReadQuery("4000")...)...)
-	m := g.AcceptServer()
-	assert.Regexp(t, `SELECT data FROM facts WHERE code = 'k' /\* id=\d+,c=read,d=\d+,cluster=2 \*/`, string(m.Expect("Q")))
-	value := string(bytes.Repeat([]byte{0, 255}, 200<<10)) // days of slow clients have values of 400 KB
-	m.Send(conntest.RowResponse(value)...)
+	upstream := h.AcceptServer()
+	assert.Regexp(t, `SELECT data FROM facts WHERE code = 'k' /\* id=\d+,c=read,d=\d+,cluster=2 \*/`, string(upstream.Expect("Q")))
+	value := string(bytes.Repeat([]byte{0, 255}, 200<<10)) // workloads with slow clients have values of 400 KB
+	upstream.Send(conntest.RowResponse(value)...)
 	c.Expect("RSSSSZT")
 	assert.Equal(t, value, string(c.Expect("D")[6:]))
 	c.Expect("CZ")
-	o := <-g.Router.Finished
+	o := <-h.Router.Finished
 	assert.True(t, o.Result == routing.Succeeded && o.RequestFinished && o.Role == routing.Replica)
 	c.Send(conntest.ReadQuery("4000")...)
-	m.Expect("Q") // over the same connection
-	m.Send(conntest.RowResponse("v")...)
+	upstream.Expect("Q") // on the same connection
+	upstream.Send(conntest.RowResponse("v")...)
 	c.Expect("TDCZ")
 	c.Send(conntest.Message('X', "")...)
 	c.ExpectClosed()
 }
 
 func TestMessagesOtherThanSimpleQueries(t *testing.T) {
-	g := newHarness(t, 40)
-	c := g.Dial()
+	h := newHarness(t, 40)
+	c := h.Dial()
 	c.Send(0, 0, 0, 8, 4, 210, 22, 47)
 	n := []byte{0}
 	_, err := io.ReadFull(c, n)
@@ -56,31 +56,31 @@
 	assert.Contains(t, string(c.Expect("E")), pgwire.CodeProtocolViolation)
 	c.ExpectClosed()
 	for _, bad := range [][]byte{{0, 0, 0, 3, 1}, {0, 0, 0, 8, 0, 2, 0, 0}} {
-		c := g.Dial()
+		c := h.Dial()
 		c.Send(bad...)
 		assert.Contains(t, string(c.Expect("E")), pgwire.CodeProtocolViolation)
 		c.ExpectClosed()
 	}
-	c = g.Dial()
+	c = h.Dial()
 	c.Send(append([]byte{0, 0, 0, 16, 4, 210, 22, 46}, make([]byte, 8)...)...)
 	c.ExpectClosed()
 }
 
 func TestDisconnectNoticedWhileRequestInFlight(t *testing.T) {
-	g := newHarness(t, 40)
-	c := g.Client()
+	h := newHarness(t, 40)
+	c := h.Client()
 	c.Send(conntest.ReadQuery("4000")...)
-	g.AcceptServer().Expect("Q")
+	h.AcceptServer().Expect("Q")
 	c.Close()
-	assert.Equal(t, (<-g.Router.Received).Ref, <-g.Router.Gone)
+	assert.Equal(t, (<-h.Router.Received).Ref, <-h.Router.Gone)
 }
 
-// idleClient waits until a client's connection is idle.
-func (g *harness) idleClient() {
-	g.Eventually(func() bool {
-		g.server.mu.Lock()
-		defer g.server.mu.Unlock()
-		for c := range g.server.clients {
+// awaitIdleClient waits until at least one client's connection is idle.
+func (h *harness) awaitIdleClient() {
+	h.Eventually(func() bool {
+		h.server.mu.Lock()
+		defer h.server.mu.Unlock()
+		for c := range h.server.clients {
 			if c.idleSince.Load() > 0 {
 				return true
 			}
@@ -90,156 +90,158 @@
 }
 
 func TestIdleConnectionsAreEvicted(t *testing.T) {
-	g := newHarnessWith(t, limits.DescriptorShares{Total: 4, MaxClients: 3, EvictFrom: 3, Overshoot: 2}) // three for clients
-	c, m := g.serve()
-	g.idleClient()
-	g.Client()
-	g.Client()
-	assert.True(t, g.Limiter.AdmitServer(g.pools.EvictIdle), "a connection to another server")
-	m.ExpectClosed()
-	assert.True(t, g.Limiter.AdmitServer(g.pools.EvictIdle), "no server connection is idle, but a client is")
+	h := newHarnessWith(t, limits.DescriptorShares{Total: 4, MaxClients: 3, EvictFrom: 3, Overshoot: 2}) // clients may have three
+	c, upstream := h.serve()
+	h.awaitIdleClient()
+	h.Client()
+	h.Client()
+	assert.True(t, h.Limiter.AdmitServer(h.pools.EvictIdle), "evicts the idle server connection")
+	upstream.ExpectClosed()
+	assert.True(t, h.Limiter.AdmitServer(h.pools.EvictIdle), "evicts the idle client, because no server connection is idle")
 	c.ExpectClosed()
-	g = newHarnessWith(t, limits.DescriptorShares{Total: 40, MaxClients: 3, EvictFrom: 3, Overshoot: 2})
-	silent := g.Client()
-	g.idleClient()
+	h = newHarnessWith(t, limits.DescriptorShares{Total: 40, MaxClients: 3, EvictFrom: 3, Overshoot: 2})
+	silent := h.Client()
+	h.awaitIdleClient()
 	for range 3 {
-		g.Client().Send(conntest.ReadQuery("4000")...)
-		<-g.Router.Received
+		h.Client().Send(conntest.ReadQuery("4000")...)
+		<-h.Router.Received
 	}
-	assert.Contains(t, string(silent.Expect("E")), pgwire.CodeTooManyConnections, "it had sent no request")
+	assert.Contains(t, string(silent.Expect("E")), pgwire.CodeTooManyConnections, "a client evicted before its first request gets an error")
 	silent.ExpectClosed()
-	c = g.Client()
+	c = h.Client()
 	c.Send(conntest.ReadQuery("4000")...)
-	assert.Contains(t, string(c.Expect("E")), pgwire.CodeTooManyConnections, "all have a request in flight")
+	assert.Contains(t, string(c.Expect("E")), pgwire.CodeTooManyConnections, "refused, because all clients have a request in flight")
 	c.ExpectClosed()
 }
 
-// A connection without a complete message in time gets an error and is closed; an impossible length is an error at once.
+// A connection that does not complete a message in time gets an error and is closed. An invalid length is rejected at once.
 func TestIncompleteMessagesTimeOut(t *testing.T) {
 	hello, half := slices.Clip(pgwire.AppendStartup(nil, "portal", "crm")), conntest.ReadQuery("4000")[:40]
 	for name, x := range map[string]struct {
 		sent      []byte
-		heard     string
+		received  string
 		code      string
 		withQuery bool
 	}{
-		"nothing":                {nil, "E", pgwire.CodeIdleSessionTimeout, false},
-		"half a startup":         {hello[:9], "E", pgwire.CodeIdleSessionTimeout, false},
-		"a startup alone":        {hello, "RSSSSZE", pgwire.CodeIdleSessionTimeout, false},
-		"half a query":           {append(hello, half...), "RSSSSZE", pgwire.CodeIdleSessionTimeout, false},
-		"half a second query":    {half, "E", pgwire.CodeIdleSessionTimeout, true},
-		"only flushes":           {append(hello, conntest.Message('H', "")...), "RSSSSZE", pgwire.CodeIdleSessionTimeout, false},
-		"60 MB of a query":       {append(hello, 'Q', 3, 147, 135, 0, 'S'), "RSSSSZE", pgwire.CodeProtocolViolation, false},
-		"a negative length":      {append(hello, 'Q', 255, 255, 255, 0, 'S'), "RSSSSZE", pgwire.CodeProtocolViolation, false},
-		"a startup of 2 GB":      {[]byte{127, 0, 0, 0}, "E", pgwire.CodeProtocolViolation, false},
-		"a length of too little": {append(hello, 'Q', 0, 0, 0, 3), "RSSSSZE", pgwire.CodeProtocolViolation, false},
+		"nothing":                    {nil, "E", pgwire.CodeIdleSessionTimeout, false},
+		"half a startup":             {hello[:9], "E", pgwire.CodeIdleSessionTimeout, false},
+		"a startup alone":            {hello, "RSSSSZE", pgwire.CodeIdleSessionTimeout, false},
+		"half a query":               {append(hello, half...), "RSSSSZE", pgwire.CodeIdleSessionTimeout, false},
+		"half a second query":        {half, "E", pgwire.CodeIdleSessionTimeout, true},
+		"only flushes":               {append(hello, conntest.Message('H', "")...), "RSSSSZE", pgwire.CodeIdleSessionTimeout, false},
+		"60 MB of a query":           {append(hello, 'Q', 3, 147, 135, 0, 'S'), "RSSSSZE", pgwire.CodeProtocolViolation, false},
+		"a negative length":          {append(hello, 'Q', 255, 255, 255, 0, 'S'), "RSSSSZE", pgwire.CodeProtocolViolation, false},
+		"a startup of 2 GB":          {[]byte{127, 0, 0, 0}, "E", pgwire.CodeProtocolViolation, false},
+		"a length below the minimum": {append(hello, 'Q', 0, 0, 0, 3), "RSSSSZE", pgwire.CodeProtocolViolation, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			g := newHarness(t, 40)
-			c := g.Dial()
+			h := newHarness(t, 40)
+			c := h.Dial()
 			if x.withQuery {
-				c, _ = g.serve()
+				c, _ = h.serve()
 			}
-			from := time.Now()
+			start := time.Now()
 			c.Send(x.sent...)
-			assert.Contains(t, string(c.Expect(x.heard)), x.code)
+			assert.Contains(t, string(c.Expect(x.received)), x.code)
 			c.ExpectClosed()
 			if x.code == pgwire.CodeProtocolViolation {
-				assert.Less(t, time.Since(from), messageTimeout, "it does not wait for a timeout")
+				assert.Less(t, time.Since(start), messageTimeout, "rejected without waiting for a timeout")
 			}
 		})
 	}
 }
 
-// Regression, on a recorded day: connections that had sent one request held all descriptors of clients, and no request came in.
+// Regression test: Connections that had sent one request and stayed open held all descriptors for clients, so that no more requests were
+// received.
 func TestIdleClientsAreEvictedBeforeTheLimit(t *testing.T) {
-	g := newHarness(t, 40) // a quarter is 10
-	c, _ := g.serve()
-	g.idleClient()
+	h := newHarness(t, 40) // a quarter of 40 is 10
+	c, _ := h.serve()
+	h.awaitIdleClient()
 	for range 9 {
-		g.Client().Send(conntest.ReadQuery("4000")...)
-		<-g.Router.Received
+		h.Client().Send(conntest.ReadQuery("4000")...)
+		<-h.Router.Received
 	}
-	g.Client()
+	h.Client()
 	c.ExpectClosed()
 }
 
 func TestIdleTimeoutClosesConnection(t *testing.T) {
-	g := newHarness(t, 40)
-	g.server.mu.Lock()
-	g.server.options.IdleTimeout = time.Millisecond
-	g.server.mu.Unlock()
-	c, _ := g.serve()
+	h := newHarness(t, 40)
+	h.server.mu.Lock()
+	h.server.options.IdleTimeout = time.Millisecond
+	h.server.mu.Unlock()
+	c, _ := h.serve()
 	c.ExpectClosed()
 }
 
 func TestDrainAnswersAcceptedRequests(t *testing.T) {
-	g := newHarness(t, 40)
-	idle := g.Client()
+	h := newHarness(t, 40)
+	idle := h.Client()
 	idle.Send(pgwire.AppendQuery(nil, "")...)
 	idle.Expect("IZ")
-	g.idleClient()
-	busy := g.Client()
+	h.awaitIdleClient()
+	busy := h.Client()
 	busy.Send(conntest.ReadQuery("4000")...)
-	m := g.AcceptServer()
-	m.Expect("Q")
-	g.server.Drain(g.Listener)
+	upstream := h.AcceptServer()
+	upstream.Expect("Q")
+	h.server.Drain(h.Listener)
 	idle.ExpectClosed()
 	idle.Close()
-	late := g.Client()
+	late := h.Client()
 	late.Send(conntest.ReadQuery("4000")...)
-	second := g.AcceptServer()
-	second.Expect("Q")
-	busy.Send(conntest.ReadQuery("4000")...) // before the answer: it is taken, and runs beside the one before
-	besideBusy := g.AcceptServer()
-	besideBusy.Expect("Q")
+	lateFirst := h.AcceptServer()
+	lateFirst.Expect("Q")
+	busy.Send(conntest.ReadQuery("4000")...) // sent before the answer, so it is served, concurrently with the first request
+	busySecond := h.AcceptServer()
+	busySecond.Expect("Q")
 	late.Send(conntest.ReadQuery("4000")...)
-	besideLate := g.AcceptServer()
-	besideLate.Expect("Q")
-	for _, x := range []struct{ c, first, beside *conntest.Peer }{{busy, m, besideBusy}, {late, second, besideLate}} {
+	lateSecond := h.AcceptServer()
+	lateSecond.Expect("Q")
+	for _, x := range []struct{ c, first, second *conntest.Peer }{{busy, upstream, busySecond}, {late, lateFirst, lateSecond}} {
 		x.first.Send(conntest.RowResponse("v")...)
 		x.c.Expect("TDCZ")
-		x.beside.Send(conntest.RowResponse("v")...)
+		x.second.Send(conntest.RowResponse("v")...)
 		x.c.Expect("TDCZ")
 		x.c.ExpectClosed()
 		x.c.Close()
 	}
-	require.NoError(t, <-g.Served)
-	assert.True(t, g.server.Wait(10*time.Second))
-	g.Served <- nil // for the clean-up
+	require.NoError(t, <-h.Served)
+	assert.True(t, h.server.Wait(10*time.Second))
+	h.Served <- nil // read by the harness's cleanup
 }
 
-// On standby, connections end between requests and new ones are refused; after the return a rising part of them is admitted.
+// On standby, connections end between requests and new ones are refused. After the standby an increasing share of new connections is
+// admitted.
 func TestStandbyClosesConnectionsAndRecoveryAdmitsGradually(t *testing.T) {
-	g := newHarness(t, 40)
-	g.server.SetStandby(false, time.Hour) // without a standby before it, nothing is refused
-	idle := g.Client()
+	h := newHarness(t, 40)
+	h.server.SetStandby(false, time.Hour) // has no effect, because the server was not on standby
+	idle := h.Client()
 	idle.Send(pgwire.AppendQuery(nil, "")...)
 	idle.Expect("IZ")
-	g.idleClient()
-	busy := g.Client()
+	h.awaitIdleClient()
+	busy := h.Client()
 	busy.Send(conntest.ReadQuery("4000")...)
-	m := g.AcceptServer()
-	m.Expect("Q")
-	g.server.SetStandby(true, 0)
+	upstream := h.AcceptServer()
+	upstream.Expect("Q")
+	h.server.SetStandby(true, 0)
 	idle.ExpectClosed()
-	late := g.Client()
+	late := h.Client()
 	late.Send(conntest.ReadQuery("4000")...)
 	assert.Contains(t, string(late.Expect("E")), pgwire.CodeTooManyConnections)
-	m.Send(conntest.RowResponse("v")...)
+	upstream.Send(conntest.RowResponse("v")...)
 	busy.Expect("TDCZ")
 	busy.ExpectClosed()
-	g.server.SetStandby(false, time.Hour)
+	h.server.SetStandby(false, time.Hour)
 	refused := 0
 	for range 80 {
-		if g.server.standby.refuses(g.Clock.Now()) {
+		if h.server.standby.refuses(h.Clock.Now()) {
 			refused++
 		}
 	}
-	assert.InDelta(t, 70, refused, 8, "one of eight is admitted at first")
-	g.server.standby.recovery.Store(1)
-	assert.False(t, g.server.standby.refuses(g.Clock.Now()))
-	assert.Zero(t, g.server.standby.state.Load(), "all are admitted again")
-	g.Client()
+	assert.InDelta(t, 70, refused, 8, "one in eight connections is admitted at first")
+	h.server.standby.recovery.Store(1)
+	assert.False(t, h.server.standby.refuses(h.Clock.Now()))
+	assert.Zero(t, h.server.standby.state.Load(), "all connections are admitted again")
+	h.Client()
 }
--- a/server/standby.go
+++ b/server/standby.go
@@ -7,23 +7,25 @@
 	"time"
 )
 
-// standby says whether new connections are refused because this instance is on standby, or returned from it a moment ago. Its zero value
-// refuses none.
+// standby decides whether a new connection is refused because this instance is on standby or has recently returned from standby. The zero
+// value refuses none.
 type standby struct {
-	state      atomic.Int64 // onStandby, 0 for none, or the moment of the return on the server's clock, plus one
-	recovery   atomic.Int64 // time over which new connections are admitted again after the return, in nanoseconds
-	considered atomic.Int64 // new connections since, which are numbered to spread the refusals
+	state    atomic.Int64 // onStandby, 0 if no connections are refused, or the time of the return on the server's clock, plus one
+	recovery atomic.Int64 // time after the return until all new connections are admitted again, in nanoseconds
+	counter  atomic.Int64 // new connections during recoveries; the hash of its value decides whether a connection is refused
 }
 
+// onStandby is the value of standby.state while the instance is on standby.
 const onStandby = -1
 
-// minAdmitted is the part of the new connections that are admitted right after the return.
-const minAdmitted = 1.0 / 8
+// minAdmittedShare is the share of new connections that is admitted right after the return from standby.
+const minAdmittedShare = 1.0 / 8
 
-// begin refuses all new connections.
+// begin starts to refuse all new connections.
 func (s *standby) begin() { s.state.Store(onStandby) }
 
-// end begins the recovery ramp. It does nothing where there was no standby: an instance that starts has no clients to spare.
+// end ends the standby and starts the recovery, during which an increasing share of new connections is admitted. It does nothing if the
+// instance was not on standby: an instance that has just started must not refuse clients.
 func (s *standby) end(now, recovery time.Duration) {
 	if s.state.Load() == onStandby {
 		s.recovery.Store(int64(max(recovery, 1)))
@@ -31,7 +33,7 @@
 	}
 }
 
-// refuses reports whether the next new connection is refused.
+// refuses reports whether the next new connection is to be refused. During the recovery it counts the connection.
 func (s *standby) refuses(now time.Duration) bool {
 	since := s.state.Load()
 	if since == 0 {
@@ -45,13 +47,13 @@
 		s.state.CompareAndSwap(since, 0)
 		return false
 	}
-	n := s.considered.Add(1)
-	return float64(crc32.ChecksumIEEE(strconv.AppendInt(nil, n, 10)))/(1<<32) > max(passed/recovery, minAdmitted)
+	n := s.counter.Add(1)
+	return float64(crc32.ChecksumIEEE(strconv.AppendInt(nil, n, 10)))/(1<<32) > max(passed/recovery, minAdmittedShare)
 }
 
-// SetStandby begins or ends a standby. While it lasts, clients' connections end once their requests are answered, and new ones are
-// refused. After its end new ones are admitted again at a rate that rises over the recovery time, so that an instance that returns
-// is not flooded.
+// SetStandby begins or ends a standby. While it lasts, connections end once their requests are answered, and new connections are refused.
+// After its end an increasing share of new connections is admitted, and all of them once the recovery time has passed, so that the
+// returning instance is not overloaded.
 func (s *Server) SetStandby(on bool, recovery time.Duration) {
 	if !on {
 		s.standby.end(s.options.Clock.Now(), recovery)
