--- a/pgwire/statement.go
+++ b/pgwire/statement.go
@@ -12,16 +12,16 @@
 	text                     []byte
 	timeoutStart, timeoutEnd int // offsets of the timeout's digits in text
 
-	Empty bool
-	Write bool
-	Key   []byte // the first string literal, or the value of the comment's field s if statements are classified
+	Empty bool   // the query contains no statement
+	Write bool   // the statement writes or, if it was classified, is not known to be a read
+	Key   []byte // the first string literal; if statements are classified, the comment's field s takes precedence
 
 	// Fields of the comment.
 	ID, RequestType, Customer []byte
 	Group                     int64
 	Timeout                   time.Duration // how long the client waits for the response, counted from when it sent the statement
-	Retry                     bool
-	After                     int64 // log position of the session's last write, in Unix milliseconds; 0 for none
+	Retry                     bool          // the client marked the request as a retry
+	After                     int64         // log position of the session's last write, in Unix milliseconds; 0 for none
 
 	// Normalized and Details are set only if statements are classified.
 	Normalized *sqlclass.NormalizedStatement
--- a/server/messages.go
+++ b/server/messages.go
@@ -21,7 +21,8 @@
 	}
 	for closingSeen := false; ; {
 		tcpconn.SetReadDeadline(c.tcp, deadline)
-		if !closingSeen && c.server.stage.Load() == closing { // checked after the deadline is set, because a later wake sets it again
+		// The stage is checked after the deadline is set: setting the deadline cancels an earlier wake, but not a later one.
+		if !closingSeen && c.server.stage.Load() == closing {
 			closingSeen = true // a part of a message was received, and the rest may be on its way
 			if lingerEnd := time.Now().Add(min(c.server.linger, MaxCloseLinger)); lingerEnd.Before(deadline) {
 				deadline = lingerEnd
@@ -81,7 +82,7 @@
 	tcpconn.SetReadDeadline(c.tcp, deadline)
 	c.idleSince.Store(int64(c.server.options.Clock.Now()))
 	defer c.idleSince.Store(0)
-	// Checked after the deadline is set, because a later wake sets it again.
+	// This is checked after the deadline is set: setting the deadline cancels an earlier wake, but not a later one.
 	if c.evicted.Load() || c.answered && c.endsBetweenRequests() || c.server.stage.Load() == closing {
 		tcpconn.Wake(c.tcp)
 	}
--- a/server/pipeline.go
+++ b/server/pipeline.go
@@ -130,7 +130,8 @@
 		c.readAhead.deadline = time.Now().Add(messageTimeout)
 	}
 	tcpconn.SetReadDeadline(c.tcp, c.readAhead.deadline)
-	if !c.inbox.empty() { // checked after the deadline is set, because a later wake sets it again
+	// The inbox is checked after the deadline is set: setting the deadline cancels an earlier wake, but not a later one.
+	if !c.inbox.empty() {
 		return true
 	}
 	var err error
--- a/server/refuse.go
+++ b/server/refuse.go
@@ -29,7 +29,7 @@
 // refusal is a connection that is being refused.
 type refusal struct {
 	conn  *net.TCPConn
-	since time.Time
+	since time.Time // when the refusal began
 }
 
 func newRefusals() refusals { return refusals{slots: make(chan struct{}, maxRefusals)} }
--- a/server/responses.go
+++ b/server/responses.go
@@ -10,9 +10,8 @@
 	"dapplerouter/tcpconn"
 )
 
-// Limits of the memory for answers that are not written yet. All of them together may hold one part in answerMemoryDivisor of
-// Options.MemoryBytes. An answer of up to maxUncountedBytes is not counted, unless it may have to wait for earlier answers of its
-// connection.
+// Limits of the memory for answers that are not written yet. Together they may hold Options.MemoryBytes / answerMemoryDivisor. An
+// answer of up to maxUncountedBytes is not counted, unless it may have to wait for earlier answers of its connection.
 const (
 	answerMemoryDivisor = 8
 	maxUncountedBytes   = 4 << 10
@@ -59,21 +58,21 @@
 
 // add adds a response and reserves answer memory for its rows, if they count. If the memory is exhausted, the response is replaced with
 // one without rows. add returns false if the connection has ended.
-func (i *inbox) add(q *request, f front.Response) bool {
+func (i *inbox) add(q *request, r front.Response) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.closed {
 		return false
 	}
 	reserved := 0
-	if len(f.Rows) > maxUncountedBytes || q.pipelined && len(f.Rows) > 0 {
-		if q.client.server.answerMemory.Reserve(len(f.Rows)) {
-			reserved = len(f.Rows)
+	if len(r.Rows) > maxUncountedBytes || q.pipelined && len(r.Rows) > 0 {
+		if q.client.server.answerMemory.Reserve(len(r.Rows)) {
+			reserved = len(r.Rows)
 		} else {
-			f = responseWithoutRows(q.core.Statement.Write)
+			r = responseWithoutRows(q.core.Statement.Write)
 		}
 	}
-	i.responses = append(i.responses, response{f, q, reserved})
+	i.responses = append(i.responses, response{r, q, reserved})
 	return true
 }
 
@@ -82,8 +81,8 @@
 
 // Respond implements front.Client. It passes the core's response to the connection's goroutine and wakes that. Responses share a budget
 // of memory until they are written, because a client may be slow to read or a response may have to wait for an earlier one.
-func (q *request) Respond(f front.Response) {
-	if q.client.inbox.add(q, f) {
+func (q *request) Respond(r front.Response) {
+	if q.client.inbox.add(q, r) {
 		tcpconn.Wake(q.client.tcp)
 	}
 }
@@ -98,20 +97,20 @@
 }
 
 // encode returns the messages that the client is sent for a response.
-func encode(f *front.Response) []byte {
-	switch f.Status {
+func encode(r *front.Response) []byte {
+	switch r.Status {
 	case front.StatusSucceeded:
-		return pgwire.AppendReadyForQuery(f.Rows) // the capacity of Rows suffices for it
+		return pgwire.AppendReadyForQuery(r.Rows) // the capacity of Rows suffices for it
 	case front.StatusRejected:
 		detail := ""
-		if f.RetryAfter > 0 { // sent in milliseconds, rounded up
-			detail = strconv.FormatInt(int64((f.RetryAfter+time.Millisecond-1)/time.Millisecond), 10)
+		if r.RetryAfter > 0 { // sent in milliseconds, rounded up
+			detail = strconv.FormatInt(int64((r.RetryAfter+time.Millisecond-1)/time.Millisecond), 10)
 		}
 		return encodeError(pgwire.CodeTooManyConnections, "declined: try again", detail)
 	case front.StatusFailed:
 		return encodeError(pgwire.CodeTransactionRollback, "rolled back", "")
 	}
-	return encodeError(f.Code, f.Reason, "")
+	return encodeError(r.Code, r.Reason, "")
 }
 
 // encodeError returns the messages for an error after which the connection stays open.
