--- a/fleet/broadcasts.go
+++ b/fleet/broadcasts.go
@@ -2,18 +2,23 @@
 
 import "time"
 
-// Mirror is a data set that each front builds from the broadcasts of a lease, so that a front that missed some of them can be
-// brought up to date by its neighbours.
+// Mirror is a data set that each front builds from the broadcasts of a lease. A front that missed some of the broadcasts is brought up
+// to date by its neighbours.
 type Mirror interface {
+	// Position returns the newest known term and the index of the mirror's contents. The index is 0 while the mirror is empty.
 	Position() (term, index uint64)
-	Snapshot() []byte                                          // a broadcast that brings any older mirror to this position; nil while it is empty
-	Apply(term uint64, data []byte) (news []byte, behind bool) // news is what was new, nil for nothing; behind reports a gap
+	// Snapshot returns the data of a broadcast that brings any older mirror to this position, nil while this mirror is empty.
+	Snapshot() []byte
+	// Apply applies the data of a broadcast. news is the part that was new, nil for none. behind reports that broadcasts before this
+	// one are missing.
+	Apply(term uint64, data []byte) (news []byte, behind bool)
 }
 
-// fence is a term, and the number of the newest broadcast or heartbeat in it: older ones are rejected.
+// fence is a term and the number of the newest broadcast or heartbeat in it. Older broadcasts and heartbeats are rejected.
 type fence struct{ term, number uint64 }
 
-// mirrorState is the lease terms from which a Node accepts broadcasts, and the mirrors that it builds from them.
+// mirrorState holds the newest broadcast that a Node knows under each lease, and the mirrors that it builds from broadcasts. The maps
+// are by lease.
 type mirrorState struct {
 	fences  map[string]fence
 	mirrors map[string]Mirror
@@ -23,11 +28,11 @@
 	return mirrorState{fences: map[string]fence{}, mirrors: map[string]Mirror{}}
 }
 
-// SetMirror registers the mirror that is built from a lease's broadcasts.
+// SetMirror registers the mirror that this front builds from the broadcasts of a lease.
 func (n *Node) SetMirror(leaseName string, m Mirror) { n.mirrors[leaseName] = m }
 
-// Broadcast sends data to all fronts under a lease that this front holds. It reports false, and sends nothing, where the lease
-// is not held any more.
+// Broadcast sends data to all fronts, including this one, under a lease that this front holds. It returns false and sends nothing where
+// this front does not hold the lease.
 func (n *Node) Broadcast(now time.Duration, leaseName string, data []byte) bool {
 	term, ok := n.HoldsLease(now, leaseName)
 	if !ok {
@@ -47,7 +52,8 @@
 	return true
 }
 
-// acceptBroadcast reports whether a broadcast is new and not of an older term than is known, and records its term and number.
+// acceptBroadcast reports whether a broadcast is new, and records its term and number. It rejects a broadcast of an older term than
+// the newest known term of the lease. A neighbour's complete mirror always counts as new unless its term is older.
 func (n *Node) acceptBroadcast(m *Message) (fresh bool) {
 	f := n.fences[m.Name]
 	switch {
@@ -60,16 +66,16 @@
 		}
 		return true
 	case m.Term == f.term && m.Number <= f.number:
-		return false // a duplicate by another path
+		return false // a duplicate that took another path
 	}
 	n.fences[m.Name] = fence{m.Term, m.Number}
 	return true
 }
 
-// onBroadcast forwards a broadcast that is new, and applies it to its mirror.
+// onBroadcast handles a broadcast from a peer. It floods a broadcast that is new, and applies it to the mirror of its lease.
 func (n *Node) onBroadcast(from string, m *Message) {
 	if len(n.fences) >= maxKnownFronts && n.fences[m.Name] == (fence{}) || n.state.Leases[m.Name] == nil && n.mirrors[m.Name] == nil {
-		return // an unknown lease
+		return // the lease is unknown, or the table of fences is full
 	}
 	if own := n.ownLeases[m.Name]; own != nil && m.Term > own.term {
 		n.dropLease(m.Name, reasonLaterTerm)
@@ -88,20 +94,20 @@
 	}
 	_, before := mirror.Position()
 	news, behind := mirror.Apply(m.Term, m.Data)
-	if behind { // the sender has what went before
+	if behind { // the sender has the broadcasts that are missing here
 		term, index := mirror.Position()
 		n.send(from, &Message{Kind: KindMirrorPositions, From: n.options.Name, Positions: []Position{{Name: m.Name, Term: term, Index: index}}})
 	}
 	if news != nil {
 		n.emit(BroadcastReceived{Lease: m.Name, Term: m.Term, From: m.From, Number: m.Number, Data: news})
-		if _, index := mirror.Position(); m.Number == 0 && index > before { // other neighbours may lack it as well
+		if _, index := mirror.Position(); m.Number == 0 && index > before { // other neighbours may have missed it as well
 			c := *m
 			n.flood(&c, from)
 		}
 	}
 }
 
-// sendMirror sends a peer this front's mirror where the peer's is older.
+// sendMirror sends this front's mirror of a lease to a peer whose mirror is older. position is that of the peer's mirror.
 func (n *Node) sendMirror(to string, position Position) {
 	m := n.mirrors[position.Name]
 	if m == nil {
--- a/fleet/command.go
+++ b/fleet/command.go
@@ -9,19 +9,19 @@
 
 // Operations of a Command.
 const (
-	opNone         uint8 = iota // the entry that a leader starts its term with
-	opDeclareLease              // Lease exists; its leaseholder must report progress within Bound
-	opGrantLease                // Target becomes the leaseholder, in the term after Term; without effect in any other term
-	opVacateLease               // nobody holds Lease, which was in Term
-	opJoin                      // Front joins the fleet
-	opLeave                     // Target, in Incarnation, leaves the fleet
-	opAddVoter                  // Target at Address becomes a voter
-	opRemoveVoter               // Target becomes a follower
-	opPutValue                  // Value under Key, by the holder of Lease in Term; Prev is the value's index before, 0 for none
+	opNone         uint8 = iota // no operation: the first entry of a leader's term
+	opDeclareLease              // declares Lease, whose leaseholder must report progress within Bound
+	opGrantLease                // makes Target the holder of Lease in the term after Term; no effect if Lease is not in Term
+	opVacateLease               // records that no front holds Lease; no effect if Lease is not in Term
+	opJoin                      // adds Front to the fleet, or updates it
+	opLeave                     // removes the front Target from the fleet, unless it has another incarnation than Incarnation
+	opAddVoter                  // makes Target, at Address, a voter
+	opRemoveVoter               // makes the voter Target a follower
+	opPutValue                  // stores Value under Key for the holder of Lease in Term; PrevIndex is the stored value's index, 0 for none
 )
 
-// Command is one change of the replicated state. It is one flat array for all operations, each of which uses the fields that are its
-// own: the log holds that encoding, so the fields can't be grouped.
+// Command is one change of the replicated state. All operations use the same struct, and each uses only some of its fields. The log
+// holds the struct as one flat array, so the fields can't be grouped.
 type Command struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -32,28 +32,28 @@
 	Term        uint64
 	Target      string
 	Incarnation uint64
-	RequestSeq  uint64 // Seq of the leaseholder's report that was granted: its lease counts from when it sent that
+	RequestSeq  uint64 // the Seq of the new leaseholder's latest report: the lease counts from when the holder sent it
 	Bound       time.Duration
-	LostBy      string // the front that lost the lease, and its recent losses
-	LossCount   uint32
+	LostBy      string // the front that let the lease expire or made no progress, "" for none
+	LossCount   uint32 // how often LostBy recently lost the lease
 	Reason      string
 	Address     string
 	Front       *Front
 	Key         string
 	PrevIndex   uint64
 	Value       []byte
-	Requester   string // the front whose request this is, and the request's ID
-	RequestID   uint64
+	Requester   string // the front that requested the command, "" for the leader
+	RequestID   uint64 // the ID of that request
 }
 
-// Encode encodes the command for the log.
+// Encode encodes the command for the log. It sets Format where that is 0.
 func (c *Command) Encode() []byte {
 	if c.Format == 0 {
 		c.Format = 1
 	}
 	b, err := msgpack.Marshal(c)
 	if err != nil {
-		panic(fmt.Sprint("encode a command: ", err)) // our own types always encode
+		panic(fmt.Sprint("encode a command: ", err)) // the type is always encodable
 	}
 	return b
 }
--- a/fleet/compat_test.go
+++ b/fleet/compat_test.go
@@ -10,7 +10,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// oldMembershipRecord is the membership record of the program before versions were published.
+// oldMembershipRecord is the membership record of programs from before configuration versions were published.
 type oldMembershipRecord struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -27,7 +27,8 @@
 	Renewals    []LeaseRenewal
 }
 
-// Programs of two versions in one fleet: each decodes the fields that it knows, and takes none for another.
+// Guards against fields that are decoded as other fields when programs of two versions run in one fleet. Each program must decode the
+// fields that it knows and skip the rest.
 func TestMessagesOfOtherVersionsAreDecoded(t *testing.T) {
 	now := MembershipRecord{Name: "n1", Incarnation: 7, Seq: 9, Zone: "a", Address: "x:1", Version: "0.4.0", Index: 12, AcceptsLeases: true,
 		Renewals: []LeaseRenewal{{Lease: "list", Term: 3}}, ActiveVersion: 5, WantsConfigLease: true, PendingVersion: 6, HasPending: true, Digests: []Digest{{Subsystem: "roll", Data: []byte("x")}}}
@@ -42,7 +43,7 @@
 	var back MembershipRecord
 	require.NoError(t, msgpack.Unmarshal(b, &back))
 	assert.Equal(t, MembershipRecord{Name: "n1", Incarnation: 7, Seq: 9, Zone: "a", Address: "x:1", Version: "0.4.0", Index: 12, AcceptsLeases: true, Renewals: now.Renewals}, back)
-	assert.False(t, back.WantsConfigLease, "it requests no configuration lease")
+	assert.False(t, back.WantsConfigLease, "an older program requests no configuration lease")
 
 	b, err = msgpack.Marshal([]any{"n1", 7, 9, "a", "x:1", "0.9", 12, true, false, []any{[]any{"list", 3, 0, "news"}}, 5, true, 6, true, nil, "more", 17})
 	require.NoError(t, err)
@@ -53,11 +54,11 @@
 	_, err = decodeReplicatedState([]byte{0x93, 1, 2, 3})
 	assert.Error(t, err, "a replicated state is decoded completely or not at all")
 
-	m := Message{Kind: kindCount, From: "n9"} // of a newer program
+	m := Message{Kind: kindCount, From: "n9"} // a kind that only a newer program knows
 	assert.Error(t, m.check())
 }
 
-// oldRequest is a request of the program before a request declared several leases.
+// oldRequest is the request of programs from before a request could declare several leases.
 type oldRequest struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -70,11 +71,12 @@
 	Command []byte
 }
 
-func (q *oldRequest) DecodeMsgpack(d *msgpack.Decoder) error { // as that program did
+// DecodeMsgpack decodes a request as those programs do.
+func (q *oldRequest) DecodeMsgpack(d *msgpack.Decoder) error {
 	return decodeLenient(d, &q.ID, &q.Type, &q.Lease, &q.Term, &q.To, &q.Command)
 }
 
-// requestsOf returns the requests that a front sends to its one peer.
+// requestsOf returns the requests among the outgoing messages of a front.
 func requestsOf(n *Node) (all []*Request) {
 	for _, out := range n.Outgoing() {
 		if out.Message.Kind == KindRequest {
@@ -84,8 +86,9 @@
 	return all
 }
 
-// A leader of an older program reads the first lease of a request and proposes it with its requester; the front requests the others
-// then. A newer leader answers an older front, whose declarations enter the log without its name, once they are there.
+// Guards against leases that stay undeclared, and requests that stay unanswered, between programs of two versions. A leader of an older
+// program reads only the first lease of a request and proposes it in the requester's name, so the front must request the other leases
+// again. A newer leader proposes declarations without the requester's name, so it must answer an older front once they are applied.
 func TestDeclarationsBetweenVersions(t *testing.T) {
 	n := newTestFollower(t, "n2")
 	n.peers["k1"], n.upstream, n.isolated = &peer{}, "k1", false
@@ -123,7 +126,7 @@
 	var q Request
 	require.NoError(t, msgpack.Unmarshal(b, &q))
 	l.onRequest(0, &Message{From: "n2", Request: &q})
-	require.Empty(t, k.Outgoing(), "it is not declared yet")
+	require.Empty(t, k.Outgoing(), "the lease is not declared yet")
 	k.state.declareLease(&Command{Lease: "a"})
 	l.onRequest(0, &Message{From: "n2", Request: &q})
 	out := k.Outgoing()
@@ -131,7 +134,7 @@
 	assert.Equal(t, &LeaderReply{RequestID: 9}, out[0].Message.Reply)
 }
 
-// oldProbeResult is a probe's result of the program before results had a role.
+// oldProbeResult is the probe result of programs from before results had a role.
 type oldProbeResult struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -143,7 +146,8 @@
 	Pending        bool
 }
 
-func (result *oldProbeResult) DecodeMsgpack(d *msgpack.Decoder) error { // as that program did
+// DecodeMsgpack decodes a result as those programs do.
+func (result *oldProbeResult) DecodeMsgpack(d *msgpack.Decoder) error {
 	return decodeLenient(d, &result.Server, &result.Healthy, &result.Code, &result.ConnectionLost, &result.Pending)
 }
 
@@ -156,10 +160,10 @@
 	require.True(t, ok)
 	assert.Equal(t, newer, same)
 
-	b, err := hex.DecodeString("95a3732d31c3a53537503033c3c3") // as that program wrote it
+	b, err := hex.DecodeString("95a3732d31c3a53537503033c3c3") // as an older program encodes it
 	require.NoError(t, err)
 	result, ok := DecodeProbeResult(b)
 	require.True(t, ok)
 	assert.Equal(t, ProbeResult{Server: "s-1", Healthy: true, Code: "57P03", ConnectionLost: true, Pending: true}, result)
-	assert.False(t, result.Answers(), "its server may be the primary")
+	assert.False(t, result.Answers(), "the server may be the primary")
 }
--- a/fleet/config.go
+++ b/fleet/config.go
@@ -8,44 +8,44 @@
 	"dapplerouter/config"
 )
 
-// FormName is the operator's form that makes a front one of a fleet:
+// FormName is the name of the form in the operator's file that makes a front a member of a fleet:
 //
 //	(fleet
-//	  (id "6f0c2a...")                    ; the same at all fronts; made once by dapplerouter fleet id new
-//	  (listen "10.0.0.4:7500")            ; for the others
-//	  (address "10.0.0.4:7500")           ; where they reach it; what it listens at where left out
-//	  (voters (n1 "10.0.0.1:7500") (n2 "10.0.0.2:7500") (n3 "10.0.0.3:7500")) ; the initial ones
-//	  (voter "/var/lib/dapplerouter/fleet.db")   ; its file, where this front is a voter; (joins) beside it for one that is added later
-//	  (lease-duration 3s)                 ; for which a lease is held without renewal; the same at all fronts
-//	  (leases take)                       ; or none: this front takes no leases
+//	  (id "6f0c2a...")                    ; the same at all fronts; created once with dapplerouter fleet id new
+//	  (listen "10.0.0.4:7500")            ; where this front listens for other fronts
+//	  (address "10.0.0.4:7500")           ; where other fronts reach this front; the default is the listen address
+//	  (voters (n1 "10.0.0.1:7500") (n2 "10.0.0.2:7500") (n3 "10.0.0.3:7500")) ; the initial voters
+//	  (voter "/var/lib/dapplerouter/fleet.db")   ; the file of a voter; with (joins) beside it for a voter that is added later
+//	  (lease-duration 3s)                 ; how long a lease is held without renewal; the same at all fronts
+//	  (leases take)                       ; or none: this front accepts no leases
 //	  (key "n4.key") (certificate "n4.crt") (trust "root.crt")   ; or (plain loopback)
-//	  (control "/run/dapplerouter/n4.sock")      ; for dapplerouter fleet; nobody listens where left out
-//	  (history "/var/log/dapplerouter/n4.jsonl") ; what happened, a line of JSON each
-//	  (reach (n2 "127.0.0.1:9002")))      ; addresses of others, in place of those that they report
+//	  (control "/run/dapplerouter/n4.sock")      ; the socket for dapplerouter fleet; there is none without this form
+//	  (history "/var/log/dapplerouter/n4.jsonl") ; the history file, with one event as JSON on each line
+//	  (reach (n2 "127.0.0.1:9002")))      ; addresses of other fronts, in place of those that they report
 const FormName = "fleet"
 
-// Config is the contents of the form.
+// Config is the configuration that the form named FormName sets.
 type Config struct {
 	ID, Listen, Address     string // Listen and Address are HOST:PORT
 	InitialVoters           []Voter
-	VoterPath               string // of the voter's file; "" for a follower
-	JoinsExistingFleet      bool   // a voter that was added later
+	VoterPath               string // the path of the voter's file; "" for a follower
+	JoinsExistingFleet      bool   // this voter is added to a fleet that exists
 	LeaseDuration           time.Duration
 	AcceptsLeases           bool
-	Key, Certificate, Trust string            // paths; "" for a mesh without keys
-	Control, History        string            // paths of the control socket and the history file; "" for none
-	AddressOverrides        map[string]string // by front: where it is reached, in place of the address that it reports
-	Place                   config.Position
+	Key, Certificate, Trust string            // the paths of the TLS files; "" for a mesh without TLS
+	Control, History        string            // the paths of the control socket and the history file; "" for none
+	AddressOverrides        map[string]string // by front: an address to use in place of the one that the front reports
+	Place                   config.Position   // the position of the form in its file
 }
 
-// Bounds of the lease duration: under the minimum, pauses of a loaded machine would cost leases; over the maximum, a failed
-// leaseholder would be missed for too long.
+// Limits of the lease duration. With a shorter one, pauses of a loaded machine would cause leases to expire. With a longer one, it
+// would take too long to replace a failed leaseholder.
 const (
 	minLeaseDuration = 300 * time.Millisecond
 	maxLeaseDuration = 5 * time.Minute
 )
 
-// ReadConfig reads the form. Errors are recorded with the form, each with its position and remedy.
+// ReadConfig reads the form. It records errors with the form's decoder, each with its position and its remedy.
 func ReadConfig(f *config.Form) *Config {
 	c := &Config{LeaseDuration: DefaultLeaseDuration, AcceptsLeases: true, AddressOverrides: map[string]string{}, Place: f.Position}
 	forms := f.Forms("id", "listen", "address", "voters", "voter", "joins", "lease-duration", "leases", "key", "certificate", "trust", "plain",
@@ -54,7 +54,7 @@
 	c.readTexts(f, forms)
 	c.readVoters(f, forms)
 	c.readLeases(f, forms)
-	c.readKeys(f, forms)
+	c.checkTLSFiles(f, forms)
 	if reach := forms["reach"]; reach != nil {
 		for _, g := range reach.Subforms() {
 			address, _ := g.Value()
@@ -64,7 +64,7 @@
 	return c
 }
 
-// deprecatedForms are forms by their names of earlier versions, which this version still reads.
+// deprecatedForms lists the names that subforms had in earlier versions, which this version still reads, with their present names.
 var deprecatedForms = []struct{ name, replacement string }{
 	{"keepers", "voters"},
 	{"keeper", "voter"},
@@ -72,7 +72,7 @@
 	{"duties", "leases"},
 }
 
-// readDeprecated takes deprecated forms for their replacements, and logs one warning that names all of them.
+// readDeprecated stores deprecated subforms in forms under their present names, and logs one warning that names all of them.
 func readDeprecated(f *config.Form, forms map[string]*config.Form) {
 	var found, replacements []string
 	for _, d := range deprecatedForms {
@@ -93,7 +93,7 @@
 	}
 }
 
-// readTexts reads what is a single text each.
+// readTexts reads the subforms that consist of a single text. It requires an id and a listen address.
 func (c *Config) readTexts(f *config.Form, forms map[string]*config.Form) {
 	texts := map[string]*string{
 		"id":          &c.ID,
@@ -106,10 +106,10 @@
 		"control":     &c.Control,
 		"history":     &c.History,
 	}
-	for name, to := range texts {
+	for name, field := range texts {
 		if g := forms[name]; g != nil {
 			text, _ := g.Value()
-			*to = text.Name
+			*field = text.Name
 		}
 	}
 	if c.ID == "" {
@@ -123,12 +123,12 @@
 	}
 }
 
-// readVoters reads the initial voters, and whether this front is one that joins.
+// readVoters reads the initial voters, and whether this front is a voter that joins an existing fleet.
 func (c *Config) readVoters(f *config.Form, forms map[string]*config.Form) {
-	place := f.Position
+	position := f.Position
 	named := map[string]bool{}
 	if voters := forms["voters"]; voters != nil {
-		place = voters.Position
+		position = voters.Position
 		for _, g := range voters.Subforms() {
 			address, _ := g.Value()
 			if named[g.Name] {
@@ -139,7 +139,7 @@
 		}
 	}
 	if n := len(c.InitialVoters); n != 1 && n != 3 && n != 5 {
-		f.Errorf(place, "name three, or five: (voters (n1 \"HOST:PORT\") ...); one for a trial", "the number of voters is %d", n)
+		f.Errorf(position, "name three, or five: (voters (n1 \"HOST:PORT\") ...); one for a trial", "the number of voters is %d", n)
 	}
 	if joins := forms["joins"]; joins != nil {
 		c.JoinsExistingFleet = true
@@ -149,7 +149,7 @@
 	}
 }
 
-// readLeases reads the lease duration, and whether this front takes leases.
+// readLeases reads the lease duration, and whether this front accepts leases.
 func (c *Config) readLeases(f *config.Form, forms map[string]*config.Form) {
 	if duration := forms["lease-duration"]; duration != nil {
 		c.LeaseDuration = duration.Duration()
@@ -162,8 +162,8 @@
 	}
 }
 
-// readKeys checks that the mesh has all its keys, or none on loopback.
-func (c *Config) readKeys(f *config.Form, forms map[string]*config.Form) {
+// checkTLSFiles checks that the form names either all TLS files, or none of them and plain loopback.
+func (c *Config) checkTLSFiles(f *config.Form, forms map[string]*config.Form) {
 	plain := forms["plain"]
 	if plain != nil {
 		plain.Choice("loopback")
@@ -180,20 +180,22 @@
 	}
 }
 
+// onLoopback reports whether the address is on the loopback interface.
 func onLoopback(address string) bool {
 	return strings.HasPrefix(address, "127.") || strings.HasPrefix(address, "[::1]") || strings.HasPrefix(address, "localhost")
 }
 
-// CheckName checks the form against the front's own name.
+// CheckName checks the configuration against the front's own name: an initial voter needs a voter's file, and any other front
+// may only have one if it joins an existing fleet.
 func (c *Config) CheckName(name string) error {
-	is := false
-	for _, k := range c.InitialVoters {
-		is = is || k.Name == name
+	isInitialVoter := false
+	for _, v := range c.InitialVoters {
+		isInitialVoter = isInitialVoter || v.Name == name
 	}
 	switch {
-	case is && c.VoterPath == "":
+	case isInitialVoter && c.VoterPath == "":
 		return config.ErrorList{{Position: c.Place, Message: name + " is named as a voter and has no file", Remedy: "(voter \"FILE\")"}}
-	case !is && c.VoterPath != "" && !c.JoinsExistingFleet:
+	case !isInitialVoter && c.VoterPath != "" && !c.JoinsExistingFleet:
 		return config.ErrorList{{Position: c.Place, Message: name + " has a voter's file and is not among the voters",
 			Remedy: "name it there, or add (joins) for a voter that joins an existing fleet"}}
 	}
--- a/fleet/config_leases.go
+++ b/fleet/config_leases.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// configLeaseState is the configuration versions that a Node uses or is about to use, and its leases on them.
+// configLeaseState holds the configuration versions that a Node uses or is about to use, and its leases on them.
 type configLeaseState struct {
 	activeVersion  uint64 // the version in use
 	pendingVersion uint64 // the version about to be used, where hasPending
 	hasPending     bool
-	configExpiry   map[uint64]time.Duration // by version: until when it may be used
+	configExpiry   map[uint64]time.Duration // by version: when the lease on it expires
 }
 
 func newConfigLeaseState() configLeaseState {
 	return configLeaseState{configExpiry: map[uint64]time.Duration{}}
 }
 
-// SetActiveVersion sets the only version that this front uses from now on, and reports it at once.
+// SetActiveVersion sets the version that this front uses from now on, and reports it to the leader at once. A pending version that is
+// now active is no longer pending.
 func (n *Node) SetActiveVersion(now time.Duration, version uint64) {
 	if n.activeVersion != version || n.hasPending && n.pendingVersion == version {
 		n.activeVersion, n.hasPending = version, false
@@ -26,8 +27,8 @@
 	}
 }
 
-// SetPendingVersion asks for a lease on a second version before it is used. An outdated replicated state may name a version that
-// must not be used any more; the lease on it is refused then.
+// SetPendingVersion requests a lease on a second version before this front uses it. Where this front's replicated state is outdated, the
+// version may no longer be allowed; the leader then grants no lease on it.
 func (n *Node) SetPendingVersion(now time.Duration, version uint64) {
 	if !n.hasPending || n.pendingVersion != version {
 		n.pendingVersion, n.hasPending = version, true
@@ -35,16 +36,17 @@
 	}
 }
 
-// ConfigLeaseExpiry returns until when this front may use a version, on its own clock; 0 for never.
+// ConfigLeaseExpiry returns the time until which this front may use a version, on its own clock. It is 0 where the front has no lease
+// on the version.
 func (n *Node) ConfigLeaseExpiry(version uint64) time.Duration { return n.configExpiry[version] }
 
-// usesVersion reports whether this front uses a version or is about to.
+// usesVersion reports whether a version is the active or the pending version of this front.
 func (n *Node) usesVersion(version uint64) bool {
 	return version == n.activeVersion || n.hasPending && version == n.pendingVersion
 }
 
-// onConfigLeases handles renewals on their way from the leader: those of this front, which count from its request, and those
-// of fronts behind it.
+// onConfigLeases handles renewals from the leader. A renewal for this front extends its lease, counted from when this front sent the
+// request. The renewals for other fronts are forwarded to the next hops towards them.
 func (n *Node) onConfigLeases(all []Position) {
 	byNextHop := map[string][]Position{}
 	for _, m := range all {
--- a/fleet/config_leases_test.go
+++ b/fleet/config_leases_test.go
@@ -10,15 +10,15 @@
 
 func TestAllowedConfigVersions(t *testing.T) {
 	state := newReplicatedState()
-	assert.True(t, state.allowsVersion(0) && state.allowsVersion(9), "all, where none are named")
+	assert.True(t, state.allowsVersion(0) && state.allowsVersion(9), "all versions are allowed where none are stored")
 	state.Values[AllowedVersionsKey] = &StoredValue{Index: 3, Value: AllowedVersions{Min: 2, Max: 3}.Encode()}
 	assert.Equal(t, []bool{false, true, true, false}, []bool{state.allowsVersion(1), state.allowsVersion(2), state.allowsVersion(3), state.allowsVersion(4)})
 	state.Values[AllowedVersionsKey].Value = AllowedVersions{Min: 0, Max: 2}.Encode()
-	assert.False(t, state.allowsVersion(1), "a version between them was rolled back")
+	assert.False(t, state.allowsVersion(1), "a version between Min and Max was rolled back")
 }
 
-// A reply that was long on its way extends a lease no further than one that came at once; a reply to another incarnation, or for a
-// version that this front does not request, extends none.
+// Guards against a delayed reply that extends a configuration lease too far: the lease must count from the request. A reply to another
+// incarnation, to a later report, or for a version that this front does not request must extend no lease.
 func TestConfigLeaseCountsFromItsRequest(t *testing.T) {
 	n := newTestFollower(t, "n1")
 	n.Tick(1600 * time.Millisecond)
@@ -36,17 +36,17 @@
 	assert.Equal(t, 3100*time.Millisecond+10500*time.Millisecond, n.ConfigLeaseExpiry(3))
 	n.SetActiveVersion(3200*time.Millisecond, 3)
 	n.onConfigLeases([]Position{{Name: "n1", Term: 7, Index: n.reportSeq, Version: 3}})
-	assert.Zero(t, n.ConfigLeaseExpiry(0), "a version that it uses no more")
+	assert.Zero(t, n.ConfigLeaseExpiry(0), "a version that this front no longer uses")
 }
 
-// A configuration lease on a version that is not allowed is not renewed, though a majority confirms the leader.
+// A configuration lease on a version that is not allowed must not be renewed, even after a majority has confirmed the leader.
 func TestConfigLeaseOnDisallowedVersionIsNotRenewed(t *testing.T) {
 	n, l := newTestLeader(t)
 	request := func(version uint64) []OutgoingMessage {
 		l.onMembership(time.Second, MembershipRecord{Name: "n2", Incarnation: 4, Seq: version + 1, ActiveVersion: version, WantsConfigLease: true})
-		l.renewConfigLeases(n.voter.readRounds)
-		require.Empty(t, n.Outgoing(), "not before a round that began after the report")
-		l.renewConfigLeases(n.voter.readRounds + 1)
+		l.renewConfigLeases(n.voter.roundsStarted)
+		require.Empty(t, n.Outgoing(), "no renewal before the confirmation of a round that started after the report")
+		l.renewConfigLeases(n.voter.roundsStarted + 1)
 		return n.Outgoing()
 	}
 	n.state.Values[AllowedVersionsKey] = &StoredValue{Index: 3, Value: AllowedVersions{Min: 2, Max: 3}.Encode()}
--- a/fleet/config_test.go
+++ b/fleet/config_test.go
@@ -13,6 +13,7 @@
 	"dapplerouter/config"
 )
 
+// configOf parses the text of an operator's file and reads its fleet form.
 func configOf(text string) (*Config, error) {
 	f, err := config.Parse("x", []byte(text))
 	if err != nil {
@@ -29,7 +30,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, 2*time.Second, c.LeaseDuration)
 	assert.False(t, c.AcceptsLeases)
-	assert.Equal(t, "127.0.0.1:1", c.Address, "where it listens")
+	assert.Equal(t, "127.0.0.1:1", c.Address, "the default is the listen address")
 	assert.Equal(t, map[string]string{"b": "h:9"}, c.AddressOverrides)
 	assert.NoError(t, c.CheckName("d"))
 	assert.ErrorContains(t, c.CheckName("a"), "has no file")
@@ -55,7 +56,7 @@
 	}
 }
 
-// captureLog returns what is logged until the test ends.
+// captureLog returns a buffer that receives the log until the test ends.
 func captureLog(t *testing.T) *bytes.Buffer {
 	t.Helper()
 	var out bytes.Buffer
@@ -73,7 +74,7 @@
 	deprecated, err := configOf(`(fleet (id "x") (listen "127.0.0.1:1") (keepers (a "h:1")) (keeper "f") (span 2s) (duties none) (plain loopback))`)
 	require.NoError(t, err)
 	assert.Equal(t, current, deprecated)
-	assert.Equal(t, 1, strings.Count(log.String(), "\n"), "one warning for all forms")
+	assert.Equal(t, 1, strings.Count(log.String(), "\n"), "one warning names all forms")
 	assert.Contains(t, log.String(), `level=WARN msg="deprecated forms in the operator's file: the next version does not read them" file=x line=1 `+
 		`forms="keepers keeper span duties" use="voters voter lease-duration leases"`)
 
--- a/fleet/encoding_test.go
+++ b/fleet/encoding_test.go
@@ -18,11 +18,11 @@
 	"dapplerouter/routing"
 )
 
-// Other versions of the program read these bytes: from a link, from a voter's disk and from the history file. They change only by a
-// field at the end of a message, or with a new Format.
+// encodingsFile has the expected encodings of samples. Other versions of the program read such bytes from links, voters' disks and
+// history files. So an encoding may change only by a new field at the end of a message, or with a new Format.
 const encodingsFile = "testdata/encodings.txt"
 
-// encodings reads the file: a name and hexadecimal bytes on each line.
+// encodings reads encodingsFile, which has a name and hexadecimal bytes on each line, and returns the bytes by name.
 func encodings(t *testing.T) map[string]string {
 	t.Helper()
 	data, err := os.ReadFile(encodingsFile)
@@ -36,7 +36,7 @@
 	return all
 }
 
-// sampleMessages returns a message of each kind, with a value in each field that the kind uses.
+// sampleMessages returns a message of each kind, with a value in each field that this kind uses.
 func sampleMessages() []Message {
 	floor := Floor{Term: 3, Vote: 1 << 63, Commit: 70000, OpenCount: 2}
 	return []Message{
@@ -66,7 +66,7 @@
 	}
 }
 
-// sampleCommands returns a command of each operation, by the name of its line.
+// sampleCommands returns a command of each operation, by its name in encodingsFile.
 func sampleCommands() map[string]Command {
 	return map[string]Command{
 		"command none":          {Op: opNone},
@@ -83,7 +83,7 @@
 	}
 }
 
-// sampleState returns a replicated state with all of its parts.
+// sampleState returns a replicated state with a value in each field.
 func sampleState() *ReplicatedState {
 	state := newReplicatedState()
 	state.Index, state.NeededFormat = 70000, 2
@@ -98,7 +98,7 @@
 	return state
 }
 
-// sampleFrames returns each message as the mesh sends it.
+// sampleFrames returns the frame of each sample message as the mesh sends it, in hexadecimal, by name.
 func sampleFrames(t *testing.T) map[string]string {
 	t.Helper()
 	frames := map[string]string{}
@@ -115,7 +115,7 @@
 	return frames
 }
 
-// sampleEncodings returns all samples as they are encoded.
+// sampleEncodings returns the encodings of all samples in hexadecimal, by name.
 func sampleEncodings(t *testing.T) map[string]string {
 	t.Helper()
 	all := sampleFrames(t)
@@ -146,7 +146,7 @@
 	for name, encoded := range got {
 		assert.Equal(t, want[name], encoded, name)
 	}
-	assert.Len(t, want, len(got), "no line without a sample")
+	assert.Len(t, want, len(got), "each line has a sample")
 	for kind := range kindCount {
 		assert.Contains(t, got, "message "+kind.String(), "each kind has a sample")
 	}
--- a/fleet/endpoint_list.go
+++ b/fleet/endpoint_list.go
@@ -11,11 +11,11 @@
 	"dapplerouter/routing"
 )
 
-// EndpointListLease is the lease of the front that follows the discovery service for all.
+// EndpointListLease is the lease whose holder follows the discovery service for all fronts.
 const EndpointListLease = "list"
 
-// endpointUpdate is a broadcast under that lease: the complete list, the changes since index After, or only that the
-// service answered.
+// endpointUpdate is a broadcast under EndpointListLease: the complete list, the changes after index After, or without any endpoints
+// only that the discovery service answered.
 type endpointUpdate struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -26,6 +26,7 @@
 	Endpoints []encodedEndpoint
 }
 
+// encodedEndpoint is the encoded form of a discovery.Endpoint in an endpointUpdate.
 type encodedEndpoint struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -38,16 +39,17 @@
 	Since                     int64
 }
 
+// maxEndpoints is the number of endpoints that an update may have.
 const maxEndpoints = 1 << 16
 
-// EndpointList is the list of servers that one front of the fleet follows for all: a Mirror of that front's broadcasts. Older
-// content never replaces newer content, whoever sends it.
+// EndpointList is the list of servers that the holder of EndpointListLease broadcasts. It is a Mirror of these broadcasts. An older
+// list never replaces a newer one, whichever front sends it.
 type EndpointList struct {
 	term         uint64
 	index        int64
-	known        bool // a complete list was received
-	endpoints    map[string]discovery.Endpoint
-	StaleUpdates int // updates that were older than the list here
+	known        bool                          // a complete list was received
+	endpoints    map[string]discovery.Endpoint // by name
+	StaleUpdates int                           // the number of updates that were older than this list
 }
 
 // NewEndpointList returns an empty list.
@@ -60,7 +62,7 @@
 	if !l.known {
 		return l.term, 0
 	}
-	return l.term, uint64(l.index) + 1 // a list's index may be 0, a Position's 0 is none
+	return l.term, uint64(l.index) + 1 // a list may have index 0, but in a Position 0 means an empty mirror
 }
 
 // Snapshot implements Mirror.
@@ -71,7 +73,7 @@
 	return encodeEndpointUpdate(discovery.List{Index: l.index, Snapshot: true, Endpoints: l.List().Endpoints}, 0)
 }
 
-// List returns all endpoints, by name.
+// List returns all endpoints, sorted by name.
 func (l *EndpointList) List() discovery.List {
 	all := discovery.List{Index: l.index, Snapshot: true}
 	for _, name := range slices.Sorted(maps.Keys(l.endpoints)) {
@@ -80,13 +82,14 @@
 	return all
 }
 
-// Index is the list's version.
+// Index returns the index of the list, which is its version at the discovery service.
 func (l *EndpointList) Index() int64 { return l.index }
 
 // Known reports whether a complete list was received.
 func (l *EndpointList) Known() bool { return l.known }
 
-// Apply implements Mirror. An update that only says that the service answered is passed on where nothing is missing.
+// Apply implements Mirror. Where an update changes nothing and no earlier update is missing, news is a heartbeat: an update which says
+// only that the discovery service answered.
 func (l *EndpointList) Apply(term uint64, data []byte) (news []byte, behind bool) {
 	var update endpointUpdate
 	if err := msgpack.Unmarshal(data, &update); err != nil || len(update.Endpoints) > maxEndpoints || update.Index < 0 {
@@ -102,7 +105,7 @@
 	case !l.known || !update.Complete && update.After > l.index:
 		return nil, true
 	case update.Index == l.index:
-		return l.EncodeHeartbeat(), false // no change, but the service answers
+		return l.EncodeHeartbeat(), false // the list is unchanged, but the service answered
 	}
 	l.known, l.index = true, update.Index
 	for _, e := range update.Endpoints {
@@ -116,8 +119,8 @@
 	return data, false
 }
 
-// EncodeUpdate encodes an answer of the discovery service, as changes since index after. The error is an OlderListError where the
-// service returned an older list than is known.
+// EncodeUpdate encodes an answer of the discovery service as an update: the complete list, or the changes after index after. It
+// returns an OlderListError where the answer is older than this list.
 func (l *EndpointList) EncodeUpdate(list discovery.List, after int64) ([]byte, error) {
 	if l.known && list.Index < l.index {
 		return nil, &OlderListError{Received: list.Index, Known: l.index}
@@ -125,12 +128,13 @@
 	return encodeEndpointUpdate(list, after), nil
 }
 
-// EncodeHeartbeat encodes an update that says only that the discovery service answered.
+// EncodeHeartbeat encodes an update which says only that the discovery service answered.
 func (l *EndpointList) EncodeHeartbeat() []byte {
 	return encodeEndpointUpdate(discovery.List{Index: l.index}, l.index)
 }
 
-// DecodeEndpointUpdate decodes an update; changed reports whether it says more than that the service answered.
+// DecodeEndpointUpdate decodes an update. changed is false for an update which says only that the discovery service answered, and for
+// data that can't be decoded.
 func DecodeEndpointUpdate(data []byte) (list discovery.List, changed bool) {
 	var update endpointUpdate
 	if err := msgpack.Unmarshal(data, &update); err != nil {
@@ -144,6 +148,7 @@
 	return list, update.Complete || len(update.Endpoints) > 0
 }
 
+// encodeEndpointUpdate encodes a list as an update: complete if list is a snapshot, otherwise as the changes after index after.
 func encodeEndpointUpdate(list discovery.List, after int64) []byte {
 	update := endpointUpdate{Complete: list.Snapshot, After: after, Index: list.Index}
 	for _, e := range list.Endpoints {
@@ -152,7 +157,7 @@
 	}
 	b, err := msgpack.Marshal(&update)
 	if err != nil {
-		panic(fmt.Sprint("encode an endpoint update: ", err)) // our own types always encode
+		panic(fmt.Sprint("encode an endpoint update: ", err)) // the type is always encodable
 	}
 	return b
 }
--- a/fleet/errors.go
+++ b/fleet/errors.go
@@ -5,13 +5,14 @@
 	"fmt"
 )
 
-// ProtocolError is a violation of the protocol by a peer, or the reason to reject its link: the link must be closed.
+// ProtocolError is a violation of the protocol by a peer, or the reason to reject its link. The link must be closed.
 type ProtocolError string
 
 // Error implements error.
 func (e ProtocolError) Error() string { return string(e) }
 
-// Reasons to reject a link. The rejected front receives the text, and acts on the first three: the texts are part of the protocol.
+// Reasons to reject a link. The rejected front receives the text, and handles the first three in special ways. So the texts are part of
+// the protocol.
 const (
 	errDisplacedName    ProtocolError = "another front has its name"
 	errDuplicateLink    ProtocolError = "there is a link already"
@@ -22,7 +23,8 @@
 	errSelfDisplaced    ProtocolError = "this front stays out: another has its name"
 )
 
-// Violations by a message. One in the first message of a link is a reason to reject it, so these texts are part of the protocol too.
+// Violations of the protocol by a message. A violation by the first message of a link is a reason to reject the link, so these texts
+// are part of the protocol too.
 const (
 	errUnknownKind      ProtocolError = "a message of a kind that is not known"
 	errMessageTooLarge  ProtocolError = "a message with too much in it"
@@ -34,13 +36,13 @@
 	errForeignConsensus ProtocolError = "consensus message in the name of another voter"
 )
 
-// missingField is the violation by a message that lacks the fields of its kind.
+// missingField returns the violation by a message that lacks a field which its kind requires.
 func missingField(kind Kind) ProtocolError {
 	return ProtocolError("a " + kind.String() + " without its part")
 }
 
-// Errors of Node.RecoverVoters: why the voters must not, or need not, be recovered from a front's disk. The control interface shows
-// their texts.
+// Errors of Node.RecoverVoters, which say why the voters must not or need not be recovered from a front's disk. The control interface
+// shows their texts.
 var (
 	ErrRecoveryWithoutReason = errors.New("a recovery needs a reason, for the log")
 	ErrRecoveryUnderWay      = errors.New("a recovery is under way already")
@@ -51,7 +53,7 @@
 	ErrMajorityPresent       = errors.New("a majority of voters that know the fleet is here: it elects a leader by itself")
 )
 
-// VoterHaltError is the end of a recovery by a voter that halted; its text is the reason alone.
+// VoterHaltError says that a recovery ended because its voter halted. Its text is the halt reason alone.
 type VoterHaltError struct {
 	Reason string // see Node.VoterHaltReason
 }
@@ -59,8 +61,8 @@
 // Error implements error.
 func (e *VoterHaltError) Error() string { return e.Reason }
 
-// Errors of commands that have no effect, and of requests that the leader refuses. They are the same at each front, and are sent to the
-// requester as text: the texts change only with the format.
+// Errors of commands that have no effect, and of requests that the leader refuses. They are sent to the requester as text, and must be
+// the same at each front. So the texts change only with the format.
 var (
 	errUnreadableCommand = errors.New("a command that can't be read")
 	errOtherTerm         = errors.New("the duty is in another term")
@@ -76,7 +78,7 @@
 	errNoAnswer          = errors.New("no answer came")
 )
 
-// errorText is the text that an error is sent with, "" for nil.
+// errorText returns the text by which an error is sent to another front, "" for nil.
 func errorText(err error) string {
 	if err == nil {
 		return ""
@@ -84,7 +86,7 @@
 	return err.Error()
 }
 
-// Errors of an encoded replicated state.
+// Errors of decoding a replicated state.
 var (
 	errUnreadableState   = errors.New("a record that can't be read")
 	errInconsistentState = errors.New("a record whose parts don't fit")
@@ -92,9 +94,9 @@
 
 // FormatError says that a snapshot or a command needs a newer program.
 type FormatError struct {
-	What          string // a record or a command
-	Needed, Known uint32 // formats
-	Remedy        string // "" for none
+	What          string // "record" or "command"
+	Needed, Known uint32 // the format that is needed, and the newest one that this program knows
+	Remedy        string // a suffix of the text that says what to do, "" for none
 }
 
 // Error implements error.
@@ -102,9 +104,9 @@
 	return fmt.Sprintf("a %s of format %d, and this program knows %d%s", e.What, e.Needed, e.Known, e.Remedy)
 }
 
-// OlderListError says that the discovery service returned an endpoint list older than the one known.
+// OlderListError says that the discovery service returned an endpoint list that is older than the known list.
 type OlderListError struct {
-	Received, Known int64 // indices
+	Received, Known int64 // the indices of the lists
 }
 
 // Error implements error.
--- a/fleet/errors_test.go
+++ b/fleet/errors_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Peers of other versions, the history and the control interface receive these texts: they don't change with names in the code.
+// Peers of other versions, the history and the control interface receive these texts, so they must not change when names in the
+// code change.
 func TestErrorTextsThatOthersReceive(t *testing.T) {
 	for err, text := range map[error]string{
 		errDisplacedName:         "another front has its name",
--- a/fleet/heartbeat.go
+++ b/fleet/heartbeat.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// heartbeatState is the newest heartbeat that a Node received.
+// heartbeatState holds the newest heartbeat that a Node received or sent, and the next hop to the leader.
 type heartbeatState struct {
-	upstream      string // the peer that delivered the newest heartbeat first: the next hop to the leader
-	heartbeat     fence
-	heartbeatAt   time.Duration
-	heartbeatFrom string // the leader that sent it
-	isolated      bool
+	upstream      string        // the next hop to the leader: the peer that first delivered the newest heartbeat, "" for none
+	heartbeat     fence         // the term and the number of the newest heartbeat
+	heartbeatAt   time.Duration // when it was received or sent
+	heartbeatFrom string        // the leader that sent it
+	isolated      bool          // no heartbeat was received within the isolation timeout
 }
 
+// newHeartbeatState returns the state of a Node that has received no heartbeat: it is isolated.
 func newHeartbeatState(timing Timing) heartbeatState {
 	return heartbeatState{isolated: true, heartbeatAt: -timing.isolationTimeout() - 1}
 }
 
-// Isolated reports whether no heartbeat was received for a while, or this front is displaced.
+// Isolated reports whether no heartbeat was received within the isolation timeout, or this front is displaced.
 func (n *Node) Isolated() bool { return n.isolated || n.isDisplaced }
 
-// LastHeartbeat returns the leader whose heartbeat was received last, and how long ago.
+// LastHeartbeat returns the leader whose heartbeat was last received, and how long ago that was.
 func (n *Node) LastHeartbeat(now time.Duration) (name string, ago time.Duration) {
 	return n.heartbeatFrom, now - n.heartbeatAt
 }
@@ -26,7 +27,8 @@
 // LeaderTerm returns the highest term of a leader whose heartbeat was received, 0 for none.
 func (n *Node) LeaderTerm() uint64 { return n.heartbeat.term }
 
-// onHeartbeat forwards a heartbeat where it is the newest; the peer that delivered it first is the next hop to the leader.
+// onHeartbeat handles a heartbeat. It floods a heartbeat that is the newest, and makes the peer that delivered it the next hop to the
+// leader. It sends that peer the log entries that the peer lacks, and after a new heartbeat requests those that this front lacks.
 func (n *Node) onHeartbeat(now time.Duration, from string, m *Message) {
 	next := fence{m.Term, m.Number}
 	if next.term < n.heartbeat.term || next.term == n.heartbeat.term && next.number <= n.heartbeat.number {
@@ -42,7 +44,7 @@
 	}
 }
 
-// endIsolation notes that a heartbeat came.
+// endIsolation ends the isolation of this front after a heartbeat.
 func (n *Node) endIsolation() {
 	if n.isolated {
 		n.isolated = false
@@ -50,8 +52,8 @@
 	}
 }
 
-// checkIsolation notes that no heartbeat came for a while. An isolated front tries other links: it may be in a partition of
-// followers only.
+// checkIsolation marks this front as isolated where no heartbeat was received within the isolation timeout. An isolated front dials
+// other fronts after every two lease durations, since its links may connect it only to followers in the same partition.
 func (n *Node) checkIsolation(now time.Duration) {
 	timing := n.options.Timing
 	if !n.isolated && now-n.heartbeatAt > timing.isolationTimeout() {
--- a/fleet/helpers_test.go
+++ b/fleet/helpers_test.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// testLeaseDuration is the lease duration of nodes in tests.
+// testLeaseDuration is the lease duration of the nodes in tests.
 const testLeaseDuration = 3 * time.Second
 
 // newTestFollower returns a follower.
@@ -20,7 +20,7 @@
 	return n
 }
 
-// newTestLeader returns the only voter k1 as a leader whose log is applied. Front n2 is reached by its peer p.
+// newTestLeader returns the only voter, k1, as a leader that is ready. Its peer p is the next hop to front n2.
 func newTestLeader(t *testing.T) (*Node, *leader) {
 	t.Helper()
 	n, err := New(Options{Name: "k1", Incarnation: 1, Timing: Timing{LeaseDuration: testLeaseDuration}, InitialVoters: []Voter{{"k1", "x"}}}, &DiskState{OpenCount: 1})
@@ -31,7 +31,7 @@
 	return n, l
 }
 
-// newTestVoter returns one of the voters k1, k2 and k3, with a disk that has taken part in consensus.
+// newTestVoter returns one of the voters k1, k2 and k3, with a disk that has been used by consensus.
 func newTestVoter(t *testing.T, name string) *Node {
 	t.Helper()
 	initial := []Voter{{"k1", "k1"}, {"k2", "k2"}, {"k3", "k3"}}
--- a/fleet/history.go
+++ b/fleet/history.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Names of events in the history. Operators' tools and the checkers of lab/processtest read them: they change only with a format version.
+// Names of events in the history. Operators' tools and the checkers of lab/processtest read them, so they change only with a format
+// version.
 const (
 	historyLeaseAcquired      = "held"
 	historyLeaseRenewed       = "kept"
@@ -31,10 +32,10 @@
 	historyRecoveryRefused    = "recovery refused"
 )
 
-// HistoryEntry is a line of the history file. At, Since and Until are wall-clock times in Unix microseconds; durations between
-// them are the monotonic clock's.
+// HistoryEntry is a line of the history file. At, Since and Until are wall-clock times in Unix microseconds. The differences between
+// them are durations of the monotonic clock.
 //
-// Operators' tools and the checkers of lab/processtest read these names: they change only with a format version.
+// Operators' tools and the checkers of lab/processtest read the JSON names, so they change only with a format version.
 type HistoryEntry struct {
 	At          int64  `json:"at"`
 	Front       string `json:"front"`
@@ -50,14 +51,14 @@
 	Reason      string `json:"why,omitempty"`
 }
 
-// String returns the entry as it is written to the file.
+// String returns the entry as JSON, as it is written to the history file.
 func (e HistoryEntry) String() string {
-	b, _ := json.Marshal(e) // texts and numbers always encode
+	b, _ := json.Marshal(e) // strings and numbers are always encodable
 	return string(b)
 }
 
-// EventFields is an event in the history's flat form, with times of the front's own clock; fields without a meaning for the
-// event's kind are zero. See HistoryEntry.
+// EventFields is an event in the flat form of the history, with times of the front's own clock. Fields that an event's kind does not
+// use are zero. See HistoryEntry.
 type EventFields struct {
 	Kind, Lease  string
 	Term         uint64
--- a/fleet/history_test.go
+++ b/fleet/history_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// The history's names are read by operators' tools: they must not change with the names of the event types.
+// Operators' tools read the names in the history, so these must not change when the event types are renamed.
 func TestHistoryKeepsItsNames(t *testing.T) {
 	for _, c := range []struct {
 		event Event
--- a/fleet/leader_leases.go
+++ b/fleet/leader_leases.go
@@ -8,56 +8,57 @@
 	"time"
 )
 
-// leaseTimer is when a lease expires, in the leader's view.
+// leaseTimer is the leader's record of when a lease expires, and of the progress that its holder reported.
 type leaseTimer struct {
 	term           uint64
 	expiresAt      time.Duration
 	grantedAt      time.Duration
 	progress       uint64
 	progressAt     time.Duration
-	transferringAt time.Duration // a grant is proposed: the old term is not renewed any more
-	transferring   bool
-	transferringTo string // the front of that grant
+	transferringAt time.Duration // when the latest grant, vacation or release of the lease was proposed or requested
+	transferring   bool          // a command that ends the term is proposed: the term is no longer renewed
+	transferringTo string        // the front that the proposed command grants the lease to, "" for none
 }
 
-// leaseTable is what the leader knows of leases beyond the replicated state.
+// leaseTable is the leader's state of leases beyond the replicated state.
 type leaseTable struct {
-	timers      map[string]*leaseTimer
-	transfers   map[string]transfer      // by lease: transfers that were requested
-	declaring   map[string]time.Duration // declarations on their way through the log, with their bounds
-	pausedUntil map[string]time.Duration // by pauseKey, see backoffEnd
-	offloadedAt time.Duration            // when it released a lease of its own last
+	timers              map[string]*leaseTimer
+	transfers           map[string]transfer      // by lease: transfers that operators requested
+	pendingDeclarations map[string]time.Duration // by lease: the bounds of declarations that are proposed and not yet applied
+	backoffUntil        map[string]time.Duration // by backoffKey, see backoffEnd
+	offloadedAt         time.Duration            // when the leader last released a lease that it held itself, see offloadOwnLease
 }
 
 func newLeaseTable() leaseTable {
 	return leaseTable{
-		timers:      map[string]*leaseTimer{},
-		transfers:   map[string]transfer{},
-		declaring:   map[string]time.Duration{},
-		pausedUntil: map[string]time.Duration{},
+		timers:              map[string]*leaseTimer{},
+		transfers:           map[string]transfer{},
+		pendingDeclarations: map[string]time.Duration{},
+		backoffUntil:        map[string]time.Duration{},
 	}
 }
 
-// renewalQueue is the renewals that wait for a majority to confirm that this voter still leads.
+// renewalQueue holds the renewals that wait for a majority to confirm that this voter still leads.
 type renewalQueue struct {
-	unconfirmed    []pendingRenewal // of leases, received since the last confirmation round began
-	confirming     []pendingRenewal // of leases, waiting for a confirmation round
-	configRenewals []pendingRenewal // of configuration leases
+	unconfirmed    []pendingRenewal // renewals of leases, received since the last confirmation round started
+	confirming     []pendingRenewal // renewals of leases that wait for the result of a confirmation round
+	configRenewals []pendingRenewal // renewals of configuration leases
 }
 
-// pendingRenewal is a renewal of a lease, or of a configuration lease, that waits for a confirmation round.
+// pendingRenewal is a requested renewal of a lease or of a configuration lease, which waits for the result of a confirmation round.
 type pendingRenewal struct {
 	name        string
 	incarnation uint64
 	seq         uint64
 	renewal     LeaseRenewal
 	receivedAt  time.Duration
-	round       uint64
+	round       uint64 // the confirmation round whose result allows the renewal
 
-	version uint64 // of a configuration lease
+	version uint64 // the version of a configuration lease
 }
 
-// newTimer returns the timer of a lease that runs from now for a full lease duration, with the leader's margin.
+// newTimer returns the timer of a lease that expires a full lease duration plus the leader's margin after now. A lease without a
+// holder expires at once.
 func (l *leader) newTimer(lease *Lease, now time.Duration) *leaseTimer {
 	timer := &leaseTimer{term: lease.Term, grantedAt: now, progressAt: now, expiresAt: now + l.node.options.Timing.leaderLease()}
 	if lease.Leaseholder == "" {
@@ -66,11 +67,11 @@
 	return timer
 }
 
-// hasUnconfirmed reports whether renewals wait for a confirmation round.
+// hasUnconfirmed reports whether renewals of leases were received since the last confirmation round started.
 func (l *leader) hasUnconfirmed() bool { return len(l.unconfirmed) > 0 }
 
-// onQuorumConfirmed handles a majority's confirmation that this voter led when the round began: all renewals received before
-// that are granted.
+// onQuorumConfirmed handles a majority's confirmation that this voter still led when the round started. It grants all renewals that
+// were received before the round started, and sends a heartbeat.
 func (l *leader) onQuorumConfirmed(now time.Duration, round uint64) {
 	renewed := map[string]*LeaderReply{}
 	remaining := l.confirming[:0]
@@ -107,8 +108,8 @@
 	l.heartbeat(now)
 }
 
-// requestRelease requests that a leaseholder which is alive but makes no progress releases its lease. A lease that it does not
-// release expires, since it is not renewed any more.
+// requestRelease asks a leaseholder that is alive but makes no progress to release its lease, at most once in each heartbeat interval.
+// Once the holder has received the request, it no longer renews the lease, so the lease expires even where its release is lost.
 func (l *leader) requestRelease(now time.Duration, lease *Lease, timer *leaseTimer) {
 	if timer.transferringAt != 0 && now-timer.transferringAt < l.node.options.Timing.HeartbeatInterval() {
 		return
@@ -117,7 +118,8 @@
 	l.reply(now, lease.Leaseholder, &LeaderReply{Release: lease.Name, Term: lease.Term})
 }
 
-// eligible reports whether a front can be granted a lease now.
+// eligible reports whether a front can be granted leases now: it has joined, it accepts leases, it is not shutting down, and it
+// reported recently.
 func (l *leader) eligible(now time.Duration, known *member) bool {
 	front := l.node.state.Fronts[known.Name]
 	recent := now-known.reportedAt < 2*l.node.options.Timing.reportInterval()
@@ -125,7 +127,7 @@
 	return known.AcceptsLeases && !known.Leaving && recent && joined
 }
 
-// backoff is how long a front is not granted a lease that it has lost so often.
+// backoff returns how long a front is not granted a lease that it has lost the given number of times.
 func (l *leader) backoff(losses uint32) time.Duration {
 	if losses == 0 {
 		return 0
@@ -133,9 +135,10 @@
 	return l.node.options.Timing.LeaseDuration << min(losses, 6)
 }
 
-// backoffEnd is when a front may be granted a lease again that it lost. Losses before this leader's time count from its start.
+// backoffEnd returns when a front that lost a lease may be granted it again. Backoffs for losses under an earlier leader start with
+// this leader's term.
 func (l *leader) backoffEnd(lease *Lease, front string) time.Duration {
-	if until, ok := l.pausedUntil[pauseKey(lease.Name, front)]; ok {
+	if until, ok := l.backoffUntil[backoffKey(lease.Name, front)]; ok {
 		return until
 	}
 	if losses := lease.losses(front); losses > 0 {
@@ -144,15 +147,16 @@
 	return 0
 }
 
-func pauseKey(leaseName, front string) string { return leaseName + "\x00" + front }
+// backoffKey returns the key of a lease and a front in leaseTable.backoffUntil.
+func backoffKey(leaseName, front string) string { return leaseName + "\x00" + front }
 
-// recordLoss counts a loss in a command that ends a lease, where its holder let it expire or made no progress; after a long tenure the
-// count starts anew.
+// recordLoss adds a loss to a command that ends a term of a lease, where the holder let the lease expire or made no progress. The
+// count restarts at one where the holder had held the lease for more than 32 lease durations.
 func (l *leader) recordLoss(now time.Duration, c *Command, timer *leaseTimer, expired bool) {
 	lease := l.node.state.Leases[c.Lease]
-	idle := lease.Bound > 0 && now-timer.progressAt > lease.Bound
+	stalled := lease.Bound > 0 && now-timer.progressAt > lease.Bound
 	switch {
-	case lease.Leaseholder == "" || !expired && !idle:
+	case lease.Leaseholder == "" || !expired && !stalled:
 		return
 	case !expired:
 		c.Reason = reasonNoProgress
@@ -163,14 +167,15 @@
 	}
 }
 
-// grantOptions say why a lease is granted, and to whom if there is a choice.
+// grantOptions says why a lease is granted, and which front is preferred.
 type grantOptions struct {
-	preferred string // the front that is requested, "" for none
+	preferred string // the front that a request names, "" for none
 	reason    string
-	expired   bool // the last holder let it expire
+	expired   bool // the last holder let the lease expire
 }
 
-// grant proposes a leaseholder: the preferred front, if eligible, else the best candidate.
+// grant proposes a new leaseholder: the preferred front if it is a candidate, otherwise the best candidate. It does nothing where
+// there is no candidate.
 func (l *leader) grant(now time.Duration, lease *Lease, timer *leaseTimer, o grantOptions) {
 	best := l.bestCandidate(now, lease, o.preferred)
 	if best == nil {
@@ -191,12 +196,12 @@
 	}
 }
 
-// bestCandidate returns the eligible front with the lowest candidateRank, nil for none. A front that lost the lease recently waits
-// for its backoff; one that released it does not get it back at once; and one with as many leases as a membership record can renew
-// gets no more.
+// bestCandidate returns the candidate with the lowest candidateRank, nil for none. A candidate is an eligible front with these
+// exceptions: the present holder, a front whose backoff for this lease has not ended, and a front that holds as many leases as a
+// membership record can renew.
 func (l *leader) bestCandidate(now time.Duration, lease *Lease, preferred string) (best *member) {
 	byFront, byZone := l.countLeases()
-	onTheirWay := l.countGrants()
+	pendingGrants := l.countPendingGrants()
 	var bestRank candidateRank
 	for _, name := range slices.Sorted(maps.Keys(l.members)) {
 		known := l.members[name]
@@ -204,7 +209,7 @@
 		if isCurrentHolder || !l.eligible(now, known) || now < l.backoffEnd(lease, name) {
 			continue
 		}
-		if byFront[name]+onTheirWay[name] >= maxRenewals {
+		if byFront[name]+pendingGrants[name] >= maxRenewals {
 			continue
 		}
 		rank := candidateRank{
@@ -216,7 +221,7 @@
 		switch name {
 		case preferred:
 			rank[0] = -1
-		case l.node.options.Name: // see offload
+		case l.node.options.Name: // the leader ranks behind other fronts with as many leases, see offloadOwnLease
 			rank[0]++
 		}
 		if best == nil || slices.Compare(rank[:], bestRank[:]) < 0 {
@@ -226,11 +231,11 @@
 	return best
 }
 
-// candidateRank orders candidates for a lease: by the leases of the front, by those of its zone, by how often it recently lost this
-// one, and by a hash.
+// candidateRank orders the candidates for a lease, lowest first. It consists of the number of leases of the front, the number of
+// leases of its zone, how often the front recently lost this lease, and a hash.
 type candidateRank [4]int
 
-// countLeases counts the leases of each front and of each zone.
+// countLeases returns the number of leases of each front and of each zone.
 func (l *leader) countLeases() (byFront, byZone map[string]int) {
 	byFront, byZone = map[string]int{}, map[string]int{}
 	for _, lease := range l.node.state.Leases {
@@ -245,8 +250,8 @@
 	return byFront, byZone
 }
 
-// countGrants counts the grants to each front that are proposed and not applied yet.
-func (l *leader) countGrants() map[string]int {
+// countPendingGrants returns the number of grants to each front that are proposed and not yet applied.
+func (l *leader) countPendingGrants() map[string]int {
 	byFront := map[string]int{}
 	for _, timer := range l.timers {
 		if timer.transferring && timer.transferringTo != "" {
@@ -256,9 +261,9 @@
 	return byFront
 }
 
-// offload transfers a lease that the leader itself holds to a front with no more leases. Otherwise one failed process would cost
-// an election and a lease duration, one after the other.
-func (l *leader) offload(now time.Duration) {
+// offloadOwnLease releases a lease that the leader itself holds, where an eligible front has no more leases than the leader. Otherwise the
+// failure of one process would cost an election and then a lease duration, one after the other.
+func (l *leader) offloadOwnLease(now time.Duration) {
 	timing := l.node.options.Timing
 	if now-l.since < timing.LeaseDuration || now-l.offloadedAt < timing.LeaseDuration {
 		return
@@ -276,7 +281,7 @@
 	}
 	self := l.node.options.Name
 	for name, known := range l.members {
-		if name == self || leaseCounts[name] > leaseCounts[self] || now < l.pausedUntil[pauseKey(ownName, name)] {
+		if name == self || leaseCounts[name] > leaseCounts[self] || now < l.backoffUntil[backoffKey(ownName, name)] {
 			continue
 		}
 		if l.eligible(now, known) {
@@ -287,8 +292,8 @@
 	}
 }
 
-// renewConfigLeases renews the configuration leases that were requested before a confirmed round. A version that the replicated
-// state does not allow is not renewed; earlier renewals of it are left to expire.
+// renewConfigLeases renews the configuration leases that were requested before a confirmed round started. It does not renew a lease
+// on a version that the replicated state does not allow: the earlier renewals of that lease expire.
 func (l *leader) renewConfigLeases(round uint64) {
 	type key struct {
 		name    string
--- a/fleet/leader_members.go
+++ b/fleet/leader_members.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// member is a front's latest membership record.
+// member is a front's latest membership record, and when the leader received it.
 type member struct {
 	MembershipRecord
 	reportedAt time.Duration
 }
 
-// memberTable is the fronts as they report themselves to the leader.
+// memberTable is the leader's state of the fronts that report to it.
 type memberTable struct {
 	members    map[string]*member
-	retryAt    map[string]time.Duration // by front: no join or leave of it is proposed before
-	duplicates map[string]*duplicate    // processes that use another process's name
+	retryAt    map[string]time.Duration // by front: the earliest time to propose its join or leave again
+	duplicates map[string]*duplicate    // by front: a process that uses the name of another live process
 }
 
 func newMemberTable() memberTable {
@@ -23,14 +23,15 @@
 	}
 }
 
-// duplicate is a process that uses another live process's name: when it first and last reported, and how often.
+// duplicate is a process that uses the name of another live process, the owner of the name.
 type duplicate struct {
-	incarnation                 uint64
-	firstReportAt, lastReportAt time.Duration
-	reports                     int
+	incarnation                  uint64
+	firstReportAt, ownerReportAt time.Duration // when the duplicate first reported, and when ownerReports last rose
+	ownerReports                 int           // the number of membership records of the owner since firstReportAt
 }
 
-// onMembership handles a front's membership record.
+// onMembership handles a front's membership record. It ignores a record that is not newer than the last one. It proposes the join of
+// a front that is new or changed, and queues the leases that the record renews.
 func (l *leader) onMembership(now time.Duration, report MembershipRecord) {
 	front := l.node.state.Fronts[report.Name]
 	if front != nil && front.isPast(report.Incarnation) {
@@ -38,16 +39,16 @@
 		return
 	}
 	known := l.members[report.Name]
-	if front == nil && l.announcedByAnother(now, known, &report) {
+	if front == nil && l.reportedByAnother(now, known, &report) {
 		return
 	}
 	if front != nil && front.Incarnation != report.Incarnation && l.nameInUse(now, front, known, report) {
 		return
 	}
 	if d := l.duplicates[report.Name]; d != nil && d.incarnation != report.Incarnation {
-		if now-d.lastReportAt >= l.node.options.Timing.reportInterval()/2 { // records that were delayed arrive together, and count once
-			d.lastReportAt = now
-			d.reports++
+		if now-d.ownerReportAt >= l.node.options.Timing.reportInterval()/2 { // delayed records arrive together and count as one
+			d.ownerReportAt = now
+			d.ownerReports++
 		}
 	}
 	if known == nil && len(l.members) >= maxKnownFronts {
@@ -68,16 +69,16 @@
 	l.queueRenewals(now, &report)
 }
 
-// announcedByAnother reports whether a name that is not in the replicated state yet was reported a moment ago by another process.
-// Joins may take long to be applied: until then a late record of a process long gone must not follow the live one's.
-func (l *leader) announcedByAnother(now time.Duration, known *member, report *MembershipRecord) bool {
+// reportedByAnother reports whether another process reported a name recently that is not yet in the replicated state. The join of
+// that process may take long to be applied. Until then a delayed record of a process that ended long ago must not replace its record.
+func (l *leader) reportedByAnother(now time.Duration, known *member, report *MembershipRecord) bool {
 	if known == nil || known.Incarnation == report.Incarnation || known.Leaving {
 		return false
 	}
 	return now-known.reportedAt < 3*l.node.options.Timing.reportInterval()
 }
 
-// frontOf is a front's replicated membership as it reports it.
+// frontOf returns the replicated membership of a front according to its membership record.
 func frontOf(report *MembershipRecord) *Front {
 	return &Front{
 		Name:        report.Name,
@@ -88,14 +89,14 @@
 	}
 }
 
-// matches reports whether a front's replicated membership is what it reports.
+// matches reports whether a front's replicated membership agrees with its membership record. It is false where front is nil.
 func (front *Front) matches(report *MembershipRecord) bool {
 	return front != nil && front.Incarnation == report.Incarnation && front.Address == report.Address &&
 		front.Zone == report.Zone && front.Version == report.Version
 }
 
-// queueConfigLeases queues the configuration leases that a front requests. They are confirmed by the next round, which begins
-// after this report.
+// queueConfigLeases queues the configuration leases that a front requests. The next confirmation round confirms them, because it
+// starts after this report was received.
 func (l *leader) queueConfigLeases(now time.Duration, report *MembershipRecord) {
 	if !report.WantsConfigLease || len(l.configRenewals) >= 4*maxKnownFronts {
 		return
@@ -104,7 +105,7 @@
 		name:        report.Name,
 		incarnation: report.Incarnation,
 		seq:         report.Seq,
-		round:       l.voter.readRounds + 1,
+		round:       l.voter.roundsStarted + 1,
 		receivedAt:  now,
 		version:     report.ActiveVersion,
 	}
@@ -115,7 +116,8 @@
 	}
 }
 
-// queueRenewals queues the leases that a front wants renewed, for the next confirmation round.
+// queueRenewals queues the leases that a front renews for the next confirmation round. It ignores the leases that the front does
+// not hold.
 func (l *leader) queueRenewals(now time.Duration, report *MembershipRecord) {
 	for _, renewal := range report.Renewals {
 		lease, timer := l.node.state.Leases[renewal.Lease], l.timers[renewal.Lease]
@@ -132,8 +134,9 @@
 	}
 }
 
-// nameInUse reports whether a name still belongs to another process. A process that reports keeps its name, so that neither a
-// late record of a process long gone nor a second process displaces it. A second process that keeps reporting is displaced.
+// nameInUse reports whether a name still belongs to another process than the one that sent report. A process that keeps reporting
+// keeps its name: neither a delayed record of a process that ended long ago nor a second process displaces it. A second process is
+// displaced if it still reports after more than 3 lease durations in which the owner of the name reported more than 3 times.
 func (l *leader) nameInUse(now time.Duration, front *Front, known *member, report MembershipRecord) bool {
 	lastContact := l.since
 	if known != nil && known.Incarnation == front.Incarnation {
@@ -152,13 +155,13 @@
 		if len(l.duplicates) < maxKnownFronts {
 			l.duplicates[report.Name] = &duplicate{report.Incarnation, now, now, 0}
 		}
-	case now-other.firstReportAt > 3*l.node.options.Timing.LeaseDuration && other.reports > 3:
+	case now-other.firstReportAt > 3*l.node.options.Timing.LeaseDuration && other.ownerReports > 3:
 		l.reply(now, report.Name, &LeaderReply{Displaced: report.Incarnation})
 	}
 	return true
 }
 
-// removeDeparted removes fronts from the replicated state that have been silent for long, or left.
+// removeDeparted proposes the removal of the fronts that have departed.
 func (l *leader) removeDeparted(now time.Duration) {
 	departed := func(name string, _ *Front) bool { return l.hasDeparted(now, name) && now >= l.retryAt[name] }
 	for _, name := range sortedMatches(l.node.state.Fronts, departed) {
@@ -168,7 +171,7 @@
 	}
 }
 
-// hasDeparted reports whether a front has been silent for long, or for a while after it reported that it leaves.
+// hasDeparted reports whether a front has sent no record for 20 lease durations, or for 2 after a record that it is leaving.
 func (l *leader) hasDeparted(now time.Duration, name string) bool {
 	leaseDuration := l.node.options.Timing.LeaseDuration
 	member := l.members[name]
--- a/fleet/leader_proposals.go
+++ b/fleet/leader_proposals.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// maxRememberedProposals is how many proposals of each front the leader remembers. A front has at most maxPendingRequests without
-// an answer; those that were answered a moment ago are remembered as well.
+// maxRememberedProposals is how many proposals of each front the leader remembers. A front has at most maxPendingRequests that
+// are not answered yet; the leader also remembers requests that were answered recently.
 const maxRememberedProposals = 4 * maxPendingRequests
 
-// proposalMemory is the requests that a leader has proposed, by requester: a repeated one must not be proposed again. A requester
-// repeats each unanswered request once in a heartbeat interval, so a request that was not received for a full lease duration
-// is not repeated any more and may be forgotten. Where the memory is full, further requests wait until it has room.
+// proposalMemory stores the requests that a leader has proposed, by requester, so that it proposes no repeated request again. A
+// requester repeats each unanswered request once in a heartbeat interval. So a request that was not received for a full lease
+// duration will not be repeated and can be removed. Where the memory is full, further requests wait until it has room.
 type proposalMemory struct {
-	recent, previous map[string]map[uint64]bool // in this lease duration, and in the one before
+	recent, previous map[string]map[uint64]bool // the request IDs received in this lease duration, and in the one before
 	rotatedAt        time.Duration
 }
 
@@ -18,7 +18,8 @@
 	return proposalMemory{recent: map[string]map[uint64]bool{}, rotatedAt: now}
 }
 
-// admit reports whether a request may be proposed: it is new, and there is room to remember it.
+// admit reports whether a request may be proposed: it is new, and the memory has room for it. A request that is not new is
+// remembered for longer.
 func (m *proposalMemory) admit(requester string, id uint64) bool {
 	if m.recent[requester][id] || m.previous[requester][id] {
 		m.add(requester, id)
@@ -30,7 +31,7 @@
 	return len(m.recent[requester]) < maxRememberedProposals
 }
 
-// add remembers a request, from now on for a lease duration at least.
+// add stores a request for at least one lease duration.
 func (m *proposalMemory) add(requester string, id uint64) {
 	if m.recent[requester] == nil {
 		m.recent[requester] = map[uint64]bool{}
@@ -38,7 +39,8 @@
 	m.recent[requester][id] = true
 }
 
-// rotate forgets what was not received for a full lease duration.
+// rotate removes the requests that were not received for a full lease duration. It does nothing until a lease duration has
+// passed since its last effect.
 func (m *proposalMemory) rotate(now, leaseDuration time.Duration) {
 	if now-m.rotatedAt < leaseDuration {
 		return
--- a/fleet/leader_requests.go
+++ b/fleet/leader_requests.go
@@ -9,17 +9,17 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// transfer is an operator's request to transfer a lease, which was in term.
+// transfer is an operator's request to transfer a lease. It is done once the lease is in a later term than term.
 type transfer struct {
 	requester string
 	requestID uint64
 	term      uint64
 }
 
-// onRequest handles a front's request.
+// onRequest handles a front's request. Until the leader is ready it drops requests.
 func (l *leader) onRequest(now time.Duration, m *Message) {
 	if !l.ready {
-		return // the requester retries
+		return // the requester sends the request again
 	}
 	switch m.Request.Type {
 	case RequestProposal:
@@ -33,15 +33,16 @@
 	}
 }
 
-// answer answers a request: with why it cannot be served, or with nil where nothing is left to do.
+// answer replies to a request with its error. err is nil where the request succeeded.
 func (l *leader) answer(now time.Duration, requester string, q *Request, err error) {
 	l.reply(now, requester, &LeaderReply{RequestID: q.ID, Error: errorText(err)})
 }
 
-// onProposal proposes a command for the log. Its answer follows when the command was applied, from each front's own state.
+// onProposal proposes the command of a request. The leader replies only where it rejects the command or there is nothing to do.
+// Otherwise the requester learns the result when it applies the command to its own copy of the replicated state.
 func (l *leader) onProposal(now time.Duration, requester string, q *Request) {
 	if !l.proposals.admit(requester, q.ID) {
-		return // applied already or proposed; or too many of it are remembered, and the requester retries
+		return // it was proposed already, or the memory has no room and the requester sends the request again
 	}
 	var c Command
 	if err := msgpack.Unmarshal(q.Command, &c); err != nil || c.Requester != requester {
@@ -71,9 +72,10 @@
 	}
 }
 
-// onDeclarations declares the leases of a request that neither the replicated state has nor a declaration on its way. Fronts
-// declare the same leases at the same time: the log's entries are as many as leases, however many fronts ask. The answer is
-// each front's own state; one that asks for what is declared already has not seen it yet, and is answered.
+// onDeclarations proposes to declare the leases of a request. It omits leases that are declared already or whose declaration is
+// proposed. Fronts declare the same leases at the same time, so this keeps the number of log entries at the number of leases, however
+// many fronts ask. A front learns the result from its own copy of the replicated state. Where all leases of the request are declared,
+// the copy of the requester is behind, and the leader replies.
 func (l *leader) onDeclarations(now time.Duration, requester string, q *Request, c *Command) {
 	all := append([]Declaration{{Lease: c.Lease, Bound: c.Bound}}, q.Declarations...)
 	declared := true
@@ -82,11 +84,11 @@
 			continue
 		}
 		declared = false
-		if bound, ok := l.declaring[d.Lease]; ok && bound == d.Bound {
+		if bound, ok := l.pendingDeclarations[d.Lease]; ok && bound == d.Bound {
 			continue
 		}
 		if l.voter.propose(&Command{Op: opDeclareLease, Lease: d.Lease, Bound: d.Bound}) {
-			l.declaring[d.Lease] = d.Bound
+			l.pendingDeclarations[d.Lease] = d.Bound
 		}
 	}
 	if declared {
@@ -94,11 +96,12 @@
 	}
 }
 
-// onRelease grants a lease that its holder released to another front, or records that nobody holds it.
+// onRelease handles the release of a lease by its holder. It proposes to grant the lease to another front, or to vacate the lease
+// where there is no candidate.
 func (l *leader) onRelease(now time.Duration, requester string, q *Request) {
 	lease, timer := l.node.state.Leases[q.Lease], l.timers[q.Lease]
 	if lease == nil || timer == nil || lease.Term != q.Term || lease.Leaseholder != requester || timer.transferring {
-		return // transferred already, or proposed
+		return // the lease was transferred already, or its transfer is proposed
 	}
 	l.grant(now, lease, timer, grantOptions{preferred: q.To, reason: reasonTransferred})
 	c := &Command{Op: opVacateLease, Lease: lease.Name, Term: lease.Term, Reason: reasonReleased}
@@ -108,7 +111,8 @@
 	}
 }
 
-// onTransfer asks a leaseholder to release a lease, for an operator. The request is answered once another front holds it.
+// onTransfer handles an operator's request to transfer a lease: it asks the holder to release the lease. The leader answers the
+// request once another front holds the lease.
 func (l *leader) onTransfer(now time.Duration, requester string, q *Request) {
 	lease, timer := l.node.state.Leases[q.Lease], l.timers[q.Lease]
 	switch known := l.members[q.To]; {
@@ -126,7 +130,7 @@
 	}
 }
 
-// memberReports returns all fronts' digests of a part.
+// memberReports returns a report of each front with its digest of a subsystem, sorted by name. Data is nil where the front has none.
 func (l *leader) memberReports(now time.Duration, subsystem string) (all []MemberReport) {
 	for _, name := range slices.Sorted(maps.Keys(l.members)) {
 		known := l.members[name]
--- a/fleet/leases.go
+++ b/fleet/leases.go
@@ -12,35 +12,35 @@
 type ownLease struct {
 	term, progress uint64
 	expiresAt      time.Duration
-	confirmedAt    time.Duration // when the report was sent that a leader confirmed last
+	confirmedAt    time.Duration // when this front sent the latest report that a leader confirmed
 	confirmedTerm  uint64        // the term of that leader, 0 where it is not known
-	releasing      bool
-	broadcasts     uint64
-	announced      bool // LeaseAcquired was emitted
+	releasing      bool          // this front has stopped using the lease, and asks the leader to grant it to another front
+	broadcasts     uint64        // the number of broadcasts in this term
+	announced      bool          // LeaseAcquired was emitted, and LeaseEnded was not emitted since
 }
 
-// leaseState is the leases that a Node holds, and those that it declares.
+// leaseState holds the leases that a Node holds and the leases that it declares, by name.
 type leaseState struct {
 	ownLeases      map[string]*ownLease
-	declaredLeases map[string]time.Duration // with the bound of their progress
-	missingLeases  map[string]uint64        // those of them that the replicated state lacks, with the latest request to declare them
+	declaredLeases map[string]time.Duration // the bounds of their progress
+	missingLeases  map[string]uint64        // declared leases that the replicated state lacks: the latest request to declare each, or 0
 }
 
 func newLeaseState() leaseState {
 	return leaseState{ownLeases: map[string]*ownLease{}, declaredLeases: map[string]time.Duration{}, missingLeases: map[string]uint64{}}
 }
 
-// DeclareLease declares a lease that some front should hold, and report progress on within bound; 0 for no bound.
+// DeclareLease declares a lease that one of the fronts should hold. The holder must report progress within bound; 0 is no bound.
 func (n *Node) DeclareLease(leaseName string, bound time.Duration) {
-	if was, ok := n.declaredLeases[leaseName]; ok && was != bound {
-		delete(n.missingLeases, leaseName) // a request with the old bound does not count
+	if previous, ok := n.declaredLeases[leaseName]; ok && previous != bound {
+		delete(n.missingLeases, leaseName) // a pending request with the previous bound does not declare the lease as it is now
 	}
 	n.declaredLeases[leaseName] = bound
-	n.noteDeclared(leaseName)
+	n.updateMissingLease(leaseName)
 }
 
-// noteDeclared updates whether the replicated state lacks a lease that this front declares.
-func (n *Node) noteDeclared(leaseName string) {
+// updateMissingLease updates missingLeases for a lease: whether this front declares the lease and the replicated state lacks it.
+func (n *Node) updateMissingLease(leaseName string) {
 	bound, ok := n.declaredLeases[leaseName]
 	if !ok || n.state.declares(Declaration{Lease: leaseName, Bound: bound}) {
 		delete(n.missingLeases, leaseName)
@@ -51,8 +51,7 @@
 	}
 }
 
-// HoldsLease reports whether this front holds a lease now, and in which term. Call it directly before each action under the
-// lease.
+// HoldsLease reports whether this front holds a lease now, and in which term. Call it directly before each action under the lease.
 func (n *Node) HoldsLease(now time.Duration, leaseName string) (term uint64, ok bool) {
 	own := n.ownLeases[leaseName]
 	if own == nil || own.releasing || now >= own.expiresAt || n.isDisplaced {
@@ -61,7 +60,8 @@
 	return own.term, true
 }
 
-// LeaseExpiry returns until when this front holds a lease as far as it knows, on its own clock; 0 where it holds none.
+// LeaseExpiry returns the time at which a lease that this front holds expires unless it is renewed, on this front's clock. It is 0
+// where this front does not hold the lease.
 func (n *Node) LeaseExpiry(leaseName string) time.Duration {
 	if own := n.ownLeases[leaseName]; own != nil {
 		return own.expiresAt
@@ -69,8 +69,8 @@
 	return 0
 }
 
-// LeaseConfirmed returns the term of the leader that renewed a lease last, and a time of this front's clock after which that leader
-// was confirmed by a majority. The term is 0 where no renewal named it.
+// LeaseConfirmed returns the term of the leader that last renewed a lease. A majority confirmed that leader after the time after,
+// which is on this front's clock. The term is 0 where the renewal did not name it.
 func (n *Node) LeaseConfirmed(leaseName string) (leaderTerm uint64, after time.Duration) {
 	if own := n.ownLeases[leaseName]; own != nil {
 		return own.confirmedTerm, own.confirmedAt
@@ -78,25 +78,25 @@
 	return 0, 0
 }
 
-// ReportProgress records that the leaseholder made progress.
+// ReportProgress records that this front made progress with a lease that it holds.
 func (n *Node) ReportProgress(leaseName string) {
 	if own := n.ownLeases[leaseName]; own != nil {
 		own.progress++
 	}
 }
 
-// onLeaseChanged applies a lease's replicated state to this front.
+// onLeaseChanged updates this front's own lease after the replicated state of the lease changed: it starts or ends holding it.
 func (n *Node) onLeaseChanged(now time.Duration, lease *Lease) {
 	if f := n.fences[lease.Name]; lease.Term > f.term {
 		n.fences[lease.Name] = fence{term: lease.Term}
 	}
 	own := n.ownLeases[lease.Name]
-	ours := lease.Leaseholder == n.options.Name && lease.Incarnation == n.options.Incarnation && !n.isDisplaced
-	if own != nil && (!ours || own.term != lease.Term) {
+	isHolder := lease.Leaseholder == n.options.Name && lease.Incarnation == n.options.Incarnation && !n.isDisplaced
+	if own != nil && (!isHolder || own.term != lease.Term) {
 		n.dropLease(lease.Name, reasonGrantedTo+cmp.Or(lease.Leaseholder, "nobody"))
 		own = nil
 	}
-	if !ours || own != nil {
+	if !isHolder || own != nil {
 		return
 	}
 	own = &ownLease{term: lease.Term}
@@ -106,10 +106,11 @@
 		return
 	}
 	n.extendLease(now, lease.Name, lease.RequestSeq, 0)
-	n.reportMembership(now) // the request is as old as the grant took: renew at once
+	n.reportMembership(now) // the lease counts from a report sent before the grant, so renew it at once
 }
 
-// extendLease extends a lease, less the margin, from when this front sent the report that the leader confirmed.
+// extendLease extends a lease that this front holds. The lease counts from when this front sent the report seq that the leader
+// confirmed, and lasts for the lease duration less the margin.
 func (n *Node) extendLease(now time.Duration, leaseName string, seq, leaderTerm uint64) {
 	own := n.ownLeases[leaseName]
 	if seq > n.reportSeq || n.reportSeq-seq >= rememberedSendTimes || own.releasing {
@@ -129,7 +130,7 @@
 	n.emit(LeaseAcquired{Lease: leaseName, Term: own.term, Until: until, Since: since})
 }
 
-// dropLease ends a lease that another front holds now.
+// dropLease removes a lease that this front no longer holds.
 func (n *Node) dropLease(leaseName, reason string) {
 	own := n.ownLeases[leaseName]
 	delete(n.ownLeases, leaseName)
@@ -138,7 +139,7 @@
 	}
 }
 
-// releaseLease stops using a lease, and notifies the leader after that.
+// releaseLease stops using a lease, and then asks the leader to transfer it to the front to, or to any front where to is "".
 func (n *Node) releaseLease(now time.Duration, leaseName, to, reason string) {
 	own := n.ownLeases[leaseName]
 	if own == nil || own.releasing {
@@ -149,7 +150,8 @@
 	n.Request(now, Request{Type: RequestRelease, Lease: leaseName, Term: own.term, To: to})
 }
 
-// Leave begins this front's shutdown: it releases its leases, reports that it leaves, and takes no new leases.
+// Leave starts this front's shutdown: it releases its leases, reports that it is leaving, transfers the leadership if it leads, and
+// accepts no new leases.
 func (n *Node) Leave(now time.Duration) {
 	n.leaving = true
 	for _, leaseName := range slices.Sorted(maps.Keys(n.ownLeases)) {
@@ -158,22 +160,22 @@
 	n.reportMembership(now)
 	if n.voter != nil {
 		n.voter.transferLeadership()
-		n.voter.process(now)
+		n.voter.processReady(now)
 	}
 }
 
-// HasLeft reports whether all leases, and the leadership, are transferred.
+// HasLeft reports whether this front holds no lease and does not lead, as after Leave.
 func (n *Node) HasLeft() bool {
 	return len(n.ownLeases) == 0 && (n.voter == nil || !n.voter.isLeader())
 }
 
-// LeaseKind is the part of a lease's name before the slash, such as the prefix of ProbeLease.
+// LeaseKind returns the part of a lease's name before the first slash, such as the prefix of ProbeLease.
 func LeaseKind(leaseName string) string {
 	kind, _, _ := strings.Cut(leaseName, "/")
 	return kind
 }
 
-// endExpiredLeases stops using leases that expired.
+// endExpiredLeases emits the end of the leases that expired.
 func (n *Node) endExpiredLeases(now time.Duration) {
 	expired := func(_ string, own *ownLease) bool { return own.announced && now >= own.expiresAt }
 	for _, name := range sortedMatches(n.ownLeases, expired) {
@@ -181,7 +183,7 @@
 	}
 }
 
-// announceEnd emits the end of a lease whose acquisition was emitted.
+// announceEnd emits LeaseEnded for a lease, unless no LeaseAcquired was emitted before it.
 func (n *Node) announceEnd(leaseName string, own *ownLease, reason string) {
 	if !own.announced {
 		return
--- a/fleet/lenient_decode.go
+++ b/fleet/lenient_decode.go
@@ -2,9 +2,9 @@
 
 import "github.com/vmihailenco/msgpack/v5"
 
-// decodeLenient reads an array of fields, of which newer programs may send more and older ones fewer: unknown ones are skipped,
-// missing ones stay zero. So a fleet can be upgraded front by front. Messages only ever gain fields at their end. The replicated
-// state is decoded strictly instead: a front that skipped part of it would pass on less than it received.
+// decodeLenient decodes an array into fields. It skips elements beyond the known fields, which newer programs send, and leaves fields
+// unchanged that older programs don't send. So a fleet can be upgraded front by front, as long as messages gain fields only at their
+// end. The replicated state is decoded strictly instead: a front that skipped a part of it would forward less than it received.
 func decodeLenient(d *msgpack.Decoder, fields ...any) error {
 	n, err := d.DecodeArrayLen()
 	if err != nil {
@@ -30,8 +30,8 @@
 }
 
 // DecodeMsgpack decodes a Handshake of this or another version of the program.
-func (g *Handshake) DecodeMsgpack(d *msgpack.Decoder) error {
-	return decodeLenient(d, &g.Fleet, &g.Name, &g.Incarnation, &g.Zone, &g.Address, &g.Format, &g.Voter, &g.Dialled, &g.Floor, &g.KnownFloor)
+func (h *Handshake) DecodeMsgpack(d *msgpack.Decoder) error {
+	return decodeLenient(d, &h.Fleet, &h.Name, &h.Incarnation, &h.Zone, &h.Address, &h.Format, &h.Voter, &h.Dialled, &h.Floor, &h.KnownFloor)
 }
 
 // DecodeMsgpack decodes a MembershipRecord of this or another version of the program.
@@ -48,13 +48,13 @@
 }
 
 // DecodeMsgpack decodes a Digest of this or another version of the program.
-func (x *Digest) DecodeMsgpack(d *msgpack.Decoder) error {
-	return decodeLenient(d, &x.Subsystem, &x.Data)
+func (digest *Digest) DecodeMsgpack(d *msgpack.Decoder) error {
+	return decodeLenient(d, &digest.Subsystem, &digest.Data)
 }
 
 // DecodeMsgpack decodes a MemberReport of this or another version of the program.
-func (t *MemberReport) DecodeMsgpack(d *msgpack.Decoder) error {
-	return decodeLenient(d, &t.Front, &t.Incarnation, &t.Zone, &t.Age, &t.ActiveVersion, &t.WantsConfigLease, &t.Leaving, &t.Index, &t.Data)
+func (r *MemberReport) DecodeMsgpack(d *msgpack.Decoder) error {
+	return decodeLenient(d, &r.Front, &r.Incarnation, &r.Zone, &r.Age, &r.ActiveVersion, &r.WantsConfigLease, &r.Leaving, &r.Index, &r.Data)
 }
 
 // DecodeMsgpack decodes a Request of this or another version of the program.
@@ -63,8 +63,8 @@
 }
 
 // DecodeMsgpack decodes a Declaration of this or another version of the program.
-func (x *Declaration) DecodeMsgpack(d *msgpack.Decoder) error {
-	return decodeLenient(d, &x.Lease, &x.Bound)
+func (declaration *Declaration) DecodeMsgpack(d *msgpack.Decoder) error {
+	return decodeLenient(d, &declaration.Lease, &declaration.Bound)
 }
 
 // DecodeMsgpack decodes a LeaderReply of this or another version of the program.
@@ -79,8 +79,8 @@
 }
 
 // DecodeMsgpack decodes a Position of this or another version of the program.
-func (m *Position) DecodeMsgpack(d *msgpack.Decoder) error {
-	return decodeLenient(d, &m.Name, &m.Term, &m.Index, &m.Version)
+func (p *Position) DecodeMsgpack(d *msgpack.Decoder) error {
+	return decodeLenient(d, &p.Name, &p.Term, &p.Index, &p.Version)
 }
 
 // DecodeMsgpack decodes a ProbeResult of this or another version of the program.
--- a/fleet/links.go
+++ b/fleet/links.go
@@ -9,25 +9,25 @@
 	"time"
 )
 
-// DialTarget is a link that this front should open.
+// DialTarget is a front to which this front should open a link.
 type DialTarget struct{ Name, Address string }
 
-// peer is a front that this one is linked to.
+// peer is a front to which this front has a link.
 type peer struct {
 	Handshake
 	lastReceivedAt, lastSentAt time.Duration
-	index                      uint64 // of the replicated state that it is known to have
+	index                      uint64 // the index of the replicated state that the peer is known to have
 }
 
-// linkState is what a Node knows of its links, and of fronts that it could link to.
+// linkState holds a Node's links and its state of the fronts that it could dial. The maps are by name.
 type linkState struct {
 	peers        map[string]*peer
-	retryAt      map[string]time.Duration // by front: not dialled before
-	failures     map[string]int
-	suggested    map[string]string // by name: addresses that a full front suggested
-	rankSalt     uint32
-	rankSaltedAt time.Duration
-	searchedAt   time.Duration // when WantedLinks last looked for other fronts
+	retryAt      map[string]time.Duration // the earliest time to dial a front again
+	failures     map[string]int           // the number of successive failures to dial a front, at most 6
+	suggested    map[string]string        // addresses of fronts that a front without room for more links suggested
+	rankSalt     uint32                   // see rank
+	rankSaltedAt time.Duration            // when rankSalt last changed
+	searchedAt   time.Duration            // when WantedLinks last looked for other fronts
 }
 
 func newLinkState() linkState {
@@ -39,10 +39,11 @@
 	}
 }
 
-// Peers returns the names of the fronts that this one is linked to.
+// Peers returns the names of the fronts to which this front has a link, sorted.
 func (n *Node) Peers() []string { return slices.Sorted(maps.Keys(n.peers)) }
 
-// Hello is the first message on a new link to a peer; to is "" where its name is not known yet.
+// Hello returns the first message on a new link to the front to; to is "" where its name is not known yet. dialled says that this
+// front dialled the link.
 func (n *Node) Hello(to string, dialled bool) *Message {
 	hello := &Handshake{
 		Fleet:       n.options.Fleet,
@@ -60,8 +61,8 @@
 	return &Message{Kind: KindHello, From: n.options.Name, Index: n.state.Index, Hello: hello}
 }
 
-// CheckHello checks a peer's first message; the error is the reason to reject the link. An accepted link takes the place of an
-// existing one to the same peer.
+// CheckHello checks a peer's first message. The error is the reason to reject the link. A link that is accepted replaces an existing
+// link to the same peer.
 func (n *Node) CheckHello(now time.Duration, m *Message) (err error) {
 	if err := m.check(); err != nil {
 		return err
@@ -82,7 +83,7 @@
 	case front != nil && front.isPast(hello.Incarnation):
 		return errDisplacedName
 	case existing != nil && n.prefersExistingLink(now, existing, hello):
-		return errDuplicateLink // both dialled: the link of the lesser name stays
+		return errDuplicateLink // both fronts dialled: the link that the front with the lesser name dialled stays
 	}
 	if existing == nil && hello.Dialled && !hello.Voter && !n.isVoter(hello.Name) {
 		inbound := 0
@@ -98,7 +99,8 @@
 	return nil
 }
 
-// prefersExistingLink reports whether a live link to a peer takes precedence over a new one.
+// prefersExistingLink reports whether an existing link to a peer takes precedence over a new link. That holds where both fronts dialled
+// at the same time, the existing link is alive, and the new one was not dialled by the front with the lesser name.
 func (n *Node) prefersExistingLink(now time.Duration, existing *peer, hello *Handshake) bool {
 	alive := existing.Incarnation == hello.Incarnation && now-existing.lastReceivedAt < n.options.Timing.LinkTimeout()
 	bothDialled := existing.Dialled != hello.Dialled
@@ -106,7 +108,8 @@
 	return alive && bothDialled && !newHasLesserName
 }
 
-// Rejection is the message to a peer that CheckHello rejected. Where this front is full it suggests those that it is linked to.
+// Rejection returns the message to a peer whose link CheckHello rejected with err. Where this front has too many followers, the message
+// suggests the followers that it has links to.
 func (n *Node) Rejection(err error) *Message {
 	m := &Message{Kind: KindReject, Reason: err.Error()}
 	if errors.Is(err, errTooManyFollowers) {
@@ -119,7 +122,7 @@
 	return m
 }
 
-// LinkUp adds a link to a peer that passed CheckHello; it takes the place of an existing one.
+// LinkUp adds the link to a peer whose first message m passed CheckHello. It replaces an existing link to the same peer.
 func (n *Node) LinkUp(now time.Duration, m *Message) {
 	hello := m.Hello
 	n.peers[hello.Name] = &peer{Handshake: *hello, lastReceivedAt: now, lastSentAt: now, index: m.Index}
@@ -147,7 +150,7 @@
 	}
 }
 
-// LinkDown removes the link to a peer.
+// LinkDown removes the link to a peer. Where the peer was the next hop to the leader, it chooses another peer, preferably a voter.
 func (n *Node) LinkDown(now time.Duration, name string) {
 	delete(n.peers, name)
 	delete(n.outgoingSnapshots, name)
@@ -165,8 +168,8 @@
 	}
 }
 
-// DialFailed handles a wanted link that was not established. reason is the text of the peer's rejection, "" where there was no
-// answer; suggestions are fronts to link to instead.
+// DialFailed handles the failure to establish a wanted link. reason is the text of the peer's rejection, "" where the peer did not
+// answer. suggestions are fronts to dial instead.
 func (n *Node) DialFailed(now time.Duration, name, reason string, suggestions []MembershipRecord) {
 	for _, report := range suggestions {
 		if len(n.suggested) < maxMembers && report.Name != n.options.Name && report.Address != "" {
@@ -183,14 +186,14 @@
 	n.failures[name] = min(n.failures[name]+1, 6)
 	wait := n.options.Timing.HeartbeatInterval() << n.failures[name]
 	if n.voter != nil && n.isVoter(name) {
-		wait = n.options.Timing.electionTimeout() // voters depend on each other
+		wait = n.options.Timing.electionTimeout() // a voter reconnects to other voters sooner, since consensus needs these links
 	} else if ProtocolError(reason) == errTooManyFollowers {
 		wait = 10 * n.options.Timing.LeaseDuration
 	}
 	n.retryAt[name] = now + wait
 }
 
-// markDisplaced takes this front out of the fleet for good: another process has its name.
+// markDisplaced takes this front out of the fleet until its process ends, because another process has its name.
 func (n *Node) markDisplaced(reason string) {
 	if n.isDisplaced {
 		return
@@ -203,18 +206,18 @@
 	if n.voter != nil {
 		n.voter.halt(reasonVoterNameTaken)
 	}
-	n.closing = append(n.closing, n.Peers()...)
+	n.linksToClose = append(n.linksToClose, n.Peers()...)
 }
 
-// isVoter reports whether a front is a voter, as far as this one knows.
+// isVoter reports whether a front is a voter, as far as this front knows.
 func (n *Node) isVoter(name string) bool {
 	if _, ok := n.state.Voters[name]; ok {
 		return true
 	}
-	return n.state.Index == 0 && slices.ContainsFunc(n.options.InitialVoters, func(k Voter) bool { return k.Name == name })
+	return n.state.Index == 0 && slices.ContainsFunc(n.options.InitialVoters, func(v Voter) bool { return v.Name == name })
 }
 
-// knownVoters are the voters of the replicated state, or the initial voters while it is empty.
+// knownVoters returns the voters that the replicated state names, or the initial voters while it names none.
 func (n *Node) knownVoters() []Voter {
 	if len(n.state.Voters) == 0 {
 		return n.options.InitialVoters
@@ -226,8 +229,8 @@
 	return all
 }
 
-// WantedLinks returns the links that this front should dial: a voter wants all other voters, any other front one voter and two
-// fronts, each by its own ranking of them.
+// WantedLinks returns the fronts that this front should dial. A voter dials all other voters. Any other front dials one voter and two
+// followers, which it selects by its own ranking.
 func (n *Node) WantedLinks(now time.Duration) (dials []DialTarget) {
 	if n.isDisplaced {
 		return nil
@@ -238,7 +241,7 @@
 	return n.wantedByFollower(now)
 }
 
-// wantedByVoter returns the voters that this voter is not linked to.
+// wantedByVoter returns the voters that this voter has no link to and may dial now.
 func (n *Node) wantedByVoter(now time.Duration) (dials []DialTarget) {
 	for _, v := range n.knownVoters() {
 		if v.Name != n.options.Name && n.peers[v.Name] == nil && now >= n.retryAt[v.Name] {
@@ -248,12 +251,12 @@
 	return dials
 }
 
-// wantedByFollower returns the links that bring a follower to followerLinks of its own, one of them to a voter. With enough links
-// but none to a voter it tries one now and then.
+// wantedByFollower returns the fronts that a follower should dial to have followerLinks links that it dialled, one of them to a
+// voter. Where it has enough links but none to a voter, it looks for a voter once in each lease duration.
 func (n *Node) wantedByFollower(now time.Duration) []DialTarget {
 	dialled, hasVoter := 0, false
 	for name, p := range n.peers {
-		if !p.Dialled { // by this front
+		if !p.Dialled { // this front dialled the link
 			dialled++
 			hasVoter = hasVoter || n.isVoter(name)
 		}
@@ -273,7 +276,7 @@
 	return append(dials, others...)
 }
 
-// knownFollowers returns the fronts other than voters that this one could link to, in no order.
+// knownFollowers returns the followers that this front could dial, in no particular order.
 func (n *Node) knownFollowers() (fronts []DialTarget) {
 	for name, front := range n.state.Fronts {
 		if name != n.options.Name && !n.isVoter(name) && front.Address != "" {
@@ -288,8 +291,8 @@
 	return fronts
 }
 
-// pickLinks picks as many candidates as are wanted, by this front's ranking of them. Those that it has dialled already count;
-// missing is how many it did not find.
+// pickLinks selects as many candidates to dial as are wanted, in the order of this front's ranking. It sorts candidates. A candidate
+// that this front has dialled already counts towards wanted. missing is the number of candidates that it did not find.
 func (n *Node) pickLinks(now time.Duration, candidates []DialTarget, wanted int) (dials []DialTarget, missing int) {
 	ranks := make(map[string]uint32, len(candidates))
 	for _, d := range candidates {
@@ -314,18 +317,19 @@
 	return dials, wanted
 }
 
-// rank orders the others by a hash of both names, another order with each salt.
+// rank returns a front's rank among the candidates to dial, a hash of its name, this front's name and rankSalt. A change of rankSalt
+// changes the order of the candidates.
 func (n *Node) rank(name string) uint32 {
 	return crc32.ChecksumIEEE([]byte(n.options.Name + "/" + name + "/" + string(rune('a'+n.rankSalt%26))))
 }
 
-// checkLinks drops links that have been silent for too long, and keeps idle ones alive.
+// checkLinks closes the links on which nothing was received within the link timeout, and sends pings on idle links.
 func (n *Node) checkLinks(now time.Duration) {
 	timing := n.options.Timing
 	for _, name := range slices.Sorted(maps.Keys(n.peers)) {
 		p := n.peers[name]
 		if now-p.lastReceivedAt > timing.LinkTimeout() {
-			n.closing = append(n.closing, name)
+			n.linksToClose = append(n.linksToClose, name)
 			n.emit(LinkClosed{Peer: name, Reason: reasonSilentLink})
 			p.lastReceivedAt = now
 			n.retryAt[name] = now + timing.HeartbeatInterval()
@@ -341,8 +345,8 @@
 	}
 }
 
-// pingDue reports whether a peer should be sent a ping: after a heartbeat interval without a message, and between voters once in
-// each heartbeat interval, which reports their Floors to each other.
+// pingDue reports whether a ping to a peer is due: a heartbeat interval after the last message to the peer, and between voters also
+// once in each heartbeat interval, so that they report their Floors to each other.
 func (n *Node) pingDue(now time.Duration, p *peer) bool {
 	tick, interval := n.options.Timing.TickInterval(), n.options.Timing.HeartbeatInterval()
 	if now-p.lastSentAt >= interval {
--- a/fleet/membership.go
+++ b/fleet/membership.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// reportVersion identifies a front's latest membership record that passed here.
+// reportVersion identifies the latest membership record of a front that this front forwarded, and says when.
 type reportVersion struct {
 	incarnation, seq uint64
 	at               time.Duration
 }
 
-// membershipState is what a Node reports of itself, and other fronts' reports on their way to the leader.
+// membershipState holds the contents of a Node's own membership records, and the records of other fronts that it forwards.
 type membershipState struct {
-	reportSeq      uint64
-	reportedAt     time.Duration
-	sentAt         [rememberedSendTimes]time.Duration // by Seq
-	pendingReports map[string]MembershipRecord        // to be forwarded with the next tick
-	latestReports  map[string]reportVersion
-	digests        []Digest
-	leaving        bool
-	idle           bool // it takes no leases for now, whatever its options say
+	reportSeq      uint64                             // the Seq of this front's last record
+	reportedAt     time.Duration                      // when this front sent its last record
+	sentAt         [rememberedSendTimes]time.Duration // by Seq modulo the length: when this front sent its records
+	pendingReports map[string]MembershipRecord        // by front: records that are forwarded at the next tick
+	latestReports  map[string]reportVersion           // by front
+	digests        []Digest                           // the digests of this front's subsystems
+	leaving        bool                               // this front is shutting down, see Leave
+	idle           bool                               // this front accepts no leases for now, see SetIdle
 }
 
 func newMembershipState() membershipState {
 	return membershipState{pendingReports: map[string]MembershipRecord{}, latestReports: map[string]reportVersion{}}
 }
 
-// reportMembership sends this front's membership record, with the leases that it renews, towards the leader.
+// reportMembership sends this front's membership record to the leader, with the leases that it renews.
 func (n *Node) reportMembership(now time.Duration) {
 	if n.isDisplaced {
 		return
@@ -54,7 +54,7 @@
 	}
 	for _, leaseName := range slices.Sorted(maps.Keys(n.ownLeases)) {
 		if len(report.Renewals) == maxRenewals {
-			break // a leader of an older program granted more: peers refuse a longer record, so the others expire
+			break // a leader of an older program granted more leases: peers reject a longer record, so the other leases expire
 		}
 		if own := n.ownLeases[leaseName]; !own.releasing {
 			report.Renewals = append(report.Renewals, LeaseRenewal{Lease: leaseName, Term: own.term, Progress: own.progress})
@@ -63,7 +63,8 @@
 	n.forwardMembership(now, "", report)
 }
 
-// forwardMembership forwards a membership record towards the leader. Only newer records than the last one pass, so none can loop.
+// forwardMembership forwards a membership record to the next hop towards the leader, or handles it where this front is the leader. It
+// forwards only records that are newer than the last one of the same front, so a record can't loop.
 func (n *Node) forwardMembership(now time.Duration, from string, report MembershipRecord) {
 	latest, ok := n.latestReports[report.Name]
 	if ok && latest.incarnation == report.Incarnation && report.Seq <= latest.seq || !ok && len(n.latestReports) >= maxKnownFronts {
@@ -80,7 +81,8 @@
 	}
 }
 
-// SetDigest sets the digest of a subsystem, which is sent with this front's membership records; one that is too long is ignored.
+// SetDigest sets the digest of a subsystem, which is sent with this front's membership records. It ignores a digest that is too
+// long.
 func (n *Node) SetDigest(subsystem string, data []byte) {
 	if len(data) > maxDigestBytes {
 		return
@@ -89,7 +91,8 @@
 	n.digests = slices.Concat(others, []Digest{{Subsystem: subsystem, Data: data}})
 }
 
-// SetIdle releases all leases and takes none until it is reset: for a front that may not act.
+// SetIdle sets whether this front is idle. An idle front releases its leases and accepts no new ones. It is for a front whose
+// configuration lease does not allow it to act.
 func (n *Node) SetIdle(now time.Duration, idle bool) {
 	if n.idle == idle {
 		return
@@ -103,8 +106,8 @@
 	n.reportMembership(now)
 }
 
-// forgetSilent forgets routes and report versions of fronts that have been silent for long.
-func (n *Node) forgetSilent(now time.Duration) {
+// removeSilentFronts removes the routes and the report versions of fronts from which nothing was received for 40 lease durations.
+func (n *Node) removeSilentFronts(now time.Duration) {
 	old := now - 40*n.options.Timing.LeaseDuration
 	for name, route := range n.routes {
 		if route.at < old {
@@ -118,7 +121,7 @@
 	}
 }
 
-// reportWhenDue sends this front's membership record, more often while it holds leases.
+// reportWhenDue sends this front's membership record at its interval, which is shorter while this front holds leases.
 func (n *Node) reportWhenDue(now time.Duration) {
 	interval := n.options.Timing.reportInterval()
 	if len(n.ownLeases) > 0 {
@@ -129,7 +132,7 @@
 	}
 }
 
-// sendPendingReports forwards the membership records that came since the last tick in one message.
+// sendPendingReports forwards the membership records received since the last tick in one message to the next hop towards the leader.
 func (n *Node) sendPendingReports() {
 	if len(n.pendingReports) == 0 || n.upstream == "" {
 		return
--- a/fleet/message.go
+++ b/fleet/message.go
@@ -5,27 +5,28 @@
 // Kind is the type of a message.
 type Kind uint8
 
-// Kinds of messages. Their numbers are part of the protocol: new ones are added at the end.
+// Kinds of messages. Their numbers are part of the protocol: new kinds are added at the end.
 const (
-	KindHello           Kind = iota // the first on a link, in both directions
-	KindReject                      // the link is rejected; Reason says why
-	KindPing                        // keeps an idle link alive
+	KindHello           Kind = iota // the first message on a link, in both directions
+	KindReject                      // rejects a link; Reason says why
+	KindPing                        // keeps an idle link alive; between voters it also reports their Floors
 	KindConsensus                   // a raft message between voters
-	KindHeartbeat                   // the leader is alive and has a majority; flooded
-	KindEntries                     // log entries, in their order
+	KindHeartbeat                   // says that the leader is alive and has a majority; flooded
+	KindEntries                     // log entries in the order of their indices
 	KindSnapshot                    // the complete replicated state
-	KindEntriesRequest              // asks for entries behind an index
-	KindMembership                  // membership records on their way to the leader
-	KindRequest                     // a Request on its way to the leader
-	KindReply                       // a LeaderReply on its way to a front
+	KindEntriesRequest              // requests the log entries after an index
+	KindMembership                  // membership records, forwarded to the leader
+	KindRequest                     // a Request, forwarded to the leader
+	KindReply                       // a LeaderReply, forwarded to a front
 	KindBroadcast                   // a leaseholder's data for all fronts; flooded
-	KindMirrorPositions             // the sender's mirror positions; the receiver sends what it has beyond them
-	KindDatagram                    // from one front to another; unreliable
-	KindConfigLeases                // configuration leases that the leader renewed, on their way to the fronts
-	KindSnapshotChunk               // a chunk of the replicated state, where it is large
+	KindMirrorPositions             // the positions of the sender's mirrors; the receiver sends its newer mirrors
+	KindDatagram                    // data from one front to another; unreliable
+	KindConfigLeases                // configuration leases that the leader renewed, forwarded to their fronts
+	KindSnapshotChunk               // a part of the replicated state, where the state is large
 	kindCount
 )
 
+// kindNames has the name of each Kind at its number.
 var kindNames = [...]string{"hello", "reject", "ping", "consensus", "heartbeat", "entries", "snapshot", "entries request",
 	"membership", "request", "reply", "broadcast", "mirror positions", "datagram", "config leases", "snapshot chunk"}
 
@@ -37,19 +38,29 @@
 	return "unknown"
 }
 
-// Message is what passes on a link; each kind uses the fields that are its own. Method check bounds what comes from outside. A
-// message is encoded as an array: fields are only ever added at its end.
+// Message is a message on a link. Each kind of message uses only some of the fields. The method check validates a message that was
+// received. A message is encoded as an array: new fields are only added at its end.
 type Message struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
 
-	Kind      Kind
-	From      string // the originator, not the forwarder
-	Index     uint64 // of the replicated state, at the forwarder
-	Term      uint64 // of the leader (KindHeartbeat, KindReply; 0 from older programs), of a lease (KindBroadcast)
-	Number    uint64 // of a heartbeat; of a broadcast within its term; how often it was forwarded (KindRequest, KindReply, KindDatagram)
-	Name      string // the receiver (KindReply, KindDatagram), the lease (KindBroadcast)
-	Reason    string // of a rejection; the subsystem that a datagram is for
+	Kind Kind
+	From string // the front that created the message, not the one that forwarded it
+
+	// Index is the index of a replicated state: the one that a snapshot message carries, otherwise that of the forwarder.
+	Index uint64
+
+	// Term is the leader's term (KindHeartbeat, KindReply; 0 in replies of older programs), the term of a lease (KindBroadcast),
+	// or the size of the complete state in bytes (KindSnapshotChunk).
+	Term uint64
+
+	// Number is the number of a heartbeat or a broadcast within its term, how often a message was forwarded (KindRequest, KindReply,
+	// KindDatagram), or the offset of a chunk in bytes (KindSnapshotChunk). In a KindEntriesRequest, a value other than 0 allows the
+	// receiver to send the complete state in chunks, where the missing entries are no longer cached and the state is large.
+	Number uint64
+
+	Name      string // the receiver (KindReply, KindDatagram) or the lease (KindBroadcast)
+	Reason    string // the reason of a rejection (KindReject), or the subsystem that a datagram is for (KindDatagram)
 	Data      []byte
 	Hello     *Handshake
 	Members   []MembershipRecord
@@ -59,25 +70,25 @@
 	Positions []Position
 }
 
-// Handshake is what a front says of itself on a new link.
+// Handshake is a front's description of itself on a new link.
 type Handshake struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
 
-	Fleet       string // its id; fronts of other fleets are rejected
+	Fleet       string // the id of its fleet; fronts of other fleets are rejected
 	Name        string
 	Incarnation uint64
 	Zone        string
 	Address     string
-	Format      uint32 // newest format of the replicated state that it can read
+	Format      uint32 // the newest format of the replicated state that the sender can read
 	Voter       bool
 	Dialled     bool  // the sender dialled the link
-	Floor       Floor // of a voter, as on its disk
-	KnownFloor  Floor // what the sender knows of the receiver's Floor
+	Floor       Floor // what the disk of the sender holds, where the sender is a voter
+	KnownFloor  Floor // what the sender knows of the disk of the receiver
 }
 
-// MembershipRecord is a front's report that it is alive; Seq rises by one with each report. It is encoded as one flat array, so its fields
-// can't be grouped.
+// MembershipRecord is a front's periodic report that it is alive, with the leases that it renews. Seq rises by one with each report.
+// The record is encoded as one flat array, so its fields can't be grouped.
 type MembershipRecord struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -87,19 +98,20 @@
 	Seq              uint64
 	Zone             string
 	Address          string
-	Version          string // of the program
-	Index            uint64 // of its replicated state
-	AcceptsLeases    bool   // it may be granted leases
-	Leaving          bool
+	Version          string // the version of the program
+	Index            uint64 // the index of the front's replicated state
+	AcceptsLeases    bool   // the front may be granted leases
+	Leaving          bool   // the front is shutting down
 	Renewals         []LeaseRenewal
-	ActiveVersion    uint64 // the configuration version that it uses, 0 where none are published
-	WantsConfigLease bool   // it asks for a configuration lease on ActiveVersion
-	PendingVersion   uint64 // a second version that it asks for a lease on, where HasPending
+	ActiveVersion    uint64 // the configuration version that the front uses, 0 where none are published
+	WantsConfigLease bool   // the front requests a configuration lease on ActiveVersion
+	PendingVersion   uint64 // a second version on which the front requests a lease, valid where HasPending
 	HasPending       bool
-	Digests          []Digest // of the subsystems on top of the fleet
+	Digests          []Digest // the digests of the subsystems on top of the fleet
 }
 
-// Digest is a subsystem's summary of its front, for the holder of its lease. It is small, since each membership record carries it.
+// Digest is a subsystem's summary of the state of its front, for the holder of the subsystem's lease. It must be small, because each
+// membership record carries it.
 type Digest struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -108,7 +120,7 @@
 	Data      []byte
 }
 
-// MemberReport is a front's digest as the leader has it.
+// MemberReport is a front's latest digest of one subsystem, with the rest of the membership record that carried it.
 type MemberReport struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -116,25 +128,25 @@
 	Front            string
 	Incarnation      uint64
 	Zone             string
-	Age              time.Duration // since the leader received it, on the leader's clock
+	Age              time.Duration // the time since the leader received the record, on the leader's clock
 	ActiveVersion    uint64
 	WantsConfigLease bool
 	Leaving          bool
-	Index            uint64 // of the front's replicated state then
-	Data             []byte
+	Index            uint64 // the index of the front's replicated state when it sent the record
+	Data             []byte // the data of the digest
 }
 
-// LeaseRenewal asks for a lease to be renewed, and says how far its holder has come.
+// LeaseRenewal requests the renewal of a lease, and reports the progress of its holder.
 type LeaseRenewal struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Lease    string
 	Term     uint64
-	Progress uint64 // rises as the leaseholder makes progress
+	Progress uint64 // a counter that rises when the leaseholder makes progress
 }
 
-// Request is a request to the leader. The requester repeats it with the same ID until it is answered.
+// Request is a request to the leader. The requester sends it again with the same ID until it is answered.
 type Request struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -146,43 +158,43 @@
 	To      string
 	Command []byte
 
-	Declarations []Declaration // further leases to declare, where Command declares one
+	Declarations []Declaration // more leases to declare, where Command declares one
 }
 
-// Declaration is a lease that some front should hold, see Node.DeclareLease.
+// Declaration declares a lease that one of the fronts should hold, see Node.DeclareLease.
 type Declaration struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Lease string
-	Bound time.Duration
+	Bound time.Duration // the time within which the leaseholder must report progress, 0 for no bound
 }
 
 // Types of a Request.
 const (
-	RequestProposal uint8 = iota // Command, for the log
-	RequestRelease               // the holder of Lease in Term has stopped using it; To is the successor that it proposes
-	RequestTransfer              // an operator asks for Lease to be transferred to To, or to whom the leader chooses
-	RequestDigests               // all fronts' digests of the part named Lease
+	RequestProposal uint8 = iota // proposes Command for the log
+	RequestRelease               // says that the holder of Lease in Term stopped using it; To is the successor that it proposes
+	RequestTransfer              // asks for the transfer of Lease to To, or to a front that the leader chooses where To is ""
+	RequestDigests               // asks for all fronts' digests of the subsystem named by Lease
 )
 
-// LeaderReply is a message of the leader to one front.
+// LeaderReply is a message from the leader to one front.
 type LeaderReply struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
 
-	RenewedSeq uint64         // the Seq of the report whose leases are renewed
-	Renewed    []LeaseRenewal // those leases
-	Release    string         // a lease that the front is asked to release, to TransferTo
-	Term       uint64         // of Release
-	TransferTo string
+	RenewedSeq uint64         // the Seq of the membership record whose leases are renewed
+	Renewed    []LeaseRenewal // the leases that are renewed
+	Release    string         // a lease that the front is asked to release, "" for none
+	Term       uint64         // the term of the lease Release
+	TransferTo string         // the front to which Release is to be transferred, "" for one that the leader chooses
 	RequestID  uint64         // the request that is answered
-	Error      string         // "" where the request succeeded
-	Displaced  uint64         // an incarnation that was displaced by another process of its name
-	Reports    []MemberReport // answer to RequestDigests
+	Error      string         // the error of the request, "" where it succeeded
+	Displaced  uint64         // an incarnation of the front that was displaced by another process with its name, 0 for none
+	Reports    []MemberReport // the answer to RequestDigests
 }
 
-// LogEntry is an entry of the replicated log: an encoded Command at its index.
+// LogEntry is an entry of the replicated log: an encoded Command and its index.
 type LogEntry struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -191,30 +203,30 @@
 	Data  []byte
 }
 
-// Position is how far a mirror has come, or a configuration lease that was renewed.
+// Position is the position of a mirror (KindMirrorPositions) or a configuration lease that was renewed (KindConfigLeases).
 type Position struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
 
-	Name    string
-	Term    uint64
-	Index   uint64
-	Version uint64 // of a configuration lease
+	Name    string // the lease of the mirror, or the front of the configuration lease
+	Term    uint64 // the term of the mirror, or the incarnation of the front
+	Index   uint64 // the index of the mirror, or the Seq of the record that requested the configuration lease
+	Version uint64 // the version of the configuration lease
 }
 
-// Bounds of what a peer may send.
+// Limits on what a peer may send.
 const (
-	MaxMessageBytes = 4 << 20 // of an encoded message
-	maxMembers      = 512     // membership records in a message
-	maxReasonBytes  = 1 << 10 // of a rejection's reason
-	maxNameBytes    = 120     // of a name or an address
-	maxRenewals     = 256
-	maxDigests      = 8       // of a membership record
-	maxDigestBytes  = 2 << 10 // of one digest
-	maxDeclarations = 512     // leases that a request declares
+	MaxMessageBytes = 4 << 20 // bytes of an encoded message
+	maxMembers      = 512     // membership records, or positions, in a message
+	maxReasonBytes  = 1 << 10 // bytes of a rejection's reason
+	maxNameBytes    = 120     // bytes of a name or an address
+	maxRenewals     = 256     // lease renewals in a membership record
+	maxDigests      = 8       // digests in a membership record
+	maxDigestBytes  = 2 << 10 // bytes of one digest
+	maxDeclarations = 512     // declarations in a request, besides that in its Command
 )
 
-// check bounds what came from outside before any of it is stored.
+// check validates a message from a peer before any part of it is stored. The error is a ProtocolError.
 func (m *Message) check() error {
 	if m.Kind >= kindCount {
 		return errUnknownKind
@@ -234,7 +246,7 @@
 	return nil
 }
 
-// check bounds a membership record.
+// check validates a membership record. The error is a ProtocolError.
 func (report *MembershipRecord) check() error {
 	if report.Name == "" || len(report.Name) > maxNameBytes || len(report.Zone) > maxNameBytes || len(report.Address) > maxNameBytes ||
 		len(report.Version) > maxNameBytes || len(report.Renewals) > maxRenewals || len(report.Digests) > maxDigests {
@@ -248,7 +260,7 @@
 	return nil
 }
 
-// hasRequiredFields reports whether a message has the fields of its kind, within their bounds.
+// hasRequiredFields reports whether a message has the fields that its kind requires, within their limits.
 func (m *Message) hasRequiredFields() bool {
 	switch m.Kind {
 	case KindHello:
@@ -265,7 +277,7 @@
 	return true
 }
 
-// validDeclarations reports whether the declarations are within their bounds.
+// validDeclarations reports whether a request's declarations are within the limits on their number and their names.
 func (q *Request) validDeclarations() bool {
 	if len(q.Declarations) > maxDeclarations {
 		return false
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Node is one front's part of the fleet. Calls must not overlap, and their times must not go back. The state of each of its jobs
-// is declared beside the functions that own it.
+// Node is the state machine of one front of the fleet. Calls of its methods must not overlap, and the times passed to them must not
+// decrease. The types of its embedded state are declared beside the functions that use them.
 type Node struct {
 	options     Options
-	isDisplaced bool // another process has this front's name: it stays out
+	isDisplaced bool // another process has this front's name, so this front takes no part in the fleet
 	voterRole
 
 	linkState
@@ -23,25 +23,25 @@
 	mirrorState
 	configLeaseState
 
-	tickedAt time.Duration
+	lastTickAt time.Duration
 	outbox
 }
 
-// voterRole is the part of a front in consensus; a follower has none.
+// voterRole is a front's state in consensus; all fields are nil at a follower.
 type voterRole struct {
-	voter    *voter    // where this front has a voter's disk
-	leader   *leader   // where its voter leads
-	recovery *Recovery // that was requested at this front
+	voter    *voter    // nil where this front has no voter's disk
+	leader   *leader   // nil unless this front's voter leads
+	recovery *Recovery // the last recovery that was requested at this front, nil for none
 }
 
-// outbox is what the owner of a Node has to carry out.
+// outbox holds what the owner of a Node has to carry out.
 type outbox struct {
-	outgoing []OutgoingMessage
-	events   []Event
-	closing  []string // peers whose links must be closed
+	outgoing     []OutgoingMessage
+	events       []Event
+	linksToClose []string // peers whose links must be closed
 }
 
-// New returns a Node. disk is what a voter's disk holds, nil for a follower; the error says what of it can't be used.
+// New returns a Node. disk is what a voter's disk holds, nil for a follower. The error says which part of disk can't be used.
 func New(o Options, disk *DiskState) (*Node, error) {
 	if o.MaxFollowers == 0 {
 		o.MaxFollowers = defaultMaxFollowers
@@ -68,16 +68,17 @@
 	return n, nil
 }
 
-// Incarnation is the number of this start of the front.
+// Incarnation returns the number that identifies this start of the front.
 func (n *Node) Incarnation() uint64 { return n.options.Incarnation }
 
-// Receive handles a message from a peer. After an error, a ProtocolError, the link to the peer must be closed.
+// Receive handles a message from a peer. An error is a ProtocolError: the owner must then close the link to the peer.
 func (n *Node) Receive(now time.Duration, from string, m *Message) error {
 	err := n.receive(now, from, m)
 	n.updateNeighbours()
 	return err
 }
 
+// receive handles a message like Receive, without updating the neighbours afterwards. It drops messages of peers without a link.
 func (n *Node) receive(now time.Duration, from string, m *Message) error {
 	p := n.peers[from]
 	if p == nil || n.isDisplaced {
@@ -94,13 +95,13 @@
 		if m.Hello != nil && n.voter != nil && p.Voter {
 			n.voter.checkPing(now, from, m.Hello)
 		}
-		n.noteIndex(p, m.Index)
+		n.recordPeerIndex(p, m.Index)
 	case KindConsensus:
 		if n.voter != nil && p.Voter {
 			return n.voter.step(now, from, m.Data)
 		}
 	case KindHeartbeat:
-		n.noteIndex(p, m.Index)
+		n.recordPeerIndex(p, m.Index)
 		n.onHeartbeat(now, from, m)
 	case KindEntries, KindSnapshot, KindSnapshotChunk, KindEntriesRequest:
 		return n.receiveState(now, from, p, m)
@@ -116,14 +117,14 @@
 	return nil
 }
 
-// receiveState handles the messages by which the replicated state spreads.
+// receiveState handles the messages that carry or request the replicated state.
 func (n *Node) receiveState(now time.Duration, from string, p *peer, m *Message) error {
 	switch m.Kind {
 	case KindEntries:
-		n.noteIndex(p, m.Index)
+		n.recordPeerIndex(p, m.Index)
 		n.onEntries(now, from, m)
 	case KindSnapshot:
-		n.noteIndex(p, m.Index)
+		n.recordPeerIndex(p, m.Index)
 		return n.onSnapshot(now, m)
 	case KindSnapshotChunk:
 		return n.onChunk(now, from, p, m)
@@ -136,7 +137,7 @@
 	return nil
 }
 
-// receiveRouted handles the messages that pass from front to front on their way to the leader or to a receiver.
+// receiveRouted handles the messages that fronts forward to the leader or to a receiver.
 func (n *Node) receiveRouted(now time.Duration, from string, m *Message) {
 	switch m.Kind {
 	case KindMembership:
@@ -146,11 +147,11 @@
 	case KindRequest:
 		if m.Number++; m.Number <= maxForwards {
 			n.learnRoute(now, m.From, from)
-			n.toLeader(now, m)
+			n.routeToLeader(now, m)
 		}
 	case KindReply:
 		if m.Number++; m.Number <= maxForwards {
-			n.toFront(now, m)
+			n.routeToFront(now, m)
 		}
 	case KindDatagram:
 		if m.Number++; m.Number <= maxForwards {
@@ -162,9 +163,9 @@
 	}
 }
 
-// Tick does what depends on time. Call it about every Timing.TickInterval.
+// Tick runs all timers: timeouts, retries and periodic messages. Call it about once in each Timing.TickInterval.
 func (n *Node) Tick(now time.Duration) {
-	n.tickedAt = now
+	n.lastTickAt = now
 	if n.isDisplaced {
 		return
 	}
@@ -181,8 +182,8 @@
 	n.retryRequests(now)
 	n.checkIsolation(now)
 	n.sendChunks(now)
-	n.requestMissing(now)
-	n.forgetSilent(now)
+	n.requestMissingState(now)
+	n.removeSilentFronts(now)
 	n.updateNeighbours()
 }
 
@@ -192,40 +193,40 @@
 	Message *Message
 }
 
-// Outgoing returns the messages to be sent since the last call; their order holds for each peer.
+// Outgoing returns the messages that were queued since the last call. The messages to one peer must be sent in this order.
 func (n *Node) Outgoing() []OutgoingMessage {
 	out := n.outgoing
 	n.outgoing = nil
 	return out
 }
 
-// Events returns what happened since the last call.
+// Events returns the events since the last call, in the order in which they happened.
 func (n *Node) Events() []Event {
 	events := n.events
 	n.events = nil
 	return events
 }
 
-// LinksToClose returns the peers whose links must be closed.
+// LinksToClose returns the names of the peers whose links must be closed, as queued since the last call.
 func (n *Node) LinksToClose() []string {
-	closing := n.closing
-	n.closing = nil
+	closing := n.linksToClose
+	n.linksToClose = nil
 	return closing
 }
 
 func (n *Node) emit(e Event) { n.events = append(n.events, e) }
 
-// send queues a message to a peer; without a link it is lost.
+// send queues a message to a peer. It drops the message where there is no link to the peer.
 func (n *Node) send(to string, m *Message) {
 	p := n.peers[to]
 	if p == nil {
 		return
 	}
-	p.lastSentAt = n.tickedAt
+	p.lastSentAt = n.lastTickAt
 	n.outgoing = append(n.outgoing, OutgoingMessage{to, m})
 }
 
-// flood queues a message to all peers but one.
+// flood queues a message to all peers except the named one; "" excepts none.
 func (n *Node) flood(m *Message, except string) {
 	for _, name := range slices.Sorted(maps.Keys(n.peers)) {
 		if name != except {
--- a/fleet/probe_cache.go
+++ b/fleet/probe_cache.go
@@ -7,76 +7,76 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ProbeLease is the lease of the front that probes a group's servers for all.
+// ProbeLease returns the name of the lease whose holder, the prober, probes a group's servers for all fronts.
 func ProbeLease(group int64) string { return "scout/" + strconv.FormatInt(group, 10) }
 
-// ClaimedRole is the role that a server claimed to a prober.
+// ClaimedRole is the role that a server reported to a prober.
 type ClaimedRole uint8
 
-// The roles. A result of a program that knew none has ClaimedUnknown.
+// Roles that a server may report. A result from a program older than this field has ClaimedUnknown.
 const (
 	ClaimedUnknown ClaimedRole = iota
 	ClaimedReplica
 	ClaimedPrimary
 )
 
-// ProbeResult is how a probe of a server ended; never a log position. It may make another front try a server earlier or later; it
-// proves no freshness and makes no primary.
+// ProbeResult is the result of a probe of a server. It never has a log position. It may cause another front to try a server earlier or
+// later. It is no proof that the server's data is fresh, and it never makes a server the primary.
 type ProbeResult struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Server         string
 	Healthy        bool
-	Code           string // of the server's refusal, "" for none
-	ConnectionLost bool   // after the probe was sent; else an unhealthy server refused the connection or did not answer
-	Pending        bool   // the probe was sent and is not answered yet: its result follows
+	Code           string // the SQLSTATE with which the server refused the probe, "" for none
+	ConnectionLost bool   // the connection was lost after the probe was sent; false where a server refused the connection or did not answer
+	Pending        bool   // the probe was sent and is not answered yet; its result follows
 	Role           ClaimedRole
 }
 
-// Answers reports whether a result can stand for a probe of another front: a failure can, and the health of a replica. A server that may
-// be the primary is probed by each front itself, since only the server's own answer makes it the primary there.
+// Answers reports whether another front can use the result in place of a probe of its own: it can use a failure, and the health of a
+// replica. Each front itself probes a server that may be the primary, since only the server's own answer makes it the primary there.
 func (result *ProbeResult) Answers() bool { return !result.Healthy || result.Role == ClaimedReplica }
 
-// Encode encodes a result for a broadcast.
+// Encode encodes the result for a broadcast.
 func (result ProbeResult) Encode() []byte {
 	b, err := msgpack.Marshal(&result)
 	if err != nil {
-		panic("encode a probe result: " + err.Error()) // our own types always encode
+		panic("encode a probe result: " + err.Error()) // the type is always encodable
 	}
 	return b
 }
 
-// DecodeProbeResult decodes a prober's broadcast; ok is false where it is invalid.
+// DecodeProbeResult decodes the data of a prober's broadcast. ok is false where it is invalid.
 func DecodeProbeResult(data []byte) (result ProbeResult, ok bool) {
 	err := msgpack.Unmarshal(data, &result)
 	return result, err == nil && result.Server != "" && len(result.Server) <= maxNameBytes && len(result.Code) <= 5
 }
 
-// ProbeCache lets a front use the prober's results: its own probes of a server wait a while for a result that may come, and are
-// sent where none does. Q is a probe that waits.
+// ProbeCache caches the prober's results, so that a front can use them in place of its own probes. A probe of this front waits a
+// limited time for a result of the prober, and is sent where none arrives. Q is the type of a probe.
 type ProbeCache[Q any] struct {
-	FreshFor time.Duration // a failure is used for so long; a replica's health for 2*MaxWait, since it may become primary
-	MaxWait  time.Duration // a probe waits so long for a result; twice as long while the prober's own is pending
-
-	results       map[string]cachedResult
-	pending       map[string]time.Duration // by server: when the prober reported that a probe is pending
-	waiting       map[string][]waitingQuery[Q]
-	requests      map[string]time.Duration
-	ProbesAvoided int // probes that a result made needless
+	FreshFor time.Duration // how long a failure is used; a replica's health is used for 2*MaxWait, since it may become primary
+	MaxWait  time.Duration // how long a probe waits for a result; it waits twice as long while the prober's own probe is pending
+
+	results       map[string]cachedResult      // by server
+	pending       map[string]time.Duration     // by server: when the prober reported that its probe is pending
+	waiting       map[string][]waitingProbe[Q] // by server
+	requests      map[string]time.Duration     // by server: when AcceptRequest last returned true
+	ProbesAvoided int                          // the number of probes of this front that a result replaced
 }
 
-// cachedResult is a server's latest result.
+// cachedResult is the latest result for a server, with the term of the lease under which it was broadcast.
 type cachedResult struct {
 	ProbeResult
 	term       uint64
 	receivedAt time.Duration
 }
 
-// waitingQuery is a probe that waits for a result.
-type waitingQuery[Q any] struct {
-	query         Q
-	until, latest time.Duration // until when it waits, and at the latest while the prober's own is pending
+// waitingProbe is a probe of this front that waits for a result of the prober.
+type waitingProbe[Q any] struct {
+	probe         Q
+	until, latest time.Duration // when the wait ends, and when it ends while the prober's own probe is pending
 }
 
 // NewProbeCache returns an empty cache.
@@ -86,23 +86,24 @@
 		MaxWait:  maxWait,
 		results:  map[string]cachedResult{},
 		pending:  map[string]time.Duration{},
-		waiting:  map[string][]waitingQuery[Q]{},
+		waiting:  map[string][]waitingProbe[Q]{},
 		requests: map[string]time.Duration{},
 	}
 }
 
-// ProbeDecision is what to do with a probe.
+// ProbeDecision says how a front should proceed with a probe.
 type ProbeDecision int
 
-// Decisions of ProbeCache.Decide.
+// Results of ProbeCache.Decide.
 const (
-	ProbeNow    ProbeDecision = iota // send it
-	UseResult                        // answer it by the result that is returned
-	AwaitResult                      // it waits: Expired returns it, or AddResult answers it
+	ProbeNow    ProbeDecision = iota // send the probe
+	UseResult                        // use the returned result in place of the probe
+	AwaitResult                      // the cache holds the probe until AddResult or Expired returns it
 )
 
-// Decide says what to do with a probe of a server. mayWait is false for the prober itself, and for an isolated front.
-func (s *ProbeCache[Q]) Decide(now time.Duration, server string, query Q, mayWait bool) (decision ProbeDecision, result ProbeResult) {
+// Decide decides how to proceed with a probe of a server. result is set for UseResult only. mayWait is false at the prober itself, and
+// at an isolated front.
+func (s *ProbeCache[Q]) Decide(now time.Duration, server string, probe Q, mayWait bool) (decision ProbeDecision, result ProbeResult) {
 	if !mayWait {
 		return ProbeNow, result
 	}
@@ -116,7 +117,7 @@
 	if len(s.waiting) >= maxKnownFronts {
 		return ProbeNow, result
 	}
-	waiting := waitingQuery[Q]{query, now + s.MaxWait, now + 2*s.MaxWait}
+	waiting := waitingProbe[Q]{probe, now + s.MaxWait, now + 2*s.MaxWait}
 	if s.probePending(now, server) {
 		waiting.until = waiting.latest
 	}
@@ -124,7 +125,7 @@
 	return AwaitResult, result
 }
 
-// lifetime is for how long a result is used. Behind it the prober is asked to look again.
+// lifetime returns how long a result is used. After that, probes wait for a new result of the prober.
 func (s *ProbeCache[Q]) lifetime(result *ProbeResult) time.Duration {
 	if result.Healthy {
 		return 2 * s.MaxWait
@@ -132,20 +133,20 @@
 	return s.FreshFor
 }
 
-// probePending reports whether the prober's own probe of a server is under way, as far as it has reported.
+// probePending reports whether the prober's own probe of a server is pending, according to its reports.
 func (s *ProbeCache[Q]) probePending(now time.Duration, server string) bool {
 	at, ok := s.pending[server]
 	return ok && now-at < 2*s.MaxWait
 }
 
-// AddResult adds a prober's result of a lease term, and returns the probes that waited for it; where it does not answer them they are to
-// be sent. A result of an older term than the last one's is ignored.
+// AddResult adds a prober's result, which was broadcast in a term of its lease, and returns the probes that waited for it. The caller
+// must send them unless result.Answers. AddResult ignores a result of an older term than the last one of the same server.
 func (s *ProbeCache[Q]) AddResult(now time.Duration, term uint64, result ProbeResult) (waited []Q) {
 	previous, ok := s.results[result.Server]
 	if ok && term < previous.term || !ok && len(s.results) >= maxKnownFronts {
 		return nil
 	}
-	if result.Pending { // waiting probes go on waiting
+	if result.Pending { // waiting probes continue to wait
 		s.pending[result.Server] = now
 		for i := range s.waiting[result.Server] {
 			waiting := &s.waiting[result.Server][i]
@@ -155,8 +156,8 @@
 	}
 	delete(s.pending, result.Server)
 	s.results[result.Server] = cachedResult{result, term, now}
-	for _, query := range s.waiting[result.Server] {
-		waited = append(waited, query.query)
+	for _, waiting := range s.waiting[result.Server] {
+		waited = append(waited, waiting.probe)
 	}
 	if result.Answers() {
 		s.ProbesAvoided += len(waited)
@@ -165,8 +166,8 @@
 	return waited
 }
 
-// AcceptRequest reports whether another front's request to probe a server should be served: not where it was requested
-// recently.
+// AcceptRequest reports whether the prober should serve another front's request to probe a server. It returns false where it accepted
+// a request for that server within 2*MaxWait.
 func (s *ProbeCache[Q]) AcceptRequest(now time.Duration, server string) bool {
 	if at, ok := s.requests[server]; ok && now-at < 2*s.MaxWait || !ok && len(s.requests) >= maxKnownFronts {
 		return false
@@ -175,20 +176,20 @@
 	return true
 }
 
-// Expired returns the probes that have waited for long enough, by server.
-func (s *ProbeCache[Q]) Expired(now time.Duration) (out []Q) {
-	for server, queries := range s.waiting {
-		remaining := queries[:0]
-		for _, query := range queries {
-			if now >= query.until {
-				out = append(out, query.query)
+// Expired removes and returns the probes whose wait has ended, in no particular order.
+func (s *ProbeCache[Q]) Expired(now time.Duration) (expired []Q) {
+	for server, all := range s.waiting {
+		remaining := all[:0]
+		for _, waiting := range all {
+			if now >= waiting.until {
+				expired = append(expired, waiting.probe)
 			} else {
-				remaining = append(remaining, query)
+				remaining = append(remaining, waiting)
 			}
 		}
 		if s.waiting[server] = remaining; len(remaining) == 0 {
 			delete(s.waiting, server)
 		}
 	}
-	return out
+	return expired
 }
--- a/fleet/reasons.go
+++ b/fleet/reasons.go
@@ -1,21 +1,21 @@
 package fleet
 
-// Reasons in events. The history file keeps them, and the replicated state those of leases: their texts change only with a format
-// version.
+// Reasons in events. The history file stores them, and the replicated state stores the reasons of lease changes. So their texts
+// change only with a format version.
 const (
 	reasonVacant            = "nobody held it"             // the leader granted a lease that had no holder
 	reasonExpired           = "it ran out"                 // the lease expired
-	reasonTransferred       = "handed on"                  // its holder released it to another front
-	reasonReleased          = "let go"                     // its holder released it, and no front can take it
-	reasonNoProgress        = "it got nothing done"        // its holder made no progress within the bound
+	reasonTransferred       = "handed on"                  // the holder released the lease to another front
+	reasonReleased          = "let go"                     // the holder released the lease, and no other front was eligible
+	reasonNoProgress        = "it got nothing done"        // the holder made no progress within the bound
 	reasonVotersRecovered   = "the voters were recovered"  // see Node.RecoverVoters
-	reasonLaterTerm         = "a later term acts"          // a broadcast of a later term came
-	reasonGrantedTo         = "it passed to "              // before the name of the new holder
-	reasonTransferRequested = "it was asked to hand it on" // by the leader
-	reasonAcceptsNoLeases   = "this front takes no duty"   // it leaves or is idle
+	reasonLaterTerm         = "a later term acts"          // the holder received a broadcast of a later term
+	reasonGrantedTo         = "it passed to "              // followed by the name of the new holder
+	reasonTransferRequested = "it was asked to hand it on" // the leader asked the holder to release the lease
+	reasonAcceptsNoLeases   = "this front takes no duty"   // the new holder is shutting down or idle
 	reasonShutdown          = "this front ends"
 	reasonNoConfigLease     = "this front has no right to act" // see Node.SetIdle
-	reasonLeaderOffloads    = "its holder gives as well"       // a leader transfers its own leases, see leader.offload
+	reasonLeaderOffloads    = "its holder gives as well"       // the leader transfers its own leases, see leader.offloadOwnLease
 	reasonFrontDisplaced    = "another front has this one's name"
 	reasonNameTaken         = "another front of the fleet has this name"
 	reasonVoterNameTaken    = "another front has this keeper's name"
--- a/fleet/replicated_state.go
+++ b/fleet/replicated_state.go
@@ -10,27 +10,27 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Format is the newest format of commands and snapshots that this program reads. A command names the format that its reader needs;
-// a newer one is not guessed at: the state stops there, and a StateUnreadable event says so.
+// Format is the newest format of commands and snapshots that this program can read. A command names the format that its reader must
+// know. At a command of a newer format this program stops applying commands, and a StateUnreadable event reports it.
 const Format = 1
 
-// Lease is a lease's replicated state.
+// Lease is the replicated state of a lease.
 type Lease struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Name        string
-	Term        uint64 // rises with each grant; 0 before the first
-	Leaseholder string // "" for nobody
-	Incarnation uint64
-	RequestSeq  uint64
-	Bound       time.Duration // within which progress is due; 0 for no bound
-	GrantIndex  uint64        // index of the grant
+	Term        uint64        // rises with each grant; 0 before the first grant
+	Leaseholder string        // the front that holds the lease, "" for none
+	Incarnation uint64        // the incarnation of Leaseholder
+	RequestSeq  uint64        // the Seq of the holder's report from which the lease counts
+	Bound       time.Duration // the time within which the holder must make progress; 0 for no bound
+	GrantIndex  uint64        // the index of the last grant
 	Reason      string        // the reason of the last grant or release
 	Losses      []Loss
 }
 
-// Loss is how often a front recently lost a lease, by deadline or without progress.
+// Loss says how often a front recently lost a lease, because the lease expired or the front made no progress.
 type Loss struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -39,12 +39,12 @@
 	Count uint32
 }
 
-// isHolder reports whether a front holds the lease in a term.
+// isHolder reports whether an incarnation of a front holds the lease in a term.
 func (lease *Lease) isHolder(front string, incarnation, term uint64) bool {
 	return lease.Leaseholder == front && lease.Incarnation == incarnation && lease.Term == term
 }
 
-// losses is how often a front recently lost the lease.
+// losses returns how often a front recently lost the lease.
 func (lease *Lease) losses(front string) uint32 {
 	for _, l := range lease.Losses {
 		if l.Front == front {
@@ -54,7 +54,7 @@
 	return 0
 }
 
-// Front is a front's replicated membership.
+// Front is the replicated membership of a front.
 type Front struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -64,17 +64,18 @@
 	Zone             string
 	Address          string
 	Version          string
-	PastIncarnations []uint64 // oldest first
+	PastIncarnations []uint64 // the incarnations that Incarnation replaced, oldest first
 }
 
-// isPast reports whether an incarnation was replaced by a later one.
+// isPast reports whether an incarnation of the front was replaced by a later one.
 func (front *Front) isPast(incarnation uint64) bool {
 	return slices.Contains(front.PastIncarnations, incarnation)
 }
 
+// maxPastIncarnations is how many replaced incarnations of a front are stored.
 const maxPastIncarnations = 8
 
-// StoredValue is a value that a leaseholder stored.
+// StoredValue is a value that the holder of Lease in Term stored, by the command at Index.
 type StoredValue struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -85,15 +86,15 @@
 	Value []byte
 }
 
-// ReplicatedState is what all fronts of the fleet agree on, as a state machine: the same commands in the same order make the same state
-// at each front. It belongs to its Node and must not be used while that changes it.
+// ReplicatedState is the state that all fronts of the fleet agree on. It is a replicated state machine: the same commands in the same
+// order produce the same state at each front. It belongs to its Node and must not be read while the Node changes it.
 type ReplicatedState struct {
-	Index        uint64 // of the last command
-	Leases       map[string]*Lease
-	Fronts       map[string]*Front
-	Voters       map[string]string // name to address
-	Values       map[string]*StoredValue
-	NeededFormat uint32 // a format that is needed and not known here; 0 for none
+	Index        uint64                  // the index of the last command
+	Leases       map[string]*Lease       // by name
+	Fronts       map[string]*Front       // by name
+	Voters       map[string]string       // the addresses of the voters, by name
+	Values       map[string]*StoredValue // by key
+	NeededFormat uint32                  // the format of the first command that this program can't read; 0 for none
 }
 
 func newReplicatedState() *ReplicatedState {
@@ -105,7 +106,7 @@
 	}
 }
 
-// apply applies the command at an index. The error is why the command had no effect.
+// apply decodes and applies the command at an index. The error says why the command had no effect.
 func (state *ReplicatedState) apply(index uint64, data []byte) (c Command, err error) {
 	state.Index = index
 	if len(data) == 0 {
@@ -139,6 +140,7 @@
 	return c, err
 }
 
+// declareLease applies opDeclareLease. It sets the bound of a lease that exists.
 func (state *ReplicatedState) declareLease(c *Command) {
 	if lease := state.Leases[c.Lease]; lease != nil {
 		lease.Bound = c.Bound
@@ -147,13 +149,13 @@
 	state.Leases[c.Lease] = &Lease{Name: c.Lease, Bound: c.Bound}
 }
 
-// declares reports whether a lease is declared with the same bound.
+// declares reports whether the state has a lease with the name and the bound of a declaration.
 func (state *ReplicatedState) declares(d Declaration) bool {
 	lease := state.Leases[d.Lease]
 	return lease != nil && lease.Bound == d.Bound
 }
 
-// applyLeaseChange applies opGrantLease and opVacateLease.
+// applyLeaseChange applies opGrantLease or opVacateLease.
 func (state *ReplicatedState) applyLeaseChange(index uint64, c *Command) error {
 	lease := state.Leases[c.Lease]
 	if lease == nil || lease.Term != c.Term {
@@ -178,7 +180,7 @@
 	return nil
 }
 
-// applyJoin applies opJoin: a front is new, has started anew, or has moved.
+// applyJoin applies opJoin: it adds a new front, or updates a front that restarted or that has another address, zone or version.
 func (state *ReplicatedState) applyJoin(c *Command) error {
 	front := *c.Front
 	if old := state.Fronts[front.Name]; old != nil {
@@ -195,7 +197,7 @@
 	return nil
 }
 
-// applyPut applies opPutValue; an empty value deletes the key.
+// applyPut applies opPutValue. An empty value deletes the key.
 func (state *ReplicatedState) applyPut(index uint64, c *Command) error {
 	lease, stored := state.Leases[c.Lease], state.Values[c.Key]
 	storedIndex := uint64(0)
@@ -207,7 +209,7 @@
 		return errOtherTerm
 	case storedIndex != c.PrevIndex:
 		if stored != nil && stored.Term == c.Term && bytes.Equal(stored.Value, c.Value) {
-			return nil // a repeated request
+			return nil // the command repeats one that was applied
 		}
 		return errValueChanged
 	case len(c.Value) == 0:
@@ -218,11 +220,11 @@
 	return nil
 }
 
-// AllowedVersionsKey is the key of the value that says which configuration versions may be used; where it is absent, all may.
+// AllowedVersionsKey is the key of the stored AllowedVersions. All configuration versions may be used where there is none.
 const AllowedVersionsKey = "right"
 
-// AllowedVersions is that value: the versions Least and Most, or one where they are equal. Versions between them were rolled back
-// and must not be used again.
+// AllowedVersions names the configuration versions that may be used: Min and Max, which may be equal. Versions between them were
+// rolled back and must not be used again.
 type AllowedVersions struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -230,11 +232,11 @@
 	Min, Max uint64
 }
 
-// Encode encodes it as a stored value.
+// Encode encodes the versions as a stored value.
 func (r AllowedVersions) Encode() []byte {
 	b, err := msgpack.Marshal(&r)
 	if err != nil {
-		panic("encode the allowed versions: " + err.Error()) // our own types always encode
+		panic("encode the allowed versions: " + err.Error()) // the type is always encodable
 	}
 	return b
 }
@@ -242,8 +244,8 @@
 // Allows reports whether a version may be used.
 func (r AllowedVersions) Allows(version uint64) bool { return version == r.Min || version == r.Max }
 
-// AllowedVersions returns the versions in force and the index of their value; the index is 0 where there is none, and all versions
-// may be used.
+// AllowedVersions returns the stored AllowedVersions and its index. The index is 0 where there is none, so that all versions may be
+// used.
 func (state *ReplicatedState) AllowedVersions() (allowed AllowedVersions, index uint64) {
 	stored := state.Values[AllowedVersionsKey]
 	if stored == nil || msgpack.Unmarshal(stored.Value, &allowed) != nil {
@@ -252,12 +254,13 @@
 	return allowed, stored.Index
 }
 
+// allowsVersion reports whether a configuration version may be used.
 func (state *ReplicatedState) allowsVersion(version uint64) bool {
 	allowed, index := state.AllowedVersions()
 	return index == 0 || allowed.Allows(version)
 }
 
-// encodedState is the encoded form of a ReplicatedState, sorted: equal states have equal bytes.
+// encodedState is the encoded form of a ReplicatedState. Its slices are sorted, so that equal states have equal bytes.
 type encodedState struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -266,15 +269,16 @@
 	Index        uint64
 	Leases       []*Lease
 	Fronts       []*Front
-	Voters       []string
-	Keys         []string
-	Values       []*StoredValue
+	Voters       []string       // the name and the address of each voter in turn
+	Keys         []string       // the keys of Values
+	Values       []*StoredValue // in the order of Keys
 	NeededFormat uint32
 }
 
-// Encoded returns the state's encoded form: equal states have equal bytes.
+// Encoded returns the state's encoded form. Equal states have equal bytes.
 func (state *ReplicatedState) Encoded() []byte { return state.encode() }
 
+// encode encodes the state for a snapshot. Equal states have equal bytes.
 func (state *ReplicatedState) encode() []byte {
 	encoded := encodedState{Format: Format, Index: state.Index, Keys: slices.Sorted(maps.Keys(state.Values)), NeededFormat: state.NeededFormat}
 	for _, k := range slices.Sorted(maps.Keys(state.Leases)) {
@@ -294,11 +298,12 @@
 	enc.SetSortMapKeys(true)
 	enc.UseCompactInts(true)
 	if err := enc.Encode(&encoded); err != nil {
-		panic(fmt.Sprint("encode the replicated state: ", err)) // our own types always encode
+		panic(fmt.Sprint("encode the replicated state: ", err)) // the type is always encodable
 	}
 	return out.Bytes()
 }
 
+// decodeReplicatedState decodes an encoded state. The error is a FormatError, errInconsistentState, or wraps errUnreadableState.
 func decodeReplicatedState(data []byte) (*ReplicatedState, error) {
 	var encoded encodedState
 	if err := msgpack.Unmarshal(data, &encoded); err != nil {
--- a/fleet/replication.go
+++ b/fleet/replication.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// replicationState is a Node's copy of the replicated state, and the newest log entries for neighbours that are a little behind.
+// replicationState holds a Node's copy of the replicated state, and the newest log entries for neighbours that are a few entries
+// behind.
 type replicationState struct {
 	state         *ReplicatedState
-	recentEntries []LogEntry // the last ones applied
-	updatedTo     uint64     // index up to which neighbours were updated
+	recentEntries []LogEntry // the last entries that were applied
+	updatedTo     uint64     // the index of the state when updateNeighbours last updated the neighbours
 	snapshotState
 }
 
@@ -18,32 +19,33 @@
 	return replicationState{state: newReplicatedState(), snapshotState: newSnapshotState()}
 }
 
-// State returns this front's copy of the replicated state. It belongs to the Node: read it between calls only.
+// State returns this front's copy of the replicated state. It belongs to the Node: read it only between calls of the Node's methods.
 func (n *Node) State() *ReplicatedState { return n.state }
 
-// noteIndex records how much of the replicated state a peer has.
-func (n *Node) noteIndex(p *peer, index uint64) { p.index = max(p.index, index) }
+// recordPeerIndex records that a peer has the replicated state up to an index.
+func (n *Node) recordPeerIndex(p *peer, index uint64) { p.index = max(p.index, index) }
 
-// catchUp sends a peer the log entries that it lacks.
+// catchUp sends a peer the log entries that it lacks, or a snapshot where they are no longer cached. A large snapshot is sent only on
+// request.
 func (n *Node) catchUp(name string) {
 	p := n.peers[name]
 	if p == nil || p.index >= n.state.Index || p.Voter && n.isActiveVoter() {
-		return // voters replicate by consensus
+		return // the peer is up to date, or receives the log by consensus
 	}
 	if len(n.recentEntries) == 0 || n.recentEntries[0].Index > p.index+1 || p.index == 0 {
 		data := n.state.encode()
 		if len(data) > chunkBytes {
-			return // the peer requests it from one of its neighbours, which sends it in chunks
+			return // the peer requests the state from one of its neighbours, which sends it in chunks
 		}
 		n.send(name, &Message{Kind: KindSnapshot, From: n.options.Name, Index: n.state.Index, Data: data})
 	} else {
-		part := n.recentEntries[p.index+1-n.recentEntries[0].Index:]
-		n.send(name, &Message{Kind: KindEntries, From: n.options.Name, Index: n.state.Index, Entries: slices.Clone(part)})
+		missing := n.recentEntries[p.index+1-n.recentEntries[0].Index:]
+		n.send(name, &Message{Kind: KindEntries, From: n.options.Name, Index: n.state.Index, Entries: slices.Clone(missing)})
 	}
 	p.index = n.state.Index
 }
 
-// onEntries applies log entries of a peer, and requests the ones that are missing before them.
+// onEntries applies the log entries that a peer sent. Where entries before them are missing, it requests those instead.
 func (n *Node) onEntries(now time.Duration, from string, m *Message) {
 	if n.isActiveVoter() {
 		return
@@ -60,7 +62,7 @@
 	}
 }
 
-// onSnapshot replaces the replicated state by a newer one.
+// onSnapshot replaces the replicated state by the snapshot that a peer sent, if that is newer.
 func (n *Node) onSnapshot(now time.Duration, m *Message) error {
 	if n.isActiveVoter() || m.Index <= n.state.Index {
 		return nil
@@ -75,7 +77,7 @@
 	return nil
 }
 
-// updateNeighbours sends new log entries to all neighbours.
+// updateNeighbours sends the log entries that are new since its last call to all neighbours.
 func (n *Node) updateNeighbours() {
 	if n.updatedTo == n.state.Index {
 		return
@@ -86,10 +88,10 @@
 	}
 }
 
-// apply applies a log entry.
+// apply applies a log entry to the replicated state, and updates this front by the change: its requests, leases and events.
 func (n *Node) apply(now time.Duration, entry LogEntry) {
 	if n.state.NeededFormat != 0 {
-		n.state.Index = entry.Index // this program can't read what follows
+		n.state.Index = entry.Index // this program can't read this entry
 		return
 	}
 	c, err := n.state.apply(entry.Index, entry.Data)
@@ -112,7 +114,7 @@
 	}
 	switch c.Op {
 	case opDeclareLease:
-		n.noteDeclared(c.Lease)
+		n.updateMissingLease(c.Lease)
 	case opGrantLease, opVacateLease:
 		lease := n.state.Leases[c.Lease]
 		n.emit(LeaseGranted{Lease: lease.Name, Term: lease.Term, Leaseholder: lease.Leaseholder, Index: entry.Index, Reason: lease.Reason})
@@ -125,11 +127,11 @@
 	}
 }
 
-// restore replaces the replicated state.
+// restore replaces the replicated state, and updates this front by the leases and the fronts of the new state.
 func (n *Node) restore(now time.Duration, state *ReplicatedState) {
 	n.state, n.recentEntries = state, nil
 	for name := range n.declaredLeases {
-		n.noteDeclared(name)
+		n.updateMissingLease(name)
 	}
 	for _, name := range slices.Sorted(maps.Keys(state.Leases)) {
 		if lease := state.Leases[name]; lease.Term > 0 {
--- a/fleet/requests.go
+++ b/fleet/requests.go
@@ -6,26 +6,28 @@
 	"time"
 )
 
-// pendingRequest is a request that is repeated until it is answered.
+// pendingRequest is a request of this front that is not answered yet, and that is sent again until it is.
 type pendingRequest struct {
 	message   *Message
 	startedAt time.Duration
 	sentAt    time.Duration
-	declares  bool // leases: its answer is that the replicated state has them
+	declares  bool // it declares leases: it is answered once the replicated state has them
 }
 
-// requestState is a Node's own requests that are not answered yet.
+// requestState holds a Node's own requests that are not answered yet, by ID.
 type requestState struct {
 	pendingRequests map[uint64]*pendingRequest
 	lastRequestID   uint64
 }
 
+// newRequestState returns the state of a Node without pending requests. Request IDs start at a number that depends on the incarnation,
+// so that they differ from the IDs of earlier starts of the front.
 func newRequestState(incarnation uint64) requestState {
 	return requestState{pendingRequests: map[uint64]*pendingRequest{}, lastRequestID: incarnation << 20}
 }
 
-// Request sends a request to the leader. A RequestDone event with the returned number follows, after four lease durations at
-// the latest.
+// Request sends a request to the leader, and assigns its ID. A RequestDone event with this ID follows after at most about four lease
+// durations.
 func (n *Node) Request(now time.Duration, q Request) (id uint64) {
 	n.lastRequestID++
 	q.ID = n.lastRequestID
@@ -35,12 +37,12 @@
 	}
 	m := &Message{Kind: KindRequest, From: n.options.Name, Request: &q}
 	n.pendingRequests[q.ID] = &pendingRequest{message: m, startedAt: now, sentAt: now}
-	n.toLeader(now, m)
+	n.routeToLeader(now, m)
 	return q.ID
 }
 
-// PutValue asks for a value to be stored under a lease that this front holds; prev is the value's index as known, 0 for none. ok
-// is false where the lease is not held.
+// PutValue requests that the leader store a value under a lease that this front holds. prev is the index of the key's present value,
+// 0 for none. ok is false where this front does not hold the lease.
 func (n *Node) PutValue(now time.Duration, leaseName, key string, prev uint64, value []byte) (id uint64, ok bool) {
 	term, ok := n.HoldsLease(now, leaseName)
 	if !ok {
@@ -49,33 +51,34 @@
 	return n.proposeCommand(now, Command{Op: opPutValue, Lease: leaseName, Term: term, Key: key, PrevIndex: prev, Value: value}), true
 }
 
-// AddVoter asks for a front to become a voter.
+// AddVoter requests that a front become a voter. It returns the ID of the request.
 func (n *Node) AddVoter(now time.Duration, name, address string) uint64 {
 	return n.proposeCommand(now, Command{Op: opAddVoter, Target: name, Address: address})
 }
 
-// RemoveVoter asks for a voter to become a follower.
+// RemoveVoter requests that a voter become a follower. It returns the ID of the request.
 func (n *Node) RemoveVoter(now time.Duration, name string) uint64 {
 	return n.proposeCommand(now, Command{Op: opRemoveVoter, Target: name})
 }
 
-// proposeCommand asks for a command in the log.
+// proposeCommand requests that the leader propose a command for the log. It returns the ID of the request.
 func (n *Node) proposeCommand(now time.Duration, c Command) uint64 {
 	c.Requester, c.RequestID = n.options.Name, n.lastRequestID+1
 	return n.Request(now, Request{Type: RequestProposal, Lease: c.Lease, Command: c.Encode()})
 }
 
-// TransferLease asks for a lease to be transferred to a front; for "" the leader chooses one.
+// TransferLease requests the transfer of a lease to the front to; for "" the leader chooses one. It returns the ID of the request.
 func (n *Node) TransferLease(now time.Duration, leaseName, to string) uint64 {
 	return n.Request(now, Request{Type: RequestTransfer, Lease: leaseName, To: to})
 }
 
-// CollectDigests asks the leader for all fronts' digests of a subsystem; a RequestDone event with them follows.
+// CollectDigests requests all fronts' digests of a subsystem from the leader. It returns the ID of the request, whose RequestDone event
+// has the digests.
 func (n *Node) CollectDigests(now time.Duration, subsystem string) uint64 {
 	return n.Request(now, Request{Type: RequestDigests, Lease: subsystem})
 }
 
-// onReply handles a reply of the leader to this front; leaderTerm is 0 where an older program leads.
+// onReply handles a reply of the leader to this front. leaderTerm is 0 where the leader is an older program.
 func (n *Node) onReply(now time.Duration, reply *LeaderReply, leaderTerm uint64) {
 	if reply.Displaced == n.options.Incarnation && reply.Displaced != 0 {
 		n.markDisplaced(reasonNameTaken)
@@ -97,13 +100,14 @@
 	}
 }
 
-// completeRequest ends a request.
+// completeRequest removes a pending request and emits its end.
 func (n *Node) completeRequest(done RequestDone) {
 	delete(n.pendingRequests, done.ID)
 	n.emit(done)
 }
 
-// retryRequests repeats requests without an answer, and declares leases that the replicated state lacks.
+// retryRequests sends pending requests again once in each heartbeat interval, and ends those that were not answered in time. It also
+// declares the leases that the replicated state lacks.
 func (n *Node) retryRequests(now time.Duration) {
 	timing := n.options.Timing
 	n.completeDeclarations()
@@ -122,25 +126,26 @@
 		if now-pending.sentAt >= timing.HeartbeatInterval() {
 			pending.sentAt = now
 			pending.message.Number = 0
-			n.toLeader(now, pending.message)
+			n.routeToLeader(now, pending.message)
 		}
 	}
 	n.declareMissingLeases(now)
 }
 
-// declareMissingLeases declares leases that the replicated state lacks, or has with another bound: all of them in one request. A
-// leader of an older program declares the first alone; the others follow in further requests.
+// declareMissingLeases requests the declaration of leases that the replicated state lacks, or has with another bound. It sends as many
+// as possible in one request. A leader of an older program declares only the first lease of a request, so the others follow
+// in further requests.
 func (n *Node) declareMissingLeases(now time.Duration) {
 	if n.isolated || n.state.Index == 0 || len(n.missingLeases) == 0 {
 		return
 	}
-	var unasked []Declaration
+	var unrequested []Declaration
 	for _, name := range slices.Sorted(maps.Keys(n.missingLeases)) {
 		if n.pendingRequests[n.missingLeases[name]] == nil {
-			unasked = append(unasked, Declaration{Lease: name, Bound: n.declaredLeases[name]})
+			unrequested = append(unrequested, Declaration{Lease: name, Bound: n.declaredLeases[name]})
 		}
 	}
-	for batch := range slices.Chunk(unasked, maxDeclarations) {
+	for batch := range slices.Chunk(unrequested, maxDeclarations) {
 		id := n.requestDeclarations(now, batch)
 		if pending := n.pendingRequests[id]; pending != nil {
 			pending.declares = true
@@ -151,7 +156,7 @@
 	}
 }
 
-// requestDeclarations asks for leases to be declared.
+// requestDeclarations sends one request to declare leases, at least one. It returns the ID of the request.
 func (n *Node) requestDeclarations(now time.Duration, all []Declaration) uint64 {
 	first := Command{
 		Op:        opDeclareLease,
@@ -163,7 +168,7 @@
 	return n.Request(now, Request{Type: RequestProposal, Lease: first.Lease, Command: first.Encode(), Declarations: all[1:]})
 }
 
-// completeDeclarations ends requests whose leases the replicated state has by now.
+// completeDeclarations ends the requests to declare leases that the replicated state now has.
 func (n *Node) completeDeclarations() {
 	if len(n.pendingRequests) == 0 {
 		return
--- a/fleet/routing.go
+++ b/fleet/routing.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// route is the next hop to a front.
+// route is a route to a front: the next hop, and when the route was last confirmed.
 type route struct {
 	via string
 	at  time.Duration
 }
 
-// routingState is the next hops to fronts behind this one.
+// routingState holds the next hops to fronts further from the leader than this front, by name.
 type routingState struct {
 	routes map[string]route
 }
@@ -17,15 +17,15 @@
 	return routingState{routes: map[string]route{}}
 }
 
-// learnRoute records the next hop to a front.
+// learnRoute records that a front is reached by the peer via, and when that was last seen. It ignores a route without a next hop.
 func (n *Node) learnRoute(now time.Duration, name, via string) {
 	if _, ok := n.routes[name]; via != "" && (ok || len(n.routes) < maxKnownFronts) {
 		n.routes[name] = route{via, now}
 	}
 }
 
-// toLeader sends a message a hop towards the leader.
-func (n *Node) toLeader(now time.Duration, m *Message) {
+// routeToLeader sends a request to the next hop towards the leader, or handles it where this front is the leader.
+func (n *Node) routeToLeader(now time.Duration, m *Message) {
 	switch {
 	case n.leader != nil:
 		n.leader.onRequest(now, m)
@@ -35,8 +35,9 @@
 	}
 }
 
-// toFront sends a reply of the leader a hop towards its front. The leader's own replies carry the term that it leads in.
-func (n *Node) toFront(now time.Duration, m *Message) {
+// routeToFront sends a reply to the next hop towards its front, or handles it where it is for this front. It adds the leader's
+// term to the replies that the leader itself creates.
+func (n *Node) routeToFront(now time.Duration, m *Message) {
 	if m.Kind == KindReply && m.From == n.options.Name && n.leader != nil {
 		m.Term = n.leader.voter.term
 	}
@@ -50,13 +51,14 @@
 	}
 }
 
-// SendDatagram sends data to a subsystem of another front, along the tree of heartbeats. It is unreliable: a sender that needs an
-// answer must retry.
+// SendDatagram sends data to a subsystem of a front, along the tree that the heartbeats form. It is unreliable: a sender that needs
+// an answer must retry.
 func (n *Node) SendDatagram(now time.Duration, to, subsystem string, data []byte) {
 	n.routeDatagram("", &Message{Kind: KindDatagram, From: n.options.Name, Name: to, Reason: subsystem, Data: data})
 }
 
-// routeDatagram sends a datagram a hop towards its receiver, but not back.
+// routeDatagram sends a datagram to the next hop towards its receiver, but not back to the peer from which it came. It emits
+// an event where the datagram is for this front.
 func (n *Node) routeDatagram(from string, m *Message) {
 	if m.Name == n.options.Name {
 		n.emit(DatagramReceived{From: m.From, Subsystem: m.Reason, Data: m.Data})
--- a/fleet/snapshot_chunks.go
+++ b/fleet/snapshot_chunks.go
@@ -6,48 +6,49 @@
 	"time"
 )
 
-// A large state is sent in chunks, within a budget of bytes a second: the state for a front that reconnects must not delay other messages
-// on the link, and a front that updates many others must not be overloaded.
+// A large state is sent in chunks and at a limited rate. So the state for a front that reconnects does not delay other messages on the
+// link, and a front that updates many others is not overloaded.
 const (
-	chunkBytes          = 32 << 10
-	defaultSnapshotRate = 1 << 20 // bytes a second
+	chunkBytes          = 32 << 10 // bytes of state in a chunk
+	defaultSnapshotRate = 1 << 20  // bytes per second to all peers together
 )
 
-// outgoingSnapshot is a state on its way to a peer.
+// outgoingSnapshot is an encoded state that is being sent to a peer.
 type outgoingSnapshot struct {
-	index uint64
+	index uint64 // the index of the state
 	data  []byte
-	sent  int
+	sent  int // the number of bytes sent so far
 }
 
-// incomingSnapshot is the part of a state that a peer has sent so far.
+// incomingSnapshot is the part of an encoded state that a peer has sent so far.
 type incomingSnapshot struct {
-	index uint64
+	index uint64 // the index of the state
 	data  []byte
 }
 
-// snapshotState is the snapshots that a Node sends and receives in chunks.
+// snapshotState holds the snapshots that a Node sends and receives in chunks.
 type snapshotState struct {
-	outgoingSnapshots  map[string]*outgoingSnapshot // by peer
-	incomingSnapshots  map[string]*incomingSnapshot // by peer
-	chunkBudget        float64                      // bytes that may be sent, as of chunkBudgetAt
-	chunkBudgetAt      time.Duration
-	missingRequestedAt time.Duration // the state was requested from a peer, or sent a chunk of it, last
+	outgoingSnapshots map[string]*outgoingSnapshot // by peer
+	incomingSnapshots map[string]*incomingSnapshot // by peer
+	chunkBudget       float64                      // the number of bytes that may be sent, as of chunkBudgetAt
+	chunkBudgetAt     time.Duration
+	stateTransferAt   time.Duration // when this front last requested the state, or received a chunk of it
 }
 
 func newSnapshotState() snapshotState {
 	return snapshotState{outgoingSnapshots: map[string]*outgoingSnapshot{}, incomingSnapshots: map[string]*incomingSnapshot{}}
 }
 
-// startSnapshot begins to send a peer the state.
+// startSnapshot starts to send the encoded state data to a peer in chunks. It does nothing while another state is being sent to the
+// peer.
 func (n *Node) startSnapshot(name string, data []byte) {
 	if n.outgoingSnapshots[name] != nil {
-		return // what is new meanwhile follows as entries
+		return // later changes follow as log entries
 	}
 	n.outgoingSnapshots[name] = &outgoingSnapshot{index: n.state.Index, data: data}
 }
 
-// sendChunks sends what the budget allows for since the last tick, one chunk to each peer in turn.
+// sendChunks sends as many chunks as the rate allows since the last tick, one chunk to each peer in turn.
 func (n *Node) sendChunks(now time.Duration) {
 	if len(n.outgoingSnapshots) == 0 {
 		n.chunkBudgetAt = now
@@ -88,10 +89,10 @@
 	}
 }
 
-// requestMissing asks one peer for the state, where peers are known to be ahead and nothing of it arrives: the next hop to the
-// leader if it is ahead, else any.
-func (n *Node) requestMissing(now time.Duration) {
-	if n.isActiveVoter() || now-n.missingRequestedAt < n.options.Timing.HeartbeatInterval() {
+// requestMissingState requests the state from one peer, where peers are known to be ahead and no chunk of the state arrived within a
+// heartbeat interval. It prefers the next hop to the leader if that is ahead.
+func (n *Node) requestMissingState(now time.Duration) {
+	if n.isActiveVoter() || now-n.stateTransferAt < n.options.Timing.HeartbeatInterval() {
 		return
 	}
 	best := ""
@@ -101,12 +102,12 @@
 		}
 	}
 	if best != "" {
-		n.missingRequestedAt = now
+		n.stateTransferAt = now
 		n.send(best, &Message{Kind: KindEntriesRequest, Index: n.state.Index, Number: 1})
 	}
 }
 
-// onChunk adds a chunk; the last one completes the state.
+// onChunk handles a chunk of the state from a peer. After the last chunk it replaces the replicated state if the received one is newer.
 func (n *Node) onChunk(now time.Duration, from string, p *peer, m *Message) error {
 	if m.Term > MaxMessageBytes*4 || m.Number > m.Term || len(m.Data) > chunkBytes {
 		return errInvalidChunk
@@ -115,7 +116,7 @@
 		delete(n.incomingSnapshots, from)
 		return nil
 	}
-	n.missingRequestedAt = now
+	n.stateTransferAt = now
 	snapshot := n.incomingSnapshots[from]
 	if m.Number == 0 {
 		snapshot = &incomingSnapshot{index: m.Index}
@@ -123,7 +124,7 @@
 	}
 	if snapshot == nil || snapshot.index != m.Index || int(m.Number) != len(snapshot.data) {
 		delete(n.incomingSnapshots, from)
-		return nil // the peer starts again
+		return nil // the chunk does not follow the last one; requestMissingState requests the state again
 	}
 	if snapshot.data = append(snapshot.data, m.Data...); uint64(len(snapshot.data)) < m.Term {
 		return nil
--- a/fleet/timing.go
+++ b/fleet/timing.go
@@ -2,47 +2,51 @@
 
 import "time"
 
-// Timing is the fleet's intervals. All of them are ratios of LeaseDuration, so that one setting scales them together.
+// Timing is the fleet's set of intervals and timeouts. All of them are ratios of LeaseDuration, so that one setting scales them
+// together.
 type Timing struct {
-	LeaseDuration time.Duration // for which a lease is held without renewal
+	LeaseDuration time.Duration // how long a lease is held without renewal
 }
 
-// DefaultLeaseDuration is the lease duration where the form names none.
+// DefaultLeaseDuration is the lease duration where the operator's form sets none.
 const DefaultLeaseDuration = 3 * time.Second
 
-// TickInterval is how often a Node wants its Tick: 50 ms with a lease duration of 3 s.
+// TickInterval is the interval at which Node.Tick should be called: 50 ms with a lease duration of 3 s.
 func (t Timing) TickInterval() time.Duration { return t.LeaseDuration / 60 }
 
-// HeartbeatInterval is how often leaseholders ask for renewal, and how often the leader sends heartbeats.
+// HeartbeatInterval is the interval at which leaseholders request renewals and at which the leader sends heartbeats.
 func (t Timing) HeartbeatInterval() time.Duration { return t.LeaseDuration / 6 }
 
-// LinkTimeout is how long a link may be silent.
+// LinkTimeout is how long nothing may be received on a link before it is closed.
 func (t Timing) LinkTimeout() time.Duration { return t.LeaseDuration * 2 / 3 }
 
-// HandshakeTimeout is how long a new link may take until it is established.
+// HandshakeTimeout is how long the handshake of a new link may take.
 func (t Timing) HandshakeTimeout() time.Duration { return t.LinkTimeout() }
 
-// ExpiredAfter is how long after a configuration lease was refused to all fronts it has provably expired at each of them, on the
-// clock of the front that refused it.
+// ExpiredAfter is the time after which a configuration lease of the given duration has expired at every front. It counts from when
+// the lease was refused to all fronts, on the clock of the front that refused it.
 func (t Timing) ExpiredAfter(configLease time.Duration) time.Duration { return upperBound(configLease) }
 
-// reportInterval is how often a front without leases sends its membership record.
+// reportInterval is the interval at which a front without leases sends its membership record.
 func (t Timing) reportInterval() time.Duration { return t.LeaseDuration / 2 }
 
-// electionTimeout is the least time that a voter waits for a leader; the most is twice this.
+// electionTimeout is the minimum time without contact with a leader after which a voter campaigns. The maximum is twice this.
 func (t Timing) electionTimeout() time.Duration { return t.LeaseDuration / 6 }
 
-// isolationTimeout is how long without a heartbeat a front counts as isolated.
+// isolationTimeout is how long a front must have received no heartbeat to count as isolated.
 func (t Timing) isolationTimeout() time.Duration { return t.LeaseDuration }
 
-// holderLease is how long the leaseholder counts on its lease.
+// holderLease is how long the leaseholder uses its lease without renewal: the lease duration less a margin.
 func (t Timing) holderLease() time.Duration { return lowerBound(t.LeaseDuration) }
 
-// leaderLease is how long the leader waits for a lease to expire.
+// leaderLease is how long the leader waits until a lease has expired: the lease duration plus a margin.
 func (t Timing) leaderLease() time.Duration { return upperBound(t.LeaseDuration) }
 
-// Both sides of a lease keep a margin: the holder counts an eighth less than its duration, the other side an eighth more. With
-// clock rates that differ by a tenth each way the holder still ends first: 7/8 x 1.1/0.9 = 1.07 < 9/8.
+// lowerBound is the duration of a lease as its holder counts it: an eighth less than d.
+//
+// Both sides of a lease apply a margin; the side that grants it counts upperBound. Where the clock of one side is a tenth fast and
+// the other's a tenth slow, the holder still ends first: 7/8 x 1.1/0.9 = 1.07 < 9/8.
 func lowerBound(d time.Duration) time.Duration { return d * 7 / 8 }
 
+// upperBound is the duration of a lease as the side that grants it counts it: an eighth more than d. See lowerBound.
 func upperBound(d time.Duration) time.Duration { return d * 9 / 8 }
--- a/fleet/voter.go
+++ b/fleet/voter.go
@@ -13,13 +13,13 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// voter is a member of the consensus group, which is the raft library's. The library's own election clock is not used, since its
-// randomness can't be seeded: a voter campaigns by itself when it had no contact with a leader for its election timeout.
+// voter is this front's member of the consensus group. It runs the raft library, but not the library's election timer, whose
+// randomness can't be seeded: a voter campaigns when it has had no contact with a leader for its election timeout.
 type voter struct {
 	node       *Node
 	id         uint64
 	nameByID   map[uint64]string
-	haltReason string // "" while it runs
+	haltReason string // why the voter stopped, "" while it runs
 	consensusLog
 	election
 	confirmation
@@ -28,27 +28,27 @@
 	admission
 }
 
-// consensusLog is the raft library's state of the log.
+// consensusLog is the log as the raft library holds it in memory.
 type consensusLog struct {
 	rawNode   *raft.RawNode
 	storage   *raft.MemoryStorage
-	confState *pb.ConfState // the voters as of the last applied entry, nil before a first snapshot
-	applied   uint64        // index of the last applied entry
-	term      uint64        // as it is on disk
+	confState *pb.ConfState // the voters as of the last applied entry, nil before the first snapshot
+	applied   uint64        // the index of the last applied entry
+	term      uint64        // the raft term that is on disk
 }
 
-// raftLogger discards the library's log: what matters of it is emitted as events.
+// raftLogger discards the raft library's log lines. What an operator needs to know is emitted as events.
 var raftLogger = &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
 
 func init() { raft.SetLogger(raftLogger) }
 
-// voterID is the raft library's id of a voter.
+// voterID returns the id by which the raft library knows a voter: a checksum of its name, never 0.
 func voterID(name string) uint64 {
 	id := crc64.Checksum([]byte(name), crc64.MakeTable(crc64.ECMA))
 	return max(id, 1)
 }
 
-// newVoter returns the voter of a node, with what its disk holds. It sets the node's replicated state.
+// newVoter returns a node's voter with the state that its disk holds. It also sets the node's replicated state.
 func newVoter(n *Node, disk *DiskState) (*voter, error) {
 	v := &voter{
 		node:         n,
@@ -63,7 +63,7 @@
 	}
 	rawNode, err := raft.NewRawNode(&raft.Config{
 		ID:                        v.id,
-		ElectionTick:              1 << 20, // never: see drawElectionTimeout
+		ElectionTick:              1 << 20, // too long to be reached: see drawElectionTimeout
 		HeartbeatTick:             2,
 		Storage:                   v.storage,
 		Applied:                   v.applied,
@@ -82,8 +82,8 @@
 	return v, nil
 }
 
-// load takes over what the disk holds. The disk of a new initial voter is written with the state before the first entry: the initial
-// voters count as they were named at the first start.
+// load loads the state that the disk holds. Where the disk of an initial voter is new, it prepares a write of the state before the
+// first entry. So the initial voters are those that were configured at the first start.
 func (v *voter) load(disk *DiskState) error {
 	first := disk.Snapshot
 	if disk.Hard == nil && first == nil && !v.node.options.JoinsExistingFleet {
@@ -102,7 +102,7 @@
 		v.confState = first.GetMetadata().GetConfState()
 	}
 	if disk.Hard != nil {
-		_ = v.storage.SetHardState(disk.Hard) // in memory: it cannot fail
+		_ = v.storage.SetHardState(disk.Hard) // an in-memory write, which cannot fail
 		v.term = disk.Hard.GetTerm()
 		v.floor = Floor{Term: disk.Hard.GetTerm(), Vote: disk.Hard.GetVote(), Commit: disk.Hard.GetCommit()}
 	}
@@ -115,10 +115,10 @@
 	return nil
 }
 
-// initialIndex is the index of the state before the first entry.
+// initialIndex is the index of the replicated state before the first entry.
 const initialIndex = 1
 
-// initialSnapshot is the state before the first entry: the same at each initial voter.
+// initialSnapshot returns the state before the first entry. It has the same bytes at each initial voter.
 func initialSnapshot(voters []Voter) *pb.Snapshot {
 	state := newReplicatedState()
 	state.Index = initialIndex
@@ -131,7 +131,7 @@
 	return &pb.Snapshot{Data: state.encode(), Metadata: &pb.SnapshotMetadata{ConfState: conf, Index: proto.Uint64(initialIndex), Term: proto.Uint64(1)}}
 }
 
-// refreshNames updates the names behind the consensus group's ids.
+// refreshNames updates the map from the raft ids of the voters to their names.
 func (v *voter) refreshNames() {
 	for _, f := range v.node.options.InitialVoters {
 		v.nameByID[voterID(f.Name)] = f.Name
@@ -141,7 +141,7 @@
 	}
 }
 
-// voterCount is the size of the consensus group.
+// voterCount returns the size of the consensus group.
 func (v *voter) voterCount() int {
 	if v.confState == nil {
 		return 0
@@ -149,7 +149,7 @@
 	return len(v.confState.GetVoters())
 }
 
-// VoterHaltReason returns why this front's voter stopped, "" where it runs or there is none.
+// VoterHaltReason returns why this front's voter stopped. It returns "" where the voter runs or this front has none.
 func (n *Node) VoterHaltReason() string {
 	if n.voter == nil {
 		return ""
@@ -157,10 +157,11 @@
 	return n.voter.haltReason
 }
 
-// isActiveVoter reports whether this front takes part in consensus: the log comes by consensus then, and from peers elsewhere.
+// isActiveVoter reports whether this front has a voter that has not halted. An active voter receives the log by consensus. Any
+// other front receives it from its peers.
 func (n *Node) isActiveVoter() bool { return n.voter != nil && n.voter.haltReason == "" }
 
-// halt stops this voter for good; the front continues as a follower.
+// halt stops this voter until the process restarts. The front continues as a follower.
 func (v *voter) halt(reason string) {
 	if v.haltReason == "" {
 		v.haltReason = reason
@@ -168,12 +169,12 @@
 		v.node.leader = nil
 		v.node.emit(VoterHalted{Reason: reason})
 		v.node.refuseRecovery(&VoterHaltError{Reason: reason})
-		v.node.closing = append(v.node.closing, v.node.Peers()...) // it connects to its peers again, as a follower
+		v.node.linksToClose = append(v.node.linksToClose, v.node.Peers()...) // the front connects to its peers again, as a follower
 	}
 }
 
-// callRaft runs a call of the library. The library panics where a guarantee is broken, such as a log that lost committed entries:
-// the voter halts, and the front continues as a follower.
+// callRaft runs a call of the raft library. The library panics where one of its guarantees is broken, such as by a log that lost
+// committed entries. The voter then halts, and the front continues as a follower.
 func (v *voter) callRaft(call func()) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -183,7 +184,7 @@
 	call()
 }
 
-// step handles another voter's message.
+// step handles a raft message of another voter.
 func (v *voter) step(now time.Duration, from string, data []byte) error {
 	m := &pb.Message{}
 	if err := proto.Unmarshal(data, m); err != nil {
@@ -201,16 +202,16 @@
 			v.leaderContactAt = now
 		}
 	case pb.MsgPreVote:
-		if v.hasLiveLeader(now) { // a voter that lost only its own link to the leader must not unseat it
+		if v.hasLiveLeader(now) { // a voter that lost only its own link to the leader must not cause an election
 			return nil
 		}
 	}
-	v.callRaft(func() { _ = v.rawNode.Step(m) }) // a message that raft does not take counts as lost
-	v.process(now)
+	v.callRaft(func() { _ = v.rawNode.Step(m) }) // a message that the library rejects counts as lost
+	v.processReady(now)
 	return nil
 }
 
-// tick does what depends on time.
+// tick continues a recovery, keeps the leadership or campaigns, and writes the floors of other voters when they are due.
 func (v *voter) tick(now time.Duration) {
 	v.continueRecovery(now)
 	if !v.mayVote() {
@@ -218,19 +219,19 @@
 	}
 	switch {
 	case v.isLeader():
-		v.lead(now)
+		v.tickLeader(now)
 	case now-v.leaderContactAt > v.electionTimeout:
 		v.leaderContactAt = now
 		v.drawElectionTimeout()
-		v.callRaft(func() { _ = v.rawNode.Campaign() }) // it is repeated after the next election timeout
+		v.callRaft(func() { _ = v.rawNode.Campaign() }) // after a failure it campaigns again at the next election timeout
 	}
-	v.process(now)
+	v.processReady(now)
 	if v.pendingWrite == nil && v.floorsDue(now, v.node.options.Timing.reportInterval()) {
 		v.pendingWrite = &DiskWrite{Floors: v.copyFloors()}
 	}
 }
 
-// propose proposes a command for the log; it fails unless this voter leads.
+// propose proposes a command for the log. It reports whether the library accepted the proposal, which it does only at the leader.
 func (v *voter) propose(c *Command) bool {
 	ok := false
 	data := c.Encode()
@@ -238,7 +239,7 @@
 	return ok
 }
 
-// proposeVoterChange proposes to add or remove a voter.
+// proposeVoterChange proposes to add or remove a voter. It reports whether the library accepted the proposal.
 func (v *voter) proposeVoterChange(c *Command) bool {
 	typ := pb.ConfChangeAddNode
 	if c.Op == opRemoveVoter {
@@ -250,9 +251,9 @@
 	return ok
 }
 
-// onLinkChange reports to the library that what was sent to another voter may be lost, a snapshot among it: it is sent anew. What is
-// sent without a link is lost as well, so this is for a link's start and for its end. Without it the library waits for
-// the voter's answer to the snapshot for as long as this voter leads.
+// onLinkChange reports to the raft library that messages and snapshots sent to another voter may be lost, so that the library sends
+// them again. It must be called at the start of a link as well as at its end, because messages sent without a link are lost
+// too. Otherwise the library would wait for the answer to a lost snapshot for as long as this voter leads.
 func (v *voter) onLinkChange(name string) {
 	id := voterID(name)
 	if v.haltReason != "" || v.nameByID[id] != name {
