--- a/fleet/voter_admission.go
+++ b/fleet/voter_admission.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// admission is what a voter has learned of its own disk, and of the other voters, before it may take part in consensus.
+// admission decides whether a voter may take part in consensus, by what the other voters know of its disk.
 //
-// A voter whose disk is an old copy might vote twice, and lose what it had acknowledged. So voters tell each other on each new link
-// what they know of the other's disk. A voter takes part once a majority, itself included, has vouched that its disk is not older
-// than they know it. A voter whose own disk holds nothing (it is new, or its disk was lost) knows nothing and vouches for no other.
+// A voter whose disk is an old copy might vote twice in a term, and lose entries that it had acknowledged. So on each new link, voters
+// send each other what they know of the other's disk. A voter takes part once a majority, itself included, vouches that its disk
+// is not older than they know it to be. A voter whose disk is empty, because it is new or was lost, vouches for no other voter.
 type admission struct {
-	vouchedBy    map[string]bool // by voter: it has taken part in consensus, and knows no more of this disk than it holds
-	emptyDisks   map[string]bool // by voter: its disk held nothing while this one held nothing either
-	startedEmpty bool            // this disk held nothing when it was opened
-	fleetBegan   bool            // while this disk held nothing, a front had entries of the log: the fleet has begun without it
+	vouchedBy    map[string]bool // by voter: it has taken part in consensus, and it knows of nothing that this disk lacks
+	emptyDisks   map[string]bool // by voter: its disk was empty at a time when this voter's disk was empty too
+	startedEmpty bool            // this voter's disk was empty when it was opened
+	fleetBegan   bool            // a front had log entries at a time when this disk was empty: the fleet was formed without this disk
 }
 
 func newAdmission(startedEmpty bool) admission {
 	return admission{vouchedBy: map[string]bool{}, emptyDisks: map[string]bool{}, startedEmpty: startedEmpty}
 }
 
-// checkHello compares what another voter knows of this one's disk with what it holds, and records whether the other vouches for it.
+// checkHello handles the first message of another voter. It halts this voter where the other voter knows of something that this disk
+// lacks. Otherwise it records whether the other voter vouches for this disk.
 func (v *voter) checkHello(now time.Duration, from string, h *Handshake) {
 	if !v.floor.covers(h.KnownFloor) {
 		v.halt(oldCopyReason(from, v.floor, h.KnownFloor))
@@ -28,22 +29,22 @@
 		v.vouch(now, from)
 	} else if !v.floor.usedByConsensus() {
 		v.emptyDisks[from] = true
-		v.leaderContactAt = now // followers get time to report that the fleet has begun
+		v.leaderContactAt = now // delays campaigning, so that followers can report that the fleet was formed already
 	}
 	v.learnFloor(from, h.Floor)
 }
 
-// vouch records that another voter vouches for this one's disk.
+// vouch records that another voter vouches for this voter's disk.
 func (v *voter) vouch(now time.Duration, from string) {
 	if !v.vouchedBy[from] {
 		v.vouchedBy[from] = true
-		v.leaderContactAt = now // a present leader gets time to report
+		v.leaderContactAt = now // delays campaigning, so that a present leader can send its messages first
 	}
 }
 
-// checkPing handles another voter's report of its disk, on a link whose first message passed checkHello.
+// checkPing handles a ping of another voter, which reports its disk, on a link whose first message passed checkHello.
 func (v *voter) checkPing(now time.Duration, from string, h *Handshake) {
-	if h.KnownFloor == excludedFloor { // its first message was on its way when the voters were recovered
+	if h.KnownFloor == excludedFloor { // the other voter sent its first message before it recovered the voters
 		v.halt(oldCopyReason(from, v.floor, h.KnownFloor))
 		return
 	}
@@ -53,17 +54,17 @@
 	}
 }
 
-// checkNonVoter handles a new link to a front that is a follower, or has become one.
+// checkNonVoter handles a new link to a front that is a follower, or a voter that halted.
 func (v *voter) checkNonVoter(from string, index uint64) {
 	if !v.isLeader() {
-		delete(v.vouchedBy, from) // its own disk was refused
+		delete(v.vouchedBy, from) // a voter that halted no longer vouches
 	}
 	if !v.floor.usedByConsensus() && index > initialIndex {
 		v.fleetBegan = true
 	}
 }
 
-// mayVote reports whether this voter takes part in consensus.
+// mayVote reports whether this voter may take part in consensus: it runs, and a majority vouches for its disk or it may bootstrap.
 func (v *voter) mayVote() bool {
 	if v.haltReason != "" {
 		return false
@@ -71,7 +72,7 @@
 	return v.hasMajority(func(name string) bool { return v.vouchedBy[name] }) || v.mayBootstrap()
 }
 
-// hasMajority reports whether the others that count are a majority together with this voter.
+// hasMajority reports whether this voter and the other voters for which counts is true are a majority.
 func (v *voter) hasMajority(counts func(name string) bool) bool {
 	n := 1
 	for id, name := range v.nameByID {
@@ -82,9 +83,9 @@
 	return n > v.voterCount()/2
 }
 
-// mayBootstrap reports whether this voter and all other initial voters begin a new fleet. One of them that is away could be the only
-// one that knows that the fleet has begun, and the others could have lost their disks: so all must have been found without
-// anything on their disks.
+// mayBootstrap reports whether this voter may form a new fleet with the other initial voters. It requires that the disks of all
+// initial voters were found empty: if one were missing, it could be the only voter that still knows of an existing fleet, while the
+// others lost their disks.
 func (v *voter) mayBootstrap() bool {
 	if !v.startedEmpty || v.fleetBegan || v.node.options.JoinsExistingFleet {
 		return false
--- a/fleet/voter_confirmation.go
+++ b/fleet/voter_confirmation.go
@@ -5,39 +5,41 @@
 	"time"
 )
 
-// confirmation is the rounds by which a leader has a majority confirm that it still leads: raft's ReadIndex, which uses no clock.
+// confirmation is the state of the rounds in which a majority confirms that the leader still leads. The rounds use raft's ReadIndex,
+// which does not depend on clocks.
 type confirmation struct {
-	readRounds  uint64        // rounds that were started
-	readAt      time.Duration // when the last one was started
-	confirmedAt time.Duration // when a majority answered last
-	silenced    bool          // no majority answered for long: it sends no more heartbeats
+	roundsStarted       uint64        // the number of rounds that were started
+	roundStartedAt      time.Duration // when the last round was started
+	confirmedAt         time.Duration // when a majority last confirmed a round
+	heartbeatsSuspended bool          // no majority confirmed a round for two election timeouts: the leader sends no raft heartbeats
 }
 
-// lead keeps the consensus group's heartbeats and confirmation rounds going. A leader without a confirmation is silenced: its
-// followers may receive its messages, but it receives none of theirs, so they must elect another. It retries a round after six
-// election timeouts.
-func (v *voter) lead(now time.Duration) {
+// tickLeader sends the leader's raft heartbeats and starts confirmation rounds when they are due.
+//
+// A leader without a confirmation for two election timeouts suspends its heartbeats: the other voters may receive its messages while
+// it receives none of theirs, so they must elect another leader. It starts another round six election timeouts after the last one.
+func (v *voter) tickLeader(now time.Duration) {
 	timing := v.node.options.Timing
 	if now-v.confirmedAt > 2*timing.electionTimeout() {
-		v.silenced = true
+		v.heartbeatsSuspended = true
 	}
-	if v.silenced {
-		if now-v.readAt >= 6*timing.electionTimeout() {
-			v.confirm(now)
+	if v.heartbeatsSuspended {
+		if now-v.roundStartedAt >= 6*timing.electionTimeout() {
+			v.startRound(now)
 		}
 		return
 	}
 	v.callRaft(v.rawNode.Tick)
-	if now-v.readAt >= timing.HeartbeatInterval() || v.node.leader.hasUnconfirmed() {
-		v.confirm(now)
+	if now-v.roundStartedAt >= timing.HeartbeatInterval() || v.node.leader.hasUnconfirmed() {
+		v.startRound(now)
 	}
 }
 
-// confirm asks a majority whether this voter still leads. The answer confirms renewals that were received before the question.
-func (v *voter) confirm(now time.Duration) {
-	v.readRounds++
-	v.readAt = now
-	var mark [8]byte
-	binary.BigEndian.PutUint64(mark[:], v.readRounds)
-	v.callRaft(func() { v.rawNode.ReadIndex(mark[:]) })
+// startRound starts a confirmation round. Its result confirms the renewals that were received before the round started.
+func (v *voter) startRound(now time.Duration) {
+	v.roundsStarted++
+	v.roundStartedAt = now
+	var round [8]byte
+	binary.BigEndian.PutUint64(round[:], v.roundsStarted)
+	v.callRaft(func() { v.rawNode.ReadIndex(round[:]) })
 }
--- a/fleet/voter_disk.go
+++ b/fleet/voter_disk.go
@@ -14,32 +14,33 @@
 	Hard      *pb.HardState // nil for a new disk
 	Snapshot  *pb.Snapshot
 	Entries   []*pb.Entry
-	Floors    map[string]Floor // of the other voters
-	OpenCount uint64           // how often the disk was opened, this time included
+	Floors    map[string]Floor // by name: what this voter knows of the other voters' disks
+	OpenCount uint64           // how often the disk was opened, including this time
 }
 
-// DiskWrite is what must be on disk before the voter sends anything more.
+// DiskWrite is a write that must be on disk before the voter sends any more consensus messages.
 type DiskWrite struct {
 	Hard     *pb.HardState
-	Snapshot *pb.Snapshot // replaces all entries up to its index
-	Entries  []*pb.Entry  // replace all entries from the first one's index on
-	Floors   map[string]Floor
+	Snapshot *pb.Snapshot     // replaces all entries up to its index
+	Entries  []*pb.Entry      // replace all entries from the index of the first one on
+	Floors   map[string]Floor // by name: what this voter knows of the other voters' disks
 }
 
-// diskOutput is the library's output on its way to the disk.
+// diskOutput holds the output of the raft library that waits to be written to disk.
 type diskOutput struct {
-	ready        *raft.Ready // waiting for its disk write
-	pendingWrite *DiskWrite
-	confChanged  bool // the voters differ from those in the last snapshot
+	ready        *raft.Ready // the output that is handled after its disk write
+	pendingWrite *DiskWrite  // the write that the owner has to carry out, nil for none
+	confChanged  bool        // the voters differ from those in the last snapshot
 }
 
-// When the log is compacted: entriesKept entries stay behind a snapshot, for voters and followers that are a little behind.
+// Limits of log compaction.
 const (
-	catchUpEntries    = 256
-	snapshotThreshold = 512
+	catchUpEntries    = 256 // log entries that are kept before a snapshot, for voters that are a few entries behind
+	snapshotThreshold = 512 // log entries since the last snapshot after which a new one is written
 )
 
-// PendingWrite returns what must be on disk before anything more is sent. Call WriteDone or WriteFailed after it.
+// PendingWrite returns the write that must be on disk before more consensus messages are sent; ok is false for none. After the write,
+// call WriteDone or WriteFailed.
 func (n *Node) PendingWrite() (*DiskWrite, bool) {
 	if n.voter == nil || n.voter.pendingWrite == nil || n.voter.haltReason != "" {
 		return nil, false
@@ -50,11 +51,11 @@
 // WriteDone reports that the pending write is on disk.
 func (n *Node) WriteDone(now time.Duration) { n.voter.writeDone(now) }
 
-// WriteFailed reports that a write failed: the voter halts, and the front continues as a follower.
+// WriteFailed reports that the pending write failed. The voter halts, and the front continues as a follower.
 func (n *Node) WriteFailed(err error) { n.voter.halt("its disk can't be written: " + err.Error()) }
 
-// process handles the library's output until something must be written to disk first.
-func (v *voter) process(now time.Duration) {
+// processReady handles the raft library's output until it has no more, or until some of it must be written to disk first.
+func (v *voter) processReady(now time.Duration) {
 	for v.haltReason == "" && v.pendingWrite == nil && v.rawNode.HasReady() {
 		var rd raft.Ready
 		v.callRaft(func() { rd = v.rawNode.Ready() })
@@ -77,7 +78,7 @@
 	}
 }
 
-// writeDone continues after a disk write.
+// writeDone handles the end of the pending disk write: it finishes a recovery, or handles the output that waited for the write.
 func (v *voter) writeDone(now time.Duration) {
 	if v.pendingWrite == nil {
 		return
@@ -94,10 +95,11 @@
 	if v.ready != nil {
 		v.handleReady(now)
 	}
-	v.process(now)
+	v.processReady(now)
 }
 
-// handleReady carries out the library's output, which is on disk.
+// handleReady carries out the library's output in v.ready, after its disk write: it updates the log in memory, sends the messages,
+// and applies the committed entries.
 func (v *voter) handleReady(now time.Duration) {
 	rd := *v.ready
 	v.ready = nil
@@ -106,10 +108,10 @@
 			v.restore(now, rd.Snapshot)
 		}
 		if len(rd.Entries) > 0 {
-			_ = v.storage.Append(rd.Entries) // in memory: it panics, or succeeds
+			_ = v.storage.Append(rd.Entries) // an in-memory write, which succeeds or panics
 		}
 		if !raft.IsEmptyHardState(rd.HardState) {
-			_ = v.storage.SetHardState(rd.HardState) // in memory: it cannot fail
+			_ = v.storage.SetHardState(rd.HardState) // an in-memory write, which cannot fail
 			v.term = rd.GetTerm()
 		}
 		if rd.SoftState != nil {
@@ -127,7 +129,7 @@
 		}
 		for _, r := range rd.ReadStates {
 			if len(r.RequestCtx) == 8 && v.isLeader() {
-				v.confirmedAt, v.silenced = now, false
+				v.confirmedAt, v.heartbeatsSuspended = now, false
 				v.node.leader.onQuorumConfirmed(now, binary.BigEndian.Uint64(r.RequestCtx))
 			}
 		}
@@ -136,7 +138,7 @@
 	v.compact()
 }
 
-// apply applies a committed entry.
+// apply applies a committed entry to the replicated state, and a change of the voters also to the raft library.
 func (v *voter) apply(now time.Duration, e *pb.Entry) {
 	v.applied = e.GetIndex()
 	data := e.GetData()
@@ -146,7 +148,7 @@
 			panic(err)
 		}
 		v.confState = v.rawNode.ApplyConfChange(&cc)
-		v.confChanged = true // a new voter can only be initialised by a snapshot that knows of it
+		v.confChanged = true // a new voter can only be initialised by a snapshot that includes it
 		data = cc.GetContext()
 	}
 	if v.isLeader() && e.GetTerm() == v.rawNode.BasicStatus().GetTerm() {
@@ -158,10 +160,10 @@
 	}
 }
 
-// restore replaces the state by a snapshot of another voter.
+// restore replaces the replicated state by a snapshot from another voter.
 func (v *voter) restore(now time.Duration, s *pb.Snapshot) {
 	if err := v.storage.ApplySnapshot(s); err != nil {
-		return // older than the present state
+		return // the snapshot is older than the present state
 	}
 	state, err := decodeReplicatedState(s.GetData())
 	if err != nil {
@@ -173,7 +175,8 @@
 	v.refreshNames()
 }
 
-// compact writes a snapshot of the state where many entries stand behind the last one.
+// compact prepares a write of a new snapshot, and drops older log entries, where the last snapshot is many entries old or the voters
+// have changed since.
 func (v *voter) compact() {
 	if v.haltReason != "" || v.pendingWrite != nil || v.ready != nil || v.confState == nil {
 		return
@@ -190,7 +193,7 @@
 		return
 	}
 	if first, err := v.storage.FirstIndex(); err == nil && v.applied > first+catchUpEntries {
-		_ = v.storage.Compact(v.applied - catchUpEntries) // fails only for an index that is compacted already
+		_ = v.storage.Compact(v.applied - catchUpEntries) // it fails only for an index that is compacted already
 	}
 	v.pendingWrite = &DiskWrite{Snapshot: s}
 }
--- a/fleet/voter_election.go
+++ b/fleet/voter_election.go
@@ -8,12 +8,12 @@
 	"go.etcd.io/raft/v3"
 )
 
-// election is what a voter knows of the leader, and when it campaigns itself.
+// election is a voter's state of the present leader, and of the timeout after which the voter campaigns.
 type election struct {
-	leaderID        uint64        // raft's id of the leader, 0 for none
-	leaderContactAt time.Duration // when a leader's message was received last
-	electionTimeout time.Duration // it campaigns so long after the last contact
-	timeoutDraws    int
+	leaderID        uint64        // the leader's raft id, 0 for none
+	leaderContactAt time.Duration // when a message of a leader was last received, or campaigning was last postponed
+	electionTimeout time.Duration // the time after leaderContactAt when this voter campaigns
+	timeoutDraws    int           // how often electionTimeout was drawn
 }
 
 // IsLeader reports whether this front is the leader.
@@ -22,7 +22,7 @@
 // isLeader reports whether this voter leads the consensus group.
 func (v *voter) isLeader() bool { return v.leaderID == v.id }
 
-// hasLiveLeader reports whether a leader was in contact within the least election timeout.
+// hasLiveLeader reports whether this voter had contact with a leader, or was confirmed as leader, within the minimum election timeout.
 func (v *voter) hasLiveLeader(now time.Duration) bool {
 	lastContact := v.leaderContactAt
 	if v.isLeader() {
@@ -31,7 +31,8 @@
 	return v.leaderID != 0 && now-lastContact < v.node.options.Timing.electionTimeout()
 }
 
-// drawElectionTimeout draws the next election timeout, once to twice the minimum, so that voters don't campaign in step.
+// drawElectionTimeout draws the next election timeout from the seed: between one and two times the minimum, so that voters don't
+// campaign at the same time.
 func (v *voter) drawElectionTimeout() {
 	v.timeoutDraws++
 	sum := crc32.ChecksumIEEE([]byte(strconv.FormatUint(v.node.options.Seed, 16) + "." + strconv.Itoa(v.timeoutDraws)))
@@ -39,25 +40,26 @@
 	v.electionTimeout = least + time.Duration(float64(least)*float64(sum)/(1<<32))
 }
 
-// onSoftState handles a change of leadership.
+// onSoftState handles a change of the leader, as the raft library reports it.
 func (v *voter) onSoftState(now time.Duration, s *raft.SoftState) {
-	was := v.isLeader()
+	wasLeader := v.isLeader()
 	if s.Lead != v.leaderID {
 		v.leaderContactAt = now
 	}
 	v.leaderID = s.Lead
 	switch {
-	case v.isLeader() && !was:
-		v.confirmedAt, v.silenced, v.readAt = now, false, now
+	case v.isLeader() && !wasLeader:
+		v.confirmedAt, v.heartbeatsSuspended, v.roundStartedAt = now, false, now
 		v.node.leader = newLeader(v.node, v, now)
 		v.node.emit(BecameLeader{Term: v.rawNode.BasicStatus().GetTerm()})
-	case was && !v.isLeader():
+	case wasLeader && !v.isLeader():
 		v.node.leader = nil
 		v.node.emit(LostLeadership{})
 	}
 }
 
-// transferLeadership transfers the leadership to the most advanced linked voter, for a leader that shuts down.
+// transferLeadership starts a transfer of the leadership to the linked voter whose log is the most advanced. It does nothing unless
+// this voter leads.
 func (v *voter) transferLeadership() {
 	if !v.isLeader() {
 		return
--- a/fleet/voter_recovery.go
+++ b/fleet/voter_recovery.go
@@ -12,37 +12,38 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// RecoveryState is how far a recovery of the voters has come.
+// RecoveryState is the state of a recovery of the voters.
 type RecoveryState string
 
 // States of a Recovery.
 const (
-	RecoveryWaiting RecoveryState = "waiting" // until leases have expired that the lost voters may have granted
-	RecoveryWriting RecoveryState = "writing" // the recovered state, to the disk
-	RecoveryDone    RecoveryState = "done"
-	RecoveryRefused RecoveryState = "refused"
+	RecoveryWaiting RecoveryState = "waiting" // it waits until all leases that the lost voters may have granted have expired
+	RecoveryWriting RecoveryState = "writing" // the recovered state is being written to the disk
+	RecoveryDone    RecoveryState = "done"    // this voter is the only one
+	RecoveryRefused RecoveryState = "refused" // it ended without a change
 )
 
 // Recovery is a recovery of the voters that an operator requested, see Node.RecoverVoters.
 type Recovery struct {
 	State  RecoveryState
-	Reason string        // the operator's
-	Err    error         // why it was refused, nil elsewhere
+	Reason string        // the reason that the operator gave
+	Err    error         // why the recovery was refused, nil in any other state
 	DueAt  time.Duration // when the wait ends, on this front's clock
-	Lost   []string      // those that are no longer voters
+	Lost   []string      // the voters that the recovery removes
 }
 
-// A recovered state skips indices and terms, so that none of its own is one that the lost voters may have used for something else.
-// Fronts that have entries beyond the surviving copy receive the complete recovered state, and reject what is sent under older terms.
+// A recovered state skips this many indices and terms, so that it uses no index or term that the lost voters may have used for
+// something else. Fronts that have entries beyond the surviving copy receive the complete recovered state, and reject messages
+// under older terms.
 const (
 	recoveryIndexGap = 1 << 20
 	recoveryTermGap  = 1 << 20
 )
 
-// RecoverVoters makes this voter the only one, from its own disk, where a majority of the voters has lost its disks and no leader can
-// be elected any more. Log entries that the lost voters acknowledged and that are not on this disk are lost. Leases that they granted
-// may still be in use: nothing is changed until the longest of them has expired. The error says why it is refused; Recovery returns
-// its further course.
+// RecoverVoters starts a recovery, which makes this voter the only voter, with the state of its own disk. It is for the case that a
+// majority of the voters has lost its disks, so that no leader can be elected. Log entries that the lost voters acknowledged and that
+// are not on this disk are lost. Leases that the lost voters granted may still be in use, so nothing changes until the longest
+// of them has expired. The error says why the recovery is refused. Recovery returns its progress.
 func (n *Node) RecoverVoters(now time.Duration, reason string) error {
 	if strings.TrimSpace(reason) == "" {
 		return ErrRecoveryWithoutReason
@@ -53,20 +54,20 @@
 	if r := n.recovery; r != nil && (r.State == RecoveryWaiting || r.State == RecoveryWriting) {
 		return ErrRecoveryUnderWay
 	}
-	n.recovery = &Recovery{State: RecoveryWaiting, Reason: reason, DueAt: now + n.recoveryWait(), Lost: n.voter.others()}
+	n.recovery = &Recovery{State: RecoveryWaiting, Reason: reason, DueAt: now + n.recoveryWait(), Lost: n.voter.otherVoters()}
 	return nil
 }
 
-// Recovery returns the last recovery that was requested at this front, nil for none since it started.
+// Recovery returns the last recovery that was requested at this front, nil for none since this front started.
 func (n *Node) Recovery() *Recovery { return n.recovery }
 
-// DiskPosition is how new a voter's disk is: of two, the one with the higher LastTerm is newer, or with the higher LastIndex where
-// their terms are equal.
+// DiskPosition says how new a voter's disk is. Of two disks, the one with the higher LastTerm is newer, or the one with the
+// higher LastIndex where the terms are equal.
 type DiskPosition struct {
-	LastTerm, LastIndex uint64 // of the last log entry
+	LastTerm, LastIndex uint64 // the term and the index of the last log entry
 }
 
-// VoterDiskPosition returns how new this voter's disk is; ok is false at a front that has no voter's disk.
+// VoterDiskPosition returns the position of this voter's disk. ok is false at a front that has no voter's disk.
 func (n *Node) VoterDiskPosition() (p DiskPosition, ok bool) {
 	if n.voter == nil {
 		return p, false
@@ -79,12 +80,12 @@
 	return DiskPosition{LastTerm: term, LastIndex: last}, err == nil
 }
 
-// recoveryWait is how long a lease that was granted just now may be in use.
+// recoveryWait returns how long a lease that was granted just now may be in use.
 func (n *Node) recoveryWait() time.Duration {
 	return max(n.options.Timing.leaderLease(), upperBound(n.options.ConfigLease))
 }
 
-// checkRecovery returns why the voters must not, or need not, be recovered from this front's disk.
+// checkRecovery returns why the voters must not or need not be recovered from this front's disk, nil where they may be.
 func (n *Node) checkRecovery() error {
 	switch {
 	case n.voter == nil:
@@ -101,14 +102,14 @@
 	return nil
 }
 
-// knowsFleet reports whether a voter is linked to this one and has taken part in consensus.
+// knowsFleet reports whether this front is linked to a voter that has taken part in consensus and vouches for this voter's disk.
 func (n *Node) knowsFleet(name string) bool {
 	p := n.peers[name]
 	return p != nil && p.Voter && n.voter.vouchedBy[name]
 }
 
-// others returns the names of the other voters, sorted.
-func (v *voter) others() (names []string) {
+// otherVoters returns the names of the other voters, sorted.
+func (v *voter) otherVoters() (names []string) {
 	for id, name := range v.nameByID {
 		if id != v.id {
 			names = append(names, name)
@@ -118,7 +119,8 @@
 	return names
 }
 
-// continueRecovery writes the recovered state once the wait is over. What would have refused the recovery at first refuses it still.
+// continueRecovery prepares the write of the recovered state once the wait is over. Until then it refuses the recovery as soon as
+// checkRecovery returns an error.
 func (v *voter) continueRecovery(now time.Duration) {
 	r := v.node.recovery
 	if r == nil || r.State != RecoveryWaiting || v.pendingWrite != nil {
@@ -140,7 +142,7 @@
 	v.ready, v.pendingWrite = nil, write
 }
 
-// refuseRecovery ends a recovery that is under way without a change.
+// refuseRecovery ends a recovery that is in progress without changing the voters. It does nothing where there is none.
 func (n *Node) refuseRecovery(err error) {
 	r := n.recovery
 	if r == nil || r.State != RecoveryWaiting && r.State != RecoveryWriting {
@@ -150,8 +152,8 @@
 	n.emit(VotersRecovered{Reason: r.Reason, Err: err})
 }
 
-// recoveredDisk returns what this voter's disk holds once it is the only voter: the replicated state with all entries of its log,
-// also with those of which it does not know whether a majority had them.
+// recoveredDisk returns the contents of this voter's disk after the recovery, where it is the only voter. The replicated state
+// includes all entries of its log, also the entries that may not have been committed.
 func (v *voter) recoveredDisk() (*DiskWrite, error) {
 	state, err := decodeReplicatedState(v.node.state.encode())
 	if err != nil {
@@ -179,7 +181,7 @@
 		}
 	}
 	term += recoveryTermGap
-	for _, name := range v.others() {
+	for _, name := range v.otherVoters() {
 		floors[name] = excludedFloor
 	}
 	conf := &pb.ConfState{Voters: []uint64{v.id}}
@@ -190,7 +192,7 @@
 	}, nil
 }
 
-// applyUncommitted applies the log's entries behind those that are known to be committed.
+// applyUncommitted applies the entries of the log up to index last that are not known to be committed.
 func (v *voter) applyUncommitted(state *ReplicatedState, last uint64) error {
 	entries, err := v.storage.Entries(v.applied+1, last+1, math.MaxUint64)
 	if err != nil {
@@ -205,13 +207,13 @@
 			}
 			data = change.GetContext()
 		}
-		_, _ = state.apply(e.GetIndex(), data) // a command may be without effect, as where it is applied in order
+		_, _ = state.apply(e.GetIndex(), data) // the error says that the command had no effect, which is no failure of the recovery
 	}
 	return nil
 }
 
-// finishRecovery takes the recovered state, which is on disk, into use: a new voter replaces this one. All links are made anew, so
-// that those who are no longer voters are notified.
+// finishRecovery starts to use the recovered state after it was written to disk: a new voter object replaces this one. All links are
+// closed and dialled again, so that the former voters learn that they are excluded.
 func (v *voter) finishRecovery(now time.Duration, written *DiskWrite) {
 	n := v.node
 	fresh, err := newVoter(n, &DiskState{Hard: written.Hard, Snapshot: written.Snapshot, Floors: maps.Clone(written.Floors), OpenCount: v.floor.OpenCount})
@@ -222,7 +224,7 @@
 	fresh.leaderContactAt = now
 	n.voter = fresh
 	n.restore(now, n.state)
-	n.closing = append(n.closing, n.Peers()...)
+	n.linksToClose = append(n.linksToClose, n.Peers()...)
 	n.recovery.State = RecoveryDone
 	n.emit(VotersRecovered{Lost: n.recovery.Lost, Index: n.state.Index, Term: fresh.term, Reason: n.recovery.Reason})
 }
--- a/fleet/voter_test.go
+++ b/fleet/voter_test.go
@@ -8,16 +8,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A voter's first message may be on its way when the voters are recovered without the receiver: the pings after it report that.
+// Guards against an excluded voter that does not learn of its exclusion. A voter may send its first message on a link before it recovers
+// the voters without the receiver, so its later pings must report the exclusion.
 func TestPingReportsExclusionToVoter(t *testing.T) {
 	first, second := newTestVoter(t, "k1"), newTestVoter(t, "k2")
 	second.LinkUp(0, first.Hello("k2", true))
 	first.LinkUp(0, second.Hello("k1", false))
 	ping := func() {
-		first.Tick(first.tickedAt + 600*time.Millisecond)
+		first.Tick(first.lastTickAt + 600*time.Millisecond)
 		for _, out := range first.Outgoing() {
 			if out.To == "k2" && out.Message.Kind == KindPing {
-				require.NoError(t, second.Receive(first.tickedAt, "k1", out.Message))
+				require.NoError(t, second.Receive(first.lastTickAt, "k1", out.Message))
 			}
 		}
 	}
@@ -28,16 +29,17 @@
 	assert.Contains(t, second.VoterHaltReason(), "recovered at k1 without it")
 }
 
-// A voter whose disk is empty vouches for none, nor does one whose disk was refused.
+// Guards against votes that depend on a voter that knows nothing: a voter whose disk is empty, or was refused, must not vouch for
+// another voter's disk.
 func TestOnlyVotersWithUsedDisksVouch(t *testing.T) {
 	n, other := newTestVoter(t, "k1"), newTestVoter(t, "k2")
 	empty := other.Hello("k1", true)
 	empty.Hello.Floor = Floor{OpenCount: 1}
 	n.LinkUp(0, empty)
-	assert.False(t, n.voter.mayVote(), "an empty disk knows nothing")
+	assert.False(t, n.voter.mayVote(), "a voter with an empty disk does not vouch")
 	n.LinkUp(0, other.Hello("k1", true))
 	assert.True(t, n.voter.mayVote())
 	other.voter.halt("its disk was refused")
 	n.LinkUp(0, other.Hello("k1", true))
-	assert.False(t, n.voter.mayVote(), "it is no longer a voter")
+	assert.False(t, n.voter.mayVote(), "a halted voter no longer vouches")
 }
