--- a/fleet/config.go
+++ b/fleet/config.go
@@ -81,7 +81,7 @@
 			continue
 		}
 		if forms[d.replacement] != nil {
-			f.Errorf(deprecated.Position, "keep ("+d.replacement+" ...)", "%s is the deprecated name of %s, which stands beside it", d.name, d.replacement)
+			f.Errorf(deprecated.Position, "keep ("+d.replacement+" ...)", "%s is the deprecated name of %s, which is also present", d.name, d.replacement)
 			continue
 		}
 		forms[d.replacement] = deprecated
--- a/fleet/config_leases.go
+++ b/fleet/config_leases.go
@@ -18,8 +18,8 @@
 	return configLeaseState{configExpiry: map[uint64]time.Duration{}}
 }
 
-// SetActiveVersion sets the version that this front uses from now on, and reports it to the leader at once. A pending version that is
-// now active is no longer pending.
+// SetActiveVersion sets the version that this front uses from now on, and reports it to the leader at once. No version is pending
+// afterwards. It does nothing where the version is active already and not pending as well.
 func (n *Node) SetActiveVersion(now time.Duration, version uint64) {
 	if n.activeVersion != version || n.hasPending && n.pendingVersion == version {
 		n.activeVersion, n.hasPending = version, false
--- a/fleet/config_test.go
+++ b/fleet/config_test.go
@@ -83,5 +83,5 @@
 	require.NoError(t, err)
 	assert.Contains(t, log.String(), `forms=span use=lease-duration`)
 	_, err = configOf(`(fleet (id "x") (listen "127.0.0.1:1") (voters (a "h:1")) (keepers (a "h:1")) (plain loopback))`)
-	assert.ErrorContains(t, err, `x:1:59: keepers is the deprecated name of voters, which stands beside it; keep (voters ...)`)
+	assert.ErrorContains(t, err, `x:1:59: keepers is the deprecated name of voters, which is also present; keep (voters ...)`)
 }
--- a/fleet/leases.go
+++ b/fleet/leases.go
@@ -69,8 +69,8 @@
 	return 0
 }
 
-// LeaseConfirmed returns the term of the leader that last renewed a lease. A majority confirmed that leader after the time after,
-// which is on this front's clock. The term is 0 where the renewal did not name it.
+// LeaseConfirmed returns the term of the leader that last renewed a lease. A majority confirmed that leader later than after, which is
+// a time on this front's clock. The term is 0 where the renewal did not name it.
 func (n *Node) LeaseConfirmed(leaseName string) (leaderTerm uint64, after time.Duration) {
 	if own := n.ownLeases[leaseName]; own != nil {
 		return own.confirmedTerm, own.confirmedAt
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -27,7 +27,7 @@
 	outbox
 }
 
-// voterRole is a front's state in consensus; all fields are nil at a follower.
+// voterRole is a front's state in consensus. All fields are nil at a front without a voter's disk.
 type voterRole struct {
 	voter    *voter    // nil where this front has no voter's disk
 	leader   *leader   // nil unless this front's voter leads
--- a/fleet/replication.go
+++ b/fleet/replication.go
@@ -88,7 +88,8 @@
 	}
 }
 
-// apply applies a log entry to the replicated state, and updates this front by the change: its requests, leases and events.
+// apply applies a log entry to the replicated state. It then completes the request that led to the entry, updates this front's own
+// leases and emits events, as the entry requires.
 func (n *Node) apply(now time.Duration, entry LogEntry) {
 	if n.state.NeededFormat != 0 {
 		n.state.Index = entry.Index // this program can't read this entry
--- a/fleet/timing.go
+++ b/fleet/timing.go
@@ -17,7 +17,7 @@
 // HeartbeatInterval is the interval at which leaseholders request renewals and at which the leader sends heartbeats.
 func (t Timing) HeartbeatInterval() time.Duration { return t.LeaseDuration / 6 }
 
-// LinkTimeout is how long nothing may be received on a link before it is closed.
+// LinkTimeout is the time without a received message after which a link is closed.
 func (t Timing) LinkTimeout() time.Duration { return t.LeaseDuration * 2 / 3 }
 
 // HandshakeTimeout is how long the handshake of a new link may take.
@@ -33,7 +33,7 @@
 // electionTimeout is the minimum time without contact with a leader after which a voter campaigns. The maximum is twice this.
 func (t Timing) electionTimeout() time.Duration { return t.LeaseDuration / 6 }
 
-// isolationTimeout is how long a front must have received no heartbeat to count as isolated.
+// isolationTimeout is the time without a received heartbeat after which a front counts as isolated.
 func (t Timing) isolationTimeout() time.Duration { return t.LeaseDuration }
 
 // holderLease is how long the leaseholder uses its lease without renewal: the lease duration less a margin.
--- a/fleet/voter.go
+++ b/fleet/voter.go
@@ -82,8 +82,8 @@
 	return v, nil
 }
 
-// load loads the state that the disk holds. Where the disk of an initial voter is new, it prepares a write of the state before the
-// first entry. So the initial voters are those that were configured at the first start.
+// load initialises the voter and the node's replicated state from the disk. Where the disk of an initial voter is new, it prepares
+// a write of the state before the first entry. So the initial voters are those that were configured at the first start.
 func (v *voter) load(disk *DiskState) error {
 	first := disk.Snapshot
 	if disk.Hard == nil && first == nil && !v.node.options.JoinsExistingFleet {
--- a/fleet/voter_admission.go
+++ b/fleet/voter_admission.go
@@ -84,7 +84,7 @@
 }
 
 // mayBootstrap reports whether this voter may form a new fleet with the other initial voters. It requires that the disks of all
-// initial voters were found empty: if one were missing, it could be the only voter that still knows of an existing fleet, while the
+// initial voters were found empty. A voter that is not linked could be the only one that still knows of an existing fleet, while the
 // others lost their disks.
 func (v *voter) mayBootstrap() bool {
 	if !v.startedEmpty || v.fleetBegan || v.node.options.JoinsExistingFleet {
