--- a/sqlclass/analyzer.go
+++ b/sqlclass/analyzer.go
@@ -1,55 +1,56 @@
 package sqlclass
 
-// analyzer classifies a statement in one pass over its tokens. It is a state machine rather than a parser: all that
-// matters is which names stand where a call, a type, a verb or a lock stands. Where it cannot tell, it says so, and the
-// class is Unknown. It looks at nothing that the normal form leaves out, so that one normal form has one class.
+// analyzer classifies a statement in one pass over its tokens. It is a state machine rather than a parser: it only has to
+// recognize the names that are function calls, types, verbs or row locks. If it cannot decide, the class is Unknown. It
+// ignores everything that the normal form leaves out, so that the class depends only on the normal form.
 type analyzer struct {
 	scan   Scanner
 	lists  *NameLists
 	text   []byte
 	result Classification
-	scopes [maxDepth + 1]scope // the statement itself, and one for each open parenthesis
-	depth  int
-	name   qualifiedName // the name that is being read
-	buffer []byte        // scratch space for names
+	scopes [maxDepth + 1]scope // scope 0 is the statement itself; each open parenthesis adds one
+	depth  int                 // index of the innermost scope
+	name   qualifiedName       // the name that is being read
+	buffer []byte              // scratch space for names
 
 	previous       previousTokens
 	explain        explainClause
 	lockClause     lockClause
-	sawToken       bool // other than a semicolon
-	afterSemicolon bool
+	sawToken       bool // a token other than a semicolon was read
+	afterSemicolon bool // a semicolon ended the first statement
 	rows           rowEstimate
 }
 
-// scope is the statement or what stands between two parentheses.
+// scope is the state of one nesting level: the statement itself, or the content of a pair of parentheses.
 type scope struct {
 	atStatementStart bool // the next word may begin a statement
-	inWithList       bool // in the list of a WITH
-	inFromList       bool // in the list of a FROM
+	inWithList       bool // in the list of queries of a WITH clause
+	inFromList       bool // in the list of tables of a FROM clause
 	inCast           bool // CAST(x AS type)
-	explainOptions   bool // options of EXPLAIN
-	aliasColumns     bool // the column list of an alias
-	yieldsOperand    bool // the parenthesis as a whole is an operand, so an alias may follow
-	openBrackets     int  // [ without their ]
+	explainOptions   bool // in the parenthesized options of EXPLAIN
+	aliasColumns     bool // in the column list of an alias
+	yieldsOperand    bool // the parenthesized expression is an operand, so an alias may follow
+	openBrackets     int  // number of [ that are not closed yet
 	block            queryBlock
 }
 
-// previousTokens are what was read last.
+// previousTokens describe the tokens that were read last.
 type previousTokens struct {
 	token    Token
-	operand  bool   // token ended an operand
-	keyword  string // of token: a keyword, "," or "("; "" for any other
-	keyword2 string // of the word before
+	operand  bool   // token is the end of an operand
+	keyword  string // token if it is a keyword, a comma or an opening parenthesis; otherwise ""
+	keyword2 string // the value of keyword before the last word
 }
 
+// set records a token that is not a word.
 func (p *previousTokens) set(operand bool, keyword string) { p.operand, p.keyword = operand, keyword }
 
-// setWord is set for a word: the keyword before it becomes keyword2.
+// setWord records a word. The keyword before it becomes keyword2.
 func (p *previousTokens) setWord(operand bool, keyword string) {
 	p.operand, p.keyword2, p.keyword = operand, p.keyword, keyword
 }
 
-// explainClause is the EXPLAIN before a statement.
+// explainClause says whether EXPLAIN, with or without ANALYZE, precedes the statement.
 type explainClause struct {
 	seen    bool
 	analyze bool
@@ -58,16 +59,17 @@
 // planOnly reports whether the statement is planned and not executed.
 func (e explainClause) planOnly() bool { return e.seen && !e.analyze }
 
-// lockClause is how much of FOR [NO KEY] UPDATE, or of FOR [KEY] SHARE, has been read.
+// lockClause is the state of reading FOR [NO KEY] UPDATE or FOR [KEY] SHARE.
 type lockClause uint8
 
 const (
-	lockNone     lockClause = iota
-	lockFor                 // FOR
-	lockStrength            // FOR NO or FOR KEY
+	lockNone     lockClause = iota // not in a lock clause
+	lockFor                        // after FOR
+	lockStrength                   // after FOR NO or FOR KEY
 )
 
-// classify classifies a text that a Scanner accepts whole. The buffer of the run before is used again.
+// classify returns the classification of a text that a Scanner accepts without an error. It reuses the buffer of the
+// previous call.
 func (a *analyzer) classify(text []byte, lists *NameLists) Classification {
 	*a = analyzer{lists: lists, text: text, buffer: a.buffer[:0]}
 	a.scan.Reset(text)
@@ -75,11 +77,11 @@
 	a.top().atStatementStart = true
 	for more := true; more; {
 		t := a.scan.Next()
-		more = a.next(t)
+		more = a.consume(t)
 		a.previous.token = t
 	}
 	if a.depth > 0 || a.top().openBrackets != 0 {
-		a.unknown(len(text), "a ( or [ without its ) or ]")
+		a.markUnknown(len(text), "a ( or [ without its ) or ]")
 	}
 	for ; a.depth >= 0; a.depth-- {
 		a.scopes[a.depth].block.close(&a.rows)
@@ -88,71 +90,76 @@
 	case !a.sawToken && a.result.Class == Read:
 		a.result.Empty = true
 	case a.result.Verb == "":
-		a.unknown(0, noVerb)
+		a.markUnknown(0, noVerb)
 	}
 	a.result.rows = a.rows
 	return a.result
 }
 
+// noVerb is the reason for a statement whose first word is not a known verb.
 const noVerb = "it begins with no verb that is known"
 
-// next handles the next token; more is false at the end, and where the rest of the text does not matter.
-func (a *analyzer) next(t Token) (more bool) {
+// consume handles the next token. It returns false at the end of the text, and if the rest of the text needs no analysis.
+func (a *analyzer) consume(t Token) (more bool) {
 	switch {
 	case t.Kind == EndOfText:
 		a.endName(t)
 		return false
 	case t.Kind == Invalid:
-		a.unknown(t.Start, a.scan.Err.Message)
+		a.markUnknown(t.Start, a.scan.Err.Message)
 		return false
 	case a.isPunctuation(t, ';'):
 	case a.afterSemicolon:
 		a.result.MultipleStatements = true
-		a.unknown(t.Start, "several statements")
+		a.markUnknown(t.Start, "several statements")
 		return false
 	default:
 		a.sawToken = true
 	}
-	return a.token(t)
+	return a.handleToken(t)
 }
 
 // top returns the innermost scope.
 func (a *analyzer) top() *scope { return &a.scopes[a.depth] }
 
+// isPunctuation reports whether the token is the given punctuation mark.
 func (a *analyzer) isPunctuation(t Token, mark byte) bool {
 	return t.Kind == Punctuation && a.text[t.Start] == mark
 }
 
-// setClass sets the class with its reason, which is about the text from offset on.
+// setClass sets the class and its reason. The offset is that of the first byte that the reason refers to.
 func (a *analyzer) setClass(class Class, offset int, reason string) {
 	a.result.Class, a.result.Reason, a.result.ReasonOffset = class, reason, offset
 }
 
-// unknown notes something that is not understood. The first reason counts, and a write takes precedence.
-func (a *analyzer) unknown(offset int, reason string) {
+// markUnknown sets the class to Unknown unless it is Unknown or Write already. The first reason is kept, and a write takes
+// precedence.
+func (a *analyzer) markUnknown(offset int, reason string) {
 	if a.result.Class == Read {
 		a.setClass(Unknown, offset, reason)
 	}
 }
 
-// write notes something that writes when the statement is executed.
-func (a *analyzer) write(offset int, reason string) {
+// markWrite sets the class to Write, unless it is Write already or an EXPLAIN only plans the statement.
+func (a *analyzer) markWrite(offset int, reason string) {
 	if !a.explain.planOnly() && a.result.Class != Write {
 		a.setClass(Write, offset, reason)
 	}
 }
 
-// sessionBound notes something that leaves state on the connection, or needs some there.
-func (a *analyzer) sessionBound(offset int, reason string) {
+// markSessionBound records that the statement leaves state on its connection or needs state there. It is a Write, even if an
+// EXPLAIN only plans it.
+func (a *analyzer) markSessionBound(offset int, reason string) {
 	a.result.SessionBound = true
 	if a.result.Class != Write {
 		a.setClass(Write, offset, reason)
 	}
 }
 
-func (a *analyzer) token(t Token) (more bool) {
+// handleToken handles any token except the end of the text and an invalid token.
+func (a *analyzer) handleToken(t Token) (more bool) {
 	if t.Kind == Word || t.Kind == QuotedName {
-		a.word(t)
+		a.handleWord(t)
 		return true
 	}
 	if a.name.active && !a.isPunctuation(t, '.') && !a.isPunctuation(t, '(') {
@@ -166,23 +173,23 @@
 	switch t.Kind {
 	case StringLiteral, NumberLiteral, Parameter:
 		if t.Ambiguous {
-			a.unknown(t.Start, `a \ before the end of a text, which reads otherwise where standard_conforming_strings is off`)
+			a.markUnknown(t.Start, `a \ before the end of a text, which reads otherwise where standard_conforming_strings is off`)
 		}
 		scope.block.literal(a.previous.token, a.text)
 		a.previous.set(true, "")
 	case Operator:
 		if !builtinOperators[string(a.text[t.Start:t.End])] {
-			a.unknown(t.Start, "the operator "+a.excerpt(t)+" is none of PostgreSQL's own")
+			a.markUnknown(t.Start, "the operator "+a.excerpt(t)+" is none of PostgreSQL's own")
 		}
 		a.previous.set(false, "")
 	case Punctuation:
-		return a.punctuation(t, first)
+		return a.handlePunctuation(t, first)
 	}
 	return true
 }
 
-// punctuation handles a punctuation mark; first says that a statement may begin with it.
-func (a *analyzer) punctuation(t Token, first bool) (more bool) {
+// handlePunctuation handles a punctuation mark. first says that a statement may begin with the mark.
+func (a *analyzer) handlePunctuation(t Token, first bool) (more bool) {
 	scope := a.top()
 	switch a.text[t.Start] {
 	case '.':
@@ -200,7 +207,7 @@
 	case ';':
 		a.previous.set(false, "")
 		if a.depth > 0 {
-			a.unknown(t.Start, "a ; between ( and )")
+			a.markUnknown(t.Start, "a ; between ( and )")
 		} else if a.result.Verb != "" || a.result.Class != Read {
 			a.afterSemicolon = true
 		}
@@ -209,7 +216,7 @@
 		a.previous.set(false, "")
 	case ']':
 		if scope.openBrackets--; scope.openBrackets < 0 {
-			a.unknown(t.Start, "a ] without its [")
+			a.markUnknown(t.Start, "a ] without its [")
 		}
 		a.previous.set(true, "")
 	default:
@@ -218,14 +225,15 @@
 	return true
 }
 
+// closeParenthesis ends the innermost scope.
 func (a *analyzer) closeParenthesis(t Token) {
 	if a.depth == 0 {
-		a.unknown(t.Start, "a ) without its (")
+		a.markUnknown(t.Start, "a ) without its (")
 		return
 	}
 	scope := a.top()
 	if scope.openBrackets != 0 {
-		a.unknown(t.Start, "a [ without its ]")
+		a.markUnknown(t.Start, "a [ without its ]")
 	}
 	scope.block.close(&a.rows)
 	a.depth--
@@ -235,7 +243,8 @@
 	}
 }
 
-// openParenthesis enters a parenthesis: what stands before it says what it contains. more is false where it is too deep.
+// openParenthesis begins a scope. The tokens before the parenthesis determine what it contains. It returns false if the
+// parentheses are nested too deeply.
 func (a *analyzer) openParenthesis(t Token, first bool) (more bool) {
 	inner := scope{atStatementStart: true, yieldsOperand: true}
 	name, outer := &a.name, a.top()
@@ -245,23 +254,23 @@
 		inner.explainOptions, inner.yieldsOperand = true, false
 	case !name.active:
 	case name.parts == 1 && name.isKeyword("operator"):
-		a.unknown(name.first.Start, "an operator named by OPERATOR()")
+		a.markUnknown(name.first.Start, "an operator named by OPERATOR()")
 	case name.isReserved() && name.precededBy != "as":
 		distinctOn := name.isKeyword("on") && a.previous.keyword2 == "distinct"
 		inner.yieldsOperand = name.keyword.flags&flagTableOrOperand != 0 && !distinctOn
 		inner.inCast = name.isKeyword("cast") || name.isKeyword("treat")
-		outer.block.opened(name.keyword.name)
+		outer.block.openParenthesis(name.keyword.name)
 	default:
-		inner.aliasColumns = a.callee(t)
+		inner.aliasColumns = a.nameBeforeParenthesis(t)
 		inner.inCast = name.isKeyword("xmlserialize")
 	}
 	ofWithQuery := name.active && (name.isKeyword("as") || name.isKeyword("materialized"))
 	if outer.inWithList && !inner.aliasColumns && !ofWithQuery {
-		outer.inWithList = false // WITH ... (SELECT ...): what follows belongs to the main statement
+		outer.inWithList = false // WITH ... (SELECT ...): the parenthesis begins the main statement
 	}
 	name.active = false
 	if a.depth == maxDepth {
-		a.unknown(t.Start, "parentheses too deep within each other")
+		a.markUnknown(t.Start, "parentheses too deep within each other")
 		return false
 	}
 	a.depth++
--- a/sqlclass/class.go
+++ b/sqlclass/class.go
@@ -1,54 +1,55 @@
-// Package sqlclass classifies SQL statements: it parses them just far enough to say what they do, what they may cost and
-// which request type they are, and caches what it found by their normal form.
+// Package sqlclass classifies SQL statements. It analyzes a statement just far enough to determine its class (read or
+// write), its estimated cost and its request type, and caches the result under the statement's normal form.
 //
-// Normalization folds what does not matter (names and keywords to lower case, literals to ?); the fingerprint is a
-// checksum of the normal form, for people and logs; classification says whether a statement reads or writes.
+// Normalization removes differences that do not affect the class: it converts names and keywords to lower case and
+// replaces literals with ?. The fingerprint is a checksum of the normal form, for people and logs. Classification
+// determines whether a statement reads or writes.
 //
-// A Classifier owns its cache and its cost model and is safe for concurrent use; a Scanner has one user at a time.
+// A Classifier owns its cache and its cost model and is safe for concurrent use. A Scanner is not safe for concurrent use.
 //
-// The invariants, asserted by the tests:
-//   - A text is a Read only if every part of it was understood as reading: its verb, every function it calls in
-//     whatever spelling, every operator and every type it casts to. All else is a Write or Unknown, and Unknown
-//     is to be treated as a Write.
-//   - The class is a property of the normal form: two texts of one normal form have one class, and normal forms are
-//     distinguished by their bytes, never by a checksum alone.
-//   - Scanning, classifying and looking up use bounded memory whatever the text: no recursion, scopes of fixed
-//     number, names and tables counted.
+// The tests assert these invariants:
+//   - A text is a Read only if every part of it is recognized as reading: its verb, every function that it calls in
+//     any spelling, every operator and every type that it casts to. Any other text is a Write or Unknown, and callers
+//     must treat Unknown as a Write.
+//   - The class depends only on the normal form: two texts with the same normal form have the same class. Normal forms
+//     are compared byte by byte, never by a checksum alone.
+//   - Scanning, classification and cache lookup use bounded memory for any text: there is no recursion, the number of
+//     scopes is fixed, and the lengths of names and the number of tables are limited.
 //
-// Nothing here chooses a server, or whether a request is retried.
+// The package neither chooses a server nor decides whether a request is retried.
 package sqlclass
 
-// Class is what a statement does to data.
+// Class says whether a statement reads or writes data.
 type Class uint8
 
 // The classes of statements.
 const (
-	Unknown Class = iota // to be treated as a Write of unknown effect
+	Unknown Class = iota // not recognized; treated as a Write with an unknown effect
 	Read
 	Write
 )
 
 var classNames = [...]string{"unknown", "read", "write"}
 
-// String returns the name of the class, as commands and logs show it.
+// String returns the name of the class that commands and logs show.
 func (c Class) String() string { return classNames[c] }
 
-// Classification is what was found about a normal form.
+// Classification is the result of analyzing a statement. It is cached for all texts with the same normal form.
 type Classification struct {
 	Class              Class
-	SessionBound       bool     // it leaves state on the connection, or needs what another statement left there
-	MultipleStatements bool     // the text holds more than one statement
-	Empty              bool     // the text holds none
-	Reason             string   // why it is not a Read; "" for a Read
-	ReasonOffset       int      // offset of the first byte that Reason is about, in the text that was classified
-	Verb               string   // the first keyword, or the one after a WITH list; "" where there is none
-	Tables             []string // named after FROM, JOIN, INTO, UPDATE; lower case, without schema, in order, each once
+	SessionBound       bool     // the statement leaves state on its connection, or needs state that another statement left there
+	MultipleStatements bool     // the text contains more than one statement
+	Empty              bool     // the text contains no statement
+	Reason             string   // why the statement is not a Read; "" for a Read
+	ReasonOffset       int      // offset of the first byte that Reason refers to, in the text that was classified
+	Verb               string   // the first keyword, or the keyword after a WITH list; "" if there is none
+	Tables             []string // after FROM, JOIN, INTO or UPDATE; in order, without duplicates, in lower case, without schema
 	rows               rowEstimate
 }
 
-// Limits on the memory that a text can make the analyzer use.
+// Limits on the memory that the analyzer uses for one text.
 const (
-	maxDepth     = 100 // parentheses in each other
+	maxDepth     = 100 // nesting depth of parentheses
 	maxTables    = 16
-	maxNameBytes = 64 // of a name shown in a reason; PostgreSQL cuts names at 63
+	maxNameBytes = 64 // of a name that is stored or shown in a reason; PostgreSQL truncates names to 63 bytes
 )
--- a/sqlclass/classifier.go
+++ b/sqlclass/classifier.go
@@ -12,52 +12,56 @@
 	"github.com/maypok86/otter/v2"
 )
 
-// NormalizedStatement is a normal form and what is known of it. All but what was measured is fixed once it is made.
+// NormalizedStatement is a normal form with its classification and its measured latencies. Everything except the
+// measurements is immutable after construction.
 type NormalizedStatement struct {
 	Classification
 	text          []byte
-	matchingRules uint64 // a bit for each rule that matches but for its cost
+	matchingRules uint64 // one bit for each rule whose conditions other than the cost are met
 	measured      measurements
 }
 
-// Text returns the normal form; it must not be changed.
+// Text returns the normal form. The caller must not modify it.
 func (s *NormalizedStatement) Text() []byte { return s.text }
 
-// Fingerprint returns a label for people and logs, the same in every process. It is never a key: texts of two normal
-// forms can be made that share it.
+// Fingerprint returns a checksum of the normal form for people and logs. It is the same in every process. It must not be
+// used as a key, since a client can construct two normal forms with the same checksum.
 func (s *NormalizedStatement) Fingerprint() uint64 { return xxhash.Sum64(s.text) }
 
-// Options are what a Classifier is made of.
+// Options configure a Classifier.
 type Options struct {
-	CacheBytes int64 // that the cache may hold
+	CacheBytes int64 // maximum size of the cache; at least MinCacheBytes is used
 	Lists      *NameLists
 	Rules      []Rule
-	Seed       uint64 // of the cache's checksums; 0: random
+	Seed       uint64 // seed of the cache's checksums; 0 for a random seed
 }
 
-// Classifier classifies statements and caches what it found by their normal forms. It is safe for concurrent use.
+// Classifier classifies statements and caches the results under their normal forms. It also estimates the latency of
+// statements from measurements. It is safe for concurrent use.
 type Classifier struct {
 	lists         *NameLists
 	rules         []Rule
 	costs         *costModel
 	seed          uint64
-	maxCachedText int // length of a normal form that is cached
+	maxCachedText int // longest normal form that is cached, in bytes
 	cache         *otter.Cache[uint64, *NormalizedStatement]
 	scratch       sync.Pool
 
 	hits, misses, collisions, tooLong atomic.Uint64
 }
 
-// MinCacheBytes is the smallest cache that is of use.
+// MinCacheBytes is the smallest cache size; New raises a smaller size to it.
 const MinCacheBytes = 64 << 10
 
-// entryBytes is what a cache entry takes beside its texts: the statement, the cache's node and its place in the map.
+// entryBytes is the size of a cache entry without its texts: the NormalizedStatement plus the cache's own node and map
+// entry.
 const entryBytes = int(unsafe.Sizeof(NormalizedStatement{})) + 160
 
-// New makes a Classifier.
+// New returns a Classifier.
 //
-// The cache is otter's: of those weighed (docs/classing.md) the one that is bounded in bytes, keeps known entries
-// through a flood of entries seen once (W-TinyLFU), and looks up without a lock or an allocation.
+// The cache is an otter cache. Among the caches compared in docs/classing.md it is the one that has a size limit in bytes,
+// keeps frequently used entries during a flood of entries that are used once (W-TinyLFU), and looks up entries without
+// a lock or an allocation.
 func New(o Options) *Classifier {
 	c := &Classifier{lists: o.Lists, rules: o.Rules, costs: newCostModel(), seed: o.Seed,
 		maxCachedText: int(min(max(o.CacheBytes, MinCacheBytes)/64, 64<<10))}
@@ -66,18 +70,19 @@
 	}
 	if c.seed == 0 {
 		var b [8]byte
-		_, _ = rand.Read(b[:]) // it never fails
+		_, _ = rand.Read(b[:]) // never returns an error
 		c.seed = binary.LittleEndian.Uint64(b[:])
 	}
 	c.cache = otter.Must(&otter.Options[uint64, *NormalizedStatement]{
 		MaximumWeight: uint64(max(o.CacheBytes, MinCacheBytes)),
 		Weigher:       func(_ uint64, s *NormalizedStatement) uint32 { return uint32(s.weight()) },
-		Executor:      func(f func()) { f() }, // its upkeep runs with who caused it: a flood pays for itself
+		Executor:      func(f func()) { f() }, // maintenance runs in the goroutine that causes it: a flood slows only its senders
 	})
 	c.scratch.New = func() any { return &scratch{} }
 	return c
 }
 
+// weight returns the size of the statement's cache entry in bytes.
 func (s *NormalizedStatement) weight() int {
 	n := entryBytes + cap(s.text) + len(s.Reason)
 	for _, t := range s.Tables {
@@ -86,7 +91,7 @@
 	return n
 }
 
-// scratch is the memory that classifying one text takes; it is used again for the next.
+// scratch is the working memory for classifying one text. It is pooled and reused.
 type scratch struct {
 	scan     Scanner
 	analyzer analyzer
@@ -94,9 +99,9 @@
 	digest   xxhash.Digest
 }
 
-const maxScratchBytes = 16 << 10 // of a normal form's buffer that is reused for the next text
+const maxScratchBytes = 16 << 10 // a larger buffer for the normal form is not reused
 
-// release drops the references to the last text.
+// release drops the references to the classified text, and a buffer that is too large to keep.
 func (w *scratch) release() {
 	if cap(w.text) > maxScratchBytes {
 		w.text = nil
@@ -104,8 +109,9 @@
 	w.scan.text, w.analyzer.text, w.analyzer.scan.text, w.analyzer.result = nil, nil, nil, Classification{}
 }
 
-// Classify returns the normal form of a text, its class and its details. A syntax error is a text that no server would
-// accept: nothing of it may be sent. Texts of one normal form share a NormalizedStatement while it is cached.
+// Classify returns the normal form of a text with its classification, and the text's details. A syntax error means that
+// no server would accept the text; it must not be sent. Texts with the same normal form share a NormalizedStatement while
+// it is cached.
 func (c *Classifier) Classify(text []byte) (*NormalizedStatement, Details, *SyntaxError) {
 	w := c.scratch.Get().(*scratch)
 	s, details, err := c.classify(w, text)
@@ -114,6 +120,7 @@
 	return s, details, err
 }
 
+// classify is Classify with the given working memory.
 func (c *Classifier) classify(w *scratch, text []byte) (*NormalizedStatement, Details, *SyntaxError) {
 	if err := checkEncoding(text); err != nil {
 		return nil, Details{}, err
@@ -121,14 +128,14 @@
 	normal, details, err := w.scan.Normalize(w.text[:0], text)
 	w.text = normal
 	if err != nil {
-		copied := *err // the scanner is used again
+		copied := *err // err points into the scanner, which is reused
 		return nil, details, &copied
 	}
 	w.digest.ResetWithSeed(c.seed)
-	_, _ = w.digest.Write(normal) // it never fails
+	_, _ = w.digest.Write(normal) // never returns an error
 	key := w.digest.Sum64()
 	s, found := c.cache.GetIfPresent(key)
-	if found && bytes.Equal(s.text, normal) { // equal checksums prove nothing: a client may have made them so
+	if found && bytes.Equal(s.text, normal) { // a client may have constructed a text with an equal checksum
 		c.hits.Add(1)
 		return s, details, nil
 	}
@@ -136,33 +143,35 @@
 	fresh := &NormalizedStatement{Classification: w.analyzer.classify(text, c.lists), text: bytes.Clone(normal)}
 	fresh.matchingRules = matchingRules(c.rules, &fresh.Classification)
 	switch {
-	case found: // the first entry stays, so that no client can evict it
+	case found: // the existing entry stays, so that no client can evict it by a collision
 		c.collisions.Add(1)
 	case len(normal) > c.maxCachedText:
 		c.tooLong.Add(1)
 	default:
 		if _, first := c.cache.SetIfAbsent(key, fresh); !first {
 			if s, ok := c.cache.GetIfPresent(key); ok && bytes.Equal(s.text, normal) {
-				fresh = s // another goroutine was faster
+				fresh = s // another goroutine has cached the same normal form meanwhile
 			}
 		}
 	}
 	return fresh, details, nil
 }
 
-// Explain classifies a text without the cache, so that the offset of its reason is one in this text.
+// Explain classifies a text without the cache, so that ReasonOffset is an offset in this text.
 func (c *Classifier) Explain(text []byte) Classification {
 	w := c.scratch.Get().(*scratch)
 	defer c.scratch.Put(w)
 	return w.analyzer.classify(text, c.lists)
 }
 
-// Stats are counts since the start, and what the cache holds.
+// Stats are the counters of a Classifier since it was made, and the present size of its cache. Collisions counts the
+// lookups that found the entry of another normal form with the same checksum. TooLong counts the normal forms that were
+// too long to be cached.
 type Stats struct {
 	Hits, Misses, Collisions, TooLong, Entries, Bytes uint64
 }
 
-// Stats returns the counts.
+// Stats returns the current counters.
 func (c *Classifier) Stats() Stats {
 	return Stats{Hits: c.hits.Load(), Misses: c.misses.Load(), Collisions: c.collisions.Load(),
 		TooLong: c.tooLong.Load(), Entries: uint64(c.cache.EstimatedSize()), Bytes: c.cache.WeightedSize()}
--- a/sqlclass/classifier_test.go
+++ b/sqlclass/classifier_test.go
@@ -14,10 +14,11 @@
 	"pgregory.net/rapid"
 )
 
+// normalize returns the normal form of a valid text.
 func normalize(t testing.TB, text string) string {
 	var s Scanner
-	b, _, fault := s.Normalize(nil, []byte(text))
-	require.Nil(t, fault, text)
+	b, _, syntaxErr := s.Normalize(nil, []byte(text))
+	require.Nil(t, syntaxErr, text)
 	return string(b)
 }
 
@@ -50,9 +51,9 @@
 		"SELECT 'abc": 7, "SELECT 1 /* a /* b */ ": 9, `SELECT "a`: 7, "SELECT $x$ a $y$": 7, "SELECT E'a\\'": 7,
 		"SELECT U&\"a": 7, "SELECT 'a'\n'b": 7, "SELECT 'é\xff'": 10, "SELECT $": 7, "SELECT \x00": 7,
 	} {
-		_, _, fault := c.Classify([]byte(text))
-		require.NotNil(t, fault, text)
-		assert.Equal(t, at, fault.Offset, "%q: %v", text, fault)
+		_, _, syntaxErr := c.Classify([]byte(text))
+		require.NotNil(t, syntaxErr, text)
+		assert.Equal(t, at, syntaxErr.Offset, "%q: %v", text, syntaxErr)
 	}
 	assert.Zero(t, c.Stats().Entries)
 }
@@ -83,39 +84,39 @@
 	}
 }
 
-// Whatever a client does to comments, spaces, case and literals, class and normal form stay the same.
+// Changes of comments, white space, case or literals must change neither the class nor the normal form.
 func TestClassDoesNotDependOnSpelling(t *testing.T) {
 	all := corpus(t)
 	c := New(Options{CacheBytes: 4 << 20, Lists: corpusLists()})
 	rapid.Check(t, func(t *rapid.T) {
 		l := all[rapid.IntRange(0, len(all)-1).Draw(t, "statement")]
-		shape, _, fault := c.Classify([]byte(l.SQL))
-		if fault != nil {
+		want, _, syntaxErr := c.Classify([]byte(l.SQL))
+		if syntaxErr != nil {
 			return
 		}
 		other := respell(t, l.SQL)
-		again, _, fault := c.Classify([]byte(other))
-		if fault != nil {
-			t.Fatalf("%q became %q: %v", l.SQL, other, fault)
+		again, _, syntaxErr := c.Classify([]byte(other))
+		if syntaxErr != nil {
+			t.Fatalf("%q became %q: %v", l.SQL, other, syntaxErr)
 		}
-		if again.Class != shape.Class || again.SessionBound != shape.SessionBound || string(again.Text()) != string(shape.Text()) {
-			t.Fatalf("%s %q\n%s %q", shape.Class, l.SQL, again.Class, other)
+		if again.Class != want.Class || again.SessionBound != want.SessionBound || string(again.Text()) != string(want.Text()) {
+			t.Fatalf("%s %q\n%s %q", want.Class, l.SQL, again.Class, other)
 		}
 	})
 }
 
-// respell changes what must not matter, token by token.
+// respell returns the text with random changes that must not affect its class, token by token.
 func respell(t *rapid.T, text string) string {
 	var s Scanner
 	s.Reset([]byte(text))
 	var b strings.Builder
 	gap := rapid.SampledFrom([]string{" ", "\n", "\t ", " /* DELETE */ ", " /* a /* b */ ; */ ", " -- ' \"\n "})
 	flip := rapid.Bool()
-	before, beforeKind := "", EndOfText
+	previous, previousKind := "", EndOfText
 	for tok := s.Next(); tok.Kind != EndOfText && tok.Kind != Invalid; tok = s.Next() {
 		piece := text[tok.Start:tok.End]
-		// A text behind a text would go on with it over a line's end; signs side by side would become one.
-		if beforeKind == StringLiteral && tok.Kind == StringLiteral {
+		// Two string literals with only a line end between them would be one literal; a comment keeps them apart.
+		if previousKind == StringLiteral && tok.Kind == StringLiteral {
 			b.WriteString(" /* apart */ ")
 		} else {
 			b.WriteString(gap.Draw(t, "gap"))
@@ -130,16 +131,16 @@
 			}
 		case tok.Kind == NumberLiteral && flip.Draw(t, "number"):
 			piece = "17"
-		case tok.Kind == StringLiteral && !tok.Ambiguous && flip.Draw(t, "text") && before != "U&":
+		case tok.Kind == StringLiteral && !tok.Ambiguous && flip.Draw(t, "text") && previous != "U&":
 			piece = rapid.SampledFrom([]string{"'x'", "'it''s; --'", `E'\''`, "$z$ ' $z$", "''"}).Draw(t, "literal")
 		}
 		b.WriteString(piece)
-		before, beforeKind = piece, tok.Kind
+		previous, previousKind = piece, tok.Kind
 	}
 	return b.String()
 }
 
-// A client that finds two normal forms with one checksum must gain nothing: here two have the same.
+// A client may find two normal forms with the same checksum. The test gives two normal forms one checksum in the cache.
 func TestNormalFormsWithEqualChecksumsKeepTheirClasses(t *testing.T) {
 	c := New(Options{CacheBytes: 1 << 20, Lists: corpusLists()})
 	read, _, _ := c.Classify([]byte("SELECT seat_name(1)"))
@@ -147,9 +148,9 @@
 	form, _, _ := w.scan.Normalize(nil, []byte("SELECT next_seat(1)"))
 	w.digest.ResetWithSeed(c.seed)
 	w.digest.Write(form)
-	c.cache.Set(w.digest.Sum64(), read) // as if both had this checksum
-	got, _, fault := c.Classify([]byte("SELECT next_seat(1)"))
-	require.Nil(t, fault)
+	c.cache.Set(w.digest.Sum64(), read) // the entry of one normal form is stored under the checksum of the other
+	got, _, syntaxErr := c.Classify([]byte("SELECT next_seat(1)"))
+	require.Nil(t, syntaxErr)
 	assert.Equal(t, Write, got.Class)
 	assert.EqualValues(t, 1, c.Stats().Collisions)
 	again, _, _ := c.Classify([]byte("SELECT next_seat(1)"))
@@ -159,47 +160,48 @@
 func TestLongStatementsAreClassifiedInBoundedTime(t *testing.T) {
 	c := New(Options{CacheBytes: 1 << 20})
 	list := "SELECT * FROM t WHERE id IN (" + strings.Repeat("1, ", 80000) + "2)"
-	s, f, fault := c.Classify([]byte(list))
-	require.Nil(t, fault)
+	s, details, syntaxErr := c.Classify([]byte(list))
+	require.Nil(t, syntaxErr)
 	assert.Equal(t, Read, s.Class)
-	assert.Equal(t, 80001, f.ListItems)
+	assert.Equal(t, 80001, details.ListItems)
 	names := "SELECT " + strings.Repeat("a_name, ", 30000) + "b FROM t"
-	s, _, fault = c.Classify([]byte(names))
-	require.Nil(t, fault)
+	s, _, syntaxErr = c.Classify([]byte(names))
+	require.Nil(t, syntaxErr)
 	assert.Equal(t, Read, s.Class)
 	assert.EqualValues(t, 1, c.Stats().TooLong)
 	assert.EqualValues(t, 1, c.Stats().Entries)
-	used := func() time.Duration { // CPU time of this process
+	cpuTime := func() time.Duration { // user and system time of this process
 		var u syscall.Rusage
 		require.NoError(t, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
 		return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 	}
-	began := used()
-	for _, nasty := range []string{strings.Repeat("(", 250000), strings.Repeat("/*", 120000), strings.Repeat("$a$b", 60000),
+	began := cpuTime()
+	for _, text := range []string{strings.Repeat("(", 250000), strings.Repeat("/*", 120000), strings.Repeat("$a$b", 60000),
 		"SELECT " + strings.Repeat("a.", 120000) + "b", strings.Repeat("'a'\n", 60000), strings.Repeat("$", 250000),
 		"SELECT 1 " + strings.Repeat("+-", 120000) + " 1"} {
-		c.Classify([]byte(nasty))
+		c.Classify([]byte(text))
 	}
-	assert.Less(t, used()-began, 5*time.Second, "each byte is read a bounded number of times")
+	assert.Less(t, cpuTime()-began, 5*time.Second, "each byte is read a bounded number of times")
 }
 
-// A client that never sends the same statement twice must cost no memory and evict no other client's entries.
+// A client that never sends the same statement twice must neither increase the memory used nor evict the entries of other
+// clients.
 func TestFloodOfNewStatementsKeepsMemoryBoundedAndHotEntriesCached(t *testing.T) {
 	flood, hot := 200_000, 200
 	if testing.Short() {
 		flood = 50_000
 	}
-	calm, _, _ := hitRate(t, hot, 50_000, 0)
+	baseline, _, _ := hitRate(t, hot, 50_000, 0)
 	rate, half, full := hitRate(t, hot, 50_000, flood)
-	t.Logf("hot statements cached: %.3f without, %.3f in a flood of %d; heap %d KiB at half, %d KiB at the end", calm, rate, flood,
+	t.Logf("hot statements cached: %.3f without, %.3f in a flood of %d; heap %d KiB at half, %d KiB at the end", baseline, rate, flood,
 		half>>10, full>>10)
-	assert.Greater(t, rate, calm-0.05)
+	assert.Greater(t, rate, baseline-0.05)
 	assert.Less(t, float64(full), float64(half)*1.05+float64(256<<10))
 }
 
-// hitRate classifies hot statements by a Zipf distribution among a flood of new ones. It returns which part of the hot ones
-// was cached, and the heap in the middle and at the end, in bytes.
-func hitRate(t testing.TB, hot, takes, flood int) (rate float64, half, full uint64) {
+// hitRate classifies frequent (hot) statements, drawn from a Zipf distribution, among a flood of new statements. It returns the
+// share of the hot lookups that hit the cache, and the heap size in the middle and at the end, in bytes.
+func hitRate(t testing.TB, hot, lookups, flood int) (rate float64, half, full uint64) {
 	c := New(Options{CacheBytes: 1 << 20, Lists: corpusLists(), Seed: 7})
 	r := rand.New(rand.NewPCG(1, 2))
 	z := rand.NewZipf(r, 1.1, 4, uint64(hot-1))
@@ -207,30 +209,31 @@
 	for i := range texts {
 		texts[i] = fmt.Appendf(nil, "SELECT c%d, d FROM bookings WHERE house = 'x' AND e%d > 3 ORDER BY d", i, i)
 	}
-	each := float64(flood) / float64(takes)
-	due, fresh, found, counted := 0.0, 0, 0, 0
-	for i := range takes {
-		for due += each; due >= 1; due-- {
+	newPerLookup := float64(flood) / float64(lookups)
+	pendingNew, fresh, found, counted := 0.0, 0, 0, 0
+	for i := range lookups {
+		for pendingNew += newPerLookup; pendingNew >= 1; pendingNew-- {
 			fresh++
 			c.Classify(fmt.Appendf(nil, "SELECT f%d, g FROM bookings b JOIN tables t ON t.id = b.x%d WHERE house = 'x'", fresh, fresh))
 		}
 		text := texts[z.Uint64()]
 		before := c.Stats().Hits
 		c.Classify(text)
-		if i >= takes/10 { // warm by then
+		if i >= lookups/10 { // the cache is warm
 			counted++
 			found += int(c.Stats().Hits - before)
 		}
-		if i == takes/2 {
-			half = heap()
+		if i == lookups/2 {
+			half = heapBytes()
 		}
 	}
-	full = heap()
+	full = heapBytes()
 	runtime.KeepAlive(c)
 	return float64(found) / float64(counted), half, full
 }
 
-func heap() uint64 {
+// heapBytes returns the size of the live heap objects after a garbage collection.
+func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -247,14 +250,14 @@
 			r := rand.New(rand.NewPCG(uint64(g), 1))
 			for range 3000 {
 				l := all[r.IntN(len(all))]
-				s, f, fault := c.Classify([]byte(l.SQL))
-				if fault == nil && l.Label != "read" && s.Class == Read {
+				s, details, syntaxErr := c.Classify([]byte(l.SQL))
+				if syntaxErr == nil && l.Label != "read" && s.Class == Read {
 					done <- l.SQL
 					return
 				}
-				if fault == nil {
-					c.Observe(s, &f, time.Millisecond)
-					c.Estimate(s, &f)
+				if syntaxErr == nil {
+					c.Observe(s, &details, time.Millisecond)
+					c.Estimate(s, &details)
 				}
 			}
 			done <- ""
@@ -267,31 +270,31 @@
 
 func TestEstimatesFollowMeasurementsAndDecay(t *testing.T) {
 	c := New(Options{CacheBytes: 1 << 20})
-	take := func(text string) (*NormalizedStatement, Details) {
-		s, f, fault := c.Classify([]byte(text))
-		require.Nil(t, fault)
-		return s, f
+	classify := func(text string) (*NormalizedStatement, Details) {
+		s, details, syntaxErr := c.Classify([]byte(text))
+		require.Nil(t, syntaxErr)
+		return s, details
 	}
-	s, f := take("SELECT * FROM a WHERE id = 1")
-	scan, all := take("SELECT * FROM a WHERE name LIKE 'x%' ORDER BY at")
-	assert.Less(t, c.Estimate(s, &f), c.Estimate(scan, &all), "before anything was measured")
+	s, details := classify("SELECT * FROM a WHERE id = 1")
+	scan, all := classify("SELECT * FROM a WHERE name LIKE 'x%' ORDER BY at")
+	assert.Less(t, c.Estimate(s, &details), c.Estimate(scan, &all), "before anything was measured")
 	for range 40 {
-		c.Observe(s, &f, 80*time.Millisecond)
+		c.Observe(s, &details, 80*time.Millisecond)
 		c.Observe(scan, &all, 5*time.Millisecond)
 	}
-	assert.InDelta(t, 80, c.Estimate(s, &f).Seconds()*1e3, 15)
+	assert.InDelta(t, 80, c.Estimate(s, &details).Seconds()*1e3, 15)
 	assert.InDelta(t, 5, c.Estimate(scan, &all).Seconds()*1e3, 2)
 	for range 200 {
-		c.Observe(s, &f, 2*time.Millisecond)
+		c.Observe(s, &details, 2*time.Millisecond)
 	}
-	assert.InDelta(t, 2, c.Estimate(s, &f).Seconds()*1e3, 1, "a change is followed")
-	short, few := take("SELECT * FROM a WHERE id IN (1, 2)")
-	_, many := take("SELECT * FROM a WHERE id IN (" + strings.Repeat("1, ", 900) + "2)")
+	assert.InDelta(t, 2, c.Estimate(s, &details).Seconds()*1e3, 1, "a change is followed")
+	short, few := classify("SELECT * FROM a WHERE id IN (1, 2)")
+	_, many := classify("SELECT * FROM a WHERE id IN (" + strings.Repeat("1, ", 900) + "2)")
 	assert.Greater(t, c.Estimate(short, &many), c.Estimate(short, &few), "a longer list costs more with one normal form")
-	_, ten := take("SELECT * FROM a LIMIT 10")
-	whole, thousand := take("SELECT * FROM a LIMIT 1000")
+	_, ten := classify("SELECT * FROM a LIMIT 10")
+	whole, thousand := classify("SELECT * FROM a LIMIT 1000")
 	assert.Less(t, c.Estimate(whole, &ten), c.Estimate(whole, &thousand))
-	assert.Positive(t, c.Estimate(s, &f), "an estimate is a number")
+	assert.Positive(t, c.Estimate(s, &details), "an estimate is a number")
 }
 
 func TestRulesMatchByClassVerbTablesAndCost(t *testing.T) {
@@ -310,8 +313,8 @@
 		{"SELECT * FROM public.slots", time.Millisecond, 3}, {"SELECT * FROM slots", time.Second, 2},
 		{"SELECT * FROM elsewhere", time.Millisecond, -1},
 	} {
-		s, _, fault := c.Classify([]byte(q.text))
-		require.Nil(t, fault)
+		s, _, syntaxErr := c.Classify([]byte(q.text))
+		require.Nil(t, syntaxErr)
 		assert.Equal(t, q.want, c.MatchRule(s, q.took), q.text)
 	}
 }
@@ -322,18 +325,18 @@
 	}
 	c := New(Options{CacheBytes: 1 << 20, Lists: corpusLists()})
 	f.Fuzz(func(t *testing.T, text string) {
-		s, _, fault := c.Classify([]byte(text))
-		if fault != nil {
+		s, _, syntaxErr := c.Classify([]byte(text))
+		if syntaxErr != nil {
 			return
 		}
-		// The normal form is a text of the same class: in lower case, without comments, its literals alike.
+		// The normal form, with each literal replaced by 1, is itself a statement; it must have the same class.
 		other := strings.ReplaceAll(string(s.Text()), "?+", "1")
-		if strings.ContainsAny(text, `"\?$`) { // names and operators that the normal form writes in its own way
+		if strings.ContainsAny(text, `"\?$`) { // replacing ? may change more than the literals of such texts
 			return
 		}
-		again, _, fault := c.Classify([]byte(strings.ReplaceAll(other, "?", "1")))
-		if fault != nil {
-			t.Fatalf("%q, whose normal form is %q: %v", text, s.Text(), fault)
+		again, _, syntaxErr := c.Classify([]byte(strings.ReplaceAll(other, "?", "1")))
+		if syntaxErr != nil {
+			t.Fatalf("%q, whose normal form is %q: %v", text, s.Text(), syntaxErr)
 		}
 		if (again.Class == Read) != (s.Class == Read) {
 			t.Fatalf("%q is %s, its normal form %q is %s", text, s.Class, s.Text(), again.Class)
--- a/sqlclass/clauses.go
+++ b/sqlclass/clauses.go
@@ -1,12 +1,12 @@
 package sqlclass
 
-// What the keywords of a statement do to its class.
+// This file has the part of the analyzer that handles words: how the keywords of a statement determine its class.
 
-// word handles a name or a keyword.
-func (a *analyzer) word(t Token) {
+// handleWord handles a name or a keyword.
+func (a *analyzer) handleWord(t Token) {
 	name := &a.name
 	if name.active && name.trailingDot {
-		a.namePart(t)
+		a.addNamePart(t)
 		return
 	}
 	if name.active {
@@ -21,73 +21,73 @@
 		name.keyword = keywords[string(a.buffer)]
 	}
 	if name.keyword == nil {
-		a.otherWord(t)
+		a.handleNonKeyword(t)
 		return
 	}
-	label := name.precededBy == "as" && !scope.inCast // a label may be any word, a reserved one too
+	label := name.precededBy == "as" && !scope.inCast // a column label may be any word, even a reserved one
 	if !label || name.isKeyword("materialized") || name.isKeyword("not") || scope.inWithList {
-		a.keyword(t, name.keyword)
+		a.handleKeyword(t, name.keyword)
 	}
-	if label && name.isReserved() && !scope.inWithList { // nothing but a label: it opens nothing
+	if label && name.isReserved() && !scope.inWithList { // a label, so a ( after it does not have the meaning of the keyword
 		name.keyword = nil
 		a.previous.setWord(true, "")
 		return
 	}
 	a.previous.setWord(false, name.keyword.name)
 	if a.previous.keyword2 == "distinct" && a.previous.keyword == "from" {
-		a.previous.keyword = "" // IS DISTINCT FROM: no table follows
+		a.previous.keyword = "" // IS DISTINCT FROM is not followed by a table
 	}
 }
 
-// otherWord handles a name that is not a keyword.
-func (a *analyzer) otherWord(t Token) {
+// handleNonKeyword handles a word that is not a keyword.
+func (a *analyzer) handleNonKeyword(t Token) {
 	scope := a.top()
-	if scope.explainOptions && t.Kind == QuotedName { // "analyze" is an option too
+	if scope.explainOptions && t.Kind == QuotedName { // the option may be quoted, as in EXPLAIN ("analyze")
 		a.explain.analyze = true
 	}
 	if scope.atStatementStart && !scope.explainOptions && a.depth == 0 {
-		a.unknown(t.Start, noVerb)
+		a.markUnknown(t.Start, noVerb)
 	}
 	scope.atStatementStart = false
 	a.previous.setWord(true, "")
 }
 
-// namePart handles the part of a name after a dot.
-func (a *analyzer) namePart(t Token) {
+// addNamePart adds the word after a dot to the name that is being read.
+func (a *analyzer) addNamePart(t Token) {
 	const maxParts = 8
 	name := &a.name
 	name.parts++
 	name.last, name.trailingDot, name.keyword = t, false, nil
 	a.previous.set(true, "")
 	if name.parts > maxParts {
-		a.unknown(t.Start, "a name of too many parts")
+		a.markUnknown(t.Start, "a name of too many parts")
 		name.parts = maxParts
 	}
 }
 
-// isCast reports whether a token is ::.
+// isCast reports whether a token is the cast operator, two colons.
 func (a *analyzer) isCast(t Token) bool {
 	return t.Kind == Operator && string(a.text[t.Start:t.End]) == "::"
 }
 
-// keyword follows the statement by its keywords.
-func (a *analyzer) keyword(t Token, kw *keyword) {
+// handleKeyword updates the state for a keyword.
+func (a *analyzer) handleKeyword(t Token, kw *keyword) {
 	scope := a.top()
-	if (scope.atStatementStart || scope.inWithList || scope.explainOptions) && a.statementStart(t, kw) {
+	if (scope.atStatementStart || scope.inWithList || scope.explainOptions) && a.handleStatementStart(t, kw) {
 		return
 	}
-	if a.lockKeyword(t, kw) {
+	if a.handleLockKeyword(t, kw) {
 		return
 	}
 	switch kw.name {
 	case "uescape":
 		if a.previous.token.Kind == QuotedName {
-			a.unknown(t.Start, "a name written with U& and UESCAPE")
+			a.markUnknown(t.Start, "a name written with U& and UESCAPE")
 		}
 	case "for":
 		a.lockClause = lockFor
 	case "into":
-		a.write(t.Start, "SELECT INTO makes a table")
+		a.markWrite(t.Start, "SELECT INTO makes a table")
 	case "temp", "temporary":
 		switch a.previous.keyword {
 		case "create", "into", "local", "global":
@@ -96,15 +96,15 @@
 	case "select", "values":
 		a.beginBlock()
 	case "from":
-		scope.inFromList = scope.block.on && a.previous.keyword != "distinct"
-		scope.block.from = scope.block.from || scope.inFromList
+		scope.inFromList = scope.block.open && a.previous.keyword != "distinct"
+		scope.block.hasFrom = scope.block.hasFrom || scope.inFromList
 	case "where", "group", "order", "having", "limit", "union", "intersect", "except", "window", "returning":
 		scope.inFromList = false
 	}
 	scope.block.keyword(kw.name)
 }
 
-// beginBlock begins a SELECT or VALUES, which ends the one before.
+// beginBlock begins a query block and ends the previous one of the scope.
 func (a *analyzer) beginBlock() {
 	scope := a.top()
 	scope.block.close(&a.rows)
@@ -112,8 +112,9 @@
 	scope.inFromList = false
 }
 
-// lockKeyword follows FOR [NO KEY] UPDATE and FOR [KEY] SHARE; done is true where that is all the keyword means.
-func (a *analyzer) lockKeyword(t Token, kw *keyword) (done bool) {
+// handleLockKeyword recognizes FOR [NO KEY] UPDATE and FOR [KEY] SHARE, which lock rows. It returns true if the keyword needs
+// no other handling.
+func (a *analyzer) handleLockKeyword(t Token, kw *keyword) (done bool) {
 	before := a.lockClause
 	a.lockClause = lockNone
 	locks := kw.name == "update" || kw.name == "share"
@@ -129,19 +130,20 @@
 		return false
 	}
 	if locks {
-		a.write(t.Start, "locks rows")
+		a.markWrite(t.Start, "locks rows")
 	}
 	return false
 }
 
-// statementStart handles a keyword where a statement may begin; done is false where it has no meaning there.
-func (a *analyzer) statementStart(t Token, kw *keyword) (done bool) {
+// handleStatementStart handles a keyword at a position where a statement may begin. It returns false if the keyword has no
+// meaning there and needs other handling.
+func (a *analyzer) handleStatementStart(t Token, kw *keyword) (done bool) {
 	scope := a.top()
 	if scope.explainOptions {
 		if kw.name == "analyze" || kw.name == "analyse" {
 			a.explain.analyze = true
 		}
-		if kw.flags&flagQuery == 0 || !scope.atStatementStart { // an option, not the query itself
+		if kw.flags&flagQuery == 0 || !scope.atStatementStart { // an option, not the beginning of the query
 			return true
 		}
 		scope.explainOptions = false // EXPLAIN (SELECT ...)
@@ -154,17 +156,18 @@
 		scope.inWithList = false
 	}
 	scope.atStatementStart = false
-	if a.prefix(kw) {
+	if a.handlePrefix(kw) {
 		return true
 	}
 	if a.result.Verb == "" || a.depth == 0 {
 		a.result.Verb = kw.name
 	}
-	return a.verb(t, kw)
+	return a.handleVerb(t, kw)
 }
 
-// prefix handles what may stand before the verb: EXPLAIN with its options, and WITH.
-func (a *analyzer) prefix(kw *keyword) bool {
+// handlePrefix handles keywords that may precede the verb: EXPLAIN with its options, and WITH. It returns false for any other
+// keyword.
+func (a *analyzer) handlePrefix(kw *keyword) bool {
 	scope, outermost := a.top(), a.depth == 0
 	switch {
 	case kw.name == "explain" && outermost && !a.explain.seen:
@@ -180,35 +183,36 @@
 	return true
 }
 
-// verb handles the first keyword of a statement, or of a query in parentheses; false where it is none.
-func (a *analyzer) verb(t Token, kw *keyword) bool {
+// handleVerb handles the first keyword of a statement or of a parenthesized query. It returns false if the parenthesis
+// contains an expression instead.
+func (a *analyzer) handleVerb(t Token, kw *keyword) bool {
 	scope, outermost := a.top(), a.depth == 0
 	switch {
 	case kw.flags&flagChangesData != 0:
-		a.write(t.Start, "changes data by "+kw.name)
+		a.markWrite(t.Start, "changes data by "+kw.name)
 		scope.block.close(&a.rows)
 		scope.block.begin()
-		scope.block.changes, scope.block.inserts = true, kw.name == "insert"
+		scope.block.changesData, scope.block.inserts = true, kw.name == "insert"
 	case kw.flags&flagQuery != 0:
 		a.beginBlock()
-		scope.block.from = kw.name == "table"
+		scope.block.hasFrom = kw.name == "table"
 		if !outermost {
-			a.scopes[a.depth-1].block.list = false // IN (SELECT ...)
+			a.scopes[a.depth-1].block.hasInList = false // IN (SELECT ...) is not a list of literals
 		}
 	case !outermost:
-		if a.result.Verb == kw.name { // an expression in parentheses, not a verb
+		if a.result.Verb == kw.name { // the keyword begins a parenthesized expression
 			a.result.Verb = ""
 		}
 		return false
 	case a.explain.seen:
-		a.unknown(t.Start, "an EXPLAIN of "+kw.name)
+		a.markUnknown(t.Start, "an EXPLAIN of "+kw.name)
 	case kw.flags&flagSessionBound != 0:
-		a.sessionBound(t.Start, kw.name+" works on the connection, which is shared")
+		a.markSessionBound(t.Start, kw.name+" works on the connection, which is shared")
 	case kw.flags&flagMayWrite != 0:
-		a.write(t.Start, kw.name+" may change anything")
+		a.markWrite(t.Start, kw.name+" may change anything")
 	case kw.name == "show":
 	default:
-		a.unknown(t.Start, noVerb)
+		a.markUnknown(t.Start, noVerb)
 	}
 	return true
 }
--- a/sqlclass/corpus_test.go
+++ b/sqlclass/corpus_test.go
@@ -10,15 +10,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// labelled is a statement of the corpus with its class, given by hand; every label except read is a write.
+// labelled is a statement of the corpus with its manually assigned class. Every label except read means that the statement must
+// not be classified as a Read. Why says what the statement tests.
 type labelled struct{ Label, Why, SQL string }
 
-// corpusLists are the operator's lists of the functions and types that the corpus calls.
+// corpusLists returns the operator's lists for the functions and types that the corpus uses.
 func corpusLists() *NameLists {
 	return NewNameLists([]string{"seat_name", "seats_of", "price_of", "geo.distance", "mood"},
 		[]string{"next_seat", "hold_table", "writing_view"}, nil)
 }
 
+// corpus reads all statements of the corpus.
 func corpus(t testing.TB) (all []labelled) {
 	f, err := os.Open("testdata/corpus.jsonl")
 	require.NoError(t, err)
@@ -37,9 +39,9 @@
 	all := corpus(t)
 	require.GreaterOrEqual(t, len(all), 600)
 	for _, l := range all {
-		s, _, fault := c.Classify([]byte(l.SQL))
+		s, _, syntaxErr := c.Classify([]byte(l.SQL))
 		if l.Label == "read" {
-			require.Nil(t, fault, l.SQL)
+			require.Nil(t, syntaxErr, l.SQL)
 			reads++
 			if s.Class == Read {
 				recognized++
@@ -48,7 +50,7 @@
 			}
 			continue
 		}
-		if fault == nil {
+		if syntaxErr == nil {
 			assert.NotEqual(t, Read, s.Class, "%s: %s", l.Why, l.SQL)
 		}
 	}
--- a/sqlclass/distinct_forms_test.go
+++ b/sqlclass/distinct_forms_test.go
@@ -8,12 +8,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A quoted name is taken for a listed one that differs in its capitals, and a ] closes what a ( opened.
+// These tests guard against two failures in which a statement that writes was classified as a read.
 //
-// The server tells "Seat_Name" from seat_name: it may be a function that writes, or a column that calls one. And texts that
-// differ in a bracket shared a normal form, so the class of the first was found in the cache for the other: behind
-// SELECT lower(1], next_seat[1), which no server accepts and which reads by its names, SELECT lower[1], next_seat(1) was a read
-// too, though next_seat writes: it would go to a replica, and be repeated after a failure.
+// A quoted name was taken for a listed name with other capitals. The server distinguishes "Seat_Name" from seat_name: the quoted
+// name may be a function that writes, or may call one in field notation.
+//
+// Two texts that differed only in a bracket had the same normal form, so the cached class of one was used for the other. No
+// server accepts SELECT lower(1], next_seat[1), and it calls only functions that read. After it, SELECT lower[1], next_seat(1)
+// was a read too, although next_seat writes. It would have been sent to a replica and retried after a failure.
 
 func TestQuotedFieldIsNotAListedNameInOtherCapitals(t *testing.T) {
 	c := New(Options{CacheBytes: 1 << 20, Lists: NewNameLists([]string{"seat_name"}, []string{"next_seat"}, []string{"diner"})})
@@ -25,7 +27,7 @@
 		`SELECT x."Seat_Name" FROM s x`:   Unknown,
 		`SELECT x."Diner" FROM s x`:       Unknown,
 		`SELECT x."diner" FROM s x`:       Read,
-		`SELECT (x)."Next_Seat" FROM s x`: Write, // the strict side: it may be a misspelling of one that writes
+		`SELECT (x)."Next_Seat" FROM s x`: Write, // stricter than Unknown: it may be a misspelling of a function that writes
 	} {
 		s, _, err := c.Classify([]byte(text))
 		require.Nil(t, err, text)
@@ -35,16 +37,17 @@
 
 func TestClassOfTextWithMismatchedBracketsIsNotCachedForAnother(t *testing.T) {
 	c := New(Options{CacheBytes: 1 << 20, Lists: corpusLists()})
-	spoilt, _, err := c.Classify([]byte(`SELECT lower(1], next_seat[1)`))
+	mismatched, _, err := c.Classify([]byte(`SELECT lower(1], next_seat[1)`))
 	require.Nil(t, err)
 	writes, _, err := c.Classify([]byte(`SELECT lower[1], next_seat(1)`))
 	require.Nil(t, err)
 	assert.Equal(t, Write, writes.Class, "%s", writes.Text())
-	assert.NotEqual(t, string(spoilt.Text()), string(writes.Text()))
-	assert.NotEqual(t, Read, spoilt.Class, "brackets that do not match are no text to be understood")
+	assert.NotEqual(t, string(mismatched.Text()), string(writes.Text()))
+	assert.NotEqual(t, Read, mismatched.Class, "a text with mismatched brackets is not a read")
 }
 
-// checkDistinct changes each bracket and each letter of a quoted name of a text, and holds that the normal form changes too.
+// checkDistinct replaces each bracket of a text and changes the case of each letter in its quoted names, one at a time, and checks
+// that the normal form changes too.
 func checkDistinct(t testing.TB, text []byte) {
 	t.Helper()
 	var scan, other Scanner
@@ -53,7 +56,7 @@
 		return
 	}
 	form = bytes.Clone(form)
-	differs := func(at int, to byte) {
+	checkDiffers := func(at int, to byte) {
 		t.Helper()
 		changed := bytes.Clone(text)
 		changed[at] = to
@@ -67,20 +70,20 @@
 		case Punctuation:
 			for _, bracket := range []byte("()[]") {
 				if isBracket := bytes.IndexByte([]byte("()[]"), text[token.Start]) >= 0; isBracket && bracket != text[token.Start] {
-					differs(token.Start, bracket)
+					checkDiffers(token.Start, bracket)
 				}
 			}
 		case QuotedName:
 			for at := token.Start; at < token.End; at++ {
 				if c := text[at] | 0x20; c >= 'a' && c <= 'z' {
-					differs(at, text[at]^0x20)
+					checkDiffers(at, text[at]^0x20)
 				}
 			}
 		}
 	}
 }
 
-func TestBracketsAndQuotedNamesAreTheirOwnInTheNormalForm(t *testing.T) {
+func TestNormalFormKeepsBracketsAndCaseOfQuotedNames(t *testing.T) {
 	for _, l := range corpus(t) {
 		checkDistinct(t, []byte(l.SQL))
 	}
--- a/sqlclass/golden_test.go
+++ b/sqlclass/golden_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// goldenStatement is the line of testdata/classified.jsonl for a line of the corpus.
+// goldenStatement is a line of testdata/classified.jsonl: the expected results for the same line of the corpus.
 type goldenStatement struct {
 	Form        string   `json:"form,omitempty"`
 	Fingerprint uint64   `json:"fingerprint,omitempty"`
@@ -27,21 +27,22 @@
 	Limit       int      `json:"limit"`
 	Key         string   `json:"key,omitempty"`
 	Block       [2]int   `json:"block"`
-	Code        string   `json:"code,omitempty"` // of the syntax error, with Why and At
+	Code        string   `json:"code,omitempty"` // SQLSTATE of a syntax error; Why and At are its message and offset
 }
 
+// golden returns the actual results for a text.
 func golden(c *Classifier, text string) goldenStatement {
-	s, f, fault := c.Classify([]byte(text))
-	if fault != nil {
-		return goldenStatement{Code: fault.Code, Why: fault.Message, At: fault.Offset}
+	s, details, syntaxErr := c.Classify([]byte(text))
+	if syntaxErr != nil {
+		return goldenStatement{Code: syntaxErr.Code, Why: syntaxErr.Message, At: syntaxErr.Offset}
 	}
 	v := c.Explain([]byte(text))
 	return goldenStatement{Form: string(s.Text()), Fingerprint: s.Fingerprint(), Class: s.Class.String(), Bound: s.SessionBound,
-		Several: s.MultipleStatements, Empty: s.Empty, Why: v.Reason, At: v.ReasonOffset, Verb: s.Verb, Tables: s.Tables, Rows: s.EstimatedRows(&f),
-		Items: f.ListItems, Limit: f.Limit, Key: string(f.FirstString), Block: f.LastComment}
+		Several: s.MultipleStatements, Empty: s.Empty, Why: v.Reason, At: v.ReasonOffset, Verb: s.Verb, Tables: s.Tables,
+		Rows: s.EstimatedRows(&details), Items: details.ListItems, Limit: details.Limit, Key: string(details.FirstString), Block: details.LastComment}
 }
 
-// Normal form, fingerprint, class and all else that is found of a statement stay what they are, for the whole corpus.
+// The normal form, fingerprint, classification and details of every statement of the corpus must be those that were recorded.
 func TestCorpusKeepsNormalFormsFingerprintsAndClasses(t *testing.T) {
 	f, err := os.Open("testdata/classified.jsonl")
 	require.NoError(t, err)
--- a/sqlclass/keywords.go
+++ b/sqlclass/keywords.go
@@ -2,26 +2,27 @@
 
 import "strings"
 
-// keyword is a keyword of PostgreSQL.
+// keyword is one of PostgreSQL's keywords.
 type keyword struct {
 	name  string
 	flags keywordFlags
 }
 
-// keywordFlags say what a keyword means to the analyzer.
+// keywordFlags say what a keyword means to the analyzer. A keyword may have several flags, or none.
 type keywordFlags uint16
 
 // The flags of keywords.
 const (
-	flagReserved       keywordFlags = 1 << iota // never the name of a function, so a ( after it opens something else
-	flagChangesData                             // changes data where a statement begins
-	flagSessionBound                            // leaves something on the connection, or needs what is left there
-	flagMayWrite                                // another verb that writes, or may
+	flagReserved       keywordFlags = 1 << iota // cannot be the name of a function, so a ( after it does not begin a call
+	flagChangesData                             // a verb that changes data
+	flagSessionBound                            // a verb that leaves state on its connection, or needs state there
+	flagMayWrite                                // another verb that writes or may write
 	flagQuery                                   // begins a query
-	flagTableOrOperand                          // a ( after it contains a table, and an alias may follow its )
+	flagTableOrOperand                          // a ( after it contains a table or an operand, so an alias may follow the )
 )
 
-// keywordLists are the lists of PostgreSQL's manual, appendix C, for its versions 13 to 17. A word may be in several.
+// keywordLists are the keywords from appendix C of PostgreSQL's manual for versions 13 to 17, and the keywords with a meaning
+// to the analyzer. A word may be in several lists; its flags are combined.
 var keywordLists = []struct {
 	flags keywordFlags
 	names string
@@ -32,15 +33,15 @@
 		intersect into lateral leading limit localtime localtimestamp not null offset on only or order placing
 		primary references returning select session_user some symmetric system_user table then to trailing true
 		union unique user using variadic when where window with`},
-	// Column names that are no functions' names: their ( is the grammar's own. Those whose insides call nothing by
-	// themselves are held for reserved too; the rest (between, exists, values, row, ...) are listed as reading.
+	// Keywords that can be column names but not function names; a ( after them is part of the grammar. Those that call no
+	// function themselves are treated as reserved. The others follow without a flag: the lists of functions decide.
 	{flagReserved, `between exists grouping values row setof none inout out treat`},
 	{0, `bigint bit boolean char character coalesce dec decimal extract float greatest int integer interval
 		json json_array json_arrayagg json_exists json_object json_objectagg json_query json_scalar json_serialize
 		json_table json_value least merge_action national nchar normalize nullif numeric overlay position precision
 		real smallint substring time timestamp trim varchar xmlattributes xmlconcat xmlelement xmlexists xmlforest
 		xmlnamespaces xmlparse xmlpi xmlroot xmlserialize xmltable`},
-	// These may name functions, so only what stands before them decides.
+	// These may be names of functions, so only the tokens before them decide.
 	{0, `authorization binary collation concurrently cross current_schema freeze full ilike inner is isnull join left
 		like natural notnull outer overlaps right similar tablesample verbose`},
 	{0, `abort absent absolute access action add admin after aggregate also alter always asensitive assertion
@@ -77,9 +78,10 @@
 		having select when then else case limit offset over filter union intersect except distinct`},
 }
 
-// keywords are all keywords, by name.
+// keywords has all keywords by name.
 var keywords = makeKeywords()
 
+// makeKeywords combines the flags of each keyword's lists.
 func makeKeywords() map[string]*keyword {
 	all := map[string]*keyword{}
 	for _, list := range keywordLists {
@@ -94,7 +96,7 @@
 	return all
 }
 
-// flagsOf returns the flags of a keyword, 0 for any other word.
+// flagsOf returns the flags of a keyword, or 0 for any other word.
 func flagsOf(name string) keywordFlags {
 	if kw := keywords[name]; kw != nil {
 		return kw.flags
@@ -102,9 +104,9 @@
 	return 0
 }
 
-// Functions of PostgreSQL's own that read or only compute, and types that a cast may name. What is not here
-// and not on the operator's list is not known. Left out on purpose: all that writes, locks, signals, sleeps,
-// sets, reads files of the server, or runs a text as a statement (query_to_xml, ts_stat, dblink).
+// readingNames are PostgreSQL's functions that only read or compute, and the types that a cast may name. A function or type
+// that is neither here nor on the operator's list makes the class Unknown. Functions that write, lock, signal, sleep, change
+// settings, read files of the server, or execute a text as a statement (query_to_xml, ts_stat, dblink) are left out on purpose.
 const readingNames = `abs acos acosd age array_agg array_append array_cat array_dims array_fill array_length array_lower
 	array_ndims array_position array_positions array_prepend array_remove array_replace array_to_json array_to_string
 	array_upper ascii asin asind atan atan2 avg bit_and bit_count bit_length bit_or bool_and bool_or box btrim
@@ -140,22 +142,23 @@
 	national nchar numeric numrange oid path pg_lsn real regclass regnamespace regproc regrole regtype smallint text time
 	timestamp timestamptz timetz tsquery tsrange tstzrange tsvector uuid varbit varchar varying xid xid8 xml`
 
-// Functions of PostgreSQL's own that write; they take precedence over reading names.
+// writingNames are PostgreSQL's functions that write. They take precedence over reading names.
 const writingNames = `nextval setval currval lastval lo_create lo_creat lo_unlink lo_import lo_export lo_from_bytea lo_put
 	lowrite lo_truncate pg_notify txid_current pg_current_xact_id pg_create_restore_point
 	pg_switch_wal pg_terminate_backend pg_cancel_backend pg_reload_conf pg_rotate_logfile pg_promote
 	pg_logical_emit_message pg_drop_replication_slot pg_stat_reset dblink dblink_exec query_to_xml`
 
-// Functions that leave something on the connection.
-const boundNames = `set_config pg_advisory_lock pg_advisory_lock_shared pg_try_advisory_lock pg_try_advisory_lock_shared
+// sessionBoundNames are functions that leave state on the connection.
+const sessionBoundNames = `set_config pg_advisory_lock pg_advisory_lock_shared pg_try_advisory_lock pg_try_advisory_lock_shared
 	pg_advisory_unlock pg_advisory_unlock_shared pg_advisory_unlock_all lo_open loread dblink_connect setseed`
 
-// Operators of PostgreSQL's own. One that an extension or the operator's own SQL brought may call anything.
-const knownOperators = `+ - * / % ^ < > <= >= = <> != ~ ~* !~ !~* ~~ ~~* !~~ !~~* || && @> <@ -> ->> #> #>> ? ?| ?& @@ @@@ << >>
+// operatorNames are PostgreSQL's own operators. An operator that was defined by an extension or by a user may call any
+// function.
+const operatorNames = `+ - * / % ^ < > <= >= = <> != ~ ~* !~ !~* ~~ ~~* !~~ !~~* || && @> <@ -> ->> #> #>> ? ?| ?& @@ @@@ << >>
 	& | # @ |/ ||/ <-> &< &> <<| |>> &<| |&> -|- #- @? :: := => <^ >^ ?# ?- ?-| ?|| ~= ~>=~ ~<=~ ~>~ ~<~ ^@ <<= >>= !!`
 
-// set makes a set of the words of a list.
-func set(words string) map[string]bool {
+// wordSet returns the set of the words of a list that are separated by spaces.
+func wordSet(words string) map[string]bool {
 	m := map[string]bool{}
 	for _, w := range strings.Fields(words) {
 		m[w] = true
@@ -164,10 +167,10 @@
 }
 
 var (
-	builtinReads     = set(readingNames)
-	builtinWrites    = set(writingNames)
-	builtinBound     = set(boundNames)
-	builtinOperators = set(knownOperators)
-	aggregates       = set(`array_agg avg bool_and bool_or count every json_agg json_object_agg jsonb_agg jsonb_object_agg max
+	builtinReads        = wordSet(readingNames)
+	builtinWrites       = wordSet(writingNames)
+	builtinSessionBound = wordSet(sessionBoundNames)
+	builtinOperators    = wordSet(operatorNames)
+	aggregates          = wordSet(`array_agg avg bool_and bool_or count every json_agg json_object_agg jsonb_agg jsonb_object_agg max
 		min percentile_cont percentile_disc stddev string_agg sum variance`)
 )
--- a/sqlclass/namelists.go
+++ b/sqlclass/namelists.go
@@ -2,14 +2,14 @@
 
 import "bytes"
 
-// NameLists are the operator's lists of functions, types, views and columns, beside PostgreSQL's own.
+// NameLists are the operator's lists of functions, types, views and columns, in addition to PostgreSQL's own.
 type NameLists struct {
 	reads, writes, columns map[string]bool
 }
 
-// NewNameLists makes NameLists. A reading name counts as it stands, with its schema where it has one; a writing name
-// counts in every schema and in upper and lower case. columns, where not nil, are all names that t.name may mean without
-// a call.
+// NewNameLists returns NameLists. A name in reads is matched exactly, including its schema if it has one. A name in writes
+// is matched in every schema, and case-insensitively. If columns is not nil, it lists all column names: t.name with any
+// other name may be a function call.
 func NewNameLists(reads, writes, columns []string) *NameLists {
 	l := &NameLists{reads: map[string]bool{}, writes: map[string]bool{}}
 	for _, n := range reads {
@@ -27,5 +27,5 @@
 	return l
 }
 
-// unqualified returns a name without its schema.
+// unqualified returns the name without its schema.
 func unqualified(name []byte) []byte { return name[bytes.LastIndexByte(name, '.')+1:] }
--- a/sqlclass/names.go
+++ b/sqlclass/names.go
@@ -2,35 +2,35 @@
 
 import "slices"
 
-// What the names in a statement stand for: functions, types, fields and tables.
+// This file has the part of the analyzer that determines what a name refers to: a function, a type, a field or a table.
 
-// qualifiedName is a name while it is read, part by part.
+// qualifiedName is a name that is being read, part by part.
 type qualifiedName struct {
-	active       bool // a name has begun
-	trailingDot  bool // it ends in a dot so far
-	ofExpression bool // its first part is an expression, as in (x).f
+	active       bool // a name is being read
+	trailingDot  bool // the last token was a dot
+	ofExpression bool // the first part is an expression, as in (x).f
 	parts        int
-	first, last  Token
-	keyword      *keyword // of a name of one word that is a keyword
+	first, last  Token    // the first and the last part
+	keyword      *keyword // the name, if it is a single word that is a keyword; otherwise nil
 
-	precededBy     string // the keyword before it
-	afterComma     bool
-	afterCast      bool // it stands after ::
-	afterOperand   bool
-	inAliasColumns bool
+	precededBy     string // the keyword, comma or parenthesis before the name; otherwise ""
+	afterComma     bool   // a comma precedes the name
+	afterCast      bool   // the operator :: precedes the name
+	afterOperand   bool   // an operand precedes the name, so the name may be its alias
+	inAliasColumns bool   // the name is in the column list of an alias
 }
 
-// isReserved reports whether it is one word that is never the name of a function.
+// isReserved reports whether the name is a single word that cannot be the name of a function.
 func (n *qualifiedName) isReserved() bool {
 	return n.keyword != nil && n.parts == 1 && n.keyword.flags&flagReserved != 0
 }
 
-// isKeyword reports whether it is, or ends in, the given keyword.
+// isKeyword reports whether the name is the given keyword.
 func (n *qualifiedName) isKeyword(name string) bool {
 	return n.keyword != nil && n.keyword.name == name
 }
 
-// endName ends a name that no ( follows.
+// endName handles the end of a name that is not followed by an opening parenthesis.
 func (a *analyzer) endName(next Token) {
 	name, scope := &a.name, a.top()
 	if !name.active {
@@ -45,17 +45,17 @@
 	case name.afterCast, name.precededBy == "as" && scope.inCast,
 		name.inAliasColumns && name.afterOperand && name.keyword == nil,
 		literal && !name.afterOperand && (name.keyword == nil || name.parts > 1):
-		a.castType()
+		a.checkCastType()
 		return
 	case name.parts > 1:
-		a.field(name)
+		a.checkField(name)
 	}
 	if !name.ofExpression && !name.isReserved() && a.standsForTable(name) {
-		a.table(name)
+		a.addTable(name)
 	}
 }
 
-// standsForTable reports whether a name stands where a statement names its tables.
+// standsForTable reports whether a name is at a position where a statement refers to its tables.
 func (a *analyzer) standsForTable(name *qualifiedName) bool {
 	switch name.precededBy {
 	case "from", "join", "into", "update", "table", "only":
@@ -64,64 +64,69 @@
 	return name.afterComma && a.top().inFromList
 }
 
-// callee looks at a name before a (: an alias, a type, or a function that is called.
-func (a *analyzer) callee(t Token) (alias bool) {
+// nameBeforeParenthesis handles a name that is followed by an opening parenthesis. It is an alias, a type, or a function that
+// is called. The result is true if the parenthesis may contain the column list of an alias or a table.
+func (a *analyzer) nameBeforeParenthesis(t Token) (alias bool) {
 	name, scope := &a.name, a.top()
 	simple := name.parts == 1 && !name.ofExpression
 	switch {
 	case name.afterCast || name.precededBy == "as" && scope.inCast:
-		a.castType()
+		a.checkCastType()
 	case name.precededBy == "into":
-		a.table(name)
+		a.addTable(name)
 		return true
-	case simple && (name.precededBy == "as" || scope.inWithList && name.beginsWithQuery()):
+	case simple && (name.precededBy == "as" || scope.inWithList && name.namesWithQuery()):
 		return true
 	case simple && name.afterOperand:
 		return name.keyword == nil
 	case name.trailingDot:
-		a.unknown(t.Start, "a name that ends in a dot")
+		a.markUnknown(t.Start, "a name that ends in a dot")
 	default:
-		a.function(name, "calls ")
+		a.checkFunction(name, "calls ")
 	}
 	return false
 }
 
-// beginsWithQuery reports whether a name in the list of a WITH is that of a query, or the MATERIALIZED before one.
-func (n *qualifiedName) beginsWithQuery() bool {
+// namesWithQuery reports whether a name in the list of a WITH clause is the name of a query, or the keyword MATERIALIZED
+// before a query.
+func (n *qualifiedName) namesWithQuery() bool {
 	return n.isKeyword("materialized") || n.precededBy == "with" || n.precededBy == "recursive" || n.precededBy == ","
 }
 
-// castType checks the type that a name stands for in a cast: a cast to a type of the operator's own may call anything.
-func (a *analyzer) castType() {
+// checkCastType checks the target type of a cast. A cast to a user-defined type may call any function, so a type that is on no
+// list makes the class Unknown.
+func (a *analyzer) checkCastType() {
 	if !a.isReadOnlyName(&a.name) {
-		a.function(&a.name, "casts to ")
+		a.checkFunction(&a.name, "casts to ")
 	}
 }
 
-// function looks up the name of a function that is called, or of a type that is cast to, as how says.
-func (a *analyzer) function(name *qualifiedName, how string) {
+// checkFunction updates the class for a function that is called or a type that is cast to. how is the beginning of the
+// reason and says which of the two it is.
+func (a *analyzer) checkFunction(name *qualifiedName, how string) {
 	last, ok := a.plainName(name.last)
 	if !ok {
-		a.unknown(name.last.Start, how+a.excerpt(name.last)+", whose name is written with U&")
+		a.markUnknown(name.last.Start, how+a.excerpt(name.last)+", whose name is written with U&")
 		return
 	}
-	low := a.lowered(last)
+	low := a.lowerCased(last)
 	if aggregates[string(low)] {
-		a.top().block.aggregate = true
+		a.top().block.hasAggregate = true
 	}
 	switch {
 	case a.lists.writes[string(low)]:
-		a.write(name.first.Start, how+a.excerpt(name.last)+", which the operator's file lists as writing")
-	case builtinBound[string(low)]:
-		a.sessionBound(name.first.Start, how+a.excerpt(name.last)+", which leaves something on the connection")
+		a.markWrite(name.first.Start, how+a.excerpt(name.last)+", which the operator's file lists as writing")
+	case builtinSessionBound[string(low)]:
+		a.markSessionBound(name.first.Start, how+a.excerpt(name.last)+", which leaves something on the connection")
 	case builtinWrites[string(low)]:
-		a.write(name.first.Start, how+a.excerpt(name.last)+", which writes")
+		a.markWrite(name.first.Start, how+a.excerpt(name.last)+", which writes")
 	case !a.isReadOnlyName(name):
-		a.unknown(name.first.Start, how+a.excerpt(name.last)+", which is on no list of reading functions and types")
+		a.markUnknown(name.first.Start, how+a.excerpt(name.last)+", which is on no list of reading functions and types")
 	}
 }
 
-// isReadOnlyName reports whether a name is that of a reading function or type, its schema included.
+// isReadOnlyName reports whether a name is on a list of functions and types that only read. A name with a schema is on the list
+// only with that schema, or as one of PostgreSQL's own names in pg_catalog.
 func (a *analyzer) isReadOnlyName(name *qualifiedName) bool {
 	switch {
 	case name.ofExpression || name.parts > 2:
@@ -141,44 +146,45 @@
 		string(a.buffer[:dot]) == "pg_catalog" && builtinReads[string(a.buffer[dot+1:])]
 }
 
-// field looks at t.f and (t).f, which call f where the row has no such column.
-func (a *analyzer) field(name *qualifiedName) {
+// checkField updates the class for t.f and (t).f. PostgreSQL calls the function f if the row has no column with this name.
+func (a *analyzer) checkField(name *qualifiedName) {
 	last, ok := a.plainName(name.last)
 	if !ok {
-		a.unknown(name.last.Start, "a field whose name is written with U&: "+a.excerpt(name.last))
+		a.markUnknown(name.last.Start, "a field whose name is written with U&: "+a.excerpt(name.last))
 		return
 	}
-	// A quoted name in other capitals is another: it may write, or be no column.
+	// A quoted name is case-sensitive: with other capitals it is another name, which may write or may not be a column.
 	listed := a.lists.reads[string(last)] || a.lists.columns[string(last)]
-	low := a.lowered(last)
+	low := a.lowerCased(last)
 	ofTable := name.precededBy == "from" || name.precededBy == "join" || name.precededBy == "only" ||
-		name.afterComma && a.top().inFromList // schema.table
+		name.afterComma && a.top().inFromList // the name is schema.table
 	switch {
 	case a.lists.writes[string(low)]:
-		a.write(name.last.Start, "calls "+a.excerpt(name.last)+" in field notation, which the operator's file lists as writing")
+		a.markWrite(name.last.Start, "calls "+a.excerpt(name.last)+" in field notation, which the operator's file lists as writing")
 	case listed:
 	case name.ofExpression, a.lists.columns != nil && !ofTable:
-		a.unknown(name.last.Start, "may call "+a.excerpt(name.last)+" in field notation: list it under columns or reads")
+		a.markUnknown(name.last.Start, "may call "+a.excerpt(name.last)+" in field notation: list it under columns or reads")
 	}
 }
 
-// table notes a table or view. One that the operator lists as writing is a view or foreign table with an effect.
-func (a *analyzer) table(name *qualifiedName) {
+// addTable records a table or view. A table that the operator lists as writing makes the class Write: it is a view or foreign
+// table with side effects.
+func (a *analyzer) addTable(name *qualifiedName) {
 	last, ok := a.plainName(name.last)
-	if !ok || !a.top().block.on && a.result.Class == Read || len(a.result.Tables) == maxTables || len(last) > maxNameBytes {
+	if !ok || !a.top().block.open && a.result.Class == Read || len(a.result.Tables) == maxTables || len(last) > maxNameBytes {
 		return
 	}
 	a.top().block.tables++
-	if a.lists.writes[string(a.lowered(last))] {
-		a.write(name.first.Start, "uses "+a.excerpt(name.last)+", which the operator's file lists as writing")
+	if a.lists.writes[string(a.lowerCased(last))] {
+		a.markWrite(name.first.Start, "uses "+a.excerpt(name.last)+", which the operator's file lists as writing")
 	}
 	if !slices.Contains(a.result.Tables, string(last)) {
 		a.result.Tables = append(a.result.Tables, string(last))
 	}
 }
 
-// plainName returns a name as the server knows it, in the buffer: in lower case, or without its quotes; ok is false for one
-// whose characters are escaped.
+// plainName returns a name as the server stores it: in lower case, or without its quotes. The result is in the buffer. It is
+// not ok for a name with Unicode escapes.
 func (a *analyzer) plainName(t Token) ([]byte, bool) {
 	a.buffer = a.buffer[:0]
 	if t.UnicodeEscaped {
@@ -188,7 +194,7 @@
 	return a.buffer, true
 }
 
-// appendName adds a name as the server knows it to the buffer.
+// appendName appends a name to the buffer as the server stores it.
 func (a *analyzer) appendName(t Token) {
 	b := a.text[t.Start:t.End]
 	if t.Kind != QuotedName {
@@ -204,8 +210,8 @@
 	}
 }
 
-// lowered returns a name in lower case, in the buffer where it has capitals.
-func (a *analyzer) lowered(name []byte) []byte {
+// lowerCased returns a name in lower case. If the name has capitals, the result is in the buffer.
+func (a *analyzer) lowerCased(name []byte) []byte {
 	for i, b := range name {
 		if b >= 'A' && b <= 'Z' {
 			a.buffer = appendLower(append(a.buffer[:0], name[:i]...), name[i:])
@@ -215,7 +221,7 @@
 	return name
 }
 
-// excerpt returns the text of a token for a reason.
+// excerpt returns the text of a token, truncated to maxNameBytes, for use in a reason.
 func (a *analyzer) excerpt(t Token) string {
 	return string(a.text[t.Start:min(t.End, t.Start+maxNameBytes)])
 }
--- a/sqlclass/normalize.go
+++ b/sqlclass/normalize.go
@@ -5,52 +5,54 @@
 	"slices"
 )
 
-// Details are what a text has that its normal form leaves out.
+// Details are the parts of a text that its normal form leaves out.
 type Details struct {
-	ListItems   int    // literals in lists that were folded
-	Limit       int    // the number after the last LIMIT or FETCH FIRST, -1 for none
-	FirstString []byte // the content of the first string literal, nil for none; as it stands, doubled quotes too
-	LastComment [2]int // the content of the last block comment, {-1, -1} for none
+	ListItems   int    // number of literals in lists that the normal form replaces with (?+)
+	Limit       int    // the number after the last LIMIT or FETCH FIRST; -1 for none
+	FirstString []byte // the content of the first string literal, without unescaping; nil for none
+	LastComment [2]int // start and end offset of the content of the last block comment; {-1, -1} for none
 }
 
-const maxListItems = 1 << 20 // more are not counted
+const maxListItems = 1 << 20 // upper limit of Details.ListItems
 
 // normalizer builds the normal form of one text, token by token.
 type normalizer struct {
 	text    []byte
-	out     []byte
+	out     []byte // the normal form
 	details Details
 
 	previous     previousToken
-	afterLiteral bool // the last token was a literal
-	afterLimit   bool // the last token was LIMIT, or FIRST or NEXT of a FETCH
+	afterLiteral bool // the previous token was a literal
+	afterLimit   bool // the previous token was LIMIT, FIRST or NEXT, so a number is a limit
 
-	// Folding of lists: a list of nothing but literals becomes (?+), and several such rows of VALUES one.
-	inLiteralList bool // since the last ( or [ only literals, commas and signs
-	items         int  // literals since then
-	listStart     int  // offset in out of that ( or [
-	rowsStart     int  // offset in out of the ( of the first of several folded rows, -1 for none
+	// State for replacing lists: a list that contains only literals becomes (?+), and consecutive rows of VALUES that
+	// contain only literals become a single (?+).
+	inLiteralList bool // since the last ( or [ there were only literals, commas and signs
+	items         int  // number of literals since the last ( or [
+	listStart     int  // offset in out of the last ( or [
+	rowsStart     int  // offset in out of the ( of the first row of VALUES; -1 if not in such rows
 }
 
-// previousToken is what the last token means for the folding of rows.
+// previousToken says what the previous token means for replacing rows of VALUES.
 type previousToken uint8
 
 const (
 	previousOther previousToken = iota
 	previousValues
-	previousRow      // a folded list
-	previousRowComma // the comma after a folded list
+	previousRow      // the end of a list that was replaced
+	previousRowComma // the comma after such a list
 )
 
-// Normalize appends the normal form of a text: names and keywords in lower case, comments and spaces gone, literals as
-// ?, a list of nothing but literals as (?+), several such rows of VALUES as one. A syntax error is a text that no server
-// would accept; nothing of it may be sent.
+// Normalize appends the normal form of a text to b and returns the result. Names and keywords are converted to lower case.
+// Comments and white space are removed, and a space follows each token. A literal becomes ?, a list that contains only
+// literals becomes (?+), and consecutive rows of VALUES that contain only literals become a single (?+). A syntax error means
+// that no server would accept the text; it must not be sent.
 //
-// What the normal form leaves out does not influence the class: see analyzer. A literal whose end depends on a setting
-// of the server stays visible, as ?!, since its class depends on that.
+// The class of a statement does not depend on anything that the normal form leaves out (see analyzer). A literal whose end
+// depends on a setting of the server becomes ?!, since it makes the class Unknown.
 //
-// The commonest tokens are recognized here by their first byte, all others by Next: most of the time of a cache hit
-// would go into passing tokens.
+// Normalize handles the most frequent tokens itself, selected by their first byte, and uses Next for all others. Otherwise a
+// cache hit would spend most of its time on passing tokens between functions.
 func (s *Scanner) Normalize(b, text []byte) ([]byte, Details, *SyntaxError) {
 	s.Reset(text)
 	n := normalizer{text: text, out: b, details: Details{Limit: -1}, rowsStart: -1}
@@ -62,28 +64,28 @@
 			continue
 		case leadWord:
 			if i+1 == len(text) || text[i+1] != '\'' && text[i+1] != '&' {
-				i = n.word(i)
+				i = n.appendWord(i)
 				continue
 			}
 		case leadPunctuation:
-			n.punctuation(c)
+			n.appendPunctuation(c)
 			i++
 			continue
 		case leadDigit, leadQuote:
 			if end := simpleLiteralEnd(text, i); end > 0 {
-				n.simpleLiteral(i, end)
+				n.appendSimpleLiteral(i, end)
 				i = end
 				continue
 			}
 		case leadDot:
 			if i+1 < len(text) && charClass[text[i+1]]&classNameStart != 0 {
-				n.separator(c)
+				n.appendSeparator(c)
 				i++
 				continue
 			}
 		case leadOperator:
-			if i+1 < len(text) && charClass[text[i+1]]&classOperator == 0 { // of one character, as most are
-				n.operator(text[i : i+1])
+			if i+1 < len(text) && charClass[text[i+1]]&classOperator == 0 { // the most frequent case: one character
+				n.appendOperator(text[i : i+1])
 				i++
 				continue
 			}
@@ -99,15 +101,15 @@
 		if t.Kind == Invalid {
 			return n.out, n.details, &s.Err
 		}
-		n.token(t)
+		n.appendToken(t)
 		i = t.End
 	}
 	n.details.LastComment = s.LastComment
 	return n.out, n.details, nil
 }
 
-// word handles a name or keyword.
-func (n *normalizer) word(i int) (end int) {
+// appendWord appends the name or keyword that begins at offset i. It returns the end of the word, including one space after it.
+func (n *normalizer) appendWord(i int) (end int) {
 	rest, out := n.text[i:], n.out
 	if cap(out)-len(out) <= len(rest) {
 		out = slices.Grow(out, len(rest)+1)
@@ -124,7 +126,7 @@
 	}
 	out = append(out[:from+length], ' ')
 	n.out = out
-	n.afterOther()
+	n.resetContext()
 	if length >= 4 && length <= 6 {
 		switch string(out[from : from+length]) {
 		case "limit", "first", "next":
@@ -139,13 +141,13 @@
 	return end
 }
 
-// afterOther notes a token that is neither a literal nor part of a list of literals.
-func (n *normalizer) afterOther() {
+// resetContext updates the state for a token that is neither a literal nor part of a list of literals.
+func (n *normalizer) resetContext() {
 	n.inLiteralList, n.previous, n.afterLimit, n.afterLiteral = false, previousOther, false, false
 }
 
-// punctuation handles one of ( ) [ ] , and ;.
-func (n *normalizer) punctuation(c byte) {
+// appendPunctuation appends one of ( ) [ ] , and ;.
+func (n *normalizer) appendPunctuation(c byte) {
 	switch c {
 	case '[':
 		n.rowsStart = -1
@@ -162,7 +164,7 @@
 		n.openList('(')
 	case ')':
 		start := n.listStart
-		if n.rowsStart >= 0 && n.rowsStart < start { // a further row of VALUES: one form for all
+		if n.rowsStart >= 0 && n.rowsStart < start { // a further row of VALUES: replace all rows together
 			start = n.rowsStart
 		}
 		if n.closeList(')', start) {
@@ -178,37 +180,39 @@
 			n.previous = previousOther
 		}
 		n.out = append(n.out, ", "...)
-	default: // ;
+	default: // a semicolon
 		n.out = append(n.out, "; "...)
 		n.inLiteralList, n.previous = false, previousOther
 	}
 	n.afterLimit, n.afterLiteral = false, false
 }
 
+// openList appends an opening bracket, which may begin a list of literals.
 func (n *normalizer) openList(bracket byte) {
 	n.inLiteralList, n.items, n.listStart, n.previous = true, 0, len(n.out), previousOther
 	n.out = append(n.out, bracket, ' ')
 }
 
-// closeList ends a list. One of nothing but literals is folded from start on, if its brackets match: a text that no server
-// accepts must not share a normal form, and so a class, with one that is executed.
-func (n *normalizer) closeList(bracket byte, start int) (isFolded bool) {
-	isFolded = n.inLiteralList && n.afterLiteral && bracketsMatch(n.out[n.listStart], bracket)
-	if isFolded {
+// closeList appends a closing bracket. If the list contains only literals and its brackets match, closeList replaces the
+// normal form from offset start on with (?+) or [?+] and returns true. If the brackets do not match, no server accepts the
+// text; it must not have the same normal form, and so the same class, as a text that servers execute.
+func (n *normalizer) closeList(bracket byte, start int) (replaced bool) {
+	replaced = n.inLiteralList && n.afterLiteral && bracketsMatch(n.out[n.listStart], bracket)
+	if replaced {
 		n.details.ListItems = min(n.details.ListItems+n.items, maxListItems)
 		n.out = append(n.out[:start], n.out[n.listStart], '?', '+', bracket, ' ')
 	} else {
 		n.out = append(n.out, bracket, ' ')
 	}
 	n.inLiteralList, n.previous = false, previousOther
-	return isFolded
+	return replaced
 }
 
-// bracketsMatch reports whether one bracket closes what the other opened.
+// bracketsMatch reports whether an opening and a closing bracket are of the same kind.
 func bracketsMatch(opened, closed byte) bool { return (opened == '(') == (closed == ')') }
 
-// literal notes a literal.
-func (n *normalizer) literal() {
+// appendLiteral appends a ? for a literal.
+func (n *normalizer) appendLiteral() {
 	n.inLiteralList = n.inLiteralList && !n.afterLiteral
 	if n.inLiteralList {
 		n.items++
@@ -217,8 +221,8 @@
 	n.afterLiteral, n.afterLimit, n.previous = true, false, previousOther
 }
 
-// simpleLiteral handles a literal whose end simpleLiteralEnd found.
-func (n *normalizer) simpleLiteral(i, end int) {
+// appendSimpleLiteral appends the literal from offset i up to end, which simpleLiteralEnd returned.
+func (n *normalizer) appendSimpleLiteral(i, end int) {
 	switch {
 	case n.text[i] != '\'':
 		if n.afterLimit {
@@ -227,17 +231,18 @@
 	case n.details.FirstString == nil:
 		n.details.FirstString = n.text[i+1 : end-1]
 	}
-	n.literal()
+	n.appendLiteral()
 }
 
-// separator handles a . or : that stands alone.
-func (n *normalizer) separator(c byte) {
+// appendSeparator appends a dot or a colon that is a token of its own.
+func (n *normalizer) appendSeparator(c byte) {
 	n.out = append(n.out, c, ' ')
-	n.afterOther()
+	n.resetContext()
 }
 
-func (n *normalizer) operator(op []byte) {
-	if op[0] == '?' { // to be distinguished from a literal
+// appendOperator appends an operator.
+func (n *normalizer) appendOperator(op []byte) {
+	if op[0] == '?' { // distinguishes the operator from a literal
 		n.out = append(n.out, '\\')
 	}
 	n.out = append(append(n.out, op...), ' ')
@@ -245,8 +250,8 @@
 	n.previous, n.afterLimit, n.afterLiteral = previousOther, false, false
 }
 
-// token handles a token of the scanner.
-func (n *normalizer) token(t Token) {
+// appendToken appends a token that the scanner returned.
+func (n *normalizer) appendToken(t Token) {
 	piece := n.text[t.Start:t.End]
 	switch t.Kind {
 	case StringLiteral, NumberLiteral, Parameter:
@@ -256,26 +261,27 @@
 		if n.afterLimit && t.Kind == NumberLiteral {
 			n.details.Limit = limitValue(piece)
 		}
-		n.literal()
+		n.appendLiteral()
 		if t.Ambiguous {
 			n.inLiteralList = false
 			n.out = append(n.out[:len(n.out)-1], "! "...)
 		}
-	case Word: // with a quote or & after it
+	case Word: // followed by a quote or &; other words are handled by appendWord
 		n.out = append(appendLower(n.out, piece), ' ')
-		n.afterOther()
+		n.resetContext()
 	case QuotedName:
 		n.out = append(append(n.out, piece...), ' ')
-		n.afterOther()
+		n.resetContext()
 	case Operator:
-		n.operator(piece)
-	case Punctuation: // . and : alone
-		n.separator(piece[0])
+		n.appendOperator(piece)
+	case Punctuation: // a dot or a colon; other marks are handled by appendPunctuation
+		n.appendSeparator(piece[0])
 	}
 }
 
-// simpleLiteralEnd finds the end of a literal of the two plainest kinds: digits, or a string with neither \ nor a quote
-// in it and with a space, a comma, a parenthesis or the end of the text after it. 0: it is none.
+// simpleLiteralEnd returns the end of the literal that begins at offset i if it is of one of the two simplest kinds: digits,
+// or a string that contains neither a backslash nor a quote. A comma, a closing parenthesis, a space and a name, or the end
+// of the text must follow it. For anything else it returns 0.
 func simpleLiteralEnd(text []byte, i int) int {
 	j := i + 1
 	if text[i] == '\'' {
@@ -298,14 +304,14 @@
 	case ',', ')':
 		return j
 	case ' ':
-		if j+1 < len(text) && charClass[text[j+1]]&classNameStart != 0 { // else it may go on in the next line
+		if j+1 < len(text) && charClass[text[j+1]]&classNameStart != 0 { // otherwise the string may continue on the next line
 			return j
 		}
 	}
 	return 0
 }
 
-// literalContent is what stands between a literal's quotes.
+// literalContent returns the text between the quotes of a string literal.
 func literalContent(literal []byte) []byte {
 	if literal[0] == '$' {
 		n := bytes.IndexByte(literal[1:], '$') + 2
@@ -315,7 +321,7 @@
 	return literal[from : len(literal)-1]
 }
 
-// limitValue reads the digits of a LIMIT, up to some 10 billion.
+// limitValue returns the number after LIMIT. It stops reading digits once the number exceeds 1<<30.
 func limitValue(digits []byte) int {
 	n := 0
 	for _, c := range digits {
@@ -327,7 +333,7 @@
 	return n
 }
 
-// appendLower appends a name in lower case.
+// appendLower appends a name to b in lower case. It converts only ASCII letters.
 func appendLower(b, name []byte) []byte {
 	for _, c := range name {
 		if c >= 'A' && c <= 'Z' {
@@ -338,5 +344,5 @@
 	return b
 }
 
-// lower returns a name in lower case, as the server folds it: ASCII letters only.
+// lower returns a name in lower case. Like the server, it converts only ASCII letters.
 func lower(s string) string { return string(appendLower(nil, []byte(s))) }
--- a/sqlclass/rowestimate.go
+++ b/sqlclass/rowestimate.go
@@ -4,16 +4,17 @@
 	"math"
 )
 
-// A first estimate of the rows that a statement touches, block by block.
+// This file estimates the number of rows that a statement touches. The estimate is the sum over the statement's query blocks.
 
-// rowEstimate is a first estimate in rows touched; the number of list items and the LIMIT come from the text.
+// rowEstimate is the estimate for a normal form, in rows touched. The number of list items and the LIMIT differ between the
+// texts of a normal form; forDetails adds them.
 type rowEstimate struct {
-	rows         float64 // without what follows
-	perListItem  float64 // for each literal in a list
-	limitApplies bool    // the number of a LIMIT bounds rows
+	rows         float64 // without list items and LIMIT
+	perListItem  float64 // added for each literal in a list
+	limitApplies bool    // the number of a LIMIT is an upper bound of the rows
 }
 
-// forDetails is the estimate for one text of the normal form, in rows touched, 1 at least.
+// forDetails returns the estimate for a text with the given details, in rows touched. It is at least 1.
 func (e *rowEstimate) forDetails(d *Details) float64 {
 	rows := e.rows + e.perListItem*float64(d.ListItems)
 	if e.limitApplies && d.Limit >= 0 {
@@ -22,48 +23,49 @@
 	return max(rows, 1)
 }
 
-// The estimate takes every table for one of tableRows, a condition by equality for an index that finds foundRows, any
-// other condition for a scan. It only has to rank; what was measured corrects it.
+// The estimate assumes that every table has assumedTableRows rows, that a condition by equality uses an index and finds
+// indexedRows rows, and that any other condition needs a scan. It only has to rank statements; measurements correct it.
 const (
-	tableRows = 1000.0
-	foundRows = 3.0
+	assumedTableRows = 1000.0
+	indexedRows      = 3.0
 )
 
-// queryBlock is what was seen of one SELECT, or of one statement that changes data.
+// queryBlock has the features of one query block: a SELECT, VALUES or TABLE, or a statement that changes data.
 type queryBlock struct {
-	on            bool // a block has begun
-	changes       bool // it changes data
-	inserts       bool // by INSERT
-	from          bool
-	where         bool
-	keyed         bool // a condition by equality with a literal
-	list          bool // a condition by IN
-	order         bool
-	group         bool
-	distinct      bool
-	limit         bool
-	aggregate     bool
-	inCondition   bool // in a WHERE or ON
+	open          bool // the block has begun and has not ended
+	changesData   bool // the block changes data
+	inserts       bool // the block is an INSERT
+	hasFrom       bool
+	hasWhere      bool
+	hasEquality   bool // has a condition by equality with a literal
+	hasInList     bool // has a condition with IN and a list
+	hasOrderBy    bool
+	hasGroupBy    bool
+	hasDistinct   bool
+	hasLimit      bool
+	hasAggregate  bool
+	inCondition   bool // the present position is in a WHERE or ON clause
 	tables, joins int
 }
 
-func (b *queryBlock) begin() { *b = queryBlock{on: true} }
+// begin resets the block.
+func (b *queryBlock) begin() { *b = queryBlock{open: true} }
 
-// keyword handles a keyword of the block.
+// keyword updates the block for a keyword.
 func (b *queryBlock) keyword(name string) {
 	switch name {
 	case "where":
-		b.where = true
+		b.hasWhere = true
 	case "join":
 		b.joins++
 	case "order":
-		b.order = true
+		b.hasOrderBy = true
 	case "group":
-		b.group = true
+		b.hasGroupBy = true
 	case "distinct":
-		b.distinct = true
+		b.hasDistinct = true
 	case "limit", "fetch":
-		b.limit = true
+		b.hasLimit = true
 	}
 	switch name {
 	case "where", "on":
@@ -73,70 +75,71 @@
 	}
 }
 
-// comma handles a comma; in a FROM it joins a table.
+// comma updates the block for a comma. In a FROM clause, a comma is a join.
 func (b *queryBlock) comma(inFromList bool) {
 	if inFromList && !b.inCondition {
 		b.joins++
 	}
 }
 
-// opened handles the parenthesis after a keyword.
-func (b *queryBlock) opened(keyword string) {
+// openParenthesis updates the block for an opening parenthesis after a keyword.
+func (b *queryBlock) openParenthesis(keyword string) {
 	if keyword == "in" && b.inCondition {
-		b.list = true
+		b.hasInList = true
 	}
 }
 
-// literal handles a literal after a token.
+// literal updates the block for a literal that follows the token before.
 func (b *queryBlock) literal(before Token, text []byte) {
-	if b.where && b.inCondition && before.Kind == Operator && string(text[before.Start:before.End]) == "=" {
-		b.keyed = true
+	if b.hasWhere && b.inCondition && before.Kind == Operator && string(text[before.Start:before.End]) == "=" {
+		b.hasEquality = true
 	}
 }
 
 // close ends the block and adds it to the estimate.
 func (b *queryBlock) close(e *rowEstimate) {
-	if !b.on {
+	if !b.open {
 		return
 	}
-	b.on = false
+	b.open = false
 	touched, found := b.rows()
-	if b.list && !b.keyed {
+	if b.hasInList && !b.hasEquality {
 		e.perListItem += 1 + float64(b.joins)
 	}
 	cost := 1 + touched
-	if b.order || b.distinct {
+	if b.hasOrderBy || b.hasDistinct {
 		cost += found * math.Log2(2+found) / 5
 	}
-	if b.group || b.aggregate {
+	if b.hasGroupBy || b.hasAggregate {
 		cost += found / 2
 	}
-	if b.changes {
+	if b.changesData {
 		cost += 5 + found
 		e.perListItem += 0.5
 	}
-	if b.limit && !b.readsAll() {
+	if b.hasLimit && !b.readsAll() {
 		e.limitApplies = true
 	}
 	e.rows += cost
 }
 
-// rows returns how many rows the block touches, and how many of them meet its conditions.
+// rows returns the estimated numbers of rows that the block touches and of rows that meet its conditions.
 func (b *queryBlock) rows() (touched, found float64) {
-	if b.from || b.changes && !b.inserts {
-		touched = float64(max(b.tables, b.joins+1)) * tableRows
+	if b.hasFrom || b.changesData && !b.inserts {
+		touched = float64(max(b.tables, b.joins+1)) * assumedTableRows
 	}
 	switch {
-	case b.keyed || b.list:
-		touched = foundRows * (1 + 2*float64(b.joins))
+	case b.hasEquality || b.hasInList:
+		touched = indexedRows * (1 + 2*float64(b.joins))
 		return touched, touched
-	case b.where:
+	case b.hasWhere:
 		return touched, touched / 10
 	}
 	return touched, touched
 }
 
-// readsAll reports whether the block has to see all its rows before the first is returned, or sees few anyway.
+// readsAll reports whether a LIMIT does not reduce the rows touched: the block needs all its rows before it returns the first,
+// or touches only a few rows in any case.
 func (b *queryBlock) readsAll() bool {
-	return b.order || b.group || b.aggregate || b.distinct || b.keyed || b.list
+	return b.hasOrderBy || b.hasGroupBy || b.hasAggregate || b.hasDistinct || b.hasEquality || b.hasInList
 }
--- a/sqlclass/rules.go
+++ b/sqlclass/rules.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Rule names the request type of statements that match it. What is left out matches all.
+// Rule assigns a request type to the statements that match it. A condition that is left out matches every statement.
 type Rule struct {
-	Type   string
-	Class  Class    // Unknown: any; Write matches Unknown statements too
-	Verbs  []string // the statement's verb is one of them
-	Tables []string // the statement names one of them
-	Below  time.Duration
-	Above  time.Duration // the estimate is at least Above and, where Below is set, less than Below
+	Type   string        // request type
+	Class  Class         // Unknown matches every class; Write also matches Unknown statements
+	Verbs  []string      // matches if the statement's verb is one of them
+	Tables []string      // matches if the statement names at least one of them
+	Below  time.Duration // the estimated latency is less than Below; 0 for no upper limit
+	Above  time.Duration // the estimated latency is at least Above
 }
 
-// MaxRules is how many rules there may be.
+// MaxRules is the maximum number of rules: NormalizedStatement has one bit for each.
 const MaxRules = 64
 
-// matches reports whether all but the cost matches.
+// matches reports whether the rule's conditions other than Above and Below are met.
 func (r *Rule) matches(c *Classification) bool {
 	write := c.Class != Read
 	return (r.Class == Unknown || (r.Class == Write) == write) &&
@@ -26,14 +26,15 @@
 		(len(r.Tables) == 0 || slices.ContainsFunc(r.Tables, func(t string) bool { return slices.Contains(c.Tables, t) }))
 }
 
-// covers reports whether the rule matches all that other matches.
+// covers reports whether the rule matches every statement that other matches.
 func (r *Rule) covers(other *Rule) bool {
 	return (r.Class == Unknown || r.Class == other.Class) &&
 		coversNames(r.Verbs, other.Verbs) && coversNames(r.Tables, other.Tables) &&
 		r.Above <= other.Above && (r.Below == 0 || other.Below > 0 && other.Below <= r.Below)
 }
 
-// coversNames reports whether a condition on these names is met wherever one on the others is. No names are no condition.
+// coversNames reports whether a condition on names is met whenever the condition on others is met. An empty list is no
+// condition.
 func coversNames(names, others []string) bool {
 	if len(names) == 0 {
 		return true
@@ -41,7 +42,7 @@
 	return len(others) > 0 && !slices.ContainsFunc(others, func(n string) bool { return !slices.Contains(names, n) })
 }
 
-// matchingRules returns a bit for each rule that matches but for its cost.
+// matchingRules returns a bit set of the rules whose conditions other than Above and Below are met.
 func matchingRules(rules []Rule, c *Classification) (matching uint64) {
 	for i := range rules {
 		if rules[i].matches(c) {
@@ -51,7 +52,8 @@
 	return matching
 }
 
-// MatchRule returns the first rule that a statement with the given estimate matches, or -1.
+// MatchRule returns the index of the first rule that a statement with the given estimated latency matches, or -1 if none
+// does.
 func (c *Classifier) MatchRule(s *NormalizedStatement, estimate time.Duration) int {
 	for i := range c.rules {
 		r := &c.rules[i]
@@ -62,5 +64,5 @@
 	return -1
 }
 
-// Rules returns the rules of the Classifier.
+// Rules returns the Classifier's rules. MatchRule returns an index into them.
 func (c *Classifier) Rules() []Rule { return c.rules }
--- a/sqlclass/scanner.go
+++ b/sqlclass/scanner.go
@@ -11,65 +11,66 @@
 // The kinds of tokens.
 const (
 	EndOfText     TokenKind = iota
-	Invalid                 // the scanner's Err says why; nothing comes after it
+	Invalid                 // a syntax error, which is in Scanner.Err; no token follows
 	Word                    // a name or keyword without quotes
 	QuotedName              // "a name" or U&"a name"
-	StringLiteral           // with any of the quotings: plain, E, B, X, N, U& or between dollar tags
+	StringLiteral           // any string constant: plain, with the prefix E, B, X, N or U&, or dollar-quoted
 	NumberLiteral
-	Parameter   // $1
+	Parameter   // a positional parameter: $1
 	Operator    // an operator of one or more characters
 	Punctuation // one of ( ) [ ] , ; . :
 )
 
-// Token is a piece of a statement's text, from Start up to End.
+// Token is a token of a statement. Its text is from offset Start up to offset End.
 type Token struct {
 	Kind           TokenKind
-	Ambiguous      bool // StringLiteral whose end depends on a setting of the server
-	UnicodeEscaped bool // QuotedName with U&: its characters are escaped
+	Ambiguous      bool // a StringLiteral whose end depends on the server's standard_conforming_strings
+	UnicodeEscaped bool // a QuotedName with the prefix U&, which may contain escaped characters
 	Start, End     int
 }
 
-// SyntaxError is what makes a text no statement.
+// SyntaxError is the reason why a text cannot be split into tokens.
 type SyntaxError struct {
-	Code    string // SQLSTATE, as PostgreSQL's servers give it
+	Code    string // the SQLSTATE that PostgreSQL returns for this error
 	Message string
-	Offset  int // of the byte where it begins
+	Offset  int // of the first byte that the error refers to
 }
 
-// Error returns the message with its offset; it is sent to clients.
+// Error returns the message with its offset. It is sent to clients.
 func (e *SyntaxError) Error() string { return fmt.Sprintf("%s at byte %d", e.Message, e.Offset) }
 
 // SQLSTATEs of a SyntaxError.
 const (
-	codeSyntaxError  = "42601"
+	codeSyntaxError  = "42601" // syntax_error
 	codeNotInCharset = "22021" // character_not_in_repertoire
 )
 
-// Scanner cuts a text into tokens as PostgreSQL's own lexer does with standard_conforming_strings on (section 4.1,
-// "Lexical Structure", of its manual). It allocates nothing and never backs up over more than one token.
+// Scanner splits a text into tokens in the same way as PostgreSQL's lexer with standard_conforming_strings on (section 4.1,
+// "Lexical Structure", of its manual). It does not allocate memory for valid texts and never backs up by more than one token.
+// The zero value must be initialized by Reset. It is not safe for concurrent use.
 type Scanner struct {
 	text []byte
 	pos  int
 
-	Err         SyntaxError // set once a token is Invalid
-	LastComment [2]int      // the content of the last block comment passed, {-1, -1} for none
+	Err         SyntaxError // the error; set when Next returns an Invalid token
+	LastComment [2]int      // start and end offset of the content of the last block comment; {-1, -1} for none
 }
 
-// Reset begins a new text.
+// Reset makes the Scanner read a new text from its beginning.
 func (s *Scanner) Reset(text []byte) { *s = Scanner{text: text, LastComment: [2]int{-1, -1}} }
 
-// Classes of bytes, as bits of charClass.
+// Classes of bytes: the bits of charClass.
 const (
 	classSpace     = 1 << iota
 	classNameStart // begins a name
-	classNamePart  // may follow in a name
+	classNamePart  // may be part of a name
 	classDigit
 	classOperator
 	classPunctuation
-	classSinglePunctuation // begins nothing longer than itself
+	classSinglePunctuation // a punctuation mark that never begins a longer token
 )
 
-// What a byte may begin, as values of leadClass.
+// Kinds of tokens that a byte may begin: the values of leadClass. Normalize selects its fast paths by them.
 const (
 	leadOther = iota
 	leadSpace
@@ -81,11 +82,11 @@
 	leadOperator
 )
 
-// What a byte is and may begin, by byte.
+// Tables that are indexed by a byte.
 var (
-	charClass = makeCharClass()
-	leadClass = makeLeadClass()
-	lowerCase = makeLowerCase() // a name's bytes in lower case, 0 for what no name has
+	charClass = makeCharClass() // the classes of the byte
+	leadClass = makeLeadClass() // the kind of token that the byte may begin
+	lowerCase = makeLowerCase() // the byte in lower case; 0 for a byte that cannot be part of a name
 )
 
 func makeCharClass() (class [256]uint8) {
@@ -145,7 +146,7 @@
 	return low
 }
 
-// peek returns the byte n after the present one, 0 at the end.
+// peek returns the byte at distance n from the present position, or 0 after the end of the text.
 func (s *Scanner) peek(n int) byte {
 	if s.pos+n < len(s.text) {
 		return s.text[s.pos+n]
@@ -153,13 +154,14 @@
 	return 0
 }
 
-func (s *Scanner) invalid(what string, at int) Token {
+// invalidToken sets Err, ends the scan and returns an Invalid token.
+func (s *Scanner) invalidToken(what string, at int) Token {
 	s.Err = SyntaxError{codeSyntaxError, what, at}
 	s.pos = len(s.text)
 	return Token{Kind: Invalid, Start: at, End: len(s.text)}
 }
 
-// Next returns the next token; comments and spaces are skipped.
+// Next returns the next token. It skips comments and white space.
 func (s *Scanner) Next() Token {
 	for s.pos < len(s.text) {
 		c := s.text[s.pos]
@@ -168,59 +170,60 @@
 			s.pos++
 			continue
 		case c == '-' && s.peek(1) == '-':
-			s.lineComment()
+			s.skipLineComment()
 			continue
 		case c == '/' && s.peek(1) == '*':
 			from := s.pos
-			if !s.blockComment() {
-				return s.invalid("the comment has no end", from)
+			if !s.skipBlockComment() {
+				return s.invalidToken("the comment has no end", from)
 			}
 			continue
 		case class&classNameStart != 0:
-			return s.word(c)
+			return s.scanWord(c)
 		case c == '\'':
-			return s.literal(s.pos, false)
+			return s.scanString(s.pos, false)
 		case class&classPunctuation != 0 && (c != '.' || charClass[s.peek(1)]&classDigit == 0):
-			return s.punctuation(c)
+			return s.scanPunctuation(c)
 		case class&classDigit != 0 || c == '.':
-			return s.number()
+			return s.scanNumber()
 		case class&classOperator != 0:
-			return s.operator()
+			return s.scanOperator()
 		case c == '"':
-			return s.quotedName(s.pos, false)
+			return s.scanQuotedName(s.pos, false)
 		case c == '$':
-			return s.dollarQuoted()
+			return s.scanDollar()
 		}
-		return s.invalid(fmt.Sprintf("a character that no statement has: %q", c), s.pos)
+		return s.invalidToken(fmt.Sprintf("a character that no statement has: %q", c), s.pos)
 	}
 	return Token{Kind: EndOfText, Start: len(s.text), End: len(s.text)}
 }
 
-// skipComment returns the end of the comment that begins at i, or i where none does; ok is false for one without end.
+// skipComment returns the end of the comment that begins at i, or i if no comment begins there. It is not ok for a block comment
+// without an end, which is a syntax error.
 func (s *Scanner) skipComment(i int) (end int, ok bool) {
 	if i+1 == len(s.text) {
 		return i, true
 	}
 	switch s.pos = i; {
 	case s.text[i] == '/' && s.text[i+1] == '*':
-		if !s.blockComment() {
-			s.invalid("the comment has no end", i)
+		if !s.skipBlockComment() {
+			s.invalidToken("the comment has no end", i)
 			return i, false
 		}
 	case s.text[i] == '-' && s.text[i+1] == '-':
-		s.lineComment()
+		s.skipLineComment()
 	}
 	return s.pos, true
 }
 
-func (s *Scanner) lineComment() {
+func (s *Scanner) skipLineComment() {
 	for s.pos < len(s.text) && s.text[s.pos] != '\n' && s.text[s.pos] != '\r' {
 		s.pos++
 	}
 }
 
-// blockComment skips a comment and those nested in it; false where it has no end.
-func (s *Scanner) blockComment() bool {
+// skipBlockComment skips a comment and the comments nested in it. It returns false if the comment has no end.
+func (s *Scanner) skipBlockComment() bool {
 	from := s.pos + 2
 	s.pos = from
 	for i, depth := from, 1; i+1 < len(s.text); i++ {
@@ -243,27 +246,27 @@
 	return false
 }
 
-// word reads a name, or a literal with a letter before its quote.
-func (s *Scanner) word(c byte) Token {
+// scanWord reads a name, a keyword, or a literal or quoted name with a prefix.
+func (s *Scanner) scanWord(c byte) Token {
 	from := s.pos
 	switch next := s.peek(1); {
 	case next == '\'':
 		switch c {
 		case 'e', 'E':
 			s.pos++
-			return s.literal(from, true)
+			return s.scanString(from, true)
 		case 'b', 'B', 'x', 'X', 'n', 'N':
 			s.pos++
-			return s.literal(from, false)
+			return s.scanString(from, false)
 		}
 	case next == '&' && (c == 'u' || c == 'U'):
 		switch s.peek(2) {
 		case '\'':
 			s.pos += 2
-			return s.literal(from, false)
+			return s.scanString(from, false)
 		case '"':
 			s.pos += 2
-			return s.quotedName(from, true)
+			return s.scanQuotedName(from, true)
 		}
 	}
 	i := s.pos + 1
@@ -274,8 +277,9 @@
 	return Token{Kind: Word, Start: from, End: i}
 }
 
-// literal reads a string literal from its quote on, with the pieces that line ends separate.
-func (s *Scanner) literal(from int, escapes bool) Token {
+// scanString reads a string literal whose quote is at the present position; its token begins at from. PostgreSQL joins
+// literals that are separated by a line end; these are one token. escapes says that the literal has backslash escapes.
+func (s *Scanner) scanString(from int, escapes bool) Token {
 	t := Token{Kind: StringLiteral, Start: from}
 	i := s.pos + 1
 	for {
@@ -284,14 +288,14 @@
 				i++
 			}
 			if i >= len(s.text) {
-				return s.invalid("a quoted text has no end", from)
+				return s.invalidToken("a quoted text has no end", from)
 			}
 			c := s.text[i]
 			if c == '\\' {
 				if escapes {
 					i++
 				} else if i+1 < len(s.text) && s.text[i+1] == '\'' {
-					t.Ambiguous = true // where standard_conforming_strings is off, the literal continues here
+					t.Ambiguous = true // with standard_conforming_strings off, the literal does not end here
 				}
 			} else if c == '\'' {
 				if i+1 >= len(s.text) || s.text[i+1] != '\'' {
@@ -302,7 +306,7 @@
 			i++
 		}
 		i++
-		next := s.continued(i)
+		next := s.stringContinuation(i)
 		if next == 0 {
 			break
 		}
@@ -312,8 +316,9 @@
 	return t
 }
 
-// continued returns where a literal continues after a line end, which is after the next quote, or 0.
-func (s *Scanner) continued(i int) int {
+// stringContinuation returns the offset after the next quote if the literal that ends at i continues after a line end.
+// Otherwise it returns 0.
+func (s *Scanner) stringContinuation(i int) int {
 	lines := false
 	for i < len(s.text) {
 		switch c := s.text[i]; {
@@ -333,8 +338,8 @@
 	return 0
 }
 
-// quotedName reads a name between double quotes.
-func (s *Scanner) quotedName(from int, unicode bool) Token {
+// scanQuotedName reads a name in double quotes.
+func (s *Scanner) scanQuotedName(from int, unicode bool) Token {
 	for i := s.pos + 1; i < len(s.text); i++ {
 		if s.text[i] != '"' {
 			continue
@@ -346,11 +351,11 @@
 		s.pos = i + 1
 		return Token{Kind: QuotedName, UnicodeEscaped: unicode, Start: from, End: i + 1}
 	}
-	return s.invalid("a quoted name has no end", from)
+	return s.invalidToken("a quoted name has no end", from)
 }
 
-// dollarQuoted reads $1, or a literal between two equal tags.
-func (s *Scanner) dollarQuoted() Token {
+// scanDollar reads a positional parameter or a dollar-quoted string.
+func (s *Scanner) scanDollar() Token {
 	from := s.pos
 	i := from + 1
 	if charClass[s.peek(1)]&classDigit != 0 {
@@ -364,7 +369,7 @@
 		i++
 	}
 	if i >= len(s.text) || s.text[i] != '$' {
-		return s.invalid("a $ that begins nothing", from)
+		return s.invalidToken("a $ that begins nothing", from)
 	}
 	tag := s.text[from : i+1]
 	for j := i + 1; j+len(tag) <= len(s.text); j++ {
@@ -373,33 +378,33 @@
 			return Token{Kind: StringLiteral, Start: from, End: s.pos}
 		}
 	}
-	return s.invalid("a text between "+string(tag[:min(len(tag), 64)])+" has no end", from)
+	return s.invalidToken("a text between "+string(tag[:min(len(tag), 64)])+" has no end", from)
 }
 
-// number reads a number: decimal, with a fraction and exponent, or hexadecimal, octal or binary.
-func (s *Scanner) number() Token {
+// scanNumber reads a decimal number, with or without a fraction and an exponent, or a hexadecimal, octal or binary integer.
+func (s *Scanner) scanNumber() Token {
 	from, i := s.pos, s.pos
 	for i < len(s.text) && charClass[s.text[i]]&classDigit != 0 {
 		i++
 	}
-	if i > from && (i == len(s.text) || charClass[s.text[i]]&classNamePart == 0 && s.text[i] != '.') { // as most are
+	if i > from && (i == len(s.text) || charClass[s.text[i]]&classNamePart == 0 && s.text[i] != '.') { // a decimal integer
 		s.pos = i
 		return Token{Kind: NumberLiteral, Start: from, End: i}
 	}
-	if isDigit := radixDigits(s.text[from:]); isDigit != nil {
-		s.pos = s.digits(from+2, isDigit)
+	if isDigit := radixDigitTest(s.text[from:]); isDigit != nil {
+		s.pos = s.digitsEnd(from+2, isDigit)
 		return Token{Kind: NumberLiteral, Start: from, End: s.pos}
 	}
-	i = s.digits(from, isDecimal)
+	i = s.digitsEnd(from, isDecimal)
 	if i < len(s.text) && s.text[i] == '.' && (i+1 == len(s.text) || s.text[i+1] != '.') {
-		i = s.digits(i+1, isDecimal)
+		i = s.digitsEnd(i+1, isDecimal)
 	}
-	s.pos = s.exponent(i)
+	s.pos = s.exponentEnd(i)
 	return Token{Kind: NumberLiteral, Start: from, End: s.pos}
 }
 
-// digits returns the end of the digits from i on, which single underscores may separate.
-func (s *Scanner) digits(i int, isDigit func(byte) bool) int {
+// digitsEnd returns the end of the digits that begin at i. Single underscores may separate them.
+func (s *Scanner) digitsEnd(i int, isDigit func(byte) bool) int {
 	from := i
 	for i < len(s.text) && (isDigit(s.text[i]) || s.text[i] == '_' && i > from && i+1 < len(s.text) && isDigit(s.text[i+1])) {
 		i++
@@ -407,8 +412,8 @@
 	return i
 }
 
-// exponent returns the end of the exponent at i, or i where there is none.
-func (s *Scanner) exponent(i int) int {
+// exponentEnd returns the end of the exponent at i, or i if there is none.
+func (s *Scanner) exponentEnd(i int) int {
 	if i == len(s.text) || s.text[i]|0x20 != 'e' {
 		return i
 	}
@@ -416,14 +421,15 @@
 	if from < len(s.text) && (s.text[from] == '+' || s.text[from] == '-') {
 		from++
 	}
-	if end := s.digits(from, isDecimal); end > from {
+	if end := s.digitsEnd(from, isDecimal); end > from {
 		return end
 	}
 	return i
 }
 
-// radixDigits returns what is a digit of a number that begins with 0x, 0o or 0b, nil for any other number.
-func radixDigits(text []byte) func(byte) bool {
+// radixDigitTest returns the function that recognizes the digits of a number with the prefix 0x, 0o or 0b. It returns nil for
+// any other number.
+func radixDigitTest(text []byte) func(byte) bool {
 	if text[0] != '0' || len(text) < 3 {
 		return nil
 	}
@@ -444,8 +450,8 @@
 
 func isDecimal(c byte) bool { return c >= '0' && c <= '9' }
 
-// punctuation reads one character, but :: and := are one operator each.
-func (s *Scanner) punctuation(c byte) Token {
+// scanPunctuation reads a punctuation mark, or one of the operators :: and :=.
+func (s *Scanner) scanPunctuation(c byte) Token {
 	from := s.pos
 	s.pos++
 	if c == ':' && s.pos < len(s.text) && (s.text[s.pos] == ':' || s.text[s.pos] == '=') {
@@ -455,11 +461,12 @@
 	return Token{Kind: Punctuation, Start: from, End: s.pos}
 }
 
-// operator reads an operator: as far as its characters go, but not into a comment. As in PostgreSQL, one that ends
-// in + or - must have one of ~ ! @ # % ^ & | ` ? in it, or the end is an operator of its own; and none is longer than 63
-// characters, so that no run of operator characters is read again from each of them.
-func (s *Scanner) operator() Token {
-	from, i, odd := s.pos, s.pos, false
+// scanOperator reads an operator: the longest run of operator characters that does not begin a comment. As in PostgreSQL, an
+// operator of several characters may end in + or - only if it contains one of ~ ! @ # % ^ & | ` ?; otherwise the + or - begins
+// another operator. An operator is at most 63 characters long. This limit keeps the time linear: otherwise a long run
+// of operator characters could be read again from each of its characters.
+func (s *Scanner) scanOperator() Token {
+	from, i, mayEndInSign := s.pos, s.pos, false
 	for i < len(s.text) && i < from+63 && charClass[s.text[i]]&classOperator != 0 {
 		c := s.text[i]
 		if i > from && i+1 < len(s.text) && (c == '-' && s.text[i+1] == '-' || c == '/' && s.text[i+1] == '*') {
@@ -467,18 +474,18 @@
 		}
 		switch c {
 		case '~', '!', '@', '#', '%', '^', '&', '|', '`', '?':
-			odd = true
+			mayEndInSign = true
 		}
 		i++
 	}
-	for !odd && i > from+1 && (s.text[i-1] == '+' || s.text[i-1] == '-') {
+	for !mayEndInSign && i > from+1 && (s.text[i-1] == '+' || s.text[i-1] == '-') {
 		i--
 	}
 	s.pos = i
 	return Token{Kind: Operator, Start: from, End: i}
 }
 
-// checkEncoding finds the first byte that is not valid UTF-8.
+// checkEncoding returns an error for the first byte that is not valid UTF-8.
 func checkEncoding(text []byte) *SyntaxError {
 	if utf8.Valid(text) {
 		return nil
--- a/sqlclass/settings.go
+++ b/sqlclass/settings.go
@@ -7,19 +7,19 @@
 	"dapplerouter/routing"
 )
 
-// FormName is the operator's form that turns classification on.
+// FormName is the name of the form in the operator's file that turns classification on.
 const FormName = "classing"
 
-// Settings are what the operator's file says of classification. Its form, with all that it may have:
+// Settings are the settings of classification in the operator's file. This is the form with all its subforms:
 //
 //	(classing
-//	  (cache 8MiB)                        ; size of the cache, 64KiB to 1GiB; 8MiB where left out
+//	  (cache 8MiB)                        ; size of the cache, 64KiB to 1GiB; default 8MiB
 //	  (functions
-//	    (reads seat_name geo.distance mood) ; functions, types and schema-qualified ones that only read
-//	    (writes next_seat busy_view))       ; functions, views and tables that write whatever the verb
-//	  (columns id house at)               ; all that t.name may mean; where left out any name may be a column
-//	  (undeclared-writes once-only)       ; a write under a type that reads: once-only, referenced or repeatable
-//	  (types                              ; for statements whose comment names none; the first that matches counts
+//	    (reads seat_name geo.distance mood) ; functions and types that only read, with their schema if they have one
+//	    (writes next_seat busy_view))       ; functions, views and tables that write with any verb
+//	  (columns id house at)               ; all names of columns; if left out, any name may be a column
+//	  (undeclared-writes once-only)       ; for a write whose type reads: once-only, referenced or repeatable
+//	  (types                              ; for statements whose comment has no type; the first match counts
 //	    (book-table (class write) (verbs insert update) (tables bookings))
 //	    (report (class read) (above 20ms))
 //	    (slot-browse (class read) (below 20ms))))
@@ -27,8 +27,8 @@
 	CacheBytes       int64
 	Lists            *NameLists
 	Rules            []Rule
-	UndeclaredWrites routing.Idempotency // of a write whose request type reads
-	RulePositions    []config.Position   // of Rules, in the file
+	UndeclaredWrites routing.Idempotency // of writes whose request type is a read
+	RulePositions    []config.Position   // positions of the Rules in the file
 }
 
 const (
@@ -36,12 +36,12 @@
 	maxCacheBytes     = 1 << 30
 )
 
-// NewClassifier makes a Classifier with the settings.
+// NewClassifier returns a Classifier with the settings.
 func (s *Settings) NewClassifier() *Classifier {
 	return New(Options{CacheBytes: s.CacheBytes, Lists: s.Lists, Rules: s.Rules})
 }
 
-// ReadSettings reads the form. What is wrong with it is reported to the form's decoder.
+// ReadSettings reads the form. Errors are reported to the form's decoder.
 func ReadSettings(f *config.Form) *Settings {
 	s := &Settings{CacheBytes: defaultCacheBytes, UndeclaredWrites: routing.NonIdempotent}
 	forms := f.Forms("cache", "functions", "columns", "undeclared-writes", "types")
@@ -66,13 +66,13 @@
 	return s
 }
 
-// readFunctions reads the lists of functions. No name may be on both.
+// readFunctions reads the lists of reading and of writing functions. A name that is on both is an error.
 func readFunctions(f *config.Form) (reads, writes []string) {
 	if f == nil {
 		return nil, nil
 	}
 	lists := f.Forms("reads", "writes")
-	positions := map[string]config.Position{} // of the writing names
+	positions := map[string]config.Position{} // of the writing functions, by name
 	if list := lists["writes"]; list != nil {
 		for _, a := range list.Atoms() {
 			if name, ok := functionName(list, a); ok {
@@ -91,7 +91,8 @@
 	return reads, writes
 }
 
-// readingName checks a name of the list of reading functions against those that write.
+// readingName returns a name of the list of reading functions. It is an error if the name is also that of a writing function,
+// which are given with their positions.
 func readingName(list *config.Form, a config.Atom, writing map[string]config.Position) (string, bool) {
 	name, ok := functionName(list, a)
 	if !ok {
@@ -103,14 +104,14 @@
 			"%s is listed as writing too, at %s", a.Name, at)
 		return "", false
 	}
-	if builtinWrites[last] || builtinBound[last] {
+	if builtinWrites[last] || builtinSessionBound[last] {
 		list.Errorf(a.Position, "take it off the list", "%s is PostgreSQL's own and writes", a.Name)
 		return "", false
 	}
 	return name, true
 }
 
-// readColumns returns the names of columns, nil where any name may be one.
+// readColumns returns the listed names of columns, or nil if there is no list and any name may be a column.
 func readColumns(f *config.Form) []string {
 	if f == nil {
 		return nil
@@ -122,7 +123,7 @@
 	return columns
 }
 
-// serverName returns a name as the server knows it: in lower case, unless it is quoted.
+// serverName returns a name as the server stores it: in lower case unless it is quoted.
 func serverName(a config.Atom) string {
 	if a.Quoted {
 		return a.Name
@@ -130,7 +131,8 @@
 	return lower(a.Name)
 }
 
-// functionName checks a name of a list: parts of letters, digits and _, at most a schema and a name.
+// functionName returns a name of a list of functions. It must be a name, or a schema and a name; unquoted parts consist of
+// letters, digits, _ and $.
 func functionName(list *config.Form, a config.Atom) (string, bool) {
 	name := serverName(a)
 	parts := strings.Split(name, ".")
@@ -144,7 +146,7 @@
 	return name, true
 }
 
-// isPlainName reports whether a name needs no quotes.
+// isPlainName reports whether a name is valid without quotes.
 func isPlainName(name string) bool {
 	for i := range len(name) {
 		if charClass[name[i]]&classNamePart == 0 || i == 0 && charClass[name[i]]&classNameStart == 0 {
@@ -154,14 +156,14 @@
 	return true
 }
 
-// addRule reads a form of the types. A rule that can never match is an error.
+// addRule reads a subform of types and adds the rule. A rule that can never match is an error.
 func (s *Settings) addRule(f *config.Form) {
 	r, abovePosition := readRule(f)
 	switch {
 	case r.Below > 0 && r.Above >= r.Below:
 		f.Errorf(abovePosition, "above must be less than below", "%s fits no statement", f.Name)
 	case len(s.Rules) == MaxRules:
-		f.Errorf(f.Position, "put some together", "more than %d types", MaxRules)
+		f.Errorf(f.Position, "combine some of them", "more than %d types", MaxRules)
 		return
 	}
 	for i, earlier := range s.Rules {
@@ -174,7 +176,7 @@
 	s.Rules, s.RulePositions = append(s.Rules, r), append(s.RulePositions, f.Position)
 }
 
-// readRule reads a rule and the position of its above, where it has one.
+// readRule reads a rule. It also returns the position of the subform above, if the rule has one.
 func readRule(f *config.Form) (r Rule, above config.Position) {
 	r.Type = f.Name
 	forms := f.Forms("class", "verbs", "tables", "below", "above")
@@ -205,7 +207,7 @@
 	return r, above
 }
 
-// ruleVerb checks a verb of a rule.
+// ruleVerb returns a verb of a rule in lower case. A word that cannot be the verb of a statement is an error.
 func ruleVerb(list *config.Form, a config.Atom) string {
 	verb := lower(a.Name)
 	flags := flagsOf(verb)
