--- a/gateway/config.go
+++ b/gateway/config.go
@@ -7,29 +7,29 @@
 	"dapplerouter/config"
 )
 
-// FormName is the operator's form that makes an instance a gateway:
+// FormName is the name of the form in the operator's file that makes an instance a gateway:
 //
 //	(gateway
 //	  (here kathmandu)
 //	  (peer pokhara
-//	    (address "192.0.2.7:7443")        ; where the peer listens; or (listen "0.0.0.0:7443") and the peer dials
-//	    (groups 3 4)                      ; that live there
+//	    (address "192.0.2.7:7443")        ; address of the peer; or (listen "0.0.0.0:7443") if the peer dials
+//	    (groups 3 4)                      ; groups whose servers are at the peer site
 //	    (key "here.key") (certificate "here.crt") (trust "pokhara.crt") ; or (plain loopback)
 //	    (heartbeat 200ms) (silence 700ms) (recover 1s) (retain 5s)
 //	    (crossings 1024) (credit 1MiB) (kept 4MiB)))
 const FormName = "gateway"
 
-// Config is the content of the form.
+// Config is the content of the gateway form.
 type Config struct {
 	LocalSite, PeerSite                 string
-	Address, Listen                     string // one of them is ""
+	Address, Listen                     string // exactly one of them is set
 	Groups                              []int64
 	Settings                            Settings
-	KeyFile, CertificateFile, TrustFile string // all "" where the link is plain
+	KeyFile, CertificateFile, TrustFile string // all "" if the link has no TLS (plain)
 	Position                            config.Position
 }
 
-// ReadConfig reads the form. What is wrong with it is reported to the form's decoder.
+// ReadConfig reads the gateway form. Errors are reported to the form's decoder.
 func ReadConfig(f *config.Form) *Config {
 	c := &Config{Settings: DefaultSettings, Position: f.Position}
 	forms := f.Forms("here", "peer")
@@ -37,16 +37,17 @@
 		v, _ := here.Value()
 		c.LocalSite = v.Name
 	} else {
-		f.Errorf(f.Position, "(here NAME)", "the gateway does not say where it stands")
+		f.Errorf(f.Position, "(here NAME)", "the gateway form does not name its own site")
 	}
 	if peer := forms["peer"]; peer != nil {
 		c.readPeer(peer)
 	} else {
-		f.Errorf(f.Position, "(peer NAME (address ...) (groups ...) ...)", "the gateway names no peer")
+		f.Errorf(f.Position, "(peer NAME (address ...) (groups ...) ...)", "the gateway form does not name the peer site")
 	}
 	return c
 }
 
+// readPeer reads the subform peer.
 func (c *Config) readPeer(peer *config.Form) {
 	name, ok := peer.TakeName()
 	if !ok {
@@ -54,7 +55,7 @@
 	}
 	c.PeerSite = name.Name
 	if c.PeerSite == c.LocalSite {
-		peer.Errorf(name.Position, "the other site's name", "%s is its own peer", c.PeerSite)
+		peer.Errorf(name.Position, "the other site's name", "the peer site %s is this site itself", c.PeerSite)
 	}
 	forms := peer.Forms("address", "listen", "groups", "key", "certificate", "trust", "plain", "heartbeat", "silence", "recover", "retain",
 		"crossings", "credit", "kept")
@@ -64,13 +65,14 @@
 	readText(forms["certificate"], &c.CertificateFile)
 	readText(forms["trust"], &c.TrustFile)
 	if (c.Address == "") == (c.Listen == "") {
-		peer.Errorf(peer.Position, "(address \"HOST:PORT\") at one site, (listen \"HOST:PORT\") at the other", "one of address and listen belongs here")
+		peer.Errorf(peer.Position, "(address \"HOST:PORT\") at one site, (listen \"HOST:PORT\") at the other",
+			"the peer form needs either address or listen")
 	}
 	c.readGroups(forms["groups"])
 	c.checkKeys(peer, forms["plain"])
 	c.Settings.read(forms)
 	if err := c.Settings.Check(); err != nil {
-		peer.Errorf(peer.Position, "see docs/operate/gateway.md", "the link's times contradict each other: %v", err)
+		peer.Errorf(peer.Position, "see docs/operate/gateway.md", "the settings of the link contradict each other: %v", err)
 	}
 }
 
@@ -81,13 +83,13 @@
 	for _, a := range f.Atoms() {
 		group, err := strconv.ParseInt(a.Name, 10, 64)
 		if err != nil {
-			f.Errorf(a.Position, "a group is a whole number, as the list has it", "%s is no group", a.Name)
+			f.Errorf(a.Position, "a group is a whole number, as in the endpoint list", "%s is not a group number", a.Name)
 		}
 		c.Groups = append(c.Groups, group)
 	}
 }
 
-// checkKeys checks that a link has either all its key files or (plain loopback).
+// checkKeys reports an error unless the peer form has either all key files or (plain loopback).
 func (c *Config) checkKeys(peer, plainForm *config.Form) {
 	plain := plainForm != nil
 	if plain {
@@ -97,10 +99,11 @@
 	none := c.KeyFile == "" && c.CertificateFile == "" && c.TrustFile == ""
 	if plain && !none || !plain && !all {
 		peer.Errorf(peer.Position, "(key FILE) (certificate FILE) (trust FILE), made by dapplerouter keys; or (plain loopback) for a trial",
-			"the link's keys are not all named")
+			"the link needs key, certificate and trust, or plain")
 	}
 }
 
+// read reads the settings that the subforms contain.
 func (s *Settings) read(forms map[string]*config.Form) {
 	readDuration(forms["heartbeat"], &s.HeartbeatInterval)
 	readDuration(forms["silence"], &s.PeerTimeout)
@@ -116,7 +119,7 @@
 		v, _ := f.Value()
 		n, err := strconv.Atoi(v.Name)
 		if err != nil || n < 1 || n > 1<<16 {
-			f.Errorf(v.Position, "between 1 and 65536", "%s is no count of crossings", v.Name)
+			f.Errorf(v.Position, "between 1 and 65536", "%s is not a valid number of crossings", v.Name)
 		}
 		s.MaxInFlight = n
 	}
--- a/gateway/connection.go
+++ b/gateway/connection.go
@@ -11,14 +11,14 @@
 
 // The states of a link.
 const (
-	Connecting State = iota // it was never up
+	Connecting State = iota // the link was never up
 	Up
 	Down
 )
 
 var stateNames = [...]string{"joining", "up", "down"}
 
-// String returns the name of the state, as logs show it.
+// String returns the name of the state that logs show.
 func (s State) String() string { return stateNames[s] }
 
 // Errors that end a connection.
@@ -28,9 +28,9 @@
 	ErrStaleConnection = errors.New("a newer connection exists")
 )
 
-// HelloError is a peer's hello that was not accepted. Err is ErrStaleConnection or ErrProtocol.
+// HelloError is the reason why a peer's hello was not accepted. Err is ErrStaleConnection or ErrProtocol.
 type HelloError struct {
-	Reason string // for the peer: it is sent in a FrameReject and is part of the wire protocol
+	Reason string // sent to the peer in a FrameReject; part of the wire protocol
 	Err    error
 }
 
@@ -40,21 +40,22 @@
 // Unwrap returns Err.
 func (e *HelloError) Unwrap() error { return e.Err }
 
+// invalidHello returns a HelloError that wraps ErrProtocol.
 func invalidHello(format string, args ...any) error {
 	return &HelloError{Reason: fmt.Sprintf(format, args...), Err: ErrProtocol}
 }
 
-// peerConnection is the present connection to the peer, or the last one.
+// peerConnection is the state of the present connection to the peer, or of the last one if the link is down.
 type peerConnection struct {
 	number       uint64
 	peerEpoch    uint64
-	unconfirmed  bool // no frame was received since the hello
+	unconfirmed  bool // no frame was received after the hello
 	lastReceived time.Duration
 	lastSent     time.Duration
 }
 
-// checkTimeout returns an error that wraps ErrPeerTimeout where nothing was received for too long. Until the first frame
-// after the hello the limit is fourfold: our own hello is still on its way.
+// checkTimeout returns an error that wraps ErrPeerTimeout if no frame was received for the time limit. The limit is four times as
+// long until the first frame after the hello, because the peer answers only once it has received this instance's hello.
 func (c *peerConnection) checkTimeout(now, limit time.Duration) error {
 	if c.unconfirmed {
 		limit *= 4
@@ -65,17 +66,18 @@
 	return nil
 }
 
-// flowControl is the credit of the present connection, in bytes of frames that carry data.
+// flowControl is the state of the flow control on the present connection, in bytes of credit (see Frame.creditCost). Each side
+// grants credit to the other.
 type flowControl struct {
-	sendWindow    int64 // that the peer lets us have in flight
-	bytesInFlight int64 // sent, and not yet credited by the peer
-	uncredited    int64 // received since we last gave credit
+	sendWindow    int64 // limit of bytesInFlight, which the peer set in its hello
+	bytesInFlight int64 // sent and not yet returned by a FrameCredit of the peer
+	uncredited    int64 // received and not yet returned to the peer by a FrameCredit
 }
 
-// allows reports whether a frame of the given cost may be sent now.
+// allows reports whether the credit is sufficient to send a frame of the given cost.
 func (c *flowControl) allows(cost int64) bool { return c.bytesInFlight+cost <= c.sendWindow }
 
-// receive counts a frame of the peer's. The error is a peer that sent more than it was allowed.
+// receive counts a frame that was received. It returns an error if the peer sent more than the limit allows.
 func (c *flowControl) receive(cost, limit int64) error {
 	c.uncredited += cost
 	if c.uncredited > limit {
@@ -84,7 +86,7 @@
 	return nil
 }
 
-// creditReceived counts a FrameCredit of the peer's.
+// creditReceived handles a FrameCredit. It returns an error if the credit exceeds the bytes in flight.
 func (c *flowControl) creditReceived(bytes int64) error {
 	if bytes <= 0 || bytes > c.bytesInFlight {
 		return fmt.Errorf("%w: credit for %d bytes, %d in flight", ErrProtocol, bytes, c.bytesInFlight)
@@ -93,15 +95,18 @@
 	return nil
 }
 
-// Hello returns our hello for a connection of the given number.
+// Hello returns this instance's hello for the connection with the given number.
 func (e *Endpoint) Hello(site string, number uint64) Frame {
-	return Frame{Kind: FrameHello, Site: site, Epoch: e.epoch, ConnectionNumber: number, CreditBytes: e.set.CreditBytes}
+	return Frame{Kind: FrameHello, Site: site, Epoch: e.epoch, ConnectionNumber: number, CreditBytes: e.settings.CreditBytes}
 }
 
-// AcceptHello handles the peer's hello on a new connection whose number here is number. A *HelloError rejects the
-// connection and changes nothing. Accepting one ends any other: frames of older connections must not be passed to
-// Receive any more. answered says that the peer's hello answers ours, so that both directions are open; otherwise the
-// first frame will show that, and until then no request is sent and the peer timeout is fourfold.
+// AcceptHello handles the peer's hello on a new connection with the given number. If it returns a *HelloError, the connection is
+// rejected and the state is unchanged. Otherwise the new connection replaces any other: the caller must not pass frames of
+// older connections to Receive any more.
+//
+// answered says that the peer's hello is the answer to this instance's hello, so that the connection is known to work in both
+// directions. If it is false, the first frame that is received confirms this. Until then no request is sent and the peer
+// timeout is four times as long.
 func (e *Endpoint) AcceptHello(now time.Duration, h *Frame, number uint64, answered bool) error {
 	switch {
 	case h.Kind != FrameHello:
@@ -118,13 +123,13 @@
 		e.ConnectionLost(now)
 	}
 	if h.Epoch != e.conn.peerEpoch {
-		e.execs.forgottenSerial = 0
+		e.execs.evictedSerial = 0
 	}
 	e.state = Up
 	e.conn = peerConnection{number: max(number, h.ConnectionNumber), peerEpoch: h.Epoch, unconfirmed: !answered,
 		lastReceived: now, lastSent: now}
 	if answered {
-		e.sendControl(Frame{Kind: FramePing}) // shows the peer at once that both directions are open
+		e.queueControl(Frame{Kind: FramePing}) // confirms to the peer that the connection works in both directions
 	}
 	e.credit = flowControl{sendWindow: h.CreditBytes}
 	e.unsentResults = e.unsentResults[:0]
@@ -132,8 +137,8 @@
 	return nil
 }
 
-// ConnectionLost handles the end of the present connection. The outcome of what was sent is unknown; what was not sent was
-// not executed.
+// ConnectionLost handles the end of the present connection. The outcome of requests that were sent is unknown; requests that
+// were not sent are not executed. It does nothing if the link is not up.
 func (e *Endpoint) ConnectionLost(now time.Duration) {
 	if e.state != Up {
 		return
--- a/gateway/execution.go
+++ b/gateway/execution.go
@@ -6,45 +6,46 @@
 	"time"
 )
 
-// PeerRequest is a request of the peer that is to be executed here, or the cancellation of one.
+// PeerRequest is a request of the peer that must be executed here, or the cancellation of an execution.
 type PeerRequest struct {
-	Execution   uint64 // number of the execution, for ExecutionFinished
-	Canceled    bool   // stop the execution; no other field is set
+	Execution   uint64 // number of the execution, to be passed to ExecutionFinished
+	Canceled    bool   // the execution must be stopped; no field but Execution is set
 	Group       int64
-	Timeout     time.Duration
-	MaxAttempts uint32
-	After       int64  // replication position that a read must see, Unix milliseconds; 0 for none
-	Data        []byte // the statement
+	Timeout     time.Duration // time that the peer still waits for the result
+	MaxAttempts uint32        // maximum number of attempts at this site
+	After       int64         // replication position that a read must see, Unix milliseconds; 0 for none
+	Data        []byte        // the statement
 }
 
-// requestKey names a request of the peer: request IDs are unique within one epoch.
+// requestKey identifies a request of the peer. Request IDs are unique within an epoch of the peer.
 type requestKey struct{ epoch, id uint64 }
 
-// execution is a request of the peer that is executing here, or has finished and is retained.
+// execution is the execution of a request of the peer. It is running, or finished with a retained result.
 type execution struct {
 	requestKey
 	number        uint64
-	attemptNumber uint32 // the latest received
-	serial        uint64 // the highest received
-	result        *Frame // nil while it is executing
+	attemptNumber uint32 // of the latest attempt that was received
+	serial        uint64 // of the latest attempt that was received
+	result        *Frame // nil while the execution is running
 	finishedAt    time.Duration
 	retainedBytes int64
 }
 
-// executionTable holds the requests of the peer.
+// executionTable has the running and the retained executions.
 type executionTable struct {
-	lastNumber      uint64
-	byRequest       map[requestKey]*execution
-	running         map[uint64]*execution // by number
-	retained        []*execution          // finished, oldest first
-	retainedBytes   int64
-	forgottenSerial uint64 // highest of the peer's present epoch whose outcome was forgotten
+	lastNumber    uint64
+	byRequest     map[requestKey]*execution
+	running       map[uint64]*execution // by number
+	retained      []*execution          // finished executions, oldest first
+	retainedBytes int64                 // sum over retained
+	evictedSerial uint64                // highest serial of the peer's present epoch whose outcome was evicted
 }
 
 func newExecutionTable() executionTable {
 	return executionTable{byRequest: map[requestKey]*execution{}, running: map[uint64]*execution{}}
 }
 
+// start adds a running execution for a request.
 func (t *executionTable) start(key requestKey, f *Frame) *execution {
 	t.lastNumber++
 	x := &execution{requestKey: key, number: t.lastNumber, attemptNumber: f.AttemptNumber, serial: f.Serial}
@@ -52,7 +53,7 @@
 	return x
 }
 
-// finish retains the result of an execution.
+// finish ends a running execution and retains its result.
 func (t *executionTable) finish(now time.Duration, x *execution, f Frame) {
 	f.Kind, f.ID = FrameResult, x.id
 	delete(t.running, x.number)
@@ -61,7 +62,7 @@
 	t.retained = append(t.retained, x)
 }
 
-// discard removes a finished execution whose request is executed again.
+// discard removes a finished execution because its request is executed again.
 func (t *executionTable) discard(x *execution) {
 	if i := slices.Index(t.retained, x); i >= 0 {
 		t.retained = append(t.retained[:i:i], t.retained[i+1:]...)
@@ -70,8 +71,8 @@
 	delete(t.byRequest, x.requestKey)
 }
 
-// evictExpired forgets outcomes that were retained for long enough. Of the present epoch, the highest serial that was
-// forgotten is noted: nothing may be called not executed up to it.
+// evictExpired removes outcomes that were retained for longer than the given time. It records the highest evicted serial of the
+// peer's present epoch: no request up to this serial may be reported as not executed.
 func (t *executionTable) evictExpired(now, retention time.Duration, peerEpoch uint64) {
 	n := 0
 	for n < len(t.retained) && now-t.retained[n].finishedAt > retention {
@@ -79,15 +80,15 @@
 		t.retainedBytes -= x.retainedBytes
 		delete(t.byRequest, x.requestKey)
 		if x.epoch == peerEpoch {
-			t.forgottenSerial = max(t.forgottenSerial, x.serial)
+			t.evictedSerial = max(t.evictedSerial, x.serial)
 		}
 		n++
 	}
 	t.retained = append(t.retained[:0], t.retained[n:]...)
 }
 
-// ExecutionFinished handles the result of an execution; the frame needs neither kind nor request ID. It does nothing for
-// an execution that was canceled.
+// ExecutionFinished handles the result of the execution with the given number. The kind and the request ID of the frame need not
+// be set. It does nothing if the execution was canceled.
 func (e *Endpoint) ExecutionFinished(now time.Duration, number uint64, f Frame) {
 	x := e.execs.running[number]
 	if x == nil {
@@ -99,8 +100,9 @@
 	}
 }
 
-// receiveForward handles a request of the peer: it is executed, or joins the execution of an earlier attempt, or has its
-// outcome sent again.
+// receiveForward handles a request of the peer. The request is executed, unless an earlier attempt of it is still running or was
+// a write that succeeded. Then the later attempt gets the result of that execution. A request is rejected if there are too
+// many executions or if there is no space to retain its result.
 func (e *Endpoint) receiveForward(now time.Duration, f *Frame) error {
 	if f.Serial == 0 || f.Timeout <= 0 || f.MaxAttempts == 0 || len(f.Data) == 0 {
 		return fmt.Errorf("%w: request without serial, timeout, attempts or statement", ErrProtocol)
@@ -111,11 +113,11 @@
 	case x == nil:
 	case f.AttemptNumber <= x.attemptNumber:
 		return fmt.Errorf("%w: request %d received twice with attempt %d", ErrProtocol, f.ID, f.AttemptNumber)
-	case x.result == nil: // the peer lost sight of it and sent it again: one execution, with the newer attempt's number
+	case x.result == nil: // the peer retries it: the running execution is reported under the newer attempt number
 		x.attemptNumber, x.serial = f.AttemptNumber, f.Serial
 		e.Counters.Duplicates++
 		return nil
-	case x.result.Status == StatusServed && f.Write: // its effect must not come twice; a read is executed again
+	case x.result.Status == StatusServed && f.Write: // a write must not be executed twice; a read is executed again
 		x.attemptNumber, x.serial = f.AttemptNumber, f.Serial
 		e.Counters.Duplicates++
 		e.unsentResults = append(e.unsentResults, x)
@@ -124,7 +126,7 @@
 		e.execs.discard(x)
 	}
 	x = e.execs.start(key, f)
-	if len(e.execs.running) > e.set.MaxInFlight || !e.canRetain(now, MaxDataBytes) {
+	if len(e.execs.running) > e.settings.MaxInFlight || !e.canRetain(now, MaxDataBytes) {
 		e.Counters.Rejected++
 		e.ExecutionFinished(now, x.number, Frame{Status: StatusRejected})
 		return nil
@@ -134,16 +136,17 @@
 	return nil
 }
 
-// canRetain reports whether so many bytes more of outcomes may be retained, if need be after evicting expired ones.
+// canRetain reports whether outcomes of the given size may be retained in addition. If necessary it evicts expired outcomes.
 func (e *Endpoint) canRetain(now time.Duration, bytes int64) bool {
-	if e.execs.retainedBytes+bytes <= e.set.RetainedBytes {
+	if e.execs.retainedBytes+bytes <= e.settings.RetainedBytes {
 		return true
 	}
-	e.execs.evictExpired(now, e.set.OutcomeRetention, e.conn.peerEpoch)
-	return e.execs.retainedBytes+bytes <= e.set.RetainedBytes
+	e.execs.evictExpired(now, e.settings.OutcomeRetention, e.conn.peerEpoch)
+	return e.execs.retainedBytes+bytes <= e.settings.RetainedBytes
 }
 
-// receiveCancel stops an execution that the peer no longer waits for. Its outcome is unknown from then on.
+// receiveCancel requests that the execution of a canceled request be stopped. The retained outcome of the request is unknown, since
+// it may still be executed.
 func (e *Endpoint) receiveCancel(now time.Duration, f *Frame) {
 	x := e.execs.byRequest[requestKey{e.conn.peerEpoch, f.ID}]
 	if x == nil || x.attemptNumber != f.AttemptNumber || x.result != nil {
@@ -153,18 +156,19 @@
 	e.execs.finish(now, x, Frame{Status: StatusUnknown})
 }
 
-// answerOutcomeRequest answers what became of a request: its result, that a result will follow, or that the
-// request never arrived. The last is certain since frames of older connections are not accepted any more.
+// answerOutcomeRequest answers a request for an outcome: with the result, with FrameStillRunning if a result will follow, with
+// FrameNotExecuted if the request was not received, or with StatusUnknown if its outcome may have been evicted.
+// FrameNotExecuted is certain because frames of older connections are not accepted any more.
 func (e *Endpoint) answerOutcomeRequest(f *Frame) {
 	x := e.execs.byRequest[requestKey{e.conn.peerEpoch, f.ID}]
 	switch {
-	case (x == nil || x.attemptNumber < f.AttemptNumber) && f.Serial <= e.execs.forgottenSerial:
-		e.sendControl(Frame{Kind: FrameResult, ID: f.ID, AttemptNumber: f.AttemptNumber, Status: StatusUnknown})
+	case (x == nil || x.attemptNumber < f.AttemptNumber) && f.Serial <= e.execs.evictedSerial:
+		e.queueControl(Frame{Kind: FrameResult, ID: f.ID, AttemptNumber: f.AttemptNumber, Status: StatusUnknown})
 	case x == nil || x.attemptNumber < f.AttemptNumber:
-		e.sendControl(Frame{Kind: FrameNotExecuted, ID: f.ID, AttemptNumber: f.AttemptNumber})
-	case x.attemptNumber > f.AttemptNumber: // a later attempt arrived: this one is not answered
+		e.queueControl(Frame{Kind: FrameNotExecuted, ID: f.ID, AttemptNumber: f.AttemptNumber})
+	case x.attemptNumber > f.AttemptNumber: // a later attempt was received, so this one gets no answer
 	case x.result == nil:
-		e.sendControl(Frame{Kind: FrameStillRunning, ID: f.ID, AttemptNumber: f.AttemptNumber})
+		e.queueControl(Frame{Kind: FrameStillRunning, ID: f.ID, AttemptNumber: f.AttemptNumber})
 	default:
 		e.unsentResults = append(e.unsentResults, x)
 	}
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -5,35 +5,36 @@
 	"time"
 )
 
-// ForwardedRequest is one attempt of a request, made at the remote site.
+// ForwardedRequest is one attempt of a request that is forwarded to the remote site.
 type ForwardedRequest struct {
 	ID            uint64
-	AttemptNumber uint32 // rising within a request
+	AttemptNumber uint32 // increasing within a request
 	Group         int64
-	Deadline      time.Duration // when its request times out; its state is dropped then
-	MaxAttempts   uint32        // that the remote site may make
+	Deadline      time.Duration // time at which the request times out; its state is discarded then
+	MaxAttempts   uint32        // maximum number of attempts at the remote site
 	Write         bool
-	After         int64 // replication position that a read must see, Unix milliseconds; 0 for none
-	Message       []byte
+	After         int64  // replication position that a read must see, Unix milliseconds; 0 for none
+	Message       []byte // the statement
 }
 
 // Outcome says how a forwarded request ended.
 type Outcome struct {
 	ID            uint64
 	AttemptNumber uint32
-	NotExecuted   bool          // it was not executed and will not be
-	Overloaded    bool          // it was not sent, since there was no capacity
-	Result        *Frame        // of the remote site; nil where it may have been executed and nothing more is known
-	Elapsed       time.Duration // since it was sent: the age that a result may have gained on the way
+	NotExecuted   bool          // the request was not executed and never will be
+	Overloaded    bool          // the request was not sent because of lack of capacity
+	Result        *Frame        // of the remote site; if nil and not NotExecuted, the request may have been executed
+	Elapsed       time.Duration // time since the request was sent; the data may have aged by this much in transit
 }
 
+// forwardState is the state of a forwarded request that has no outcome yet.
 type forwardState uint8
 
 const (
-	forwardQueued    forwardState = iota // not sent yet: no credit
+	forwardQueued    forwardState = iota // not sent yet
 	forwardSent                          // sent over the present connection
 	outcomeUnknown                       // sent over a connection that was lost
-	outcomeRequested                     // the peer was asked for its outcome, on the present connection
+	outcomeRequested                     // sent over a lost connection; its outcome was requested on the present one
 )
 
 // pendingRequest is a forwarded request that has no outcome yet.
@@ -41,23 +42,24 @@
 	ForwardedRequest
 	state        forwardState
 	sentAt       time.Duration
-	peerEpoch    uint64 // when it was sent
+	peerEpoch    uint64 // epoch of the peer to which the request was sent
 	serial       uint64
-	unknownSince time.Duration // when its connection was first lost
+	unknownSince time.Duration // time at which its connection was first lost
 }
 
-// forwardTable holds the requests that were forwarded to the peer.
+// forwardTable has the forwarded requests without an outcome, and a queue for each group of those that are not sent yet.
 type forwardTable struct {
 	lastSerial uint64
-	pending    map[uint64]*pendingRequest // by request ID
-	queued     map[int64][]*pendingRequest
-	groupOrder []int64 // groups that have queued requests, in the order in which they are served
+	pending    map[uint64]*pendingRequest  // by request ID
+	queued     map[int64][]*pendingRequest // by group
+	groupOrder []int64                     // groups with a queue, in the order in which they are served; the queue may be empty
 }
 
 func newForwardTable() forwardTable {
 	return forwardTable{pending: map[uint64]*pendingRequest{}, queued: map[int64][]*pendingRequest{}}
 }
 
+// enqueue adds a request to the queue of its group.
 func (t *forwardTable) enqueue(p *pendingRequest) {
 	t.pending[p.ID] = p
 	if _, waiting := t.queued[p.Group]; !waiting { // a group keeps its entry as long as it is in groupOrder
@@ -66,7 +68,7 @@
 	t.queued[p.Group] = append(t.queued[p.Group], p)
 }
 
-// next returns the request that is sent next, nil for none. Groups take turns.
+// next returns the request that is sent next, or nil if none is queued. Groups are served round-robin.
 func (t *forwardTable) next() *pendingRequest {
 	for len(t.groupOrder) > 0 {
 		group := t.groupOrder[0]
@@ -79,12 +81,13 @@
 	return nil
 }
 
-// dequeue removes the request that next returned and puts its group last.
+// dequeue removes the request that next returned from its queue and moves its group to the end of groupOrder.
 func (t *forwardTable) dequeue(p *pendingRequest) {
 	t.queued[p.Group] = t.queued[p.Group][1:]
 	t.groupOrder = append(t.groupOrder[1:], p.Group)
 }
 
+// remove removes a request from the table, and from its queue if it is queued.
 func (t *forwardTable) remove(p *pendingRequest) {
 	delete(t.pending, p.ID)
 	if p.state != forwardQueued {
@@ -96,17 +99,17 @@
 	}
 }
 
-// clearQueues forgets all queues; the requests stay pending.
+// clearQueues removes all queues. The requests stay pending.
 func (t *forwardTable) clearQueues() {
 	clear(t.queued)
 	t.groupOrder = t.groupOrder[:0]
 }
 
-// Forward queues a request for the remote site. Where the link is not up, or too many are in flight, its Outcome is
-// NotExecuted at once.
+// Forward queues a request for the remote site. Its Outcome is NotExecuted at once if the link is not up, if too many requests are
+// in flight, or if the request is invalid.
 func (e *Endpoint) Forward(now time.Duration, r ForwardedRequest) {
 	up := e.state == Up
-	if _, pending := e.forwards.pending[r.ID]; !up || pending || len(e.forwards.pending) >= e.set.MaxInFlight ||
+	if _, pending := e.forwards.pending[r.ID]; !up || pending || len(e.forwards.pending) >= e.settings.MaxInFlight ||
 		len(r.Message) > MaxDataBytes || r.MaxAttempts == 0 {
 		e.Counters.Rejected++
 		e.outcomes = append(e.outcomes, Outcome{ID: r.ID, AttemptNumber: r.AttemptNumber, NotExecuted: true, Overloaded: up})
@@ -115,14 +118,16 @@
 	e.forwards.enqueue(&pendingRequest{ForwardedRequest: r})
 }
 
-// Withdraw takes back the FrameForward that NextFrame returned last: it was not written, since its request was canceled.
+// Withdraw reverts the sending of the FrameForward that NextFrame returned last. The caller must not have written the frame. The
+// request was canceled, so it gets no Outcome.
 func (e *Endpoint) Withdraw(f *Frame) {
 	e.credit.bytesInFlight -= f.creditCost()
 	e.Counters.Forwarded--
 	delete(e.forwards.pending, f.ID)
 }
 
-// Cancel cancels a request. It gets no Outcome; where the remote site may have it, it is canceled there too.
+// Cancel cancels an attempt of a request, which then gets no Outcome. If the remote site may have received it, it is canceled
+// there too.
 func (e *Endpoint) Cancel(id uint64, attempt uint32) {
 	p := e.forwards.pending[id]
 	if p == nil || p.AttemptNumber != attempt {
@@ -132,44 +137,45 @@
 	e.forwards.remove(p)
 }
 
-// sendCancel cancels a request at the peer, where the peer may have it.
+// sendCancel queues a FrameCancel for a request if the peer may have received it on the present connection.
 func (e *Endpoint) sendCancel(p *pendingRequest) {
 	if p.state == forwardSent || p.state == outcomeRequested {
-		e.sendControl(Frame{Kind: FrameCancel, ID: p.ID, AttemptNumber: p.AttemptNumber})
+		e.queueControl(Frame{Kind: FrameCancel, ID: p.ID, AttemptNumber: p.AttemptNumber})
 	}
 }
 
-func (e *Endpoint) finish(p *pendingRequest, o Outcome) {
+// finishForward ends a forwarded request with an outcome.
+func (e *Endpoint) finishForward(p *pendingRequest, o Outcome) {
 	e.forwards.remove(p)
 	o.ID, o.AttemptNumber = p.ID, p.AttemptNumber
 	e.outcomes = append(e.outcomes, o)
 }
 
-// finishUnknown ends a request of whose execution nothing can be learned.
+// finishUnknown ends a forwarded request whose outcome cannot be recovered.
 func (e *Endpoint) finishUnknown(p *pendingRequest) {
 	e.Counters.OutcomeLost++
-	e.finish(p, Outcome{})
+	e.finishForward(p, Outcome{})
 }
 
-// suspendForwards handles the loss of the connection: queued requests were not executed, the outcome of the others is
-// unknown.
+// suspendForwards handles the loss of the connection for all forwarded requests. Queued requests end as not executed; the outcome
+// of the others is unknown.
 func (e *Endpoint) suspendForwards(now time.Duration) {
 	e.forwards.clearQueues()
 	for _, p := range e.forwards.pending {
 		switch p.state {
 		case forwardQueued:
-			e.finish(p, Outcome{NotExecuted: true})
+			e.finishForward(p, Outcome{NotExecuted: true})
 		case forwardSent:
 			p.state, p.unknownSince = outcomeUnknown, now
 			e.Counters.OutcomeUnknown++
 		case outcomeRequested:
-			p.state = outcomeUnknown // unknown since the first loss
+			p.state = outcomeUnknown // unknownSince is still the time of the first loss
 		}
 	}
 }
 
-// requestOutcomes asks the peer, on a new connection, for the outcomes that are unknown. A peer that restarted knows
-// none of them.
+// requestOutcomes requests all unknown outcomes from the peer on a new connection. Requests that were sent to an earlier epoch of
+// the peer end without a known outcome, since a restarted peer has lost it.
 func (e *Endpoint) requestOutcomes() {
 	for _, p := range e.forwards.pending {
 		if p.state != outcomeUnknown {
@@ -180,18 +186,18 @@
 			continue
 		}
 		p.state = outcomeRequested
-		e.sendControl(Frame{Kind: FrameOutcomeRequest, ID: p.ID, AttemptNumber: p.AttemptNumber, Serial: p.serial})
+		e.queueControl(Frame{Kind: FrameOutcomeRequest, ID: p.ID, AttemptNumber: p.AttemptNumber, Serial: p.serial})
 	}
 }
 
-// expireForwards ends requests whose deadline has passed, or whose outcome was unknown for too long.
+// expireForwards ends requests whose deadline has passed, and requests whose outcome was unknown for RecoveryTimeout.
 func (e *Endpoint) expireForwards(now time.Duration) {
 	for _, p := range e.forwards.pending {
 		switch {
-		case now >= p.Deadline: // its front times out by itself; this bounds how long the link has state for it
+		case now >= p.Deadline: // the front has its own timeout; this bounds the lifetime of the state of the link
 			e.sendCancel(p)
-			e.finish(p, Outcome{NotExecuted: p.state == forwardQueued})
-		case (p.state == outcomeUnknown || p.state == outcomeRequested) && now-p.unknownSince >= e.set.RecoveryTimeout:
+			e.finishForward(p, Outcome{NotExecuted: p.state == forwardQueued})
+		case (p.state == outcomeUnknown || p.state == outcomeRequested) && now-p.unknownSince >= e.settings.RecoveryTimeout:
 			e.sendCancel(p)
 			e.finishUnknown(p)
 		}
--- a/gateway/frame.go
+++ b/gateway/frame.go
@@ -9,16 +9,16 @@
 
 // The kinds of frames; docs/gateway-wire.md says which fields each has.
 const (
-	FrameHello          FrameKind = iota + 1 // the first frame on a connection, both ways
+	FrameHello          FrameKind = iota + 1 // the first frame on a connection, in each direction
 	FrameForward                             // execute a request
 	FrameResult                              // the result of a request
-	FrameCancel                              // the sender no longer waits for a request
-	FrameOutcomeRequest                      // what became of a request?
-	FrameStillRunning                        // the request is executing: a FrameResult will follow
-	FrameNotExecuted                         // the request never arrived and cannot any more
-	FrameCredit                              // so many more bytes may be sent
-	FramePing
-	FrameReject // in place of a FrameHello, with the reason
+	FrameCancel                              // cancels a request that the sender no longer waits for
+	FrameOutcomeRequest                      // asks for the outcome of a request
+	FrameStillRunning                        // the request is executing; a FrameResult will follow
+	FrameNotExecuted                         // the request was not received and can no longer be
+	FrameCredit                              // allows the receiver to send more bytes
+	FramePing                                // a heartbeat; also confirms that a connection works in both directions
+	FrameReject                              // rejects a FrameHello, with the reason
 )
 
 // ResultStatus says how a request ended at the remote site. The values are those of the wire protocol.
@@ -28,50 +28,50 @@
 const (
 	StatusServed   ResultStatus = iota + 1
 	StatusRejected              // nothing was executed
-	StatusUnknown               // it failed after it may have been executed, or its outcome was forgotten
+	StatusUnknown               // the request may have been executed: it failed, for example, or its outcome was evicted
 	StatusInvalid               // the statement is invalid, as the frame's Code says; nothing was executed
 )
 
-// MaxDataBytes is the longest statement or value that a frame carries, in bytes.
+// MaxDataBytes is the maximum size of the statement or the rows that a frame carries, in bytes.
 const MaxDataBytes = 512 << 10
 
-// Frame is what goes over the link. Which fields count depends on its kind; docs/gateway-wire.md has the table. Frames
-// are encoded as arrays of all fields, in this order, whatever the kind: that is the wire format, so the fields are not
-// grouped.
+// Frame is a message between the two ends of a link. Its kind determines which fields are used; docs/gateway-wire.md has the
+// table. A frame of any kind is encoded as an array of all fields in this order. This is the wire format, so the
+// fields must not be reordered or grouped.
 type Frame struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // package msgpack reads the tag: fields by place, not by name
 
 	Kind          FrameKind
-	ID            uint64 // of the request, unique at its sender
+	ID            uint64 // of the request, unique at the instance that forwards it
 	AttemptNumber uint32
-	Serial        uint64 // Forward, OutcomeRequest: number of the forwarded request, rising over all of its sender's
+	Serial        uint64 // Forward, OutcomeRequest: number of the forwarded request, increasing over all requests of its sender
 	Group         int64
-	Timeout       time.Duration // Forward: how long its sender will wait
-	MaxAttempts   uint32        // Forward: attempts that may be made at the remote site
-	Write         bool          // Forward
+	Timeout       time.Duration // Forward: time that the sender still waits for the result
+	MaxAttempts   uint32        // Forward: maximum number of attempts at the remote site
+	Write         bool          // Forward: the request writes
 	After         int64         // Forward: replication position that a read must see, Unix milliseconds; 0 for none
 	Data          []byte        // Forward: the statement; Result: the rows
 	Status        ResultStatus
-	Code          string // Result: SQLSTATE
-	Reason        string
-	RetryAfter    time.Duration // Result, rejected: when to retry
-	Role          uint8         // Result: of the server that answered, 1 primary, 2 replica
+	Code          string        // Result: SQLSTATE
+	Reason        string        // Result, Reject: the reason of the error
+	RetryAfter    time.Duration // Result with StatusRejected: time after which a retry makes sense
+	Role          uint8         // Result: role of the server that answered: 1 primary, 2 replica
 	// ReplicaPosition is the replication position that a Result reports, Unix milliseconds; 0 for none.
 	ReplicaPosition  int64
-	Age              time.Duration // Result: how old the answer may have been when it was sent
+	Age              time.Duration // Result: maximum age of the data when the frame was sent
 	AgeKnown         bool          // Result: Age is known
-	CreditBytes      int64         // Credit, Hello
-	Epoch            uint64        // Hello: of this start of the instance
-	ConnectionNumber uint64        // Hello: rising
-	Site             string        // Hello
+	CreditBytes      int64         // Hello: bytes that the receiver may have in flight; Credit: bytes that it may send in addition
+	Epoch            uint64        // Hello: identifies this start of the sender's instance
+	ConnectionNumber uint64        // Hello: increasing within an epoch
+	Site             string        // Hello: name of the sender's site
 }
 
-// frameOverhead is what a frame with data counts for in the credit beside its data, in bytes.
+// frameOverhead is added to the size of a frame's data when the frame is counted against the credit, in bytes.
 const frameOverhead = 64
 
-// creditCost returns what a frame takes of the credit, in bytes. Frames without data are free: the limit on requests in
-// flight bounds their number.
+// creditCost returns the bytes of credit that a frame uses. Frames without data use none: the limit on requests in flight
+// bounds their number.
 func (f *Frame) creditCost() int64 {
 	if f.Kind != FrameForward && f.Kind != FrameResult || len(f.Data)+len(f.Reason) == 0 {
 		return 0
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,27 +1,29 @@
-// Package gateway is the core of a link between two sites: which requests are forwarded to the peer site, what became of
-// them, and what is known of that after the link broke. It has no I/O, no clock and no goroutine: events are passed
-// in by calls with the time since the process started; NextFrame, TakeOutcomes and TakePeerRequests return what is to be
-// done. It chooses no server and never retries: that is the router's job, which sees the remote site as one
-// more server of each remote group.
+// Package gateway is the core of a link between two sites. It forwards requests to the peer site, determines their outcomes,
+// and recovers outcomes that are unknown after a connection was lost. It has no I/O, no clock and no goroutine: the caller
+// passes in events together with the time since the process started, and takes the resulting actions from NextFrame,
+// TakeOutcomes and TakePeerRequests. It neither chooses a server nor retries a request. The router does both; it treats the
+// remote site as one more server of each remote group.
 //
 // An Endpoint owns the state of one instance's end of the link. It is not safe for concurrent use; package link guards
 // it with a mutex.
 //
-// A forwarded request is one attempt to the remote site, named by its request ID here and its attempt number. Its
-// invariants, asserted by the model in the tests over every loss and crash at each step of small cases:
+// A forwarded request is one attempt at the remote site. It is identified by the ID of its request at the local site and its
+// attempt number. The model in the tests asserts these invariants for lost connections and restarts at every step of small
+// cases:
 //
-//  1. Each forwarded request has exactly one Outcome, and none after it was canceled.
-//  2. One whose Outcome is NotExecuted has not been executed at the remote site and never will be: no frame of it can be
-//     accepted there any more.
-//  3. One whose Outcome has a Result has that result of the remote site's own execution, of this very attempt.
-//  4. A write that was served is not executed again under its request while its outcome is retained.
-//  5. Memory is bounded: requests in flight, bytes in flight, outcomes retained.
+//  1. Each forwarded request has exactly one Outcome, and none once it is canceled.
+//  2. A request whose Outcome is NotExecuted has not been executed at the remote site and never will be: the remote site
+//     accepts no frame of it any more.
+//  3. The Result of an Outcome is the result of an execution by the remote site, for this very attempt.
+//  4. A write that succeeded is not executed again for the same request while its outcome is retained.
+//  5. Memory is bounded: the number of requests in flight, the bytes in flight and the retained outcomes are limited.
 //
-// What makes NotExecuted provable: connections of one instance are numbered; an instance accepts frames only from the
-// peer's latest connection, so all that an older one still carries is void once a newer one was greeted. Forwarded
-// requests are numbered too, and an instance knows the highest serial whose outcome it has forgotten: of a request up to
-// that it says that it may have been executed, whatever the reason that the question came so late (a process stopped for
-// ten seconds, say). Both numbers belong to an epoch that changes with each start of an instance.
+// NotExecuted can be proven because connections and forwarded requests are numbered. An instance accepts frames only from the
+// peer's latest connection, so frames that are still in flight on an older connection are discarded once the hello of a newer
+// one was accepted. An instance also records the highest serial whose outcome it has evicted. For a request up to that
+// serial it answers that the request may have been executed, even if the outcome request is late for an unrelated reason,
+// such as a process that was stopped for ten seconds. Both numbers are valid within an epoch, which changes with each start
+// of an instance.
 package gateway
 
 import (
@@ -30,17 +32,17 @@
 
 // Endpoint is one instance's end of a link.
 type Endpoint struct {
-	set   Settings
-	epoch uint64 // of this start of the instance
-	state State
+	settings Settings
+	epoch    uint64 // identifies this start of the instance
+	state    State
 
 	conn     peerConnection
 	credit   flowControl
-	forwards forwardTable   // requests that we sent to the peer
-	execs    executionTable // requests that the peer sent to us
+	forwards forwardTable   // requests that this instance forwards to the peer
+	execs    executionTable // requests that the peer forwards to this instance
 
-	controlFrames []Frame      // frames without data, which are sent first
-	unsentResults []*execution // finished, in the order in which their results are sent
+	controlFrames []Frame      // frames without data, which are sent before results and requests
+	unsentResults []*execution // finished executions in the order in which their results are sent
 	outcomes      []Outcome
 	peerRequests  []PeerRequest
 
@@ -49,29 +51,31 @@
 
 // Counters count events since the instance started.
 type Counters struct {
-	Forwarded         int // requests sent to the peer
-	Answered          int // results received
-	OutcomeUnknown    int // requests in flight when a connection ended
-	Recovered         int // of those, outcomes that the peer reported later
-	ProvenNotExecuted int // of those, requests that the peer never received
-	OutcomeLost       int // of those, requests whose outcome cannot be learned
-	Rejected          int // requests for which there was no capacity, or no link
-	LateResults       int // results of requests that had ended
-	Duplicates        int // requests of the peer that were executing or served already
+	Forwarded         int // requests that were sent to the peer
+	Answered          int // results that were received for requests in flight
+	OutcomeUnknown    int // requests that were in flight when their connection was lost
+	Recovered         int // of OutcomeUnknown: the peer had received the request and reported its outcome or that it is executing
+	ProvenNotExecuted int // of OutcomeUnknown: the peer had not received the request
+	OutcomeLost       int // of OutcomeUnknown: the outcome cannot be recovered
+	Rejected          int // requests rejected for lack of capacity or of a connection, in either direction
+	LateResults       int // results that arrived after the request had ended
+	Duplicates        int // requests of the peer that were already executing or had already succeeded
 }
 
-// New returns an Endpoint with no connection. The epoch must differ at each start of the instance and must not be 0.
+// New returns an Endpoint without a connection. The epoch must be different for each start of the instance and must not
+// be 0.
 func New(s Settings, epoch uint64) *Endpoint {
-	return &Endpoint{set: s, epoch: epoch, forwards: newForwardTable(), execs: newExecutionTable()}
+	return &Endpoint{settings: s, epoch: epoch, forwards: newForwardTable(), execs: newExecutionTable()}
 }
 
 // State returns the state of the link.
 func (e *Endpoint) State() State { return e.state }
 
-// InFlight returns how many of our requests have no outcome yet, and how many of the peer's are executing here.
+// InFlight returns the number of forwarded requests without an outcome, and the number of the peer's requests that are
+// executing here.
 func (e *Endpoint) InFlight() (ours, peers int) { return len(e.forwards.pending), len(e.execs.running) }
 
-// TakeOutcomes returns the outcomes since the last call, in order.
+// TakeOutcomes returns the outcomes of forwarded requests since the last call, in order.
 func (e *Endpoint) TakeOutcomes() (all []Outcome) { all, e.outcomes = e.outcomes, nil; return all }
 
 // TakePeerRequests returns the peer's requests, and their cancellations, since the last call, in order.
@@ -80,22 +84,23 @@
 	return all
 }
 
-// Tick enforces deadlines and timeouts and schedules heartbeats. The error wraps ErrPeerTimeout: the link went down, and
-// its connection must be closed.
+// Tick enforces deadlines and timeouts and schedules heartbeats. It must be called regularly. An error wraps ErrPeerTimeout: the
+// state of the link is Down, and the caller must close its connection.
 func (e *Endpoint) Tick(now time.Duration) error {
-	e.execs.evictExpired(now, e.set.OutcomeRetention, e.conn.peerEpoch)
+	e.execs.evictExpired(now, e.settings.OutcomeRetention, e.conn.peerEpoch)
 	e.expireForwards(now)
 	if e.state != Up {
 		return nil
 	}
-	if err := e.conn.checkTimeout(now, e.set.PeerTimeout); err != nil {
+	if err := e.conn.checkTimeout(now, e.settings.PeerTimeout); err != nil {
 		e.ConnectionLost(now)
 		return err
 	}
-	if now-e.conn.lastSent >= e.set.HeartbeatInterval {
-		e.sendControl(Frame{Kind: FramePing})
+	if now-e.conn.lastSent >= e.settings.HeartbeatInterval {
+		e.queueControl(Frame{Kind: FramePing})
 	}
 	return nil
 }
 
-func (e *Endpoint) sendControl(f Frame) { e.controlFrames = append(e.controlFrames, f) }
+// queueControl queues a frame without data for the present connection.
+func (e *Endpoint) queueControl(f Frame) { e.controlFrames = append(e.controlFrames, f) }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -8,17 +8,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// connectedEndpoint is an endpoint with a connection to a peer of epoch 7, whose frames the test writes.
+// connectedEndpoint returns an endpoint with a connection to a peer with epoch 7. The test plays the peer.
 func connectedEndpoint(t *testing.T, number uint64) *Endpoint {
 	e := New(smallSettings, 100)
 	connect(t, e, 7, number)
 	return e
 }
 
+// connect makes an endpoint accept the hello of a peer on a new connection.
 func connect(t *testing.T, e *Endpoint, epoch, number uint64) {
 	require.NoError(t, e.AcceptHello(0, &Frame{Kind: FrameHello, Epoch: epoch, ConnectionNumber: number, CreditBytes: 1 << 20}, number, true))
 }
 
+// forwardFrame returns the frame by which the peer forwards a write.
 func forwardFrame(id uint64, attempt uint32, serial uint64) *Frame {
 	return &Frame{Kind: FrameForward, ID: id, AttemptNumber: attempt, Serial: serial, Timeout: time.Second, MaxAttempts: 1, Write: true, Data: []byte{1}}
 }
@@ -52,14 +54,14 @@
 	read.Write = false
 	require.NoError(t, e.Receive(0, forwardFrame(5, 0, 1)))
 	require.NoError(t, e.Receive(0, read))
-	for _, st := range e.TakePeerRequests() {
-		e.ExecutionFinished(0, st.Execution, Frame{Status: StatusServed, Data: []byte("row"), Age: 10 * ms, AgeKnown: true})
+	for _, p := range e.TakePeerRequests() {
+		e.ExecutionFinished(0, p.Execution, Frame{Status: StatusServed, Data: []byte("row"), Age: 10 * ms, AgeKnown: true})
 	}
 	sentFrames(e, 0)
-	again := *read
-	again.AttemptNumber, again.Serial = 1, 4
+	retry := *read
+	retry.AttemptNumber, retry.Serial = 1, 4
 	require.NoError(t, e.Receive(300*ms, forwardFrame(5, 1, 3)))
-	require.NoError(t, e.Receive(300*ms, &again))
+	require.NoError(t, e.Receive(300*ms, &retry))
 	assert.Len(t, e.TakePeerRequests(), 1, "only the read")
 	out := sentFrames(e, 300*ms)
 	require.Len(t, out, 1)
@@ -67,8 +69,9 @@
 	assert.Equal(t, 310*ms, out[0].Age, "the age includes the time that the result was retained")
 }
 
-// The local process was stopped for longer than outcomes are retained, and requests them now.
-func TestForgottenOutcomesAreReportedAsUnknown(t *testing.T) {
+// The instance that requests outcomes was stopped for longer than the peer retains them. The peer must not answer NotExecuted for a
+// request whose outcome it has evicted.
+func TestEvictedOutcomesAreReportedAsUnknown(t *testing.T) {
 	e := connectedEndpoint(t, 1)
 	require.NoError(t, e.Receive(0, forwardFrame(5, 0, 1)))
 	require.NoError(t, e.Receive(0, forwardFrame(6, 0, 2)))
@@ -85,9 +88,9 @@
 		return out[0]
 	}
 	assert.Equal(t, Frame{Kind: FrameResult, ID: 5, Status: StatusUnknown}, ask(5, 1))
-	assert.Equal(t, FrameStillRunning, ask(6, 2).Kind, "what is executing is never forgotten")
-	assert.Equal(t, FrameNotExecuted, ask(9, 3).Kind, "what is newer than all that was forgotten never arrived")
-	connect(t, e, 8, 1) // the local instance restarted, and counts from 1
+	assert.Equal(t, FrameStillRunning, ask(6, 2).Kind, "a running execution is never evicted")
+	assert.Equal(t, FrameNotExecuted, ask(9, 3).Kind, "a request that is newer than every evicted one was not received")
+	connect(t, e, 8, 1) // the requesting instance restarted, so its serials begin at 1 again
 	assert.Equal(t, FrameNotExecuted, ask(5, 1).Kind)
 }
 
@@ -110,7 +113,7 @@
 	e := New(smallSettings, 100)
 	require.NoError(t, e.AcceptHello(0, &Frame{Kind: FrameHello, Epoch: 7, ConnectionNumber: 1, CreditBytes: MaxDataBytes + frameOverhead}, 1, true))
 	big := make([]byte, MaxDataBytes/4-frameOverhead)
-	for i := range uint64(6) { // five of a busy group, then one of another
+	for i := range uint64(6) { // five requests of one group, then one of another group
 		e.Forward(0, ForwardedRequest{ID: i, Group: int64(i / 5), Deadline: time.Second, MaxAttempts: 1, Message: big})
 	}
 	out := sentFrames(e, 0)
@@ -137,8 +140,8 @@
 	rejected := 0
 	for i := range uint64(12) {
 		require.NoError(t, e.Receive(0, forwardFrame(i, 0, i+1)))
-		for _, st := range e.TakePeerRequests() {
-			e.ExecutionFinished(0, st.Execution, Frame{Status: StatusServed, Data: row})
+		for _, p := range e.TakePeerRequests() {
+			e.ExecutionFinished(0, p.Execution, Frame{Status: StatusServed, Data: row})
 		}
 	}
 	for _, r := range e.execs.byRequest {
@@ -152,7 +155,7 @@
 	assert.Empty(t, e.execs.byRequest)
 }
 
-// A request that waits for credit until its deadline has an outcome: whoever keeps state for it must be notified.
+// A request that waits for credit until its deadline must get an outcome, because the caller keeps state for it until then.
 func TestRequestWhoseDeadlinePassesInTheQueueIsNotExecuted(t *testing.T) {
 	e := connectedEndpoint(t, 1)
 	e.credit.sendWindow = 0
--- a/gateway/link/attempts.go
+++ b/gateway/link/attempts.go
@@ -10,17 +10,17 @@
 	"dapplerouter/routing"
 )
 
-// Attempts of our front that are forwarded to the peer site, and what the front is notified of.
+// This file forwards the local front's attempts to the peer site and notifies the front of their results.
 
-// Errors of attempts at the remote site.
+// Errors of attempts that are forwarded to the remote site.
 var (
 	ErrLinkDown       = errors.New("link down")
 	ErrOutcomeUnknown = errors.New("link lost, outcome unknown")
 )
 
-const messageHeader = 5 // bytes before the body of a message
+const messageHeader = 5 // length of a PostgreSQL message's type and length fields, in bytes
 
-// Send forwards an attempt to the remote site. It never blocks.
+// Send forwards an attempt to the remote site, or answers it at once if it is a health check. It never blocks.
 func (l *Link) Send(a *front.Attempt) {
 	w, probe := a.Forwarded()
 	l.mu.Lock()
@@ -37,7 +37,7 @@
 	l.changed.Broadcast()
 }
 
-// cancelAttempt cancels an attempt, for the front. It never blocks.
+// cancelAttempt cancels an attempt. The front calls it through the attempt. It never blocks.
 func (l *Link) cancelAttempt(id uint64, number uint32) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -46,8 +46,8 @@
 	l.changed.Broadcast()
 }
 
-// healthCheck answers a health check of the remote site by the state of the link: for its groups the site is their
-// primary.
+// healthCheck returns the result of a health check of the remote site, which depends only on the state of the link. If the link
+// is up, the remote site reports that it is a primary, since it acts as the primary of its groups.
 func (l *Link) healthCheck(a *front.Attempt) *front.AttemptFinished {
 	if l.endpoint.State() != gateway.Up {
 		return &front.AttemptFinished{Attempt: a, Err: &front.ConnectionError{Stage: front.StageDial, Err: ErrLinkDown}}
@@ -55,8 +55,8 @@
 	return &front.AttemptFinished{Attempt: a, Answer: pgwire.SingleValueResult([]byte("x1=1"))}
 }
 
-// collectOutcomes queues the outcomes of forwarded requests for the front and returns the peer's requests. The mutex is
-// held.
+// collectOutcomes queues the outcomes of forwarded requests for notifyFront and returns the peer's requests. The caller must hold
+// the mutex.
 func (l *Link) collectOutcomes() []gateway.PeerRequest {
 	for _, o := range l.endpoint.TakeOutcomes() {
 		a := l.attempts[o.ID]
@@ -70,7 +70,7 @@
 	return l.endpoint.TakePeerRequests()
 }
 
-// attemptFinished translates the outcome of a forwarded request.
+// attemptFinished converts the outcome of a forwarded request to an event for the front.
 func attemptFinished(a *front.Attempt, o *gateway.Outcome) *front.AttemptFinished {
 	if o.Result == nil {
 		return attemptWithoutResult(a, o)
@@ -91,6 +91,7 @@
 	return &front.AttemptFinished{Attempt: a, Answer: pgwire.QueryResult{Code: pgwire.CodeInternalError}}
 }
 
+// attemptWithoutResult converts an outcome without a result frame to an event for the front.
 func attemptWithoutResult(a *front.Attempt, o *gateway.Outcome) *front.AttemptFinished {
 	switch {
 	case o.Overloaded:
@@ -101,8 +102,8 @@
 	return &front.AttemptFinished{Attempt: a, Err: &front.ConnectionError{Stage: front.StageRead, Err: ErrOutcomeUnknown}}
 }
 
-// notifyFront passes finished attempts and changes of the link's state to the front. It runs until Close; posting to the
-// front may block, so the mutex is not held then.
+// notifyFront passes finished attempts and changes of the link's state to the front. It runs until Close. Posting to the front may
+// block, so the mutex is not held meanwhile.
 func (l *Link) notifyFront() {
 	for {
 		finished, state, ok := l.awaitNotification()
@@ -119,8 +120,8 @@
 	}
 }
 
-// awaitNotification waits for something that the front must know; state is nil where it did not change. It is not ok once
-// the link is closed and all is notified.
+// awaitNotification waits until there are finished attempts or the state of the link has changed. state is nil if it has not
+// changed. The result is not ok once the link is closed and everything was returned.
 func (l *Link) awaitNotification() (finished []*front.AttemptFinished, state *gateway.State, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/gateway/link/connection.go
+++ b/gateway/link/connection.go
@@ -16,11 +16,12 @@
 	"dapplerouter/gateway"
 )
 
-// Connections of a link: how they are opened, and the handshake after which one takes the place of the one before.
+// This file opens the connections of a link and makes their handshakes. A connection whose handshake succeeds replaces the previous
+// connection.
 
 const (
-	handshakeTimeout = 3 * time.Second // for the peer's preamble, its TLS handshake and its hello together
-	maxHandshakes    = 8               // connections whose handshake is under way
+	handshakeTimeout = 3 * time.Second // for the TLS handshake, the peer's preamble and its hello together
+	maxHandshakes    = 8               // maximum number of incoming connections with a handshake in progress
 )
 
 // Errors that end a connection.
@@ -31,9 +32,9 @@
 	errPanic              = errors.New("panic")
 )
 
-// dial keeps a connection to the peer open.
+// dial opens a connection to the peer, and opens a new one whenever it ends. It runs until Close.
 func (l *Link) dial() {
-	pause := backoff.NewExponentialBackOff() // with jitter of half each way, so that two sites don't dial in step
+	pause := backoff.NewExponentialBackOff() // with a jitter of ±50%, so that two sites do not dial in step
 	pause.InitialInterval, pause.MaxInterval = l.opts.Settings.HeartbeatInterval/4, 4*l.opts.Settings.HeartbeatInterval
 	for l.ctx.Err() == nil {
 		began := time.Now()
@@ -46,7 +47,7 @@
 			return
 		}
 		slog.Warn("link: not connected", "peer", l.opts.PeerSite, "err", err)
-		if time.Since(began) > 4*pause.MaxInterval { // it had been up
+		if time.Since(began) > 4*pause.MaxInterval { // the connection had been up for some time
 			pause.Reset()
 		}
 		select {
@@ -56,28 +57,30 @@
 	}
 }
 
+// accept accepts connections from the peer. It runs until Close.
 func (l *Link) accept() {
-	framing.AcceptLoop(l.ctx, l.listener, maxHandshakes, &l.goroutines, func(c net.Conn, greeted func()) {
-		if err := l.serve(c, greeted); err != nil && l.ctx.Err() == nil {
+	framing.AcceptLoop(l.ctx, l.listener, maxHandshakes, &l.goroutines, func(c net.Conn, handshakeDone func()) {
+		if err := l.serve(c, handshakeDone); err != nil && l.ctx.Err() == nil {
 			slog.Warn("link: connection ended", "peer", l.opts.PeerSite, "from", c.RemoteAddr().String(), "err", err)
 		}
 	})
 }
 
-// serve makes the handshake on a connection, calls greeted, and reads the connection until it ends.
-func (l *Link) serve(c net.Conn, greeted func()) (err error) {
+// serve makes the handshake on a connection and calls handshakeDone. Then it receives frames until the connection ends and returns
+// the error that ended it. A panic in this goroutine ends only the connection.
+func (l *Link) serve(c net.Conn, handshakeDone func()) (err error) {
 	socket := c
 	defer func() { _ = socket.Close() }()
-	defer func() { l.connectionEnded(c) }() // whatever ended it, a failed handshake too; c may be the TLS connection by then
+	defer func() { l.connectionEnded(c) }() // also after a failed handshake; c is the TLS connection if there is one
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("%w: %v", errPanic, p)
 			slog.Error("link: panic", "panic", p, "trace", string(debug.Stack()))
 		}
 	}()
-	stop := context.AfterFunc(l.ctx, func() { _ = socket.Close() }) // c changes below, in another goroutine than this call's
+	stop := context.AfterFunc(l.ctx, func() { _ = socket.Close() }) // not c, which changes below: this is another goroutine
 	defer stop()
-	_ = c.SetDeadline(time.Now().Add(handshakeTimeout)) // fails on a closed connection alone, as does what follows
+	_ = c.SetDeadline(time.Now().Add(handshakeTimeout)) // fails only on a closed connection; then the handshake fails too
 	if c, err = l.startTLS(c); err != nil {
 		return err
 	}
@@ -89,15 +92,15 @@
 	if err != nil {
 		return err
 	}
-	greeted()
-	_ = c.SetDeadline(time.Time{}) // fails on a closed connection alone, which the reader sees
+	handshakeDone()
+	_ = c.SetDeadline(time.Time{}) // fails only on a closed connection; then reading fails too
 	l.goroutines.Go(func() { l.writeFrames(c, k) })
 	err = l.readFrames(c, k)
 	slog.Warn("link: down", "peer", l.opts.PeerSite, "connection", number, "err", err)
 	return err
 }
 
-// startTLS makes the TLS handshake, where the link has keys. It returns the connection to be used.
+// startTLS makes the TLS handshake and returns the TLS connection. It returns c itself if the link is not configured for TLS.
 func (l *Link) startTLS(c net.Conn) (net.Conn, error) {
 	if l.opts.TLS == nil {
 		return c, nil
@@ -114,7 +117,7 @@
 	return t, nil
 }
 
-// connectionEnded handles the end of a connection, where it was the present one.
+// connectionEnded handles the end of a connection. If it was the present one, the link is down.
 func (l *Link) connectionEnded(c net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -126,11 +129,11 @@
 	l.changed.Broadcast()
 }
 
-// exchangeHellos makes the connection the present one. The side that dialled sends its hello first and numbers the
-// connection.
+// exchangeHellos sends this instance's hello and makes the connection the present one if the peer's hello is accepted. The side that
+// dialed sends its hello first and numbers the connection.
 func (l *Link) exchangeHellos(c net.Conn, k *Codec) (number uint64, err error) {
-	dialled := l.listener == nil
-	if dialled {
+	dialed := l.listener == nil
+	if dialed {
 		l.mu.Lock()
 		l.connectionNumber++
 		number = l.connectionNumber
@@ -148,16 +151,16 @@
 		return 0, fmt.Errorf("%w: %.200s", ErrRejectedByPeer, h.Reason)
 	case h.Site != l.opts.PeerSite:
 		l.reject(k, fmt.Sprintf("this is %s, whose peer is %s", l.opts.LocalSite, l.opts.PeerSite))
-		return 0, fmt.Errorf("%w: it calls itself %.40q, expected %q", ErrWrongPeer, h.Site, l.opts.PeerSite)
+		return 0, fmt.Errorf("%w: the hello is from site %.40q, expected %q", ErrWrongPeer, h.Site, l.opts.PeerSite)
 	}
-	if !dialled {
+	if !dialed {
 		number = h.ConnectionNumber
 	}
 	if err := l.acceptHello(c, &h, number); err != nil {
-		l.reject(k, err.Error()) // its reasons are part of the wire protocol
+		l.reject(k, err.Error()) // the reasons are part of the wire protocol
 		return 0, fmt.Errorf("hello of the peer: %w", err)
 	}
-	if !dialled {
+	if !dialed {
 		if err := l.sendHello(k, number); err != nil {
 			return 0, err
 		}
@@ -166,23 +169,24 @@
 	return number, nil
 }
 
-// acceptHello makes the connection the present one and closes the one before: from here on, no frame of that is accepted
-// (see readFrames).
+// acceptHello makes the connection the present one if the endpoint accepts the hello, and closes the previous one. From then on no
+// frame of the previous connection is accepted (see receive).
 func (l *Link) acceptHello(c net.Conn, h *gateway.Frame, number uint64) error {
 	l.mu.Lock()
 	err := l.endpoint.AcceptHello(l.opts.Clock.Now(), h, number, l.listener == nil)
-	var before net.Conn
+	var previous net.Conn
 	if err == nil {
-		before, l.conn = l.conn, c
+		previous, l.conn = l.conn, c
 		l.collectOutcomes()
 	}
 	l.mu.Unlock()
-	if before != nil {
-		_ = before.Close() // its reader sees the error
+	if previous != nil {
+		_ = previous.Close() // its reader sees the error
 	}
 	return err
 }
 
+// sendHello sends this instance's hello for the connection with the given number.
 func (l *Link) sendHello(k *Codec, number uint64) error {
 	l.mu.Lock()
 	h := l.endpoint.Hello(l.opts.LocalSite, number)
@@ -196,7 +200,7 @@
 	return nil
 }
 
-// reject sends the peer the reason why its hello is not accepted.
+// reject sends the peer a FrameReject with the reason why its hello is not accepted.
 func (l *Link) reject(k *Codec, reason string) {
 	if err := k.Append(&gateway.Frame{Kind: gateway.FrameReject, Reason: reason}); err == nil {
 		_ = k.Flush() // the connection ends in any case
--- a/gateway/link/dispatcher.go
+++ b/gateway/link/dispatcher.go
@@ -11,15 +11,16 @@
 	"dapplerouter/routing"
 )
 
-// Dispatcher is the front.Pools of a gateway: it sends attempts to servers of this site over the Local pools, and those to
-// the remote site over the Remote link. All calls come from the goroutine of the front's core.
+// Dispatcher implements front.Pools for a gateway. It passes attempts at servers of this site to the Local pools, and attempts at
+// the remote site to the Remote link. Its methods must be called from the goroutine of the front's core only.
 type Dispatcher struct {
 	Local    front.Pools
 	Remote   *Link
-	isRemote []bool // by server
+	isRemote []bool // by server: the server stands for the remote site
 }
 
-// SetAddress notes whether a server stands for the remote site, and passes the address of any other on.
+// SetAddress records whether a server stands for the remote site, which the prefix of its address says. It passes the address of a
+// local server to the Local pools.
 func (d *Dispatcher) SetAddress(server int, address string, age time.Duration) {
 	for len(d.isRemote) <= server {
 		d.isRemote = append(d.isRemote, false)
@@ -30,7 +31,7 @@
 	}
 }
 
-// Send sends an attempt to a server.
+// Send sends an attempt to a server or to the remote site.
 func (d *Dispatcher) Send(server int, a *front.Attempt) {
 	if server < len(d.isRemote) && d.isRemote[server] {
 		d.Remote.Send(a)
@@ -39,7 +40,7 @@
 	d.Local.Send(server, a)
 }
 
-// Remove forgets a server.
+// Remove removes a server.
 func (d *Dispatcher) Remove(server int) {
 	if server < len(d.isRemote) && d.isRemote[server] {
 		d.isRemote[server] = false
@@ -48,8 +49,8 @@
 	d.Local.Remove(server)
 }
 
-// RemoteEndpoints returns the servers that stand for a remote site: one for each of its groups, in a zone with the name of
-// the site, each the primary of its group, and partitioned while the link is not up.
+// RemoteEndpoints returns the endpoints that stand for a remote site, one for each of its groups. Each of them is the primary of its
+// group, and its zone has the name of the site. Its state is Serving if the link is up, otherwise Partitioned.
 func RemoteEndpoints(site string, groups []int64, link gateway.State) (all []discovery.Endpoint) {
 	state := routing.Partitioned
 	if link == gateway.Up {
--- a/gateway/link/errors_test.go
+++ b/gateway/link/errors_test.go
@@ -12,8 +12,8 @@
 	"dapplerouter/gateway"
 )
 
-// served runs a connection of the link whose other end is a scripted peer, and returns the error with which it ends.
-func served(t *testing.T, l *Link, peer func(k *Codec)) error {
+// serveConnection makes the link serve a connection whose other end is a scripted peer. It returns the error that ended it.
+func serveConnection(t *testing.T, l *Link, peer func(k *Codec)) error {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -29,10 +29,10 @@
 	c, err := net.Dial("tcp", listener.Addr().String())
 	require.NoError(t, err)
 	require.NoError(t, c.SetDeadline(time.Now().Add(10*time.Second)))
-	ours := <-accepted
-	require.NotNil(t, ours)
+	served := <-accepted
+	require.NotNil(t, served)
 	ended := make(chan error, 1)
-	go func() { ended <- l.serve(ours, func() {}) }()
+	go func() { ended <- l.serve(served, func() {}) }()
 	k := NewCodec(c)
 	require.NoError(t, k.Greet())
 	peer(k)
@@ -52,7 +52,7 @@
 
 func TestConnectionErrorsCanBeDistinguished(t *testing.T) {
 	hello := gateway.Frame{Kind: gateway.FrameHello, Site: "kathmandu", Epoch: 7, ConnectionNumber: 5, CreditBytes: gateway.DefaultSettings.CreditBytes}
-	l, _ := listening(t)
+	l, _ := startListeningLink(t)
 	for _, c := range []struct {
 		name   string
 		frames []gateway.Frame
@@ -63,7 +63,7 @@
 		{"protocol violation", []gateway.Frame{hello, {Kind: 99}}, gateway.ErrProtocol},
 		{"stale connection", []gateway.Frame{hello}, gateway.ErrStaleConnection},
 	} {
-		err := served(t, l, func(k *Codec) {
+		err := serveConnection(t, l, func(k *Codec) {
 			for _, f := range c.frames {
 				send(t, k, f)
 			}
@@ -73,11 +73,11 @@
 	}
 	replaced := hello
 	replaced.ConnectionNumber = 20
-	err := served(t, l, func(k *Codec) {
+	err := serveConnection(t, l, func(k *Codec) {
 		send(t, k, replaced)
 		var f gateway.Frame
 		require.NoError(t, k.Read(&f))
-		_, newer := peer(t, l, 21)
+		_, newer := dialAsPeer(t, l, 21)
 		require.NoError(t, newer.Read(&f))
 		readToEnd(k)
 	})
@@ -85,8 +85,8 @@
 	assert.True(t, l.Up(), "the newer connection is the present one")
 }
 
-func TestFrameOfAReplacedConnectionIsVoid(t *testing.T) {
-	l, _ := listening(t)
+func TestFrameOfAReplacedConnectionIsDiscarded(t *testing.T) {
+	l, _ := startListeningLink(t)
 	older, newer := net.Pipe()
 	l.mu.Lock()
 	l.conn = newer
--- a/gateway/link/executions.go
+++ b/gateway/link/executions.go
@@ -8,27 +8,28 @@
 	"dapplerouter/pgwire"
 )
 
-// Requests of the peer that our front executes.
+// This file passes the peer's requests to the local front and returns its responses to the peer.
 
-// peerClient is the client, for our front, of a request of the peer.
+// peerClient is the client of a request of the peer at the local front. It receives the response.
 type peerClient struct {
 	link      *Link
 	execution uint64
 }
 
-// setExecution notes the front's request of an execution, nil for none any more, and returns what was noted before. The
-// mutex is held.
-func (l *Link) setExecution(number uint64, r *front.Request) (before *front.Request) {
-	before = l.executions[number]
+// setExecution records the front's request for an execution and returns the previous one. If r is nil, it removes the record. The
+// caller must hold the mutex.
+func (l *Link) setExecution(number uint64, r *front.Request) (previous *front.Request) {
+	previous = l.executions[number]
 	if r == nil {
 		delete(l.executions, number)
 	} else {
 		l.executions[number] = r
 	}
-	return before
+	return previous
 }
 
-// execute starts an execution, or cancels one. Posting to the front may block, so the mutex is not held then.
+// execute starts or cancels an execution. A statement that cannot be parsed is answered without the front. Posting to the front
+// may block, so the mutex is not held meanwhile.
 func (l *Link) execute(p gateway.PeerRequest) {
 	if p.Canceled {
 		l.mu.Lock()
@@ -54,7 +55,7 @@
 	l.opts.Post(r)
 }
 
-// invalidStatement is the response to a statement that cannot be parsed, or to an empty one where err is nil.
+// invalidStatement returns the response to a statement that cannot be parsed, or to an empty statement if err is nil.
 func invalidStatement(err error) front.Response {
 	r := front.Response{Status: front.StatusInvalid, Code: pgwire.CodeSyntaxError, Reason: "an empty statement"}
 	var invalid *pgwire.StatementError
@@ -66,7 +67,7 @@
 	return r
 }
 
-// Respond handles the front's response, on the goroutine of its core. It never blocks.
+// Respond passes the front's response to the endpoint. It runs on the goroutine of the front's core and never blocks.
 func (c *peerClient) Respond(r front.Response) {
 	l := c.link
 	l.mu.Lock()
@@ -76,11 +77,11 @@
 	l.changed.Broadcast()
 }
 
-// resultFrame translates a response of the front.
+// resultFrame converts a response of the front to the fields of a FrameResult.
 func resultFrame(r *front.Response) gateway.Frame {
 	switch r.Status {
 	case front.StatusSucceeded:
-		if len(r.Rows) > gateway.MaxDataBytes { // it was executed; the value does not fit in a frame
+		if len(r.Rows) > gateway.MaxDataBytes { // the statement was executed, but its rows do not fit in a frame
 			return gateway.Frame{Status: gateway.StatusUnknown, Code: pgwire.CodeProgramLimitExceeded}
 		}
 		f := gateway.Frame{Status: gateway.StatusServed, Data: r.Rows, ReplicaPosition: r.Position, Age: r.DataAge, AgeKnown: r.DataAgeKnown}
--- a/gateway/link/frames.go
+++ b/gateway/link/frames.go
@@ -9,11 +9,12 @@
 	"dapplerouter/gateway"
 )
 
-// Reading and writing the frames of the present connection.
+// This file reads and writes the frames of the present connection.
 
-const writeBatch = 64 << 10 // bytes in one write, about
+const writeBatch = 64 << 10 // approximate number of bytes after which no more frames are added to one write
 
-// readFrames passes frames to the endpoint until the connection ends or is replaced.
+// readFrames passes frames to the endpoint and starts the peer's requests, until the connection ends or is replaced. It returns the
+// reason.
 func (l *Link) readFrames(c net.Conn, k *Codec) error {
 	for {
 		var f gateway.Frame
@@ -30,8 +31,8 @@
 	}
 }
 
-// receive passes a frame to the endpoint and returns what the peer wants executed or canceled. A frame of a connection
-// that was replaced is void.
+// receive passes a frame to the endpoint and returns the requests and cancellations of the peer that result. A frame of a
+// connection that was replaced is discarded; the error is ErrConnectionReplaced.
 func (l *Link) receive(c net.Conn, f *gateway.Frame) ([]gateway.PeerRequest, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -44,19 +45,19 @@
 	return l.collectOutcomes(), nil
 }
 
-// writeFrames writes the frames of the endpoint, many in one write, as long as the connection is the present one.
+// writeFrames writes the frames of the endpoint in batches, as long as the connection is the present one.
 func (l *Link) writeFrames(c net.Conn, k *Codec) {
 	for l.awaitFrames(c, k) {
-		_ = c.SetWriteDeadline(time.Now().Add(l.opts.Settings.PeerTimeout)) // fails on a closed connection alone, as does Flush
+		_ = c.SetWriteDeadline(time.Now().Add(l.opts.Settings.PeerTimeout)) // fails only on a closed connection; then Flush fails too
 		if err := k.Flush(); err != nil {
-			_ = c.Close() // the reader ends the connection
+			_ = c.Close() // then the reader returns and ends the connection
 			return
 		}
 	}
 }
 
-// awaitFrames waits until there are frames to be written and encodes them; false where the connection is the present one
-// no more.
+// awaitFrames waits until there are frames to be written and encodes them. It returns false if the connection is no longer the
+// present one or the link is closed.
 func (l *Link) awaitFrames(c net.Conn, k *Codec) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -69,7 +70,7 @@
 	return false
 }
 
-// encodeFrames encodes frames up to a batch. The mutex is held.
+// encodeFrames encodes the next batch of frames. The caller must hold the mutex.
 func (l *Link) encodeFrames(k *Codec) {
 	for k.Buffered() < writeBatch {
 		f, ok := l.endpoint.NextFrame(l.opts.Clock.Now())
@@ -86,8 +87,8 @@
 	l.collectOutcomes()
 }
 
-// beginAttempt notifies the front that an attempt is being sent; false where the front canceled it before, so that nothing of it
-// may be sent.
+// beginAttempt tells the front that the attempt of a FrameForward is being sent. It returns false if the front has canceled the
+// attempt already; then the frame must not be sent.
 func (l *Link) beginAttempt(f *gateway.Frame) bool {
 	id, number := f.ID, f.AttemptNumber
 	a := l.attempts[id]
--- a/gateway/link/link.go
+++ b/gateway/link/link.go
@@ -1,9 +1,9 @@
-// Package link carries the frames of a gateway between two sites: sockets, TLS, heartbeats and reconnects. It decides
-// nothing: what is sent, what became of it and when a link counts as down is decided by package gateway, and framing and
-// keys are those of package framing.
+// Package link carries the frames of a gateway between two sites. It handles sockets, TLS, timers and reconnects. Package gateway
+// decides what is sent, what the outcome of a request is and when the link is down. Package framing provides the encoding
+// of frames and the keys.
 //
-// A Link owns its endpoint, its connections and its goroutines: Run starts them, Close ends and awaits them. One mutex
-// guards the endpoint and the tables of requests. Nothing that may block is done while it is held; the front is called
+// A Link owns its endpoint, its connections and its goroutines. Run starts the goroutines; Close ends them and waits for them. One
+// mutex guards the endpoint and the tables of requests. No operation that may block is called while it is held. The front is called
 // from notifyFront and from the goroutine that reads the connection.
 package link
 
@@ -21,41 +21,41 @@
 	"dapplerouter/pgwire"
 )
 
-// Options are what a Link is made of.
+// Options configure a Link.
 type Options struct {
-	LocalSite, PeerSite string // names of the sites
-	Address             string // where the peer listens; "" where it dials us
-	Listen              string // where we listen for it; "" where we dial
-	TLS                 *tls.Config
+	LocalSite, PeerSite string      // names of the sites
+	Address             string      // address of the peer; "" if the peer dials
+	Listen              string      // address on which this instance listens for the peer; "" if this instance dials
+	TLS                 *tls.Config // nil for no TLS
 	Settings            gateway.Settings
-	Epoch               uint64 // of this start of the instance, not 0
+	Epoch               uint64 // identifies this start of the instance; not 0
 	Clock               front.Clock
-	Post                func(front.Event)
-	Groups              []int64 // that live at the peer's site
+	Post                func(front.Event) // passes an event to the front; may block
+	Groups              []int64           // groups whose servers are at the peer's site
 	ParseStatement      func(body []byte) (pgwire.Statement, error)
 }
 
 // Link is one instance's end of the link to its peer.
 type Link struct {
 	opts     Options
-	listener net.Listener // nil where we dial
+	listener net.Listener // nil if this instance dials
 
-	mu               sync.Mutex // guards what follows
+	mu               sync.Mutex // guards the fields up to changed
 	endpoint         *gateway.Endpoint
-	conn             net.Conn // whose hello was accepted last, nil for none
-	connectionNumber uint64   // of the connection dialled last
-	attempts         map[uint64]*front.Attempt
-	finished         []*front.AttemptFinished  // the front is to be notified of
-	executions       map[uint64]*front.Request // the peer's requests that are executing here
-	notifiedState    gateway.State             // that the front was notified of
-	changed          *sync.Cond                // there may be something to write, or to notify the front of
+	conn             net.Conn                  // the present connection: the one whose hello was accepted last; nil for none
+	connectionNumber uint64                    // of the connection that was dialed last
+	attempts         map[uint64]*front.Attempt // forwarded attempts without an outcome, by request ID
+	finished         []*front.AttemptFinished  // to be passed to the front by notifyFront
+	executions       map[uint64]*front.Request // the peer's requests that are executing here, by number of the execution
+	notifiedState    gateway.State             // the state of which the front was notified last
+	changed          *sync.Cond                // signals that there may be frames to write or something to notify the front of
 
-	ctx        context.Context // ends with Close
+	ctx        context.Context // canceled by Close
 	cancel     context.CancelFunc
 	goroutines sync.WaitGroup
 }
 
-// New makes a Link and, where it is to listen, opens its listener.
+// New returns a Link. It opens the listener if Listen is set; all else waits for Run.
 func New(o Options) (*Link, error) {
 	l := &Link{opts: o, endpoint: gateway.New(o.Settings, o.Epoch), attempts: map[uint64]*front.Attempt{},
 		executions: map[uint64]*front.Request{}}
@@ -70,10 +70,10 @@
 	return l, nil
 }
 
-// Addr returns the address of the listener; there is none where we dial.
+// Addr returns the address of the listener. It must not be called if this instance dials.
 func (l *Link) Addr() net.Addr { return l.listener.Addr() }
 
-// Run starts the link. It returns at once; Close ends it.
+// Run starts the goroutines of the link and returns. Close ends them.
 func (l *Link) Run() {
 	l.goroutines.Go(l.notifyFront)
 	l.goroutines.Go(l.runTimer)
@@ -84,11 +84,11 @@
 	}
 }
 
-// Close ends the link and waits for its goroutines. Requests in flight get no outcome.
+// Close ends the link and waits for its goroutines. Requests in flight may get no outcome.
 func (l *Link) Close() {
 	l.cancel()
 	if l.listener != nil {
-		_ = l.listener.Close() // nothing can be done about it
+		_ = l.listener.Close() // an error cannot be handled
 	}
 	l.mu.Lock()
 	l.dropConnection()
@@ -97,10 +97,10 @@
 	l.goroutines.Wait()
 }
 
-// dropConnection closes the present connection; its reader then ends it. The mutex is held.
+// dropConnection closes the present connection, which makes its reader return. The caller must hold the mutex.
 func (l *Link) dropConnection() {
 	if l.conn != nil {
-		_ = l.conn.Close() // the reader sees the error
+		_ = l.conn.Close() // the reader gets an error
 	}
 }
 
@@ -111,7 +111,8 @@
 	return l.endpoint.State() == gateway.Up
 }
 
-// Counters returns counts for the log, and how many requests are in flight: ours, and the peer's here.
+// Counters returns the endpoint's counters and the state of the link. ours is the number of forwarded requests in flight, peers the
+// number of the peer's requests that are executing here.
 func (l *Link) Counters() (c gateway.Counters, state gateway.State, ours, peers int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -119,7 +120,7 @@
 	return l.endpoint.Counters, l.endpoint.State(), ours, peers
 }
 
-// runTimer drives the timeouts and heartbeats of the endpoint.
+// runTimer calls the endpoint's Tick regularly and closes the connection on a peer timeout. It runs until Close.
 func (l *Link) runTimer() {
 	t := time.NewTicker(l.opts.Settings.HeartbeatInterval / 4)
 	defer t.Stop()
--- a/gateway/link/wire_test.go
+++ b/gateway/link/wire_test.go
@@ -16,7 +16,7 @@
 	"dapplerouter/gateway"
 )
 
-// assertGolden compares lines with a file of testdata.
+// assertGolden checks that the lines are equal to those of a file in testdata.
 func assertGolden(t *testing.T, file string, got []string) {
 	t.Helper()
 	want, err := os.ReadFile("testdata/" + file)
@@ -24,7 +24,7 @@
 	assert.Equal(t, strings.Split(strings.TrimSuffix(string(want), "\n"), "\n"), got)
 }
 
-// stream reads the peer's preamble and collects what is written.
+// stream is a connection that returns given input and records what is written to it.
 type stream struct {
 	in  *strings.Reader
 	out bytes.Buffer
@@ -33,7 +33,7 @@
 func (s *stream) Read(b []byte) (int, error)  { return s.in.Read(b) }
 func (s *stream) Write(b []byte) (int, error) { return s.out.Write(b) }
 
-// fullFrame has every field set, so that the place of each is compared.
+// fullFrame returns a frame with every field set, so that the position of each field in the encoding is tested.
 func fullFrame(kind gateway.FrameKind) gateway.Frame {
 	return gateway.Frame{Kind: kind, ID: 1 << 40, AttemptNumber: 3, Serial: 1 << 33, Group: -7, Timeout: 1500 * time.Millisecond, MaxAttempts: 2,
 		Write: true, After: 1767225600123, Data: []byte("SELECT 1\x00"), Status: gateway.StatusUnknown, Code: "40000", Reason: "reason",
@@ -64,14 +64,14 @@
 		require.NoError(t, k.Flush())
 		got = append(got, fmt.Sprintf("%d %x", f.Kind, s.out.Bytes()))
 		s.in.Reset(s.out.String())
-		var back gateway.Frame
-		require.NoError(t, k.Read(&back))
-		assert.Equal(t, f, back)
+		var decoded gateway.Frame
+		require.NoError(t, k.Read(&decoded))
+		assert.Equal(t, f, decoded)
 	}
 	assertGolden(t, "frames.txt", got)
 }
 
-// An endpoint is driven through a script: what it sends, in which order, byte for byte.
+// Runs an endpoint through a fixed sequence of events and compares the frames that it sends, in order and byte by byte.
 func TestFramesOfAScriptedExchange(t *testing.T) {
 	const ms = time.Millisecond
 	set := gateway.DefaultSettings
@@ -87,11 +87,11 @@
 			got = append(got, fmt.Sprintf("%s: %x", event, s.out.Bytes()))
 		}
 		for _, e := range endpoint.TakeOutcomes() {
-			word := gateway.ResultStatus(0)
+			status := gateway.ResultStatus(0)
 			if e.Result != nil {
-				word = e.Result.Status
+				status = e.Result.Status
 			}
-			got = append(got, fmt.Sprintf("%s: end %d %d never=%t full=%t word=%d took=%v", event, e.ID, e.AttemptNumber, e.NotExecuted, e.Overloaded, word, e.Elapsed))
+			got = append(got, fmt.Sprintf("%s: end %d %d never=%t full=%t word=%d took=%v", event, e.ID, e.AttemptNumber, e.NotExecuted, e.Overloaded, status, e.Elapsed))
 		}
 		for _, s := range endpoint.TakePeerRequests() {
 			got = append(got, fmt.Sprintf("%s: start %d abort=%t %d %v %d %d %q", event, s.Execution, s.Canceled, s.Group, s.Timeout, s.MaxAttempts, s.After, s.Data))
@@ -146,10 +146,10 @@
 	assertGolden(t, "exchange.txt", got)
 }
 
-// What a peer reads when its hello is rejected.
-func TestReasonsOfRejectedGreetings(t *testing.T) {
-	l, _ := listening(t)
-	_, newer := peer(t, l, 5)
+// The reasons that a peer receives when its hello is rejected are part of the wire protocol.
+func TestReasonsOfRejectedHellos(t *testing.T) {
+	l, _ := startListeningLink(t)
+	_, newer := dialAsPeer(t, l, 5)
 	var h gateway.Frame
 	require.NoError(t, newer.Read(&h))
 	var got []string
--- a/gateway/model_test.go
+++ b/gateway/model_test.go
@@ -16,32 +16,32 @@
 var smallSettings = Settings{HeartbeatInterval: 100 * ms, PeerTimeout: 300 * ms, RecoveryTimeout: 500 * ms, OutcomeRetention: 1500 * ms, MaxInFlight: 8,
 	CreditBytes: MaxDataBytes + frameOverhead, RetainedBytes: 8 * MaxDataBytes}
 
-// connection holds the frames in flight in each direction.
+// connection has the frames that are in flight on a connection, in each direction.
 type connection struct{ toFar, toNear []Frame }
 
-// serverExecution is an execution at the remote site's servers; it outlives the remote instance.
+// serverExecution is an execution at a server of the far site. It continues when the far instance restarts.
 type serverExecution struct {
 	request   uint64
 	execution uint64
 	epoch     uint64
 	committed bool
-	reported  bool // reported to its instance, or that is gone and it will not commit any more
+	reported  bool // its result was reported to the far instance
 }
 
-// model is two instances, near and far, the connections between them, and the servers of the far one. The near one acts
-// as the router does for non-idempotent requests: it retries only what is proven not to have been executed.
+// model consists of two instances, near and far, the connections between them, and the servers of the far site. The near instance
+// behaves like the router with non-idempotent requests: it retries a request only if it is proven not to have been executed.
 type model struct {
 	now               time.Duration
 	near, far         *Endpoint
-	nearConn, farConn *connection // what each takes for the present connection
-	number            uint64
+	nearConn, farConn *connection // the connection that each instance regards as the present one
+	connectionNumber  uint64
 	epoch             uint64
 	executions        []*serverExecution
-	effects           map[uint64]int
-	finished          map[uint64]int // by request: final responses
-	rejected          map[uint64]bool
-	attempts          map[uint64]uint32
-	next              uint64
+	effects           map[uint64]int    // by request: number of commits
+	finished          map[uint64]int    // by request: number of final outcomes
+	rejected          map[uint64]bool   // by request: it finally ended as not executed
+	attempts          map[uint64]uint32 // by request: number of its present attempt
+	lastRequest       uint64
 	disconnects       int
 	restarts          int
 	violations        []string
@@ -52,11 +52,12 @@
 		rejected: map[uint64]bool{}, attempts: map[uint64]uint32{}}
 }
 
-func (m *model) fail(format string, args ...any) {
+// addViolation records a violation of an invariant.
+func (m *model) addViolation(format string, args ...any) {
 	m.violations = append(m.violations, fmt.Sprintf(format, args...))
 }
 
-// pump sends the frames of both endpoints and carries out what they return.
+// pump puts the frames of both endpoints on their connections, starts the requested executions and handles the outcomes.
 func (m *model) pump() {
 	for again := true; again; {
 		again = false
@@ -68,7 +69,7 @@
 		}
 		for _, s := range m.far.TakePeerRequests() {
 			if s.Canceled {
-				continue // what went out to a store may commit all the same
+				continue // an execution at a server may commit even if it is canceled
 			}
 			m.executions = append(m.executions, &serverExecution{request: uint64(s.Data[0]), execution: s.Execution, epoch: m.epoch})
 		}
@@ -79,12 +80,13 @@
 	}
 }
 
+// handleOutcome checks an outcome against the executions, and retries the request if it was not executed.
 func (m *model) handleOutcome(e Outcome) {
 	switch {
 	case e.NotExecuted:
-		for _, j := range m.executions {
-			if j.request == e.ID && e.Result == nil {
-				m.fail("request %d ended as not executed, and was executed", e.ID)
+		for _, x := range m.executions {
+			if x.request == e.ID && e.Result == nil {
+				m.addViolation("request %d ended as not executed, and was executed", e.ID)
 			}
 		}
 		m.attempts[e.ID]++
@@ -96,51 +98,52 @@
 		m.rejected[e.ID] = true
 	case e.Result != nil && e.Result.Status == StatusServed:
 		if m.effects[e.ID] != 1 {
-			m.fail("request %d served with %d effects", e.ID, m.effects[e.ID])
+			m.addViolation("request %d served with %d effects", e.ID, m.effects[e.ID])
 		}
 		m.finished[e.ID]++
 	default:
 		m.finished[e.ID]++ // failed or unknown
 	}
 	if m.finished[e.ID] > 1 {
-		m.fail("request %d ended twice", e.ID)
+		m.addViolation("request %d ended twice", e.ID)
 	}
 }
 
+// request returns the present attempt of a request.
 func (m *model) request(id uint64) ForwardedRequest {
 	return ForwardedRequest{ID: id, AttemptNumber: m.attempts[id], Group: int64(id % 2), Deadline: m.now + 3*time.Second, MaxAttempts: 1, Write: true,
 		Message: []byte{byte(id)}}
 }
 
-// event is something that may happen to the two sites.
+// event is a step of the model.
 type event int
 
 const (
 	requestArrives event = iota
 	farReceives
 	nearReceives
-	nearLosesConnection // the far site goes on reading what is in flight
+	nearLosesConnection // the far instance still receives the frames in flight
 	farLosesConnection
 	sitesConnect
 	serverCommits
 	farReceivesResult
-	farRestarts // what it sent to servers continues
+	farRestarts // executions at its servers continue
 	timePasses
 	eventCount
 )
 
-// limits bound how often events happen.
+// limits bound the number of requests, lost connections and restarts.
 type limits struct{ requests, disconnects, restarts int }
 
-// step makes an event happen; false where it cannot now.
-func (m *model) step(e event, most limits) bool {
+// step performs an event. It returns false if the event is not possible in the present state or exceeds the bounds.
+func (m *model) step(e event, bounds limits) bool {
 	switch e {
 	case requestArrives:
-		if int(m.next) >= most.requests {
+		if int(m.lastRequest) >= bounds.requests {
 			return false
 		}
-		m.next++
-		m.near.Forward(m.now, m.request(m.next))
+		m.lastRequest++
+		m.near.Forward(m.now, m.request(m.lastRequest))
 	case farReceives:
 		if m.farConn == nil || len(m.farConn.toFar) == 0 {
 			return false
@@ -148,7 +151,7 @@
 		f := m.farConn.toFar[0]
 		m.farConn.toFar = m.farConn.toFar[1:]
 		if err := m.far.Receive(m.now, &f); err != nil {
-			m.fail("far endpoint: %v", err)
+			m.addViolation("far endpoint: %v", err)
 		}
 	case nearReceives:
 		if m.nearConn == nil || len(m.nearConn.toNear) == 0 {
@@ -157,17 +160,17 @@
 		f := m.nearConn.toNear[0]
 		m.nearConn.toNear = m.nearConn.toNear[1:]
 		if err := m.near.Receive(m.now, &f); err != nil {
-			m.fail("near endpoint: %v", err)
+			m.addViolation("near endpoint: %v", err)
 		}
 	case nearLosesConnection:
-		if m.nearConn == nil || m.disconnects >= most.disconnects {
+		if m.nearConn == nil || m.disconnects >= bounds.disconnects {
 			return false
 		}
 		m.disconnects++
 		m.nearConn = nil
 		m.near.ConnectionLost(m.now)
 	case farLosesConnection:
-		if m.farConn == nil || m.disconnects >= most.disconnects {
+		if m.farConn == nil || m.disconnects >= bounds.disconnects {
 			return false
 		}
 		m.disconnects++
@@ -177,23 +180,23 @@
 		if m.nearConn != nil && m.nearConn == m.farConn {
 			return false
 		}
-		m.number++
+		m.connectionNumber++
 		p := &connection{}
-		nh, fh := m.near.Hello("n", m.number), m.far.Hello("f", m.number)
-		if m.far.AcceptHello(m.now, &nh, m.number, false) != nil || m.near.AcceptHello(m.now, &fh, m.number, true) != nil {
-			m.fail("hello rejected")
+		nh, fh := m.near.Hello("n", m.connectionNumber), m.far.Hello("f", m.connectionNumber)
+		if m.far.AcceptHello(m.now, &nh, m.connectionNumber, false) != nil || m.near.AcceptHello(m.now, &fh, m.connectionNumber, true) != nil {
+			m.addViolation("hello rejected")
 		}
 		m.nearConn, m.farConn = p, p
 	case serverCommits:
-		for _, j := range m.executions {
-			if !j.committed && !j.reported {
-				j.committed = true
-				m.effects[j.request]++
-				if m.rejected[j.request] {
-					m.fail("request %d was rejected, and took effect", j.request)
+		for _, x := range m.executions {
+			if !x.committed && !x.reported {
+				x.committed = true
+				m.effects[x.request]++
+				if m.rejected[x.request] {
+					m.addViolation("request %d was rejected, and took effect", x.request)
 				}
-				if m.effects[j.request] > 1 {
-					m.fail("request %d took effect twice", j.request)
+				if m.effects[x.request] > 1 {
+					m.addViolation("request %d took effect twice", x.request)
 				}
 				m.pump()
 				return true
@@ -201,17 +204,17 @@
 		}
 		return false
 	case farReceivesResult:
-		for _, j := range m.executions {
-			if j.committed && !j.reported && j.epoch == m.epoch {
-				j.reported = true
-				m.far.ExecutionFinished(m.now, j.execution, Frame{Status: StatusServed, Data: []byte("row")})
+		for _, x := range m.executions {
+			if x.committed && !x.reported && x.epoch == m.epoch {
+				x.reported = true
+				m.far.ExecutionFinished(m.now, x.execution, Frame{Status: StatusServed, Data: []byte("row")})
 				m.pump()
 				return true
 			}
 		}
 		return false
 	case farRestarts:
-		if m.restarts >= most.restarts {
+		if m.restarts >= bounds.restarts {
 			return false
 		}
 		m.restarts++
@@ -230,22 +233,23 @@
 	return true
 }
 
-// finish lets time pass until all requests must have an outcome, and checks that they have.
+// finish lets time pass until every request must have an outcome, and checks that each has exactly one.
 func (m *model) finish() {
 	for range 20 {
 		m.step(timePasses, limits{})
 	}
-	for id := uint64(1); id <= m.next; id++ {
+	for id := uint64(1); id <= m.lastRequest; id++ {
 		if m.finished[id] != 1 {
-			m.fail("request %d ended %d times", id, m.finished[id])
+			m.addViolation("request %d ended %d times", id, m.finished[id])
 		}
 	}
 }
 
-// key distinguishes states as far as what may still happen goes.
-func (m *model) key() string {
+// stateKey returns a key for the state. States with equal keys are treated as equal by explore.
+func (m *model) stateKey() string {
 	var b strings.Builder
-	fmt.Fprint(&b, m.now/(300*ms), m.disconnects, m.restarts, m.next, m.nearConn == nil, m.farConn == nil, m.nearConn == m.farConn, m.effects, m.finished, m.attempts)
+	fmt.Fprint(&b, m.now/(300*ms), m.disconnects, m.restarts, m.lastRequest, m.nearConn == nil, m.farConn == nil, m.nearConn == m.farConn,
+		m.effects, m.finished, m.attempts)
 	for _, p := range []*connection{m.nearConn, m.farConn} {
 		if p != nil {
 			for _, f := range append(append([]Frame{}, p.toFar...), p.toNear...) {
@@ -262,27 +266,29 @@
 			lines = append(lines, fmt.Sprint("r", r.id, r.attemptNumber, r.result == nil))
 		}
 		sort.Strings(lines)
-		fmt.Fprint(&b, s.state, lines, s.execs.forgottenSerial, len(s.unsentResults), len(s.controlFrames))
+		fmt.Fprint(&b, s.state, lines, s.execs.evictedSerial, len(s.unsentResults), len(s.controlFrames))
 	}
-	for _, j := range m.executions {
-		fmt.Fprint(&b, j.request, j.committed, j.reported, j.epoch == m.epoch)
+	for _, x := range m.executions {
+		fmt.Fprint(&b, x.request, x.committed, x.reported, x.epoch == m.epoch)
 	}
 	return b.String()
 }
 
-func replay(path []event, most limits) (*model, bool) {
+// replay performs a sequence of events on a new model. It returns false if one of them is not possible.
+func replay(path []event, bounds limits) (*model, bool) {
 	m := newModel()
 	m.step(sitesConnect, limits{})
 	for _, e := range path {
-		if !m.step(e, most) {
+		if !m.step(e, bounds) {
 			return m, false
 		}
 	}
 	return m, true
 }
 
-// explore tries every order of events up to a depth, from each state once.
-func explore(t *testing.T, depth, maxStates int, most limits) (states int) {
+// explore performs every sequence of events up to a depth, breadth first, and checks the invariants in each state that it reaches.
+// It visits each state once and at most maxStates states.
+func explore(t *testing.T, depth, maxStates int, bounds limits) (states int) {
 	seen := map[string]bool{}
 	level := [][]event{nil}
 	for d := 0; d < depth && len(level) > 0; d++ {
@@ -290,11 +296,11 @@
 		for _, path := range level {
 			for e := range eventCount {
 				to := append(append([]event{}, path...), e)
-				m, ok := replay(to, most)
+				m, ok := replay(to, bounds)
 				if !ok {
 					continue
 				}
-				key := m.key()
+				key := m.stateKey()
 				if seen[key] {
 					continue
 				}
@@ -317,9 +323,9 @@
 	if testing.Short() {
 		maxStates = 5_000
 	}
-	for _, most := range []limits{{1, 2, 1}, {2, 1, 1}, {2, 2, 0}, {3, 1, 0}} {
-		n := explore(t, depth, maxStates, most)
-		t.Logf("%d requests, %d disconnects, %d restarts: %d states", most.requests, most.disconnects, most.restarts, n)
+	for _, bounds := range []limits{{1, 2, 1}, {2, 1, 1}, {2, 2, 0}, {3, 1, 0}} {
+		n := explore(t, depth, maxStates, bounds)
+		t.Logf("%d requests, %d disconnects, %d restarts: %d states", bounds.requests, bounds.disconnects, bounds.restarts, n)
 	}
 }
 
--- a/gateway/receive.go
+++ b/gateway/receive.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Receive handles a frame from the present connection. An error wraps ErrProtocol: the connection must be closed.
+// Receive handles a frame from the present connection. An error wraps ErrProtocol, and the caller must close the connection.
 func (e *Endpoint) Receive(now time.Duration, f *Frame) error {
 	if e.state != Up {
 		return fmt.Errorf("%w: frame of kind %d before the hello", ErrProtocol, f.Kind)
 	}
 	e.conn.lastReceived, e.conn.unconfirmed = now, false
-	if err := e.credit.receive(f.creditCost(), e.set.CreditBytes); err != nil {
+	if err := e.credit.receive(f.creditCost(), e.settings.CreditBytes); err != nil {
 		return err
 	}
 	switch f.Kind {
@@ -31,7 +31,7 @@
 	case FrameNotExecuted:
 		if p := e.outcomeRequestedFor(f); p != nil {
 			e.Counters.ProvenNotExecuted++
-			e.finish(p, Outcome{NotExecuted: true})
+			e.finishForward(p, Outcome{NotExecuted: true})
 		}
 	case FrameCredit:
 		return e.credit.creditReceived(f.CreditBytes)
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// receiveResult ends a request with its result. A result of a request that has ended, or of an earlier attempt, is late
-// and no violation.
+// receiveResult ends a forwarded request with its result. A result for a request that has ended or for an earlier attempt is late;
+// it is counted and is not a protocol violation.
 func (e *Endpoint) receiveResult(now time.Duration, f *Frame) error {
 	p := e.forwards.pending[f.ID]
 	if p == nil || p.AttemptNumber != f.AttemptNumber || p.state != forwardSent && p.state != outcomeRequested {
@@ -58,14 +58,15 @@
 	}
 	e.Counters.Answered++
 	if f.Status == StatusUnknown && f.Code == "" {
-		e.finish(p, Outcome{Elapsed: now - p.sentAt})
+		e.finishForward(p, Outcome{Elapsed: now - p.sentAt})
 		return nil
 	}
-	e.finish(p, Outcome{Result: f, Elapsed: now - p.sentAt, NotExecuted: f.Status == StatusRejected})
+	e.finishForward(p, Outcome{Result: f, Elapsed: now - p.sentAt, NotExecuted: f.Status == StatusRejected})
 	return nil
 }
 
-// outcomeRequestedFor returns the request that the frame names and whose outcome was requested, nil for none.
+// outcomeRequestedFor returns the forwarded request that the frame refers to if its outcome was requested and is not known yet.
+// Otherwise it returns nil.
 func (e *Endpoint) outcomeRequestedFor(f *Frame) *pendingRequest {
 	p := e.forwards.pending[f.ID]
 	if p == nil || p.AttemptNumber != f.AttemptNumber || p.state != outcomeRequested {
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// NextFrame returns the next frame to be written on the present connection; ok is false where there is none, or no
-// credit. Credit goes first, then control frames, results, and requests.
+// NextFrame returns the next frame to be written on the present connection. It is not ok if there is none or the credit is not
+// sufficient. The order of priority is credit, control frames, results, requests.
 func (e *Endpoint) NextFrame(now time.Duration) (f Frame, ok bool) {
 	if e.state != Up {
 		return Frame{}, false
@@ -26,9 +26,9 @@
 	return f, ok
 }
 
-// nextCredit gives the peer credit once a quarter of it is used.
+// nextCredit returns a FrameCredit once more than a quarter of the peer's credit is used.
 func (e *Endpoint) nextCredit() (Frame, bool) {
-	if e.credit.uncredited <= e.set.CreditBytes/4 {
+	if e.credit.uncredited <= e.settings.CreditBytes/4 {
 		return Frame{}, false
 	}
 	f := Frame{Kind: FrameCredit, CreditBytes: e.credit.uncredited}
@@ -36,6 +36,7 @@
 	return f, true
 }
 
+// nextControl returns the next control frame.
 func (e *Endpoint) nextControl() (Frame, bool) {
 	if len(e.controlFrames) == 0 {
 		return Frame{}, false
@@ -45,16 +46,17 @@
 	return f, true
 }
 
+// nextResult returns the next result for the peer, if the credit is sufficient.
 func (e *Endpoint) nextResult(now time.Duration) (Frame, bool) {
 	for len(e.unsentResults) > 0 {
 		x := e.unsentResults[0]
-		if x.result == nil || e.execs.byRequest[x.requestKey] != x { // executed again, or evicted meanwhile
+		if x.result == nil || e.execs.byRequest[x.requestKey] != x { // the request is executed again, or the result was evicted
 			e.unsentResults = e.unsentResults[1:]
 			continue
 		}
 		f := *x.result
 		f.AttemptNumber = x.attemptNumber
-		f.Age += now - x.finishedAt // it grew older while it was retained
+		f.Age += now - x.finishedAt // the data aged while the result was retained
 		if !e.credit.allows(f.creditCost()) {
 			return Frame{}, false
 		}
@@ -65,7 +67,8 @@
 	return Frame{}, false
 }
 
-// nextForward returns the next request of ours. None is sent before the peer is known to receive.
+// nextForward returns the next forwarded request, if the credit is sufficient. No request is sent before a frame has confirmed that
+// the peer receives on this connection. A request whose deadline has passed ends as not executed.
 func (e *Endpoint) nextForward(now time.Duration) (Frame, bool) {
 	if e.conn.unconfirmed {
 		return Frame{}, false
@@ -78,7 +81,7 @@
 		}
 		e.forwards.dequeue(p)
 		if f.Timeout <= 0 {
-			e.finish(p, Outcome{NotExecuted: true})
+			e.finishForward(p, Outcome{NotExecuted: true})
 			continue
 		}
 		e.forwards.lastSerial++
