--- a/gateway/config.go
+++ b/gateway/config.go
@@ -66,7 +66,7 @@
 	readText(forms["trust"], &c.TrustFile)
 	if (c.Address == "") == (c.Listen == "") {
 		peer.Errorf(peer.Position, "(address \"HOST:PORT\") at one site, (listen \"HOST:PORT\") at the other",
-			"the peer form needs either address or listen")
+			"the peer form needs exactly one of address and listen")
 	}
 	c.readGroups(forms["groups"])
 	c.checkKeys(peer, forms["plain"])
@@ -76,6 +76,7 @@
 	}
 }
 
+// readGroups reads the group numbers of the subform groups.
 func (c *Config) readGroups(f *config.Form) {
 	if f == nil {
 		return
@@ -125,6 +126,7 @@
 	}
 }
 
+// readText stores the value of a subform in to, if the subform is present.
 func readText(f *config.Form, to *string) {
 	if f != nil {
 		v, _ := f.Value()
@@ -132,6 +134,7 @@
 	}
 }
 
+// readDuration stores the duration of a subform in to, if the subform is present.
 func readDuration(f *config.Form, to *time.Duration) {
 	if f != nil {
 		*to = f.Duration()
--- a/gateway/connection.go
+++ b/gateway/connection.go
@@ -45,7 +45,7 @@
 	return &HelloError{Reason: fmt.Sprintf(format, args...), Err: ErrProtocol}
 }
 
-// peerConnection is the state of the present connection to the peer, or of the last one if the link is down.
+// peerConnection is the state of the current connection to the peer, or of the last one if the link is down.
 type peerConnection struct {
 	number       uint64
 	peerEpoch    uint64
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// flowControl is the state of the flow control on the present connection, in bytes of credit (see Frame.creditCost). Each side
+// flowControl is the state of the flow control on the current connection, in bytes of credit (see Frame.creditCost). Each side
 // grants credit to the other.
 type flowControl struct {
 	sendWindow    int64 // limit of bytesInFlight, which the peer set in its hello
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// ConnectionLost handles the end of the present connection. The outcome of requests that were sent is unknown; requests that
+// ConnectionLost handles the end of the current connection. The outcome of requests that were sent is unknown; requests that
 // were not sent are not executed. It does nothing if the link is not up.
 func (e *Endpoint) ConnectionLost(now time.Duration) {
 	if e.state != Up {
--- a/gateway/execution.go
+++ b/gateway/execution.go
@@ -38,7 +38,7 @@
 	running       map[uint64]*execution // by number
 	retained      []*execution          // finished executions, oldest first
 	retainedBytes int64                 // sum over retained
-	evictedSerial uint64                // highest serial of the peer's present epoch whose outcome was evicted
+	evictedSerial uint64                // highest serial of the peer's current epoch whose outcome was evicted
 }
 
 func newExecutionTable() executionTable {
@@ -72,7 +72,7 @@
 }
 
 // evictExpired removes outcomes that were retained for longer than the given time. It records the highest evicted serial of the
-// peer's present epoch: no request up to this serial may be reported as not executed.
+// peer's current epoch: no request up to this serial may be reported as not executed.
 func (t *executionTable) evictExpired(now, retention time.Duration, peerEpoch uint64) {
 	n := 0
 	for n < len(t.retained) && now-t.retained[n].finishedAt > retention {
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -32,9 +32,9 @@
 
 const (
 	forwardQueued    forwardState = iota // not sent yet
-	forwardSent                          // sent over the present connection
+	forwardSent                          // sent over the current connection
 	outcomeUnknown                       // sent over a connection that was lost
-	outcomeRequested                     // sent over a lost connection; its outcome was requested on the present one
+	outcomeRequested                     // sent over a lost connection; its outcome was requested on the current one
 )
 
 // pendingRequest is a forwarded request that has no outcome yet.
@@ -137,7 +137,7 @@
 	e.forwards.remove(p)
 }
 
-// sendCancel queues a FrameCancel for a request if the peer may have received it on the present connection.
+// sendCancel queues a FrameCancel for a request if the peer may have received it on the current connection.
 func (e *Endpoint) sendCancel(p *pendingRequest) {
 	if p.state == forwardSent || p.state == outcomeRequested {
 		e.queueControl(Frame{Kind: FrameCancel, ID: p.ID, AttemptNumber: p.AttemptNumber})
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -102,5 +102,5 @@
 	return nil
 }
 
-// queueControl queues a frame without data for the present connection.
+// queueControl queues a frame without data for the current connection.
 func (e *Endpoint) queueControl(f Frame) { e.controlFrames = append(e.controlFrames, f) }
--- a/gateway/link/connection.go
+++ b/gateway/link/connection.go
@@ -117,7 +117,7 @@
 	return t, nil
 }
 
-// connectionEnded handles the end of a connection. If it was the present one, the link is down.
+// connectionEnded handles the end of a connection. If it was the current one, the link is down.
 func (l *Link) connectionEnded(c net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,7 +129,7 @@
 	l.changed.Broadcast()
 }
 
-// exchangeHellos sends this instance's hello and makes the connection the present one if the peer's hello is accepted. The side that
+// exchangeHellos sends this instance's hello and makes the connection the current one if the peer's hello is accepted. The side that
 // dialed sends its hello first and numbers the connection.
 func (l *Link) exchangeHellos(c net.Conn, k *Codec) (number uint64, err error) {
 	dialed := l.listener == nil
@@ -169,7 +169,7 @@
 	return number, nil
 }
 
-// acceptHello makes the connection the present one if the endpoint accepts the hello, and closes the previous one. From then on no
+// acceptHello makes the connection the current one if the endpoint accepts the hello, and closes the previous one. From then on no
 // frame of the previous connection is accepted (see receive).
 func (l *Link) acceptHello(c net.Conn, h *gateway.Frame, number uint64) error {
 	l.mu.Lock()
--- a/gateway/link/errors_test.go
+++ b/gateway/link/errors_test.go
@@ -82,7 +82,7 @@
 		readToEnd(k)
 	})
 	assert.Error(t, err)
-	assert.True(t, l.Up(), "the newer connection is the present one")
+	assert.True(t, l.Up(), "the newer connection is the current one")
 }
 
 func TestFrameOfAReplacedConnectionIsDiscarded(t *testing.T) {
--- a/gateway/link/frames.go
+++ b/gateway/link/frames.go
@@ -9,9 +9,9 @@
 	"dapplerouter/gateway"
 )
 
-// This file reads and writes the frames of the present connection.
+// This file reads and writes the frames of the current connection.
 
-const writeBatch = 64 << 10 // approximate number of bytes after which no more frames are added to one write
+const writeBatch = 64 << 10 // bytes after which no more frames are added to one write
 
 // readFrames passes frames to the endpoint and starts the peer's requests, until the connection ends or is replaced. It returns the
 // reason.
@@ -45,7 +45,7 @@
 	return l.collectOutcomes(), nil
 }
 
-// writeFrames writes the frames of the endpoint in batches, as long as the connection is the present one.
+// writeFrames writes the frames of the endpoint in batches, as long as the connection is the current one.
 func (l *Link) writeFrames(c net.Conn, k *Codec) {
 	for l.awaitFrames(c, k) {
 		_ = c.SetWriteDeadline(time.Now().Add(l.opts.Settings.PeerTimeout)) // fails only on a closed connection; then Flush fails too
@@ -57,7 +57,7 @@
 }
 
 // awaitFrames waits until there are frames to be written and encodes them. It returns false if the connection is no longer the
-// present one or the link is closed.
+// current one or the link is closed.
 func (l *Link) awaitFrames(c net.Conn, k *Codec) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/gateway/link/link.go
+++ b/gateway/link/link.go
@@ -42,7 +42,7 @@
 
 	mu               sync.Mutex // guards the fields up to changed
 	endpoint         *gateway.Endpoint
-	conn             net.Conn                  // the present connection: the one whose hello was accepted last; nil for none
+	conn             net.Conn                  // the current connection: the one whose hello was accepted last; nil for none
 	connectionNumber uint64                    // of the connection that was dialed last
 	attempts         map[uint64]*front.Attempt // forwarded attempts without an outcome, by request ID
 	finished         []*front.AttemptFinished  // to be passed to the front by notifyFront
@@ -97,7 +97,7 @@
 	l.goroutines.Wait()
 }
 
-// dropConnection closes the present connection, which makes its reader return. The caller must hold the mutex.
+// dropConnection closes the current connection, which makes its reader return. The caller must hold the mutex.
 func (l *Link) dropConnection() {
 	if l.conn != nil {
 		_ = l.conn.Close() // the reader gets an error
--- a/gateway/link/peer_test.go
+++ b/gateway/link/peer_test.go
@@ -21,7 +21,8 @@
 func (s wallClock) SetTimer(time.Duration)   {}
 func (s wallClock) TimerC() <-chan time.Time { return nil }
 
-// listening starts a link that a scripted peer dials; posted returns the events passed to its front.
+// startListeningLink starts a link that listens, so that a scripted peer can dial it. posted returns the events that were passed to
+// the front.
 func startListeningLink(t *testing.T) (l *Link, posted func() []front.Event) {
 	var mu sync.Mutex
 	var all []front.Event
--- a/gateway/model_test.go
+++ b/gateway/model_test.go
@@ -33,14 +33,14 @@
 type model struct {
 	now               time.Duration
 	near, far         *Endpoint
-	nearConn, farConn *connection // the connection that each instance regards as the present one
+	nearConn, farConn *connection // the connection that each instance regards as the current one
 	connectionNumber  uint64
 	epoch             uint64
 	executions        []*serverExecution
 	effects           map[uint64]int    // by request: number of commits
 	finished          map[uint64]int    // by request: number of final outcomes
 	rejected          map[uint64]bool   // by request: it finally ended as not executed
-	attempts          map[uint64]uint32 // by request: number of its present attempt
+	attempts          map[uint64]uint32 // by request: number of its current attempt
 	lastRequest       uint64
 	disconnects       int
 	restarts          int
@@ -109,7 +109,7 @@
 	}
 }
 
-// request returns the present attempt of a request.
+// request returns the current attempt of a request.
 func (m *model) request(id uint64) ForwardedRequest {
 	return ForwardedRequest{ID: id, AttemptNumber: m.attempts[id], Group: int64(id % 2), Deadline: m.now + 3*time.Second, MaxAttempts: 1, Write: true,
 		Message: []byte{byte(id)}}
@@ -135,7 +135,7 @@
 // limits bound the number of requests, lost connections and restarts.
 type limits struct{ requests, disconnects, restarts int }
 
-// step performs an event. It returns false if the event is not possible in the present state or exceeds the bounds.
+// step performs an event. It returns false if the event is not possible in the current state or exceeds the bounds.
 func (m *model) step(e event, bounds limits) bool {
 	switch e {
 	case requestArrives:
--- a/gateway/receive.go
+++ b/gateway/receive.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Receive handles a frame from the present connection. An error wraps ErrProtocol, and the caller must close the connection.
+// Receive handles a frame from the current connection. An error wraps ErrProtocol, and the caller must close the connection.
 func (e *Endpoint) Receive(now time.Duration, f *Frame) error {
 	if e.state != Up {
 		return fmt.Errorf("%w: frame of kind %d before the hello", ErrProtocol, f.Kind)
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// NextFrame returns the next frame to be written on the present connection. It is not ok if there is none or the credit is not
+// NextFrame returns the next frame to be written on the current connection. It is not ok if there is none or the credit is not
 // sufficient. The order of priority is credit, control frames, results, requests.
 func (e *Endpoint) NextFrame(now time.Duration) (f Frame, ok bool) {
 	if e.state != Up {
--- a/sqlclass/classifier.go
+++ b/sqlclass/classifier.go
@@ -164,7 +164,7 @@
 	return w.analyzer.classify(text, c.lists)
 }
 
-// Stats are the counters of a Classifier since it was made, and the present size of its cache. Collisions counts the
+// Stats are the counters of a Classifier since it was made, and the current size of its cache. Collisions counts the
 // lookups that found the entry of another normal form with the same checksum. TooLong counts the normal forms that were
 // too long to be cached.
 type Stats struct {
--- a/sqlclass/rowestimate.go
+++ b/sqlclass/rowestimate.go
@@ -35,7 +35,7 @@
 	open          bool // the block has begun and has not ended
 	changesData   bool // the block changes data
 	inserts       bool // the block is an INSERT
-	hasFrom       bool
+	hasFrom       bool // has a FROM clause, or is a TABLE statement
 	hasWhere      bool
 	hasEquality   bool // has a condition by equality with a literal
 	hasInList     bool // has a condition with IN and a list
@@ -44,7 +44,7 @@
 	hasDistinct   bool
 	hasLimit      bool
 	hasAggregate  bool
-	inCondition   bool // the present position is in a WHERE or ON clause
+	inCondition   bool // the current position is in a WHERE or ON clause
 	tables, joins int
 }
 
@@ -117,7 +117,7 @@
 		cost += 5 + found
 		e.perListItem += 0.5
 	}
-	if b.hasLimit && !b.readsAll() {
+	if b.hasLimit && !b.ignoresLimit() {
 		e.limitApplies = true
 	}
 	e.rows += cost
@@ -138,8 +138,8 @@
 	return touched, touched
 }
 
-// readsAll reports whether a LIMIT does not reduce the rows touched: the block needs all its rows before it returns the first,
-// or touches only a few rows in any case.
-func (b *queryBlock) readsAll() bool {
+// ignoresLimit reports whether a LIMIT does not reduce the number of rows touched. Either the block needs all its rows
+// before it returns the first, or it touches only a few rows in any case.
+func (b *queryBlock) ignoresLimit() bool {
 	return b.hasOrderBy || b.hasGroupBy || b.hasAggregate || b.hasDistinct || b.hasEquality || b.hasInList
 }
--- a/sqlclass/scanner.go
+++ b/sqlclass/scanner.go
@@ -29,7 +29,7 @@
 	Start, End     int
 }
 
-// SyntaxError is the reason why a text cannot be split into tokens.
+// SyntaxError is the reason why a text cannot be split into tokens or is not valid UTF-8.
 type SyntaxError struct {
 	Code    string // the SQLSTATE that PostgreSQL returns for this error
 	Message string
@@ -146,7 +146,7 @@
 	return low
 }
 
-// peek returns the byte at distance n from the present position, or 0 after the end of the text.
+// peek returns the byte at distance n from the current position, or 0 after the end of the text.
 func (s *Scanner) peek(n int) byte {
 	if s.pos+n < len(s.text) {
 		return s.text[s.pos+n]
@@ -277,7 +277,7 @@
 	return Token{Kind: Word, Start: from, End: i}
 }
 
-// scanString reads a string literal whose quote is at the present position; its token begins at from. PostgreSQL joins
+// scanString reads a string literal whose quote is at the current position; its token begins at from. PostgreSQL joins
 // literals that are separated by a line end; these are one token. escapes says that the literal has backslash escapes.
 func (s *Scanner) scanString(from int, escapes bool) Token {
 	t := Token{Kind: StringLiteral, Start: from}
