--- a/fleet/rollout/action.go
+++ b/fleet/rollout/action.go
@@ -6,45 +6,45 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Outcome is what became of an Action.
+// Outcome is the stored result of an Action.
 type Outcome struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
 
 	ID             uint64
-	RejectedReason string // "" where it was accepted
+	RejectedReason string // "" if the action was accepted
 }
 
-// Action is an operator's request, sent to the leaseholder repeatedly until its outcome is in the state.
+// Action is an operator's request. The front at which it was made sends it to the leaseholder repeatedly until the State has its Outcome.
 type Action struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
 
 	ID              uint64
 	Type            uint8
-	Base            uint64 // the version that the operator saw in force; an outdated one is rejected
+	Base            uint64 // version in force that the operator saw; the action is rejected if it is outdated
 	Text            []byte
 	RulesHash       string
-	Stages          []uint16      // in thousandths of the fleet, rising to 1000
-	ObservationTime time.Duration // as in State
-	Mandatory       bool          // as in State
-	MaxFenced       uint16        // as in State
-	Reason          string        // the operator's, "" for none
-
-	// Since a later program; an action that has none of them is encoded without.
-	InForceWithin time.Duration // by which it has to be in force everywhere; 0 for the form's time, or none
-	OnUndecided   uint8         // with a time: what a stage does whose analysis did not decide
+	Stages          []uint16      // share of the fleet at each stage, in thousandths, increasing to 1000
+	ObservationTime time.Duration // see State
+	Mandatory       bool          // see State
+	MaxFenced       uint16        // see State
+	Reason          string        // given by the operator, "" for none
+
+	// Fields that older programs do not have. An action in which all of them are zero is encoded without them.
+	InForceWithin time.Duration // time within which the version has to be in force at all fronts; 0 for the form's time, or none
+	OnUndecided   uint8         // with a deadline: what follows a stage whose canary analysis did not decide
 }
 
-// What a stage does whose canary analysis did not decide in its share of the time.
+// What follows a stage whose canary analysis did not decide within the stage's share of the time.
 const (
-	UndecidedContinue uint8 = iota // the next stage
-	UndecidedPause                 // it waits for an operator, and the time is missed
+	UndecidedContinue uint8 = iota // the next stage opens
+	UndecidedPause                 // the rollout pauses until an operator resumes it, and its deadline is missed
 	UndecidedRollBack              // the version is rolled back
 )
 
-// actionOfBefore is an Action as older programs encode and decode it.
-type actionOfBefore struct {
+// legacyAction is an Action as older programs encode and decode it, without InForceWithin and OnUndecided.
+type legacyAction struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
 
@@ -60,7 +60,7 @@
 	Reason          string
 }
 
-// DecodeMsgpack decodes an Action of this or another version of the program.
+// DecodeMsgpack decodes an Action that was encoded by this or another version of the program.
 func (action *Action) DecodeMsgpack(d *msgpack.Decoder) error {
 	return decodeLenient(d, &action.ID, &action.Type, &action.Base, &action.Text, &action.RulesHash, &action.Stages, &action.ObservationTime,
 		&action.Mandatory, &action.MaxFenced, &action.Reason, &action.InForceWithin, &action.OnUndecided)
@@ -68,21 +68,21 @@
 
 // Types of an Action.
 const (
-	ActionPublish  uint8 = iota // roll a new version out
-	ActionRollBack              // roll the version on its way back
-	ActionPause                 // stop at the open stage
-	ActionResume                // go on
+	ActionPublish  uint8 = iota // start the rollout of a new version
+	ActionRollBack              // roll back the version that is being rolled out
+	ActionPause                 // pause the rollout at the open stage
+	ActionResume                // continue a paused rollout
 )
 
-// maxStages is the most stages of an action.
+// maxStages is the maximum number of stages of an action.
 const maxStages = 64
 
-// Encode encodes an action for a datagram.
+// Encode encodes the action for a datagram. An action without a deadline is encoded as in older programs.
 func (action Action) Encode() []byte {
 	if action.InForceWithin != 0 || action.OnUndecided != 0 {
 		return encode(&action)
 	}
-	return encode(&actionOfBefore{
+	return encode(&legacyAction{
 		ID:              action.ID,
 		Type:            action.Type,
 		Base:            action.Base,
@@ -96,14 +96,14 @@
 	})
 }
 
-// DecodeAction decodes an action; ok is false where it is malformed or a value is out of range.
+// DecodeAction decodes an action. ok is false if it is malformed or a value is out of range.
 func DecodeAction(data []byte) (action Action, ok bool) {
 	err := msgpack.Unmarshal(data, &action)
 	return action, err == nil && action.ID != 0 && action.Type <= ActionResume && len(action.Text) <= MaxTextBytes && len(action.Stages) <= maxStages &&
 		action.InForceWithin >= 0 && action.OnUndecided <= UndecidedRollBack
 }
 
-// Outcome returns why an action was rejected, "" where it was accepted; ok is false where its outcome is not known.
+// Outcome returns why an action was rejected, or "" if it was accepted. ok is false if the state has no outcome of the action.
 func (s *State) Outcome(id uint64) (rejectedReason string, ok bool) {
 	for _, o := range s.Outcomes {
 		if o.ID == id {
@@ -113,7 +113,8 @@
 	return "", false
 }
 
-// decodeLenient decodes an array of fields, of which other programs may send more or fewer.
+// decodeLenient decodes an array into fields. Programs of other versions may send more or fewer elements: surplus elements are skipped,
+// and fields without an element keep their values.
 func decodeLenient(decoder *msgpack.Decoder, fields ...any) error {
 	n, err := decoder.DecodeArrayLen()
 	if err != nil {
--- a/fleet/rollout/action_test.go
+++ b/fleet/rollout/action_test.go
@@ -9,10 +9,11 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// The encoded form of an action without a time is that of older programs, and either reads the other's.
+// Guards against a change of the encoding that older programs can't read. An action without a deadline is encoded as older programs do,
+// and each program reads the other's encoding.
 func TestActionsOfOlderAndNewerPrograms(t *testing.T) {
 	action := Action{ID: 5, Type: ActionPublish, Base: 2, Text: []byte("(rules)"), RulesHash: "m", Stages: []uint16{1000}, ObservationTime: time.Second, Mandatory: true, MaxFenced: 200, Reason: "w"}
-	var old actionOfBefore
+	var old legacyAction
 	require.NoError(t, msgpack.Unmarshal(action.Encode(), &old))
 	assert.Equal(t, action.Stages, old.Stages)
 	assert.Equal(t, action.Reason, old.Reason)
--- a/fleet/rollout/adopter.go
+++ b/fleet/rollout/adopter.go
@@ -10,12 +10,12 @@
 type Options struct {
 	Name               string
 	Timing             fleet.Timing
-	ConfigLease        time.Duration // as the node's
-	StopWhenIsolated   bool          // while isolated it serves only until its configuration lease expires; else it keeps the version that it has
+	ConfigLease        time.Duration // duration of configuration leases, as in the node's options
+	StopWhenIsolated   bool          // the front stops when it is isolated and its configuration lease has expired; else it keeps serving its version
 	InForceWithin      time.Duration // for versions that are published without a time; 0 for none
-	Rules              RuleSet       // to merge publications that are queued; nil where none may
-	InitialVersion     uint64        // the version to start with: the one used last, 0 for the front's own file
-	UnconfirmedVersion uint64        // a version during whose adoption the last process ended, 0 for none
+	Rules              RuleSet       // merges queued publications; nil disables the queue
+	InitialVersion     uint64        // the version that was used last; 0 for the rules in the front's own file
+	UnconfirmedVersion uint64        // the version that the last process was adopting when it ended; 0 for none
 }
 
 // Adopter decides which version its front uses, and until when it may.
@@ -26,16 +26,17 @@
 	rejected       uint64
 	rejectedReason string
 
-	adopting bool          // a version is being adopted
-	retryAt  time.Duration // when a rejected version that all others use is tried again
+	adopting bool          // Adopted or Reject is still to follow for an Adoption
+	retryAt  time.Duration // when a rejected version that is in force may be tried again
 
 	started       bool
 	startedAt     time.Duration
-	reachedFleet  bool          // once since the start
-	isolatedUntil time.Duration // until when the front may go on while isolated
+	reachedFleet  bool          // the front was not isolated at some time since its start
+	isolatedUntil time.Duration // until when the front may serve without a configuration lease because it is isolated
 }
 
-// NewAdopter makes an Adopter.
+// NewAdopter makes an Adopter. A version that the last process was adopting when it ended counts as rejected, so that a front that
+// crashed on it does not try it again.
 func NewAdopter(o Options) *Adopter {
 	a := &Adopter{options: o, active: o.InitialVersion}
 	if o.UnconfirmedVersion != 0 && o.UnconfirmedVersion != o.InitialVersion {
@@ -44,19 +45,19 @@
 	return a
 }
 
-// Adoption is a version to adopt, which the front may use until Until; Adopted or Reject must follow. Text is nil for the front's
-// own file.
+// Adoption is a version that the front should adopt. The front may use it until Until. The host answers with Adopter.Adopted or
+// Adopter.Reject. Text is nil for the rules in the front's own file.
 type Adoption struct {
 	Version uint64
 	Text    []byte
 	Until   time.Duration
 }
 
-// Active is the version that the front uses.
+// Active returns the version that the front uses.
 func (a *Adopter) Active() uint64 { return a.active }
 
-// Step follows the replicated state. It returns a version to adopt, nil for none, and until when the front may use its present
-// version, on its clock; a time that is past means that it may not.
+// Step follows the replicated state. It returns a version to adopt, or nil, and the time until which the front may use its present
+// version, on the front's clock. If that time has passed, the front may not use the version.
 func (a *Adopter) Step(now time.Duration, n *fleet.Node) (adopt *Adoption, until time.Duration) {
 	if !a.started {
 		a.started, a.startedAt = true, now
@@ -69,13 +70,13 @@
 	return adopt, a.usableUntil(now, n, s)
 }
 
-// nextAdoption returns a version to adopt, nil for none. A version is adopted only with a configuration lease on it: a front with an
-// outdated state, such as a voter that has just started, is refused the lease on a version that must not be used.
+// nextAdoption returns a version to adopt, or nil. A version is adopted only with a configuration lease on it. A front whose replicated
+// state is outdated, such as a voter that has just started, does not get a lease on a version that must not be used any more.
 func (a *Adopter) nextAdoption(now time.Duration, n *fleet.Node, s State) *Adoption {
 	r := n.State()
 	wanted := s.VersionFor(a.options.Name)
 	if allowed, index := r.AllowedVersions(); wanted == a.rejected && index != 0 && !allowed.Allows(a.active) {
-		wanted = s.Base // it can use neither: with the one in force it serves, and an operator can roll the rejected one back
+		wanted = s.Base // both are unusable: the one in force lets it serve until an operator rolls back the rejected one
 	}
 	if wanted == a.active || a.adopting {
 		return nil
@@ -96,20 +97,20 @@
 	return &Adoption{wanted, text, until}
 }
 
-// usableUntil returns until when the front may use its present version.
+// usableUntil returns the time until which the front may use its present version.
 func (a *Adopter) usableUntil(now time.Duration, n *fleet.Node, s State) time.Duration {
 	if a.servesIsolated(now, n, s) {
 		a.isolatedUntil = now + a.options.Timing.LeaseDuration
 	}
 	until := max(n.ConfigLeaseExpiry(a.active), a.isolatedUntil)
 	if allowed, index := n.State().AllowedVersions(); index != 0 && !allowed.Allows(a.active) {
-		until = min(until, now) // the fleet itself ruled it out: no need to wait for the lease to expire
+		until = min(until, now) // the fleet disallowed it: do not wait for the lease to expire
 	}
 	return until
 }
 
-// servesIsolated reports whether the front keeps serving while isolated, unless it knows of a mandatory version that is being rolled
-// out.
+// servesIsolated reports whether the front is isolated and keeps serving. A front that knows that a mandatory version is being rolled
+// out, and does not use it, does not keep serving.
 func (a *Adopter) servesIsolated(now time.Duration, n *fleet.Node, s State) bool {
 	if !n.Isolated() || a.options.StopWhenIsolated {
 		return false
@@ -120,20 +121,20 @@
 	return a.reachedFleet || now-a.startedAt > a.options.Timing.LeaseDuration
 }
 
-// Adopted reports that the front takes new requests on a version from now on; at is its wall clock in Unix microseconds.
+// Adopted records that the front accepts new requests on a version from now on. at is the front's wall clock in Unix microseconds.
 func (a *Adopter) Adopted(version uint64, at int64) {
 	a.active, a.adoptedAt, a.adopting = version, at, false
-	if a.rejected <= version { // superseded
+	if a.rejected <= version { // an older rejection is of no interest any more
 		a.rejected, a.rejectedReason = 0, ""
 	}
 }
 
-// Reject reports that the front can't use a version.
+// Reject records that the front can't use a version.
 func (a *Adopter) Reject(version uint64, reason string) {
 	a.rejected, a.rejectedReason, a.adopting = version, reason, false
 }
 
-// Report returns the front's digest; counts are by request type, on the version that it uses.
+// Report returns the front's report. counts are by request type, for the version that the front uses.
 func (a *Adopter) Report(typesChecksum uint32, counts []Counts) Report {
 	return Report{
 		AdoptedAt:       a.adoptedAt,
--- a/fleet/rollout/bounded_fronts.go
+++ b/fleet/rollout/bounded_fronts.go
@@ -10,33 +10,38 @@
 	"dapplerouter/fleet"
 )
 
-// boundedKey is the key of the bounded fronts, beside the state. Programs that do not know it run a rollout without its time.
-const boundedKey = "roll/bounded"
+// fenceableKey is the key under which the set of fenceable fronts is stored, beside the state. Programs that do not know the key run a
+// rollout without its deadline.
+const fenceableKey = "roll/bounded"
 
-// boundedFronts is the stored set of fronts that are known to stop at the end of their configuration lease, as sorted hashes of name
-// and incarnation. A leader that was elected since then knows it without a report of theirs.
-type boundedFronts []uint64
+// fenceableFronts is the stored set of fenceable fronts, as sorted hashes of name and incarnation. A front is fenceable if it is known to
+// stop serving when its configuration lease expires. The set tells a newly elected leader about fronts whose reports it has not received.
+type fenceableFronts []uint64
 
-func readBounded(r *fleet.ReplicatedState) (all boundedFronts) {
-	if e := r.Values[boundedKey]; e != nil && msgpack.Unmarshal(e.Value, &all) != nil {
+// readFenceableFronts returns the stored set. It is empty if none is stored or the stored one can't be decoded.
+func readFenceableFronts(r *fleet.ReplicatedState) (all fenceableFronts) {
+	if e := r.Values[fenceableKey]; e != nil && msgpack.Unmarshal(e.Value, &all) != nil {
 		return nil
 	}
 	return all
 }
 
-func boundedHash(name string, incarnation uint64) uint64 {
+// frontHash returns the hash of one process of a front, as stored in fenceableFronts.
+func frontHash(name string, incarnation uint64) uint64 {
 	h := fnv.New64a()
 	_, _ = fmt.Fprintf(h, "%s/%d", name, incarnation) // a hash's Write returns no error
 	return h.Sum64()
 }
 
-func (all boundedFronts) has(name string, incarnation uint64) bool {
-	_, ok := slices.BinarySearch(all, boundedHash(name, incarnation))
+// has reports whether the set contains a front with this incarnation.
+func (all fenceableFronts) has(name string, incarnation uint64) bool {
+	_, ok := slices.BinarySearch(all, frontHash(name, incarnation))
 	return ok
 }
 
-// isBounded reports whether a front is known to stop at the end of its configuration lease.
-func (c *Controller) isBounded(r *fleet.ReplicatedState, name string, stored boundedFronts) bool {
+// isFenceable reports whether a front is known to stop serving when its configuration lease expires: by its latest report, or by the
+// stored set if there is no report of its present process.
+func (c *Controller) isFenceable(r *fleet.ReplicatedState, name string, stored fenceableFronts) bool {
 	front := r.Fronts[name]
 	if t, ok := c.reports.latest[name]; ok && t.Incarnation == front.Incarnation {
 		if report, ok := DecodeReport(t.Data); ok {
@@ -46,15 +51,15 @@
 	return stored.has(name, front.Incarnation)
 }
 
-// boundedWrite stores the fronts that are known to be bounded.
-func (c *Controller) boundedWrite(r *fleet.ReplicatedState) valueWrite {
-	stored := readBounded(r)
-	all := boundedFronts{}
+// fenceableWrite returns the write that stores the set of fenceable fronts.
+func (c *Controller) fenceableWrite(r *fleet.ReplicatedState) valueWrite {
+	stored := readFenceableFronts(r)
+	all := fenceableFronts{}
 	for _, name := range sortedFronts(r) {
-		if c.isBounded(r, name, stored) {
-			all = append(all, boundedHash(name, r.Fronts[name].Incarnation))
+		if c.isFenceable(r, name, stored) {
+			all = append(all, frontHash(name, r.Fronts[name].Incarnation))
 		}
 	}
 	slices.Sort(all)
-	return valueWrite{boundedKey, encode(all)}
+	return valueWrite{fenceableKey, encode(all)}
 }
--- a/fleet/rollout/canary_analysis.go
+++ b/fleet/rollout/canary_analysis.go
@@ -5,38 +5,39 @@
 	"math"
 )
 
-// A CanaryAnalysis decides whether fronts on a new version fail more often than those on the old one at the same time. It is Wald's
-// sequential test on pairs: in each interval the failures (requests that were answered and did not succeed) of both sides are compared.
-// Given how many there were in all, and how many requests each side answered, a failure falls to the new side with probability
-// p = n1/(n1+n0) where both serve alike, and with p' = odds*n1/(odds*n1+n0) where the new one fails odds times as often. So a
-// bad minute of the servers, a burst or a quiet night affect both sides alike and cancel out. It is done for each request type
-// and for all together, against a version that fails twice and one that fails eight times as often: the first finds small
-// harm in the end, the second finds great harm at once.
+// CanaryAnalysis decides whether fronts on a new version fail more often than fronts on the old version at the same time. It is Wald's
+// sequential probability ratio test on pairs: in each interval it compares the failures of both sides. A failure is a request that was
+// answered and did not succeed. Given the total number of failures, and the numbers n1 and n0 of requests that the new and the old side
+// answered, a failure falls to the new side with probability n1/(n1+n0) if both versions fail equally often. If the new version fails
+// odds times as often, the probability is odds*n1/(odds*n1+n0). Conditions that affect both sides, such as a bad minute of the servers, a
+// burst or a quiet night, cancel out. The test is done for each request type and for all types together, each against a version that
+// fails twice as often and one that fails eight times as often. The first finds small regressions after some time, the second finds large
+// ones at once.
 //
-// Errors: a version that serves alike is called worse with probability alpha over all these tests together, as often as the verdict
-// is read; one that fails twice as often is called alike with probability beta, where a test comes to that verdict at all. Where
-// failures are common the counts vary less than the model assumes, which errs to the careful side.
+// Error rates: a version that fails as often as the old one is found worse with probability alpha, over all these tests together and
+// however often the verdict is read. A version that fails twice as often is found alike with probability beta, if a test comes to that
+// verdict at all. If failures are common, the counts vary less than the model assumes, and the errors are on the safe side.
 type CanaryAnalysis struct {
-	tests []sequentialTest // of all types together, then of each
+	tests []sequentialTest // the first is for all types together, the others are for each type
 }
 
-// sequentialTest is the test of one set of request types, against each of the odds.
+// sequentialTest is the test of one set of request types against each of the odds.
 type sequentialTest struct {
-	logLikelihood [len(odds)]float64 // logarithms of the likelihood ratios
+	logLikelihood [len(odds)]float64 // logarithm of the likelihood ratio for each of the odds
 	failures      [2]uint64          // by side
 	finished      [2]uint64          // by side
 }
 
-// Error rates, as in the description of CanaryAnalysis.
+// Error rates; see CanaryAnalysis.
 const (
 	alpha = 0.01
 	beta  = 0.01
 )
 
-// odds are how many times as often a worse version fails.
+// odds are the ratios of failure rates that the tests look for.
 var odds = [...]float64{2, 8}
 
-// add adds an interval's counts by type, of the new side and of the old.
+// add adds the counts of one interval, by request type. Both sides list the same types.
 func (a *CanaryAnalysis) add(newCounts, oldCounts []Counts) {
 	var newTotal, oldTotal Counts
 	for i := range newCounts {
@@ -52,6 +53,7 @@
 	}
 }
 
+// add adds the counts of one interval. An interval in which a side answered nothing does not change the likelihood ratios.
 func (t *sequentialTest) add(newCounts, oldCounts Counts) {
 	for side, counts := range [...]Counts{newSide: newCounts, oldSide: oldCounts} {
 		t.failures[side] += counts.failures()
@@ -74,19 +76,20 @@
 
 // Verdicts of a CanaryAnalysis.
 const (
-	Undecided Verdict = iota // not enough was seen
-	Alike                    // both versions fail alike
+	Undecided Verdict = iota // the evidence is not sufficient
+	Alike                    // both versions fail equally often
 	Worse                    // the new version fails more often
 )
 
-// thresholds returns the logarithms at which a test decides: worse from the upper one, alike below the lower. The error rate is divided
-// among all tests.
+// thresholds returns the logarithms of the likelihood ratio at which a test decides: Worse at the upper one or above, Alike at the lower
+// one or below. The error rate alpha is divided among all tests.
 func (a *CanaryAnalysis) thresholds() (upper, lower float64) {
 	n := float64(max(len(a.tests)*len(odds), 1))
 	return math.Log((1 - beta) / (alpha / n)), math.Log(beta / (1 - alpha/n))
 }
 
-// verdict returns what the counts show so far, and for Worse the evidence. Alike needs all types that saw failures.
+// verdict returns what the counts show so far, and the evidence if it is Worse. The verdict is Alike only if the tests of all request
+// types that saw failures come to it.
 func (a *CanaryAnalysis) verdict() (v Verdict, evidence string) {
 	upper, lower := a.thresholds()
 	alike, anyFailures := true, false
@@ -112,7 +115,7 @@
 	return Undecided, ""
 }
 
-// suspectsWorse reports whether an undecided analysis leans towards Worse: more than half of the way.
+// suspectsWorse reports whether a test is more than half of the way to Worse, on the scale of the logarithm.
 func (a *CanaryAnalysis) suspectsWorse() bool {
 	upper, _ := a.thresholds()
 	for _, t := range a.tests {
--- a/fleet/rollout/config.go
+++ b/fleet/rollout/config.go
@@ -8,25 +8,25 @@
 	"dapplerouter/fleet"
 )
 
-// FormName is the operator's form for versions that are published to the fleet; it stands beside the form fleet:
+// FormName is the name of the form in the operator's file that configures rollouts. It stands beside the form fleet:
 //
 //	(roll
-//	  (right 12s)             ; duration of configuration leases, the same at all fronts; four lease durations where left out
-//	  (when-alone stop)       ; an isolated front stops when its lease expires; serve, the default: it keeps the version that it has
-//	  (in-force-within 20s)   ; time within which each published version is in force, the same at all fronts; none where left out
-//	  (dir "/var/lib/roll"))  ; directory for the adopted version, over restarts
+//	  (right 12s)             ; duration of configuration leases, equal at all fronts; four lease durations if omitted
+//	  (when-alone stop)       ; an isolated front stops when its lease expires; serve, the default: it keeps serving its version
+//	  (in-force-within 20s)   ; time within which each published version is in force, equal at all fronts; none if omitted
+//	  (dir "/var/lib/roll"))  ; directory that keeps the adopted version across restarts
 const FormName = "roll"
 
-// Config is what the form sets.
+// Config is the configuration that the form sets.
 type Config struct {
-	ConfigLease      time.Duration // 0 for the default
+	ConfigLease      time.Duration // duration of configuration leases; 0 for the default
 	StopWhenIsolated bool
-	InForceWithin    time.Duration // by which a published version has to be in force everywhere; 0 for no time
-	Dir              string
+	InForceWithin    time.Duration   // time within which a published version has to be in force at all fronts; 0 for no limit
+	Dir              string          // stores the adopted version
 	Place            config.Position // of the form
 }
 
-// Bounds of a configuration lease, and its default, in lease durations of the fleet.
+// Bounds and default of a configuration lease, in multiples of the fleet's lease duration.
 const (
 	minConfigLease     = 2
 	defaultConfigLease = 4
@@ -50,13 +50,13 @@
 		name, _ := dir.Value()
 		c.Dir = name.Name
 	} else {
-		f.Errorf(f.Position, "(dir \"FOLDER\"), the front's own", "the form roll has no directory for the adopted version")
+		f.Errorf(f.Position, "add (dir \"FOLDER\"), a directory of this front alone", "the form roll has no directory for the adopted version")
 	}
 	return c
 }
 
-// ConfigLeaseFor returns the duration of configuration leases in a fleet of a lease duration. The error is a config.ErrorList: the form's
-// duration, or its time, does not fit the fleet's.
+// ConfigLeaseFor returns the duration of configuration leases in a fleet with the given lease duration. It returns a config.ErrorList if
+// the duration of configuration leases, or the time in in-force-within, does not fit the lease duration.
 func (c *Config) ConfigLeaseFor(leaseDuration time.Duration) (configLease time.Duration, err error) {
 	configLease = c.ConfigLease
 	if configLease == 0 {
@@ -64,19 +64,20 @@
 	}
 	if configLease < minConfigLease*leaseDuration || configLease > maxConfigLease*leaseDuration {
 		return 0, c.newError("a configuration lease of "+configLease.String()+" does not fit a lease duration of "+leaseDuration.String(),
-			"between twice and sixteen times the fleet's lease duration")
+			"choose between 2 and 16 times the fleet's lease duration")
 	}
 	return configLease, c.checkInForceWithin(leaseDuration, configLease)
 }
 
-// checkInForceWithin checks the form's time. An isolated front that serves on can't be fenced in any time.
+// checkInForceWithin checks the time in in-force-within. It needs fronts that stop when isolated, because a front that keeps serving
+// while isolated can't be fenced within any time.
 func (c *Config) checkInForceWithin(leaseDuration, configLease time.Duration) error {
 	if c.InForceWithin == 0 {
 		return nil
 	}
 	if !c.StopWhenIsolated {
-		return c.newError("in-force-within needs fronts that stop when isolated, and these serve on with an old version",
-			"add (when-alone stop), or take in-force-within away")
+		return c.newError("in-force-within requires fronts that stop when isolated, but these keep serving an old version",
+			"add (when-alone stop), or remove in-force-within")
 	}
 	var short *DeadlineError
 	if errors.As(CheckInForceWithin(fleet.Timing{LeaseDuration: leaseDuration}, configLease, c.InForceWithin), &short) {
--- a/fleet/rollout/config_test.go
+++ b/fleet/rollout/config_test.go
@@ -38,11 +38,11 @@
 	_, err = readForm(t, `(roll (in-force-within 20s) (dir "x"))`)
 	require.ErrorContains(t, err, "(when-alone stop)")
 	_, err = readForm(t, `(roll (dir "x"))`)
-	require.NoError(t, err, "without a time all is as before")
+	require.NoError(t, err, "no deadline is required")
 }
 
-// What the remedy names is accepted, and the parts of a time never exceed it.
-func TestRemedyOfADeadlineIsAccepted(t *testing.T) {
+// The deadline that a remedy suggests is accepted, and an accepted deadline leaves time for each of its parts.
+func TestSuggestedDeadlineIsAccepted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		timing := fleet.Timing{LeaseDuration: time.Duration(rapid.IntRange(1, 10).Draw(t, "lease duration")) * time.Second}
 		lease := timing.LeaseDuration * time.Duration(rapid.IntRange(2, 16).Draw(t, "leases"))
--- a/fleet/rollout/controller.go
+++ b/fleet/rollout/controller.go
@@ -13,15 +13,16 @@
 	Timing        fleet.Timing
 	ConfigLease   time.Duration
 	InForceWithin time.Duration // for versions that are published without a time; 0 for none
-	Rules         RuleSet       // to merge publications that are queued; nil where none may
+	Rules         RuleSet       // merges queued publications; nil disables the queue
 }
 
-// Controller runs rollouts at the leaseholder. What must survive it is in the replicated state; the rest (for how long a stage was
-// observed, what its fronts served) begins anew with another leaseholder, which only makes a rollout slower.
+// Controller runs rollouts at the leaseholder. Everything that must survive a change of leaseholder is in the replicated state. The rest,
+// such as for how long a stage was observed and what its fronts served, starts anew with another leaseholder. That only makes a rollout
+// slower.
 type Controller struct {
 	options      ControllerOptions
-	actions      []submittedAction // not carried out yet, in order
-	publications []publication     // accepted for the next version, in order
+	actions      []submittedAction // not carried out yet, in the order in which they arrived
+	publications []publication     // queued for the next version, in the order in which they arrived
 	deferred     deferredAction
 	writer       valueWriter
 	reports      reportCollector
@@ -30,38 +31,38 @@
 	stage        stageObservation
 }
 
-// submittedAction is an action and the front that sent it.
+// submittedAction is an action together with the front that sent it.
 type submittedAction struct {
 	Action
 	from string
 }
 
-// deferredAction is the publication that waits until all fronts are known.
+// deferredAction identifies the publication that waits for the reports of all fronts.
 type deferredAction struct {
 	id    uint64
 	since time.Duration
 }
 
-// allowedVersions is the value of fleet.AllowedVersionsKey that the controller saw last.
+// allowedVersions records since when the value of fleet.AllowedVersionsKey is the one that the controller saw last.
 type allowedVersions struct {
 	index uint64 // of the value, 0 for none
 	since time.Duration
 }
 
-// rolloutStart is when this controller first saw the version that is being rolled out.
+// rolloutStart records when this controller first saw the version that is being rolled out.
 type rolloutStart struct {
 	version uint64
 	at      time.Duration
 }
 
-// stepInput is what one step of the controller decides on.
+// stepInput is the input of one step of the controller.
 type stepInput struct {
 	now        time.Duration
 	replicated *fleet.ReplicatedState
 	state      State
 }
 
-// deadline returns the deadline of the version that is being rolled out.
+// deadline returns the deadline of the version that is being rolled out, or the zero value if it has none.
 func (in *stepInput) deadline() deadline { return readDeadline(in.replicated, in.state) }
 
 // fronts returns the names of all fronts, sorted.
@@ -74,7 +75,7 @@
 	return newController(o, &leaseProof{expiredAfter: o.Timing.ExpiredAfter(o.ConfigLease)})
 }
 
-// newController makes a Controller whose proof may know for how long the present leader has led.
+// newController makes a Controller with a proof that may know already for how long the present leader has led.
 func newController(o ControllerOptions, proof *leaseProof) *Controller {
 	return &Controller{
 		options: o,
@@ -83,7 +84,8 @@
 	}
 }
 
-// Submit adds an operator's action that a front sent. A repeated one changes nothing.
+// Submit adds an operator's action that was sent by a front. It ignores an action that waits already, and any action while maxOutcomes
+// actions wait; the front sends it again.
 func (c *Controller) Submit(from string, action Action) {
 	submitted := func(other submittedAction) bool { return other.ID == action.ID }
 	if len(c.actions) < maxOutcomes && !slices.ContainsFunc(c.actions, submitted) {
@@ -91,7 +93,7 @@
 	}
 }
 
-// OnRequestDone handles the end of a request of this controller.
+// OnRequestDone handles the result of one of this controller's requests to the fleet.
 func (c *Controller) OnRequestDone(now time.Duration, e fleet.RequestDone) {
 	switch e.ID {
 	case c.writer.pending:
@@ -101,7 +103,7 @@
 	}
 }
 
-// Step continues the rollout as the leaseholder. It stores one value at a time.
+// Step continues the rollout. It stores at most one value at a time.
 func (c *Controller) Step(now time.Duration, n *fleet.Node) {
 	r := n.State()
 	s, ok := ReadState(r)
@@ -122,22 +124,22 @@
 		return
 	}
 	if c.writer.idle() {
-		c.plan(&stepInput{now, r, s})
+		c.planWrites(&stepInput{now, r, s})
 	}
 	c.writer.writeNext(now, n)
 }
 
-// plan decides what to store next.
-func (c *Controller) plan(in *stepInput) {
-	c.stage.begin(in)
+// planWrites decides which values to store next.
+func (c *Controller) planWrites(in *stepInput) {
+	c.stage.resetIfStageChanged(in)
 	known := c.reports.recent(in.now, c.options.Timing.LeaseDuration)
 	if len(c.actions) > 0 {
-		if known { // an action is accepted only where all fronts are known to allow it
+		if known { // the checks of an action need recent reports of the fronts
 			c.takeAction(in)
 		}
 		return
 	}
-	if c.queuesPublications() && known && c.serveQueue(in) {
+	if c.queuesPublications() && known && c.processQueue(in) {
 		return
 	}
 	if in.state.Phase == PhaseSteady || !c.reports.unevaluated {
@@ -154,7 +156,7 @@
 	}
 }
 
-// takeAction carries out the next action, rejects it, or defers it.
+// takeAction carries out, queues, rejects or defers the action that waits longest.
 func (c *Controller) takeAction(in *stepInput) {
 	action := c.actions[0]
 	queued := c.queuesPublications() && action.Type == ActionPublish
@@ -166,16 +168,16 @@
 		return
 	}
 	if !queued {
-		c.apply(in, action.Action)
+		c.applyAction(in, action.Action)
 		return
 	}
-	if err := c.admit(in, action); err != nil {
-		c.writer.set(stateWrite(in.state.withOutcomes(outcomeOf(action.ID, err)), ""))
+	if err := c.enqueue(in, action); err != nil {
+		c.writer.replaceQueued(stateWrite(in.state.withOutcomes(outcomeOf(action.ID, err)), ""))
 	}
 }
 
-// rollBack begins to roll the next version back.
+// rollBack starts to roll back the version that is being rolled out.
 func (c *Controller) rollBack(s State, reason string) {
 	s.Phase, s.Paused = PhaseRollingBack, false
-	c.writer.set(stateWrite(s, reason))
+	c.writer.replaceQueued(stateWrite(s, reason))
 }
--- a/fleet/rollout/deadline.go
+++ b/fleet/rollout/deadline.go
@@ -9,25 +9,26 @@
 	"dapplerouter/fleet"
 )
 
-// deadlineKey is the key of the deadline, beside the state. Programs that do not know it run a rollout without its time.
+// deadlineKey is the key under which the deadline is stored, beside the state. Programs that do not know the key run a rollout without
+// its deadline.
 const deadlineKey = "roll/deadline"
 
-// deadline is the stored time within which a version has to be in force everywhere.
+// deadline is the stored time within which a version has to be in force at all fronts.
 type deadline struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Version       uint64
 	InForceWithin time.Duration // 0 for no deadline
-	OnUndecided   uint8         // as in Action
+	OnUndecided   uint8         // see Action
 }
 
-// DecodeMsgpack decodes a deadline of this or another version of the program.
+// DecodeMsgpack decodes a deadline that was encoded by this or another version of the program.
 func (d *deadline) DecodeMsgpack(decoder *msgpack.Decoder) error {
 	return decodeLenient(decoder, &d.Version, &d.InForceWithin, &d.OnUndecided)
 }
 
-// readDeadline returns the deadline of the version that is being rolled out, the zero value for none.
+// readDeadline returns the deadline of the version that is being rolled out, or the zero value if it has none.
 func readDeadline(r *fleet.ReplicatedState, s State) (d deadline) {
 	e := r.Values[deadlineKey]
 	if e == nil || s.Next == 0 || msgpack.Unmarshal(e.Value, &d) != nil || d.Version != s.Next {
@@ -36,19 +37,19 @@
 	return d
 }
 
-// InForceWithin returns the time by which the version on its way has to be in force everywhere, 0 for none.
+// InForceWithin returns the time within which the version that is being rolled out has to be in force at all fronts, or 0 for no limit.
 func InForceWithin(r *fleet.ReplicatedState) time.Duration {
 	s, _ := ReadState(r)
 	return readDeadline(r, s).InForceWithin
 }
 
-// timeForStages is how much of a time is left for all stages, and for reachable fronts that lag, before those are fenced: the
-// rest goes to the end of their configuration leases, and a lease duration to the fleet's own answers.
+// timeForStages returns how much of a deadline is available to the stages and to reachable fronts that lag, before the lagging fronts are
+// fenced. The rest is reserved for the expiry of their configuration leases, plus one lease duration for the fleet's answers.
 func timeForStages(timing fleet.Timing, configLease, within time.Duration) time.Duration {
 	return within - timing.ExpiredAfter(configLease) - timing.LeaseDuration
 }
 
-// CheckInForceWithin checks whether a version can be in force everywhere within a time. The error is a DeadlineError.
+// CheckInForceWithin checks whether a version can be in force at all fronts within a time. It returns a DeadlineError if not.
 func CheckInForceWithin(timing fleet.Timing, configLease, within time.Duration) error {
 	left := timeForStages(timing, configLease, within)
 	if left >= timing.LeaseDuration {
@@ -67,14 +68,14 @@
 	return err
 }
 
-// schedule is the times of a rollout that has a deadline, from its beginning at this controller.
+// schedule is the timetable of a rollout with a deadline, counted from when this controller first saw the version.
 type schedule struct {
-	stageTime time.Duration // of each stage
-	stageEnd  time.Duration // when the open stage is over, whatever its analysis found
+	stageTime time.Duration // length of each stage
+	stageEnd  time.Duration // when the open stage ends, whatever its analysis found
 	fenceAt   time.Duration // when reachable fronts that lag are fenced
 }
 
-// scheduleFor gives each stage an equal share of the time for stages, and one more to fronts that lag in the last one.
+// scheduleFor gives each stage an equal share of the time for stages, and one more share to fronts that lag in the last stage.
 func (c *Controller) scheduleFor(s State, d deadline) schedule {
 	all := timeForStages(c.options.Timing, c.options.ConfigLease, d.InForceWithin)
 	stageTime := all / time.Duration(len(s.Stages)+1)
--- a/fleet/rollout/finish.go
+++ b/fleet/rollout/finish.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// finish ends a rollout once no front uses the old version.
+// finish ends the rollout once no front uses the old version any more.
 func (c *Controller) finish(in *stepInput) {
 	s := in.state
-	unconfirmed, othersConfirmed := c.onOtherVersions(in, s.Next)
+	unconfirmed, othersConfirmed := c.frontsOnOtherVersions(in, s.Next)
 	if !othersConfirmed {
 		return
 	}
@@ -20,34 +20,35 @@
 	if len(unconfirmed) > 0 {
 		reason += "; but " + strings.Join(unconfirmed, ", ") + " may go on on the old one: it hears nobody and serves alone"
 	}
-	c.writer.set(stateWrite(next, reason), valueWrite{textKey(s.Base), nil})
+	c.writer.replaceQueued(stateWrite(next, reason), valueWrite{textKey(s.Base), nil})
 }
 
-// finishRollBack disallows the new version, and ends a rollout that is rolled back once no front uses it. Fronts that are reachable
-// roll back by themselves first, so that no lease ends under their requests.
+// finishRollBack disallows the new version, and ends the rollback once no front uses that version any more. Reachable fronts first get
+// time to return to the old version by themselves, so that no lease expires while they process requests.
 func (c *Controller) finishRollBack(in *stepInput) {
 	s := in.state
 	if allowed, _ := in.replicated.AllowedVersions(); allowed.Max != s.Base {
-		if c.countOn(in, s.Next) == 0 || in.now-c.stage.openedAt > c.options.ConfigLease/2 {
-			c.writer.set(allowedWrite(s.Base, s.Base))
+		if c.countReachableFronts(in, s.Next) == 0 || in.now-c.stage.openedAt > c.options.ConfigLease/2 {
+			c.writer.replaceQueued(allowedWrite(s.Base, s.Base))
 		}
 		return
 	}
-	if unconfirmed, othersConfirmed := c.onOtherVersions(in, s.Base); othersConfirmed {
+	if unconfirmed, othersConfirmed := c.frontsOnOtherVersions(in, s.Base); othersConfirmed {
 		next := s
 		next.Next, next.Phase, next.UnconfirmedFronts, next.RulesHashes[1] = 0, PhaseSteady, unconfirmed, ""
-		c.writer.set(stateWrite(next, ""), valueWrite{textKey(s.Next), nil})
+		c.writer.replaceQueued(stateWrite(next, ""), valueWrite{textKey(s.Next), nil})
 	}
 }
 
-// onOtherVersions returns the fronts that may use another version than all should; othersConfirmed reports whether the others provably do
-// not. Such a front is on the right version, and reported so after this phase began (before it, it may have adopted the other since),
-// or its lease on another has expired since that was disallowed.
-func (c *Controller) onOtherVersions(in *stepInput, version uint64) (unconfirmed []string, othersConfirmed bool) {
+// frontsOnOtherVersions checks which fronts may use another version than the given one. unconfirmed names the fronts that may continue to
+// use one. othersConfirmed reports whether all other fronts provably do not. A front is confirmed in one of two ways. It uses the given
+// version, and reported so with a replicated state that includes the present phase; before that, it may have adopted the other version
+// since. Or its lease on another version has expired since that version was disallowed.
+func (c *Controller) frontsOnOtherVersions(in *stepInput, version uint64) (unconfirmed []string, othersConfirmed bool) {
 	r := in.replicated
-	waited := c.allowed.index != 0 && in.now-c.allowed.since > c.options.Timing.ExpiredAfter(c.options.ConfigLease)
-	timed := in.deadline().InForceWithin > 0
-	stored := readBounded(r)
+	leasesExpired := c.allowed.index != 0 && in.now-c.allowed.since > c.options.Timing.ExpiredAfter(c.options.ConfigLease)
+	hasDeadline := in.deadline().InForceWithin > 0
+	stored := readFenceableFronts(r)
 	othersConfirmed = true
 	phaseIndex := uint64(0)
 	if e := r.Values[stateKey]; e != nil {
@@ -58,8 +59,8 @@
 		if ok && t.Incarnation == r.Fronts[name].Incarnation && t.ActiveVersion == version && t.Index >= phaseIndex {
 			continue
 		}
-		othersConfirmed = othersConfirmed && (waited || timed && c.reports.proof.expired(name, c.allowed.since))
-		if timed && !ok && !stored.has(name, r.Fronts[name].Incarnation) {
+		othersConfirmed = othersConfirmed && (leasesExpired || hasDeadline && c.reports.proof.expired(name, c.allowed.since))
+		if hasDeadline && !ok && !stored.has(name, r.Fronts[name].Incarnation) {
 			unconfirmed = append(unconfirmed, name)
 			continue
 		}
@@ -71,8 +72,8 @@
 	return unconfirmed, othersConfirmed
 }
 
-// countOn counts the fronts that are reachable and use a version.
-func (c *Controller) countOn(in *stepInput, version uint64) (n int) {
+// countReachableFronts returns the number of reachable fronts that use a version.
+func (c *Controller) countReachableFronts(in *stepInput, version uint64) (n int) {
 	for name := range in.replicated.Fronts {
 		if t, ok := c.reports.latest[name]; ok && t.ActiveVersion == version && t.Age <= c.options.Timing.LeaseDuration {
 			n++
--- a/fleet/rollout/format_test.go
+++ b/fleet/rollout/format_test.go
@@ -15,10 +15,10 @@
 	"dapplerouter/fleet"
 )
 
-// The lines of testdata/encodings.txt were written by version 0.3.0, and are never written again: fronts of two versions read each
-// other's messages and stored values, and agree on the order in which fronts adopt a version.
+// The lines of testdata/encodings.txt were written by version 0.3.0 and must not be regenerated. They guard against a change of the
+// encoding: fronts of two versions read each other's messages and stored values, and agree on the order in which fronts adopt a version.
 
-// encodings reads testdata/encodings.txt: a name and its value in a line.
+// encodings reads testdata/encodings.txt, which has a name and its value on each line.
 func encodings(t *testing.T) map[string]string {
 	t.Helper()
 	b, err := os.ReadFile("testdata/encodings.txt")
@@ -32,49 +32,49 @@
 	return all
 }
 
-func formatAction() Action {
+func sampleAction() Action {
 	return Action{ID: 0xfedcba9876543211, Type: ActionPublish, Base: 2, Text: []byte("(rules (given-up 7))"), RulesHash: "00112233aabbccdd",
 		Stages: []uint16{1, 100, 500, 1000}, ObservationTime: 30 * time.Second, Mandatory: true, MaxFenced: 200, Reason: "works"}
 }
 
-func formatTimedAction() Action {
-	action := formatAction()
+func sampleTimedAction() Action {
+	action := sampleAction()
 	action.InForceWithin, action.OnUndecided = 20*time.Second, UndecidedRollBack
 	return action
 }
 
-func formatState() State {
+func sampleState() State {
 	return State{Format: format, LastVersion: 9, Base: 7, Next: 9, Mandatory: true, Phase: PhaseRolling, Paused: true, Stages: []uint16{1, 1000}, Stage: 1,
 		CutoffRank: 0xdeadbeef, ObservationTime: 30 * time.Second, MaxFenced: 200, Reason: "version 9 is published", RulesHashes: [2]string{"00112233aabbccdd", "8899"},
 		Outcomes: []Outcome{{ID: 5}, {ID: 6, RejectedReason: "no version is on its way"}}, UnconfirmedFronts: []string{"n3"}}
 }
 
-func formatReport() Report {
+func sampleReport() Report {
 	return Report{AdoptedAt: 1_700_000_000_000_000, RejectedVersion: 8, RejectedReason: "its limits are others", ServesIsolated: true, TypesChecksum: 0xcafe,
 		Counts: []Counts{{Finished: 1000, Succeeded: 990}, {Finished: 70_000, Succeeded: 3}}}
 }
 
 var (
-	formatDeadline = deadline{Version: 9, InForceWithin: 20 * time.Second, OnUndecided: UndecidedPause}
-	formatQueue    = []QueuedPublication{{Front: "n1", Base: 7, Changes: "bound browse, window book and 2 more"}, {Front: "n2", Base: 9, Changes: "given-up"}}
-	formatBounded  = boundedFronts{1, 0xffffffffffffffff}
+	sampleDeadline        = deadline{Version: 9, InForceWithin: 20 * time.Second, OnUndecided: UndecidedPause}
+	sampleQueue           = []QueuedPublication{{Front: "n1", Base: 7, Changes: "bound browse, window book and 2 more"}, {Front: "n2", Base: 9, Changes: "given-up"}}
+	sampleFenceableFronts = fenceableFronts{1, 0xffffffffffffffff}
 )
 
 func TestMessagesAndValuesAreEncodedAsByVersion030(t *testing.T) {
 	want := encodings(t)
-	state, dead := formatState(), formatDeadline
+	state, dead := sampleState(), sampleDeadline
 	got := map[string]string{
-		"action":       hex.EncodeToString(formatAction().Encode()),
-		"timed action": hex.EncodeToString(formatTimedAction().Encode()),
-		"report":       hex.EncodeToString(formatReport().Encode()),
+		"action":       hex.EncodeToString(sampleAction().Encode()),
+		"timed action": hex.EncodeToString(sampleTimedAction().Encode()),
+		"report":       hex.EncodeToString(sampleReport().Encode()),
 		"state":        hex.EncodeToString(encode(&state)),
 		"deadline":     hex.EncodeToString(encode(&dead)),
-		"queue":        hex.EncodeToString(encode(formatQueue)),
-		"bounded":      hex.EncodeToString(encode(formatBounded)),
-		"keys":         strings.Join([]string{stateKey, textKey(9), deadlineKey, boundedKey, queueKey, Lease, Part}, " "),
+		"queue":        hex.EncodeToString(encode(sampleQueue)),
+		"bounded":      hex.EncodeToString(encode(sampleFenceableFronts)),
+		"keys":         strings.Join([]string{stateKey, textKey(9), deadlineKey, fenceableKey, queueKey, Lease, Part}, " "),
 		"ranks":        fmt.Sprint(rank("n1", 9), rank("n2", 9), rank("n1", 10)),
-		"hashes":       fmt.Sprintf("%x %x", boundedHash("n1", 7), boundedHash("n2", 7)),
-		"cuts":         fmt.Sprint(stageCut([]string{"n1", "n2", "n3", "n4"}, 9, 1), stageCut([]string{"n1", "n2", "n3", "n4"}, 9, 500)),
+		"hashes":       fmt.Sprintf("%x %x", frontHash("n1", 7), frontHash("n2", 7)),
+		"cuts":         fmt.Sprint(cutoffRank([]string{"n1", "n2", "n3", "n4"}, 9, 1), cutoffRank([]string{"n1", "n2", "n3", "n4"}, 9, 500)),
 		"phases":       fmt.Sprint(PhaseSteady, ", ", PhaseRolling, ", ", PhaseFinishing, ", ", PhaseRollingBack),
 	}
 	assert.Equal(t, want, got)
@@ -87,14 +87,14 @@
 		require.NoError(t, err, name)
 		return b
 	}
-	for name, want := range map[string]Action{"action": formatAction(), "timed action": formatTimedAction()} {
+	for name, want := range map[string]Action{"action": sampleAction(), "timed action": sampleTimedAction()} {
 		action, ok := DecodeAction(data(name))
 		assert.True(t, ok, name)
 		assert.Equal(t, want, action, name)
 	}
 	report, ok := DecodeReport(data("report"))
 	assert.True(t, ok)
-	assert.Equal(t, formatReport(), report)
+	assert.Equal(t, sampleReport(), report)
 	r := &fleet.ReplicatedState{Values: map[string]*fleet.StoredValue{
 		"roll":          {Index: 4, Value: data("state")},
 		"roll/file/9":   {Value: []byte("(rules)")},
@@ -104,13 +104,13 @@
 	}}
 	s, ok := ReadState(r)
 	assert.True(t, ok)
-	assert.Equal(t, formatState(), s)
+	assert.Equal(t, sampleState(), s)
 	assert.Equal(t, []byte("(rules)"), VersionText(r, 9))
-	assert.Equal(t, formatDeadline, readDeadline(r, s))
+	assert.Equal(t, sampleDeadline, readDeadline(r, s))
 	assert.Equal(t, 20*time.Second, InForceWithin(r))
-	assert.Equal(t, formatQueue, QueuedPublications(r))
-	assert.Equal(t, formatBounded, readBounded(r))
-	var raw []any // every stored value is an array, so that a field's name is no part of it
+	assert.Equal(t, sampleQueue, QueuedPublications(r))
+	assert.Equal(t, sampleFenceableFronts, readFenceableFronts(r))
+	var raw []any // the state is encoded as an array, so field names are not part of it
 	require.NoError(t, msgpack.Unmarshal(data("state"), &raw))
 	assert.Len(t, raw, 16)
 }
--- a/fleet/rollout/lease_proof.go
+++ b/fleet/rollout/lease_proof.go
@@ -6,45 +6,46 @@
 	"dapplerouter/fleet"
 )
 
-// maxUnconfirmedDigests is how many answers wait for the confirmation that their leader still led.
+// maxUnconfirmedDigests is the maximum number of answers that wait for the confirmation that their leader still led.
 const maxUnconfirmedDigests = 8
 
-// leaseProof finds the fronts whose configuration leases have provably expired, without waiting out a whole lease from the moment
-// at which a version was disallowed.
+// leaseProof finds the fronts whose configuration leases have provably expired. It saves waiting for a whole lease from the moment at
+// which a version was disallowed.
 //
-// A configuration lease counts from when its front asked for it, and only a leader that heard the front renews it. Where a leader
-// has not heard a front for as long as a lease may last on the front's own clock, and led for all of that time, every lease of the
-// front has expired: those of earlier leaders were asked for before this one was elected. A leader that was paused or cut off may
-// answer after another was elected, so an answer counts only once a majority confirmed, later, that the same leader led in the same
-// term: this front's own lease roll is renewed by such confirmations.
+// A configuration lease counts from when its front asked for it, and only a leader that received the front's request renews it. If a
+// leader has not heard from a front for as long as a lease may last on the front's own clock, and has led for all of that time, every
+// lease of the front has expired: leases from earlier leaders were requested before this leader was elected. A leader that was paused or
+// cut off may still answer after another one was elected. An answer therefore counts only once a majority has confirmed, at a later time,
+// that the same leader led in the same term. Renewals of this front's own lease "roll" are such confirmations.
 //
-// The proof says that a front has no lease at the time of the answer. That it gets none on a version afterwards takes that the
-// version was disallowed before the answer was requested.
+// The proof shows that a front has no lease at the time of the answer. It does not get one on a disallowed version afterwards, provided
+// that the version was disallowed before the answer was requested.
 type leaseProof struct {
-	expiredAfter time.Duration // see fleet.Timing.ExpiredAfter
-	term         uint64        // the highest term of a leader that was seen
-	termSince    time.Duration // since when
-	unconfirmed  []digests     // oldest first
-	confirmed    digests
+	expiredAfter time.Duration    // see fleet.Timing.ExpiredAfter
+	term         uint64           // highest term of a leader that was seen
+	termSince    time.Duration    // when that term was first seen
+	unconfirmed  []digestResponse // waiting for confirmation, oldest first
+	confirmed    digestResponse   // latest confirmed answer
 }
 
-// digests is a leader's answer with all fronts' reports.
-type digests struct {
-	term                    uint64        // of the leader; 0 from an older program, which does not send it
-	ledFor                  time.Duration // when the answer was requested: how long the leader provably led
+// digestResponse is a leader's answer with the reports of all fronts.
+type digestResponse struct {
+	term                    uint64        // of the leader; 0 if the leader runs an older program, which does not send it
+	ledFor                  time.Duration // for how long the leader had provably led when the answer was requested
 	requestedAt, receivedAt time.Duration
 	reports                 map[string]fleet.MemberReport
 }
 
-// observeTerm notes the term of the newest leader that this front heard. Call it with each tick, also where the lease is not held.
+// observeTerm records the term of the newest leader from which this front received a heartbeat. It is called at each tick, also while
+// this front does not hold the lease.
 func (p *leaseProof) observeTerm(now time.Duration, term uint64) {
 	if term != p.term {
 		p.term, p.termSince = term, now
 	}
 }
 
-// add adds an answer.
-func (p *leaseProof) add(d digests) {
+// add adds an answer, which counts once it is confirmed.
+func (p *leaseProof) add(d digestResponse) {
 	if d.term == 0 {
 		return
 	}
@@ -55,7 +56,8 @@
 	p.unconfirmed = p.unconfirmed[max(0, len(p.unconfirmed)-maxUnconfirmedDigests):]
 }
 
-// confirm notes that a majority confirmed the leader of a term at some time after a given one.
+// confirm records that a majority confirmed the leader of a term at some time after the given one. The latest answer of that leader which
+// was received by then becomes the confirmed one.
 func (p *leaseProof) confirm(term uint64, after time.Duration) {
 	for i := len(p.unconfirmed) - 1; i >= 0; i-- {
 		if d := p.unconfirmed[i]; d.term == term && d.receivedAt <= after {
@@ -66,7 +68,8 @@
 	}
 }
 
-// expired reports whether a front had no configuration lease at an answer that was requested after a given time.
+// expired reports whether the confirmed answer was requested after the given time, and proves that a front then had no configuration
+// lease.
 func (p *leaseProof) expired(name string, after time.Duration) bool {
 	d := p.confirmed
 	if d.reports == nil || d.requestedAt < after {
--- a/fleet/rollout/merge.go
+++ b/fleet/rollout/merge.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// RuleSet reads and writes the text of a version one rule at a time.
+// RuleSet splits the text of a version into rules and joins rules into a text.
 type RuleSet interface {
-	Split(text []byte) (map[string]string, error) // the text of each rule by its key; an empty text has no rules
+	Split(text []byte) (map[string]string, error) // returns the text of each rule by its key; an empty text has no rules
 	Join(rules map[string]string) []byte
-	Digest(text []byte) string // digest of what the rules say, whatever their order and spelling
+	Digest(text []byte) string // returns a digest of the rules' meaning, which does not depend on their order and spelling
 }
 
-// changesBetween returns the rules that differ, with their text after the change, "" for a rule that is removed.
+// changesBetween returns the rules that differ between two sets, with their text after the change. The text of a removed rule is "".
 func changesBetween(before, after map[string]string) map[string]string {
 	changes := map[string]string{}
 	for key, text := range after {
@@ -29,7 +29,7 @@
 	return changes
 }
 
-// applyChanges returns rules with changes made to them.
+// applyChanges returns a copy of rules with the changes applied.
 func applyChanges(rules, changes map[string]string) map[string]string {
 	rules = maps.Clone(rules)
 	for key, text := range changes {
@@ -42,8 +42,8 @@
 	return rules
 }
 
-// conflict returns the rules that two changes set differently, sorted.
-func conflict(ours, theirs map[string]string) (keys []string) {
+// conflictingRules returns the sorted keys of the rules that two sets of changes set to different texts.
+func conflictingRules(ours, theirs map[string]string) (keys []string) {
 	for key, text := range ours {
 		if other, ok := theirs[key]; ok && other != text {
 			keys = append(keys, key)
@@ -53,23 +53,23 @@
 	return keys
 }
 
-// ruleVersion is a published version's rules.
+// ruleVersion is the rules of a published version.
 type ruleVersion struct {
 	number uint64
 	text   []byte
 	hash   string
 }
 
-// mergedVersion is one version out of queued publications, in their order: later ones win, rule by rule.
+// mergedVersion is a version that is made from queued publications, applied in order. For each rule, the last change wins.
 type mergedVersion struct {
 	action   Action
 	within   time.Duration
-	outcomes []Outcome // of each publication
-	count    int       // publications that the version consists of
+	outcomes []Outcome // one for each publication
+	count    int       // number of publications that are part of the version
 }
 
-// merge merges publications into one version on top of the version in force. It takes the most careful of what they ask for: the
-// most stages, the longest observation, the smallest share that may be fenced, the shortest time.
+// merge merges publications into one version on top of the version in force. Of the publications' settings it takes the most cautious
+// ones: the most stages, the longest observation time, the smallest share that may be fenced, the shortest deadline.
 func merge(all []publication, rules RuleSet, base ruleVersion) (m mergedVersion, err error) {
 	merged, err := rules.Split(base.text)
 	if err != nil {
@@ -100,11 +100,12 @@
 	return m, nil
 }
 
+// reject records that a publication is not part of the version.
 func (m *mergedVersion) reject(p publication, err error) {
 	m.outcomes = append(m.outcomes, outcomeOf(p.action.ID, err))
 }
 
-// add takes what a publication asks for into the version.
+// add records that a publication is part of the version, and merges its settings.
 func (m *mergedVersion) add(p publication) {
 	m.outcomes = append(m.outcomes, outcomeOf(p.action.ID, nil))
 	m.count++
@@ -122,7 +123,7 @@
 	m.within = min(m.within, p.within)
 }
 
-// describe names the rules of changes, the first three of many.
-func describe(changes map[string]string) string {
+// listChangedRules returns the keys of the changed rules as a text; of more than three it names the first three and counts the rest.
+func listChangedRules(changes map[string]string) string {
 	return joinFirst(slices.Sorted(maps.Keys(changes)), 3)
 }
--- a/fleet/rollout/merge_test.go
+++ b/fleet/rollout/merge_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// jsonRules is rules as an object of JSON.
+// jsonRules is a RuleSet whose texts are JSON objects.
 type jsonRules struct{}
 
 func (jsonRules) Split(text []byte) (rules map[string]string, err error) {
@@ -30,8 +30,8 @@
 
 var ruleTexts = rapid.MapOfN(rapid.SampledFrom([]string{"a", "b", "c", "d"}), rapid.SampledFrom([]string{"1", "2", "3"}), 0, 4)
 
-// A merged version is its publications' changes applied in order, and each publication has one outcome.
-func TestMergedVersionIsItsPublicationsInOrder(t *testing.T) {
+// A merged version equals the publications' changes applied in order, and each publication has exactly one outcome.
+func TestMergedVersionAppliesPublicationsInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const base = 5
 		inForce := ruleTexts.Draw(t, "in force")
--- a/fleet/rollout/observation.go
+++ b/fleet/rollout/observation.go
@@ -12,7 +12,7 @@
 	oldSide
 )
 
-// sample is a front's counts as of an interval.
+// sample is the counts that a front reported last, and what they belong to.
 type sample struct {
 	incarnation, version uint64
 	typesChecksum        uint32
@@ -22,10 +22,10 @@
 // adoptedFront is a front that was seen on the new version.
 type adoptedFront struct {
 	incarnation uint64
-	leaving     bool
+	leaving     bool // the front announced that it shuts down
 }
 
-// failureReason evaluates the latest reports, and returns why the version must be rolled back, "" where it need not.
+// failureReason evaluates the latest reports. It returns why the version must be rolled back, or "" if it need not be.
 func (c *Controller) failureReason(in *stepInput) string {
 	s := in.state
 	var deltas [2][]Counts // by side, by request type
@@ -67,7 +67,7 @@
 	return ""
 }
 
-// frontFailure returns why one front's report means that the version must be rolled back, "" where it does not.
+// frontFailure returns why one front's report requires that the version is rolled back, or "" if it does not.
 func (o *stageObservation) frontFailure(s State, t fleet.MemberReport, name string, report Report) string {
 	if report.RejectedVersion == s.Next {
 		return fmt.Sprintf("%s can't use version %d: %s", name, s.Next, report.RejectedReason)
@@ -82,7 +82,8 @@
 	return ""
 }
 
-// countsSince returns by how much a front's counts grew since its last report, nil where the two can't be compared.
+// countsSince returns by how much a front's counts grew since its last report. It returns nil if the two reports can't be compared: they
+// must come from the same process, on the same version and with the same request types.
 func (o *stageObservation) countsSince(name string, t fleet.MemberReport, report Report) []Counts {
 	before, ok := o.samples[name]
 	after := sample{t.Incarnation, t.ActiveVersion, report.TypesChecksum, report.Counts}
--- a/fleet/rollout/participant.go
+++ b/fleet/rollout/participant.go
@@ -6,26 +6,27 @@
 	"dapplerouter/fleet"
 )
 
-// Hooks are what a Participant needs of the front that hosts it; none of them may block.
+// Hooks are the functions of the host that a Participant calls. None of them may block.
 type Hooks struct {
-	// Adopt adopts a version: Adopted follows and, once no request is served under another, Acknowledge; or Rejected.
+	// Adopt makes the front adopt a version. The host answers with Adopted and, once no request is served under another version, with
+	// Acknowledge; or with Rejected.
 	Adopt func(a Adoption)
-	// Renew extends the front's use of a version, on the node's clock; a time that is past ends it.
+	// Renew extends the front's use of a version until a time on the node's clock. If that time has passed, the use ends.
 	Renew func(version uint64, until time.Duration)
-	// Counts returns a checksum of the front's request types, and its counts by type on the version that it uses.
+	// Counts returns a checksum of the front's request types, and its counts by type for the version that it uses.
 	Counts func() (typesChecksum uint32, counts []Counts)
 	// WallClock returns the front's wall clock in Unix microseconds.
 	WallClock func() int64
 }
 
-// Participant runs a front's Adopter beside its node and, while it holds the lease, the Controller. The caller serializes its calls
-// with the node's.
+// Participant runs a front's Adopter beside its node and, while the front holds the lease, a Controller. The caller serializes its calls
+// with those of the node.
 type Participant struct {
 	Adopter    *Adopter
 	options    Options
 	hooks      Hooks
 	controller *Controller // nil while another front holds the lease
-	proof      leaseProof  // outlives the controllers, since it observes leaders all the time
+	proof      leaseProof  // observes leaders at all times, also without a controller
 
 	started    bool
 	renewed    renewal
@@ -33,13 +34,13 @@
 	actions    []pendingAction
 }
 
-// renewal is what was last passed to Hooks.Renew.
+// renewal is the last call of Hooks.Renew.
 type renewal struct {
 	version uint64
 	until   time.Duration
 }
 
-// pendingAction is an operator's action without an outcome so far.
+// pendingAction is an operator's action that has no outcome yet.
 type pendingAction struct {
 	action   Action
 	giveUpAt time.Duration
@@ -60,9 +61,9 @@
 // DeclareLeases declares the lease of the Controller.
 func (p *Participant) DeclareLeases(n *fleet.Node) { n.DeclareLease(Lease, 0) }
 
-// Tick does what depends on time. Call it with the node's.
+// Tick does what depends on time. It is called with each tick of the node.
 func (p *Participant) Tick(now time.Duration, n *fleet.Node) {
-	if !p.started { // a restarted front reports at once what it uses
+	if !p.started { // a restarted front reports the version that it uses at once
 		p.started = true
 		n.SetActiveVersion(now, p.Adopter.Active())
 	}
@@ -70,7 +71,7 @@
 	if adopt != nil {
 		p.hooks.Adopt(*adopt)
 	}
-	n.SetIdle(now, until <= now && !n.Isolated()) // a front that may not serve holds no leases either
+	n.SetIdle(now, until <= now && !n.Isolated()) // a front that may not serve must not hold leases
 	p.renew(now, renewal{p.Adopter.Active(), until})
 	if now-p.reportedAt >= p.options.Timing.HeartbeatInterval() {
 		p.reportedAt = now
@@ -88,8 +89,8 @@
 	p.sendActions(now, n)
 }
 
-// renew reports to the front until when it may use its version: where the version is another, the time is past, or it is later by enough to
-// matter.
+// renew passes the time until which the front may use its version to the host. It does so if the version changed, if the time has passed,
+// or if the time is later by more than 1/32 of a configuration lease.
 func (p *Participant) renew(now time.Duration, next renewal) {
 	later := next.until > p.renewed.until+p.options.ConfigLease/32
 	ended := next.until < p.renewed.until && next.until <= now
@@ -128,32 +129,32 @@
 	}
 }
 
-// Adopted reports that the front takes new requests on a version from now on.
+// Adopted records that the front accepts new requests on a version from now on.
 func (p *Participant) Adopted(version uint64) { p.Adopter.Adopted(version, p.hooks.WallClock()) }
 
-// Acknowledge reports that the front uses a version and no other any more: the fleet counts it as adopted.
+// Acknowledge records that the front uses a version and has no request under another one. The fleet then counts the front as on it.
 func (p *Participant) Acknowledge(now time.Duration, n *fleet.Node, version uint64) {
 	if version != p.Adopter.Active() {
-		return // another was adopted since
+		return // another version was adopted meanwhile
 	}
 	p.reportedAt = now
 	n.SetDigest(Part, p.Adopter.Report(0, nil).Encode())
 	n.SetActiveVersion(now, version)
 }
 
-// Rejected reports that the front can't use a version.
+// Rejected records that the front can't use a version.
 func (p *Participant) Rejected(now time.Duration, n *fleet.Node, version uint64, reason string) {
 	p.Adopter.Reject(version, reason)
 	n.SetDigest(Part, p.Adopter.Report(0, nil).Encode())
 }
 
-// Submit sends an operator's action to the leaseholder until its outcome is known, for as long as timeout. outcome is called once: with
-// nil where the action was accepted, with a RejectedError, ErrNoAnswer or ErrNewerState.
+// Submit sends an operator's action to the leaseholder, repeatedly, until its outcome is known or the timeout is over. It calls outcome
+// once: with nil if the action was accepted, else with a RejectedError, ErrNoAnswer or ErrNewerState.
 func (p *Participant) Submit(now time.Duration, action Action, timeout time.Duration, outcome func(error)) {
 	p.actions = append(p.actions, pendingAction{action, now + timeout, -time.Hour, outcome})
 }
 
-// sendActions repeats pending actions, and reports the outcomes that the replicated state has.
+// sendActions sends pending actions again, and reports the outcomes that are in the replicated state.
 func (p *Participant) sendActions(now time.Duration, n *fleet.Node) {
 	if len(p.actions) == 0 {
 		return
--- a/fleet/rollout/participant_test.go
+++ b/fleet/rollout/participant_test.go
@@ -10,7 +10,7 @@
 	"dapplerouter/fleet"
 )
 
-// A submitted action has one outcome; without a leaseholder that is ErrNoAnswer, after its timeout.
+// A submitted action gets exactly one outcome. Without a leaseholder the outcome is ErrNoAnswer, once the timeout is over.
 func TestSubmittedActionHasOneOutcome(t *testing.T) {
 	timing := fleet.Timing{LeaseDuration: 3 * time.Second}
 	for _, x := range []struct {
--- a/fleet/rollout/publication_queue.go
+++ b/fleet/rollout/publication_queue.go
@@ -12,41 +12,42 @@
 	"dapplerouter/fleet"
 )
 
-// queueKey is the key of the queued publications, for operators. The queue itself is the controller's: the fronts at which
-// publications were made repeat them until their outcome stands in the state, so that the next leaseholder queues them too.
+// queueKey is the key under which the queued publications are stored, for operators only. The queue itself is in the Controller. The
+// fronts at which publications were made send them again until the state has their outcome, so that the next leaseholder queues them too.
 const queueKey = "roll/queue"
 
-// maxQueued is the most publications that are queued; it is less than the outcomes that are stored, so that each is seen by its front.
+// maxQueued is the maximum number of queued publications. It is less than the number of stored outcomes, so that an outcome is not
+// dropped before the publication's front has seen it.
 const maxQueued = maxOutcomes / 2
 
-// minOverdue is the shortest time, in lease durations, for which a publication is queued.
-const minOverdue = 6
+// minQueueTime is the shortest time for which a publication stays queued before it is rejected, in lease durations.
+const minQueueTime = 6
 
-// publication is a queued publication.
+// publication is a publication in the queue.
 type publication struct {
 	action  Action
 	from    string            // the front at which it was made
-	changes map[string]string // against the version that it was made on
-	within  time.Duration
-	since   time.Duration
+	changes map[string]string // relative to the version on which it was made
+	within  time.Duration     // time within which it has to be in force at all fronts
+	since   time.Duration     // when it was queued
 }
 
-// QueuedPublication is a queued publication, as stored for operators.
+// QueuedPublication describes a queued publication, as stored for operators.
 type QueuedPublication struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Front   string // at which it was made
-	Base    uint64 // the version that it was made on
-	Changes string // the rules that it changes
+	Base    uint64 // the version on which it was made
+	Changes string // the rules that it changes, as a text
 }
 
-// DecodeMsgpack decodes a QueuedPublication of this or another version of the program.
+// DecodeMsgpack decodes a QueuedPublication that was encoded by this or another version of the program.
 func (w *QueuedPublication) DecodeMsgpack(d *msgpack.Decoder) error {
 	return decodeLenient(d, &w.Front, &w.Base, &w.Changes)
 }
 
-// QueuedPublications returns the publications that are queued for the next version, in their order.
+// QueuedPublications returns the publications that are queued for the next version, in the order in which they arrived.
 func QueuedPublications(r *fleet.ReplicatedState) (all []QueuedPublication) {
 	if e := r.Values[queueKey]; e != nil && msgpack.Unmarshal(e.Value, &all) != nil {
 		return nil
@@ -54,16 +55,16 @@
 	return all
 }
 
-// queuesPublications reports whether publications wait for a version that is being rolled out, rather than being rejected.
+// queuesPublications reports whether publications that arrive during a rollout are queued for the next version. Else they are rejected.
 func (c *Controller) queuesPublications() bool {
 	return c.options.InForceWithin > 0 && c.options.Rules != nil
 }
 
-// queueWrite returns the queue's value; changed is false where it is stored already.
+// queueWrite returns the write that stores the queue. changed is false if the queue is stored already.
 func (c *Controller) queueWrite(r *fleet.ReplicatedState) (w valueWrite, changed bool) {
 	var all []QueuedPublication
 	for _, p := range c.publications {
-		all = append(all, QueuedPublication{Front: p.from, Base: p.action.Base, Changes: describe(p.changes)})
+		all = append(all, QueuedPublication{Front: p.from, Base: p.action.Base, Changes: listChangedRules(p.changes)})
 	}
 	w.key = queueKey
 	if len(all) > 0 {
@@ -76,9 +77,9 @@
 	return w, !bytes.Equal(stored, w.value)
 }
 
-// admit queues a publication. One that was made on an older version than the newest, and changes a rule that this changes otherwise,
-// is in conflict: its operator has not seen the newest. The error is a rejection.
-func (c *Controller) admit(in *stepInput, submitted submittedAction) error {
+// enqueue queues a publication, or returns why it is rejected. A publication that was made on an older version than the newest one, and
+// sets a rule differently from the newest one, is in conflict, because its operator has not seen the newest version.
+func (c *Controller) enqueue(in *stepInput, submitted submittedAction) error {
 	action, s := submitted.Action, in.state
 	if slices.ContainsFunc(c.publications, func(p publication) bool { return p.action.ID == action.ID }) {
 		return nil
@@ -106,7 +107,8 @@
 	return nil
 }
 
-// changesOf returns what a publication changes. The error is a conflict, or rules that can't be read.
+// changesOf returns the rules that a publication changes. It returns an error if they conflict with the version that is being rolled out,
+// or if a version's rules can't be read.
 func (c *Controller) changesOf(in *stepInput, action Action) (changes map[string]string, err error) {
 	r, s := in.replicated, in.state
 	before, err := c.options.Rules.Split(VersionText(r, action.Base))
@@ -125,35 +127,36 @@
 	if err != nil {
 		return nil, err
 	}
-	if keys := conflict(changes, changesBetween(before, newest)); len(keys) > 0 {
+	if keys := conflictingRules(changes, changesBetween(before, newest)); len(keys) > 0 {
 		return nil, rejectf(ErrConflict, "it was made on version %d, and version %d, which is on its way, changes %s as well: look again",
 			action.Base, s.Next, listNames(keys))
 	}
 	return changes, nil
 }
 
-// serveQueue begins the next version out of the queued publications, and rejects those that waited for too long. It returns false
-// where nothing was to be done.
-func (c *Controller) serveQueue(in *stepInput) bool {
+// processQueue starts the next version from the queued publications, or rejects those that have waited for too long. It returns false if
+// there is nothing to do.
+func (c *Controller) processQueue(in *stepInput) bool {
 	c.publications = slices.DeleteFunc(c.publications, func(p publication) bool {
 		_, done := in.state.Outcome(p.action.ID)
 		return done
 	})
 	if w, changed := c.queueWrite(in.replicated); changed {
-		c.writer.set(w)
+		c.writer.replaceQueued(w)
 		return true
 	}
 	if len(c.publications) == 0 {
 		return false
 	}
-	if in.state.Phase == PhaseSteady && len(c.unknownFronts(in)) == 0 {
-		c.beginMerged(in)
+	if in.state.Phase == PhaseSteady && len(c.unconfirmedFronts(in)) == 0 {
+		c.startMergedRollout(in)
 		return true
 	}
 	return c.rejectOverdue(in)
 }
 
-// rejectOverdue rejects publications that waited for their time: no operator waits without an answer.
+// rejectOverdue rejects publications that have waited for too long, so that no operator waits without an answer. It returns false if
+// there are none.
 func (c *Controller) rejectOverdue(in *stepInput) bool {
 	s := in.state
 	err := rejectf(ErrRolloutInProgress, "version %d is on its way still (%v): wait for it, or take it back first", s.Next, s.Phase)
@@ -162,19 +165,19 @@
 	}
 	var outcomes []Outcome
 	for _, p := range c.publications {
-		if in.now-p.since > max(p.within, minOverdue*c.options.Timing.LeaseDuration) {
+		if in.now-p.since > max(p.within, minQueueTime*c.options.Timing.LeaseDuration) {
 			outcomes = append(outcomes, outcomeOf(p.action.ID, err))
 		}
 	}
 	if len(outcomes) == 0 {
 		return false
 	}
-	c.writer.set(stateWrite(s.withOutcomes(outcomes...), ""))
+	c.writer.replaceQueued(stateWrite(s.withOutcomes(outcomes...), ""))
 	return true
 }
 
-// beginMerged begins a version that consists of all queued publications.
-func (c *Controller) beginMerged(in *stepInput) {
+// startMergedRollout starts the rollout of a version that merges all queued publications.
+func (c *Controller) startMergedRollout(in *stepInput) {
 	base := ruleVersion{number: in.state.Base, text: VersionText(in.replicated, in.state.Base), hash: in.state.RulesHashes[0]}
 	merged, err := merge(c.publications, c.options.Rules, base)
 	if err != nil {
@@ -184,12 +187,12 @@
 	}
 	s := in.state.withOutcomes(merged.outcomes...)
 	if merged.count == 0 {
-		c.writer.set(stateWrite(s, ""))
+		c.writer.replaceQueued(stateWrite(s, ""))
 		return
 	}
 	reason := fmt.Sprintf("version %d is published", s.LastVersion+1)
 	if merged.count > 1 {
 		reason += fmt.Sprintf(", of %d publications", merged.count)
 	}
-	c.begin(in, s, newVersion{merged.action, merged.within, reason})
+	c.startRollout(in, s, newVersion{merged.action, merged.within, reason})
 }
--- a/fleet/rollout/publication_queue_test.go
+++ b/fleet/rollout/publication_queue_test.go
@@ -11,8 +11,9 @@
 	"dapplerouter/fleet"
 )
 
-// queueing is a controller whose version 4 is in force, with version 5 on its way, which changes b, and what its steps decide on.
-func queueing() (*Controller, *stepInput) {
+// newQueueingController returns a controller that queues publications, and the input of its steps. Version 4 is in force, and version 5,
+// which changes rule b, is being rolled out.
+func newQueueingController() (*Controller, *stepInput) {
 	c := NewController(ControllerOptions{Timing: fleet.Timing{LeaseDuration: 3 * time.Second}, ConfigLease: 12 * time.Second, InForceWithin: 20 * time.Second, Rules: jsonRules{}})
 	r := &fleet.ReplicatedState{Fronts: map[string]*fleet.Front{}, Values: map[string]*fleet.StoredValue{
 		textKey(4): {Index: 1, Value: []byte(`{"a":"1","b":"1"}`)},
@@ -21,7 +22,8 @@
 	return c, &stepInput{replicated: r, state: State{LastVersion: 5, Base: 4, Next: 5, Phase: PhaseRolling, Stages: []uint16{1000}}}
 }
 
-func publishBy(front string, id, base uint64, text string) submittedAction {
+// publicationFrom returns a publication that was made at a front on version base.
+func publicationFrom(front string, id, base uint64, text string) submittedAction {
 	return submittedAction{Action{ID: id, Base: base, Text: []byte(text), Stages: []uint16{1000}}, front}
 }
 
@@ -35,12 +37,12 @@
 		{4, `{"a":"1","b":"2"}`, "", nil}, // the same change
 		{4, `{"a":"1","b":"3"}`, "it was made on version 4, and version 5, which is on its way, changes b as well: look again", ErrConflict},
 		{4, `{"a":"1"}`, "changes b as well", ErrConflict},
-		{5, `{"a":"1","b":"3"}`, "", nil}, // made in the knowledge of 5
+		{5, `{"a":"1","b":"3"}`, "", nil}, // its operator has seen version 5
 		{3, `{"a":"2","b":"1"}`, "version 4 is in force, and the wish was made on version 3: look again", ErrOutdatedBase},
 		{4, `{`, "unexpected end", nil},
 	} {
-		c, in := queueing()
-		err := c.admit(in, publishBy("n1", 9, x.base, x.text))
+		c, in := newQueueingController()
+		err := c.enqueue(in, publicationFrom("n1", 9, x.base, x.text))
 		if x.reason == "" {
 			assert.NoError(t, err, "%+v", x)
 			assert.Len(t, c.publications, 1)
@@ -55,29 +57,29 @@
 }
 
 func TestPublicationQueueIsBoundedAndStored(t *testing.T) {
-	c, in := queueing()
+	c, in := newQueueingController()
 	for i := range maxQueued {
 		in.now = time.Duration(i)
-		action := publishBy("n1", uint64(i+1), 4, `{"a":"2","b":"1"}`)
-		require.NoError(t, c.admit(in, action))
-		require.NoError(t, c.admit(in, action), "a repeated one changes nothing")
+		action := publicationFrom("n1", uint64(i+1), 4, `{"a":"2","b":"1"}`)
+		require.NoError(t, c.enqueue(in, action))
+		require.NoError(t, c.enqueue(in, action), "a publication that is sent again changes nothing")
 	}
 	require.Len(t, c.publications, maxQueued)
-	err := c.admit(in, publishBy("n1", 99, 4, `{}`))
+	err := c.enqueue(in, publicationFrom("n1", 99, 4, `{}`))
 	assert.ErrorIs(t, err, ErrQueueFull)
 	assert.ErrorContains(t, err, fmt.Sprintf("%d publications wait", maxQueued))
 	in.now = time.Second
-	require.True(t, c.serveQueue(in))
+	require.True(t, c.processQueue(in))
 	in.replicated.Values[queueKey] = &fleet.StoredValue{Value: c.writer.queue[0].value}
 	assert.Equal(t, QueuedPublication{Front: "n1", Base: 4, Changes: "a"}, QueuedPublications(in.replicated)[0])
-	assert.False(t, c.serveQueue(in), "they wait")
+	assert.False(t, c.processQueue(in), "the publications wait")
 	in.now = 21 * time.Second
-	require.True(t, c.serveQueue(in), "nobody waits without an answer")
+	require.True(t, c.processQueue(in), "overdue publications are rejected")
 	written, ok := ReadState(&fleet.ReplicatedState{Values: map[string]*fleet.StoredValue{stateKey: {Value: c.writer.queue[0].value}}})
 	require.True(t, ok)
 	require.Len(t, written.Outcomes, maxQueued)
 	assert.Contains(t, written.Outcomes[0].RejectedReason, "version 5 is on its way still (rolling)")
 	in.now, in.state = 22*time.Second, written
-	assert.False(t, c.serveQueue(in) && len(c.publications) > 0, "each has its outcome, and waits no more")
+	assert.False(t, c.processQueue(in) && len(c.publications) > 0, "a publication with an outcome leaves the queue")
 	assert.Empty(t, c.publications)
 }
--- a/fleet/rollout/publish.go
+++ b/fleet/rollout/publish.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// apply carries out an operator's action, or rejects it; its outcome is stored with the change of state.
-func (c *Controller) apply(in *stepInput, action Action) {
+// applyAction carries out an operator's action, or rejects it. The outcome is stored together with the change of state.
+func (c *Controller) applyAction(in *stepInput, action Action) {
 	if err := c.checkAction(in, action); err != nil {
-		c.writer.set(stateWrite(in.state.withOutcomes(outcomeOf(action.ID, err)), ""))
+		c.writer.replaceQueued(stateWrite(in.state.withOutcomes(outcomeOf(action.ID, err)), ""))
 		return
 	}
 	s := in.state.withOutcomes(outcomeOf(action.ID, nil))
@@ -19,17 +19,17 @@
 		c.rollBack(s, "taken back: "+action.Reason)
 	case ActionPause:
 		s.Paused = true
-		c.writer.set(stateWrite(s, "held: "+action.Reason))
+		c.writer.replaceQueued(stateWrite(s, "held: "+action.Reason))
 	case ActionResume:
 		s.Paused = false
-		c.writer.set(stateWrite(s, "goes on: "+action.Reason))
+		c.writer.replaceQueued(stateWrite(s, "goes on: "+action.Reason))
 	case ActionPublish:
 		within := cmp.Or(action.InForceWithin, c.options.InForceWithin)
-		c.begin(in, s, newVersion{action, within, fmt.Sprintf("version %d is published", s.LastVersion+1)})
+		c.startRollout(in, s, newVersion{action, within, fmt.Sprintf("version %d is published", s.LastVersion+1)})
 	}
 }
 
-// checkAction checks an action against the state. The error is a rejection.
+// checkAction checks an action against the state. It returns the reason if the action is rejected.
 func (c *Controller) checkAction(in *stepInput, action Action) error {
 	s := in.state
 	switch {
@@ -57,26 +57,26 @@
 	return c.checkPublication(in)
 }
 
-// newVersion is a version that begins to be rolled out.
+// newVersion is a version whose rollout starts.
 type newVersion struct {
 	Action
 	within time.Duration // 0 for no deadline
-	reason string        // for the state
+	reason string        // stored in the state
 }
 
-// begin begins to roll a version out.
-func (c *Controller) begin(in *stepInput, s State, v newVersion) {
+// startRollout starts the rollout of a version. The text of the version is stored before the state that names it.
+func (c *Controller) startRollout(in *stepInput, s State, v newVersion) {
 	s.LastVersion++
 	s.Next, s.Mandatory, s.Phase, s.Paused = s.LastVersion, v.Mandatory, PhaseRolling, false
 	s.Stages, s.Stage, s.ObservationTime, s.MaxFenced = v.Stages, 0, v.ObservationTime, v.MaxFenced
 	s.RulesHashes[1], s.UnconfirmedFronts = v.RulesHash, nil
-	s.CutoffRank = stageCut(in.fronts(), s.Next, v.Stages[0])
+	s.CutoffRank = cutoffRank(in.fronts(), s.Next, v.Stages[0])
 	writes := []valueWrite{{textKey(s.Next), v.Text}}
 	if v.within > 0 {
 		d := deadline{Version: s.Next, InForceWithin: v.within, OnUndecided: v.OnUndecided}
-		writes = append(writes, c.boundedWrite(in.replicated), valueWrite{deadlineKey, encode(&d)})
+		writes = append(writes, c.fenceableWrite(in.replicated), valueWrite{deadlineKey, encode(&d)})
 	}
-	c.writer.set(append(writes, allowedWrite(s.Base, s.Next), stateWrite(s, v.reason))...)
+	c.writer.replaceQueued(append(writes, allowedWrite(s.Base, s.Next), stateWrite(s, v.reason))...)
 }
 
 func invalidStagesError() error { return rejectf(ErrInvalidStages, "waves rise to 100%%") }
@@ -94,11 +94,11 @@
 	return rejectf(ErrRulesUnchanged, "the rules mean the same as those of version %d, which is in force", base)
 }
 
-// mustDefer reports whether a publication with a time waits until fronts are known that a new leader has not heard yet. It waits for
-// no longer than its time.
+// mustDefer reports whether a publication with a deadline has to wait for reports of fronts that a new leader has not received yet. It
+// waits no longer than its deadline.
 func (c *Controller) mustDefer(in *stepInput, action Action) bool {
 	within := cmp.Or(action.InForceWithin, c.options.InForceWithin)
-	if action.Type != ActionPublish || within == 0 || in.state.Next != 0 || c.checkFrontSettings(in) != nil || len(c.unknownFronts(in)) == 0 {
+	if action.Type != ActionPublish || within == 0 || in.state.Next != 0 || c.checkFrontSettings(in) != nil || len(c.unconfirmedFronts(in)) == 0 {
 		return false
 	}
 	if c.deferred.id != action.ID {
--- a/fleet/rollout/publish_checks_test.go
+++ b/fleet/rollout/publish_checks_test.go
@@ -9,15 +9,16 @@
 	"dapplerouter/fleet"
 )
 
-// assertRejected asserts an error's cause and a part of its text.
+// assertRejected asserts the cause of an error and a part of its text.
 func assertRejected(t *testing.T, err, cause error, text string, messages ...any) {
 	t.Helper()
 	assert.ErrorIs(t, err, cause, messages...)
 	assert.ErrorContains(t, err, text, messages...)
 }
 
-// A front without the form, or of an older program, does not report a version: nothing is published that it would not adopt.
-func TestPublicationIsRejectedWhileAFrontTakesNoPart(t *testing.T) {
+// A front without the form, or of an older program, does not report a version. While there is such a front nothing is published, because
+// the front would not adopt it.
+func TestPublicationIsRejectedWhileAFrontDoesNotTakePart(t *testing.T) {
 	c := NewController(ControllerOptions{Timing: fleet.Timing{LeaseDuration: time.Second}, ConfigLease: 4 * time.Second})
 	r := &fleet.ReplicatedState{Fronts: map[string]*fleet.Front{"n1": {}, "n2": {}}}
 	in := &stepInput{now: time.Minute, replicated: r}
@@ -29,8 +30,8 @@
 	assert.NoError(t, c.checkPublication(in))
 }
 
-// A front that serves on while it hears nobody can't be fenced in any time; one that the leader does not know, but that was known to
-// stop when the last version was published, needs not be waited for.
+// A front that keeps serving while isolated can't be fenced within any time. A front of which the leader has no report is not waited for
+// if it was known to stop when the last version was published.
 func TestPublicationWithADeadlineNeedsFrontsThatStop(t *testing.T) {
 	c := NewController(ControllerOptions{Timing: fleet.Timing{LeaseDuration: 3 * time.Second}, ConfigLease: 12 * time.Second})
 	c.allowed.index = 3
@@ -39,11 +40,11 @@
 	stops := Report{}.Encode()
 	c.reports.latest = map[string]fleet.MemberReport{"n1": {Incarnation: 1, WantsConfigLease: true, Data: stops}, "n2": {Incarnation: 2, WantsConfigLease: true, Data: stops}}
 	assert.NoError(t, c.checkTimedPublication(in))
-	r.Values[boundedKey] = &fleet.StoredValue{Value: c.boundedWrite(r).value}
+	r.Values[fenceableKey] = &fleet.StoredValue{Value: c.fenceableWrite(r).value}
 	delete(c.reports.latest, "n2")
-	assert.NoError(t, c.checkTimedPublication(in), "it was known to stop")
+	assert.NoError(t, c.checkTimedPublication(in), "the stored set says that n2 stops")
 	r.Fronts["n2"].Incarnation = 9
-	assertRejected(t, c.checkTimedPublication(in), ErrVersionsUnconfirmed, "n2 may act on another version than 0 still", "another process, with other settings perhaps")
+	assertRejected(t, c.checkTimedPublication(in), ErrVersionsUnconfirmed, "n2 may act on another version than 0 still", "another process of n2 may have other settings")
 	c.reports.latest["n2"] = fleet.MemberReport{Incarnation: 9, WantsConfigLease: true, Data: Report{ServesIsolated: true}.Encode()}
 	assertRejected(t, c.checkTimedPublication(in), ErrFrontsNeverStop, "give it (when-alone stop)")
 	c.reports.latest["n2"] = fleet.MemberReport{Incarnation: 9}
--- a/fleet/rollout/publish_test.go
+++ b/fleet/rollout/publish_test.go
@@ -10,7 +10,7 @@
 	"dapplerouter/fleet"
 )
 
-// The texts are those of version 0.3.0: they are stored, and other programs show them.
+// The texts are those of version 0.3.0. They are stored, and programs of other versions show them.
 func TestActionsAreRejectedWithTheirCause(t *testing.T) {
 	all := []uint16{1000}
 	rolling := State{LastVersion: 5, Base: 4, Next: 5, Phase: PhaseRolling, RulesHashes: [2]string{"h4", "h5"}}
@@ -41,7 +41,7 @@
 			require.ErrorIs(t, err, x.cause)
 			require.EqualError(t, err, x.text)
 			x.action.ID = 7
-			c.apply(in, x.action)
+			c.applyAction(in, x.action)
 			require.Len(t, c.writer.queue, 1)
 			s, ok := ReadState(&fleet.ReplicatedState{Values: map[string]*fleet.StoredValue{stateKey: {Value: c.writer.queue[0].value}}})
 			require.True(t, ok)
--- a/fleet/rollout/report.go
+++ b/fleet/rollout/report.go
@@ -2,7 +2,7 @@
 
 import "github.com/vmihailenco/msgpack/v5"
 
-// maxReasonBytes is the length to which a report's reason is cut, since reports go up with every heartbeat.
+// maxReasonBytes is the length to which the reason in a report is cut, because a report is sent with every heartbeat.
 const maxReasonBytes = 200
 
 // Report is a front's digest for the Controller.
@@ -10,15 +10,15 @@
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
 
-	AdoptedAt       int64  // when it adopted its version, in Unix microseconds of its wall clock, for people
-	RejectedVersion uint64 // a version that it can't use
+	AdoptedAt       int64  // when the front adopted its version, in Unix microseconds of its wall clock; for display only
+	RejectedVersion uint64 // a version that the front can't use, 0 for none
 	RejectedReason  string
-	ServesIsolated  bool     // it serves on while isolated
-	TypesChecksum   uint32   // of its request types: counts of other types are not compared one by one
-	Counts          []Counts // by request type, since its process started, on its version; during a rollout only
+	ServesIsolated  bool     // the front keeps serving while isolated
+	TypesChecksum   uint32   // of the front's request types; counts under different checksums are not compared
+	Counts          []Counts // by request type, for the front's version since its process started; during a rollout only
 }
 
-// Counts is how many requests were answered, and how many of these succeeded.
+// Counts is the number of requests that were answered, and the number of those that succeeded.
 type Counts struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -26,7 +26,7 @@
 	Finished, Succeeded uint64
 }
 
-// failures is how many requests were answered and did not succeed.
+// failures returns the number of requests that were answered and did not succeed.
 func (c Counts) failures() uint64 { return c.Finished - c.Succeeded }
 
 // add adds other counts of the same request type.
@@ -35,7 +35,7 @@
 	c.Succeeded += other.Succeeded
 }
 
-// Encode encodes a report as a digest.
+// Encode encodes the report as a digest. It cuts a long RejectedReason.
 func (report Report) Encode() []byte {
 	if len(report.RejectedReason) > maxReasonBytes {
 		report.RejectedReason = report.RejectedReason[:maxReasonBytes]
@@ -43,7 +43,7 @@
 	return encode(&report)
 }
 
-// DecodeReport decodes a digest; ok is false where it is malformed.
+// DecodeReport decodes a digest. ok is false if it is malformed.
 func DecodeReport(data []byte) (report Report, ok bool) {
 	return report, len(data) > 0 && msgpack.Unmarshal(data, &report) == nil
 }
--- a/fleet/rollout/stages.go
+++ b/fleet/rollout/stages.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// checkStage decides what follows the open stage: the next one, the end, a pause, a roll back, or to wait.
+// checkStage decides what follows the open stage: the next stage, the end of the rollout, a pause, a rollback, or more waiting.
 func (c *Controller) checkStage(in *stepInput) {
 	if reason := c.failureReason(in); reason != "" {
 		c.rollBack(in.state, reason)
@@ -19,16 +19,16 @@
 	p := c.progress(in)
 	if len(p.lagging) > 0 {
 		if c.waitsForLagging(in, p) {
-			return // they are being updated
+			return // the lagging fronts are being updated
 		}
 		if reason := p.tooManyFenced(int(in.state.MaxFenced)); reason != "" {
-			if in.state.Reason != reason { // stored once
-				c.writer.set(stateWrite(in.state, reason))
+			if in.state.Reason != reason { // the reason is stored once
+				c.writer.replaceQueued(stateWrite(in.state, reason))
 			}
 			return
 		}
 	} else if p.adopted == 0 && (d.InForceWithin == 0 || in.now-c.rollout.at < c.scheduleFor(in.state, d).stageEnd) {
-		return // its fronts are silent; with a deadline its time passes all the same
+		return // all fronts of the stage are silent; with a deadline the stage ends after its time nevertheless
 	}
 	if c.stage.completeSince == 0 {
 		c.stage.completeSince = in.now
@@ -40,12 +40,13 @@
 	c.endStage(in, p.lagging)
 }
 
-// lastStage reports whether the open stage is the one of the whole fleet.
+// lastStage reports whether the open stage is the last one, which comprises the whole fleet.
 func (s *State) lastStage() bool { return s.Stage == len(s.Stages)-1 }
 
-// endTimedStage ends a stage of a rollout with a deadline: as soon as its analysis has decided, or when it was observed for as long
-// as was asked or its share of the time is over. Where the analysis then leans towards worse the version is rolled back; where it did
-// not decide, the publication says what happens. The last stage has no front on the old version, and no analysis.
+// endTimedStage ends a stage of a rollout with a deadline. The stage ends as soon as its analysis finds both versions alike, or once it
+// was observed for the requested time, or once its share of the time is over. If the analysis then leans towards Worse, the version is
+// rolled back; if the analysis did not decide, the publication's OnUndecided says what follows. The last stage has no front on the old
+// version, and therefore no analysis.
 func (c *Controller) endTimedStage(in *stepInput, lagging []string) {
 	s, d := in.state, in.deadline()
 	verdict, _ := c.stage.analysis.verdict()
@@ -66,7 +67,7 @@
 		c.openNextStage(in, lagging)
 	case d.OnUndecided == UndecidedPause:
 		s.Paused = true
-		c.writer.set(stateWrite(s, "held: "+undecided))
+		c.writer.replaceQueued(stateWrite(s, "held: "+undecided))
 	default:
 		c.rollBack(s, undecided)
 	}
@@ -81,7 +82,7 @@
 		case !s.lastStage():
 			return in.now-c.rollout.at < times.stageEnd
 		case p.laggingReachable == 0:
-			return false // nobody can update them: the sooner they are fenced the better
+			return false // unreachable fronts can't be updated: they are fenced at once
 		default:
 			return in.now-c.rollout.at < times.fenceAt
 		}
@@ -93,21 +94,21 @@
 	return !s.lastStage() || in.now-c.stage.openedAt < patience
 }
 
-// stageProgress is how far the fronts of the open stage have come.
+// stageProgress counts the fronts of the open stage by whether they are on the new version.
 type stageProgress struct {
-	adopted          int      // on the new version, and reachable
-	lagging          []string // the others that count
-	laggingReachable int      // those of lagging that reported lately
-	fronts           int      // of the whole fleet
+	adopted          int      // reachable and on the new version
+	lagging          []string // not on the new version, and waited for or to be fenced
+	laggingReachable int      // the number of lagging fronts that reported lately
+	fronts           int      // number of fronts of the whole fleet
 
-	inZone, laggingInZone map[string]int
+	inZone, laggingInZone map[string]int // number of fronts by zone
 }
 
-// progress counts the fronts of the open stage. With a deadline, fronts whose configuration leases have expired by themselves do not
-// count: they serve nothing, so they need not be fenced.
+// progress counts the fronts of the open stage. In a rollout with a deadline, fronts whose configuration leases have already expired do
+// not count as lagging: they serve nothing, so they need not be fenced.
 func (c *Controller) progress(in *stepInput) stageProgress {
 	r, s := in.replicated, in.state
-	timed := in.deadline().InForceWithin > 0
+	hasDeadline := in.deadline().InForceWithin > 0
 	p := stageProgress{fronts: len(r.Fronts), inZone: map[string]int{}, laggingInZone: map[string]int{}}
 	for _, name := range in.fronts() {
 		zone := r.Fronts[name].Zone
@@ -122,9 +123,9 @@
 			continue
 		}
 		if !s.lastStage() && !reachable {
-			continue // only the last stage waits for a silent front
+			continue // only the last stage waits for silent fronts
 		}
-		if timed && !reachable && c.reports.proof.expired(name, 0) {
+		if hasDeadline && !reachable && c.reports.proof.expired(name, 0) {
 			continue
 		}
 		if reachable {
@@ -136,8 +137,8 @@
 	return p
 }
 
-// tooManyFenced returns why the fronts that lag can't be fenced, "" where they can: at most a share of the fleet and of each zone, in
-// thousandths, but always one.
+// tooManyFenced returns why the lagging fronts can't be fenced, or "" if they can. At most the given share of the fleet, and of each
+// zone, is fenced, in thousandths; one front may always be fenced.
 func (p *stageProgress) tooManyFenced(permille int) string {
 	if limit := max(1, p.fronts*permille/1000); len(p.lagging) > limit {
 		return fmt.Sprintf("%d fronts lag (%s), and %d may be shut out at once", len(p.lagging), listNames(p.lagging), limit)
@@ -150,7 +151,8 @@
 	return ""
 }
 
-// endStage ends a stage whose fronts are all on the new version, once it was observed for long enough.
+// endStage ends a stage of a rollout without a deadline, once the stage was observed for long enough. If the analysis leans towards Worse
+// without a decision, the stage is observed for up to three times as long, and then paused.
 func (c *Controller) endStage(in *stepInput, lagging []string) {
 	s := in.state
 	observed := in.now - c.stage.completeSince
@@ -160,22 +162,22 @@
 	case observed < s.ObservationTime:
 		return
 	case suspect && observed < 3*s.ObservationTime:
-		return // observe it for longer: the evidence leans towards worse
+		return // observe it for longer
 	case suspect:
 		s.Paused = true
-		c.writer.set(stateWrite(s, fmt.Sprintf("held: three times the watch did not tell whether version %d serves worse", s.Next)))
+		c.writer.replaceQueued(stateWrite(s, fmt.Sprintf("held: three times the watch did not tell whether version %d serves worse", s.Next)))
 	default:
 		c.openNextStage(in, lagging)
 	}
 }
 
-// openNextStage opens the stage after the open one; after the last one it finishes the rollout, and fences the fronts that lag.
+// openNextStage opens the next stage. After the last stage it begins to finish the rollout, and thereby fences the lagging fronts.
 func (c *Controller) openNextStage(in *stepInput, lagging []string) {
 	s := in.state
 	if !s.lastStage() {
 		s.Stage++
-		s.CutoffRank = stageCut(in.fronts(), s.Next, s.Stages[s.Stage])
-		c.writer.set(stateWrite(s, fmt.Sprintf("wave %d of %d is open", s.Stage+1, len(s.Stages))))
+		s.CutoffRank = cutoffRank(in.fronts(), s.Next, s.Stages[s.Stage])
+		c.writer.replaceQueued(stateWrite(s, fmt.Sprintf("wave %d of %d is open", s.Stage+1, len(s.Stages))))
 		return
 	}
 	s.Phase = PhaseFinishing
@@ -183,13 +185,13 @@
 	if len(lagging) > 0 {
 		reason = listNames(lagging) + " is shut out until it is up to date"
 	}
-	c.writer.set(allowedWrite(s.Next, s.Next), stateWrite(s, reason))
+	c.writer.replaceQueued(allowedWrite(s.Next, s.Next), stateWrite(s, reason))
 }
 
-// listNames joins names, the first five of many.
+// listNames joins names; of more than five it lists the first five and counts the rest.
 func listNames(names []string) string { return joinFirst(names, 5) }
 
-// joinFirst joins the first n of some names, and counts the others.
+// joinFirst joins the first n names and counts the rest.
 func joinFirst(names []string, n int) string {
 	if len(names) > n {
 		return strings.Join(names[:n], ", ") + fmt.Sprintf(" and %d more", len(names)-n)
@@ -197,35 +199,37 @@
 	return strings.Join(names, ", ")
 }
 
-// openStage is a stage of a version.
-type openStage struct {
+// versionStage identifies a stage of the rollout of a version.
+type versionStage struct {
 	version uint64
 	stage   int
 }
 
-func stageOf(s State) openStage { return openStage{s.Next, s.Stage} }
+// stageOf identifies the open stage.
+func stageOf(s State) versionStage { return versionStage{s.Next, s.Stage} }
 
-// stageID is what the times of a stageObservation belong to.
+// stageID identifies what a stageObservation has observed: a stage in a phase, and whether it is paused.
 type stageID struct {
-	openStage
+	versionStage
 	phase  Phase
 	paused bool
 }
 
-// stageObservation is what this controller has seen of the open stage.
+// stageObservation holds what this controller has observed of the open stage.
 type stageObservation struct {
 	id            *stageID // nil before the first
 	openedAt      time.Duration
-	completeSince time.Duration // when all reachable fronts were first on their version; 0 for not yet
+	completeSince time.Duration // when the stage first waited for no front any more; 0 for not yet
 	analysis      CanaryAnalysis
-	samples       map[string]sample // by front, of the interval before
+	samples       map[string]sample // by front: the counts that it reported last
 
 	adopted    map[string]adoptedFront // by front: those that were seen on the new version, at any stage
-	lastPaused openStage               // the stage that was seen paused last: where it is paused no more an operator resumed it
+	lastPaused versionStage            // the stage that was last seen paused; if it is not paused any more, an operator has resumed it
 }
 
-// begin begins anew where the state is at another stage than before.
-func (o *stageObservation) begin(in *stepInput) {
+// resetIfStageChanged starts a new observation if the state is at another stage than in the previous step. It also remembers which stage
+// was paused last.
+func (o *stageObservation) resetIfStageChanged(in *stepInput) {
 	s := in.state
 	if s.Paused {
 		o.lastPaused = stageOf(s)
--- a/fleet/rollout/state_test.go
+++ b/fleet/rollout/state_test.go
@@ -11,34 +11,34 @@
 	"dapplerouter/fleet"
 )
 
-func TestStageGrowsAndNeverTakesAFrontBack(t *testing.T) {
+func TestLaterStageRemovesNoFront(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := rapid.SliceOfNDistinct(rapid.StringMatching("[a-z]{1,6}"), 1, 40, rapid.ID).Draw(t, "names")
 		stages := []uint16{1, 100, 370, 1000}
 		s := State{Phase: PhaseRolling, Base: 4, Next: 6}
 		on := map[string]bool{}
 		for _, permille := range stages {
-			s.CutoffRank = stageCut(names, s.Next, permille)
+			s.CutoffRank = cutoffRank(names, s.Next, permille)
 			n := 0
 			for _, name := range names {
 				if s.VersionFor(name) == s.Next {
 					on[name] = true
 					n++
 				} else if on[name] {
-					t.Fatalf("%s was taken back by a larger stage", name)
+					t.Fatalf("a later stage removed %s", name)
 				}
 			}
 			if want := max(1, (len(names)*int(permille)+999)/1000); n < want {
-				t.Fatalf("%d of %d at %d thousandths", n, len(names), permille)
+				t.Fatalf("%d of %d fronts are in a stage of %d thousandths", n, len(names), permille)
 			}
 		}
 		if len(on) != len(names) {
-			t.Fatal("the last stage lacks some")
+			t.Fatal("the last stage does not have all fronts")
 		}
 	})
 }
 
-// The front goes on with the version that it has.
+// A state that can't be read is reported as such, so that the front continues with its present version.
 func TestStateOfANewerProgramIsNotRead(t *testing.T) {
 	r := &fleet.ReplicatedState{Values: map[string]*fleet.StoredValue{}}
 	_, ok := ReadState(r)
