--- a/fleet/rollout/adopter.go
+++ b/fleet/rollout/adopter.go
@@ -11,14 +11,14 @@
 	Name               string
 	Timing             fleet.Timing
 	ConfigLease        time.Duration // duration of configuration leases, as in the node's options
-	StopWhenIsolated   bool          // the front stops when it is isolated and its configuration lease has expired; else it keeps serving its version
-	InForceWithin      time.Duration // for versions that are published without a time; 0 for none
+	StopWhenIsolated   bool          // an isolated front stops when its configuration lease expires; else it keeps serving its version
+	InForceWithin      time.Duration // default for versions that are published without a time; 0 for none
 	Rules              RuleSet       // merges queued publications; nil disables the queue
 	InitialVersion     uint64        // the version that was used last; 0 for the rules in the front's own file
 	UnconfirmedVersion uint64        // the version that the last process was adopting when it ended; 0 for none
 }
 
-// Adopter decides which version its front uses, and until when it may.
+// Adopter decides which version its front should use, and until when the front may use it.
 type Adopter struct {
 	options        Options
 	active         uint64
--- a/fleet/rollout/controller.go
+++ b/fleet/rollout/controller.go
@@ -12,7 +12,7 @@
 type ControllerOptions struct {
 	Timing        fleet.Timing
 	ConfigLease   time.Duration
-	InForceWithin time.Duration // for versions that are published without a time; 0 for none
+	InForceWithin time.Duration // default for versions that are published without a time; 0 for none
 	Rules         RuleSet       // merges queued publications; nil disables the queue
 }
 
--- a/fleet/rollout/format_test.go
+++ b/fleet/rollout/format_test.go
@@ -62,13 +62,13 @@
 
 func TestMessagesAndValuesAreEncodedAsByVersion030(t *testing.T) {
 	want := encodings(t)
-	state, dead := sampleState(), sampleDeadline
+	state, storedDeadline := sampleState(), sampleDeadline
 	got := map[string]string{
 		"action":       hex.EncodeToString(sampleAction().Encode()),
 		"timed action": hex.EncodeToString(sampleTimedAction().Encode()),
 		"report":       hex.EncodeToString(sampleReport().Encode()),
 		"state":        hex.EncodeToString(encode(&state)),
-		"deadline":     hex.EncodeToString(encode(&dead)),
+		"deadline":     hex.EncodeToString(encode(&storedDeadline)),
 		"queue":        hex.EncodeToString(encode(sampleQueue)),
 		"bounded":      hex.EncodeToString(encode(sampleFenceableFronts)),
 		"keys":         strings.Join([]string{stateKey, textKey(9), deadlineKey, fenceableKey, queueKey, Lease, Part}, " "),
--- a/fleet/rollout/publish.go
+++ b/fleet/rollout/publish.go
@@ -81,6 +81,7 @@
 
 func invalidStagesError() error { return rejectf(ErrInvalidStages, "waves rise to 100%%") }
 
+// validStages reports whether the stages increase to the whole fleet, which is 1000 thousandths.
 func validStages(stages []uint16) bool {
 	return len(stages) > 0 && stages[0] > 0 && stages[len(stages)-1] == 1000 && slices.IsSorted(stages)
 }
@@ -90,6 +91,7 @@
 	return rejectf(ErrOutdatedBase, "version %d is in force, and the wish was made on version %d: look again", s.Base, action.Base)
 }
 
+// unchangedError rejects a publication whose rules mean the same as those of the version in force.
 func unchangedError(base uint64) error {
 	return rejectf(ErrRulesUnchanged, "the rules mean the same as those of version %d, which is in force", base)
 }
@@ -98,7 +100,8 @@
 // waits no longer than its deadline.
 func (c *Controller) mustDefer(in *stepInput, action Action) bool {
 	within := cmp.Or(action.InForceWithin, c.options.InForceWithin)
-	if action.Type != ActionPublish || within == 0 || in.state.Next != 0 || c.checkFrontSettings(in) != nil || len(c.unconfirmedFronts(in)) == 0 {
+	if action.Type != ActionPublish || within == 0 || in.state.Next != 0 || c.checkFrontSettings(in) != nil ||
+		len(c.unconfirmedFronts(in)) == 0 {
 		return false
 	}
 	if c.deferred.id != action.ID {
--- a/fleet/rollout/publish_checks.go
+++ b/fleet/rollout/publish_checks.go
@@ -43,6 +43,7 @@
 	return nil
 }
 
+// unconfirmedError rejects a publication because the named fronts may still use another version than the one in force.
 func unconfirmedError(names string, s State) error {
 	return rejectf(ErrVersionsUnconfirmed, "%s may act on another version than %d still: wait, or end it", names, s.Base)
 }
--- a/fleet/rollout/publish_checks_test.go
+++ b/fleet/rollout/publish_checks_test.go
@@ -44,7 +44,7 @@
 	delete(c.reports.latest, "n2")
 	assert.NoError(t, c.checkTimedPublication(in), "the stored set says that n2 stops")
 	r.Fronts["n2"].Incarnation = 9
-	assertRejected(t, c.checkTimedPublication(in), ErrVersionsUnconfirmed, "n2 may act on another version than 0 still", "another process of n2 may have other settings")
+	assertRejected(t, c.checkTimedPublication(in), ErrVersionsUnconfirmed, "n2 may act on another version than 0 still", "another process, perhaps with other settings")
 	c.reports.latest["n2"] = fleet.MemberReport{Incarnation: 9, WantsConfigLease: true, Data: Report{ServesIsolated: true}.Encode()}
 	assertRejected(t, c.checkTimedPublication(in), ErrFrontsNeverStop, "give it (when-alone stop)")
 	c.reports.latest["n2"] = fleet.MemberReport{Incarnation: 9}
