--- a/fleet/zones/controller.go
+++ b/fleet/zones/controller.go
@@ -8,52 +8,52 @@
 )
 
 const (
-	healthyThreshold = suspectThreshold / 2 // failure share under which a zone may be healthy: lower than the other, so that it does not flap
-	probePermille    = 50                   // share of its traffic that an evacuated zone still gets
-	maxFlaps         = 6
+	healthyThreshold = suspectThreshold / 2 // a zone may be healthy below this failure share; lower than suspectThreshold to prevent flapping
+	probePermille    = 50                   // share of its traffic that an evacuated zone still gets, in thousandths
+	maxFlaps         = 6                    // largest FlapCount
 )
 
-// ControllerOptions configure a Controller. All its times follow from them.
+// ControllerOptions configure a Controller. All its times are derived from them.
 type ControllerOptions struct {
 	LeaseDuration time.Duration // of the fleet
-	WarmUpTime    time.Duration // of a server that started: no ramp ends sooner
+	WarmUpTime    time.Duration // of a server after its start: no ramp is shorter
 }
 
-// suspicionTime is for how long a zone must fail before it is evacuated.
+// suspicionTime returns for how long a zone must fail before it is evacuated.
 func (o ControllerOptions) suspicionTime() time.Duration { return o.LeaseDuration / 6 }
 
-// evacuationTime is how long fronts take to move their traffic.
+// evacuationTime returns how long fronts take to move their traffic.
 func (o ControllerOptions) evacuationTime() time.Duration { return o.LeaseDuration }
 
-// recoveryDelay is for how long an evacuated zone must be healthy before traffic returns: twice as long with each flap.
+// recoveryDelay returns for how long an evacuated zone must be healthy before traffic returns. It doubles with each flap.
 func (o ControllerOptions) recoveryDelay(flaps uint8) time.Duration {
 	return o.LeaseDuration / 3 << min(flaps, maxFlaps)
 }
 
-// flapDecay is for how long a zone must be healthy before a flap is forgotten.
+// flapDecay returns for how long a zone must be healthy before its FlapCount decreases by one.
 func (o ControllerOptions) flapDecay() time.Duration { return 32 * o.LeaseDuration }
 
-// rampStep is the time between steps of a ramp.
+// rampStep returns the time between two steps of a ramp.
 func (o ControllerOptions) rampStep() time.Duration {
 	return max(o.WarmUpTime/12, o.LeaseDuration/6)
 }
 
-// Input is what one step of a Controller decides on.
+// Input is the input of one step of a Controller.
 type Input struct {
 	Estimates []Estimate
-	Recovery  map[string]RecoveryTraffic // by zone that is recovering, since the last step
-	// Plan plans how far a zone can be evacuated, beside those that are; nil where it can't be planned.
+	Recovery  map[string]RecoveryTraffic // by recovering zone, since the last step
+	// Plan plans how far a zone can be evacuated, given the zones that are evacuated. It returns nil if there is no plan.
 	Plan func(zone string, evacuated map[string]bool) *Plan
 }
 
-// RecoveryTraffic is what all fronts observed of a recovering zone.
+// RecoveryTraffic is what all fronts together observed of a recovering zone.
 type RecoveryTraffic struct {
 	Attempts, Succeeded float64
 	Overloaded          float64 // attempts that were answered late or rejected
 }
 
-// Controller moves zones' states, as the leaseholder. What must survive it is in the replicated state; for how long a zone has been
-// failing or healthy begins anew with another leaseholder.
+// Controller changes the states of zones at the leaseholder. Everything that must survive a change of leaseholder is in the replicated
+// state. For how long a zone has been failing or healthy starts anew with another leaseholder.
 type Controller struct {
 	options   ControllerOptions
 	timers    map[string]*zoneTimers
@@ -65,21 +65,22 @@
 	return &Controller{options: o, timers: map[string]*zoneTimers{}}
 }
 
-// zoneTimers are since when things have been as they are in one zone.
+// zoneTimers measure for how long the conditions of one zone have held.
 type zoneTimers struct {
-	failing, healthy     timer
-	evacuating, rampStep timer
+	failing, healthy     timer // failure share above suspectThreshold, or below healthyThreshold
+	evacuating, rampStep timer // since the evacuation started, and since the last step of the ramp
 }
 
-// timer is since when a condition holds.
+// timer measures for how long a condition has held. The zero value is a timer that is not started.
 type timer struct {
 	at      time.Duration
 	started bool
 }
 
+// start starts the timer anew.
 func (t *timer) start(now time.Duration) { *t = timer{now, true} }
 
-// lasted returns for how long a condition has held, -1 where it does not.
+// lasted returns for how long a condition has held, or -1 if it does not hold.
 func (t *timer) lasted(now time.Duration, holds bool) time.Duration {
 	if !holds {
 		*t = timer{}
@@ -91,8 +92,8 @@
 	return now - t.at
 }
 
-// Step returns the state to store, and whether it differs from s. Renewals are part of it: all that is not healthy is renewed twice in a
-// deadline.
+// Step returns the state to store, and whether it differs from s. That includes renewals: the entries of zones that are not healthy are
+// renewed twice in a deadline.
 func (c *Controller) Step(now time.Duration, s State, in Input) (next State, changed bool) {
 	next = State{Zones: slices.Clone(s.Zones)}
 	evacuated := map[string]bool{}
@@ -104,7 +105,7 @@
 	for _, estimate := range in.Estimates {
 		status := next.Status(estimate.Zone)
 		before := status
-		c.step(&zoneStep{Input: in, now: now, status: &status, estimate: estimate, evacuated: evacuated})
+		c.stepZone(&zoneStep{Input: in, now: now, status: &status, estimate: estimate, evacuated: evacuated})
 		if status != before {
 			status.Epoch++
 			status.Renewals, status.Deadline = 0, 4*c.options.LeaseDuration
@@ -124,21 +125,22 @@
 	return next, changed
 }
 
-// zoneStep is a step of one zone.
+// zoneStep is the input of one step for one zone, and the status that the step changes.
 type zoneStep struct {
 	Input
 	now       time.Duration
 	status    *ZoneStatus
 	estimate  Estimate
-	evacuated map[string]bool // zones that are, wholly or in part
+	evacuated map[string]bool // zones that are evacuated, wholly or in part
 }
 
-// observers is what the reason for a state says of the fronts' reports.
-func (z *zoneStep) observers() string {
+// observersText returns how many fronts see the zone failing, as a text for the reason of a state.
+func (z *zoneStep) observersText() string {
 	return fmt.Sprintf("%d of %d fronts see it failing", z.estimate.SeeFailures, z.estimate.Observers)
 }
 
-func (c *Controller) step(z *zoneStep) {
+// stepZone changes the state of one zone, unless it is pinned.
+func (c *Controller) stepZone(z *zoneStep) {
 	if z.status.Pinned {
 		return
 	}
@@ -153,7 +155,7 @@
 	switch status.State {
 	case Healthy:
 		if failing >= 0 {
-			status.State, status.Reason = Suspected, z.observers()
+			status.State, status.Reason = Suspected, z.observersText()
 		} else if healthy > c.options.flapDecay() && status.FlapCount > 0 {
 			status.FlapCount--
 			timers.healthy.start(z.now)
@@ -176,11 +178,11 @@
 			timers.rampStep.start(z.now)
 		}
 	case Recovering:
-		c.ramp(z, timers)
+		c.stepRamp(z, timers)
 	}
 }
 
-// evacuate begins to evacuate a zone as far as the others have capacity. One zone at least is never evacuated.
+// evacuate starts to evacuate a zone, as far as the other zones have capacity. At least one zone is never evacuated.
 func (c *Controller) evacuate(z *zoneStep, timers *zoneTimers) {
 	status := z.status
 	others := maps.Clone(z.evacuated)
@@ -195,15 +197,16 @@
 	}
 	status.State, status.EvacuatedPermille = Evacuating, uint16(min(plan.Share*1000, 1000-probePermille))
 	status.FlapCount = min(status.FlapCount+1, maxFlaps)
-	status.Reason = fmt.Sprintf("%s; the others can take %.0f%%", z.observers(), plan.Share*100)
+	status.Reason = fmt.Sprintf("%s; the others can take %.0f%%", z.observersText(), plan.Share*100)
 	z.evacuated[status.Zone] = true
 	timers.failing = timer{}
 	timers.evacuating.start(z.now)
 }
 
-// ramp lets more and more traffic return: one ramp for all fronts, a quarter more each step while attempts succeed, halved at overload,
-// and no sooner complete than servers have warmed up. Another leaseholder continues it where the replicated state has it.
-func (c *Controller) ramp(z *zoneStep, timers *zoneTimers) {
+// stepRamp lets more traffic return to a recovering zone. One ramp applies to all fronts. While attempts succeed, each step returns a
+// quarter more traffic; at overload the returned traffic is halved. The ramp is not complete before servers have warmed up. Another
+// leaseholder continues the ramp from the replicated state.
+func (c *Controller) stepRamp(z *zoneStep, timers *zoneTimers) {
 	if !timers.rampStep.started {
 		timers.rampStep.start(z.now)
 		return
--- a/fleet/zones/decisions.go
+++ b/fleet/zones/decisions.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// Decisions are the replicated decisions as one front follows them: each counts from when the front received it, on its own clock, and
-// where it is not renewed it expires gradually, over another deadline's length.
+// Decisions are the replicated decisions as one front follows them. The deadline of a decision counts from when the front received its
+// latest renewal, on the front's own clock. After the deadline the decision expires gradually, over the length of another deadline.
 type Decisions struct {
 	byZone map[string]decision
 }
 
+// decision is the latest entry of a zone, and when the front received it.
 type decision struct {
 	ZoneStatus
 	receivedAt time.Duration
@@ -16,7 +17,7 @@
 // NewDecisions makes Decisions that evacuate nothing.
 func NewDecisions() *Decisions { return &Decisions{byZone: map[string]decision{}} }
 
-// Update takes the state as it is replicated now. A decision that is older than the one known changes nothing.
+// Update takes the present replicated state. A decision that is not newer than the known one changes nothing.
 func (d *Decisions) Update(now time.Duration, s State) {
 	for _, status := range s.Zones {
 		known, ok := d.byZone[status.Zone]
@@ -27,7 +28,7 @@
 	}
 }
 
-// EvacuatedShare is the share of a zone's movable traffic that this front sends to other zones now, 0 to 1.
+// EvacuatedShare returns the share of a zone's movable traffic that this front sends to other zones at a time, 0 to 1.
 func (d *Decisions) EvacuatedShare(now time.Duration, zone string) float64 {
 	known, ok := d.byZone[zone]
 	if !ok || known.EvacuatedPermille == 0 {
@@ -44,8 +45,8 @@
 	return max(0, share*(1-overdue.Seconds()/known.Deadline.Seconds()))
 }
 
-// SessionMoves reports whether a session's traffic goes to other zones: by its fingerprint, the same at each front, so that a session
-// moves as a whole. A share that grows moves more sessions and returns none.
+// SessionMoves reports whether the traffic of a session goes to other zones. It depends on a hash of the session and the zone, so all
+// fronts agree and a session moves as a whole. A larger share moves more sessions, and keeps those that have moved.
 func SessionMoves(session uint64, zone string, evacuatedShare float64) bool {
 	h := session*0x9e3779b97f4a7c15 + uint64(len(zone))
 	for _, c := range []byte(zone) {
--- a/fleet/zones/decisions_test.go
+++ b/fleet/zones/decisions_test.go
@@ -9,7 +9,7 @@
 	"dapplerouter/fleet"
 )
 
-func TestDecisionExpiresWithoutRenewalAndAnOlderOneDisplacesNothing(t *testing.T) {
+func TestDecisionExpiresWithoutRenewalAndIsNotReplacedByAnOlderOne(t *testing.T) {
 	d := NewDecisions()
 	decide := func(at time.Duration, epoch, renewals uint64, permille uint16) {
 		d.Update(at, State{Zones: []ZoneStatus{{Zone: "a", EvacuatedPermille: permille, Epoch: epoch, Renewals: renewals, Deadline: 10 * time.Second}}})
@@ -32,7 +32,7 @@
 	assert.False(t, ok)
 }
 
-func TestSessionsMoveWholeAndAGrowingShareReturnsNone(t *testing.T) {
+func TestSessionsMoveWholeAndStayMovedAsTheShareGrows(t *testing.T) {
 	for _, share := range []float64{0, 0.1, 0.5, 0.9, 1} {
 		n := 0
 		for session := range uint64(20_000) {
--- a/fleet/zones/estimator.go
+++ b/fleet/zones/estimator.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	minAttempts      = 5    // below which a front's observation of a zone is not conclusive
-	suspectThreshold = 0.25 // failure share above the usual from which a zone is suspected
-	trimDivisor      = 5    // a fifth of the samples is cut off at each end
-	baselineFactor   = 2    // a zone's failures count as far as they exceed so many times its baseline
-	baselineWeight   = 1.0 / 32
-	maxSampleWeight  = 1000 // attempts
-	minObservers     = 2    // that see failures: no front's report alone counts
+	minAttempts      = 5        // with fewer attempts, a front's observation of a zone is not conclusive
+	suspectThreshold = 0.25     // failure share above the expected one from which a zone is suspected
+	trimDivisor      = 5        // trimmedMean ignores a fifth of the samples at each end
+	baselineFactor   = 2        // the expected failure share is this multiple of the zone's baseline
+	baselineWeight   = 1.0 / 32 // of each new mean in the baseline
+	maxSampleWeight  = 1000     // in attempts
+	minObservers     = 2        // fronts that must see failures: one front's report alone does not count
 )
 
-// FrontReport is a front's report as the leaseholder has it.
+// FrontReport is a front's report as the leaseholder received it.
 type FrontReport struct {
 	Front, Zone string
 	Incarnation uint64
@@ -27,31 +27,35 @@
 // Estimate is the fleet's estimate of one zone.
 type Estimate struct {
 	Zone            string
-	FailureShare    float64            // trimmed mean above the baseline of what fronts of other zones observe; of its own where no other observes it
-	ByObserver      map[string]float64 // the same, by the observing fronts' zone
-	Observers       int                // fronts whose reports count
-	SeeFailures     int                // of them, those that see the zone failing
-	PartitionedFrom []string           // the one zone from which alone it fails: a partition between two, not a failed zone
+	FailureShare    float64            // trimmed mean above the expected share, as seen from other zones, or by its own fronts if no others report
+	ByObserver      map[string]float64 // the same, by the zone of the observing fronts
+	Observers       int                // number of fronts whose reports count
+	SeeFailures     int                // number of those fronts that see the zone failing
+	PartitionedFrom []string           // the only zone from which it fails: the two are partitioned, and the zone itself has not failed
 }
 
-// Estimator estimates zones' failures from fronts' reports, against a baseline that it learns.
+// Estimator estimates the failures of zones from fronts' reports, relative to a baseline that it learns.
 type Estimator struct {
-	baseline map[string]float64 // by zone: its usual failure share
+	baseline map[string]float64 // by zone: usual failure share
 }
 
 // NewEstimator makes an Estimator without a baseline.
 func NewEstimator() *Estimator { return &Estimator{baseline: map[string]float64{}} }
 
-// sample is one front's observation of a zone; its weight is its attempts.
+// sample is one front's observation of a zone. Its weight is the number of attempts.
 type sample struct{ failureShare, weight float64 }
 
+// sampleOf returns an observation as a sample.
 func sampleOf(o Observation) sample { return sample{o.failureShare(), o.attempts()} }
 
-// usualFailures is the failure share up to which a zone is as it usually is.
-func (e *Estimator) usualFailures(zone string) float64 { return baselineFactor * e.baseline[zone] }
+// expectedFailureShare returns the failure share up to which a zone counts as healthy: twice its baseline.
+func (e *Estimator) expectedFailureShare(zone string) float64 {
+	return baselineFactor * e.baseline[zone]
+}
 
-// Estimate returns an estimate of each observed zone, by name. Reports older than maxAge do not count, nor those of fronts that are
-// unreliable, or that see every zone failing while a neighbour sees a healthy one: what they observe is their own failure.
+// Estimate returns an estimate of each observed zone, sorted by name. It ignores reports that are older than maxAge or unreliable. It
+// also ignores a front that sees every zone failing while another front of its zone sees a healthy one, because that front observes its
+// own failure.
 func (e *Estimator) Estimate(reports []FrontReport, maxAge time.Duration) (estimates []Estimate) {
 	samples := map[string]map[string][]sample{} // by zone, by the observing front's zone
 	for _, r := range reports {
@@ -74,23 +78,23 @@
 	return estimates
 }
 
-// estimateZone estimates one zone from samples by the observing fronts' zone.
+// estimateZone estimates one zone from samples, which are grouped by the zone of the observing fronts.
 func (e *Estimator) estimateZone(zone string, byObserver map[string][]sample) Estimate {
-	usual := e.usualFailures(zone)
+	expected := e.expectedFailureShare(zone)
 	estimate := Estimate{Zone: zone, ByObserver: map[string]float64{}}
-	var ofOthers []sample
+	var otherZonesSamples []sample
 	failingFrom, healthyFrom := []string{}, 0
 	for observer, samples := range byObserver {
-		failureShare := max(0, trimmedMean(samples)-usual)
+		failureShare := max(0, trimmedMean(samples)-expected)
 		estimate.ByObserver[observer] = failureShare
 		estimate.Observers += len(samples)
 		for _, s := range samples {
-			if s.failureShare-usual > suspectThreshold {
+			if s.failureShare-expected > suspectThreshold {
 				estimate.SeeFailures++
 			}
 		}
 		if observer != zone {
-			ofOthers = append(ofOthers, samples...)
+			otherZonesSamples = append(otherZonesSamples, samples...)
 		}
 		if failureShare > suspectThreshold {
 			failingFrom = append(failingFrom, observer)
@@ -98,10 +102,10 @@
 			healthyFrom++
 		}
 	}
-	if len(ofOthers) == 0 {
-		ofOthers = byObserver[zone]
+	if len(otherZonesSamples) == 0 {
+		otherZonesSamples = byObserver[zone]
 	}
-	estimate.FailureShare = max(0, trimmedMean(ofOthers)-usual)
+	estimate.FailureShare = max(0, trimmedMean(otherZonesSamples)-expected)
 	if len(failingFrom) == 1 && healthyFrom > 0 && failingFrom[0] != zone {
 		estimate.PartitionedFrom, estimate.FailureShare = failingFrom, 0
 	}
@@ -111,7 +115,7 @@
 	return estimate
 }
 
-// LearnBaseline learns the usual failure share of a zone that is healthy.
+// LearnBaseline updates the baseline of a zone, which must be healthy.
 func (e *Estimator) LearnBaseline(reports []FrontReport, zone string) {
 	var samples []sample
 	for _, r := range reports {
@@ -126,7 +130,7 @@
 	}
 }
 
-// seesOnlyFailures reports whether a front sees all zones failing where another of its own zone sees one that is healthy.
+// seesOnlyFailures reports whether a front sees all zones failing while another front of its zone sees a healthy one.
 func (e *Estimator) seesOnlyFailures(r FrontReport, reports []FrontReport, maxAge time.Duration) bool {
 	if seesHealthy, conclusive := e.seesHealthyZone(r.Report); seesHealthy || !conclusive {
 		return false
@@ -140,19 +144,19 @@
 	})
 }
 
-// seesHealthyZone reports whether a report has a healthy zone, and whether it has a conclusive observation at all.
+// seesHealthyZone reports whether a report shows a healthy zone, and whether it has any conclusive observation.
 func (e *Estimator) seesHealthyZone(r Report) (seesHealthy, conclusive bool) {
 	for i, zone := range r.Zones {
 		if o := r.Observations[i]; o.conclusive() {
 			conclusive = true
-			seesHealthy = seesHealthy || o.failureShare()-e.usualFailures(zone) <= suspectThreshold
+			seesHealthy = seesHealthy || o.failureShare()-e.expectedFailureShare(zone) <= suspectThreshold
 		}
 	}
 	return seesHealthy, conclusive
 }
 
-// trimmedMean is the weighted mean without the extremes, so that a front that reports wrongly, or observes what no other does, moves
-// nothing.
+// trimmedMean returns the weighted mean without the extreme samples. A front that reports wrongly, or observes what no other front does,
+// thereby has no influence.
 func trimmedMean(all []sample) float64 {
 	sorted := slices.Clone(all)
 	slices.SortFunc(sorted, func(a, b sample) int { return cmp.Compare(a.failureShare, b.failureShare) })
--- a/fleet/zones/estimator_test.go
+++ b/fleet/zones/estimator_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// reportsOf are the reports of nine fronts, three in each zone; see is the failure share that a front observes of a zone.
+// reportsOf returns the reports of nine fronts, three in each zone. see returns the failure share that a front observes of a zone.
 func reportsOf(see func(front int, zone string) float64) (reports []FrontReport) {
 	for i := range 9 {
 		r := FrontReport{Front: fmt.Sprint("n", i), Zone: allZones[i%3], Report: Report{Zones: allZones}}
@@ -20,7 +20,7 @@
 	return reports
 }
 
-// estimateOf is a zone's estimate.
+// estimateOf returns the estimate of a zone.
 func estimateOf(e *Estimator, reports []FrontReport, zone string) Estimate {
 	for _, estimate := range e.Estimate(reports, leaseDuration) {
 		if estimate.Zone == zone {
@@ -30,7 +30,7 @@
 	return Estimate{}
 }
 
-func TestOneFrontsReportMovesNothing(t *testing.T) {
+func TestOneFrontsReportDoesNotCount(t *testing.T) {
 	e := NewEstimator()
 	one := reportsOf(func(front int, zone string) float64 {
 		if front == 1 && zone == "a" {
@@ -48,11 +48,11 @@
 	estimate := estimateOf(e, failing, "a")
 	assert.Greater(t, estimate.FailureShare, 0.8)
 	assert.Equal(t, 9, estimate.SeeFailures)
-	failing[4].Report.Observations[0] = Observation{Succeeded: 100} // one that reports no failure changes little
+	failing[4].Report.Observations[0] = Observation{Succeeded: 100} // one front that reports no failure has little influence
 	assert.Greater(t, estimateOf(e, failing, "a").FailureShare, 0.6)
 }
 
-func TestZoneThatFailsFromOneOtherOnlyIsAPartition(t *testing.T) {
+func TestZoneThatFailsFromOneOtherZoneOnlyIsPartitioned(t *testing.T) {
 	estimate := estimateOf(NewEstimator(), reportsOf(func(front int, zone string) float64 {
 		if zone == "a" && front%3 == 1 { // fronts of zone b
 			return 1
@@ -65,7 +65,7 @@
 
 func TestFrontsThatSeeOnlyFailuresDoNotCount(t *testing.T) {
 	estimates := NewEstimator().Estimate(reportsOf(func(front int, _ string) float64 {
-		if front == 0 || front == 4 { // they see every zone failing
+		if front == 0 || front == 4 { // these fronts see every zone failing
 			return 1
 		}
 		return 0
--- a/fleet/zones/format_test.go
+++ b/fleet/zones/format_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Written by version 0.3.0.
+// Encodings that were written by version 0.3.0. They must not be regenerated.
 const (
 	stateOf030  = "92ce00000001919aa161cc04cf0000000000000004cd03b6d300000002cb417800cf0000000000000003cc02c3d30000034630b8a000a5776f726b73"
 	reportOf030 = "9392a161a1629294ce00000064ce00000002ce00000003ce0001117094ce00000000ce00000000ce00000000ce00000000c3"
@@ -28,7 +28,7 @@
 	assert.True(t, ok)
 	assert.Equal(t, w, got)
 	moved := ""
-	for session := range uint64(40) { // which sessions move is the same at each front
+	for session := range uint64(40) { // the choice of sessions must be the same at each front
 		if SessionMoves(session, "a", 0.5) {
 			moved += "1"
 		} else {
--- a/fleet/zones/plan.go
+++ b/fleet/zones/plan.go
@@ -11,47 +11,47 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 )
 
-// Load is what one zone's servers of a group process of a request type.
+// Load is the work that one zone's servers of a group do for a request type.
 type Load struct {
 	Group          int64
 	Zone           string
 	Type           string
 	Work           float64 // in the unit of capacities: busy servers
 	PriorityWeight float64 // of a unit of work
-	Immovable      bool    // a write, which goes to its primary, or a read that only that server may answer
-	RemoteOverhead float64 // by how much its work grows in another zone, 0 for nothing
+	Immovable      bool    // a write, which goes to its primary, or a read that only this server may answer
+	RemoteOverhead float64 // by what fraction the work grows in another zone, 0 for none
 }
 
-// Capacity is what a zone's servers of a group can process in all.
+// Capacity is the total work that a zone's servers of a group can do.
 type Capacity struct {
 	Group int64
 	Zone  string
 	Work  float64
 }
 
-// Move is how much of a load goes to another zone.
+// Move is the part of a load that goes to another zone.
 type Move struct {
 	Group    int64
 	Type, To string
 	Work     float64
 }
 
-// Plan is how far a zone can be evacuated.
+// Plan is the result of PlanEvacuation: how far a zone can be evacuated.
 type Plan struct {
 	Zone        string
-	Share       float64            // of its movable work that the others can take, 0 to 1
-	ShareByType map[string]float64 // the same by request type; the highest priority weight goes first where it is not all
+	Share       float64            // share of the zone's movable work that the other zones can take, 0 to 1
+	ShareByType map[string]float64 // the same by request type; if not all fits, types with the highest priority weight move first
 	Moves       []Move
-	Rejected    map[string]float64 // by type: work that is better rejected at once than late everywhere
-	Limits      []string           // the groups and zones without more capacity, sorted
+	Rejected    map[string]float64 // by request type: work to reject at once, because it would be late in every zone
+	Limits      []string           // groups and zones without free capacity, as texts, sorted
 }
 
-// epsilon is the work that counts as none.
+// epsilon is the amount of work up to which work counts as none.
 const epsilon = 1e-9
 
-// PlanEvacuation plans how far a zone can be evacuated: as much priority weight as the servers of the other zones can process, for each
-// group by itself, since a group's work goes to its own servers only. Zones that are evacuated take nothing. Where no zone has capacity
-// the share is 0. The error is a linear program without a solution.
+// PlanEvacuation plans how far a zone can be evacuated. It moves as much priority weight as the servers of the other zones can process.
+// Each group is planned separately, since a group's work goes to its own servers only. Evacuated zones take no work. If no other zone has
+// capacity, the share is 0. It returns an error if a linear program has no solution.
 func PlanEvacuation(zone string, loads []Load, capacities []Capacity, evacuated map[string]bool) (*Plan, error) {
 	p := &planner{
 		plan:       &Plan{Zone: zone, ShareByType: map[string]float64{}, Rejected: map[string]float64{}},
@@ -74,7 +74,7 @@
 	return p.plan, nil
 }
 
-// planner is what PlanEvacuation works on.
+// planner holds the input and the partial results of PlanEvacuation.
 type planner struct {
 	plan           *Plan
 	loads          []Load
@@ -83,7 +83,7 @@
 	moved, movable map[string]float64 // work by request type
 }
 
-// planGroup plans one group's moves.
+// planGroup plans the moves of one group.
 func (p *planner) planGroup(group int64) error {
 	sources, used := p.sources(group)
 	if len(sources) == 0 {
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// sources returns the loads to move, highest priority weight first, and the work of the other zones.
+// sources returns the loads to move, those with the highest priority weight first, and the work that each other zone does already.
 func (p *planner) sources(group int64) (sources []Load, used map[string]float64) {
 	used = map[string]float64{}
 	for _, l := range p.loads {
@@ -133,7 +133,7 @@
 	return sources, used
 }
 
-// targets returns the free capacities of the other zones, by name.
+// targets returns the free capacities of the other zones, sorted by name.
 func (p *planner) targets(group int64, used map[string]float64) (targets []Capacity) {
 	for _, c := range p.capacities {
 		if c.Group == group && c.Zone != p.plan.Zone && !p.evacuated[c.Zone] && c.Work-used[c.Zone] > epsilon {
@@ -144,7 +144,7 @@
 	return targets
 }
 
-// summarize sets the plan's shares, and what is rejected.
+// summarize sets the plan's shares and the rejected work.
 func (p *planner) summarize() {
 	movable, moved := 0.0, 0.0
 	for typ, work := range p.movable {
@@ -162,20 +162,20 @@
 
 // solution is the solution of one group's linear program.
 type solution struct {
-	x                []float64
+	x                []float64 // the moves by source and target, then the slack variables of sources, then those of targets
 	sources, targets int
 }
 
-// moved is the work that goes from a source to a target.
+// moved returns the work that moves from a source to a target.
 func (s *solution) moved(source, target int) float64 { return s.x[source*s.targets+target] }
 
-// unused is a target's capacity that stays free.
+// unused returns the capacity of a target that stays free.
 func (s *solution) unused(target int) float64 {
 	return s.x[s.sources*s.targets+s.sources+target]
 }
 
-// solve solves the linear program of one group: a variable for each source and target, a bound on each source's work and on each
-// target's capacity. The simplex method needs equations, so that each bound gets a slack variable.
+// solve solves the linear program of one group. It has a variable for each pair of source and target, a bound on the work of each source
+// and a bound on the capacity of each target. The simplex method needs equations, so each bound has a slack variable.
 func solve(sources []Load, targets []Capacity) (*solution, error) {
 	n, m := len(sources), len(targets)
 	rows, columns := n+m, n*m+n+m
--- a/fleet/zones/plan_test.go
+++ b/fleet/zones/plan_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// The plan moves as much priority weight as the best division of small whole numbers of work.
+// The plan moves as much priority weight as the best distribution of whole units of work.
 func TestPlanIsAsGoodAsExhaustiveSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		types := rapid.IntRange(1, 3).Draw(t, "types")
@@ -44,12 +44,12 @@
 			}
 		}
 		if best := bestMoves(loads[:types], free); math.Abs(moved-best) > 1e-6 {
-			t.Fatalf("the plan moves a weight of %v, and %v can be: %+v", moved, best, p)
+			t.Fatalf("the plan moves a weight of %v, and %v is possible: %+v", moved, best, p)
 		}
 	})
 }
 
-// bestMoves is the most priority weight that whole units of loads can have within a free capacity.
+// bestMoves returns the largest priority weight of whole units of loads that fit within a free capacity.
 func bestMoves(loads []Load, free float64) float64 {
 	if len(loads) == 0 {
 		return 0
@@ -64,7 +64,7 @@
 	return best
 }
 
-// BenchmarkPlan is the plan for 300 servers: 100 groups in three zones, six types.
+// BenchmarkPlan measures a plan for 300 servers: 100 groups in three zones, with six request types.
 func BenchmarkPlan(b *testing.B) {
 	var loads []Load
 	var capacities []Capacity
--- a/fleet/zones/state.go
+++ b/fleet/zones/state.go
@@ -10,28 +10,28 @@
 	"dapplerouter/fleet"
 )
 
-// Names in the fleet. They are part of its messages and stay as they are.
+// Names in the fleet's protocol. Programs of other versions depend on them, so they must not change.
 const (
 	Lease = "zones" // the lease of the Controller
-	Part  = "zones" // what digests of zones are addressed to
+	Part  = "zones" // the subsystem that digests of zones are addressed to
 )
 
 const (
-	format   = 1       // the latest State.Format that this program reads
-	stateKey = "zones" // the State's key among the replicated values
+	format   = 1       // latest State.Format that this program reads
+	stateKey = "zones" // key under which the State is stored among the replicated values
 	maxZones = 32
 )
 
-// ZoneState is the state of a zone for the whole fleet.
+// ZoneState is the state of a zone. It is the same for all fronts of the fleet.
 type ZoneState uint8
 
 // States of a zone.
 const (
 	Healthy    ZoneState = iota
-	Suspected            // failing lately: nothing moves yet
-	Evacuating           // fronts move their share away, as far as the plan says
-	Evacuated            // they have; a small share stays, to detect recovery
-	Recovering           // more and more traffic returns
+	Suspected            // failing, but not for long enough to be evacuated
+	Evacuating           // fronts move traffic to other zones, as far as the plan allows
+	Evacuated            // fronts have moved the traffic; a small share stays to detect recovery
+	Recovering           // traffic returns step by step
 )
 
 var stateNames = [...]string{"healthy", "suspected", "evacuating", "evacuated", "recovering"}
@@ -39,33 +39,34 @@
 // String returns the state's name.
 func (s ZoneState) String() string { return stateNames[min(int(s), len(stateNames)-1)] }
 
-// ZoneStatus is one zone's entry in the replicated state.
+// ZoneStatus is the entry of a zone in the replicated state.
 type ZoneStatus struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Zone              string
 	State             ZoneState
-	Epoch             uint64        // rises with each change: an older decision displaces no newer
-	EvacuatedPermille uint16        // of the zone's movable traffic
-	Deadline          time.Duration // for which a front follows the decision after it received its last renewal
-	Renewals          uint64        // rises with each renewal within an epoch
-	FlapCount         uint8         // evacuations lately: each recovery starts later
-	Pinned            bool          // by an operator: observations move nothing
-	PinDuration       time.Duration // from the epoch; 0 until it is unpinned
+	Epoch             uint64        // increases with each change: a decision of an older epoch does not replace a newer one
+	EvacuatedPermille uint16        // evacuated share of the zone's movable traffic, in thousandths
+	Deadline          time.Duration // for how long a front follows the decision after it received the latest renewal
+	Renewals          uint64        // increases with each renewal within an epoch
+	FlapCount         uint8         // number of recent evacuations; each one delays the next recovery
+	Pinned            bool          // set by an operator: observations do not change the entry
+	PinDuration       time.Duration // counted from the start of the epoch; 0 for until the zone is unpinned
 	Reason            string        // of the last change, for operators
 }
 
-// State is all zones' status, as one replicated value.
+// State is the status of all zones. It is stored as one replicated value.
 type State struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Format uint32
-	Zones  []ZoneStatus // by name
+	Zones  []ZoneStatus // sorted by name
 }
 
-// ReadState returns the state of zones; ok is false where a newer program wrote it in a format that this one can't read.
+// ReadState returns the state of zones, the zero State if none is stored. ok is false if the state can't be decoded, or a newer program
+// wrote it in a format that this one can't read.
 func ReadState(r *fleet.ReplicatedState) (s State, ok bool) {
 	e := r.Values[stateKey]
 	if e == nil {
@@ -77,13 +78,13 @@
 	return s, true
 }
 
-// Encode encodes a state as its replicated value.
+// Encode encodes the state as its replicated value.
 func (s State) Encode() []byte {
 	s.Format = format
 	return encode(&s)
 }
 
-// encode encodes one of this package's own types, which cannot fail.
+// encode encodes a value of one of this package's own types. It panics on an error, because these types can always be encoded.
 func encode(x any) []byte {
 	b, err := msgpack.Marshal(x)
 	if err != nil {
@@ -92,7 +93,7 @@
 	return b
 }
 
-// Status is a zone's; one without an entry is healthy.
+// Status returns the status of a zone. A zone without an entry is healthy.
 func (s *State) Status(zone string) ZoneStatus {
 	for _, status := range s.Zones {
 		if status.Zone == zone {
@@ -102,7 +103,7 @@
 	return ZoneStatus{Zone: zone}
 }
 
-// setStatus replaces or adds a zone's entry.
+// setStatus replaces or adds the entry of a zone.
 func (s *State) setStatus(status ZoneStatus) {
 	for i := range s.Zones {
 		if s.Zones[i].Zone == status.Zone {
@@ -114,7 +115,8 @@
 	slices.SortFunc(s.Zones, func(a, b ZoneStatus) int { return cmp.Compare(a.Zone, b.Zone) })
 }
 
-// Pin returns a state in which an operator sets a zone's share, against any observation, for a duration, or until it is unpinned for 0.
+// Pin returns a state in which a zone has the evacuated share that an operator chose, whatever is observed. It lasts for the given
+// duration, or until the zone is unpinned if that is 0.
 func Pin(s State, zone string, pin PinOptions) State {
 	next := State{Zones: slices.Clone(s.Zones)}
 	status := next.Status(zone)
@@ -128,14 +130,14 @@
 	return next
 }
 
-// PinOptions are what an operator sets of a zone.
+// PinOptions are the settings that an operator chooses for a zone.
 type PinOptions struct {
 	EvacuatedPermille uint16
 	Duration          time.Duration
 	Reason            string
 }
 
-// Unpin returns a state in which observations move a zone again: one that was evacuated recovers by its ramp.
+// Unpin returns a state in which observations change a zone's entry again. A zone that was evacuated recovers by its ramp.
 func Unpin(s State, zone, reason string) State {
 	next := State{Zones: slices.Clone(s.Zones)}
 	status := next.Status(zone)
