--- a/fleet/audit/collector.go
+++ b/fleet/audit/collector.go
@@ -6,56 +6,57 @@
 	"time"
 )
 
-// Collector fetches all fronts' closed segments: one request at a time from each front, within a limit of bytes a second over all.
+// Collector fetches the closed segments of all fronts. It sends one request at a time to each front, and limits the bytes a second that
+// it receives from all fronts together.
 type Collector struct {
 	BytesReceived    int64
 	SegmentsReceived int
 
-	timeout time.Duration // after which an unanswered request is repeated
+	timeout time.Duration // after which an unanswered request is sent again
 	budget  tokenBucket
 	fronts  map[string]*frontFetch
-	first   int // index of the front that is asked first; it rotates
+	first   int // index of the front that is asked first; it rotates with each step
 }
 
-// tokenBucket limits bytes a second.
+// tokenBucket limits the rate of received bytes.
 type tokenBucket struct {
 	rate      float64 // bytes a second
-	available float64
+	available float64 // in bytes
 	filledAt  time.Duration
 }
 
-// fill adds what the time since the last call allows, up to one second's.
+// fill adds the bytes that the time since the last call allows, up to those of one second.
 func (b *tokenBucket) fill(now time.Duration) {
 	b.available = min(b.available+b.rate*(now-b.filledAt).Seconds(), max(b.rate, ChunkBytes))
 	b.filledAt = now
 }
 
-// frontFetch is what is fetched from one front.
+// frontFetch is the state of fetching from one front.
 type frontFetch struct {
-	latest string   // the newest segment that was fetched
+	latest string   // name of the newest segment that was fetched
 	wanted []string // names of segments to fetch, oldest first
 
-	request     *FetchRequest // that is under way, nil for none
+	request     *FetchRequest // that waits for its response, nil for none
 	requestedAt time.Duration
-	idleUntil   time.Duration // when to ask for names again
+	idleUntil   time.Duration // when to ask for names of segments again
 
-	data [filesOfSegment][]byte // of the first of wanted, as far as it came
-	file int                    // the one that is being fetched
+	data [segmentFileCount][]byte // of the first wanted segment, as far as received
+	file int                      // index in data of the file that is being fetched
 }
 
 // Files of a segment, in the order in which they are fetched.
 const (
 	indexFile = iota
 	logFile
-	filesOfSegment
+	segmentFileCount
 )
 
-// drop ends the fetching of the first wanted segment.
-func (f *frontFetch) drop() {
-	f.wanted, f.file, f.data = f.wanted[1:], indexFile, [filesOfSegment][]byte{}
+// finishSegment continues with the segment after the first wanted one.
+func (f *frontFetch) finishSegment() {
+	f.wanted, f.file, f.data = f.wanted[1:], indexFile, [segmentFileCount][]byte{}
 }
 
-// NewCollector makes a Collector with a limit of bytes a second; have are the names of segments that were fetched before.
+// NewCollector makes a Collector that receives up to rate bytes a second. have are the names of segments that were fetched before.
 func NewCollector(rate int64, timeout time.Duration, have []string) *Collector {
 	c := &Collector{timeout: timeout, budget: tokenBucket{rate: float64(rate)}, fronts: map[string]*frontFetch{}}
 	for _, name := range have {
@@ -67,6 +68,7 @@
 	return c
 }
 
+// front returns the state of fetching from a front, which it adds if there is none yet.
 func (c *Collector) front(name string) *frontFetch {
 	f := c.fronts[name]
 	if f == nil {
@@ -82,7 +84,7 @@
 	Request FetchRequest
 }
 
-// Step returns the requests to send now to the fronts that there are.
+// Step returns the requests to send now. fronts are the present fronts of the fleet.
 func (c *Collector) Step(now time.Duration, fronts []string) (fetches []PendingFetch) {
 	c.budget.fill(now)
 	slices.Sort(fronts)
@@ -107,14 +109,14 @@
 	return fetches
 }
 
-// File is a file that was fetched in whole.
+// File is a file that was fetched completely.
 type File struct {
-	Name string // with its suffix
+	Name string // including its suffix
 	Data []byte
 }
 
-// OnResponse handles a response, and returns the two files of a segment that it completes. A response that was not requested, or comes
-// twice, changes nothing.
+// OnResponse handles a response. It returns the two files of a segment that the response completes. A response that was not requested, or
+// is a duplicate, changes nothing.
 func (c *Collector) OnResponse(now time.Duration, front string, r *FetchResponse) (complete []File) {
 	f := c.fronts[front]
 	if f == nil || f.request == nil || *f.request != r.Request {
@@ -129,7 +131,7 @@
 	}
 	c.budget.available += ChunkBytes - float64(len(r.Data))
 	if r.Removed || r.Total > maxFileBytes {
-		f.drop()
+		f.finishSegment()
 		return nil
 	}
 	if !f.addChunk(r) {
@@ -138,12 +140,12 @@
 	name := f.wanted[0]
 	complete = []File{{name + IndexSuffix, f.data[indexFile]}, {name + LogSuffix, f.data[logFile]}}
 	f.latest = name
-	f.drop()
+	f.finishSegment()
 	c.SegmentsReceived++
 	return complete
 }
 
-// addWanted adds the names of a front's segments that are newer than those known.
+// addWanted adds the names of those segments of the front that are newer than all known ones.
 func (f *frontFetch) addWanted(front string, names []string) {
 	for _, name := range names {
 		newest := f.latest
@@ -156,17 +158,17 @@
 	}
 }
 
-// addChunk adds a chunk of the file that is being fetched; complete reports whether it was the last one of the segment.
+// addChunk adds a chunk to the file that is being fetched. complete reports whether it was the last chunk of the segment.
 func (f *frontFetch) addChunk(r *FetchResponse) (complete bool) {
 	data := &f.data[f.file]
 	*data = append(*data, r.Data...)
 	if int64(len(*data)) < r.Total && len(r.Data) > 0 {
 		return false
 	}
-	if int64(len(*data)) != r.Total { // the file was replaced meanwhile: from its beginning
+	if int64(len(*data)) != r.Total { // the file was replaced meanwhile: fetch it from its beginning
 		*data = nil
 		return false
 	}
 	f.file++
-	return f.file == filesOfSegment
+	return f.file == segmentFileCount
 }
--- a/fleet/audit/config.go
+++ b/fleet/audit/config.go
@@ -6,31 +6,31 @@
 	"dapplerouter/config"
 )
 
-// FormName is the operator's form for the audit; it stands beside the form fleet:
+// FormName is the name of the form in the operator's file that configures the audit. It stands beside the form fleet:
 //
 //	(audit
 //	  (dir "/var/lib/dapplerouter/audit")   ; directory of this front's own log
-//	  (budget 64MiB) (segment 1MiB)         ; size of its files in all, and of one
+//	  (budget 64MiB) (segment 1MiB)         ; maximum size of the log in all, and of one segment
 //	  (clock-error 500ms)                   ; by how much the machine's clock may be wrong
-//	  (export "/mnt/audit")                 ; closed segments are copied there, each once
-//	  (collect "/var/lib/dapplerouter/all") ; this front may fetch all fronts' closed segments to there, over the mesh,
-//	  (rate 256KiB))                        ; at so many bytes a second
+//	  (export "/mnt/audit")                 ; closed segments are copied to this directory, each once
+//	  (collect "/var/lib/dapplerouter/all") ; this front may fetch the closed segments of all fronts to this directory,
+//	  (rate 256KiB))                        ; at up to so many bytes a second
 const FormName = "audit"
 
-// Config is what the form sets.
+// Config is the configuration that the form sets.
 type Config struct {
 	LogDir        string
 	ExportDir     string // "" for no export
 	CollectDir    string // "" for no collection
-	MaxTotalBytes int64  // of the front's own log
-	SegmentBytes  int64  // at which a segment is closed
+	MaxTotalBytes int64  // maximum size of the front's own log
+	SegmentBytes  int64  // size at which a segment is closed
 
 	CollectBytesPerSecond int64
 	MaxClockError         time.Duration
 	Place                 config.Position // of the form
 }
 
-// Bounds of a size that the form may have, in bytes.
+// Bounds of each size in the form, in bytes.
 const (
 	minSize = 4 << 10
 	maxSize = 1 << 40
@@ -55,13 +55,14 @@
 		c.MaxClockError = form.Duration()
 	}
 	if c.LogDir == "" {
-		f.Errorf(f.Position, "(dir \"FOLDER\"), the front's own", "the form audit has no directory for the front's log")
+		f.Errorf(f.Position, "add (dir \"FOLDER\"), a directory of this front alone", "the form audit has no directory for the front's log")
 	}
 	if c.MaxTotalBytes < 2*c.SegmentBytes {
 		f.Errorf(f.Position, "make the budget larger, or a segment smaller", "a budget of %d bytes does not hold two segments of %d", c.MaxTotalBytes, c.SegmentBytes)
 	}
 	if c.CollectDir != "" && (c.CollectDir == c.LogDir || c.CollectDir == c.ExportDir) {
-		f.Errorf(f.Position, "a directory of its own", "collected segments can't be stored in the directory of the front's own")
+		f.Errorf(f.Position, "use a separate directory",
+			"collected segments can't be stored in the directory of the front's own log or of its exports")
 	}
 	return c
 }
--- a/fleet/audit/format_test.go
+++ b/fleet/audit/format_test.go
@@ -12,8 +12,8 @@
 	"dapplerouter/front"
 )
 
-// The files in testdata were written by version 0.3.0, and are never written again: logs of all versions are read, and operators'
-// tools know their keys.
+// The files in testdata were written by version 0.3.0 and must not be regenerated. They guard against a change of the format: logs of all
+// versions are read, and operators' tools depend on the keys.
 
 func testdata(t *testing.T, name string) []byte {
 	t.Helper()
@@ -22,8 +22,8 @@
 	return b
 }
 
-// formatLog is a front's log with a line of each kind and each key, over two segments; it is what testdata holds.
-func formatLog() memoryLogs {
+// sampleLog returns the log that testdata holds: one front's, over two segments, with a line of each event and each key.
+func sampleLog() memoryLogs {
 	m := newMemoryLogs()
 	chain := &HashChain{}
 	index, hash := EncodeIndex(&Interval{Number: 1, IDs: []uint64{HashID([]byte("order-1")), HashID([]byte("order-2")), HashID([]byte("order-3"))}})
@@ -60,7 +60,7 @@
 }
 
 func TestLogIsWrittenAsByVersion030(t *testing.T) {
-	m := formatLog()
+	m := sampleLog()
 	for _, name := range []string{"n1.00000001", "n1.00000002"} {
 		assert.Equal(t, string(testdata(t, name+".audit")), string(m.lines[name]), name)
 		assert.Equal(t, testdata(t, name+".ids"), m.ids[name], name)
@@ -72,20 +72,20 @@
 	for _, name := range []string{"n1.00000001", "n1.00000002"} {
 		m.lines[name], m.ids[name] = testdata(t, name+LogSuffix), testdata(t, name+IndexSuffix)
 	}
-	all, found := ReadLogs(m)
-	assert.Equal(t, []string{"n1.00000002:4: note: 3 lines could not be written: no space left on device", "n1.00000002:5: note: a torn tail of 12 bytes was cut off"}, findingTexts(found))
-	require.Len(t, all, 1)
-	var what []string
-	for _, l := range all[0].Lines {
-		what = append(what, l.Event)
+	logs, findings := ReadLogs(m)
+	assert.Equal(t, []string{"n1.00000002:4: note: 3 lines could not be written: no space left on device", "n1.00000002:5: note: a torn tail of 12 bytes was cut off"}, findingTexts(findings))
+	require.Len(t, logs, 1)
+	var events []string
+	for _, l := range logs[0].Lines {
+		events = append(events, l.Event)
 	}
-	assert.Equal(t, "opened,held,adopted,refused,span,let go,right,lapsed,gap,cut,dropped,turned,span,closed", strings.Join(what, ","))
-	assert.Equal(t, "n1.00000001", all[0].Lines[4].Segment)
-	span := all[0].Lines[4].Line
+	assert.Equal(t, "opened,held,adopted,refused,span,let go,right,lapsed,gap,cut,dropped,turned,span,closed", strings.Join(events, ","))
+	assert.Equal(t, "n1.00000001", logs[0].Lines[4].Segment)
+	interval := logs[0].Lines[4].Line
 	assert.Equal(t, Line{Sequence: 5, At: 1_700_000_000_004_000, Event: EventInterval, Front: "n1", Incarnation: 7, Index: 12, Version: 4, Interval: 1, Start: 1_699_999_999_000_000,
 		End: 1_700_000_000_000_000, ConfigLeaseExpiry: 1_700_000_000_500_000, EndpointListVersions: []int64{10, 11}, Outcomes: [][]uint32{{1, 0, 1, 0, 0}, {0, 1, 0, 0, 0}}, Requests: 3,
-		IndexOffset: 1, IndexHash: span.IndexHash, Hash: span.Hash}, span)
-	uses := VersionUses(all)
+		IndexOffset: 1, IndexHash: interval.IndexHash, Hash: interval.Hash}, interval)
+	uses := VersionUses(logs)
 	require.Len(t, uses, 2)
 	assert.Equal(t, VersionUse{Front: "n1", Incarnation: 7, Version: 4, Start: 1_700_000_000_002_000, End: 1_700_000_000_018_000, MaxClockError: 50_000,
 		Outcomes: [front.StatusCount]uint32{1, 1, 1}, EndpointListVersions: [2]int64{11, 11}, LeaseExpirations: 1}, uses[1])
@@ -101,17 +101,17 @@
 	}
 }
 
-// The messages between a front that collects logs and the others, by version 0.3.0.
+// Guards against a change of the messages between a front that collects logs and the others.
 func TestCollectionMessagesAreThoseOfVersion030(t *testing.T) {
-	list, piece := FetchRequest{After: "n1.00000004"}, FetchRequest{Name: "n1.00000005", Index: true, Offset: 32768}
-	listed, came := FetchResponse{Request: list, Names: []string{"n1.00000005"}}, FetchResponse{Request: piece, Total: 32770, Data: []byte{1, 2}, Removed: true}
+	namesRequest, chunkRequest := FetchRequest{After: "n1.00000004"}, FetchRequest{Name: "n1.00000005", Index: true, Offset: 32768}
+	namesResponse, chunkResponse := FetchResponse{Request: namesRequest, Names: []string{"n1.00000005"}}, FetchResponse{Request: chunkRequest, Total: 32770, Data: []byte{1, 2}, Removed: true}
 	lines := strings.Fields(string(testdata(t, "messages.txt")))
-	for i, got := range [][]byte{list.Encode(), piece.Encode(), listed.Encode(), came.Encode()} {
+	for i, got := range [][]byte{namesRequest.Encode(), chunkRequest.Encode(), namesResponse.Encode(), chunkResponse.Encode()} {
 		require.Greater(t, len(lines), i)
 		assert.Equal(t, lines[i], hex.EncodeToString(got))
 	}
 	require.Len(t, lines, 4)
-	for i, want := range []any{&list, &piece, &listed, &came} {
+	for i, want := range []any{&namesRequest, &chunkRequest, &namesResponse, &chunkResponse} {
 		b, err := hex.DecodeString(lines[i])
 		require.NoError(t, err)
 		q, r := DecodeDatagram(b)
--- a/fleet/audit/hash_chain.go
+++ b/fleet/audit/hash_chain.go
@@ -6,20 +6,20 @@
 	"encoding/json"
 )
 
-// noHash is the PreviousHash of a log's first line.
+// noHash is the PreviousHash of the first line of a log.
 const noHash = "none"
 
-// HashChain binds lines: the hash of each covers the hash before it and what the line says.
+// HashChain links the lines of a front's log: the hash of each line covers the previous hash and the content of the line.
 type HashChain struct {
 	Sequence uint64 // of the last line
-	LastHash string // "" before the first
+	LastHash string // of the last line; "" before the first line
 	first    bool   // the next line is the first of its segment
 }
 
-// StartSegment begins another file: its first line has the hash before it.
+// StartSegment starts another segment. Its first line will contain the previous hash, so that the segment can be verified by itself.
 func (c *HashChain) StartSegment() { c.first = true }
 
-// Append sets a line's number and hashes as the next of the chain, and returns its encoding.
+// Append sets a line's number and hashes as those of the next line in the chain, and returns the line's encoding.
 func (c *HashChain) Append(l *Line) []byte {
 	c.Sequence++
 	l.Sequence, l.PreviousHash, l.Hash = c.Sequence, "", ""
@@ -33,12 +33,12 @@
 	c.LastHash = l.Hash
 	b, err := json.Marshal(l)
 	if err != nil {
-		panic("audit: encode a line: " + err.Error()) // a Line has no field that can't be encoded
+		panic("audit: encode a line: " + err.Error()) // a Line can always be encoded
 	}
 	return append(b, '\n')
 }
 
-// chainHash is a line's hash: of the hash before it and of the line without its own.
+// chainHash returns the hash of a line: it covers the previous hash and the line without its own hash.
 func chainHash(previous string, l *Line) string {
 	x := *l
 	x.Hash = ""
--- a/fleet/audit/index.go
+++ b/fleet/audit/index.go
@@ -8,8 +8,9 @@
 	"slices"
 )
 
-// The index has for each interval a head and the hashes of its requests' ids, 40 bits each, sorted, so that one read finds whether an
-// id is there. An id that is not among an interval's n requests appears to be with probability n in 2^40.
+// The index has a part for each interval: a head, then the hashes of the interval's request ids, sorted and 40 bits each. One read is
+// usually sufficient to find whether an id is there. An id that is not among an interval's n requests appears to be with probability n in
+// 2^40.
 const (
 	idBytes  = 5
 	idBits   = 8 * idBytes
@@ -18,7 +19,7 @@
 
 var indexMagic = [4]byte{'I', 'D', 'S', '1'}
 
-// HashID is the hash by which a request's id is recorded: FNV-1a of 64 bits, of which the index has the upper 40.
+// HashID returns the hash by which a request's id is recorded: 64-bit FNV-1a. The index holds its upper 40 bits.
 func HashID(id []byte) uint64 {
 	h := uint64(14695981039346656037)
 	for _, c := range id {
@@ -27,7 +28,7 @@
 	return h
 }
 
-// EncodeIndex returns an interval's part of the index file, and a hash of it for the interval's line.
+// EncodeIndex returns an interval's part of the index, and the hash of that part for the interval's line.
 func EncodeIndex(s *Interval) (b []byte, hash string) {
 	ids := slices.Clone(s.IDs)
 	for i := range ids {
@@ -45,13 +46,14 @@
 	return b, indexHash(b)
 }
 
-// indexHash is the hash of an interval's part of the index.
+// indexHash returns the hash of an interval's part of the index.
 func indexHash(b []byte) string {
 	sum := sha256.Sum256(b)
 	return hex.EncodeToString(sum[:8])
 }
 
-// DecodeIndexHead decodes the head of an interval's part of the index: the interval's number, and how many ids follow.
+// DecodeIndexHead decodes the head of an interval's part of the index: the interval's number, and how many ids follow. ok is false if it
+// is not a head.
 func DecodeIndexHead(b []byte) (interval uint32, ids int, ok bool) {
 	if len(b) < headSize || !bytes.Equal(b[:4], indexMagic[:]) {
 		return 0, 0, false
@@ -59,14 +61,15 @@
 	return binary.BigEndian.Uint32(b[4:]), int(binary.BigEndian.Uint32(b[8:])), true
 }
 
-// IndexSize is the size in bytes of an interval's part of the index.
+// IndexSize returns the size of an interval's part of the index with n ids, in bytes.
 func IndexSize(ids int) int64 { return headSize + int64(ids)*idBytes }
 
-// FindID searches an id among an interval's, which begin at offset, after the head; read returns bytes of the index, and its errors are
-// returned as they are. Hashes are evenly distributed, so that it reads where the id should be, and more only by chance.
+// FindID reports whether an interval's part of the index contains a hash of an id. ids is the number of ids in the part, and offset is
+// where they begin, after the head. read reads bytes of the index; its errors are returned unchanged. Because hashes are evenly
+// distributed, FindID reads where the hash should be, and rarely needs another read.
 func FindID(id uint64, ids int, offset int64, read func(offset int64, n int) ([]byte, error)) (bool, error) {
 	wanted := id >> (64 - idBits)
-	low, high := 0, ids // the id, if any, is within
+	low, high := 0, ids // the hash, if it is there, is within these bounds
 	for high > low {
 		guess := int(float64(wanted) / float64(uint64(1)<<idBits) * float64(ids))
 		from := max(low, min(max(guess, low), high-1)-32)
--- a/fleet/audit/logs_test.go
+++ b/fleet/audit/logs_test.go
@@ -34,7 +34,7 @@
 	return nil, fmt.Errorf("no such file")
 }
 
-// testLog is a log to write: a process that starts, so many intervals, in segments of three, and stops.
+// testLog describes a log to write: a process that starts, a number of intervals, three to a segment, and the end of the process.
 type testLog struct {
 	front        string
 	incarnation  uint64
@@ -79,7 +79,7 @@
 	return segment
 }
 
-// twoFrontsLogs are complete logs of the fronts n1 and n2.
+// twoFrontsLogs returns complete logs of the fronts n1 and n2.
 func twoFrontsLogs() memoryLogs {
 	m := newMemoryLogs()
 	for _, name := range []string{"n1", "n2"} {
@@ -88,7 +88,7 @@
 	return m
 }
 
-// lastHash is the hash of a segment's last line.
+// lastHash returns the hash of a segment's last line.
 func lastHash(t *testing.T, b []byte) string {
 	t.Helper()
 	lines := strings.Split(strings.TrimSpace(string(b)), "\n")
@@ -97,7 +97,7 @@
 	return l.Hash
 }
 
-// findingTexts are findings as verify prints them.
+// findingTexts returns findings as the command that verifies logs prints them.
 func findingTexts(findings []Finding) (texts []string) {
 	for _, f := range findings {
 		texts = append(texts, f.String())
--- a/fleet/audit/read.go
+++ b/fleet/audit/read.go
@@ -8,29 +8,31 @@
 	"slices"
 )
 
-// LogSource is where segments are read from, by their names without suffix.
+// LogSource provides the segments of logs. It identifies them by their names without a suffix.
 type LogSource interface {
 	Names() []string // sorted
+	// Lines returns the file with a segment's lines.
 	Lines(name string) ([]byte, error)
+	// IDs returns the file with a segment's index.
 	IDs(name string) ([]byte, error)
 }
 
-// Finding is what verification found: a violation, or a note of what the log itself says is missing.
+// Finding is a result of verification. It is a violation, or a note about something that the log itself reports as missing.
 type Finding struct {
 	Segment   string `json:"segment"`
-	Line      int    `json:"line"` // within the segment, from 1; 0 for the whole of it
+	Line      int    `json:"line"` // within the segment, from 1; 0 if the finding is about the whole segment
 	Violation bool   `json:"wrong"`
 	Message   string `json:"what"`
 
-	Unread bool `json:"-"` // the segment, or a part of it, was not read: what it has is in no other result
+	Unread bool `json:"-"` // the segment, or a part of it, was not read, so that other results lack what it holds
 }
 
-// UnreadSegment is the finding that a segment, or a part of it, was not read.
+// UnreadSegment returns the finding that a segment, or a part of it, was not read.
 func UnreadSegment(segment, message string) Finding {
 	return Finding{Segment: segment, Violation: true, Message: message, Unread: true}
 }
 
-// String is the finding as a line of text: place, kind and message.
+// String returns the finding as a line of text: place, kind and message.
 func (f Finding) String() string {
 	kind := "note"
 	if f.Violation {
@@ -42,20 +44,20 @@
 	return fmt.Sprintf("%s:%d: %s: %s", f.Segment, f.Line, kind, f.Message)
 }
 
-// FrontLog is one front's log, in its order.
+// FrontLog is the log of one front, its lines in the order in which they were written.
 type FrontLog struct {
 	Front string
 	Lines []PlacedLine
 }
 
-// PlacedLine is a line and where it stands.
+// PlacedLine is a line together with its segment and its number there.
 type PlacedLine struct {
 	Line
 	Segment    string
-	LineNumber int // within the segment, from 1
+	LineNumber int // in the segment, from 1
 }
 
-// ReadLogs reads and verifies all logs, by front. What can't be read, or contradicts itself, is among the findings.
+// ReadLogs reads and verifies the logs of all fronts, sorted by front. What can't be read, or is inconsistent, is among the findings.
 func ReadLogs(source LogSource) (logs []*FrontLog, findings []Finding) {
 	readers := map[string]*logReader{} // by front
 	for _, name := range source.Names() {
@@ -74,7 +76,7 @@
 	slices.SortFunc(logs, func(a, b *FrontLog) int { return cmp.Compare(a.Front, b.Front) })
 	for _, log := range logs {
 		r := readers[log.Front]
-		r.end()
+		r.finish()
 		findings = append(findings, r.findings...)
 	}
 	return logs, findings
@@ -85,8 +87,8 @@
 	log      *FrontLog
 	findings []Finding
 
-	segment string // that is being read
-	line    int    // within it, from 1; 0 for findings on the whole of it
+	segment string // name of the segment that is being read
+	line    int    // number of the line in the segment, from 1; 0 for findings about the whole segment
 
 	segments  segmentSequence
 	chain     chainPosition
@@ -98,21 +100,23 @@
 	return &logReader{log: &FrontLog{Front: front}, process: processState{stopped: map[uint64]bool{}}}
 }
 
+// violation adds a violation at the line that is being read.
 func (r *logReader) violation(format string, args ...any) {
 	r.findings = append(r.findings, Finding{Segment: r.segment, Line: r.line, Violation: true, Message: fmt.Sprintf(format, args...)})
 }
 
+// note adds a note at the line that is being read.
 func (r *logReader) note(format string, args ...any) {
 	r.findings = append(r.findings, Finding{Segment: r.segment, Line: r.line, Message: fmt.Sprintf(format, args...)})
 }
 
-// readSegment reads the next segment.
+// readSegment reads and verifies the next segment.
 func (r *logReader) readSegment(source LogSource, name string, number uint64) {
 	r.segment, r.line = name, 0
 	if r.segments.last == 0 && number > 1 {
 		r.process.startMissing = true
 	}
-	place := r.segments.advance(r.log.Front, number)
+	position := r.segments.advance(r.log.Front, number)
 	text, err := source.Lines(name)
 	if err != nil {
 		r.findings = append(r.findings, UnreadSegment(name, fmt.Sprintf("the segment can't be read: %v", err)))
@@ -126,13 +130,13 @@
 		text = remaining
 		var l Line
 		if err := json.Unmarshal(lineText, &l); err != nil || !ended {
-			r.violation("the line can't be read: torn, or no line of an audit")
+			r.violation("the line can't be read: it is truncated or not an audit line")
 			continue
 		}
-		r.verifyChain(&l, place)
-		place = sameSegment
+		r.verifyChain(&l, position)
+		position = inSameSegment
 		if l.Front != r.log.Front {
-			r.violation("the line is of front %s", l.Front)
+			r.violation("the line belongs to front %s", l.Front)
 			continue
 		}
 		if l.IndexOffset > 0 || l.Requests > 0 {
@@ -143,16 +147,16 @@
 		r.log.Lines = append(r.log.Lines, p)
 	}
 	if r.line == 0 {
-		return // an empty segment: the process ended after it was created
+		return // the segment is empty: the process ended right after it was created
 	}
 	if index.err == nil && int64(len(index.data)) > index.verified {
 		r.line = 0
-		r.note("the index holds %d bytes that no line tells of", int64(len(index.data))-index.verified)
+		r.note("the index has %d bytes to which no line refers", int64(len(index.data))-index.verified)
 	}
 }
 
-// end adds the findings that need the whole log.
-func (r *logReader) end() {
+// finish adds the findings that can only be made once the whole log was read.
+func (r *logReader) finish() {
 	for _, missing := range r.segments.missing {
 		if missing.Segment > r.segments.removed {
 			r.findings = append(r.findings, missing)
@@ -160,6 +164,6 @@
 	}
 	if r.process.started != nil {
 		r.line = 0
-		r.note("the log is not closed: the front runs, or its process died")
+		r.note("the log is not closed: the front still runs, or its process crashed")
 	}
 }
--- a/fleet/audit/recorder.go
+++ b/fleet/audit/recorder.go
@@ -8,61 +8,66 @@
 )
 
 const (
-	// MaxIntervalDuration is the longest interval while requests come: a front that crashes loses the counts of the open one.
+	// MaxIntervalDuration is the maximum length of an interval while requests arrive. It bounds what is lost in a crash: the counts of the
+	// open interval.
 	MaxIntervalDuration = 30 * time.Second
-	maxIntervalRequests = 32 << 10
-	minIDsCapacity      = 256
-	// maxIntervals is the most intervals that wait for their last requests; with more, a change of the endpoint list extends the open one.
+	maxIntervalRequests = 32 << 10 // in an interval; the next request starts another one
+	minIDsCapacity      = 256      // capacity of Interval.IDs to begin with
+	// maxIntervals is the maximum number of intervals that wait for their last requests. Beyond it, a change of the endpoint list extends
+	// the open interval instead of starting another one.
 	maxIntervals = 64
 )
 
-// Interval is a time in which a front used one version, with what it did. Times are the core's clock.
+// Interval is a time during which a front used one version, with the outcomes of the requests that it accepted then. Times are on the
+// core's clock.
 type Interval struct {
 	Number               uint32
 	Start, End           time.Duration
 	Version              uint64
-	EndpointListVersions [2]int64                    // first and last
+	EndpointListVersions [2]int64                    // first and last of the interval
 	Standby              bool                        // the front had no configuration lease, and accepted no request
-	ConfigLeaseExpiry    time.Duration               // as of the interval's end; 0 where the front needs no lease
+	ConfigLeaseExpiry    time.Duration               // at the interval's end; 0 if the front needs no lease
 	Outcomes             [][front.StatusCount]uint32 // by request type
-	IDs                  []uint64                    // of the accepted requests, by HashID, in the order in which they came
+	IDs                  []uint64                    // HashID of each accepted request, in the order in which they arrived
 
-	inFlight int
+	inFlight int // accepted requests that have not finished
 	closed   bool
 }
 
 // empty reports whether the interval has no request.
 func (s *Interval) empty() bool { return len(s.IDs) == 0 && s.inFlight == 0 }
 
-// Recorder counts requests. Its calls are those of front.Auditor, from the core's goroutine; Totals is safe for concurrent use.
+// Recorder counts the requests of a front in intervals. Its methods implement front.Auditor and are called from the core's goroutine;
+// Totals is safe for concurrent use.
 type Recorder struct {
 	types     int
-	sink      func(Interval)
-	intervals []*Interval // the last is the open one; the others wait for their requests
-	totals    []totals    // by request type, on the version in use
-	first     Interval    // template of the first
+	sink      func(Interval) // takes intervals whose requests have all finished; nil for none
+	intervals []*Interval    // the last one is open; the others wait for their requests to finish
+	totals    []totals       // by request type, on the version in use
+	initial   Interval       // template of the first interval
 }
 
-// totals are a request type's counts.
+// totals are the counts of a request type.
 type totals struct{ finished, succeeded atomic.Uint64 }
 
-// NewRecorder makes a Recorder for so many request types; sink takes intervals whose requests have all finished and must not block, nil
-// for none. A front that needs a configuration lease is in standby until it has one; version is the one that it starts with.
+// NewRecorder makes a Recorder. types is the number of request types. sink takes the intervals whose requests have all finished; it must
+// not block, and nil means that intervals are not passed on. A front that needs a configuration lease is in standby until it has one.
+// version is the version with which the front starts.
 func NewRecorder(types int, needsLease bool, version uint64, sink func(Interval)) *Recorder {
-	return &Recorder{types: types, sink: sink, totals: make([]totals, types), first: Interval{Standby: needsLease, Version: version}}
+	return &Recorder{types: types, sink: sink, totals: make([]totals, types), initial: Interval{Standby: needsLease, Version: version}}
 }
 
-// current returns the open interval.
+// current returns the open interval, and opens the first one if there is none yet.
 func (r *Recorder) current(at time.Duration) *Interval {
 	if n := len(r.intervals); n > 0 {
 		return r.intervals[n-1]
 	}
-	return r.openNext(at)
+	return r.startNextInterval(at)
 }
 
-// openNext closes the open interval and opens the next.
-func (r *Recorder) openNext(at time.Duration) *Interval {
-	next := &Interval{Start: at, Number: 1, Standby: r.first.Standby, Version: r.first.Version, Outcomes: make([][front.StatusCount]uint32, r.types)}
+// startNextInterval closes the open interval and opens the next one.
+func (r *Recorder) startNextInterval(at time.Duration) *Interval {
+	next := &Interval{Start: at, Number: 1, Standby: r.initial.Standby, Version: r.initial.Version, Outcomes: make([][front.StatusCount]uint32, r.types)}
 	if n := len(r.intervals); n > 0 {
 		last := r.intervals[n-1]
 		last.End, last.closed = at, true
@@ -73,12 +78,12 @@
 		}
 	}
 	r.intervals = append(r.intervals, next)
-	r.flush()
+	r.deliverFinished()
 	return next
 }
 
-// flush passes on intervals that are closed and whose requests have all finished, in their order.
-func (r *Recorder) flush() {
+// deliverFinished passes on closed intervals in their order, up to the first one with unfinished requests.
+func (r *Recorder) deliverFinished() {
 	for len(r.intervals) > 1 && r.intervals[0].inFlight == 0 {
 		if r.sink != nil {
 			r.sink(*r.intervals[0])
@@ -93,7 +98,7 @@
 	s := r.current(at)
 	if r.sink != nil {
 		if len(s.IDs) >= maxIntervalRequests || at-s.Start > MaxIntervalDuration {
-			s = r.openNext(at)
+			s = r.startNextInterval(at)
 		}
 		s.IDs = append(s.IDs, HashID(id))
 	}
@@ -114,35 +119,35 @@
 		return
 	}
 	s := r.intervals[i]
-	if typ < len(s.Outcomes) { // types that classification adds are not counted by type
+	if typ < len(s.Outcomes) { // request types that classification adds later are not counted by type
 		s.Outcomes[typ][status]++
 	}
 	if s.inFlight--; s.inFlight == 0 && s.closed {
-		r.flush()
+		r.deliverFinished()
 	}
 }
 
-// EndpointsChanged notes another version of the endpoint list.
+// EndpointsChanged records that the front uses another version of the endpoint list.
 func (r *Recorder) EndpointsChanged(at time.Duration, index int64) {
 	s := r.current(at)
 	if s.EndpointListVersions[1] == index {
 		return
 	}
-	restarted := s.EndpointListVersions == [2]int64{} || s.empty()
+	replaceVersions := s.EndpointListVersions == [2]int64{} || s.empty()
 	switch {
-	case restarted:
+	case replaceVersions:
 		s.EndpointListVersions = [2]int64{index, index}
 	case len(r.intervals) >= maxIntervals:
 		s.EndpointListVersions[1] = index
 	default:
-		r.openNext(at).EndpointListVersions = [2]int64{index, index}
+		r.startNextInterval(at).EndpointListVersions = [2]int64{index, index}
 	}
 }
 
-// ConfigAdopted notes that another version is in use.
+// ConfigAdopted records that the front uses another configuration version, and resets the totals.
 func (r *Recorder) ConfigAdopted(at time.Duration, version uint64) {
 	if s := r.current(at); s.Version != version {
-		r.openNext(at).Version = version
+		r.startNextInterval(at).Version = version
 	}
 	for i := range r.totals {
 		r.totals[i].finished.Store(0)
@@ -150,41 +155,41 @@
 	}
 }
 
-// LeaseChanged notes until when the front may serve, or that it is in standby: it then served until its lease's expiry, also where it
-// finds that out later.
+// LeaseChanged records until when the front may serve, or that it is in standby. A front that enters standby has served until its lease
+// expired, even if it learns of the expiry later.
 func (r *Recorder) LeaseChanged(at, until time.Duration, standby bool) {
 	s := r.current(at)
 	switch {
 	case standby && !s.Standby:
 		s.ConfigLeaseExpiry = until
-		s = r.openNext(min(max(until, s.Start), at))
+		s = r.startNextInterval(min(max(until, s.Start), at))
 	case !standby && s.Standby:
-		s = r.openNext(at)
+		s = r.startNextInterval(at)
 	}
 	s.Standby, s.ConfigLeaseExpiry = standby, until
 }
 
-// Tick closes an interval that has lasted long enough, though no request comes.
+// Tick closes an interval that has lasted long enough, also when no request arrives.
 func (r *Recorder) Tick(at time.Duration) {
 	if s := r.current(at); r.sink != nil && at-s.Start > MaxIntervalDuration && len(s.IDs) > 0 {
-		r.openNext(at)
+		r.startNextInterval(at)
 	}
 }
 
-// Close closes the open interval and passes on all, with the outcomes that are known.
+// Close closes the open interval and passes on all intervals, with the outcomes known so far.
 func (r *Recorder) Close(at time.Duration) {
-	r.openNext(at)
+	r.startNextInterval(at)
 	for _, s := range r.intervals[:len(r.intervals)-1] {
 		s.inFlight = 0
 	}
-	r.flush()
+	r.deliverFinished()
 }
 
-// Totals calls each with the counts of each request type since the version was adopted: requests that finished, and those of them
+// Totals calls each for every request type with its counts since the version was adopted: the requests that finished, and those of them
 // that succeeded.
 func (r *Recorder) Totals(each func(typ int, finished, succeeded uint64)) {
 	for i := range r.totals {
-		succeeded := r.totals[i].succeeded.Load() // first: it is never more than finished
+		succeeded := r.totals[i].succeeded.Load() // read before finished, so that it is never the larger of the two
 		each(i, r.totals[i].finished.Load(), succeeded)
 	}
 }
--- a/fleet/audit/recorder_test.go
+++ b/fleet/audit/recorder_test.go
@@ -27,7 +27,7 @@
 	require.Len(t, out, 2)
 	assert.Equal(t, Interval{Number: 2, Start: 10 * ms, End: 20 * ms, EndpointListVersions: [2]int64{10, 10}, ConfigLeaseExpiry: 100 * ms,
 		Outcomes: [][front.StatusCount]uint32{{1}, {}}, IDs: []uint64{HashID([]byte("a"))}, closed: true}, out[1])
-	r.LeaseChanged(400*ms, 100*ms, true) // found late: it had ended when its lease expired
+	r.LeaseChanged(400*ms, 100*ms, true) // the expiry is noticed late: the interval ends when the lease expired
 	require.Len(t, out, 3)
 	assert.Equal(t, 100*ms, out[2].End)
 	assert.EqualValues(t, 2, out[2].Version)
@@ -38,7 +38,7 @@
 	assert.Equal(t, 100*ms, out[3].Start, "no time is missing")
 }
 
-// BenchmarkRecordRequest measures what the audit costs a request in the core.
+// BenchmarkRecordRequest measures the cost of recording one request.
 func BenchmarkRecordRequest(b *testing.B) {
 	recorder := NewRecorder(6, true, 0, func(Interval) {})
 	recorder.LeaseChanged(0, time.Hour, false)
--- a/fleet/audit/segment_name.go
+++ b/fleet/audit/segment_name.go
@@ -7,14 +7,15 @@
 
 // Suffixes of a segment's two files.
 const (
-	LogSuffix   = ".audit" // its lines
-	IndexSuffix = ".ids"   // the ids of its intervals' requests
+	LogSuffix   = ".audit" // the lines
+	IndexSuffix = ".ids"   // the index of the request ids
 )
 
-// SegmentName is the name of a segment's files without their suffixes. Names sort in the order in which segments were made.
+// SegmentName returns the name of a segment's files without their suffixes. Names of a front sort in the order in which its segments were
+// created.
 func SegmentName(front string, number uint64) string { return fmt.Sprintf("%s.%08d", front, number) }
 
-// ParseLogName parses the name of a segment's file of lines; ok is false for any other file.
+// ParseLogName parses the name of a segment's file of lines. ok is false for any other file.
 func ParseLogName(name string) (front string, number uint64, ok bool) {
 	base, found := strings.CutSuffix(name, LogSuffix)
 	if !found {
--- a/fleet/audit/size_bench_test.go
+++ b/fleet/audit/size_bench_test.go
@@ -8,8 +8,8 @@
 	"dapplerouter/front"
 )
 
-// BenchmarkLogSize measures how many bytes a front's log takes a day, its lines and its index, by the requests that it accepts a
-// second. One run is one measurement: -benchtime 1x.
+// BenchmarkLogSize measures the size of a front's log a day, lines and index, for several rates of accepted requests. One run is one
+// measurement: -benchtime 1x.
 func BenchmarkLogSize(b *testing.B) {
 	for _, rate := range []int{10, 100, 300, 600, 900} {
 		b.Run(fmt.Sprintf("rate=%d", rate), func(b *testing.B) {
--- a/fleet/audit/version_uses.go
+++ b/fleet/audit/version_uses.go
@@ -7,24 +7,24 @@
 	"dapplerouter/front"
 )
 
-// VersionUse is a time in which a front used a version, derived from its intervals.
+// VersionUse is a time during which a front used a version, derived from the front's log.
 type VersionUse struct {
 	Front                string                    `json:"front"`
 	Incarnation          uint64                    `json:"incarnation"`
 	Version              uint64                    `json:"version"`
 	Start                int64                     `json:"from"` // Unix microseconds of the front's clock
 	End                  int64                     `json:"until"`
-	MaxClockError        int64                     `json:"clock"` // of Start and End, in microseconds
+	MaxClockError        int64                     `json:"clock"` // possible error of Start and End, in microseconds
 	Outcomes             [front.StatusCount]uint32 `json:"ended"`
-	EndpointListVersions [2]int64                  `json:"list"` // of the last interval, first and last
+	EndpointListVersions [2]int64                  `json:"list"` // first and last of the use's last interval
 	LeaseExpirations     int                       `json:"lapses,omitempty"`
-	Open                 bool                      `json:"open,omitempty"` // no line ends it: the front runs, or crashed
+	Open                 bool                      `json:"open,omitempty"` // no line ends the use: the front still runs, or it crashed
 }
 
 // VersionUses returns the uses of all fronts, by front and time.
 func VersionUses(logs []*FrontLog) (uses []VersionUse) {
 	for _, log := range logs {
-		b := useBuilder{front: log.Front}
+		b := versionUseBuilder{front: log.Front}
 		for i := range log.Lines {
 			b.add(&log.Lines[i].Line)
 		}
@@ -33,32 +33,33 @@
 	return uses
 }
 
-// useBuilder derives one front's uses from its lines.
-type useBuilder struct {
+// versionUseBuilder derives one front's uses from its lines.
+type versionUseBuilder struct {
 	front         string
 	uses          []VersionUse
 	running       bool // the process of the last use has not stopped
 	maxClockError int64
 }
 
-// current returns the use of the process that runs, nil where none does.
-func (b *useBuilder) current() *VersionUse {
+// current returns the use by the process that runs, or nil if none runs.
+func (b *versionUseBuilder) current() *VersionUse {
 	if !b.running {
 		return nil
 	}
 	return &b.uses[len(b.uses)-1]
 }
 
-func (b *useBuilder) add(l *Line) {
+// add adds the next line of the front's log.
+func (b *versionUseBuilder) add(l *Line) {
 	current := b.current()
 	switch l.Event {
 	case EventProcessStarted:
 		b.maxClockError = l.MaxClockError
-		b.begin(l)
+		b.startUse(l)
 	case EventVersionAdopted:
 		if current != nil && current.Version != l.Version {
 			current.End, current.Open = l.At, false
-			b.begin(l)
+			b.startUse(l)
 		}
 	case EventConfigLeaseExpired:
 		if current != nil {
@@ -78,13 +79,15 @@
 	}
 }
 
-func (b *useBuilder) begin(l *Line) {
+// startUse starts the use of the line's version at the line's time.
+func (b *versionUseBuilder) startUse(l *Line) {
 	b.running = true
 	b.uses = append(b.uses, VersionUse{Front: b.front, Incarnation: l.Incarnation, Version: l.Version, Start: l.At, End: l.At, MaxClockError: b.maxClockError, Open: true})
 }
 
-// addInterval adds an interval to its use, which may be an earlier one: its last requests may finish after the next adoption.
-func (b *useBuilder) addInterval(l *Line) {
+// addInterval adds an interval to its use. That may be an earlier use, because the last requests of a use may finish after the next
+// adoption.
+func (b *versionUseBuilder) addInterval(l *Line) {
 	for i := len(b.uses) - 1; i >= 0; i-- {
 		use := &b.uses[i]
 		if use.Incarnation != l.Incarnation || use.Version != l.Version {
@@ -92,7 +95,7 @@
 		}
 		for _, byStatus := range l.Outcomes {
 			for status, n := range byStatus {
-				if status < len(use.Outcomes) { // a newer program may have more
+				if status < len(use.Outcomes) { // a newer program may have more statuses
 					use.Outcomes[status] += n
 				}
 			}
@@ -105,8 +108,8 @@
 	}
 }
 
-// UsesAt returns the uses at a time, in Unix microseconds; for each of them certain reports whether it holds for every error that the
-// front's clock may have.
+// UsesAt returns the uses at a time, in Unix microseconds. For each of them, certain reports whether the use holds for every possible
+// error of the front's clock.
 func UsesAt(uses []VersionUse, at int64) (found []VersionUse, certain []bool) {
 	for _, u := range uses {
 		if u.Start-u.MaxClockError <= at && at <= u.End+u.MaxClockError {
@@ -117,7 +120,7 @@
 	return found, certain
 }
 
-// VersionSummary is what all fronts did on a version.
+// VersionSummary is what all fronts together did on a version.
 type VersionSummary struct {
 	Version   uint64                    `json:"version"`
 	RulesHash string                    `json:"meaning"`
@@ -127,7 +130,7 @@
 	Outcomes  [front.StatusCount]uint32 `json:"ended"`
 }
 
-// SummarizeVersions sums uses up by version, in the order of versions.
+// SummarizeVersions returns a summary of each version, in the order of versions.
 func SummarizeVersions(logs []*FrontLog, uses []VersionUse) (summaries []VersionSummary) {
 	hashes := rulesHashes(logs)
 	byVersion := map[uint64]*VersionSummary{}
@@ -152,7 +155,7 @@
 	return summaries
 }
 
-// rulesHashes returns the hash of each version's rules, where a line has it.
+// rulesHashes returns the hash of each version's rules, if a line has it.
 func rulesHashes(logs []*FrontLog) map[uint64]string {
 	hashes := map[uint64]string{}
 	for _, log := range logs {
--- a/fleet/audit/version_uses_test.go
+++ b/fleet/audit/version_uses_test.go
@@ -21,7 +21,7 @@
 	assert.EqualValues(t, 2*4*3, summaries[0].Outcomes[front.StatusSucceeded]+summaries[0].Outcomes[front.StatusRejected])
 }
 
-// Clocks an hour apart: a use is uncertain near its ends, by the clock's error.
+// The clock of n1 may be wrong by an hour, so its use is uncertain within an hour of its start and end.
 func TestUsesAreCertainOnlyBeyondTheClockError(t *testing.T) {
 	hour := int64(3_600_000_000)
 	uses := []VersionUse{{Front: "n1", Version: 1, Start: 10 * hour, End: 20 * hour, MaxClockError: hour}, {Front: "n2", Version: 2, Start: 10 * hour, End: 20 * hour}}
