--- a/fleet/audit/verify.go
+++ b/fleet/audit/verify.go
@@ -179,9 +179,9 @@
 
 // intervalSequence is the last interval of the current process.
 type intervalSequence struct {
-	last      uint32 // 0 before the first
-	end       int64
-	linesLost bool // lines were lost since that interval
+	last      uint32 // number of the interval, 0 before the first
+	end       int64  // its end, in Unix microseconds
+	linesLost bool   // lines were lost since that interval
 }
 
 // leaseExpiryTolerance is by how much two readings of one clock may differ, in microseconds.
--- a/fleet/rollout/adopter.go
+++ b/fleet/rollout/adopter.go
@@ -31,7 +31,7 @@
 
 	started       bool
 	startedAt     time.Duration
-	reachedFleet  bool          // the front was not isolated at some time since its start
+	reachedFleet  bool          // the front has been in contact with the fleet since its start
 	isolatedUntil time.Duration // until when the front may serve without a configuration lease because it is isolated
 }
 
@@ -124,7 +124,7 @@
 // Adopted records that the front accepts new requests on a version from now on. at is the front's wall clock in Unix microseconds.
 func (a *Adopter) Adopted(version uint64, at int64) {
 	a.active, a.adoptedAt, a.adopting = version, at, false
-	if a.rejected <= version { // an older rejection is of no interest any more
+	if a.rejected <= version { // the rejection is obsolete
 		a.rejected, a.rejectedReason = 0, ""
 	}
 }
--- a/fleet/rollout/stages.go
+++ b/fleet/rollout/stages.go
@@ -227,8 +227,8 @@
 	lastPaused versionStage            // the stage that was last seen paused; if it is not paused any more, an operator has resumed it
 }
 
-// resetIfStageChanged starts a new observation if the state is at another stage than in the previous step. It also remembers which stage
-// was paused last.
+// resetIfStageChanged starts a new observation if the stage, the phase or the pause has changed since the previous step. It also
+// remembers which stage was paused last.
 func (o *stageObservation) resetIfStageChanged(in *stepInput) {
 	s := in.state
 	if s.Paused {
