--- a/fleet/audit/index.go
+++ b/fleet/audit/index.go
@@ -61,11 +61,11 @@
 	return binary.BigEndian.Uint32(b[4:]), int(binary.BigEndian.Uint32(b[8:])), true
 }
 
-// IndexSize returns the size of an interval's part of the index with n ids, in bytes.
+// IndexSize returns the size of an interval's part of the index with the given number of ids, in bytes.
 func IndexSize(ids int) int64 { return headSize + int64(ids)*idBytes }
 
-// FindID reports whether an interval's part of the index contains a hash of an id. ids is the number of ids in the part, and offset is
-// where they begin, after the head. read reads bytes of the index; its errors are returned unchanged. Because hashes are evenly
+// FindID reports whether an interval's part of the index contains an id, given as its HashID. ids is the number of ids in the part, and
+// offset is where they begin, after the head. read reads bytes of the index; its errors are returned unchanged. Because hashes are evenly
 // distributed, FindID reads where the hash should be, and rarely needs another read.
 func FindID(id uint64, ids int, offset int64, read func(offset int64, n int) ([]byte, error)) (bool, error) {
 	wanted := id >> (64 - idBits)
