--- a/gateway/link/peer_test.go
+++ b/gateway/link/peer_test.go
@@ -108,7 +108,7 @@
 
 func TestOtherVersionsAndProgramsAreNamedInTheError(t *testing.T) {
 	l, _ := startListeningLink(t)
-	for _, p := range []struct{ preamble, want string }{{"DRLK\x00\x09", "version 9"}, {"GET / ", "no gateway"}} {
+	for _, p := range []struct{ preamble, want string }{{"DRLK\x00\x09", "version 9"}, {"GET / ", "not a gateway"}} {
 		c, err := net.Dial("tcp", l.Addr().String())
 		require.NoError(t, err)
 		k := NewCodec(&preambleConn{Conn: c, preamble: p.preamble})
