--- a/discovery/client.go
+++ b/discovery/client.go
@@ -15,44 +15,46 @@
 	"time"
 )
 
-// The service sends a heartbeat on a watch at this interval. A change counts as notified three heartbeats after the service had it
-// and could be reached, and two after a new configuration, whatever failed meanwhile. So a watch ends after a silence of a heartbeat
-// and three quarters; a call that does not begin its answer within half a heartbeat, or whose answer pauses as long, is given up; and
-// between two calls lies a quarter at most. docs/endings.md adds up the worst cases.
+// Timeouts of calls and watches, derived from the interval at which the service sends heartbeats on a watch. A change counts as
+// notified three heartbeats after the service had it and was reachable, and two heartbeats after a new address was configured,
+// whatever calls failed meanwhile; it must have arrived by then. Therefore a watch ends after 1.75 heartbeats of silence. A
+// call is cancelled if its response does not begin within half a heartbeat, or stops for that long. The backoff between two
+// calls is at most a quarter of a heartbeat. docs/endings.md adds up the worst cases.
 const (
-	heartbeat       = 2 * time.Second
-	silenceQuarters = 7 // quarters of a heartbeat
+	heartbeat              = 2 * time.Second
+	silenceTimeoutQuarters = 7 // in quarters of a heartbeat
 )
 
-// maxObject is the length of the longest object that is read, in bytes.
-const maxObject = 4 << 20
+// maxObjectBytes is the maximum length of a snapshot or of a line of a watch.
+const maxObjectBytes = 4 << 20
 
-// Why a call or a watch ended.
+// Reasons for which a call or a watch ends.
 var (
-	ErrSilent     = errors.New("discovery service: no heartbeat")
-	ErrNoAnswer   = errors.New("discovery service: no answer in time")
+	ErrSilent     = errors.New("discovery service: no heartbeat in time")
+	ErrNoAnswer   = errors.New("discovery service: no response in time")
 	ErrStatus     = errors.New("discovery service: unexpected status")
-	ErrIndexBack  = errors.New("discovery service: index goes back")
+	ErrIndexBack  = errors.New("discovery service: index went backwards")
 	ErrBadChange  = errors.New("discovery service: change with unusable endpoints")
 	ErrLineLength = errors.New("discovery service: line too long")
 )
 
-// Client reads the endpoint list from the discovery service. It holds two connections at most. Its methods may be called
-// concurrently.
+// Client reads the endpoint list from the discovery service. It opens at most two connections. Its methods are safe for
+// concurrent use.
 type Client struct {
-	// OnResponse is called for each answer of the service, also where nothing has changed; nil for nobody. It is set before the first
-	// call.
+	// OnResponse, if not nil, is called for each response of the service, including heartbeats that bring no change. It must be
+	// set before the first call.
 	OnResponse func()
 
-	address   string
-	url       string
-	http      *http.Client
-	heartbeat time.Duration
-	index     atomic.Int64 // version read last
-	stale     atomic.Bool  // a change may have been missed, so that the next watch needs a snapshot first
+	address       string
+	url           string
+	http          *http.Client
+	heartbeat     time.Duration
+	index         atomic.Int64 // version of the list read last
+	needsSnapshot atomic.Bool  // a change may have been missed: the next watch must begin with a snapshot
 }
 
-// NewClient returns a client of the service at an address, which knows the list up to a version.
+// NewClient returns a client of the service at an address. The client assumes that its caller has the list up to version index,
+// so that a watch begins after that version.
 func NewClient(address string, index int64) *Client {
 	c := &Client{address: address, url: "http://" + address + "/v1/endpoints", heartbeat: heartbeat}
 	c.index.Store(index)
@@ -64,32 +66,34 @@
 	return c
 }
 
-// WithAddress returns a client of the service at another address, which knows what this one does, and reads a snapshot first.
+// WithAddress returns a client of the service at another address. The new client takes over the index, and its first watch
+// begins with a snapshot.
 func (c *Client) WithAddress(address string) *Client {
 	moved := NewClient(address, c.index.Load())
 	moved.heartbeat, moved.OnResponse = c.heartbeat, c.OnResponse
-	moved.stale.Store(true)
+	moved.needsSnapshot.Store(true)
 	return moved
 }
 
-// Address returns where the service is.
+// Address returns the host and port of the service.
 func (c *Client) Address() string { return c.address }
 
-// Index returns the version read last.
+// Index returns the version of the list read last.
 func (c *Client) Index() int64 { return c.index.Load() }
 
-// AdvanceIndex notes that a version was read by another way.
+// AdvanceIndex records that the list was received up to a version by other means than this client. A lower index than the
+// present one changes nothing.
 func (c *Client) AdvanceIndex(index int64) { c.index.Store(max(index, c.index.Load())) }
 
-// CloseIdleConnections closes the connections without a call.
+// CloseIdleConnections closes the connections that no call is using.
 func (c *Client) CloseIdleConnections() { c.http.CloseIdleConnections() }
 
-// FetchSnapshot reads the list in full. A snapshot that a watch has overtaken meanwhile would take back what that brought: it is read
-// again.
+// FetchSnapshot reads the complete list. If a concurrent watch has received a newer version meanwhile, the snapshot would undo
+// those changes, so it is fetched again.
 func (c *Client) FetchSnapshot(ctx context.Context) (List, error) {
 	for {
 		before := c.index.Load()
-		l, err := c.fetch(ctx)
+		l, err := c.fetchOnce(ctx)
 		if err != nil {
 			return List{}, err
 		}
@@ -97,77 +101,79 @@
 			continue
 		}
 		c.index.Store(l.Index)
-		c.stale.Store(false)
-		c.responded()
+		c.needsSnapshot.Store(false)
+		c.notifyResponse()
 		return l, nil
 	}
 }
 
-// fetch makes one call for a snapshot.
-func (c *Client) fetch(ctx context.Context) (l List, err error) {
+// fetchOnce makes one call for a snapshot. It gives up if the response does not begin within half a heartbeat, stops for that
+// long, or takes more than two heartbeats from its beginning.
+func (c *Client) fetchOnce(ctx context.Context) (l List, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	pause := c.answerTimeout(cancel)
-	defer pause.Stop()
+	answerTimer := c.startAnswerTimer(cancel)
+	defer answerTimer.Stop()
 	body, err := c.get(ctx, "")
 	if err != nil {
-		return l, causeOf(ctx, err)
+		return l, cancelCause(ctx, err)
 	}
-	defer func() { _ = body.Close() }() // it was read to its end, or the call has failed
-	late := time.AfterFunc(c.heartbeat*2, func() { cancel(ErrSilent) })
-	defer late.Stop()
-	data, err := io.ReadAll(&pauseReader{from: io.LimitReader(body, maxObject), timer: pause, timeout: c.heartbeat / 2})
+	defer func() { _ = body.Close() }() // the body was read to its end, or the call has failed
+	totalTimer := time.AfterFunc(c.heartbeat*2, func() { cancel(ErrSilent) })
+	defer totalTimer.Stop()
+	data, err := io.ReadAll(&idleTimeoutReader{from: io.LimitReader(body, maxObjectBytes), timer: answerTimer, timeout: c.heartbeat / 2})
 	if err != nil {
-		return l, causeOf(ctx, err)
+		return l, cancelCause(ctx, err)
 	}
 	l, skipped, err := Decode(data)
 	logSkipped(skipped)
 	return l, err
 }
 
-// Watch passes on what changes after the version read last, until the watch ends; it always ends in an error. Behind a line that
-// cannot be used, in whole or in part, and behind an index that goes back, nothing more is taken: the next change would pass over
-// what was lost. The next Watch begins with a snapshot then.
-func (c *Client) Watch(ctx context.Context, each func(List)) error {
-	if c.stale.Load() {
+// Watch calls onList for each change after the version read last. It returns when the watch ends, always with an error. After a
+// line that cannot be used in whole or in part, or whose index is lower than the last one, Watch ends and reads nothing more: a
+// later change would advance the index past the lost one. The next Watch then begins with a snapshot.
+func (c *Client) Watch(ctx context.Context, onList func(List)) error {
+	if c.needsSnapshot.Load() {
 		l, err := c.FetchSnapshot(ctx)
 		if err != nil {
 			return fmt.Errorf("read snapshot: %w", err)
 		}
-		each(l)
+		onList(l)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	unanswered := c.answerTimeout(cancel)
-	defer unanswered.Stop()
+	answerTimer := c.startAnswerTimer(cancel)
+	defer answerTimer.Stop()
 	body, err := c.get(ctx, "?watch=1&after="+strconv.FormatInt(c.index.Load(), 10))
 	if err != nil {
-		return causeOf(ctx, err)
+		return cancelCause(ctx, err)
 	}
-	defer func() { _ = body.Close() }() // the watch has failed
-	unanswered.Stop()
-	silence := time.AfterFunc(c.heartbeat*silenceQuarters/4, func() { cancel(ErrSilent) })
-	defer silence.Stop()
+	defer func() { _ = body.Close() }() // the watch has already failed
+	answerTimer.Stop()
+	heartbeatTimer := time.AfterFunc(c.heartbeat*silenceTimeoutQuarters/4, func() { cancel(ErrSilent) })
+	defer heartbeatTimer.Stop()
 	lines := bufio.NewReader(body)
 	for {
 		line, err := readLine(lines)
 		if err != nil {
-			return causeOf(ctx, err)
+			return cancelCause(ctx, err)
 		}
-		silence.Reset(c.heartbeat * silenceQuarters / 4)
-		c.responded()
+		heartbeatTimer.Reset(c.heartbeat * silenceTimeoutQuarters / 4)
+		c.notifyResponse()
 		if line = bytes.TrimSpace(line); len(line) == 0 {
 			continue // a heartbeat
 		}
-		if err := c.takeLine(line, each); err != nil {
-			c.stale.Store(true)
+		if err := c.handleLine(line, onList); err != nil {
+			c.needsSnapshot.Store(true)
 			return err
 		}
 	}
 }
 
-// takeLine passes on the list in a line of a watch. Of a change with unusable endpoints it passes on the rest.
-func (c *Client) takeLine(line []byte, each func(List)) error {
+// handleLine passes the list in a line of a watch to onList. If some endpoints of a change are unusable, it passes on the
+// others and returns ErrBadChange.
+func (c *Client) handleLine(line []byte, onList func(List)) error {
 	l, skipped, err := Decode(line)
 	logSkipped(skipped)
 	if err != nil {
@@ -177,31 +183,31 @@
 		return fmt.Errorf("%w: %d after %d", ErrIndexBack, l.Index, c.index.Load())
 	}
 	c.index.Store(l.Index)
-	each(l)
+	onList(l)
 	if len(skipped) > 0 && !l.Snapshot {
-		return fmt.Errorf("%w: %d of them", ErrBadChange, len(skipped))
+		return fmt.Errorf("%w: %d skipped", ErrBadChange, len(skipped))
 	}
 	return nil
 }
 
-// Follow keeps a watch open until ctx ends, and begins with a snapshot. It calls failed for each watch that ended; the next one is
-// opened after a backoff that grows with the number of watches that ended young, and is spread by jitter, which returns numbers
-// between 0 and 1.
-func (c *Client) Follow(ctx context.Context, each func(List), failed func(), jitter func() float64) {
-	c.stale.Store(true)
-	for young := 0; ctx.Err() == nil; young++ {
+// Follow keeps a watch open until ctx ends, and begins with a snapshot. It calls onList for each list received, and failed for
+// each watch that ended. The next watch is opened after a backoff that grows with the number of consecutive watches that lasted
+// no longer than a heartbeat. The backoff is randomized by jitter, which returns numbers between 0 and 1.
+func (c *Client) Follow(ctx context.Context, onList func(List), failed func(), jitter func() float64) {
+	c.needsSnapshot.Store(true)
+	for shortWatches := 0; ctx.Err() == nil; shortWatches++ {
 		opened := time.Now()
-		err := c.Watch(ctx, each)
+		err := c.Watch(ctx, onList)
 		if ctx.Err() != nil {
 			return
 		}
 		age := time.Since(opened)
 		if age > c.heartbeat {
-			young = 0
+			shortWatches = 0
 		}
 		slog.Warn("endpoint watch ended", "err", err, "age", age.Round(time.Millisecond))
 		failed()
-		backoff := min(c.heartbeat/4, c.heartbeat/10<<min(young, 8))
+		backoff := min(c.heartbeat/4, c.heartbeat/10<<min(shortWatches, 8))
 		select {
 		case <-time.After(time.Duration(float64(backoff) * (1 + jitter()) / 2)):
 		case <-ctx.Done():
@@ -209,7 +215,7 @@
 	}
 }
 
-// get makes a call and returns the body of its answer.
+// get makes a call and returns the body of its response. A status other than 200 is ErrStatus.
 func (c *Client) get(ctx context.Context, query string) (io.ReadCloser, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url+query, nil)
 	if err != nil {
@@ -226,32 +232,35 @@
 	return res.Body, nil
 }
 
-// answerTimeout cancels a call whose answer does not begin in time.
-func (c *Client) answerTimeout(cancel context.CancelCauseFunc) *time.Timer {
+// startAnswerTimer starts a timer that cancels a call with ErrNoAnswer. The caller stops it when the response begins, or resets
+// it when more of the response arrives.
+func (c *Client) startAnswerTimer(cancel context.CancelCauseFunc) *time.Timer {
 	return time.AfterFunc(c.heartbeat/2, func() { cancel(ErrNoAnswer) })
 }
 
-// responded reports an answer of the service.
-func (c *Client) responded() {
+// notifyResponse calls OnResponse, if it is set.
+func (c *Client) notifyResponse() {
 	if c.OnResponse != nil {
 		c.OnResponse()
 	}
 }
 
-// pauseReader reads an answer and resets the timer that ends its call with each part, so that a pause ends it.
-type pauseReader struct {
+// idleTimeoutReader is a reader that resets a timer before each read. The timer cancels the call, so a response that stops for
+// longer than the timeout ends it.
+type idleTimeoutReader struct {
 	from    io.Reader
 	timer   *time.Timer
 	timeout time.Duration
 }
 
 // Read implements io.Reader.
-func (p *pauseReader) Read(b []byte) (int, error) {
+func (p *idleTimeoutReader) Read(b []byte) (int, error) {
 	p.timer.Reset(p.timeout)
 	return p.from.Read(b)
 }
 
-// readLine reads a line of at most maxObject bytes. A line that is cut off is an error.
+// readLine reads a line, including its newline. A line over maxObjectBytes is ErrLineLength; a line without a newline at the
+// end of the stream is an error too.
 func readLine(r *bufio.Reader) ([]byte, error) {
 	var long []byte
 	for {
@@ -266,21 +275,21 @@
 		if !errors.Is(err, bufio.ErrBufferFull) {
 			return nil, err
 		}
-		if len(long) > maxObject {
-			return nil, fmt.Errorf("%w: over %d bytes", ErrLineLength, maxObject)
+		if len(long) > maxObjectBytes {
+			return nil, fmt.Errorf("%w: over %d bytes", ErrLineLength, maxObjectBytes)
 		}
 	}
 }
 
-// logSkipped logs the endpoints that Decode has left out.
+// logSkipped logs the endpoints that Decode skipped.
 func logSkipped(skipped []error) {
 	for _, err := range skipped {
 		slog.Warn("endpoint skipped", "err", err)
 	}
 }
 
-// causeOf returns why a call was cancelled, or else its error.
-func causeOf(ctx context.Context, err error) error {
+// cancelCause returns the cause for which ctx was cancelled, or err if ctx was not cancelled.
+func cancelCause(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
 	}
--- a/discovery/client_test.go
+++ b/discovery/client_test.go
@@ -18,34 +18,38 @@
 	"dapplerouter/routing"
 )
 
-const entry = `{"name":"s-1","address":"127.0.0.1:1","zone":"a","type":"m","group":3,"status":"%s","weight":1.0,"since_ms":0}`
+// entryFormat is an endpoint of the list in JSON; its parameter is the status.
+const entryFormat = `{"name":"s-1","address":"127.0.0.1:1","zone":"a","type":"m","group":3,"status":"%s","weight":1.0,"since_ms":0}`
 
-func object(index int, whole bool, status string) string {
-	return fmt.Sprintf(`{"index":%d,"snapshot":%t,"endpoints":[`+entry+`]}`, index, whole, status)
+// encodeList returns a list of one endpoint as the service encodes it.
+func encodeList(index int, snapshot bool, status string) string {
+	return fmt.Sprintf(`{"index":%d,"snapshot":%t,"endpoints":[`+entryFormat+`]}`, index, snapshot, status)
 }
 
-// service is a fake discovery service: each request takes the next script.
-func service(t *testing.T, scripts ...func(w http.ResponseWriter, r *http.Request)) (*Client, <-chan string) {
-	asked := make(chan string, 100)
+// newScriptedService starts a fake discovery service and returns a client of it. Each request is answered by the next script;
+// once the scripts are used up, requests get no response. The URL of each request is sent to requests.
+func newScriptedService(t *testing.T, scripts ...script) (_ *Client, requests <-chan string) {
+	received := make(chan string, 100)
 	next := make(chan func(w http.ResponseWriter, r *http.Request), len(scripts))
 	for _, s := range scripts {
 		next <- s
 	}
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked <- r.URL.String()
+		received <- r.URL.String()
 		select {
 		case s := <-next:
 			s(w, r)
 		default:
-			<-r.Context().Done() // silent from then on
+			<-r.Context().Done() // send nothing until the client gives up
 		}
 	}))
 	t.Cleanup(srv.Close)
-	c := NewClient(strings.TrimPrefix(srv.URL, "http://"), 7)
-	return c, asked
+	client := NewClient(strings.TrimPrefix(srv.URL, "http://"), 7)
+	return client, received
 }
 
-func says(parts ...string) func(w http.ResponseWriter, r *http.Request) {
+// respondWith returns a script that writes the parts of a response body one by one, and ends the response.
+func respondWith(parts ...string) script {
 	return func(w http.ResponseWriter, r *http.Request) {
 		for _, p := range parts {
 			w.Write([]byte(p))
@@ -54,6 +58,7 @@
 	}
 }
 
+// follow runs Client.Follow without jitter until the test ends. It passes on the lists received and the failures of watches.
 func follow(t *testing.T, c *Client) (lists <-chan List, failed <-chan bool) {
 	ctx, end := context.WithCancel(context.Background())
 	l, f := make(chan List, 100), make(chan bool, 100)
@@ -67,30 +72,31 @@
 }
 
 func TestWatchResumesAfterLastIndex(t *testing.T) {
-	cut := object(42, false, "draining") + "\n"
-	c, asked := service(t, says(object(41, true, "up")), says(cut[:30], cut[30:], "\n", object(43, false, "removed")+"\n"),
-		says(object(44, true, "up")+"\n"))
+	split := encodeList(42, false, "draining") + "\n"
+	c, requests := newScriptedService(t, respondWith(encodeList(41, true, "up")),
+		respondWith(split[:30], split[30:], "\n", encodeList(43, false, "removed")+"\n"),
+		respondWith(encodeList(44, true, "up")+"\n"))
 	c.heartbeat = 300 * time.Millisecond
 	lists, failed := follow(t, c)
 	for _, want := range []struct {
-		index int64
-		whole bool
-		state routing.ServerState
+		index    int64
+		snapshot bool
+		state    routing.ServerState
 	}{{41, true, routing.Serving}, {42, false, routing.Draining}, {43, false, routing.Removed}, {44, true, routing.Serving}} {
 		l := <-lists
 		assert.Equal(t, want.index, l.Index)
-		assert.Equal(t, want.whole, l.Snapshot)
+		assert.Equal(t, want.snapshot, l.Snapshot)
 		assert.Equal(t, want.state, l.Endpoints[0].State)
 	}
 	assert.True(t, <-failed, "the end of a watch is reported")
 	for _, want := range []string{"/v1/endpoints", "/v1/endpoints?watch=1&after=41", "/v1/endpoints?watch=1&after=43"} {
-		assert.Equal(t, want, <-asked)
+		assert.Equal(t, want, <-requests)
 	}
 }
 
 func TestSilenceEndsWatch(t *testing.T) {
-	c, _ := service(t, func(w http.ResponseWriter, r *http.Request) {
-		says(object(8, false, "up")+"\n")(w, r)
+	c, _ := newScriptedService(t, func(w http.ResponseWriter, r *http.Request) {
+		respondWith(encodeList(8, false, "up")+"\n")(w, r)
 		<-r.Context().Done()
 	})
 	c.heartbeat = 20 * time.Millisecond
@@ -98,8 +104,8 @@
 }
 
 func TestRejectedCallAndTruncatedLineAreErrors(t *testing.T) {
-	c, _ := service(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) },
-		says(`{"index":9,"endpoints":[]}`+"\n", `{"index":10`))
+	c, _ := newScriptedService(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(503) },
+		respondWith(`{"index":9,"endpoints":[]}`+"\n", `{"index":10`))
 	_, err := c.FetchSnapshot(context.Background())
 	assert.ErrorIs(t, err, ErrStatus)
 	assert.ErrorContains(t, err, "503")
@@ -109,104 +115,107 @@
 	assert.Equal(t, int64(9), c.index.Load())
 }
 
-// Regression: the good line behind one that was lost moved the index past it, so that a drain in the lost line was never noticed.
+// Regression: a change was lost because its line could not be used, and the next valid line advanced the index past it. A drain
+// in the lost line was never noticed. A lost change must be followed by a snapshot.
 func TestSnapshotFollowsLostChange(t *testing.T) {
-	half := object(9, false, "draining")
+	newer := encodeList(9, false, "draining")
 	for name, lines := range map[string][]string{
-		"nonsense":                {"{nonsense\n"},
+		"malformed JSON":          {"{nonsense\n"},
 		"no index":                {`{"endpoints":[]}` + "\n"},
-		"an entry without sense":  {object(8, false, "asleep") + "\n"},
-		"an index that goes back": {half + "\n", object(8, false, "up") + "\n"},
+		"an unusable endpoint":    {encodeList(8, false, "asleep") + "\n"},
+		"an index that decreases": {newer + "\n", encodeList(8, false, "up") + "\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c, asked := service(t, says(object(7, true, "up")), says(append(lines, object(10, false, "up")+"\n")...),
-				says(object(10, true, "draining")), says(object(11, false, "removed")+"\n"))
+			c, requests := newScriptedService(t, respondWith(encodeList(7, true, "up")),
+				respondWith(append(lines, encodeList(10, false, "up")+"\n")...),
+				respondWith(encodeList(10, true, "draining")), respondWith(encodeList(11, false, "removed")+"\n"))
 			c.heartbeat = 200 * time.Millisecond
 			lists, failed := follow(t, c)
 			var last List
 			for last.Index != 11 {
 				last = <-lists
 				if last.Index == 10 {
-					assert.True(t, last.Snapshot, "nothing is taken after what was lost")
+					assert.True(t, last.Snapshot, "no change is delivered after a lost one")
 					assert.Equal(t, routing.Draining, last.Endpoints[0].State)
 				}
 			}
 			assert.True(t, <-failed)
 			for _, want := range []string{"/v1/endpoints", "/v1/endpoints?watch=1&after=7", "/v1/endpoints", "/v1/endpoints?watch=1&after=10"} {
-				assert.Equal(t, want, <-asked)
+				assert.Equal(t, want, <-requests)
 			}
 		})
 	}
 }
 
-// The snapshot of a service that was restarted with a lower index is taken.
+// A service that was restarted may send a snapshot with a lower index, which is accepted.
 func TestSnapshotMayHaveLowerIndex(t *testing.T) {
-	c, _ := service(t, says(object(3, true, "up")))
+	c, _ := newScriptedService(t, respondWith(encodeList(3, true, "up")))
 	l, err := c.FetchSnapshot(context.Background())
 	require.NoError(t, err)
 	assert.Equal(t, int64(3), l.Index)
 	assert.Equal(t, int64(3), c.Index())
 }
 
-// A snapshot that was in flight while a watch brought a drain would have taken the drain back.
+// A snapshot that was in flight while a concurrent watch delivered a drain would undo the drain.
 func TestSnapshotOvertakenByWatchIsFetchedAgain(t *testing.T) {
 	var c *Client
-	c, asked := service(t, func(w http.ResponseWriter, r *http.Request) {
-		c.AdvanceIndex(9) // as a watch beside it does
-		says(object(8, true, "up"))(w, r)
-	}, says(object(9, true, "draining")))
+	c, requests := newScriptedService(t, func(w http.ResponseWriter, r *http.Request) {
+		c.AdvanceIndex(9) // as a concurrent watch does
+		respondWith(encodeList(8, true, "up"))(w, r)
+	}, respondWith(encodeList(9, true, "draining")))
 	l, err := c.FetchSnapshot(context.Background())
 	require.NoError(t, err)
 	assert.Equal(t, routing.Draining, l.Endpoints[0].State)
-	assert.Len(t, asked, 2)
+	assert.Len(t, requests, 2)
 }
 
-// What a silent watch misses counts as notified three heartbeats after it fell silent, and what a returning service has at once.
-// Regression: the silence was noticed just then, and a call that hung as long followed.
+// A change that a silent watch misses counts as notified three heartbeats after the watch fell silent; a service that returns
+// has the change at once. Regression: the silence itself was only noticed at that time, and a call that hung for as long
+// followed.
 func TestSilentWatchAndHungCallsEndInTime(t *testing.T) {
 	hang := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
-	c, asked := service(t, says(object(7, true, "up")), func(w http.ResponseWriter, r *http.Request) {
-		says("\n")(w, r)
+	c, requests := newScriptedService(t, respondWith(encodeList(7, true, "up")), func(w http.ResponseWriter, r *http.Request) {
+		respondWith("\n")(w, r)
 		hang(w, r)
-	}, hang, hang, says(object(8, false, "draining")+"\n"))
+	}, hang, hang, respondWith(encodeList(8, false, "draining")+"\n"))
 	c.heartbeat = 800 * time.Millisecond
 	lists, _ := follow(t, c)
 	assert.Equal(t, int64(7), (<-lists).Index)
 	from := time.Now()
 	assert.Equal(t, int64(8), (<-lists).Index)
 	took := time.Since(from)
-	assert.Greater(t, took, 2*c.heartbeat, "a heartbeat may be late by as much")
-	assert.Less(t, took, 5*c.heartbeat, "silence, and two attempts that hang")
-	assert.Len(t, asked, 5, "and no storm of calls")
+	assert.Greater(t, took, 2*c.heartbeat, "the watch must tolerate a late heartbeat")
+	assert.Less(t, took, 5*c.heartbeat, "the silence and two calls that hang")
+	assert.Len(t, requests, 5, "the failures cause no further calls")
 }
 
 // A service that ends every watch at once is called with a backoff.
 func TestWatchReopensWithBackoff(t *testing.T) {
 	end := func(http.ResponseWriter, *http.Request) {}
-	scripts := []func(http.ResponseWriter, *http.Request){says(object(7, true, "up"))}
+	scripts := []func(http.ResponseWriter, *http.Request){respondWith(encodeList(7, true, "up"))}
 	for range 50 {
 		scripts = append(scripts, end)
 	}
-	c, asked := service(t, scripts...)
+	c, requests := newScriptedService(t, scripts...)
 	c.heartbeat = 200 * time.Millisecond
 	_, failed := follow(t, c)
 	from := time.Now()
 	for range 10 {
 		<-failed
 	}
-	assert.Greater(t, time.Since(from), 8*c.heartbeat/8, "an eighth of a beat apart at least, but for the first two")
-	assert.LessOrEqual(t, len(asked), 12)
+	assert.Greater(t, time.Since(from), 8*c.heartbeat/8, "all but the first two are at least an eighth of a heartbeat apart")
+	assert.LessOrEqual(t, len(requests), 12)
 }
 
 func TestDecodeSkipsUnusableEndpoints(t *testing.T) {
-	l, faults, err := Decode([]byte(`{"index":1,"snapshot":true,"endpoints":[` + fmt.Sprintf(entry, "up") + `,` +
-		fmt.Sprintf(entry, "asleep") + `,{"name":"s-2","group":1,"status":"up"},{"name":"s-3","address":"a:1","status":"up"},
+	l, skipped, err := Decode([]byte(`{"index":1,"snapshot":true,"endpoints":[` + fmt.Sprintf(entryFormat, "up") + `,` +
+		fmt.Sprintf(entryFormat, "asleep") + `,{"name":"s-2","group":1,"status":"up"},{"name":"s-3","address":"a:1","status":"up"},
 		{"address":"a:1","group":1,"status":"up"},{"name":"s-4","group":1,"status":"removed"}]}`))
 	require.NoError(t, err)
-	assert.Len(t, faults, 4)
-	assert.Len(t, l.Endpoints, 2, "one that is removed needs no address")
+	assert.Len(t, skipped, 4)
+	assert.Len(t, l.Endpoints, 2, "a removed endpoint needs no address")
 	var unusable *EndpointError
-	require.ErrorAs(t, faults[0], &unusable)
+	require.ErrorAs(t, skipped[0], &unusable)
 	assert.Equal(t, "s-1", unusable.Name)
 	_, _, err = Decode([]byte(`{"endpoints":[]}`))
 	assert.ErrorIs(t, err, ErrNoIndex)
@@ -216,9 +225,10 @@
 	}
 }
 
-// STANDING.md: "an answer over HTTP may have no length and be reset on the way [...]: a reset is no end". A complete one is taken.
+// A response over HTTP may have no length and may be cut off by a reset. A reset is not the end of the response, so that
+// snapshot is rejected; one that ends normally is accepted.
 func TestSnapshotWithoutLengthUnlessReset(t *testing.T) {
-	answer := func(text string, reset bool) *Client {
+	serveOnce := func(text string, reset bool) *Client {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		t.Cleanup(func() { l.Close() })
@@ -237,38 +247,38 @@
 		}()
 		return NewClient(l.Addr().String(), 3)
 	}
-	l, err := answer(object(9, true, "up"), false).FetchSnapshot(context.Background())
+	l, err := serveOnce(encodeList(9, true, "up"), false).FetchSnapshot(context.Background())
 	require.NoError(t, err)
 	assert.Equal(t, int64(9), l.Index)
-	for _, text := range []string{object(9, true, "up"), object(9, true, "up")[:20]} {
-		c := answer(text, true)
+	for _, text := range []string{encodeList(9, true, "up"), encodeList(9, true, "up")[:20]} {
+		c := serveOnce(text, true)
 		_, err = c.FetchSnapshot(context.Background())
 		assert.Error(t, err, "%q", text)
 		assert.Equal(t, int64(3), c.Index())
 	}
 }
 
-// Each way in which a watch or a call ends has an error of its own.
+// Each way in which a watch or a call can end has its own error.
 func TestErrorsOfWatchAndSnapshot(t *testing.T) {
 	for name, x := range map[string]struct {
-		answer script
-		want   error
+		response script
+		want     error
 	}{
-		"index goes back":   {says(object(6, false, "up") + "\n"), ErrIndexBack},
-		"unusable endpoint": {says(object(8, false, "asleep") + "\n"), ErrBadChange},
-		"no index":          {says(`{"endpoints":[]}` + "\n"), ErrNoIndex},
-		"no heartbeat":      {then("\n"), ErrSilent},
+		"index goes back":   {respondWith(encodeList(6, false, "up") + "\n"), ErrIndexBack},
+		"unusable endpoint": {respondWith(encodeList(8, false, "asleep") + "\n"), ErrBadChange},
+		"no index":          {respondWith(`{"endpoints":[]}` + "\n"), ErrNoIndex},
+		"no heartbeat":      {respondThenHang("\n"), ErrSilent},
 		"no answer":         {hang, ErrNoAnswer},
-		"status":            {refuse, ErrStatus},
-		"line too long":     {says(strings.Repeat(" ", maxObject+1<<16)), ErrLineLength},
+		"status":            {respond503, ErrStatus},
+		"line too long":     {respondWith(strings.Repeat(" ", maxObjectBytes+1<<16)), ErrLineLength},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c, _ := service(t, x.answer) // at the usual heartbeat: a busy machine answers late
+			c, _ := newScriptedService(t, x.response) // with the default heartbeat, because a busy machine responds late
 			assert.ErrorIs(t, c.Watch(t.Context(), func(List) {}), x.want)
 		})
 	}
-	c, _ := service(t, hang)
+	c, _ := newScriptedService(t, hang)
 	c.heartbeat = 200 * time.Millisecond
 	_, err := c.FetchSnapshot(t.Context())
 	assert.ErrorIs(t, err, ErrNoAnswer)
--- a/discovery/deadline_test.go
+++ b/discovery/deadline_test.go
@@ -16,74 +16,80 @@
 	"dapplerouter/testsupport/testports"
 )
 
-// notifiedBy is when a change counts as notified, in heartbeats after the service had it; notifiedByMoved is the same after a new
-// address was configured.
+// The time in heartbeats by which a change counts as notified: maxNotifyHeartbeats after the service had it, and
+// maxNotifyHeartbeatsAfterMove after a new address was configured.
 const (
-	notifiedBy      = 3
-	notifiedByMoved = 2
+	maxNotifyHeartbeats          = 3
+	maxNotifyHeartbeatsAfterMove = 2
 )
 
+// script answers one request to a fake service.
 type script = func(w http.ResponseWriter, r *http.Request)
 
+// hang is a script that sends nothing until the client gives up.
 func hang(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
-// then answers with these parts and sends nothing more.
-func then(parts ...string) script {
+// respondThenHang returns a script that sends the header and the parts, and then nothing more.
+func respondThenHang(parts ...string) script {
 	return func(w http.ResponseWriter, r *http.Request) {
-		w.(http.Flusher).Flush() // the header, where there is no part
-		says(parts...)(w, r)
+		w.(http.Flusher).Flush() // sends the header even if there are no parts
+		respondWith(parts...)(w, r)
 		hang(w, r)
 	}
 }
 
-func refuse(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
+// respond503 is a script that responds with status 503.
+func respond503(w http.ResponseWriter, _ *http.Request) {
+	w.WriteHeader(http.StatusServiceUnavailable)
+}
 
-// reset ends the connection with a reset, in the middle of an answer.
-func reset(w http.ResponseWriter, _ *http.Request) {
+// sendReset is a script that resets the connection in the middle of a response.
+func sendReset(w http.ResponseWriter, _ *http.Request) {
 	c, _, _ := w.(http.Hijacker).Hijack()
 	c.Write([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20\r\n{\"index\":8,"))
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
 
+// indent spreads a JSON object over several lines.
 func indent(object string) string {
 	return strings.NewReplacer("{", "{\n  ", ",", ",\n  ").Replace(object)
 }
 
-// changing is a service that has the list at 7, then answers calls as the scripts say, and once these are over has a drain at 8. The
-// drain is there from the first of the scripts on, when since is set.
-type changing struct {
-	mu    sync.Mutex
-	calls []script
-	asked int
-	since time.Time
+// drainingService is a fake discovery service with a list at index 7 and then a drain at index 8. The drain exists from
+// drainedAt on, the time of the first call that a script answers. Once the scripts are used up, calls return the drain.
+type drainingService struct {
+	mu        sync.Mutex
+	scripts   []script
+	asked     int
+	drainedAt time.Time
 }
 
-func (s *changing) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *drainingService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	watch := r.URL.Query().Get("watch") != ""
 	s.mu.Lock()
 	s.asked++
-	if s.since.IsZero() && !watch {
+	if s.drainedAt.IsZero() && !watch {
 		s.mu.Unlock()
-		says(object(7, true, "up"))(w, r)
+		respondWith(encodeList(7, true, "up"))(w, r)
 		return
 	}
-	if s.since.IsZero() {
-		s.since = time.Now()
+	if s.drainedAt.IsZero() {
+		s.drainedAt = time.Now()
 	}
-	answer := says(indent(object(8, true, "draining")))
+	respond := respondWith(indent(encodeList(8, true, "draining")))
 	if watch {
-		answer = then(object(8, false, "draining") + "\n")
+		respond = respondThenHang(encodeList(8, false, "draining") + "\n")
 	}
-	if len(s.calls) > 0 {
-		answer, s.calls = s.calls[0], s.calls[1:]
+	if len(s.scripts) > 0 {
+		respond, s.scripts = s.scripts[0], s.scripts[1:]
 	}
 	s.mu.Unlock()
-	answer(w, r)
+	respond(w, r)
 }
 
-// took waits for the drain and returns how long after since it came.
-func (s *changing) took(t *testing.T, lists <-chan List) time.Duration {
+// awaitDrain waits for the drain and returns how long after drainedAt it was received.
+func (s *drainingService) awaitDrain(t *testing.T, lists <-chan List) time.Duration {
 	for {
 		select {
 		case l := <-lists:
@@ -91,17 +97,17 @@
 				s.mu.Lock()
 				defer s.mu.Unlock()
 				assert.Equal(t, routing.Draining, l.Endpoints[0].State)
-				assert.Empty(t, s.calls, "all scripts were used")
-				return time.Since(s.since)
+				assert.Empty(t, s.scripts, "every script was used")
+				return time.Since(s.drainedAt)
 			}
 		case <-time.After(20 * time.Second):
-			require.Fail(t, "the drain never comes")
+			require.Fail(t, "the drain was not received")
 		}
 	}
 }
 
-// followLate follows with the longest backoffs that may come between calls.
-func followLate(t *testing.T, c *Client) <-chan List {
+// followWithMaxBackoff runs Client.Follow with the longest backoffs that jitter allows, until the test ends.
+func followWithMaxBackoff(t *testing.T, c *Client) <-chan List {
 	lists, done := make(chan List, 100), make(chan struct{})
 	ctx, end := context.WithCancel(t.Context())
 	go func() {
@@ -112,61 +118,63 @@
 	return lists
 }
 
-// A change counts as notified three heartbeats after the service had it, whatever call failed, was rejected or timed out. The service
-// has the drain when the first call goes wrong; each case is the worst of its kind: silence from the last line on, the longest backoffs,
-// and a further call that fails.
+// A change counts as notified three heartbeats after the service had it, whatever calls failed, were rejected or timed out. The
+// service has the drain when the first call goes wrong. Each case is the worst of its kind: silence from the last line on, the
+// longest backoffs, and one more call that fails.
 func TestChangeArrivesInTimeAfterFailedCalls(t *testing.T) {
-	unusable := says("{nonsense\n")
-	for name, calls := range map[string][]script{
-		"a watch falls silent, and the next call hangs":           {then("\n"), hang},
-		"a watch falls silent, and the next calls are refused":    {then("\n"), refuse, refuse, refuse},
-		"a watch falls silent in a line, and the next call hangs": {then("\n", `{"index":8,`), hang},
-		"a watch hangs after its header, and the next call hangs": {then(), hang},
+	unusable := respondWith("{nonsense\n")
+	for name, scripts := range map[string][]script{
+		"a watch falls silent, and the next call hangs":           {respondThenHang("\n"), hang},
+		"a watch falls silent, and the next calls are refused":    {respondThenHang("\n"), respond503, respond503, respond503},
+		"a watch falls silent in a line, and the next call hangs": {respondThenHang("\n", `{"index":8,`), hang},
+		"a watch hangs after its header, and the next call hangs": {respondThenHang(), hang},
 		"calls hang":                      {hang, hang, hang},
-		"calls are refused":               {refuse, refuse, refuse, refuse, refuse, refuse},
-		"watches are reset in a chunk":    {reset, reset, reset, reset, reset, reset},
-		"watches end at once":             {says(), says(), says(), says(), says(), says()},
-		"snapshots hang after the header": {unusable, then(), then(), then()},
-		"snapshots hang in the middle":    {unusable, then(`{"index":8,`), then(`{"index":8,`), then(`{"index":8,`)},
-		"an indented change":              {then(indent(object(8, false, "draining")) + "\n")},
+		"calls are refused":               {respond503, respond503, respond503, respond503, respond503, respond503},
+		"watches are reset in a chunk":    {sendReset, sendReset, sendReset, sendReset, sendReset, sendReset},
+		"watches end at once":             {respondWith(), respondWith(), respondWith(), respondWith(), respondWith(), respondWith()},
+		"snapshots hang after the header": {unusable, respondThenHang(), respondThenHang(), respondThenHang()},
+		"snapshots hang in the middle": {unusable, respondThenHang(`{"index":8,`), respondThenHang(`{"index":8,`),
+			respondThenHang(`{"index":8,`)},
+		"an indented change": {respondThenHang(indent(encodeList(8, false, "draining")) + "\n")},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := &changing{calls: calls}
+			s := &drainingService{scripts: scripts}
 			c := NewClient(serveOn(t, "127.0.0.1:0", s), 0)
 			c.heartbeat = time.Second
-			took := s.took(t, followLate(t, c))
-			t.Logf("%.2f heartbeats", took.Seconds()/c.heartbeat.Seconds())
-			assert.Less(t, took, notifiedBy*c.heartbeat)
+			delay := s.awaitDrain(t, followWithMaxBackoff(t, c))
+			t.Logf("%.2f heartbeats", delay.Seconds()/c.heartbeat.Seconds())
+			assert.Less(t, delay, maxNotifyHeartbeats*c.heartbeat)
 		})
 	}
 }
 
-// After a new address was configured a change counts as notified two heartbeats later: a snapshot of the new service that stops in the
-// middle must time out well before.
+// After a new address is configured, a change counts as notified two heartbeats later. A snapshot of the new service that stops
+// in the middle must time out well before that.
 func TestChangeArrivesInTimeAfterNewAddress(t *testing.T) {
-	for name, calls := range map[string][]script{
-		"the snapshot hangs after the header": {then(), then()},
-		"the snapshot hangs in the middle":    {then(`{"index":8,`), then(`{"index":8,`)},
+	for name, scripts := range map[string][]script{
+		"the snapshot hangs after the header": {respondThenHang(), respondThenHang()},
+		"the snapshot hangs in the middle":    {respondThenHang(`{"index":8,`), respondThenHang(`{"index":8,`)},
 		"calls hang":                          {hang, hang},
-		"calls are refused":                   {refuse, refuse, refuse},
+		"calls are refused":                   {respond503, respond503, respond503},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := &changing{calls: calls, since: time.Now()}
+			s := &drainingService{scripts: scripts, drainedAt: time.Now()}
 			old := NewClient("127.0.0.1:1", 7)
 			old.heartbeat = time.Second
 			c := old.WithAddress(serveOn(t, "127.0.0.1:0", s))
-			took := s.took(t, followLate(t, c))
-			assert.Less(t, took, notifiedByMoved*c.heartbeat)
+			delay := s.awaitDrain(t, followWithMaxBackoff(t, c))
+			assert.Less(t, delay, maxNotifyHeartbeatsAfterMove*c.heartbeat)
 		})
 	}
 }
 
-// While the service is away the backoff grows to its longest; the first call after its return brings the change.
+// While the service is unreachable, the backoff grows to its maximum. The first call after its return must deliver the change
+// in time.
 func TestChangeArrivesInTimeAfterOutage(t *testing.T) {
 	t.Parallel()
-	s := &changing{}
+	s := &drainingService{}
 	reserved, err := testports.Reserve()
 	require.NoError(t, err)
 	t.Cleanup(reserved.Release)
@@ -184,15 +192,15 @@
 		<-failed
 	}
 	s.mu.Lock()
-	s.since = time.Now()
+	s.drainedAt = time.Now()
 	s.mu.Unlock()
 	serveOn(t, address, s)
-	took := s.took(t, lists)
-	t.Logf("%.2f heartbeats", took.Seconds()/c.heartbeat.Seconds())
-	assert.Less(t, took, notifiedBy*c.heartbeat)
+	delay := s.awaitDrain(t, lists)
+	t.Logf("%.2f heartbeats", delay.Seconds()/c.heartbeat.Seconds())
+	assert.Less(t, delay, maxNotifyHeartbeats*c.heartbeat)
 }
 
-// serveOn serves at an address until the test ends, and returns it.
+// serveOn serves HTTP at an address until the test ends, and returns the address.
 func serveOn(t *testing.T, address string, h http.Handler) string {
 	l, err := net.Listen("tcp", address)
 	require.NoError(t, err)
--- a/discovery/jitter.go
+++ b/discovery/jitter.go
@@ -6,10 +6,11 @@
 	"sync/atomic"
 )
 
-// NewJitter returns a function that gives numbers evenly spread between 0 and 1, other ones for each seed, so that instances do not
-// call a service all at once. It may be called from several goroutines.
+// NewJitter returns a function that returns pseudo-random numbers evenly distributed between 0 and 1. Each seed gives another
+// sequence, so that instances with different seeds do not call a service at the same time. The function is safe for concurrent
+// use.
 func NewJitter(seed uint64) func() float64 {
-	var draws atomic.Uint64 // watches of several addresses draw side by side
+	var draws atomic.Uint64 // counted atomically: the watches of several addresses draw concurrently
 	return func() float64 {
 		n := draws.Add(1)
 		sum := crc32.ChecksumIEEE([]byte(strconv.FormatUint(seed, 16) + "." + strconv.FormatUint(n, 10)))
--- a/discovery/jitter_test.go
+++ b/discovery/jitter_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Behind a reload the watches of two addresses draw from one jitter, each in a goroutine of its own: their counter was not guarded, so that
-// both could draw the same. The race detector tells that (go test -race); without it draws are missing now and then.
+// Regression: after a reload, the watches of two addresses draw from the same jitter in separate goroutines. Its counter was
+// not atomic, so both could draw the same number. The race detector reports this (go test -race); without it, the test fails
+// only when draws happen to collide.
 func TestJitterIsDrawnByManyGoroutines(t *testing.T) {
 	const goroutines, draws = 8, 1000
 	jitter := NewJitter(1)
--- a/discovery/list.go
+++ b/discovery/list.go
@@ -1,7 +1,8 @@
-// Package discovery reads the endpoint list from the discovery service: snapshots, and changes as a watch brings them.
+// Package discovery reads the endpoint list from the discovery service: snapshots, and the changes that a watch receives.
 //
-// Client makes the calls and owns the version read last; Watcher decides which calls are made, owns the watch that runs, and passes
-// updates on in order. A list that cannot be read in whole is never passed over: a snapshot comes before any later change.
+// Client makes the calls and owns the version read last. Watcher decides which calls are made, owns the running watch, and
+// delivers updates in order. Any part of a list that cannot be read is recovered by a snapshot before any later change is
+// delivered.
 package discovery
 
 import (
@@ -12,29 +13,29 @@
 	"dapplerouter/routing"
 )
 
-// Endpoint is a server as the endpoint list has it.
+// Endpoint is a server as described by the endpoint list.
 type Endpoint struct {
 	Name, Address, Zone, ServerType string
 	Group                           int64
 	State                           routing.ServerState
 	Weight                          float64
 	Primary                         bool
-	StartedAtMillis                 int64 // Unix milliseconds of the last start, 0 for long ago
+	StartedAtMillis                 int64 // Unix milliseconds of the last start, 0 if the list has no start time
 }
 
-// List is an object of the discovery service: a snapshot of the endpoint list, or what has changed since the version before.
+// List is one object of the discovery service: a snapshot of the endpoint list, or the changes since the previous version.
 type List struct {
 	Index     int64 // version
-	Snapshot  bool
+	Snapshot  bool  // the list is complete; otherwise it has only the changed endpoints
 	Endpoints []Endpoint
 }
 
-// ErrNoIndex says that a list has no version.
+// ErrNoIndex means that a list has no index (version).
 var ErrNoIndex = errors.New("a list without index")
 
-// EndpointError says why an endpoint of a list cannot be used.
+// EndpointError is the reason why an endpoint of a list was skipped.
 type EndpointError struct {
-	Name    string // "" where that is what is missing
+	Name    string // empty if the endpoint has no name
 	Problem string
 }
 
@@ -46,15 +47,17 @@
 	return "entry " + e.Name + ": " + e.Problem
 }
 
-var states = map[string]routing.ServerState{"up": routing.Serving, "draining": routing.Draining, "removed": routing.Removed}
+// statesByStatus maps the status of an endpoint, as the service writes it, to a server state.
+var statesByStatus = map[string]routing.ServerState{"up": routing.Serving, "draining": routing.Draining, "removed": routing.Removed}
 
-// encodedList is a list as the service encodes it.
+// encodedList is a list as the service encodes it in JSON.
 type encodedList struct {
 	Index     *int64
 	Snapshot  bool
 	Endpoints []encodedEndpoint
 }
 
+// encodedEndpoint is an endpoint as the service encodes it in JSON. The pointers are nil where a field is missing.
 type encodedEndpoint struct {
 	Name, Address, Zone, Type, Status, Role string
 	Group                                   *int64
@@ -62,8 +65,8 @@
 	Since                                   int64 `json:"since_ms"`
 }
 
-// Decode reads one object. Endpoints that cannot be used are left out and returned as skipped, each an *EndpointError; err means that
-// the object as a whole cannot be used.
+// Decode reads one JSON object. Endpoints that cannot be used are left out of the list and returned as skipped, each as an
+// *EndpointError. err means that the whole object cannot be used.
 func Decode(data []byte) (l List, skipped []error, err error) {
 	var raw encodedList
 	if err := json.Unmarshal(data, &raw); err != nil {
@@ -84,9 +87,9 @@
 	return l, skipped, nil
 }
 
-// decode checks an endpoint and fills in what it does not name.
+// decode validates an endpoint and sets defaults for missing fields. The error is an *EndpointError.
 func (e *encodedEndpoint) decode() (Endpoint, error) {
-	state, known := states[e.Status]
+	state, known := statesByStatus[e.Status]
 	problem := ""
 	switch {
 	case e.Name == "":
--- a/discovery/watcher.go
+++ b/discovery/watcher.go
@@ -10,78 +10,81 @@
 	"dapplerouter/routing"
 )
 
-// Update is an endpoint list, or changes of one, or that it could not be read.
+// Update is a snapshot of the endpoint list, a change of it, or the failure to read it.
 type Update struct {
 	Kind routing.UpdateKind
-	List List // empty where Kind says that the update failed
+	List List // empty if Kind is routing.UpdateFailed
 }
 
-// Watcher brings the endpoint list to its receiver: by a watch of its own that is reopened whenever it ends, by single watches and
-// snapshots on request, or from a list that other instances share. It implements front.EndpointSource.
+// Watcher delivers the endpoint list to a receiver. It gets the list in one of three ways: its own watch, reopened whenever it
+// ends; single watches and snapshots on request; or a list that other instances watch and share. It implements
+// front.EndpointSource.
 //
-// Invariants: the receiver gets one update at a time, in order; nothing of an address comes once a later address has brought its
-// snapshot; an address has one watch at a time.
+// Invariants: the receiver gets one update at a time, in order. Once the current address has delivered its snapshot, no update
+// of an earlier address is delivered. Each address has at most one watch at a time.
 type Watcher struct {
 	receive func(Update)
-	ctx     context.Context // ends all goroutines: the callers of the methods below, which start them, have no context
+	ctx     context.Context // ends all goroutines; stored because the methods that start them are called without a context
 	jitter  func() float64
 
-	mu       sync.Mutex // guards what follows
-	current  source     // of the newest address
-	answered bool       // it has brought a list
-	earlier  []source   // of addresses before, oldest first, until a later one has brought its list
-	follows  bool       // watches are opened again by themselves
-	watches  bool       // a watch is asked for
+	mu       sync.Mutex // guards the fields below
+	current  source     // the newest address
+	answered bool       // the current source has delivered a list
+	earlier  []source   // previous addresses, oldest first; each is dropped once a later one has delivered a list
+	follows  bool       // a watch is reopened whenever it ends
+	watches  bool       // a single watch is requested
 	shared   sharedList
-	queue    []Update // to the receiver; the first one is being received
+	queue    []Update // updates for the receiver; the first one is being delivered
 }
 
-// source is an address at which the list is read.
+// source is an address from which the list is read.
 type source struct {
 	client *Client
-	end    func() // ends its watch, and returns when that has ended
+	stop   func() // cancels the watch and waits until it has ended
 }
 
 // sharedList is the list that other instances watch for this one.
 type sharedList struct {
-	snapshot   func() List // returns all that they know; nil where this instance watches by itself
-	generation int         // how often that has changed, so that a delayed return that was overtaken does nothing
+	snapshot   func() List // returns the complete list; nil if this instance watches by itself
+	generation int         // incremented by each switch, so that a delayed WatchDirectly that was superseded does nothing
 }
 
-// maxEarlier bounds how many earlier addresses are watched; each takes two descriptors at most.
-const maxEarlier = 4
+// maxEarlierSources bounds how many previous addresses are still watched. Each of them takes at most two descriptors.
+const maxEarlierSources = 4
 
-// NewWatcher returns a Watcher that lasts as long as ctx. It calls receive from one goroutine at a time, which may block; jitter
-// returns numbers between 0 and 1, and keeps instances from calling the service all at once.
+// NewWatcher returns a Watcher that runs until ctx ends. It calls receive from one goroutine at a time, and receive may block.
+// jitter returns numbers between 0 and 1; it keeps instances from calling the service at the same time.
 func NewWatcher(ctx context.Context, client *Client, receive func(Update), jitter func() float64) *Watcher {
 	return &Watcher{current: source{client, func() {}}, receive: receive, ctx: ctx, jitter: jitter}
 }
 
-// Follow brings a snapshot and then every change, until the Watcher's context ends.
+// Follow delivers a snapshot and then every change, until the Watcher's context ends.
 func (w *Watcher) Follow() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.follows = true
-	w.restart()
+	w.restartWatch()
 }
 
-// Watch opens a watch or ends it. One that ends by itself is reported as a failed update, and not opened again.
+// Watch opens a single watch or ends it. If the watch ends by itself, a failed update is delivered and the watch is not
+// reopened.
 func (w *Watcher) Watch(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.watches = on
 	if on && w.shared.snapshot != nil {
-		w.push(updateOf(w.shared.snapshot()))
+		w.enqueue(newUpdate(w.shared.snapshot()))
 	}
-	w.restart()
+	w.restartWatch()
 }
 
-// Fetch reads a snapshot once.
+// Fetch requests one snapshot, and returns without waiting for it. It is delivered as an update; if it cannot be read, a failed
+// update is delivered.
 func (w *Watcher) Fetch() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.shared.snapshot != nil {
-		w.push(updateOf(w.shared.snapshot()))
+		w.enqueue(newUpdate(w.shared.snapshot()))
 		return
 	}
 	client := w.current.client
@@ -89,34 +92,37 @@
 		l, err := client.FetchSnapshot(w.ctx)
 		if err != nil {
 			slog.Warn("endpoint snapshot failed", "err", err)
-			w.pushFrom(client, failedUpdate)
+			w.enqueueFrom(client, failedUpdate)
 			return
 		}
-		w.pushFrom(client, updateOf(l))
+		w.enqueueFrom(client, newUpdate(l))
 	}()
 }
 
-// SetAddress reads the list from another address from now on. What has changed since the last update of the old one is in the new
-// one's snapshot, which comes first; until then the old one is watched, and nothing of it comes afterwards. Configurations may come
-// faster than the service answers: the same address is not called again before it has answered, and of too many earlier ones the
-// latest is dropped, so that the others come to an end.
+// SetAddress reads the list from another address from now on. The new address delivers a snapshot first, which includes every
+// change since the last update of the old address. Until then the old address is still watched; afterwards none of its updates
+// is delivered.
+//
+// New configurations may arrive faster than the service responds. Therefore the current address is not opened again before it
+// has delivered a list. If there are already maxEarlierSources previous addresses, the current one is dropped instead of being
+// added to them, so that the older ones get time to finish.
 func (w *Watcher) SetAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if address == w.current.client.Address() && !w.answered && w.shared.snapshot == nil && (w.follows || w.watches) {
 		return
 	}
-	if len(w.earlier) < maxEarlier {
+	if len(w.earlier) < maxEarlierSources {
 		w.earlier = append(w.earlier, w.current)
 	} else {
-		go w.current.end()
+		go w.current.stop()
 	}
 	w.current, w.answered = source{w.current.client.WithAddress(address), func() {}}, false
-	w.restart()
+	w.restartWatch()
 }
 
-// UseSharedList ends this instance's own watch: others watch the list, and snapshot returns all that they know. It returns false,
-// and changes nothing, where that is older than what this instance has read.
+// UseSharedList ends this instance's own watch and uses the list that other instances watch; snapshot returns that complete
+// list. It returns false and changes nothing if the shared list is older than what this instance has read.
 func (w *Watcher) UseSharedList(snapshot func() List) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -129,31 +135,31 @@
 		return false
 	}
 	w.shared.snapshot = snapshot
-	w.restart()
+	w.restartWatch()
 	if w.follows || w.watches {
-		w.push(updateOf(l))
+		w.enqueue(newUpdate(l))
 	}
 	return true
 }
 
-// UsesSharedList reports whether others watch the list for this instance.
+// UsesSharedList reports whether other instances watch the list for this one.
 func (w *Watcher) UsesSharedList() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.shared.snapshot != nil
 }
 
-// SharedListChanged passes on an update of the shared list.
+// SharedListChanged delivers an update of the shared list. It does nothing if this instance watches the list itself.
 func (w *Watcher) SharedListChanged(l List) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.shared.snapshot != nil && (w.follows || w.watches) {
-		w.push(updateOf(l))
+		w.enqueue(newUpdate(l))
 	}
 }
 
-// WatchDirectly returns to this instance's own watch, after a part of a time that differs from instance to instance. A call of
-// UseSharedList meanwhile cancels it.
+// WatchDirectly returns to this instance's own watch after a random fraction of within, so that instances do not all do so at
+// the same time. A call of UseSharedList before that cancels it.
 func (w *Watcher) WatchDirectly(within time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -170,23 +176,24 @@
 		}
 		w.current.client.AdvanceIndex(w.shared.snapshot().Index)
 		w.shared.snapshot = nil
-		w.restart()
+		w.restartWatch()
 	})
 }
 
-// restart ends the watch that runs and starts the one that is wanted, if any. It does not wait for either; w.mu must be held.
-func (w *Watcher) restart() {
-	end, client := w.current.end, w.current.client
-	w.current.end = func() {}
-	run := w.watchOf(client)
+// restartWatch ends the running watch and starts the one that is now wanted, if any. It waits for neither. The caller must hold
+// w.mu.
+func (w *Watcher) restartWatch() {
+	end, client := w.current.stop, w.current.client
+	w.current.stop = func() {}
+	run := w.watchFunc(client)
 	if run == nil {
 		go end()
-		w.endEarlier(len(w.earlier))
+		w.stopEarlier(len(w.earlier))
 		return
 	}
 	ctx, cancel := context.WithCancel(w.ctx)
 	done := make(chan struct{})
-	w.current.end = func() { cancel(); <-done }
+	w.current.stop = func() { cancel(); <-done }
 	go func() {
 		defer close(done)
 		end()
@@ -195,72 +202,75 @@
 	}()
 }
 
-// watchOf returns the watch that is wanted of a client, nil for none; w.mu must be held.
-func (w *Watcher) watchOf(client *Client) func(context.Context) {
-	each := func(l List) { w.pushFrom(client, updateOf(l)) }
+// watchFunc returns the function that runs the wanted watch with a client, or nil if none is wanted. The caller must hold w.mu.
+func (w *Watcher) watchFunc(client *Client) func(context.Context) {
+	onList := func(l List) { w.enqueueFrom(client, newUpdate(l)) }
 	switch {
 	case w.shared.snapshot != nil:
 		return nil
 	case w.follows:
 		return func(ctx context.Context) {
-			client.Follow(ctx, each, func() { w.pushFrom(client, failedUpdate) }, w.jitter)
+			client.Follow(ctx, onList, func() { w.enqueueFrom(client, failedUpdate) }, w.jitter)
 		}
 	case w.watches:
 		return func(ctx context.Context) {
-			if err := client.Watch(ctx, each); ctx.Err() == nil {
+			if err := client.Watch(ctx, onList); ctx.Err() == nil {
 				slog.Warn("endpoint watch ended", "err", err)
-				w.pushFrom(client, failedUpdate)
+				w.enqueueFrom(client, failedUpdate)
 			}
 		}
 	}
 	return nil
 }
 
-// endEarlier ends the watches of the first earlier addresses; w.mu must be held.
-func (w *Watcher) endEarlier(n int) {
+// stopEarlier stops the watches of the n oldest previous addresses, without waiting. The caller must hold w.mu.
+func (w *Watcher) stopEarlier(n int) {
 	for _, s := range w.earlier[:n] {
-		go s.end()
+		go s.stop()
 	}
 	w.earlier = w.earlier[n:]
 }
 
-// failedUpdate says that the list could not be read.
+// failedUpdate is the update that reports that the list could not be read.
 var failedUpdate = Update{Kind: routing.UpdateFailed}
 
-func updateOf(l List) Update {
+// newUpdate returns the update that delivers a list: a snapshot or a delta.
+func newUpdate(l List) Update {
 	if l.Snapshot {
 		return Update{Kind: routing.Snapshot, List: l}
 	}
 	return Update{Kind: routing.Delta, List: l}
 }
 
-// pushFrom passes on an update of an address, unless a later one has brought its list, which says all.
-func (w *Watcher) pushFrom(client *Client, u Update) {
+// enqueueFrom delivers an update that came from a client. The first list of a client stops the watches of all earlier
+// addresses. An update is dropped if a later address has already delivered a list, because that list includes it.
+func (w *Watcher) enqueueFrom(client *Client, u Update) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.current.client == client {
 		if u.Kind != routing.UpdateFailed {
 			w.answered = true
-			w.endEarlier(len(w.earlier))
+			w.stopEarlier(len(w.earlier))
 		}
-		w.push(u)
+		w.enqueue(u)
 		return
 	}
-	if u.Kind == routing.UpdateFailed { // of an earlier address
+	if u.Kind == routing.UpdateFailed { // the failure of an earlier address does not matter
 		return
 	}
 	if i := slices.IndexFunc(w.earlier, func(s source) bool { return s.client == client }); i >= 0 {
-		w.endEarlier(i)
-		w.push(u)
+		w.stopEarlier(i)
+		w.enqueue(u)
 	}
 }
 
-// push passes updates to the receiver in the order of the calls, without waiting for it: the caller may be the receiver itself, or
-// hold a lock that it needs. w.mu must be held.
-func (w *Watcher) push(u Update) {
+// enqueue adds an update to the queue and starts a goroutine that delivers the queue, unless one is running. It does not wait
+// for the receiver, because the caller may be the receiver itself or may hold a lock that the receiver needs. The caller must
+// hold w.mu.
+func (w *Watcher) enqueue(u Update) {
 	w.queue = append(w.queue, u)
 	if len(w.queue) > 1 {
-		return // a goroutine is at it
+		return // a goroutine is delivering the queue
 	}
 	go func() {
 		w.mu.Lock()
