--- a/adminapi/adminapi_test.go
+++ b/adminapi/adminapi_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// socketDir is a directory with a short path: a Unix socket's path is limited.
+// socketDir returns a temporary directory with a short path, because the path length of a Unix socket is limited.
 func socketDir(t *testing.T) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "ctl")
@@ -30,9 +30,9 @@
 	s.HandleGet("/x", func(q url.Values) (any, error) { return map[string]string{"said": q.Get("word")}, nil })
 	s.HandlePost("/x", func(url.Values) (any, error) { return nil, RejectedError("nobody holds it") })
 	s.Start()
-	at, err := os.Stat(path)
+	info, err := os.Stat(path)
 	require.NoError(t, err)
-	assert.Equal(t, os.FileMode(0o600), at.Mode().Perm())
+	assert.Equal(t, os.FileMode(0o600), info.Mode().Perm())
 	var out map[string]string
 	require.NoError(t, Call(path, "GET", "/x", url.Values{"word": {"a b"}}, &out))
 	assert.Equal(t, "a b", out["said"])
@@ -49,11 +49,11 @@
 	assert.ErrorContains(t, err, "in use by another process")
 	assert.ErrorIs(t, err, ErrSocketInUse)
 	s.listener.(interface{ SetUnlinkOnClose(bool) }).SetUnlinkOnClose(false)
-	require.NoError(t, s.http.Close()) // as a process that was killed leaves it
-	again, err := Listen(path)
+	require.NoError(t, s.http.Close()) // leaves the socket behind, as a killed process does
+	replacement, err := Listen(path)
 	require.NoError(t, err, "the socket of a dead process is replaced")
-	again.Start()
-	again.Close()
+	replacement.Start()
+	replacement.Close()
 	assert.NoFileExists(t, path)
 	err = Call(path, "GET", "/x", nil, &out)
 	assert.ErrorContains(t, err, "no front answers at")
@@ -65,9 +65,9 @@
 
 func TestDeprecatedPathIsServedWithOneWarning(t *testing.T) {
 	var log bytes.Buffer
-	before := slog.Default()
+	defaultLogger := slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
-	t.Cleanup(func() { slog.SetDefault(before) })
+	t.Cleanup(func() { slog.SetDefault(defaultLogger) })
 	path := filepath.Join(socketDir(t), "s")
 	s, err := Listen(path)
 	require.NoError(t, err)
--- a/adminapi/client.go
+++ b/adminapi/client.go
@@ -17,28 +17,29 @@
 	maxAnswerBytes = 64 << 20
 )
 
-// Call sends a request to the front that listens on a socket, and decodes its JSON answer into out. A request that the front rejects
-// is a RejectedError, one without a front behind the socket ErrNoFront, one for a path that the front does not have ErrUnknownPath.
+// Call sends a request to the front that listens on a socket, and decodes its JSON response into out. If the front rejects the
+// request, the error is a RejectedError. If no front accepts connections on the socket, it is ErrNoFront; if the front does not
+// know the path, ErrUnknownPath; for any other status, ErrUnexpectedAnswer.
 func Call(socket, method, path string, query url.Values, out any) error {
 	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			return (&net.Dialer{}).DialContext(ctx, "unix", socket)
 		}}}
 	defer client.CloseIdleConnections()
-	r, err := http.NewRequest(method, "http://front"+path+"?"+query.Encode(), nil)
+	request, err := http.NewRequest(method, "http://front"+path+"?"+query.Encode(), nil)
 	if err != nil {
 		return fmt.Errorf("request %s: %w", path, err)
 	}
-	res, err := client.Do(r)
+	response, err := client.Do(request)
 	if err != nil {
 		return fmt.Errorf("%w at %s: is it started with (control \"%s\")? (%w)", ErrNoFront, socket, socket, err)
 	}
-	defer func() { _ = res.Body.Close() }() // it was read
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
+	defer func() { _ = response.Body.Close() }() // the body was read
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
 		return fmt.Errorf("answer to %s: %w", path, err)
 	}
-	switch res.StatusCode {
+	switch response.StatusCode {
 	case http.StatusOK:
 		if err := json.Unmarshal(body, out); err != nil {
 			return fmt.Errorf("answer to %s: %w", path, err)
@@ -52,7 +53,7 @@
 			return RejectedError(rejection.Fault)
 		}
 	case http.StatusNotFound:
-		return fmt.Errorf("the front answered %s: %w: %s", res.Status, ErrUnknownPath, path)
+		return fmt.Errorf("the front answered %s: %w: %s", response.Status, ErrUnknownPath, path)
 	}
-	return fmt.Errorf("the front answered %s: %w: %.200s", res.Status, ErrUnexpectedAnswer, strings.TrimSpace(string(body)))
+	return fmt.Errorf("the front answered %s: %w: %.200s", response.Status, ErrUnexpectedAnswer, strings.TrimSpace(string(body)))
 }
--- a/adminapi/errors.go
+++ b/adminapi/errors.go
@@ -2,17 +2,17 @@
 
 import "errors"
 
-// RejectedError is the reason why a front rejected a request, as the operator reads it.
+// RejectedError is the reason for which a front rejected a request, as shown to the operator.
 type RejectedError string
 
 // Error implements error.
 func (e RejectedError) Error() string { return string(e) }
 
-// Errors of Listen and Call, to be tested for with errors.Is.
+// Errors of Listen and Call, for errors.Is.
 var (
 	ErrPathTooLong      = errors.New("path too long for a Unix socket")
 	ErrSocketInUse      = errors.New("in use by another process")
 	ErrNoFront          = errors.New("no front answers")
-	ErrUnknownPath      = errors.New("unknown admin API path") // the front's version does not have it
+	ErrUnknownPath      = errors.New("unknown admin API path") // the version of the front may be too old
 	ErrUnexpectedAnswer = errors.New("unexpected answer")
 )
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -9,32 +9,33 @@
 	"github.com/stretchr/testify/require"
 )
 
+// read parses a text, passes its decoder to use, and returns the first error: of the parser, or else of the decoder.
 func read(text string, use func(*Decoder)) error {
 	f, err := Parse("f", []byte(text))
 	if err != nil {
 		return err
 	}
-	r := f.NewDecoder()
-	use(r)
-	return r.Err()
+	d := f.NewDecoder()
+	use(d)
+	return d.Err()
 }
 
 func TestFormsWithUnits(t *testing.T) {
-	require.NoError(t, read("; a comment (\n(cache 8MiB) (wait 200ms) (names a \"B \\\"c\\\"\" d) (pick on)", func(r *Decoder) {
-		fs := r.Forms("cache", "wait", "names", "pick")
-		assert.EqualValues(t, 8<<20, fs["cache"].Size(1, 1<<30))
-		assert.Equal(t, 200*time.Millisecond, fs["wait"].Duration())
-		words := fs["names"].Atoms()
-		assert.Equal(t, []string{"a", `B "c"`, "d"}, []string{words[0].Name, words[1].Name, words[2].Name})
-		assert.True(t, words[1].Quoted)
-		assert.Equal(t, "on", fs["pick"].Choice("on", "off"))
+	require.NoError(t, read("; a comment (\n(cache 8MiB) (wait 200ms) (names a \"B \\\"c\\\"\" d) (pick on)", func(d *Decoder) {
+		forms := d.Forms("cache", "wait", "names", "pick")
+		assert.EqualValues(t, 8<<20, forms["cache"].Size(1, 1<<30))
+		assert.Equal(t, 200*time.Millisecond, forms["wait"].Duration())
+		atoms := forms["names"].Atoms()
+		assert.Equal(t, []string{"a", `B "c"`, "d"}, []string{atoms[0].Name, atoms[1].Name, atoms[2].Name})
+		assert.True(t, atoms[1].Quoted)
+		assert.Equal(t, "on", forms["pick"].Choice("on", "off"))
 	}))
 }
 
 func TestErrorsNamePositionAndRemedy(t *testing.T) {
-	all := func(r *Decoder) {
-		fs := r.Forms("cache", "wait", "names", "pick")
-		for name, f := range fs {
+	readAll := func(d *Decoder) {
+		forms := d.Forms("cache", "wait", "names", "pick")
+		for name, f := range forms {
 			switch name {
 			case "cache":
 				f.Size(64<<10, 1<<30)
@@ -66,15 +67,15 @@
 		"(names \"a\nb\")":          "f:1:8: a text that begins here has no end; end it with \" on the same line",
 		"(wait)":                    "f:1:1: wait wants one value; write (wait VALUE)",
 	} {
-		err := read(text, all)
+		err := read(text, readAll)
 		if assert.Error(t, err, text) {
 			assert.Equal(t, want, err.Error(), text)
 		}
 	}
-	err := read("(cache 8)\n(wait 3)", all)
+	err := read("(cache 8)\n(wait 3)", readAll)
 	var list ErrorList
 	require.ErrorAs(t, err, &list)
-	assert.Len(t, list, 2, "all errors come in one run")
+	assert.Len(t, list, 2, "one run reports all errors")
 	_, err = Parse("f", []byte(strings.Repeat("(", 100)))
 	assert.ErrorContains(t, err, "f:1:65: lists too deep")
 	_, err = Parse("f", make([]byte, 2<<20))
--- a/config/parse.go
+++ b/config/parse.go
@@ -8,7 +8,7 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// Node is an atom, a quoted text or a list.
+// Node is one item of a list: an atom, a quoted text or a nested list. Exactly one of the fields Atom, Text and List is set.
 type Node struct {
 	Pos  lexer.Position
 	Atom string  `parser:"( @Word"`
@@ -16,16 +16,18 @@
 	List *List   `parser:"| @@ )"`
 }
 
-// List is the content of a pair of parentheses.
+// List holds the items between a pair of parentheses.
 type List struct {
 	Nodes []*Node `parser:"'(' @@* ')'"`
 }
 
-type tree struct {
+// syntaxTree is the root of a parsed file.
+type syntaxTree struct {
 	Forms []*Node `parser:"@@*"`
 }
 
-var grammar = participle.MustBuild[tree](
+// grammar is the parser of files. It skips comments and white space, and removes the quotes and escapes of texts.
+var grammar = participle.MustBuild[syntaxTree](
 	participle.Lexer(lexer.MustSimple([]lexer.SimpleRule{
 		{Name: "Comment", Pattern: `;[^\n]*`},
 		{Name: "Space", Pattern: `[ \t\r\n]+`},
@@ -35,45 +37,46 @@
 	})),
 	participle.Elide("Comment", "Space"), participle.Unquote("Text"))
 
-// Limits of a file, which bound the memory and stack that reading it takes.
+// Limits of a file, which bound the memory and stack needed to read it.
 const (
-	maxFileBytes = 1 << 20 // bytes
-	maxDepth     = 64      // lists within each other
+	maxFileBytes = 1 << 20
+	maxDepth     = 64 // levels of nested lists
 )
 
-// File is a parsed file, without syntax errors.
+// File is a parsed file without syntax errors.
 type File struct {
 	Name  string
 	forms []*Node
 }
 
-// Parse parses a file's text; name is for the positions of errors. The error is an ErrorList.
+// Parse parses the text of a file; name is the file name in the positions of errors. The error is an ErrorList.
 func Parse(name string, text []byte) (*File, error) {
 	if len(text) > maxFileBytes {
 		return nil, ErrorList{{Position{name, 1, 1}, fmt.Sprintf("the file has %d bytes", len(text)), "at most 1 MiB is read"}}
 	}
-	if p, ok := findTooDeepList(name, text); ok {
-		return nil, ErrorList{{p, "lists too deep within each other", fmt.Sprintf("at most %d are read", maxDepth)}}
+	if position, ok := findTooDeepList(name, text); ok {
+		return nil, ErrorList{{position, "lists too deep within each other", fmt.Sprintf("at most %d are read", maxDepth)}}
 	}
-	t, err := grammar.ParseBytes(name, text)
+	parsed, err := grammar.ParseBytes(name, text)
 	if err != nil {
-		var at participle.Error
-		f := Error{Position: Position{name, 1, 1}, Message: err.Error()}
-		if errors.As(err, &at) {
-			p := at.Position()
-			f.Position = Position{name, p.Line, p.Column}
-			f.Message, f.Remedy = explainSyntaxError(at.Message(), text, p)
+		var parserError participle.Error
+		syntaxError := Error{Position: Position{name, 1, 1}, Message: err.Error()}
+		if errors.As(err, &parserError) {
+			position := parserError.Position()
+			syntaxError.Position = Position{name, position.Line, position.Column}
+			syntaxError.Message, syntaxError.Remedy = explainSyntaxError(parserError.Message(), text, position)
 		}
-		return nil, ErrorList{f}
+		return nil, ErrorList{syntaxError}
 	}
-	return &File{Name: name, forms: t.Forms}, nil
+	return &File{Name: name, forms: parsed.Forms}, nil
 }
 
-// explainSyntaxError turns a parser's message into one for an operator.
-func explainSyntaxError(message string, text []byte, at lexer.Position) (what, remedy string) {
+// explainSyntaxError returns the message and remedy that an operator sees for a syntax error of the parser. message is the
+// parser's own text, which is used if the character at the error explains nothing.
+func explainSyntaxError(message string, text []byte, position lexer.Position) (explanation, remedy string) {
 	next := ""
-	if at.Offset >= 0 && at.Offset < len(text) {
-		next = string(text[at.Offset:min(at.Offset+1, len(text))])
+	if position.Offset >= 0 && position.Offset < len(text) {
+		next = string(text[position.Offset:min(position.Offset+1, len(text))])
 	}
 	switch next {
 	case `"`:
@@ -86,7 +89,8 @@
 	return message, "see the form in docs/operate/classing.md"
 }
 
-// findTooDeepList returns where lists nest deeper than the grammar may follow them, which recurses.
+// findTooDeepList returns the position of the first list nested more than maxDepth levels deep, and whether there is one. It
+// runs before the parser, which recurses for each level.
 func findTooDeepList(name string, text []byte) (Position, bool) {
 	p, depth := Position{name, 1, 0}, 0
 	quoted, comment, escaped := false, false, false
--- a/deployment/instance.go
+++ b/deployment/instance.go
@@ -13,7 +13,7 @@
 	"dapplerouter/discovery"
 )
 
-// The environment variables that an instance is started with.
+// Environment variables that an instance reads when it starts.
 const (
 	NameVariable      = "EDGE_NAME"
 	ListenVariable    = "EDGE_LISTEN"
@@ -21,35 +21,36 @@
 	FileVariable      = "EDGE_CONFIG"
 )
 
-// ReservedDescriptors is how many descriptors are needed beside those of clients and server connections: the standard ones, the
-// listener, discovery, the runtime's own, and a few that are about to close.
+// ReservedDescriptors is the number of descriptors needed for other purposes than clients and server connections: the standard
+// streams, the listener, discovery, the Go runtime, and a few connections that are being closed.
 const ReservedDescriptors = 32
 
+// Minimum limits of an instance.
 const (
 	minDescriptors = ReservedDescriptors + 32
 	minMemoryMB    = 24
 )
 
-// Keys of the file.
+// Top-level keys of the file that are read separately.
 const (
 	cachedListKey = "known"
 	settingsKey   = "settings"
 )
 
-// Instance is what an instance is configured with when it starts.
+// Instance is the configuration that an instance reads when it starts.
 type Instance struct {
 	Name, Listen, Discovery string // Listen and Discovery are addresses with a port
 	Seed                    uint64
 	Cores                   float64
 	MemoryBytes             int64
 	MaxDescriptors          int
-	CachedList              discovery.List // may be out of date
-	SkippedEndpoints        []error        // its endpoints that cannot be used, each a *discovery.EndpointError
+	CachedList              discovery.List // endpoint list to start with; may be outdated
+	SkippedEndpoints        []error        // unusable endpoints of CachedList, each a *discovery.EndpointError
 	Settings                *Settings
 }
 
-// Load reads the environment variables and the file that they name; a variable goes before the key of the same meaning in the file.
-// The error is a *KeyError that names the variable, or the file's key.
+// Load reads the environment variables and the file that one of them names. A variable takes precedence over the key of the
+// same meaning in the file. The error is a *KeyError that names the variable or the key.
 func Load(variable func(string) string, read func(string) ([]byte, error)) (*Instance, error) {
 	path := variable(FileVariable)
 	if path == "" {
@@ -63,30 +64,31 @@
 	if err != nil {
 		return nil, &KeyError{Key: FileVariable, Problem: fmt.Sprintf("is no JSON object: %v", err), Transient: true, Err: err}
 	}
-	r := &keyReader{get: func(k string) string { return keys[k] }}
-	s := &Instance{
-		Name: r.overridable(variable(NameVariable), "name"), Listen: r.overridable(variable(ListenVariable), "listen"),
-		Discovery: r.overridable(variable(DiscoveryVariable), "discovery"),
-	}
-	s.readLimits(r)
-	s.Seed = r.hexadecimal("seed")
-	r.checkAddress("listen", s.Listen)
-	r.checkAddress("discovery", s.Discovery)
-	s.checkLimits(r)
-	s.readCachedList(r, raw[cachedListKey])
+	reader := &keyReader{get: func(k string) string { return keys[k] }}
+	instance := &Instance{
+		Name: reader.variableOrRequired(variable(NameVariable), "name"), Listen: reader.variableOrRequired(variable(ListenVariable), "listen"),
+		Discovery: reader.variableOrRequired(variable(DiscoveryVariable), "discovery"),
+	}
+	instance.readLimits(reader)
+	instance.Seed = reader.hexadecimal("seed")
+	reader.checkAddress("listen", instance.Listen)
+	reader.checkAddress("discovery", instance.Discovery)
+	instance.checkLimits(reader)
+	instance.readCachedList(reader, raw[cachedListKey])
 	if raw[settingsKey] == nil {
-		r.fail(settingsKey, "is missing")
+		reader.fail(settingsKey, "is missing")
 	}
-	if r.err != nil {
-		return nil, r.err
+	if reader.err != nil {
+		return nil, reader.err
 	}
-	s.Settings, err = readSettingsOfFile(keys)
+	instance.Settings, err = readFileSettings(keys)
 	if err != nil {
 		return nil, err
 	}
-	return s, nil
+	return instance, nil
 }
 
+// readLimits reads the limits of the instance from the file.
 func (s *Instance) readLimits(r *keyReader) {
 	s.Cores = r.decimal("limits.cores", 1)
 	s.MaxDescriptors = int(r.integer("limits.sockets"))
@@ -94,6 +96,7 @@
 	r.required("limits.memory_mb")
 }
 
+// checkLimits checks that the limits are high enough for an instance to run.
 func (s *Instance) checkLimits(r *keyReader) {
 	if s.Cores <= 0 {
 		r.fail("limits.cores", "is not above 0")
@@ -106,6 +109,7 @@
 	}
 }
 
+// readCachedList decodes the endpoint list in the file.
 func (s *Instance) readCachedList(r *keyReader, data json.RawMessage) {
 	if data == nil {
 		r.fail(cachedListKey, "is missing")
@@ -113,12 +117,13 @@
 	}
 	var err error
 	if s.CachedList, s.SkippedEndpoints, err = discovery.Decode(data); err != nil {
-		r.failWith(cachedListKey, "is "+err.Error(), err)
+		r.failWithCause(cachedListKey, "is "+err.Error(), err)
 	}
 }
 
-// readSettingsOfFile reads the settings and checks what an instance with real connections needs beyond them.
-func readSettingsOfFile(keys map[string]string) (*Settings, error) {
+// readFileSettings reads the settings of the file, whose keys begin with a prefix. It also checks the settings that are only
+// needed by an instance with real connections.
+func readFileSettings(keys map[string]string) (*Settings, error) {
 	const prefix = settingsKey + "."
 	s, err := ReadSettings(func(k string) string { return keys[prefix+k] })
 	var problem *KeyError
@@ -137,7 +142,8 @@
 	return s, nil
 }
 
-// Reload reads the file again. Variables do not change while a process runs, so the address of the discovery service is the file's.
+// Reload reads the file again. Environment variables do not change while a process runs, so the discovery address is taken from
+// the file even if the variable is set.
 func Reload(variable func(string) string, read func(string) ([]byte, error)) (*Instance, error) {
 	return Load(func(name string) string {
 		if name == DiscoveryVariable {
@@ -147,14 +153,14 @@
 	}, read)
 }
 
-// RestartKeys returns the keys whose values differ in a newer file and take a restart.
+// RestartKeys returns the keys whose values differ in a newer file and only take effect after a restart, in sorted order.
 func (s *Instance) RestartKeys(newer *Instance) (keys []string) {
-	for key, same := range map[string]bool{
+	for key, unchanged := range map[string]bool{
 		"name": s.Name == newer.Name, "listen": s.Listen == newer.Listen, "seed": s.Seed == newer.Seed,
 		"limits.cores": s.Cores == newer.Cores, "limits.memory_mb": s.MemoryBytes == newer.MemoryBytes,
 		"limits.sockets": s.MaxDescriptors == newer.MaxDescriptors, settingsKey: reflect.DeepEqual(s.Settings, newer.Settings),
 	} {
-		if !same {
+		if !unchanged {
 			keys = append(keys, key)
 		}
 	}
@@ -162,14 +168,15 @@
 	return keys
 }
 
-// flatten makes dotted paths of nested JSON, as a Source has them. raw has the text of each key at the top.
+// flatten converts nested JSON to a map from dotted paths to texts, in the form that Source describes. raw holds the JSON text
+// of each top-level key. The cached endpoint list is not flattened.
 func flatten(data []byte) (keys map[string]string, raw map[string]json.RawMessage, err error) {
 	if err := json.Unmarshal(data, &raw); err != nil {
 		return nil, nil, err
 	}
 	keys = map[string]string{}
 	for key, text := range raw {
-		if key == cachedListKey { // which has a format of its own and may be long
+		if key == cachedListKey { // it has its own format and may be long
 			continue
 		}
 		d := json.NewDecoder(bytes.NewReader(text))
@@ -183,7 +190,7 @@
 	return keys, raw, nil
 }
 
-// flattenValue adds a value and what is in it under a path.
+// flattenValue adds a value, and the values nested in it, under a path.
 func flattenValue(keys map[string]string, path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -191,26 +198,26 @@
 			flattenValue(keys, path+"."+k, v)
 		}
 	case []any:
-		plain := make([]string, 0, len(v))
+		scalars := make([]string, 0, len(v))
 		for i, v := range v {
 			switch v.(type) {
 			case map[string]any, []any:
 				flattenValue(keys, path+"."+strconv.Itoa(i), v)
 			default:
-				plain = append(plain, plainText(v))
+				scalars = append(scalars, scalarText(v))
 			}
 		}
 		keys[path+".count"] = strconv.Itoa(len(v))
-		if len(plain) > 0 {
-			keys[path] = strings.Join(plain, ",")
+		if len(scalars) > 0 {
+			keys[path] = strings.Join(scalars, ",")
 		}
 	default:
-		keys[path] = plainText(v)
+		keys[path] = scalarText(v)
 	}
 }
 
-// plainText returns the text of a value that is neither a list nor an object, "" for null.
-func plainText(v any) string {
+// scalarText returns the text of a value that is neither a list nor an object. The text of null is empty.
+func scalarText(v any) string {
 	if v == nil {
 		return ""
 	}
--- a/deployment/instance_file_test.go
+++ b/deployment/instance_file_test.go
@@ -14,61 +14,67 @@
 	"github.com/stretchr/testify/require"
 )
 
-// described lists the value of each setting under its key in the file.
-func described(s *Instance) string {
-	var b strings.Builder
-	line := func(key string, values ...any) { fmt.Fprintf(&b, "%s\t%s", key, fmt.Sprintln(values...)) }
-	line("name", s.Name)
-	line("listen", s.Listen)
-	line("discovery", s.Discovery)
-	line("seed", s.Seed)
-	line("limits.cores", s.Cores)
-	line("limits.memory_mb", s.MemoryBytes)
-	line("limits.sockets", s.MaxDescriptors)
-	line("known", s.CachedList.Index, s.CachedList.Snapshot, len(s.CachedList.Endpoints))
-	for i, e := range s.CachedList.Endpoints {
-		line(fmt.Sprint("known.", i), strconv.Quote(e.Name), e.Address, strconv.Quote(e.Zone), e.ServerType, e.Group, int(e.State), e.Weight, e.Primary, e.StartedAtMillis)
+// describeInstance lists the value of each setting under its key in the file, one per line.
+func describeInstance(instance *Instance) string {
+	var out strings.Builder
+	line := func(key string, values ...any) { fmt.Fprintf(&out, "%s\t%s", key, fmt.Sprintln(values...)) }
+	line("name", instance.Name)
+	line("listen", instance.Listen)
+	line("discovery", instance.Discovery)
+	line("seed", instance.Seed)
+	line("limits.cores", instance.Cores)
+	line("limits.memory_mb", instance.MemoryBytes)
+	line("limits.sockets", instance.MaxDescriptors)
+	line("known", instance.CachedList.Index, instance.CachedList.Snapshot, len(instance.CachedList.Endpoints))
+	for i, e := range instance.CachedList.Endpoints {
+		line(fmt.Sprint("known.", i), strconv.Quote(e.Name), e.Address, strconv.Quote(e.Zone),
+			e.ServerType, e.Group, int(e.State), e.Weight, e.Primary, e.StartedAtMillis)
 	}
-	for i, err := range s.SkippedEndpoints {
+	for i, err := range instance.SkippedEndpoints {
 		line(fmt.Sprint("known passed over ", i), err)
 	}
-	x := s.Settings
-	line("FamilyInfo.Zero", x.PositionOrigin)
-	for i, ty := range x.RequestTypes {
-		line(fmt.Sprint("Classes.", i), x.TypeNames[i], int64(ty.LatencyObjective), int64(ty.Deadline), ty.WorkMultiple, ty.PriorityWeight, ty.LateFraction,
-			int(ty.Idempotency), int(ty.DedupScope), int64(ty.DedupWindow), int(ty.Consistency), int64(ty.MaxStaleness))
+	settings := instance.Settings
+	line("FamilyInfo.Zero", settings.PositionOrigin)
+	for i, requestType := range settings.RequestTypes {
+		line(fmt.Sprint("Classes.", i), settings.TypeNames[i], int64(requestType.LatencyObjective), int64(requestType.Deadline),
+			requestType.WorkMultiple, requestType.PriorityWeight, requestType.LateFraction, int(requestType.Idempotency),
+			int(requestType.DedupScope), int64(requestType.DedupWindow), int(requestType.Consistency), int64(requestType.MaxStaleness))
 	}
-	for i, c := range x.CustomerQuotas {
-		line(fmt.Sprint("Tenants.", i), x.CustomerNames[i], c.RequestsPerSecond, c.Quota)
+	for i, c := range settings.CustomerQuotas {
+		line(fmt.Sprint("Tenants.", i), settings.CustomerNames[i], c.RequestsPerSecond, c.Quota)
 	}
-	t := x.Topology
-	line("Zones", fmt.Sprintf("%q", x.ZoneNames), t.ZoneCount)
-	line("Locality", t.Zone)
-	line("FleetSize", t.FleetSize)
-	line("Ordinal", t.Ordinal)
-	line("Discovery", t.PullEndpoints)
-	line("Tick", int64(t.TickInterval))
-	line("Clients.MarksRetry", t.RetriesMarked)
-	line("FamilyInfo.RoleListed", int(t.RoleListing))
-	r := x.Replication
-	line("FamilyInfo.Checks", int(r.StalenessCheck))
-	line("FamilyInfo.HoldsFor", int64(r.FreshnessWait))
-	line("FamilyInfo.WriteMarks", r.ClientCarriesToken)
-	line("FamilyInfo.TellsPosition", r.PositionInResponses)
-	line("FamilyInfo.Synchronous", r.SemiSyncWrites)
-	line("Stats.Source", r.LoadInResponses)
-	g := x.Guardrails
-	line("Rules", int64(g.AnswerSlack), int64(g.DrainGrace), int64(g.MaxPollInterval), g.InitialCapacity, g.OverloadMultiple, int64(g.SlowStartDuration), int64(g.OverloadWindow))
-	a := x.Limits
-	line("Limits", a.MaxAttempts, a.HealthChecks, a.Gossip, a.Cancellation, a.HedgedRequests, int64(a.MaxRetryAfter), int64(a.DialTimeout), int64(a.IdleConnTimeout))
-	f := x.CostWeights
-	line("Deductions", f.CrossZone, f.WastedWork, f.HealthCheck, f.LateFailure, f.Gossip)
-	line("OverShareWorth", f.OverQuota)
-	return b.String()
+	topology := settings.Topology
+	line("Zones", fmt.Sprintf("%q", settings.ZoneNames), topology.ZoneCount)
+	line("Locality", topology.Zone)
+	line("FleetSize", topology.FleetSize)
+	line("Ordinal", topology.Ordinal)
+	line("Discovery", topology.PullEndpoints)
+	line("Tick", int64(topology.TickInterval))
+	line("Clients.MarksRetry", topology.RetriesMarked)
+	line("FamilyInfo.RoleListed", int(topology.RoleListing))
+	replication := settings.Replication
+	line("FamilyInfo.Checks", int(replication.StalenessCheck))
+	line("FamilyInfo.HoldsFor", int64(replication.FreshnessWait))
+	line("FamilyInfo.WriteMarks", replication.ClientCarriesToken)
+	line("FamilyInfo.TellsPosition", replication.PositionInResponses)
+	line("FamilyInfo.Synchronous", replication.SemiSyncWrites)
+	line("Stats.Source", replication.LoadInResponses)
+	guardrails := settings.Guardrails
+	line("Rules", int64(guardrails.AnswerSlack), int64(guardrails.DrainGrace), int64(guardrails.MaxPollInterval),
+		guardrails.InitialCapacity, guardrails.OverloadMultiple, int64(guardrails.SlowStartDuration), int64(guardrails.OverloadWindow))
+	limits := settings.Limits
+	line("Limits", limits.MaxAttempts, limits.HealthChecks, limits.Gossip, limits.Cancellation, limits.HedgedRequests,
+		int64(limits.MaxRetryAfter), int64(limits.DialTimeout), int64(limits.IdleConnTimeout))
+	weights := settings.CostWeights
+	line("Deductions", weights.CrossZone, weights.WastedWork, weights.HealthCheck, weights.LateFailure, weights.Gossip)
+	line("OverShareWorth", weights.OverQuota)
+	return out.String()
 }
 
-// leaves calls each with the path of every value that is no object, and with a function that sets or, for nil, removes it.
-func leaves(path []string, v any, set func(any), each func(path []string, set func(any))) {
+// walkValues calls visit for each value in the JSON tree v, at its path: scalars, objects and lists, except the root and the
+// items of lists of scalars. The set function replaces the value, or removes it if its argument is nil; walkValues restores the
+// value afterwards.
+func walkValues(path []string, v any, set func(any), visit func(path []string, set func(any))) {
 	switch v := v.(type) {
 	case map[string]any:
 		keys := make([]string, 0, len(v))
@@ -78,17 +84,17 @@
 		slices.Sort(keys)
 		for _, k := range keys {
 			old := v[k]
-			leaves(append(slices.Clip(path), k), old, func(now any) {
-				if now == nil {
+			walkValues(append(slices.Clip(path), k), old, func(replacement any) {
+				if replacement == nil {
 					delete(v, k)
 				} else {
-					v[k] = now
+					v[k] = replacement
 				}
-			}, each)
+			}, visit)
 			v[k] = old
 		}
 		if len(path) > 0 {
-			each(path, set)
+			visit(path, set)
 		}
 	case []any:
 		for i := range v {
@@ -96,53 +102,53 @@
 				break
 			}
 			old := v[i]
-			leaves(append(slices.Clip(path), strconv.Itoa(i)), old, func(now any) { v[i] = now }, each)
+			walkValues(append(slices.Clip(path), strconv.Itoa(i)), old, func(replacement any) { v[i] = replacement }, visit)
 			v[i] = old
 		}
-		each(path, set)
+		visit(path, set)
 	default:
-		each(path, set)
+		visit(path, set)
 	}
 }
 
-// TestInstanceFile compares what is read from a file that has every key, and what is read, or which error comes, where one key is
-// missing, is a word without meaning, or is a number below 0.
+// TestInstanceFile loads a file that has every key. It then loads the file with each value in turn removed, replaced by an
+// unknown word, or replaced by -1, and compares the changed settings or the error with the recorded ones.
 func TestInstanceFile(t *testing.T) {
 	text, err := os.ReadFile("testdata/instance.json")
 	require.NoError(t, err)
-	s, err := load(string(text), nil)
+	instance, err := load(string(text), nil)
 	require.NoError(t, err)
-	full := described(s)
-	var b strings.Builder
-	b.WriteString(full)
-	d := json.NewDecoder(bytes.NewReader(text))
-	d.UseNumber()
+	full := describeInstance(instance)
+	var out strings.Builder
+	out.WriteString(full)
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.UseNumber()
 	var tree any
-	require.NoError(t, d.Decode(&tree))
-	leaves(nil, tree, nil, func(path []string, set func(any)) {
-		for _, changed := range []struct {
-			how string
-			to  any
+	require.NoError(t, decoder.Decode(&tree))
+	walkValues(nil, tree, nil, func(path []string, set func(any)) {
+		for _, change := range []struct {
+			name  string
+			value any
 		}{{"removed", nil}, {"a word", "nonsense"}, {"-1", json.Number("-1")}} {
-			set(changed.to)
+			set(change.value)
 			file, err := json.Marshal(tree)
 			require.NoError(t, err)
 			result := ""
-			if s, err := load(string(file), nil); err != nil {
-				text, _, _ := strings.Cut(err.Error(), " json: ") // what follows names Go's types
+			if instance, err := load(string(file), nil); err != nil {
+				text, _, _ := strings.Cut(err.Error(), " json: ") // the rest of the text depends on Go types
 				result = " error: " + text
 			} else {
 				before := strings.Split(full, "\n")
-				for _, line := range strings.Split(described(s), "\n") {
+				for _, line := range strings.Split(describeInstance(instance), "\n") {
 					if !slices.Contains(before, line) {
 						result += " | " + line
 					}
 				}
 			}
-			fmt.Fprintf(&b, "%s %s:%s\n", strings.Join(path, "."), changed.how, result)
+			fmt.Fprintf(&out, "%s %s:%s\n", strings.Join(path, "."), change.name, result)
 		}
 	})
 	want, err := os.ReadFile("testdata/instance.txt")
 	require.NoError(t, err)
-	assert.Equal(t, string(want), b.String())
+	assert.Equal(t, string(want), out.String())
 }
--- a/deployment/instance_test.go
+++ b/deployment/instance_test.go
@@ -28,6 +28,7 @@
   "Rules":{"AnswerSlack":20000000,"StopSendingWithin":2000000000,"Cold":1,"Fall":2},
   "Limits":{"AttemptsCap":10,"MayProbe":true,"DialTimeout":250000000,"ConnIdle":30000000000},"New":{"Key":[[1]]}}}`
 
+// load calls Load with a file of the given text and the given environment variables.
 func load(text string, variables map[string]string) (*Instance, error) {
 	return Load(func(k string) string {
 		if k == FileVariable && variables[k] == "" {
@@ -38,20 +39,20 @@
 }
 
 func TestLoadInstance(t *testing.T) {
-	s, err := load(instanceFile, map[string]string{"EDGE_LISTEN": "127.0.0.9:1"})
+	instance, err := load(instanceFile, map[string]string{"EDGE_LISTEN": "127.0.0.9:1"})
 	require.NoError(t, err)
-	assert.Equal(t, "127.0.0.9:1", s.Listen, "the variable goes before the file")
-	assert.Equal(t, uint64(0x8c1f30d27a5be964), s.Seed)
-	assert.Equal(t, int64(192<<20), s.MemoryBytes)
-	assert.Len(t, s.CachedList.Endpoints, 1)
-	assert.Len(t, s.SkippedEndpoints, 1, "a server without an address")
-	assert.Equal(t, []string{"browse", "order"}, s.Settings.TypeNames)
-	assert.Equal(t, routing.BoundedStaleness, s.Settings.RequestTypes[0].Consistency)
-	assert.Equal(t, 3*time.Second, s.Settings.RequestTypes[0].MaxStaleness)
-	assert.Equal(t, routing.IdempotencyKey, s.Settings.RequestTypes[1].Idempotency)
-	assert.Equal(t, 1, s.Settings.Topology.Zone)
-	assert.Equal(t, 184.5, s.Settings.CustomerQuotas[0].RequestsPerSecond)
-	assert.Equal(t, 250*time.Millisecond, s.Settings.Limits.DialTimeout)
+	assert.Equal(t, "127.0.0.9:1", instance.Listen, "the variable takes precedence over the file")
+	assert.Equal(t, uint64(0x8c1f30d27a5be964), instance.Seed)
+	assert.Equal(t, int64(192<<20), instance.MemoryBytes)
+	assert.Len(t, instance.CachedList.Endpoints, 1)
+	assert.Len(t, instance.SkippedEndpoints, 1, "the server without an address is skipped")
+	assert.Equal(t, []string{"browse", "order"}, instance.Settings.TypeNames)
+	assert.Equal(t, routing.BoundedStaleness, instance.Settings.RequestTypes[0].Consistency)
+	assert.Equal(t, 3*time.Second, instance.Settings.RequestTypes[0].MaxStaleness)
+	assert.Equal(t, routing.IdempotencyKey, instance.Settings.RequestTypes[1].Idempotency)
+	assert.Equal(t, 1, instance.Settings.Topology.Zone)
+	assert.Equal(t, 184.5, instance.Settings.CustomerQuotas[0].RequestsPerSecond)
+	assert.Equal(t, 250*time.Millisecond, instance.Settings.Limits.DialTimeout)
 }
 
 func TestKeyErrorNamesItsKey(t *testing.T) {
@@ -90,9 +91,9 @@
 		from, to, _ := strings.Cut(change, "=>")
 		require.Contains(t, instanceFile, from)
 		_, err := load(strings.Replace(instanceFile, from, to, 1), nil)
-		var f *KeyError
-		require.ErrorAs(t, err, &f, change)
-		assert.Equal(t, key, f.Key, change)
+		var keyError *KeyError
+		require.ErrorAs(t, err, &keyError, change)
+		assert.Equal(t, key, keyError.Key, change)
 	}
 	_, err := Load(func(string) string { return "" }, nil)
 	assert.ErrorContains(t, err, FileVariable+" is missing")
@@ -104,18 +105,18 @@
 	assert.ErrorIs(t, err, discovery.ErrNoIndex)
 }
 
-// What other deployments set, and what holds where a key is missing.
+// Load reports and Retry-After are off unless the settings turn them on.
 func TestLoadReportsAndRetryAfterSettings(t *testing.T) {
-	s, err := load(instanceFile, nil)
+	instance, err := load(instanceFile, nil)
 	require.NoError(t, err)
-	assert.False(t, s.Settings.Replication.LoadInResponses)
-	assert.Zero(t, s.Settings.Limits.MaxRetryAfter, "nothing allows one")
-	for said, want := range map[string]time.Duration{"true": time.Second, "false": 0} {
-		s, err = load(strings.NewReplacer(`"New":{`, `"Stats":{"Source":"piggyback"},"New":{`, `"MayProbe":true`,
-			`"MayProbe":true,"MaxRetryAfter":1000000000,"RetryAfter":`+said).Replace(instanceFile), nil)
+	assert.False(t, instance.Settings.Replication.LoadInResponses)
+	assert.Zero(t, instance.Settings.Limits.MaxRetryAfter, "no setting allows one")
+	for retryAfter, want := range map[string]time.Duration{"true": time.Second, "false": 0} {
+		instance, err = load(strings.NewReplacer(`"New":{`, `"Stats":{"Source":"piggyback"},"New":{`, `"MayProbe":true`,
+			`"MayProbe":true,"MaxRetryAfter":1000000000,"RetryAfter":`+retryAfter).Replace(instanceFile), nil)
 		require.NoError(t, err)
-		assert.True(t, s.Settings.Replication.LoadInResponses)
-		assert.Equal(t, want, s.Settings.Limits.MaxRetryAfter)
+		assert.True(t, instance.Settings.Replication.LoadInResponses)
+		assert.Equal(t, want, instance.Settings.Limits.MaxRetryAfter)
 	}
 }
 
@@ -139,7 +140,7 @@
 			DiscoveryVariable: "127.0.0.2:8500"}[k]
 	}, func(string) ([]byte, error) { return []byte(changed), nil })
 	require.NoError(t, err)
-	assert.Equal(t, "127.0.0.7:8500", next.Discovery, "the variable is as old as the program")
+	assert.Equal(t, "127.0.0.7:8500", next.Discovery, "the variable has its value from the start of the process")
 	assert.Equal(t, []string{"limits.sockets", "settings"}, old.RestartKeys(next))
 	assert.Empty(t, old.RestartKeys(old))
 }
--- a/deployment/key_reader.go
+++ b/deployment/key_reader.go
@@ -8,51 +8,53 @@
 	"time"
 )
 
-// Source returns the text under a dotted path, and "" where there is none. The values of a list of plain ones
-// are joined by commas; a list of objects has its length under .count and its items under .0, .1 and so on.
+// Source returns the text at a dotted path, or "" if there is none. A list of scalar values is joined by commas. A list of
+// objects has its length at the path with the suffix .count, and its items at the path with the suffixes .0, .1 and so on.
 type Source func(path string) string
 
-// KeyError says what is wrong with the text under a key, or under an environment variable.
+// KeyError reports that the text at a key or of an environment variable is missing or invalid.
 type KeyError struct {
-	Key, Problem string // its text is both, separated by a space
-	Transient    bool   // the file could not be opened or is not complete, as while it is written: a later attempt may succeed
-	Err          error  // the cause, where there is one; Problem has its text
+	Key, Problem string // the text of the error is Key, a space and Problem
+	Transient    bool   // the file cannot be opened or is incomplete, perhaps still being written: a retry may succeed
+	Err          error  // the cause, or nil; Problem includes its text
 }
 
 // Error implements error.
 func (e *KeyError) Error() string { return e.Key + " " + e.Problem }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause, or nil.
 func (e *KeyError) Unwrap() error { return e.Err }
 
-// keyReader converts the values of a Source and keeps the first error.
+// keyReader converts the texts of a Source and keeps the first error. Once there is an error, the values that it returns are
+// discarded.
 type keyReader struct {
 	get Source
 	err error
 }
 
-// fail notes an error.
-func (r *keyReader) fail(key, problem string) { r.failWith(key, problem, nil) }
+// fail records an error of a key, unless there is one already.
+func (r *keyReader) fail(key, problem string) { r.failWithCause(key, problem, nil) }
 
-// failWith notes an error with its cause.
-func (r *keyReader) failWith(key, problem string, cause error) {
+// failWithCause records an error of a key with its cause, unless there is one already.
+func (r *keyReader) failWithCause(key, problem string, cause error) {
 	if r.err == nil {
 		r.err = &KeyError{Key: key, Problem: problem, Err: cause}
 	}
 }
 
-// unique checks that no name stands twice: names become indices, and all behind it would have the settings of their neighbours.
-func (r *keyReader) unique(key string, names []string) {
+// checkUnique checks that no name occurs twice. Names become indices; after a duplicate, every later item would get the
+// settings of its neighbour.
+func (r *keyReader) checkUnique(key string, names []string) {
 	seen := map[string]struct{}{}
-	for _, n := range names {
-		if _, twice := seen[n]; twice {
-			r.fail(key, fmt.Sprintf("names %q twice", n))
+	for _, name := range names {
+		if _, duplicate := seen[name]; duplicate {
+			r.fail(key, fmt.Sprintf("names %q twice", name))
 		}
-		seen[n] = struct{}{}
+		seen[name] = struct{}{}
 	}
 }
 
-// required returns the text of a key that must be there.
+// required returns the text of a key. A missing key is an error.
 func (r *keyReader) required(key string) string {
 	v := r.get(key)
 	if v == "" {
@@ -61,56 +63,57 @@
 	return v
 }
 
-// overridable returns the text of an environment variable, or else that of a key that must be there then.
-func (r *keyReader) overridable(variable, key string) string {
+// variableOrRequired returns the value of an environment variable, or if that is empty the text of a key. It is an error if
+// both are missing.
+func (r *keyReader) variableOrRequired(variable, key string) string {
 	if variable != "" {
 		return variable
 	}
 	return r.required(key)
 }
 
-// hexadecimal returns the number of 64 bits of a key that must be there.
+// hexadecimal returns the 64-bit hexadecimal number of a key. A missing key is an error.
 func (r *keyReader) hexadecimal(key string) uint64 {
 	v := r.required(key)
 	n, err := strconv.ParseUint(v, 16, 64)
 	if err != nil {
-		r.failWith(key, fmt.Sprintf("is no hexadecimal number of 64 bits: %q", v), err)
+		r.failWithCause(key, fmt.Sprintf("is no hexadecimal number of 64 bits: %q", v), err)
 	}
 	return n
 }
 
-// checkAddress checks that what was read under a key is an address with a port.
+// checkAddress checks that the text of a key is an address with a port.
 func (r *keyReader) checkAddress(key, address string) {
 	if _, port, err := net.SplitHostPort(address); err != nil || port == "" {
-		r.failWith(key, fmt.Sprintf("is no address with a port: %q", address), err)
+		r.failWithCause(key, fmt.Sprintf("is no address with a port: %q", address), err)
 	}
 }
 
-// parse converts an integer that was read under a key.
-func (r *keyReader) parse(key, v string) int64 {
+// parseInteger converts the text of a key to an integer.
+func (r *keyReader) parseInteger(key, v string) int64 {
 	n, err := strconv.ParseInt(v, 10, 64)
 	if err != nil {
-		r.failWith(key, fmt.Sprintf("is no integer: %q", v), err)
+		r.failWithCause(key, fmt.Sprintf("is no integer: %q", v), err)
 	}
 	return n
 }
 
-// integer returns the integer of a key that must be there.
+// integer returns the integer of a key. A missing key is an error.
 func (r *keyReader) integer(key string) int64 {
 	r.required(key)
 	return r.optionalInteger(key)
 }
 
-// optionalInteger returns the integer of a key, 0 where that is missing.
+// optionalInteger returns the integer of a key, or 0 if the key is missing.
 func (r *keyReader) optionalInteger(key string) int64 {
 	v := r.get(key)
 	if v == "" {
 		return 0
 	}
-	return r.parse(key, v)
+	return r.parseInteger(key, v)
 }
 
-// duration returns the nanoseconds of a key that must be there, and not below 0.
+// duration returns the duration of a key, which is written in nanoseconds. A missing key or a negative number is an error.
 func (r *keyReader) duration(key string) time.Duration {
 	n := r.integer(key)
 	if n < 0 {
@@ -119,21 +122,22 @@
 	return time.Duration(n)
 }
 
-// decimal returns the number of a key, or a default where that is missing.
-func (r *keyReader) decimal(key string, missing float64) float64 {
+// decimal returns the number of a key, or defaultValue if the key is missing. NaN and infinity are errors.
+func (r *keyReader) decimal(key string, defaultValue float64) float64 {
 	v := r.get(key)
 	if v == "" {
-		return missing
+		return defaultValue
 	}
 	f, err := strconv.ParseFloat(v, 64)
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
-		r.failWith(key, fmt.Sprintf("is no number: %q", v), err)
-		return missing
+		r.failWithCause(key, fmt.Sprintf("is no number: %q", v), err)
+		return defaultValue
 	}
 	return f
 }
 
-// boolean returns whether the text of a key is true or 1; it is false where that is missing.
+// boolean returns whether the text of a key is true or 1. It returns false for false, 0 and a missing key; any other text is an
+// error.
 func (r *keyReader) boolean(key string) bool {
 	switch r.get(key) {
 	case "", "false", "0":
@@ -145,13 +149,13 @@
 	return false
 }
 
-// choice returns what the word of a key stands for.
-func choice[T any](r *keyReader, key string, words map[string]T) T {
-	return word(r, key, r.required(key), words)
+// requiredChoice returns the value that words has for the text of a key. A missing key or an unknown word is an error.
+func requiredChoice[T any](r *keyReader, key string, words map[string]T) T {
+	return parseChoice(r, key, r.required(key), words)
 }
 
-// word returns what a word that was read under a key stands for.
-func word[T any](r *keyReader, key, v string, words map[string]T) T {
+// parseChoice returns the value that words has for v, the text of a key. An unknown word is an error.
+func parseChoice[T any](r *keyReader, key, v string, words map[string]T) T {
 	t, ok := words[v]
 	if !ok {
 		r.fail(key, fmt.Sprintf("has an unknown word: %q", v))
--- a/deployment/load_report.go
+++ b/deployment/load_report.go
@@ -6,8 +6,8 @@
 	"dapplerouter/routing"
 )
 
-// SetLoadField sets the field of a load report that a server's name for it means; unknown names are ignored. Positions are in
-// seconds, counted from origin.
+// SetLoadField sets the field of a load report that has the given name in a server's report. Servers use different names for
+// the same field; unknown names are ignored. Positions are in seconds, counted from origin.
 func SetLoadField(l *routing.LoadReport, name string, v float64, origin time.Duration) {
 	switch name {
 	case "active", "inflight":
@@ -32,6 +32,6 @@
 	}
 }
 
-// EmptyLoad is a load report without a value.
+// EmptyLoad is a load report in which no value is set.
 var EmptyLoad = routing.LoadReport{InFlight: routing.None, Queued: routing.None, Utilization: routing.None, LatencyMillis: routing.None,
 	RequestRate: routing.None, ErrorRate: routing.None}
--- a/deployment/rules.go
+++ b/deployment/rules.go
@@ -14,61 +14,61 @@
 	"dapplerouter/routing"
 )
 
-// RulesForm is the operator's form for what may change while instances run, by publishing a version:
+// RulesForm is the name of the operator's form for settings that may change while instances run, by publishing a version:
 //
 //	(rules
-//	  (bound slot-browse 2s)    ; reads of the type are no staler; tighter than the deployment's bound only
-//	  (window book-table 1s)    ; idempotency keys of the type are relied on for no longer; shorter than the deployment's only
+//	  (bound slot-browse 2s)    ; staleness bound of a request type; may only be tighter than the deployment's
+//	  (window book-table 1s)    ; how long idempotency keys of a type are relied on; may only be shorter than the deployment's
 //	  (given-up 7 12))          ; requests of these groups are rejected
 const RulesForm = "rules"
 
-// Forms in it.
+// Forms nested in the rules form.
 const (
 	boundForm  = "bound"
 	windowForm = "window"
 	groupsForm = "given-up"
 )
 
-// Rules tighten what the settings allow. Nil and the zero value change nothing.
+// Rules tighten what the settings allow. A nil *Rules and the zero value change nothing.
 type Rules struct {
 	MaxStaleness, DedupWindows map[string]time.Duration // by request type
-	RejectedGroups             []int64                  // sorted
+	RejectedGroups             []int64                  // sorted, without duplicates
 
-	positions map[string]config.Position // of the rule of a form and a request type, by both
+	positions map[string]config.Position // of each rule, by its form and request type separated by a space
 }
 
-// ReadRules reads the form; its errors are collected by the form's decoder.
+// ReadRules reads the rules form. Errors are recorded with the decoder of the form.
 func ReadRules(f *config.Form) *Rules {
 	r := &Rules{MaxStaleness: map[string]time.Duration{}, DedupWindows: map[string]time.Duration{}, positions: map[string]config.Position{}}
-	for _, g := range f.Subforms() {
-		switch g.Name {
+	for _, rule := range f.Subforms() {
+		switch rule.Name {
 		case boundForm, windowForm:
-			w, ok := g.TakeName()
+			atom, ok := rule.TakeName()
 			if !ok {
 				continue
 			}
-			to := r.MaxStaleness
-			if g.Name == windowForm {
-				to = r.DedupWindows
+			durations := r.MaxStaleness
+			if rule.Name == windowForm {
+				durations = r.DedupWindows
 			}
-			if _, twice := to[w.Name]; twice {
-				g.Errorf(w.Position, "keep one of the two", "%s of %s is named twice", g.Name, w.Name)
+			if _, duplicate := durations[atom.Name]; duplicate {
+				rule.Errorf(atom.Position, "keep one of the two", "%s of %s is named twice", rule.Name, atom.Name)
 			}
-			to[w.Name] = g.Duration()
-			r.positions[g.Name+" "+w.Name] = g.Position
-			if to[w.Name] <= 0 {
-				g.Errorf(g.Position, "("+g.Name+" "+w.Name+" 2s)", "a %s is a time", g.Name)
+			durations[atom.Name] = rule.Duration()
+			r.positions[rule.Name+" "+atom.Name] = rule.Position
+			if durations[atom.Name] <= 0 {
+				rule.Errorf(rule.Position, "("+rule.Name+" "+atom.Name+" 2s)", "a %s is a time", rule.Name)
 			}
 		case groupsForm:
-			for _, w := range g.Atoms() {
-				n, err := strconv.ParseInt(w.Name, 10, 64)
+			for _, atom := range rule.Atoms() {
+				n, err := strconv.ParseInt(atom.Name, 10, 64)
 				if err != nil {
-					g.Errorf(w.Position, "(given-up 7): groups as the list numbers them", "%s is no group", w.Name)
+					rule.Errorf(atom.Position, "(given-up 7): groups as the list numbers them", "%s is no group", atom.Name)
 				}
 				r.RejectedGroups = append(r.RejectedGroups, n)
 			}
 		default:
-			g.Errorf(g.Position, "known are bound, window, given-up", "rules have no %s", g.Name)
+			rule.Errorf(rule.Position, "known are bound, window, given-up", "rules have no %s", rule.Name)
 		}
 	}
 	slices.Sort(r.RejectedGroups)
@@ -76,55 +76,59 @@
 	return r
 }
 
-// Validate checks rules against the settings of a deployment. The error is a config.ErrorList: a request type that does not exist, a
-// bound or a window that is looser than the deployment's.
+// Validate checks rules against the settings of a deployment. It reports request types that do not exist, bounds and windows
+// for types that have none, and bounds and windows that are looser than the deployment's. The error is a config.ErrorList.
 func (r *Rules) Validate(s *Settings) error {
 	if r == nil {
 		return nil
 	}
-	errs := r.checkDurations(s, durationRule{form: boundForm, of: r.MaxStaleness, kind: "reads within a bound",
+	errs := r.checkDurations(s, durationRule{form: boundForm, durations: r.MaxStaleness, requirement: "reads within a bound",
 		limit: func(t routing.RequestType) (time.Duration, bool) {
 			return t.MaxStaleness, t.Consistency == routing.BoundedStaleness
 		}})
-	errs = append(errs, r.checkDurations(s, durationRule{form: windowForm, of: r.DedupWindows, kind: "carries a mark",
+	errs = append(errs, r.checkDurations(s, durationRule{form: windowForm, durations: r.DedupWindows, requirement: "carries a mark",
 		limit: func(t routing.RequestType) (time.Duration, bool) {
 			return t.DedupWindow, t.Idempotency == routing.IdempotencyKey
 		}})...)
 	if errs == nil {
-		return nil // and not an error that holds an empty list
+		return nil // not errs: an error that holds a nil list would not be nil
 	}
 	return errs
 }
 
-// durationRule is what rules of one form say.
+// durationRule holds all rules of one form, each a duration for a request type, and what they are checked against.
 type durationRule struct {
-	form  string
-	of    map[string]time.Duration                                  // by request type
-	limit func(routing.RequestType) (limit time.Duration, has bool) // the deployment's, where the request type has one
-	kind  string                                                    // of the request types that have one
+	form        string
+	durations   map[string]time.Duration                                  // by request type
+	limit       func(routing.RequestType) (limit time.Duration, has bool) // limit of the deployment, if the request type has one
+	requirement string                                                    // what a request type must do to have a limit, for error messages
 }
 
-// checkDurations checks the rules of one form.
+// checkDurations checks the rules of one form against the request types and limits of the settings.
 func (r *Rules) checkDurations(s *Settings, rule durationRule) (errs config.ErrorList) {
-	for _, name := range slices.Sorted(maps.Keys(rule.of)) {
+	for _, name := range slices.Sorted(maps.Keys(rule.durations)) {
 		position := r.positions[rule.form+" "+name]
 		i := slices.Index(s.TypeNames, name)
 		if i < 0 {
-			errs = append(errs, config.Error{Position: position, Message: name + " is no request type of this site", Remedy: fmt.Sprint("its types are ", s.TypeNames)})
+			errs = append(errs, config.Error{Position: position, Message: name + " is no request type of this site",
+				Remedy: fmt.Sprint("its types are ", s.TypeNames)})
 			continue
 		}
 		switch limit, has := rule.limit(s.RequestTypes[i]); {
 		case !has:
-			errs = append(errs, config.Error{Position: position, Message: name + " has no " + rule.form, Remedy: "name a type that " + rule.kind})
-		case rule.of[name] > limit:
-			errs = append(errs, config.Error{Position: position, Message: fmt.Sprintf("%v is looser than the site's %s of %v for %s", rule.of[name], rule.form, limit, name),
-				Remedy: "rules only tighten: take it away, or make it smaller"})
+			errs = append(errs, config.Error{Position: position, Message: name + " has no " + rule.form,
+				Remedy: "name a type that " + rule.requirement})
+		case rule.durations[name] > limit:
+			errs = append(errs, config.Error{Position: position,
+				Message: fmt.Sprintf("%v is looser than the site's %s of %v for %s", rule.durations[name], rule.form, limit, name),
+				Remedy:  "rules only tighten: take it away, or make it smaller"})
 		}
 	}
 	return errs
 }
 
-// Digest returns a digest of what rules say, whatever the order and spelling of their text: 16 hexadecimal digits.
+// Digest returns a digest of the content of the rules: 16 hexadecimal digits. It does not depend on the order and spelling of
+// their text.
 func (r *Rules) Digest() string {
 	var b strings.Builder
 	if r != nil {
@@ -142,18 +146,20 @@
 	return hex.EncodeToString(sum[:8])
 }
 
-// ParseRules reads a text that has the form and no other, as what is published must. The error is a config.ErrorList.
+// ParseRules reads a text that contains the rules form and no other form, as a published text must. The error is a
+// config.ErrorList.
 func ParseRules(name string, text []byte) (*Rules, error) {
 	f, err := config.Parse(name, text)
 	if err != nil {
 		return nil, err
 	}
-	r := f.NewDecoder()
-	form := r.Forms(RulesForm)[RulesForm]
+	decoder := f.NewDecoder()
+	form := decoder.Forms(RulesForm)[RulesForm]
 	if form == nil {
-		r.Errorf(config.Position{File: name, Line: 1, Column: 1}, "(rules (given-up 7)); other forms take a restart", "the file has no form rules")
-		return nil, r.Err()
+		decoder.Errorf(config.Position{File: name, Line: 1, Column: 1},
+			"(rules (given-up 7)); other forms take a restart", "the file has no form rules")
+		return nil, decoder.Err()
 	}
 	rules := ReadRules(form)
-	return rules, r.Err()
+	return rules, decoder.Err()
 }
--- a/deployment/rules_test.go
+++ b/deployment/rules_test.go
@@ -11,7 +11,10 @@
 )
 
 func TestRulesOnlyTightenAndErrorsHavePositions(t *testing.T) {
-	s := &Settings{TypeNames: []string{"browse", "book"}, RequestTypes: []routing.RequestType{{Consistency: routing.BoundedStaleness, MaxStaleness: 3 * time.Second}, {Consistency: routing.Write, Idempotency: routing.IdempotencyKey, DedupWindow: 2 * time.Second}}}
+	s := &Settings{TypeNames: []string{"browse", "book"}, RequestTypes: []routing.RequestType{
+		{Consistency: routing.BoundedStaleness, MaxStaleness: 3 * time.Second},
+		{Consistency: routing.Write, Idempotency: routing.IdempotencyKey, DedupWindow: 2 * time.Second},
+	}}
 	for text, want := range map[string]string{
 		"(rules (bound browse 2s) (window book 1s) (given-up 7 3))": "",
 		"(rules (bound browse 5s))":                                 "x:1:8: 5s is looser than the site's bound of 3s for browse",
@@ -37,15 +40,15 @@
 }
 
 func TestRulesDigestIgnoresSpelling(t *testing.T) {
-	a, err := ParseRules("a", []byte("(rules (given-up 7 3) (bound browse 2s))"))
+	original, err := ParseRules("a", []byte("(rules (given-up 7 3) (bound browse 2s))"))
 	require.NoError(t, err)
-	b, err := ParseRules("b", []byte("; the same\n(rules (bound browse 2000ms)\n (given-up 3 7 7))"))
+	respelled, err := ParseRules("b", []byte("; the same\n(rules (bound browse 2000ms)\n (given-up 3 7 7))"))
 	require.NoError(t, err)
-	c, err := ParseRules("c", []byte("(rules (bound browse 2001ms) (given-up 3 7))"))
+	changed, err := ParseRules("c", []byte("(rules (bound browse 2001ms) (given-up 3 7))"))
 	require.NoError(t, err)
-	assert.Equal(t, a.Digest(), b.Digest())
-	assert.NotEqual(t, a.Digest(), c.Digest())
-	assert.Len(t, a.Digest(), 16)
-	var none *Rules
-	assert.Equal(t, none.Digest(), (&Rules{}).Digest())
+	assert.Equal(t, original.Digest(), respelled.Digest())
+	assert.NotEqual(t, original.Digest(), changed.Digest())
+	assert.Len(t, original.Digest(), 16)
+	var nilRules *Rules
+	assert.Equal(t, nilRules.Digest(), (&Rules{}).Digest())
 }
--- a/deployment/rules_text.go
+++ b/deployment/rules_text.go
@@ -7,11 +7,12 @@
 	"strings"
 )
 
-// RulesText reads and writes the text of rules one rule at a time, so that changes of several operators can be merged.
+// RulesText splits the text of rules into single rules and joins them again, so that changes of several operators can be
+// merged.
 type RulesText struct{}
 
-// Split returns the text of each rule by its key: bound TYPE, window TYPE, given-up GROUP. No text has no rules. The error is
-// a config.ErrorList.
+// Split returns the text of each rule by its key: "bound TYPE", "window TYPE" or "given-up GROUP". An empty text has no rules.
+// The error is a config.ErrorList.
 func (RulesText) Split(text []byte) (map[string]string, error) {
 	rules := map[string]string{}
 	if len(text) == 0 {
@@ -33,7 +34,7 @@
 	return rules, nil
 }
 
-// Join returns the text of all rules, in the order of their keys.
+// Join returns the text of a rules form with all rules, in the order of their keys.
 func (RulesText) Join(rules map[string]string) []byte {
 	var b strings.Builder
 	b.WriteString("(rules")
@@ -44,7 +45,7 @@
 	return []byte(b.String())
 }
 
-// Digest returns the digest of what a text says, "" for a text that can't be read.
+// Digest returns the digest of the rules in a text, or "" if the text cannot be parsed.
 func (RulesText) Digest(text []byte) string {
 	r, err := ParseRules("published", text)
 	if err != nil {
--- a/deployment/settings.go
+++ b/deployment/settings.go
@@ -1,8 +1,9 @@
-// Package deployment reads and checks what an instance is configured with when it starts: its environment and its file (Instance), the
-// settings of its deployment in that file (Settings), and the rules that operators publish while it runs (Rules). Settings may come from
-// any Source; the wire protocol of the laboratory is another one. What it returns is never changed afterwards.
+// Package deployment reads and checks the configuration of an instance: its environment and file at start (Instance), the
+// settings of its deployment in that file (Settings), and the rules that operators publish while it runs (Rules). Settings may
+// be read from any Source; the wire protocol of the laboratory is another one. The values that the package returns are never
+// modified afterwards.
 //
-// Keys are those of the deployments, and stay as they are; an error names its key.
+// The names of keys are defined by the deployments and cannot change. Each error names its key.
 package deployment
 
 import (
@@ -14,9 +15,10 @@
 	"dapplerouter/routing"
 )
 
-// Settings are what an instance knows of its deployment, in the types of package routing, with the names that ids refer to.
+// Settings describe the deployment of an instance in the types of package routing, and hold the names of the ids that these
+// types use. Each id is an index into the list of its names.
 type Settings struct {
-	PositionOrigin                      int64 // clock time from which positions are measured
+	PositionOrigin                      int64 // clock time from which log positions are measured
 	TypeNames, CustomerNames, ZoneNames []string
 	Topology                            routing.Topology
 	RequestTypes                        []routing.RequestType
@@ -27,29 +29,37 @@
 	CostWeights                         routing.CostWeights
 }
 
+// idempotencies maps the words in settings to values of routing.Idempotency.
 var idempotencies = map[string]routing.Idempotency{
 	"read_like": routing.Idempotent, "idempotency_key": routing.IdempotencyKey, "non_idempotent": routing.NonIdempotent,
 }
 
+// dedupScopes maps the words in settings to values of routing.DedupScope.
 var dedupScopes = map[string]routing.DedupScope{"all": routing.ScopeAll, "zone": routing.ScopeZone, "cell": routing.ScopeGroup}
 
-var stalenessChecks = map[string]routing.StalenessCheck{"silent": routing.NoStalenessCheck, "bounce": routing.RejectIfStale, "await": routing.WaitUntilFresh}
+// stalenessChecks maps the words in settings to values of routing.StalenessCheck.
+var stalenessChecks = map[string]routing.StalenessCheck{
+	"silent": routing.NoStalenessCheck, "bounce": routing.RejectIfStale, "await": routing.WaitUntilFresh,
+}
 
+// consistencies maps the words in settings to values of routing.Consistency.
 var consistencies = map[string]routing.Consistency{
 	"eventual": routing.Eventual, "lag_bound": routing.BoundedStaleness, "causal": routing.ReadYourWrites, "strong": routing.Strong,
 	"mutate": routing.Write,
 }
 
+// roleListings maps the words in settings to values of routing.RoleListing.
 var roleListings = map[string]routing.RoleListing{
 	"silent": routing.RolesNotListed, "static": routing.RolesAtStart, "trailing": routing.RolesDelayed,
 }
 
+// pullEndpoints maps the kind of discovery to whether an instance requests the endpoint list itself.
 var pullEndpoints = map[string]bool{"push": false, "ask": true}
 
-// loadInResponses says whether load reports come with responses; without the key they do not.
+// loadInResponses maps the source of load reports to whether they come with responses. They do not if the key is missing.
 var loadInResponses = map[string]bool{"": false, "silent": false, "pull": false, "piggyback": true}
 
-// ReadSettings reads the settings; unknown keys are ignored. The error is the *KeyError met first.
+// ReadSettings reads the settings from a source. Unknown keys are ignored. The error is the first *KeyError found.
 func ReadSettings(from Source) (*Settings, error) {
 	r := &keyReader{get: from}
 	s := &Settings{PositionOrigin: r.optionalInteger("FamilyInfo.Zero"), ZoneNames: strings.Split(r.required("Zones"), ",")}
@@ -60,15 +70,17 @@
 	s.readGuardrails(r)
 	s.readLimits(r)
 	s.readCostWeights(r)
-	r.unique("Classes", s.TypeNames)
-	r.unique("Tenants", s.CustomerNames)
-	r.unique("Zones", s.ZoneNames)
+	r.checkUnique("Classes", s.TypeNames)
+	r.checkUnique("Tenants", s.CustomerNames)
+	r.checkUnique("Zones", s.ZoneNames)
 	if r.err != nil {
 		return nil, r.err
 	}
 	return s, nil
 }
 
+// readRequestTypes reads the request types. Their consistency and staleness bounds are two lists beside them, of the same
+// length.
 func (s *Settings) readRequestTypes(r *keyReader) {
 	levels := strings.Split(r.required("FamilyInfo.ReadLevel"), ",")
 	bounds := strings.Split(r.required("FamilyInfo.StalenessBound"), ",")
@@ -82,15 +94,16 @@
 		s.RequestTypes = append(s.RequestTypes, routing.RequestType{
 			LatencyObjective: r.duration(p + "Aim"), Deadline: r.duration(p + "Deadline"), WorkMultiple: r.decimal(p+"AimStretch", 0),
 			PriorityWeight: r.decimal(p+"Worth", 1), LateFraction: r.decimal(p+"LateWorth", 0),
-			Idempotency:  choice(r, p+"Effect", idempotencies),
-			DedupScope:   choice(r, p+"Group", dedupScopes),
+			Idempotency:  requiredChoice(r, p+"Effect", idempotencies),
+			DedupScope:   requiredChoice(r, p+"Group", dedupScopes),
 			DedupWindow:  time.Duration(r.optionalInteger(p + "Window")),
-			Consistency:  word(r, "FamilyInfo.ReadLevel", levels[i], consistencies),
-			MaxStaleness: time.Duration(r.parse("FamilyInfo.StalenessBound", bounds[i])),
+			Consistency:  parseChoice(r, "FamilyInfo.ReadLevel", levels[i], consistencies),
+			MaxStaleness: time.Duration(r.parseInteger("FamilyInfo.StalenessBound", bounds[i])),
 		})
 	}
 }
 
+// readCustomers reads the customers and their quotas. There may be none.
 func (s *Settings) readCustomers(r *keyReader) {
 	n := int(r.optionalInteger("Tenants.count"))
 	for i := 0; i < n && r.err == nil; i++ {
@@ -101,32 +114,34 @@
 	}
 }
 
+// readTopology reads the place of the instance in its fleet. Its zone must be one of ZoneNames, which must have been read
+// before.
 func (s *Settings) readTopology(r *keyReader) {
-	home := r.required("Locality")
+	zone := r.required("Locality")
 	s.Topology = routing.Topology{
 		Zone: routing.None, ZoneCount: len(s.ZoneNames), FleetSize: int(r.integer("FleetSize")), Ordinal: int(r.integer("Ordinal")),
-		PullEndpoints: choice(r, "Discovery", pullEndpoints), TickInterval: r.duration("Tick"),
+		PullEndpoints: requiredChoice(r, "Discovery", pullEndpoints), TickInterval: r.duration("Tick"),
 		RetriesMarked: r.boolean("Clients.MarksRetry"),
-		RoleListing:   choice(r, "FamilyInfo.RoleListed", roleListings),
+		RoleListing:   requiredChoice(r, "FamilyInfo.RoleListed", roleListings),
 	}
 	for i, z := range s.ZoneNames {
-		if z == home {
+		if z == zone {
 			s.Topology.Zone = i
 		}
 	}
 	if r.err == nil && s.Topology.Zone == routing.None {
-		r.fail("Locality", fmt.Sprintf("is none of Zones: %q", home))
+		r.fail("Locality", fmt.Sprintf("is none of Zones: %q", zone))
 	}
 }
 
 func (s *Settings) readReplication(r *keyReader) {
 	s.Replication = routing.Replication{
-		StalenessCheck:      choice(r, "FamilyInfo.Checks", stalenessChecks),
+		StalenessCheck:      requiredChoice(r, "FamilyInfo.Checks", stalenessChecks),
 		FreshnessWait:       time.Duration(r.optionalInteger("FamilyInfo.HoldsFor")),
 		ClientCarriesToken:  r.required("FamilyInfo.WriteMarks") == "brought",
 		PositionInResponses: r.boolean("FamilyInfo.TellsPosition"),
 		SemiSyncWrites:      r.boolean("FamilyInfo.Synchronous"),
-		LoadInResponses:     word(r, "Stats.Source", r.get("Stats.Source"), loadInResponses),
+		LoadInResponses:     parseChoice(r, "Stats.Source", r.get("Stats.Source"), loadInResponses),
 	}
 }
 
@@ -134,7 +149,8 @@
 	s.Guardrails = routing.Guardrails{
 		AnswerSlack: r.duration("Rules.AnswerSlack"), DrainGrace: r.duration("Rules.StopSendingWithin"),
 		MaxPollInterval: time.Duration(r.optionalInteger("Rules.AskEvery")), InitialCapacity: r.decimal("Rules.StartCapacity", 1),
-		OverloadMultiple: r.decimal("Rules.FallMultiple", 1), SlowStartDuration: r.duration("Rules.Cold"), OverloadWindow: r.duration("Rules.Fall"),
+		OverloadMultiple: r.decimal("Rules.FallMultiple", 1), SlowStartDuration: r.duration("Rules.Cold"),
+		OverloadWindow: r.duration("Rules.Fall"),
 	}
 }
 
