--- a/testsupport/conntest/harness.go
+++ b/testsupport/conntest/harness.go
@@ -1,5 +1,6 @@
-// Package conntest has what tests of the client and the server connections share: a core with a trivial router, the ends of the
-// connections, and messages. A Harness owns the core and both listeners, and closes them when its test ends.
+// Package conntest is shared by the tests of client connections and server connections. It has a core with a trivial router,
+// peers that play the ends of the connections, and messages. A Harness owns the core and both listeners, and closes them when
+// its test ends.
 package conntest
 
 import (
@@ -20,10 +21,10 @@
 	"dapplerouter/routing"
 )
 
-// patience ends a test that fails, and is long enough for a busy machine.
-const patience = 15 * time.Second
+// waitTimeout is how long Within waits before it fails the test; it is long enough for a busy machine.
+const waitTimeout = 15 * time.Second
 
-// Harness is a router's core between the connections of a test's clients and of a fake server.
+// Harness runs a core between the client connections of a test and the connections to a fake server.
 type Harness struct {
 	T        *testing.T
 	Router   *Router
@@ -32,102 +33,102 @@
 	Limiter  *limits.Descriptors
 	Listener *net.TCPListener // where clients connect
 	Upstream *net.TCPListener // where connections to the fake server arrive
-	Served   chan error       // what the client server's Serve returned
+	Served   chan error       // the error that the function passed to Start returned
 }
 
-// New returns a Harness that is not started.
+// New returns a Harness that has its listeners but does not run yet.
 func New(t *testing.T, limiter *limits.Descriptors) *Harness {
 	return &Harness{T: t, Router: newRouter(), Clock: monotonic.NewClock(), Limiter: limiter,
 		Listener: Listen(t), Upstream: Listen(t), Served: make(chan error, 1)}
 }
 
 // Post passes an event to the core.
-func (g *Harness) Post(e front.Event) { g.Core.Post(e) }
+func (h *Harness) Post(e front.Event) { h.Core.Post(e) }
 
-// Start runs the core and serves clients until the test ends.
-func (g *Harness) Start(pools front.Pools, serve func(*net.TCPListener) error) {
-	s := &deployment.Settings{TypeNames: []string{"read", "write"}, ZoneNames: []string{"a"},
+// Start runs the core and serves clients until the test ends. serve accepts clients on the listener until that is closed.
+func (h *Harness) Start(pools front.Pools, serve func(*net.TCPListener) error) {
+	settings := &deployment.Settings{TypeNames: []string{"read", "write"}, ZoneNames: []string{"a"},
 		RequestTypes: []routing.RequestType{{Deadline: time.Minute}, {Deadline: time.Minute, Consistency: routing.Write}},
 		Limits:       routing.Limits{MaxAttempts: 9, DialTimeout: 5 * time.Second}}
-	g.Core = front.NewCore(front.Options{
-		StartedAt: g.Clock.StartedAt,
+	h.Core = front.NewCore(front.Options{
+		StartedAt: h.Clock.StartedAt,
 		Seed:      1,
-		Settings:  s,
+		Settings:  settings,
 		Pools:     pools,
 		Endpoints: noEndpointSource{},
-		NewRouter: func(h routing.Host, _ routing.Options) routing.Router {
-			g.Router.Host = h
-			return g.Router
+		NewRouter: func(host routing.Host, _ routing.Options) routing.Router {
+			h.Router.Host = host
+			return h.Router
 		},
 	})
-	g.List(g.Upstream.Addr().String(), 0)
+	h.List(h.Upstream.Addr().String(), 0)
 	stop := make(chan struct{})
 	var running sync.WaitGroup
-	running.Go(func() { g.Core.Run(g.Clock, stop) })
-	running.Go(func() { g.Served <- serve(g.Listener) })
-	g.T.Cleanup(func() {
-		_ = g.Listener.Close() // Serve may have closed it
+	running.Go(func() { h.Core.Run(h.Clock, stop) })
+	running.Go(func() { h.Served <- serve(h.Listener) })
+	h.T.Cleanup(func() {
+		_ = h.Listener.Close() // Serve may have closed it
 		close(stop)
 		running.Wait()
 	})
 }
 
-// Serve takes one request through and returns the two connections, which are idle.
-func (g *Harness) Serve() (client, server *Peer) {
-	client = g.Client()
+// Serve runs one request from a client to the fake server and back. It returns the two connections, which are idle again.
+func (h *Harness) Serve() (client, server *Peer) {
+	client = h.Client()
 	client.Send(ReadQuery("4000")...)
-	server = g.AcceptServer()
+	server = h.AcceptServer()
 	server.Expect("Q")
 	server.Send(RowResponse("v")...)
 	client.Expect("TDCZ")
-	<-g.Router.Finished
+	<-h.Router.Finished
 	return client, server
 }
 
-// List posts an endpoint list of one server, of which since is the start in Unix milliseconds.
-func (g *Harness) List(address string, since int64) {
-	g.Core.Post(front.EndpointsChanged{Kind: routing.Snapshot, List: discovery.List{Endpoints: []discovery.Endpoint{
+// List posts an endpoint list with one server. since is the start time of that server in Unix milliseconds.
+func (h *Harness) List(address string, since int64) {
+	h.Core.Post(front.EndpointsChanged{Kind: routing.Snapshot, List: discovery.List{Endpoints: []discovery.Endpoint{
 		{Name: "s-1", Address: address, Zone: "a", Group: 2, StartedAtMillis: since}}}})
 }
 
-// Dial connects a client.
-func (g *Harness) Dial() *Peer {
-	c, err := net.Dial("tcp", g.Listener.Addr().String())
-	require.NoError(g.T, err)
-	return NewPeer(g.T, c)
+// Dial connects a client without a startup message.
+func (h *Harness) Dial() *Peer {
+	c, err := net.Dial("tcp", h.Listener.Addr().String())
+	require.NoError(h.T, err)
+	return NewPeer(h.T, c)
 }
 
-// Client connects a client and reads its greeting.
-func (g *Harness) Client() *Peer {
-	p := g.Dial()
+// Client connects a client, sends its startup message and reads the greeting.
+func (h *Harness) Client() *Peer {
+	p := h.Dial()
 	p.Send(pgwire.AppendStartup(nil, "portal", "crm")...)
 	p.Expect("RSSSSZ")
 	return p
 }
 
 // AcceptStartup accepts a connection to the fake server and reads its startup message.
-func (g *Harness) AcceptStartup() *Peer {
-	c, err := g.Upstream.Accept()
-	require.NoError(g.T, err)
-	p := NewPeer(g.T, c)
+func (h *Harness) AcceptStartup() *Peer {
+	c, err := h.Upstream.Accept()
+	require.NoError(h.T, err)
+	p := NewPeer(h.T, c)
 	_, err = p.Reader.ReadStartup()
-	require.NoError(g.T, err)
+	require.NoError(h.T, err)
 	return p
 }
 
-// AcceptServer accepts a connection to the fake server and greets it.
-func (g *Harness) AcceptServer() *Peer {
-	p := g.AcceptStartup()
+// AcceptServer accepts a connection to the fake server, reads its startup message and sends the greeting.
+func (h *Harness) AcceptServer() *Peer {
+	p := h.AcceptStartup()
 	p.Send(pgwire.AppendGreeting(nil)...)
 	return p
 }
 
-// AnswerAll has the fake server answer each statement, and counts them.
-func (g *Harness) AnswerAll() *atomic.Int64 {
+// AnswerAll makes the fake server respond to every statement with one row. It returns a counter of the statements received.
+func (h *Harness) AnswerAll() *atomic.Int64 {
 	var statements atomic.Int64
 	go func() {
 		for {
-			c, err := g.Upstream.Accept()
+			c, err := h.Upstream.Accept()
 			if err != nil {
 				return
 			}
@@ -137,59 +138,59 @@
 	return &statements
 }
 
-// answerAll serves a connection to the fake server until it ends.
-func answerAll(c net.Conn, statements *atomic.Int64) {
-	defer func() { _ = c.Close() }() // the other side has ended it
-	r := pgwire.NewReader(c, peerBuffer, peerMaxMessage)
-	if _, err := r.ReadStartup(); err != nil {
+// answerAll serves a connection to the fake server until it ends, and counts its statements.
+func answerAll(conn net.Conn, statements *atomic.Int64) {
+	defer func() { _ = conn.Close() }() // the peer may have closed it
+	reader := pgwire.NewReader(conn, peerBuffer, peerMaxMessage)
+	if _, err := reader.ReadStartup(); err != nil {
 		return
 	}
-	if _, err := c.Write(pgwire.AppendGreeting(nil)); err != nil {
+	if _, err := conn.Write(pgwire.AppendGreeting(nil)); err != nil {
 		return
 	}
 	for {
-		if _, _, err := r.Next(); err != nil {
+		if _, _, err := reader.Next(); err != nil {
 			return
 		}
 		statements.Add(1)
-		if _, err := c.Write(RowResponse("v")); err != nil {
+		if _, err := conn.Write(RowResponse("v")); err != nil {
 			return
 		}
 	}
 }
 
-// DiscardEvents takes what the router notes, so that the core never waits for the test.
-func (g *Harness) DiscardEvents() {
+// DiscardEvents discards what the router records in its channels, so that the core never blocks on them.
+func (h *Harness) DiscardEvents() {
 	go func() {
 		for {
 			select {
-			case <-g.Router.Received:
-			case <-g.Router.Finished:
-			case <-g.Router.Gone:
-			case <-g.T.Context().Done():
+			case <-h.Router.Received:
+			case <-h.Router.Finished:
+			case <-h.Router.Gone:
+			case <-h.T.Context().Done():
 				return
 			}
 		}
 	}()
 }
 
-// Eventually waits until a condition holds.
-func (g *Harness) Eventually(condition func() bool) {
-	g.T.Helper()
-	require.Eventually(g.T, condition, 10*time.Second, time.Millisecond)
+// Eventually waits until a condition holds, and fails the test after 10 s.
+func (h *Harness) Eventually(condition func() bool) {
+	h.T.Helper()
+	require.Eventually(h.T, condition, 10*time.Second, time.Millisecond)
 }
 
-// Within waits until a channel is closed; what says what has failed where it is not.
-func Within(t *testing.T, what string, done <-chan struct{}) {
+// Within waits until a channel is closed, and fails the test with the message failure after waitTimeout.
+func Within(t *testing.T, failure string, done <-chan struct{}) {
 	t.Helper()
 	select {
 	case <-done:
-	case <-time.After(patience):
-		require.Fail(t, what)
+	case <-time.After(waitTimeout):
+		require.Fail(t, failure)
 	}
 }
 
-// Listen opens a listener of the loopback address.
+// Listen opens a listener on a free port of the loopback address. It is closed when the test ends.
 func Listen(t *testing.T) *net.TCPListener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/testsupport/conntest/messages.go
+++ b/testsupport/conntest/messages.go
@@ -15,25 +15,26 @@
 	"dapplerouter/pgwire"
 )
 
-// IDs is the last id of a request in a statement's comment; each statement below takes the next one.
+// IDs is the id of the last request. Each of the statements below takes the next id and carries it in its comment.
 var IDs atomic.Int64
 
-// IDOf returns the id in a statement's comment.
+// IDOf returns the request id in the comment of a statement.
 func IDOf(query []byte) string {
 	_, after, _ := bytes.Cut(query, []byte("id="))
 	id, _, _ := bytes.Cut(after, []byte(","))
 	return string(id)
 }
 
-// ReadQuery is a statement that reads a row, with a deadline in milliseconds.
+// ReadQuery returns a Query message with a statement that reads a row. Its deadline is in milliseconds.
 func ReadQuery(deadline string) []byte { return ReadQueryOf("k", deadline) }
 
-// ReadQueryOf is a statement that reads the row of a key, with a deadline in milliseconds.
+// ReadQueryOf returns a Query message with a statement that reads the row of a key. Its deadline is in milliseconds.
 func ReadQueryOf(key, deadline string) []byte {
-	return pgwire.AppendQuery(nil, fmt.Sprintf("SELECT data FROM facts WHERE code = '%s' /* id=%d,c=read,d=%s,cluster=2 */", key, IDs.Add(1), deadline))
+	return pgwire.AppendQuery(nil, fmt.Sprintf("SELECT data FROM facts WHERE code = '%s' /* id=%d,c=read,d=%s,cluster=2 */",
+		key, IDs.Add(1), deadline))
 }
 
-// ReadQueries is a number of statements that read a row, with a deadline of a minute.
+// ReadQueries returns n Query messages, each with a statement that reads a row and has a deadline of one minute.
 func ReadQueries(n int) (all []byte) {
 	for range n {
 		all = append(all, ReadQuery("60000")...)
@@ -41,19 +42,20 @@
 	return all
 }
 
-// WriteQuery is a statement that writes the row of a key, with a deadline in milliseconds.
+// WriteQuery returns a Query message with a statement that writes the row of a key. Its deadline is in milliseconds.
 func WriteQuery(key, deadline string) []byte {
-	return pgwire.AppendQuery(nil, fmt.Sprintf("INSERT INTO facts (code, data) VALUES ('%s', '\\x00') RETURNING data /* id=%d,c=write,d=%s,cluster=2 */",
+	return pgwire.AppendQuery(nil, fmt.Sprintf(
+		"INSERT INTO facts (code, data) VALUES ('%s', '\\x00') RETURNING data /* id=%d,c=write,d=%s,cluster=2 */",
 		key, IDs.Add(1), deadline))
 }
 
-// Message is a message of a type, as it stands on the wire.
+// Message returns an encoded message of a type.
 func Message(typ byte, body string) []byte {
 	n := len(body) + 4
 	return append([]byte{typ, byte(n >> 24), byte(n >> 16), byte(n >> 8), byte(n)}, body...)
 }
 
-// Row is the part of a server's answer that a client is sent: a row of one value.
+// Row returns the part of a server's response that is forwarded to a client: one row with one value.
 func Row(value string) []byte {
 	n := len(value)
 	return bytes.Join([][]byte{Message('T', "\x00\x01data\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01"),
@@ -61,29 +63,30 @@
 		Message('C', "SELECT 1\x00")}, nil)
 }
 
-// RowResponse is a server's complete answer: a row of one value, from a replica.
+// RowResponse returns the complete response of a server: one row with one value, from a replica.
 func RowResponse(value string) []byte {
 	return pgwire.AppendReadyForQuery(pgwire.AppendParameterStatus(Row(value), "role", "replica"))
 }
 
-// AssertRecorded compares what was sent under a name with what a file has for it: a name and a quoted string on each line, separated
-// by a tab.
+// AssertRecorded compares the data sent under a name with the data recorded for that name in a file. Each line of the file has
+// a name, a tab and a quoted string.
 func AssertRecorded(t *testing.T, file, name, sent string) {
 	t.Helper()
 	recorded, ok := readRecorded(t, file)[name]
 	assert.True(t, ok && recorded == sent, "%s: recorded %q\nsent:\n%s\t%q", name, recorded, name, sent)
 }
 
+// readRecorded returns the recorded data of a file by name.
 func readRecorded(t *testing.T, file string) map[string]string {
 	t.Helper()
 	text, err := os.ReadFile(file)
 	require.NoError(t, err)
-	all := map[string]string{}
+	recorded := map[string]string{}
 	for line := range strings.Lines(string(text)) {
 		name, quoted, ok := strings.Cut(strings.TrimSuffix(line, "\n"), "\t")
 		require.True(t, ok, line)
-		all[name], err = strconv.Unquote(quoted)
+		recorded[name], err = strconv.Unquote(quoted)
 		require.NoError(t, err, line)
 	}
-	return all
+	return recorded
 }
--- a/testsupport/conntest/peer.go
+++ b/testsupport/conntest/peer.go
@@ -11,34 +11,35 @@
 	"dapplerouter/pgwire"
 )
 
+// Sizes in bytes of the read buffer of a Peer and of the longest message that it accepts.
 const (
 	peerBuffer     = 4 << 10
 	peerMaxMessage = 1 << 20
 )
 
-// Peer is one end of a connection, as the test plays it.
+// Peer is one end of a connection, driven by a test.
 type Peer struct {
 	net.Conn
 	Reader *pgwire.Reader
 	t      *testing.T
 }
 
-// NewPeer returns a Peer of a connection, which is closed when the test ends. Its reads and writes fail after 20 s, so that a
-// failing test ends.
+// NewPeer returns a Peer for a connection, which is closed when the test ends. Reads and writes fail 20 s later, so that a test
+// that waits in vain ends.
 func NewPeer(t *testing.T, c net.Conn) *Peer {
 	t.Cleanup(func() { _ = c.Close() }) // the test may have closed it
 	require.NoError(t, c.SetDeadline(time.Now().Add(20*time.Second)))
 	return &Peer{Conn: c, Reader: pgwire.NewReader(c, peerBuffer, peerMaxMessage), t: t}
 }
 
-// Send sends bytes in one piece.
+// Send writes bytes in one piece.
 func (p *Peer) Send(b ...byte) {
 	p.t.Helper()
 	_, err := p.Write(b)
 	require.NoError(p.t, err)
 }
 
-// SendBytewise sends each byte by itself.
+// SendBytewise writes each byte separately.
 func (p *Peer) SendBytewise(b []byte) {
 	p.t.Helper()
 	for i := range b {
@@ -46,7 +47,8 @@
 	}
 }
 
-// Expect reads a message of each type, and returns the body of the last one that is not a ReadyForQuery.
+// Expect reads one message of each of the given types, in order, and returns the body of the last one that is not a
+// ReadyForQuery message.
 func (p *Peer) Expect(types string) (last []byte) {
 	p.t.Helper()
 	for _, want := range types {
@@ -60,7 +62,7 @@
 	return last
 }
 
-// ExpectClosed reads the end of the connection.
+// ExpectClosed reads and expects the end of the connection.
 func (p *Peer) ExpectClosed() {
 	p.t.Helper()
 	_, _, err := p.Reader.Next()
--- a/testsupport/conntest/router.go
+++ b/testsupport/conntest/router.go
@@ -7,23 +7,25 @@
 	"dapplerouter/routing"
 )
 
-// Router sends each request to server 0 and fails what that does not serve. It notes what it is notified of.
+// Router sends each request to server 0, and fails a request that server 0 does not serve. It records received requests,
+// finished attempts and requests whose client is gone in its channels.
 type Router struct {
 	routing.Host
 	Received chan routing.Request
 	Finished chan routing.AttemptOutcome
 	Gone     chan routing.RequestRef
 
-	pending []routing.RequestRef // received in this batch
+	pending []routing.RequestRef // received in the current batch
 }
 
+// newRouter returns a Router whose channels hold enough for every test.
 func newRouter() *Router {
-	const noted = 100 // enough for every test: a router must not block
-	return &Router{Received: make(chan routing.Request, noted), Finished: make(chan routing.AttemptOutcome, noted),
-		Gone: make(chan routing.RequestRef, noted)}
+	const capacity = 100 // enough for every test, because a router must not block
+	return &Router{Received: make(chan routing.Request, capacity), Finished: make(chan routing.AttemptOutcome, capacity),
+		Gone: make(chan routing.RequestRef, capacity)}
 }
 
-// RequiredPosition implements routing.Router: no read is bound to a position.
+// RequiredPosition implements routing.Router: no read requires a position.
 func (r *Router) RequiredPosition(routing.RequestRef) (time.Duration, bool) { return 0, false }
 
 // EndpointsChanged implements routing.Router.
@@ -43,7 +45,8 @@
 	r.Finished <- o
 }
 
-// ClientGone implements routing.Router. As in service, a request whose client left in the batch in which it came is sent nowhere.
+// ClientGone implements routing.Router. As in the real router, a request whose client leaves in the batch in which it was
+// received is not sent to a server.
 func (r *Router) ClientGone(_ time.Duration, ref routing.RequestRef) {
 	r.pending = slices.DeleteFunc(r.pending, func(pending routing.RequestRef) bool { return pending == ref })
 	r.Gone <- ref
@@ -58,7 +61,7 @@
 // TimerFired implements routing.Router.
 func (r *Router) TimerFired(time.Duration) {}
 
-// Reconcile implements routing.Router: it starts what has come in this batch.
+// Reconcile implements routing.Router: it starts an attempt for each request of the current batch.
 func (r *Router) Reconcile(time.Duration) {
 	for _, ref := range r.pending {
 		r.StartAttempt(ref, 0, 0)
@@ -70,7 +73,7 @@
 func (r *Router) HealthCheckFinished(time.Duration, int, routing.AttemptResult, time.Duration, routing.LoadReport) {
 }
 
-// noEndpointSource implements front.EndpointSource: lists are posted by the tests.
+// noEndpointSource implements front.EndpointSource without a list, because the tests post the lists.
 type noEndpointSource struct{}
 
 func (noEndpointSource) Watch(bool) {}
--- a/testsupport/fakeserver/client.go
+++ b/testsupport/fakeserver/client.go
@@ -9,7 +9,7 @@
 	"dapplerouter/pgwire"
 )
 
-// Client is a client of the protocol that sends one statement at a time.
+// Client is a client of PostgreSQL's protocol that sends simple queries.
 type Client struct {
 	conn   net.Conn
 	reader *pgwire.Reader
@@ -19,107 +19,110 @@
 type Response struct {
 	Rows          [][]string
 	Tag           string
-	Code, Message string // of an error
+	Code, Message string // of an error, otherwise empty
 	Detail        string
 }
 
-// Dial connects and waits for the greeting.
+// Dial connects, sends the startup message and waits for the greeting.
 func Dial(address string) (*Client, error) {
-	c, err := net.DialTimeout("tcp", address, 5*time.Second)
+	conn, err := net.DialTimeout("tcp", address, 5*time.Second)
 	if err != nil {
 		return nil, err
 	}
-	cl := &Client{c, pgwire.NewReader(c, 4096, 1<<24)}
-	if _, err := c.Write(pgwire.AppendStartup(nil, "portal", "crm")); err != nil {
-		_ = c.Close()
+	client := &Client{conn, pgwire.NewReader(conn, 4096, 1<<24)}
+	if _, err := conn.Write(pgwire.AppendStartup(nil, "portal", "crm")); err != nil {
+		_ = conn.Close()
 		return nil, err
 	}
-	if _, err := cl.answer(); err != nil {
-		_ = c.Close()
+	if _, err := client.readResponse(); err != nil {
+		_ = conn.Close()
 		return nil, err
 	}
-	return cl, nil
+	return client, nil
 }
 
-// DialAndQuery connects and sends the startup message and a statement in one write, and waits for both answers.
+// DialAndQuery connects and sends the startup message and a statement in one write. It waits for both responses.
 func DialAndQuery(address, sql string) (*Client, Response, error) {
-	c, err := net.DialTimeout("tcp", address, 5*time.Second)
+	conn, err := net.DialTimeout("tcp", address, 5*time.Second)
 	if err != nil {
 		return nil, Response{}, err
 	}
-	cl := &Client{c, pgwire.NewReader(c, 4096, 1<<24)}
-	if _, err = c.Write(pgwire.AppendQuery(pgwire.AppendStartup(nil, "portal", "crm"), sql)); err == nil {
-		_, err = cl.answer()
+	client := &Client{conn, pgwire.NewReader(conn, 4096, 1<<24)}
+	if _, err = conn.Write(pgwire.AppendQuery(pgwire.AppendStartup(nil, "portal", "crm"), sql)); err == nil {
+		_, err = client.readResponse()
 	}
 	if err != nil {
-		_ = c.Close()
+		_ = conn.Close()
 		return nil, Response{}, err
 	}
-	a, err := cl.answer()
-	return cl, a, err
+	response, err := client.readResponse()
+	return client, response, err
 }
 
 // Close closes the connection.
 func (c *Client) Close() { _ = c.conn.Close() }
 
-// Query sends a statement and waits for its answer.
+// Query sends a statement and waits for its response.
 func (c *Client) Query(sql string) (Response, error) {
 	if err := c.Send(sql); err != nil {
 		return Response{}, err
 	}
-	return c.answer()
+	return c.readResponse()
 }
 
-// Send sends a statement and does not wait.
+// Send sends a statement and does not wait for its response.
 func (c *Client) Send(sql string) error {
 	_, err := c.conn.Write(pgwire.AppendQuery(nil, sql))
 	return err
 }
 
-// ReadResponse waits for the answer of the first statement that has none yet.
-func (c *Client) ReadResponse() (Response, error) { return c.answer() }
+// ReadResponse waits for the response to the earliest statement whose response was not read yet.
+func (c *Client) ReadResponse() (Response, error) { return c.readResponse() }
 
-// AwaitClose waits until the other side sends a message or closes the connection, at most answerTimeout.
+// AwaitClose waits until the server sends a message or closes the connection, at most responseTimeout.
 func (c *Client) AwaitClose() {
-	if c.setAnswerDeadline() != nil {
-		return // it is closed
+	if c.setResponseDeadline() != nil {
+		return // the connection is closed
 	}
 	_, _, _ = c.reader.Next()
 }
 
-// answerTimeout is how long a client waits for an answer.
-const answerTimeout = 30 * time.Second
+// responseTimeout is how long a client waits for a response.
+const responseTimeout = 30 * time.Second
 
-func (c *Client) setAnswerDeadline() error {
-	return c.conn.SetReadDeadline(time.Now().Add(answerTimeout))
+// setResponseDeadline lets reads fail after responseTimeout.
+func (c *Client) setResponseDeadline() error {
+	return c.conn.SetReadDeadline(time.Now().Add(responseTimeout))
 }
 
-func (c *Client) answer() (a Response, err error) {
-	if err := c.setAnswerDeadline(); err != nil {
-		return a, err
+// readResponse reads messages up to the next ReadyForQuery. An ErrorResponse before the end of the connection is a response,
+// not an error.
+func (c *Client) readResponse() (response Response, err error) {
+	if err := c.setResponseDeadline(); err != nil {
+		return response, err
 	}
 	for {
 		typ, body, err := c.reader.Next()
 		if err != nil {
-			if a.Code != "" { // a fatal error ends the connection
-				return a, nil
+			if response.Code != "" { // a fatal error ends the connection
+				return response, nil
 			}
-			return a, err
+			return response, err
 		}
 		switch typ {
 		case 'D':
-			a.Rows = append(a.Rows, parseRow(body))
+			response.Rows = append(response.Rows, parseRow(body))
 		case 'C':
-			a.Tag = string(body[:len(body)-1])
+			response.Tag = string(body[:len(body)-1])
 		case 'E':
-			a.parseError(body)
+			response.parseError(body)
 		case 'Z':
-			return a, nil
+			return response, nil
 		}
 	}
 }
 
-// parseRow reads a DataRow message; a NULL is an empty string.
+// parseRow returns the values of a DataRow message. A NULL is an empty string.
 func parseRow(body []byte) (row []string) {
 	at := 2
 	for range binary.BigEndian.Uint16(body) {
@@ -131,17 +134,17 @@
 	return row
 }
 
-// parseError reads the fields of an ErrorResponse message: a type byte and a string each.
-func (a *Response) parseError(fields []byte) {
+// parseError sets the error fields from the fields of an ErrorResponse message, each a type byte and a zero-terminated string.
+func (r *Response) parseError(fields []byte) {
 	for len(fields) > 1 {
 		text, rest, _ := bytes.Cut(fields[1:], []byte{0})
 		switch fields[0] {
 		case 'C':
-			a.Code = string(text)
+			r.Code = string(text)
 		case 'M':
-			a.Message = string(text)
+			r.Message = string(text)
 		case 'D':
-			a.Detail = string(text)
+			r.Detail = string(text)
 		}
 		fields = rest
 	}
--- a/testsupport/fakeserver/cost_test.go
+++ b/testsupport/fakeserver/cost_test.go
@@ -15,8 +15,8 @@
 	"dapplerouter/sqlclass"
 )
 
-// kinds are statements of a booking service, cheap and dear, each with literals that differ from text to text.
-func kinds(r *rand.Rand) []string {
+// bookingStatements returns statements of a booking service, cheap and expensive ones. Their literals differ from call to call.
+func bookingStatements(r *rand.Rand) []string {
 	n := r.IntN
 	list := func(most int) (s string) {
 		for i := range 1 + n(most) {
@@ -60,7 +60,7 @@
 	}
 }
 
-// spearman is the rank correlation of two series; equal values share their mean rank.
+// spearman returns Spearman's rank correlation of two series. Equal values share their mean rank.
 func spearman(x, y []float64) float64 {
 	rank := func(v []float64) []float64 {
 		at := make([]int, len(v))
@@ -82,19 +82,19 @@
 		return r
 	}
 	a, b := rank(x), rank(y)
-	var ma, mb float64
+	var meanA, meanB float64
 	for i := range a {
-		ma, mb = ma+a[i]/float64(len(a)), mb+b[i]/float64(len(a))
+		meanA, meanB = meanA+a[i]/float64(len(a)), meanB+b[i]/float64(len(a))
 	}
-	var ab, aa, bb float64
+	var sumAB, sumAA, sumBB float64
 	for i := range a {
-		ab, aa, bb = ab+(a[i]-ma)*(b[i]-mb), aa+(a[i]-ma)*(a[i]-ma), bb+(b[i]-mb)*(b[i]-mb)
+		sumAB, sumAA, sumBB = sumAB+(a[i]-meanA)*(b[i]-meanB), sumAA+(a[i]-meanA)*(a[i]-meanA), sumBB+(b[i]-meanB)*(b[i]-meanB)
 	}
-	return ab / math.Sqrt(aa*bb)
+	return sumAB / math.Sqrt(sumAA*sumBB)
 }
 
-// Costs rank statements as a stand-in's times do: at first by the shape alone, then by what was measured. The times
-// are the stand-in's own, told by the rows that it really touched.
+// The estimated costs rank statements like their execution times on a fake server: at first by the shape of the statements
+// alone, then by what was measured. The fake server takes times that depend on the rows that it really touches.
 func TestCostsRankStatementsAsMeasuredTimesDo(t *testing.T) {
 	g, err := Start(NewBookingData(50, 200, 1500), 1, 1, 200*time.Microsecond, 20*time.Microsecond)
 	require.NoError(t, err)
@@ -102,53 +102,53 @@
 	c, err := Dial(g.Servers[0].Address())
 	require.NoError(t, err)
 	defer c.Close()
-	by := sqlclass.New(sqlclass.Options{CacheBytes: 1 << 20})
+	classifier := sqlclass.New(sqlclass.Options{CacheBytes: 1 << 20})
 	r := rand.New(rand.NewPCG(3, 5))
-	type seen struct {
-		s     *sqlclass.NormalizedStatement
-		f     sqlclass.Details
-		took  time.Duration
-		guess time.Duration
+	type execution struct {
+		s        *sqlclass.NormalizedStatement
+		f        sqlclass.Details
+		took     time.Duration
+		estimate time.Duration
 	}
-	run := func(sql string) seen {
-		s, f, fault := by.Classify([]byte(sql))
-		require.Nil(t, fault)
-		guess := by.Estimate(s, &f)
-		began := time.Now()
+	run := func(sql string) execution {
+		s, f, syntaxError := classifier.Classify([]byte(sql))
+		require.Nil(t, syntaxError)
+		estimate := classifier.Estimate(s, &f)
+		startedAt := time.Now()
 		_, err := c.Query(sql + " /* id=x */")
 		require.NoError(t, err)
-		return seen{s, f, time.Since(began), guess}
+		return execution{s, f, time.Since(startedAt), estimate}
 	}
-	rank := func(all []seen) float64 {
+	rankCorrelation := func(executions []execution) float64 {
 		var x, y []float64
-		for _, s := range all {
-			x, y = append(x, s.guess.Seconds()), append(y, s.took.Seconds())
+		for _, s := range executions {
+			x, y = append(x, s.estimate.Seconds()), append(y, s.took.Seconds())
 		}
 		return spearman(x, y)
 	}
-	var first, learned []seen
-	for range 3 { // nothing learned yet
-		for _, sql := range kinds(r) {
-			first = append(first, run(sql))
+	var before, after []execution
+	for range 3 { // nothing is learned yet
+		for _, sql := range bookingStatements(r) {
+			before = append(before, run(sql))
 		}
 	}
-	for _, s := range first {
-		by.Observe(s.s, &s.f, s.took)
+	for _, s := range before {
+		classifier.Observe(s.s, &s.f, s.took)
 	}
 	for range 3 {
-		for _, sql := range kinds(r) {
+		for _, sql := range bookingStatements(r) {
 			s := run(sql)
-			learned = append(learned, s)
-			by.Observe(s.s, &s.f, s.took)
+			after = append(after, s)
+			classifier.Observe(s.s, &s.f, s.took)
 		}
 	}
-	t.Logf("Spearman's rank correlation with %d times measured: %.3f by the shape alone, %.3f once learned", len(first),
-		rank(first), rank(learned))
-	assert.Greater(t, rank(first), 0.6)
-	assert.Greater(t, rank(learned), 0.8)
+	t.Logf("Spearman's rank correlation with %d times measured: %.3f by the shape alone, %.3f once learned", len(before),
+		rankCorrelation(before), rankCorrelation(after))
+	assert.Greater(t, rankCorrelation(before), 0.6)
+	assert.Greater(t, rankCorrelation(after), 0.8)
 }
 
-func TestTheStandInsWorkIsWhatAStatementTouches(t *testing.T) {
+func TestRowsTouchedMeasureWorkOfStatement(t *testing.T) {
 	d := NewBookingData(10, 40, 1000)
 	scan, key := d.Run("SELECT * FROM bookings WHERE guests = 3"), d.Run("SELECT * FROM bookings WHERE id = 3")
 	assert.Equal(t, 1000, scan.RowsTouched)
--- a/testsupport/fakeserver/discovery.go
+++ b/testsupport/fakeserver/discovery.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// ServeEndpoints serves the endpoint list over HTTP as the discovery service does: a snapshot, and a watch that stays open with a heartbeat
-// each second. The caller closes the server.
+// ServeEndpoints serves the endpoint list over HTTP like the discovery service: a snapshot, and a watch that stays open with a
+// heartbeat each second. The caller must close the server.
 func (g *Group) ServeEndpoints() *httptest.Server {
 	return httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if _, err := w.Write(g.EndpointSnapshot()); err != nil {
-			return // the client has gone
+			return // the client is gone
 		}
 		if r.URL.Query().Get("watch") == "" {
 			return
@@ -32,7 +32,8 @@
 	}))
 }
 
-// EndpointSnapshot is the snapshot in the discovery service's JSON.
+// EndpointSnapshot returns a snapshot of the endpoint list in the JSON of the discovery service. It lists the servers of this
+// group and the foreign servers.
 func (g *Group) EndpointSnapshot() []byte {
 	type entry struct {
 		Name    string  `json:"name"`
@@ -45,19 +46,19 @@
 		Since   int64   `json:"since_ms"`
 		Role    string  `json:"role"`
 	}
-	var all []entry
-	for _, m := range append(append([]*Server{}, g.Servers...), g.ForeignServers...) {
+	var entries []entry
+	for _, s := range append(append([]*Server{}, g.Servers...), g.ForeignServers...) {
 		role := "replica"
-		if m.primary() {
+		if s.isPrimary() {
 			role = "primary"
 		}
-		name := m.Name
-		if m.group != g { // servers of two groups have the same names
-			name = fmt.Sprintf("guest-%d-%s", m.group.ID, name)
+		name := s.Name
+		if s.group != g { // servers of different groups have the same names
+			name = fmt.Sprintf("guest-%d-%s", s.group.ID, name)
 		}
-		all = append(all, entry{name, m.Address(), "a", "m", m.group.ID, "up", 1, 0, role})
+		entries = append(entries, entry{name, s.Address(), "a", "m", s.group.ID, "up", 1, 0, role})
 	}
-	b, err := json.Marshal(map[string]any{"index": 1, "snapshot": true, "endpoints": all})
+	b, err := json.Marshal(map[string]any{"index": 1, "snapshot": true, "endpoints": entries})
 	if err != nil {
 		panic(fmt.Sprint("encode the endpoint list: ", err))
 	}
--- a/testsupport/fakeserver/modify.go
+++ b/testsupport/fakeserver/modify.go
@@ -5,43 +5,43 @@
 	"strings"
 )
 
-// writeCost is what writing a row counts, in rows touched: the row, its page, the log.
+// writeCost is the cost of writing a row, in rows touched: the row, its page and the log.
 const writeCost = 3
 
-// insert runs what follows INSERT; ok is false where it can't be parsed.
+// insert runs an INSERT statement, of which the first word is consumed. ok is false if it cannot be parsed.
 func (d *Data) insert(p *parser) (r Result, ok bool) {
-	if !p.take("into") {
+	if !p.accept("into") {
 		return r, false
 	}
 	t, ok := d.tables[strings.ToLower(p.next())]
 	if !ok || p.next() != "(" {
 		return r, false
 	}
-	var cols []string
+	var columns []string
 	for w := p.next(); w != ")"; w = p.next() {
 		if w == "" {
 			return r, false
 		}
 		if w != "," {
-			cols = append(cols, w)
+			columns = append(columns, w)
 		}
 	}
-	if !p.take("values") {
+	if !p.accept("values") {
 		return r, false
 	}
-	for p.take("(") {
+	for p.accept("(") {
 		row := make([]string, len(t.Columns))
-		k := 0
+		column := 0
 		for w := p.next(); w != ")" && w != ""; w = p.next() {
 			if w == "," {
 				continue
 			}
-			if k < len(cols) {
-				if at := slices.Index(t.Columns, cols[k]); at >= 0 {
-					row[at] = value(w)
+			if column < len(columns) {
+				if position := slices.Index(t.Columns, columns[column]); position >= 0 {
+					row[position] = unquote(w)
 				}
 			}
-			k++
+			column++
 		}
 		for _, col := range t.Indexed {
 			v := row[slices.Index(t.Columns, col)]
@@ -50,42 +50,42 @@
 		}
 		t.Rows = append(t.Rows, row)
 		r.RowsTouched += writeCost
-		p.take(",")
+		p.accept(",")
 	}
 	r.Changed = true
 	return r, true
 }
 
-// update runs what follows UPDATE; ok is false where it can't be parsed.
+// update runs an UPDATE statement, of which the first word is consumed. ok is false if it cannot be parsed.
 func (d *Data) update(p *parser) (r Result, ok bool) {
-	t, alias, ok := d.source(p)
-	if !ok || !p.take("set") {
+	t, alias, ok := d.parseTable(p)
+	if !ok || !p.accept("set") {
 		return r, false
 	}
-	set := p.next()
+	setColumn := p.next()
 	p.next()
-	to := value(p.next())
+	newValue := unquote(p.next())
 	rows, ok := t.rowsToChange(p, alias, &r)
 	if !ok {
 		return r, false
 	}
-	at := slices.Index(t.Columns, set)
-	if at < 0 {
+	position := slices.Index(t.Columns, setColumn)
+	if position < 0 {
 		return r, true
 	}
 	for _, row := range rows {
-		row[at] = to
+		row[position] = newValue
 	}
-	if slices.Contains(t.Indexed, set) {
-		t.reindex()
+	if slices.Contains(t.Indexed, setColumn) {
+		t.rebuildIndexes()
 	}
 	return r, true
 }
 
-// remove runs what follows DELETE; ok is false where it can't be parsed.
+// remove runs a DELETE statement, of which the first word is consumed. ok is false if it cannot be parsed.
 func (d *Data) remove(p *parser) (r Result, ok bool) {
-	p.take("from")
-	t, alias, ok := d.source(p)
+	p.accept("from")
+	t, alias, ok := d.parseTable(p)
 	if !ok {
 		return r, false
 	}
@@ -98,17 +98,17 @@
 		removed[&row[0]] = true
 	}
 	t.Rows = slices.DeleteFunc(t.Rows, func(row []string) bool { return removed[&row[0]] })
-	t.reindex()
+	t.rebuildIndexes()
 	return r, true
 }
 
-// rowsToChange parses the WHERE clause and returns the rows that it selects, with their cost in r.
+// rowsToChange parses the WHERE clause and returns the rows that it selects. It adds the cost of finding and writing them to r.
 func (t *Table) rowsToChange(p *parser, alias string, r *Result) (rows [][]string, ok bool) {
-	conditions, ok := p.where()
+	conditions, ok := p.parseWhere()
 	if !ok {
 		return nil, false
 	}
-	rows = t.pick(alias, conditions, 0, &r.RowsTouched)
+	rows = t.selectRows(alias, conditions, 0, &r.RowsTouched)
 	r.RowsTouched += writeCost * len(rows)
 	r.Changed = true
 	return rows, true
--- a/testsupport/fakeserver/parse.go
+++ b/testsupport/fakeserver/parse.go
@@ -5,8 +5,8 @@
 	"unicode"
 )
 
-// tokens splits a statement into words, without its comments.
-func tokens(sql string) (words []string) {
+// tokenize splits a statement into words, quoted literals and operators, without comments.
+func tokenize(sql string) (words []string) {
 	for i := 0; i < len(sql); {
 		c := rune(sql[i])
 		switch {
@@ -46,9 +46,10 @@
 // parser reads the words of a statement one after the other.
 type parser struct {
 	words []string
-	at    int
+	at    int // index of the next word
 }
 
+// peek returns the next word without consuming it, or "" at the end.
 func (p *parser) peek() string {
 	if p.at < len(p.words) {
 		return p.words[p.at]
@@ -56,14 +57,15 @@
 	return ""
 }
 
+// next consumes and returns the next word, or "" at the end.
 func (p *parser) next() string {
 	w := p.peek()
 	p.at++
 	return w
 }
 
-// take reads words, in any case, if they come next.
-func (p *parser) take(words ...string) bool {
+// accept consumes the given words if they come next, regardless of case, and reports whether it did.
+func (p *parser) accept(words ...string) bool {
 	for i, w := range words {
 		if p.at+i >= len(p.words) || !strings.EqualFold(p.words[p.at+i], w) {
 			return false
@@ -73,5 +75,5 @@
 	return true
 }
 
-// value is a literal without its quotes.
-func value(word string) string { return strings.Trim(word, "'") }
+// unquote returns a literal without its quotes.
+func unquote(word string) string { return strings.Trim(word, "'") }
--- a/testsupport/fakeserver/select.go
+++ b/testsupport/fakeserver/select.go
@@ -6,13 +6,14 @@
 	"strings"
 )
 
-// condition is one comparison of a WHERE clause.
+// condition is one comparison in a WHERE clause.
 type condition struct {
 	col, op string
 	values  []string
 }
 
-func (c *condition) holds(v string) bool {
+// matches reports whether the condition holds for a value of its column. LIKE only supports a pattern enclosed in %.
+func (c *condition) matches(v string) bool {
 	switch c.op {
 	case "=", "in":
 		return slices.Contains(c.values, v)
@@ -20,7 +21,7 @@
 		inner := strings.Trim(c.values[0], "%")
 		return strings.Contains(v, inner)
 	}
-	d := compare(v, c.values[0])
+	d := compareValues(v, c.values[0])
 	switch c.op {
 	case "<":
 		return d < 0
@@ -34,7 +35,8 @@
 	return d != 0
 }
 
-func compare(a, b string) int {
+// compareValues compares two values as numbers if both are numbers, otherwise as strings.
+func compareValues(a, b string) int {
 	x, e1 := strconv.ParseFloat(a, 64)
 	y, e2 := strconv.ParseFloat(b, 64)
 	if e1 == nil && e2 == nil {
@@ -49,8 +51,9 @@
 	return strings.Compare(a, b)
 }
 
-func (p *parser) where() (all []condition, ok bool) {
-	if !p.take("where") {
+// parseWhere parses the WHERE clause, if there is one, into its conditions. ok is false if it cannot be parsed.
+func (p *parser) parseWhere() (conditions []condition, ok bool) {
+	if !p.accept("where") {
 		return nil, true
 	}
 	for {
@@ -61,24 +64,25 @@
 			}
 			for p.peek() != ")" && p.peek() != "" {
 				if w := p.next(); w != "," {
-					c.values = append(c.values, value(w))
+					c.values = append(c.values, unquote(w))
 				}
 			}
 			p.next()
 		} else {
-			c.values = []string{value(p.next())}
+			c.values = []string{unquote(p.next())}
 		}
 		if !slices.Contains([]string{"=", "<", ">", "<=", ">=", "<>", "in", "like"}, c.op) {
 			return nil, false
 		}
-		all = append(all, c)
-		if !p.take("and") {
-			return all, true
+		conditions = append(conditions, c)
+		if !p.accept("and") {
+			return conditions, true
 		}
 	}
 }
 
-func column(names []string, col string) int {
+// columnIndex returns the index of a column among names, which may be qualified, or -1 if there is none.
+func columnIndex(names []string, col string) int {
 	for i, n := range names {
 		if n == col || strings.HasSuffix(n, "."+col) {
 			return i
@@ -87,7 +91,8 @@
 	return -1
 }
 
-func (d *Data) source(p *parser) (t *Table, alias string, ok bool) {
+// parseTable parses the name of a table and its optional alias. ok is false if there is no such table.
+func (d *Data) parseTable(p *parser) (t *Table, alias string, ok bool) {
 	name := p.next()
 	t, ok = d.tables[strings.ToLower(name[strings.LastIndexByte(name, '.')+1:])]
 	alias = name
@@ -98,41 +103,42 @@
 	return t, alias, ok
 }
 
-func (t *Table) named(alias string) (names []string) {
+// qualifiedColumns returns the column names, each prefixed with an alias.
+func (t *Table) qualifiedColumns(alias string) (names []string) {
 	for _, c := range t.Columns {
 		names = append(names, alias+"."+c)
 	}
 	return names
 }
 
-// pick returns the rows that match the conditions on this table, by an index where an equality has one; a scan stops after limit
-// rows, if it isn't 0.
-func (t *Table) pick(alias string, all []condition, limit int, touched *int) (found [][]string) {
-	names := t.named(alias)
-	var mine []condition
-	for _, c := range all {
-		if column(names, c.col) >= 0 && (!strings.Contains(c.col, ".") || strings.HasPrefix(c.col, alias+".")) {
-			mine = append(mine, c)
+// selectRows returns the rows that match the conditions on this table, and adds the rows it reads to touched. It uses an index
+// if an equality or IN is on an indexed column. Otherwise it scans, and stops after limit matching rows if limit is not 0.
+func (t *Table) selectRows(alias string, conditions []condition, limit int, touched *int) (found [][]string) {
+	names := t.qualifiedColumns(alias)
+	var own []condition
+	for _, c := range conditions {
+		if columnIndex(names, c.col) >= 0 && (!strings.Contains(c.col, ".") || strings.HasPrefix(c.col, alias+".")) {
+			own = append(own, c)
 		}
 	}
-	check := func(row []string) bool {
+	match := func(row []string) bool {
 		*touched++
-		for _, c := range mine {
-			if !c.holds(row[column(names, c.col)]) {
+		for _, c := range own {
+			if !c.matches(row[columnIndex(names, c.col)]) {
 				return false
 			}
 		}
 		return true
 	}
-	for _, c := range mine {
-		by, ok := t.index[c.col[strings.LastIndexByte(c.col, '.')+1:]]
+	for _, c := range own {
+		index, ok := t.index[c.col[strings.LastIndexByte(c.col, '.')+1:]]
 		if !ok || c.op != "=" && c.op != "in" {
 			continue
 		}
 		for _, v := range c.values {
 			*touched++
-			for _, i := range by[v] {
-				if check(t.Rows[i]) {
+			for _, i := range index[v] {
+				if match(t.Rows[i]) {
 					found = append(found, t.Rows[i])
 				}
 			}
@@ -140,7 +146,7 @@
 		return found
 	}
 	for _, row := range t.Rows {
-		if check(row) {
+		if match(row) {
 			if found = append(found, row); len(found) == limit {
 				break
 			}
@@ -149,14 +155,14 @@
 	return found
 }
 
-// join is one JOIN of a query: the rows of table whose column right equals the column left of the rows so far.
+// join is one JOIN of a query: it joins each row so far to the rows of table whose column right equals the row's column left.
 type join struct {
 	table       *Table
 	alias       string
 	left, right string
 }
 
-// query is a parsed SELECT.
+// query is a parsed SELECT statement.
 type query struct {
 	columns    []string // the words of the select list
 	table      *Table
@@ -169,10 +175,10 @@
 	limit      int // 0 for none
 }
 
-// aggregates reports whether the query groups or calls a function.
+// aggregates reports whether the query groups rows or calls a function.
 func (q *query) aggregates() bool { return q.groupBy != "" || slices.Contains(q.columns, "(") }
 
-// scanLimit is how many matching rows a scan may stop after, 0 for all.
+// scanLimit returns after how many matching rows a scan may stop, or 0 if it must read all rows.
 func (q *query) scanLimit() int {
 	if len(q.joins) == 0 && !q.aggregates() && q.orderBy == "" {
 		return q.limit
@@ -180,38 +186,38 @@
 	return 0
 }
 
-// query parses what follows SELECT.
-func (d *Data) query(p *parser) (q query, ok bool) {
-	if q.columns, ok = p.selectList(); !ok {
+// parseQuery parses a SELECT statement, of which the first word is consumed.
+func (d *Data) parseQuery(p *parser) (q query, ok bool) {
+	if q.columns, ok = p.parseSelectList(); !ok {
 		return q, false
 	}
-	if q.table, q.alias, ok = d.source(p); !ok {
+	if q.table, q.alias, ok = d.parseTable(p); !ok {
 		return q, false
 	}
-	for p.take("join") || p.take("inner", "join") {
-		j, ok := d.join(p)
+	for p.accept("join") || p.accept("inner", "join") {
+		j, ok := d.parseJoin(p)
 		if !ok {
 			return q, false
 		}
 		q.joins = append(q.joins, j)
 	}
-	if q.conditions, ok = p.where(); !ok {
+	if q.conditions, ok = p.parseWhere(); !ok {
 		return q, false
 	}
-	if p.take("group", "by") {
+	if p.accept("group", "by") {
 		q.groupBy = p.next()
 	}
-	if p.take("order", "by") {
-		q.orderBy, q.descending = p.next(), p.take("desc")
+	if p.accept("order", "by") {
+		q.orderBy, q.descending = p.next(), p.accept("desc")
 	}
-	if p.take("limit") {
-		q.limit, _ = strconv.Atoi(p.next()) // what is no number is no limit
+	if p.accept("limit") {
+		q.limit, _ = strconv.Atoi(p.next()) // an invalid number means no limit
 	}
 	return q, true
 }
 
-// selectList returns the words up to the FROM that belongs to the query itself.
-func (p *parser) selectList() (words []string, ok bool) {
+// parseSelectList returns the words before the FROM that belongs to the query itself, and consumes that FROM.
+func (p *parser) parseSelectList() (words []string, ok bool) {
 	depth := 0
 	for w := p.next(); !strings.EqualFold(w, "from") || depth > 0; w = p.next() {
 		switch w {
@@ -227,9 +233,9 @@
 	return words, true
 }
 
-// join parses what follows JOIN.
-func (d *Data) join(p *parser) (j join, ok bool) {
-	if j.table, j.alias, ok = d.source(p); !ok || !p.take("on") {
+// parseJoin parses what follows the word JOIN.
+func (d *Data) parseJoin(p *parser) (j join, ok bool) {
+	if j.table, j.alias, ok = d.parseTable(p); !ok || !p.accept("on") {
 		return j, false
 	}
 	a := p.next()
@@ -242,29 +248,29 @@
 	return j, true
 }
 
-// runSelect runs what follows SELECT; ok is false where it can't be parsed.
+// runSelect runs a SELECT statement, of which the first word is consumed. ok is false if it cannot be parsed.
 func (d *Data) runSelect(p *parser) (r Result, ok bool) {
-	q, ok := d.query(p)
+	q, ok := d.parseQuery(p)
 	if !ok {
 		return r, false
 	}
-	rows := q.table.pick(q.alias, q.conditions, q.scanLimit(), &r.RowsTouched)
-	names := q.table.named(q.alias)
+	rows := q.table.selectRows(q.alias, q.conditions, q.scanLimit(), &r.RowsTouched)
+	names := q.table.qualifiedColumns(q.alias)
 	for _, j := range q.joins {
-		if names, rows, ok = j.run(names, rows, q.conditions, &r.RowsTouched); !ok {
+		if names, rows, ok = j.apply(names, rows, q.conditions, &r.RowsTouched); !ok {
 			return r, false
 		}
 	}
 	orderBy := q.orderBy
 	if q.aggregates() {
-		rows = countByGroup(rows, column(names, q.groupBy), &r.RowsTouched)
+		rows = countByGroup(rows, columnIndex(names, q.groupBy), &r.RowsTouched)
 		if len(rows) == 0 && q.groupBy == "" {
 			rows = [][]string{{"", "0"}}
 		}
 		orderBy = ""
 	}
-	if at := column(names, orderBy); orderBy != "" && at >= 0 {
-		sortRows(rows, at, q.descending, &r.RowsTouched)
+	if position := columnIndex(names, orderBy); orderBy != "" && position >= 0 {
+		sortRows(rows, position, q.descending, &r.RowsTouched)
 	}
 	if q.limit > 0 && len(rows) > q.limit {
 		rows = rows[:q.limit]
@@ -273,9 +279,10 @@
 	return r, true
 }
 
-// run joins rows, whose columns have names, to the join's table and applies the conditions.
-func (j *join) run(names []string, rows [][]string, conditions []condition, touched *int) (joined []string, result [][]string, ok bool) {
-	key, at := column(j.table.named(j.alias), j.right), column(names, j.left)
+// apply joins rows to the table of the join, and keeps the joined rows that match the conditions. names are the columns of
+// rows, and joined those of the result. ok is false if a column of the join does not exist.
+func (j *join) apply(names []string, rows [][]string, conditions []condition, touched *int) (joined []string, result [][]string, ok bool) {
+	key, at := columnIndex(j.table.qualifiedColumns(j.alias), j.right), columnIndex(names, j.left)
 	if key < 0 || at < 0 {
 		return nil, nil, false
 	}
@@ -286,11 +293,12 @@
 			result = append(result, append(slices.Clone(row), j.table.Rows[i]...))
 		}
 	}
-	joined = append(names, j.table.named(j.alias)...) //nolint:gocritic // the caller replaces names by it
-	return joined, slices.DeleteFunc(result, func(row []string) bool { return !holdAll(conditions, joined, row) }), true
+	joined = append(names, j.table.qualifiedColumns(j.alias)...) //nolint:gocritic // the caller replaces names by it
+	return joined, slices.DeleteFunc(result, func(row []string) bool { return !matchesAll(conditions, joined, row) }), true
 }
 
-// rowsByValue returns the table's index of a column. Where there is none, the table is read once, as a hash join does.
+// rowsByValue returns the positions of the rows of the joined table by their value in column key. If the column has no index,
+// the table is scanned once, as for a hash join.
 func (j *join) rowsByValue(key int, touched *int) map[string][]int {
 	if index, ok := j.table.index[j.table.Columns[key]]; ok {
 		return index
@@ -303,24 +311,25 @@
 	return byValue
 }
 
-// holdAll reports whether all conditions on the named columns hold for a row.
-func holdAll(conditions []condition, names []string, row []string) bool {
+// matchesAll reports whether a row matches all conditions on the named columns. Conditions on other columns are ignored.
+func matchesAll(conditions []condition, names []string, row []string) bool {
 	for _, c := range conditions {
-		if at := column(names, c.col); at >= 0 && !c.holds(row[at]) {
+		if at := columnIndex(names, c.col); at >= 0 && !c.matches(row[at]) {
 			return false
 		}
 	}
 	return true
 }
 
-// countByGroup returns a row for each value of a column with how often it stands; without a column (-1) it counts all rows.
-func countByGroup(rows [][]string, at int, touched *int) (counted [][]string) {
+// countByGroup returns one row for each value of a column, with the value and the number of rows that have it. If column is -1,
+// it counts all rows.
+func countByGroup(rows [][]string, column int, touched *int) (counted [][]string) {
 	counts := map[string]int{}
 	for _, row := range rows {
 		*touched++
 		key := ""
-		if at >= 0 {
-			key = row[at]
+		if column >= 0 {
+			key = row[column]
 		}
 		counts[key]++
 	}
@@ -330,13 +339,13 @@
 	return counted
 }
 
-// sortRows sorts by a column.
-func sortRows(rows [][]string, at int, descending bool, touched *int) {
+// sortRows sorts rows by a column.
+func sortRows(rows [][]string, column int, descending bool, touched *int) {
 	slices.SortStableFunc(rows, func(a, b []string) int {
 		*touched++ // a comparison reads two rows
 		if descending {
 			a, b = b, a
 		}
-		return compare(a[at], b[at])
+		return compareValues(a[column], b[column])
 	})
 }
--- a/testsupport/fakeserver/server.go
+++ b/testsupport/fakeserver/server.go
@@ -14,43 +14,43 @@
 	"dapplerouter/pgwire"
 )
 
-// Group is a primary and its replicas over the same data.
+// Group is a primary and its replicas, which serve the same data.
 type Group struct {
-	ID              int // as endpoint lists have it
+	ID              int // number of the group in endpoint lists
 	Data            *Data
-	DurationPerRow  time.Duration // time that a touched row takes
-	MinDuration     time.Duration // time that a statement takes at least
-	Cores           int           // statements that a server runs at once; more wait
+	DurationPerRow  time.Duration // execution time for each touched row
+	MinDuration     time.Duration // execution time of a statement that touches no row
+	Cores           int           // statements that a server runs concurrently; others wait
 	Servers         []*Server
-	ForeignServers  []*Server    // servers of other groups that this group's endpoint list names too
-	Primary         atomic.Int64 // index of the primary
-	ReplicaLag      atomic.Int64 // nanoseconds by which replicas are behind
+	ForeignServers  []*Server    // servers of other groups that this group's endpoint list also contains
+	Primary         atomic.Int64 // index of the primary in Servers
+	ReplicaLag      atomic.Int64 // nanoseconds by which replicas lag behind the primary
 	WallClockOffset atomic.Int64 // nanoseconds by which the servers' wall clocks are ahead of this process's
 
 	HealthChecks atomic.Int64 // health checks received
-	Unanswered   atomic.Int64 // statements that a hanging server received
+	Unanswered   atomic.Int64 // statements that hanging servers received
 
 	DedupWindow time.Duration // how long an idempotency key is remembered
 
-	mu         sync.Mutex           // guards what follows
-	committed  map[string]int       // by id: changes that took effect
-	keysSeenAt map[string]time.Time // by idempotency key (k): when its statement came
+	mu         sync.Mutex           // guards the fields below
+	committed  map[string]int       // number of executed changes by request id
+	keysSeenAt map[string]time.Time // time of the first statement within the window, by idempotency key (k)
 }
 
-// Statement is a statement that reached a server, recorded before it is run.
+// Statement is a statement that reached a server. It is recorded before it is run.
 type Statement struct {
 	ID, SQL string
-	Primary bool // the server was the primary then
+	Primary bool // the server was the primary at that time
 	At      time.Time
 }
 
-// Fault is what goes wrong with a statement; the zero value is no fault.
+// Fault is a fault injected into a statement. The zero value is no fault.
 type Fault struct {
-	Code        string // respond with this code, run nothing
-	BreakBefore bool   // close the connection, run nothing
-	BreakAfter  bool   // run it and close the connection without a response
-	Delay       time.Duration
-	RawResponse []byte // respond with these bytes in place of the result
+	Code        string        // respond with this error code and do not run the statement
+	BreakBefore bool          // close the connection and do not run the statement
+	BreakAfter  bool          // run the statement and close the connection without a response
+	Delay       time.Duration // wait before the statement is run or the fault takes effect
+	RawResponse []byte        // respond with these bytes instead of the result
 }
 
 // Server is one server of a group.
@@ -61,18 +61,18 @@
 	listener net.Listener
 	cores    chan struct{}
 
-	mu            sync.Mutex // guards what follows
-	seen          []Statement
+	mu            sync.Mutex // guards the fields below
+	statements    []Statement
 	fault         func(n int, sql string) Fault
 	conns         map[net.Conn]struct{}
 	closed        bool
-	hangs         bool
-	greetingDelay time.Duration // delay of the greeting of a new connection
+	hanging       bool
+	greetingDelay time.Duration // delay before the greeting of a new connection
 	goroutines    sync.WaitGroup
 }
 
-// Start starts a group on loopback whose first server is the primary. Each server runs cores statements at once; a statement takes minDuration,
-// and durationPerRow for each row that it touches. The error is that of a listener.
+// Start starts a group on loopback whose first server is the primary. Each server runs up to cores statements concurrently. A
+// statement takes minDuration plus durationPerRow for each row that it touches. The error is that of a listener.
 func Start(d *Data, servers, cores int, minDuration, durationPerRow time.Duration) (*Group, error) {
 	g := &Group{Data: d, MinDuration: minDuration, DurationPerRow: durationPerRow, Cores: cores, committed: map[string]int{},
 		keysSeenAt: map[string]time.Time{}, DedupWindow: 2 * time.Second}
@@ -82,28 +82,29 @@
 			g.Close()
 			return nil, err
 		}
-		s := &Server{Name: fmt.Sprintf("s-%d", i), group: g, index: i, listener: l, cores: make(chan struct{}, cores), conns: map[net.Conn]struct{}{}}
+		s := &Server{Name: fmt.Sprintf("s-%d", i), group: g, index: i, listener: l, cores: make(chan struct{}, cores),
+			conns: map[net.Conn]struct{}{}}
 		g.Servers = append(g.Servers, s)
 		s.goroutines.Go(s.accept)
 	}
 	return g, nil
 }
 
-// Close closes the servers and their connections and waits for their goroutines.
+// Close closes the servers and their connections, and waits for their goroutines.
 func (g *Group) Close() {
-	for _, m := range g.Servers {
-		_ = m.listener.Close()
-		m.mu.Lock()
-		m.closed = true
-		for c := range m.conns {
+	for _, s := range g.Servers {
+		_ = s.listener.Close()
+		s.mu.Lock()
+		s.closed = true
+		for c := range s.conns {
 			_ = c.Close()
 		}
-		m.mu.Unlock()
-		m.goroutines.Wait()
+		s.mu.Unlock()
+		s.goroutines.Wait()
 	}
 }
 
-// ExecutionCount returns how often the change of an id took effect.
+// ExecutionCount returns how often the change with a request id was executed.
 func (g *Group) ExecutionCount(id string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -113,18 +114,19 @@
 // Address returns the host and port that the server listens on.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Statements returns the statements that have reached the server.
+// Statements returns the statements that reached the server, in order.
 func (s *Server) Statements() []Statement {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]Statement{}, s.seen...)
+	return append([]Statement{}, s.statements...)
 }
 
-// Hang makes the server accept connections and respond to nothing while it is on; switching it off closes its connections.
+// Hang makes the server accept connections but respond to no statement while on is true. Switching it off closes all
+// connections of the server.
 func (s *Server) Hang(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hangs = on
+	s.hanging = on
 	if !on {
 		for c := range s.conns {
 			_ = c.Close()
@@ -139,27 +141,29 @@
 	s.greetingDelay = delay
 }
 
-func (s *Server) welcomeDelay() time.Duration {
+func (s *Server) currentGreetingDelay() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.greetingDelay
 }
 
-func (s *Server) hung() bool {
+func (s *Server) isHanging() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.hangs
+	return s.hanging
 }
 
-// SetFault sets the fault of each statement from now on; n counts the server's statements from 0.
+// SetFault sets the function that chooses the fault of each statement from now on; n counts the statements of the server from
+// 0.
 func (s *Server) SetFault(f func(n int, sql string) Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 }
 
-func (s *Server) primary() bool { return s.group.Primary.Load() == int64(s.index) }
+func (s *Server) isPrimary() bool { return s.group.Primary.Load() == int64(s.index) }
 
+// accept accepts connections and serves each in its own goroutine, until the listener is closed.
 func (s *Server) accept() {
 	for {
 		c, err := s.listener.Accept()
@@ -186,6 +190,7 @@
 	}
 }
 
+// serve handles the startup of a connection and then its statements, until the connection ends or is closed by a fault.
 func (s *Server) serve(c net.Conn) {
 	r := pgwire.NewReader(c, 4096, 1<<20)
 	for {
@@ -200,7 +205,7 @@
 			return
 		}
 	}
-	time.Sleep(s.welcomeDelay())
+	time.Sleep(s.currentGreetingDelay())
 	if _, err := c.Write(pgwire.AppendGreeting(nil)); err != nil {
 		return
 	}
@@ -209,7 +214,7 @@
 		if err != nil || typ != 'Q' || len(body) == 0 {
 			return
 		}
-		if s.hung() {
+		if s.isHanging() {
 			if isHealthCheck(string(body[:len(body)-1])) {
 				s.group.HealthChecks.Add(1)
 			} else {
@@ -217,7 +222,7 @@
 			}
 			continue
 		}
-		answer, ok := s.answer(string(body[:len(body)-1]))
+		answer, ok := s.respond(string(body[:len(body)-1]))
 		if !ok {
 			return
 		}
@@ -234,30 +239,31 @@
 	writePattern          = regexp.MustCompile(`(?is)^\s*(/\*.*?\*/\s*)*(insert|update|delete|merge|truncate)\b`)
 )
 
-// Now returns the servers' wall clock.
+// Now returns the wall clock of the servers.
 func (g *Group) Now() time.Time { return time.Now().Add(time.Duration(g.WallClockOffset.Load())) }
 
-// applied is the log position in Unix milliseconds: the time up to which all changes are applied here.
-func (s *Server) applied(now time.Time) int64 {
+// appliedMillis returns the log position of the server in Unix milliseconds: the time up to which all changes are applied. now
+// is a time of this process's clock.
+func (s *Server) appliedMillis(now time.Time) int64 {
 	now = now.Add(time.Duration(s.group.WallClockOffset.Load()))
-	if s.primary() {
+	if s.isPrimary() {
 		return now.UnixMilli()
 	}
 	return now.Add(-time.Duration(s.group.ReplicaLag.Load())).UnixMilli()
 }
 
-// answer runs a statement and returns the response; without ok the connection is closed in its place.
-func (s *Server) answer(sql string) (response []byte, ok bool) {
+// respond runs a statement and returns the response. If ok is false, the connection must be closed without a response.
+func (s *Server) respond(sql string) (response []byte, ok bool) {
 	now := time.Now()
 	if isHealthCheck(sql) {
 		s.group.HealthChecks.Add(1)
 		return s.loadReport(now), true
 	}
 	id := ""
-	if f := requestIDPattern.FindAllStringSubmatch(sql, -1); f != nil { // the last comment is the client's own
+	if f := requestIDPattern.FindAllStringSubmatch(sql, -1); f != nil { // the last comment is that of the client
 		id = f[len(f)-1][1]
 	}
-	primary := s.primary()
+	primary := s.isPrimary()
 	fault := s.record(Statement{id, sql, primary, now})
 	time.Sleep(fault.Delay)
 	switch {
@@ -273,63 +279,65 @@
 	return s.execute(sql, id, primary, now, fault)
 }
 
+// isHealthCheck reports whether a statement is one of the health checks of a router.
 func isHealthCheck(sql string) bool {
 	plain := strings.TrimSpace(sql)
 	return plain == "SELECT 1" || plain == "SHOW load"
 }
 
-// loadReport is the response to a health check.
+// loadReport returns the response to a health check.
 func (s *Server) loadReport(now time.Time) []byte {
-	primary, role := s.primary(), 0
+	primary, role := s.isPrimary(), 0
 	if primary {
 		role = 1
 	}
-	report := fmt.Sprintf("x0=%.3f,x1=%d,inflight=0", float64(s.applied(now))/1e3, role)
-	return s.appendStatus(rows(nil, [][]string{{report}}, "SHOW"), primary, now)
+	report := fmt.Sprintf("x0=%.3f,x1=%d,inflight=0", float64(s.appliedMillis(now))/1e3, role)
+	return s.appendStatus(appendResult(nil, [][]string{{report}}, "SHOW"), primary, now)
 }
 
-// record notes a statement and returns the fault that is set for it.
+// record records a statement and returns the fault to inject into it.
 func (s *Server) record(statement Statement) (f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := len(s.seen)
-	s.seen = append(s.seen, statement)
+	n := len(s.statements)
+	s.statements = append(s.statements, statement)
 	if s.fault != nil {
 		f = s.fault(n, statement.SQL)
 	}
 	return f
 }
 
-// isBehind reports whether the position that a statement asks for is not applied here yet.
+// isBehind reports whether a statement requires a log position that the server has not applied yet.
 func (s *Server) isBehind(sql string, now time.Time) bool {
 	f := minPositionPattern.FindStringSubmatch(sql)
 	if f == nil {
 		return false
 	}
-	after, _ := strconv.ParseInt(f[1], 10, 64) // digits; one too long is the greatest
-	return after > s.applied(now)
+	after, _ := strconv.ParseInt(f[1], 10, 64) // only digits match; out of range gives the maximum
+	return after > s.appliedMillis(now)
 }
 
-// execute runs a statement once one of the server's cores is free, and takes as long as its work does.
+// execute runs a statement as soon as one of the server's cores is free, and occupies the core for as long as the work takes.
+// If ok is false, the connection must be closed without a response.
 func (s *Server) execute(sql, id string, primary bool, received time.Time, fault Fault) (response []byte, ok bool) {
 	s.cores <- struct{}{}
-	began := time.Now()
-	if s.isRepeat(primary, sql, received) { // a repeat: answered as before, without an effect
+	startedAt := time.Now()
+	if s.isRepeat(primary, sql, received) { // the same response as before, without another execution
 		<-s.cores
-		return s.appendStatus(rows(nil, [][]string{{id}}, "INSERT 0 1"), primary, time.Now()), true
+		return s.appendStatus(appendResult(nil, [][]string{{id}}, "INSERT 0 1"), primary, time.Now()), true
 	}
-	snapshot := s.applied(time.Now())
-	res := s.group.Data.Run(sql)
-	took := s.group.MinDuration + time.Duration(res.RowsTouched)*s.group.DurationPerRow
-	time.Sleep(took - time.Since(began))
+	snapshot := s.appliedMillis(time.Now())
+	result := s.group.Data.Run(sql)
+	duration := s.group.MinDuration + time.Duration(result.RowsTouched)*s.group.DurationPerRow
+	time.Sleep(duration - time.Since(startedAt))
 	<-s.cores
-	if primary && (res.Changed || writePattern.MatchString(sql)) {
+	if primary && (result.Changed || writePattern.MatchString(sql)) {
 		s.group.mu.Lock()
 		s.group.committed[id]++
 		s.group.mu.Unlock()
 	}
-	if strings.Contains(sql, "age_of_data") { // what the client may compare the answer with
-		res.Rows = [][]string{{strconv.FormatInt(snapshot, 10)}}
+	if strings.Contains(sql, "age_of_data") { // lets the client check how old the data is
+		result.Rows = [][]string{{strconv.FormatInt(snapshot, 10)}}
 	}
 	if fault.BreakAfter {
 		return nil, false
@@ -337,60 +345,66 @@
 	if fault.RawResponse != nil {
 		return fault.RawResponse, true
 	}
-	return s.appendStatus(encodeResult(res, sql, id), primary, time.Now()), true
+	return s.appendStatus(encodeResult(result, sql, id), primary, time.Now()), true
 }
 
-// encodeResult is a result as messages; a change returns its id where it asks for RETURNING.
-func encodeResult(res Result, sql, id string) []byte {
-	if res.Changed && !strings.Contains(strings.ToLower(sql), "returning") {
-		return complete(nil, "UPDATE 1")
+// encodeResult encodes a result as messages. A change with a RETURNING clause returns its request id.
+func encodeResult(result Result, sql, id string) []byte {
+	if result.Changed && !strings.Contains(strings.ToLower(sql), "returning") {
+		return appendCommandComplete(nil, "UPDATE 1")
 	}
-	if res.Changed {
-		res.Rows = [][]string{{id}}
+	if result.Changed {
+		result.Rows = [][]string{{id}}
 	}
-	return rows(nil, res.Rows, "SELECT "+strconv.Itoa(len(res.Rows)))
+	return appendResult(nil, result.Rows, "SELECT "+strconv.Itoa(len(result.Rows)))
 }
 
-// isRepeat reports whether a statement with the same idempotency key came within the window before, and records the first. The window
-// begins when a statement comes, however long it waits to be run.
-func (s *Server) isRepeat(primary bool, sql string, came time.Time) bool {
+// isRepeat reports whether a write with the same idempotency key was received within the window, and otherwise records this
+// one. The window begins when a statement is received, however long the statement then waits to be run.
+func (s *Server) isRepeat(primary bool, sql string, received time.Time) bool {
 	f := idempotencyKeyPattern.FindStringSubmatch(sql)
 	if f == nil || !primary || !writePattern.MatchString(sql) {
 		return false
 	}
 	s.group.mu.Lock()
 	defer s.group.mu.Unlock()
-	if at, ok := s.group.keysSeenAt[f[1]]; ok && came.Sub(at) < s.group.DedupWindow {
+	if firstAt, ok := s.group.keysSeenAt[f[1]]; ok && received.Sub(firstAt) < s.group.DedupWindow {
 		return true
 	}
-	s.group.keysSeenAt[f[1]] = came
+	s.group.keysSeenAt[f[1]] = received
 	return false
 }
 
-func (s *Server) errorResponse(code, what string) []byte {
-	return s.appendStatus(pgwire.AppendErrorResponse(nil, pgwire.ErrorResponse{Severity: "ERROR", Code: code, Message: what}), s.primary(), time.Now())
+// errorResponse returns an ErrorResponse with the status of the server and ReadyForQuery.
+func (s *Server) errorResponse(code, text string) []byte {
+	return s.appendStatus(pgwire.AppendErrorResponse(nil, pgwire.ErrorResponse{Severity: "ERROR", Code: code, Message: text}),
+		s.isPrimary(), time.Now())
 }
 
-// appendStatus appends role and position, as servers report them, and that the connection is ready.
+// appendStatus appends the role and the log position, as servers report them, and ReadyForQuery.
 func (s *Server) appendStatus(b []byte, primary bool, now time.Time) []byte {
 	role := "replica"
 	if primary {
 		role = "primary"
 	}
 	b = pgwire.AppendParameterStatus(b, "role", role)
-	b = pgwire.AppendParameterStatus(b, "applied_ms", strconv.FormatInt(s.applied(now), 10))
+	b = pgwire.AppendParameterStatus(b, "applied_ms", strconv.FormatInt(s.appliedMillis(now), 10))
 	return pgwire.AppendReadyForQuery(b)
 }
 
-func message(b []byte, typ byte, body []byte) []byte {
+// appendMessage appends a message of a type.
+func appendMessage(b []byte, typ byte, body []byte) []byte {
 	b = binary.BigEndian.AppendUint32(append(b, typ), uint32(len(body)+4))
 	return append(b, body...)
 }
 
-func complete(b []byte, tag string) []byte { return message(b, 'C', append([]byte(tag), 0)) }
+// appendCommandComplete appends a CommandComplete message.
+func appendCommandComplete(b []byte, tag string) []byte {
+	return appendMessage(b, 'C', append([]byte(tag), 0))
+}
 
-// rows appends a result of text columns.
-func rows(b []byte, rows [][]string, tag string) []byte {
+// appendResult appends the messages of a result with text columns: RowDescription, a DataRow for each row, and CommandComplete.
+func appendResult(b []byte, rows [][]string, tag string) []byte {
 	width := 1
 	if len(rows) > 0 {
 		width = len(rows[0])
@@ -400,13 +414,13 @@
 		head = append(append(head, fmt.Sprintf("c%d", i)...), 0)
 		head = append(head, 0, 0, 0, 0, 0, 0, 0, 0, 0, 25, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0, 0)
 	}
-	b = message(b, 'T', head)
+	b = appendMessage(b, 'T', head)
 	for _, r := range rows {
 		d := binary.BigEndian.AppendUint16(nil, uint16(width))
 		for _, v := range r {
 			d = append(binary.BigEndian.AppendUint32(d, uint32(len(v))), v...)
 		}
-		b = message(b, 'D', d)
+		b = appendMessage(b, 'D', d)
 	}
-	return complete(b, tag)
+	return appendCommandComplete(b, tag)
 }
--- a/testsupport/fakeserver/tables.go
+++ b/testsupport/fakeserver/tables.go
@@ -1,8 +1,9 @@
-// Package fakeserver is a group of fake database servers on loopback: it speaks version 3 of PostgreSQL's protocol, acts as a
-// primary and its replicas, records which statements reached which server, and takes as long as the work of a statement in
-// tables held in memory would. For tests and measurements only; nothing in service imports it.
+// Package fakeserver is a group of fake database servers on loopback, a primary and its replicas. It speaks version 3 of
+// PostgreSQL's protocol, runs statements on tables in memory, takes a time that depends on their work, and records which
+// statements reached which server. It is only for tests and measurements; no production code imports it.
 //
-// A Group owns its servers, and a server its listener and connections, each served by one goroutine; Group.Close ends them all.
+// A Group owns its servers. A server owns its listener and connections, each served by one goroutine. Group.Close ends them
+// all.
 package fakeserver
 
 import (
@@ -13,56 +14,57 @@
 	"sync"
 )
 
-// Table is rows of columns; columns named in Indexed are found without a scan.
+// Table is a table of texts. Columns named in Indexed have an index, so that an equality on them needs no scan.
 type Table struct {
 	Columns []string
 	Indexed []string
 	Rows    [][]string
 
-	index map[string]map[string][]int
+	index map[string]map[string][]int // by column and value: the positions of rows in Rows
 }
 
-// Data is the tables of a group. Its statements are a small part of SQL, run by loops over the rows:
+// Data holds the tables of a group. It runs statements of a small part of SQL by loops over the rows:
 //
 //	SELECT list FROM t [x] [JOIN u [y] ON a = b]... [WHERE c AND c...] [GROUP BY col] [ORDER BY col [DESC]] [LIMIT n]
 //	INSERT INTO t (cols) VALUES (...), (...)   UPDATE t SET col = value [WHERE ...]   DELETE FROM t [WHERE ...]
 //
-// What it can't read makes no work and gives one row.
+// A statement that cannot be parsed touches no rows and returns one row.
 type Data struct {
 	mu     sync.RWMutex
 	tables map[string]*Table
 }
 
-// NewData makes Data of tables by name.
+// NewData returns Data with the given tables by name, and builds their indexes.
 func NewData(tables map[string]*Table) *Data {
 	for _, t := range tables {
-		t.reindex()
+		t.rebuildIndexes()
 	}
 	return &Data{tables: tables}
 }
 
-func (t *Table) reindex() {
+// rebuildIndexes builds the indexes from the rows.
+func (t *Table) rebuildIndexes() {
 	t.index = map[string]map[string][]int{}
 	for _, col := range t.Indexed {
-		at, by := slices.Index(t.Columns, col), map[string][]int{}
+		column, rows := slices.Index(t.Columns, col), map[string][]int{}
 		for i, row := range t.Rows {
-			by[row[at]] = append(by[row[at]], i)
+			rows[row[column]] = append(rows[row[column]], i)
 		}
-		t.index[col] = by
+		t.index[col] = rows
 	}
 }
 
-// Result is what a statement brought, and the rows that it touched on the way.
+// Result is the result of a statement.
 type Result struct {
 	Rows        [][]string
-	RowsTouched int
-	Parsed      bool // it could be read
-	Changed     bool
+	RowsTouched int  // rows read and written, the measure of the work
+	Parsed      bool // the statement could be parsed
+	Changed     bool // the statement was an INSERT, UPDATE or DELETE that ran
 }
 
-// Run runs a statement.
+// Run runs a statement. Statements run one at a time.
 func (d *Data) Run(sql string) Result {
-	p := &parser{words: tokens(sql)}
+	p := &parser{words: tokenize(sql)}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	r, ok := Result{}, false
@@ -83,7 +85,8 @@
 	return r
 }
 
-// NewBookingData makes tables like those of a booking service, of sizes that differ a hundredfold.
+// NewBookingData returns tables like those of a booking service: houses, their tables, and bookings, with the given numbers of
+// rows.
 func NewBookingData(houses, tables, bookings int) *Data {
 	h := &Table{Columns: []string{"id", "name", "area"}, Indexed: []string{"id"}}
 	for i := range houses {
--- a/testsupport/faultproxy/proxy.go
+++ b/testsupport/faultproxy/proxy.go
@@ -1,8 +1,8 @@
-// Package faultproxy is a TCP proxy on loopback that injects network faults: it delays, stalls, drops, corrupts or breaks what
-// passes, as its owner sets it or by seeded chance. For tests and measurements only.
+// Package faultproxy is a TCP proxy on loopback that injects network faults: it delays, stalls, drops, corrupts or cuts off the
+// traffic that it forwards, as set by its owner or at random from a seed. It is only for tests and measurements.
 //
-// A Proxy owns its listener, its connections and two goroutines for each direction of a connection; Close ends them all. Its mutex
-// guards the conditions and the set of connections.
+// A Proxy owns its listener, its connections and two goroutines for each direction of a connection; Close ends them all. Its
+// mutex guards the conditions and the set of connections.
 package faultproxy
 
 import (
@@ -12,45 +12,46 @@
 	"time"
 )
 
-// Direction is a direction of traffic.
+// Direction is a direction of traffic through the proxy.
 type Direction int
 
-// The directions, by who dialled the proxy.
+// The directions, as seen from the client, which dialled the proxy.
 const (
 	ToTarget   Direction = iota // from the client to the target
 	FromTarget                  // from the target to the client
 )
 
-// Conditions are what happens to the traffic of one direction. The zero value passes everything on at once.
+// Conditions are the faults of the traffic in one direction. With the zero value all traffic is forwarded at once.
 type Conditions struct {
-	Delay, Jitter      time.Duration // a chunk comes later by Delay and up to Jitter; order is preserved
-	BytesPerSecond     int64         // bytes a second, 0 for no limit
-	Stall              bool          // nothing is read
-	Blackhole          bool          // everything is read and nothing is written
-	BreakAfterBytes    int64         // the connection ends after this many more bytes, 0 for never
-	CorruptProbability float64       // probability that a byte of a chunk is changed
+	Delay, Jitter      time.Duration // a chunk is delayed by Delay plus a random time of up to Jitter; order is preserved
+	BytesPerSecond     int64         // 0 for no limit
+	Stall              bool          // nothing is read or written
+	Blackhole          bool          // everything is read, nothing is written
+	BreakAfterBytes    int64         // after this many more bytes the connection that carried the last of them is reset; 0 for never
+	CorruptProbability float64       // probability that one byte of a chunk is changed
 }
 
-// Proxy listens on loopback, and forwards each connection to a target.
+// Proxy listens on loopback and forwards each connection to a target.
 type Proxy struct {
 	listener net.Listener
 	target   string
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below, except goroutines
 	conditions  [2]Conditions
-	rejects     bool
+	rejectNew   bool
 	connections map[*connection]struct{}
 	rnd         *rand.Rand
 	changed     *sync.Cond
 	closed      bool
 	goroutines  sync.WaitGroup
-	BytesRead   [2]int64 // bytes read, by direction
+	BytesRead   [2]int64 // indexed by Direction
 }
 
-// connection is one client's connection and its counterpart to the target.
+// connection is a connection of a client and the connection to the target that belongs to it.
 type connection struct{ client, target net.Conn }
 
-// New starts a Proxy that forwards to target; seed is that of Jitter and CorruptProbability. The error is that of the listener.
+// New starts a Proxy that forwards to target. seed is the seed of the random numbers for Jitter and CorruptProbability. The
+// error is that of the listener.
 func New(target string, seed uint64) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -62,39 +63,40 @@
 	return p, nil
 }
 
-// Address returns the host and port that it listens on.
+// Address returns the host and port that the proxy listens on.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// SetConditions changes what happens to the traffic of a direction.
-func (p *Proxy) SetConditions(w Direction, to Conditions) {
+// SetConditions sets the conditions of a direction, for present and future connections.
+func (p *Proxy) SetConditions(direction Direction, conditions Conditions) {
 	p.mu.Lock()
-	p.conditions[w] = to
+	p.conditions[direction] = conditions
 	p.changed.Broadcast()
 	p.mu.Unlock()
 }
 
-// RejectConnections makes new connections end at once while it is on.
+// RejectConnections makes the proxy close new connections at once while on is true.
 func (p *Proxy) RejectConnections(on bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.rejects = on
+	p.rejectNew = on
 }
 
 // ResetConnections resets all connections.
 func (p *Proxy) ResetConnections() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for connections := range p.connections {
-		connections.end()
+	for conn := range p.connections {
+		conn.reset()
 	}
 }
 
-func (p *connection) end() {
-	for _, c := range []net.Conn{p.client, p.target} {
-		if t, ok := c.(*net.TCPConn); ok {
-			_ = t.SetLinger(0) // it may have ended already
+// reset closes both connections with a TCP reset.
+func (c *connection) reset() {
+	for _, conn := range []net.Conn{c.client, c.target} {
+		if tcpConn, ok := conn.(*net.TCPConn); ok {
+			_ = tcpConn.SetLinger(0) // the connection may be closed already
 		}
-		_ = c.Close()
+		_ = conn.Close()
 	}
 }
 
@@ -109,69 +111,71 @@
 	p.goroutines.Wait()
 }
 
+// accept accepts connections and dials the target for each, until the listener is closed.
 func (p *Proxy) accept() {
 	for {
-		a, err := p.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
 		p.mu.Lock()
-		refuse := p.rejects || p.closed
+		reject := p.rejectNew || p.closed
 		p.mu.Unlock()
-		if refuse {
-			_ = a.Close()
+		if reject {
+			_ = client.Close()
 			continue
 		}
-		b, err := net.Dial("tcp", p.target)
+		target, err := net.Dial("tcp", p.target)
 		if err != nil {
-			_ = a.Close()
+			_ = client.Close()
 			continue
 		}
-		connections := &connection{a, b}
+		conn := &connection{client, target}
 		p.mu.Lock()
-		p.connections[connections] = struct{}{}
+		p.connections[conn] = struct{}{}
 		p.mu.Unlock()
-		p.goroutines.Go(func() { p.forward(connections, a, b, ToTarget) })
-		p.goroutines.Go(func() { p.forward(connections, b, a, FromTarget) })
+		p.goroutines.Go(func() { p.forward(conn, client, target, ToTarget) })
+		p.goroutines.Go(func() { p.forward(conn, target, client, FromTarget) })
 	}
 }
 
-// chunk is what one read brought, and when it is passed on.
+// chunk is the data of one read and the time at which it is written.
 type chunk struct {
 	due  time.Time
 	data []byte
 }
 
-// maxQueuedChunks bounds what one direction of a connection holds back.
+// maxQueuedChunks bounds how many chunks one direction of a connection delays; beyond that, reading blocks.
 const maxQueuedChunks = 1024
 
-// forward carries one direction: it takes chunks in, and a goroutine of its own passes them on when they are due.
-func (p *Proxy) forward(connections *connection, from, to net.Conn, w Direction) {
+// forward forwards one direction of a connection until it ends. It reads chunks, and a goroutine of its own writes them when
+// they are due.
+func (p *Proxy) forward(conn *connection, from, to net.Conn, direction Direction) {
 	queue := make(chan chunk, maxQueuedChunks)
 	p.goroutines.Go(func() {
-		defer connections.end()
-		p.write(to, w, queue)
+		defer conn.reset()
+		p.writeChunks(to, direction, queue)
 	})
 	defer func() {
 		close(queue)
 		p.mu.Lock()
-		delete(p.connections, connections)
+		delete(p.connections, conn)
 		p.mu.Unlock()
 	}()
-	p.read(from, w, queue)
+	p.readChunks(from, direction, queue)
 }
 
-// read takes chunks in until the connection ends, by itself or by the conditions.
-func (p *Proxy) read(from net.Conn, w Direction, queue chan<- chunk) {
+// readChunks reads chunks into the queue until the connection ends or the conditions cut it off.
+func (p *Proxy) readChunks(from net.Conn, direction Direction, queue chan<- chunk) {
 	buf := make([]byte, 16<<10)
-	last := time.Time{}
+	lastDue := time.Time{}
 	for {
-		p.waitWhileStalled(w)
+		p.waitWhileStalled(direction)
 		n, err := from.Read(buf)
-		c, ends := p.applyConditions(w, buf[:n], last)
-		last = c.due
-		if len(c.data) > 0 {
-			queue <- c
+		next, ends := p.applyConditions(direction, buf[:n], lastDue)
+		lastDue = next.due
+		if len(next.data) > 0 {
+			queue <- next
 		}
 		if ends || err != nil {
 			return
@@ -179,55 +183,56 @@
 	}
 }
 
-// waitWhileStalled returns the conditions of a direction once it does not stall.
-func (p *Proxy) waitWhileStalled(w Direction) Conditions {
+// waitWhileStalled waits until a direction does not stall or the proxy is closed, and returns the conditions of the direction.
+func (p *Proxy) waitWhileStalled(direction Direction) Conditions {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for p.conditions[w].Stall && !p.closed {
+	for p.conditions[direction].Stall && !p.closed {
 		p.changed.Wait()
 	}
-	return p.conditions[w]
+	return p.conditions[direction]
 }
 
-// applyConditions makes a chunk of what was read; last is when the one before is due. It reports whether the connection ends behind it.
-func (p *Proxy) applyConditions(w Direction, read []byte, last time.Time) (c chunk, ends bool) {
+// applyConditions returns a chunk of the data that was read. lastDue is the time at which the previous chunk is due; the chunk
+// is not due before it. ends is true if the connection must end after the chunk.
+func (p *Proxy) applyConditions(direction Direction, read []byte, lastDue time.Time) (c chunk, ends bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	now := &p.conditions[w]
+	conditions := &p.conditions[direction]
 	c.data = append([]byte{}, read...)
-	p.BytesRead[w] += int64(len(read))
-	if left := now.BreakAfterBytes; left > 0 {
-		now.BreakAfterBytes = max(0, left-int64(len(read)))
-		if int64(len(read)) >= left {
-			c.data, ends = c.data[:left], true
+	p.BytesRead[direction] += int64(len(read))
+	if remaining := conditions.BreakAfterBytes; remaining > 0 {
+		conditions.BreakAfterBytes = max(0, remaining-int64(len(read)))
+		if int64(len(read)) >= remaining {
+			c.data, ends = c.data[:remaining], true
 		}
 	}
-	c.due = time.Now().Add(now.Delay)
-	if now.Jitter > 0 {
-		c.due = c.due.Add(time.Duration(p.rnd.Int64N(int64(now.Jitter))))
+	c.due = time.Now().Add(conditions.Delay)
+	if conditions.Jitter > 0 {
+		c.due = c.due.Add(time.Duration(p.rnd.Int64N(int64(conditions.Jitter))))
 	}
-	if c.due.Before(last) {
-		c.due = last
+	if c.due.Before(lastDue) {
+		c.due = lastDue
 	}
-	if len(c.data) > 0 && now.CorruptProbability > 0 && p.rnd.Float64() < now.CorruptProbability {
+	if len(c.data) > 0 && conditions.CorruptProbability > 0 && p.rnd.Float64() < conditions.CorruptProbability {
 		c.data[p.rnd.IntN(len(c.data))] ^= byte(1 + p.rnd.IntN(255))
 	}
 	return c, ends
 }
 
-// write passes chunks on when they are due. Behind a failed write it discards the rest, so that the reader is never blocked.
-func (p *Proxy) write(to net.Conn, w Direction, queue <-chan chunk) {
+// writeChunks writes chunks when they are due. After a failed write it discards the rest, so that the reader never blocks.
+func (p *Proxy) writeChunks(to net.Conn, direction Direction, queue <-chan chunk) {
 	for c := range queue {
 		time.Sleep(time.Until(c.due))
-		now := p.waitWhileStalled(w)
-		if now.Blackhole {
+		conditions := p.waitWhileStalled(direction)
+		if conditions.Blackhole {
 			continue
 		}
 		if _, err := to.Write(c.data); err != nil {
 			break
 		}
-		if now.BytesPerSecond > 0 {
-			time.Sleep(time.Duration(int64(len(c.data)) * int64(time.Second) / now.BytesPerSecond))
+		if conditions.BytesPerSecond > 0 {
+			time.Sleep(time.Duration(int64(len(c.data)) * int64(time.Second) / conditions.BytesPerSecond))
 		}
 	}
 	for range queue {
--- a/testsupport/testports/reserve.go
+++ b/testsupport/testports/reserve.go
@@ -1,4 +1,4 @@
-// Package testports reserves loopback addresses for the processes of tests.
+// Package testports reserves loopback addresses for processes that tests start.
 package testports
 
 import (
@@ -8,20 +8,20 @@
 	"syscall"
 )
 
-// Reservation keeps a TCP port of 127.0.0.1 from being given to anybody who lets the kernel choose: another listener, or a
-// connection's own end. A program that names the port can listen there, again after each restart.
+// Reservation keeps the kernel from choosing a TCP port of 127.0.0.1 for another listener or for the local end of a connection.
+// A program that binds the port by its number can listen on it, also again after a restart.
 //
-// It rests on a socket that is bound with SO_REUSEADDR and does not listen (socket(7)): the kernel passes over such a port when it
-// chooses one, and lets a listener with SO_REUSEADDR, which the net package sets, bind it by its number.
+// The reservation is a socket that is bound with SO_REUSEADDR but does not listen (socket(7)). The kernel skips such a port
+// when it chooses one, but lets a listener with SO_REUSEADDR, which the net package sets, bind the port by its number.
 type Reservation struct {
-	// Address is host and port.
+	// Address is the host and port.
 	Address string
 
 	descriptor int
 	once       sync.Once
 }
 
-// Reserve reserves a port; errors are those of the system calls.
+// Reserve reserves a port that is free. The errors are those of the system calls.
 func Reserve() (*Reservation, error) {
 	descriptor, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -35,27 +35,27 @@
 	return &Reservation{Address: address, descriptor: descriptor}, nil
 }
 
-// bind binds a socket to a port that the kernel chooses.
+// bind binds a socket to a loopback port that the kernel chooses, and sets SO_REUSEADDR.
 func bind(descriptor int) (address string, err error) {
-	// Only after the choice: with the option set before, the kernel may choose a port that is reserved already.
+	// The option is set after the port is chosen: with it, the kernel may choose a port that is already reserved.
 	if err := syscall.Bind(descriptor, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		return "", os.NewSyscallError("bind", err)
 	}
 	if err := syscall.SetsockoptInt(descriptor, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
 		return "", os.NewSyscallError("setsockopt", err)
 	}
-	name, err := syscall.Getsockname(descriptor)
+	socketName, err := syscall.Getsockname(descriptor)
 	if err != nil {
 		return "", os.NewSyscallError("getsockname", err)
 	}
-	here, ok := name.(*syscall.SockaddrInet4)
+	local, ok := socketName.(*syscall.SockaddrInet4)
 	if !ok {
 		return "", fmt.Errorf("getsockname of an IPv4 socket: %w", syscall.EAFNOSUPPORT)
 	}
-	return fmt.Sprintf("127.0.0.1:%d", here.Port), nil
+	return fmt.Sprintf("127.0.0.1:%d", local.Port), nil
 }
 
-// Release gives the port back; further calls do nothing.
+// Release ends the reservation. Further calls do nothing.
 func (r *Reservation) Release() {
 	r.once.Do(func() { _ = syscall.Close(r.descriptor) })
 }
--- a/testsupport/testports/reserve_test.go
+++ b/testsupport/testports/reserve_test.go
@@ -8,8 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A reserved port is nobody else's, though thousands of others are chosen; without the reservation about twenty would be hit.
-func TestAReservedPortIsGivenToNobodyElse(t *testing.T) {
+// The kernel never chooses a reserved port, though it chooses thousands of others. Without the reservation it would choose
+// about twenty of the reserved ports.
+func TestReservedPortIsNeverChosen(t *testing.T) {
 	reserved := map[string]bool{}
 	for range 200 {
 		r, err := Reserve()
@@ -24,17 +25,17 @@
 	for range 3000 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		assert.False(t, reserved[l.Addr().String()], "a listener got it")
+		assert.False(t, reserved[l.Addr().String()], "a listener got a reserved port")
 		l.Close()
 		c, err := net.Dial("tcp", target.Addr().String())
 		require.NoError(t, err)
-		assert.False(t, reserved[c.LocalAddr().String()], "a connection got it")
+		assert.False(t, reserved[c.LocalAddr().String()], "a connection got a reserved port")
 		c.Close()
 	}
 }
 
-// Whoever names the port can listen there, more than once, with connections of the time before still ending.
-func TestAReservedPortCanBeListenedOnAnew(t *testing.T) {
+// A program that names the reserved port can listen on it several times, even while earlier connections are still in TIME_WAIT.
+func TestReservedPortCanBeListenedOnAgain(t *testing.T) {
 	r, err := Reserve()
 	require.NoError(t, err)
 	for range 3 {
@@ -44,12 +45,12 @@
 		require.NoError(t, err)
 		accepted, err := l.Accept()
 		require.NoError(t, err)
-		accepted.Close() // first: its port lingers
+		accepted.Close() // closed first, so that its port enters TIME_WAIT
 		c.Close()
 		l.Close()
 	}
 	_, err = net.Dial("tcp", r.Address)
-	assert.Error(t, err, "nobody listens between")
+	assert.Error(t, err, "nothing listens in between")
 	r.Release()
 	r.Release()
 }
