--- a/discovery/client.go
+++ b/discovery/client.go
@@ -41,8 +41,8 @@
 // Client reads the endpoint list from the discovery service. It opens at most two connections. Its methods are safe for
 // concurrent use.
 type Client struct {
-	// OnResponse, if not nil, is called for each response of the service, including heartbeats that bring no change. It must be
-	// set before the first call.
+	// OnResponse, if not nil, is called for each response of the service, including heartbeats. It must be set before the first
+	// call.
 	OnResponse func()
 
 	address       string
@@ -130,9 +130,10 @@
 	return l, err
 }
 
-// Watch calls onList for each change after the version read last. It returns when the watch ends, always with an error. After a
-// line that cannot be used in whole or in part, or whose index is lower than the last one, Watch ends and reads nothing more: a
-// later change would advance the index past the lost one. The next Watch then begins with a snapshot.
+// Watch calls onList for each change after the version read last. If a change may have been missed, it fetches a snapshot
+// first. Watch returns when the watch ends, always with an error. After a line that cannot be used in whole or in part, or
+// whose index is lower than the last one, Watch ends and reads nothing more: a later change would advance the index past the
+// lost one. The next Watch then begins with a snapshot.
 func (c *Client) Watch(ctx context.Context, onList func(List)) error {
 	if c.needsSnapshot.Load() {
 		l, err := c.FetchSnapshot(ctx)
@@ -232,8 +233,8 @@
 	return res.Body, nil
 }
 
-// startAnswerTimer starts a timer that cancels a call with ErrNoAnswer. The caller stops it when the response begins, or resets
-// it when more of the response arrives.
+// startAnswerTimer starts a timer that cancels a call with ErrNoAnswer after half a heartbeat. The caller stops it when the
+// response begins, or resets it when more of the response arrives.
 func (c *Client) startAnswerTimer(cancel context.CancelCauseFunc) *time.Timer {
 	return time.AfterFunc(c.heartbeat/2, func() { cancel(ErrNoAnswer) })
 }
--- a/discovery/client_test.go
+++ b/discovery/client_test.go
@@ -27,8 +27,8 @@
 }
 
 // newScriptedService starts a fake discovery service and returns a client of it. Each request is answered by the next script;
-// once the scripts are used up, requests get no response. The URL of each request is sent to requests.
-func newScriptedService(t *testing.T, scripts ...script) (_ *Client, requests <-chan string) {
+// once the scripts are used up, requests get no response. The returned channel gets the URL of each request.
+func newScriptedService(t *testing.T, scripts ...func(w http.ResponseWriter, r *http.Request)) (*Client, <-chan string) {
 	received := make(chan string, 100)
 	next := make(chan func(w http.ResponseWriter, r *http.Request), len(scripts))
 	for _, s := range scripts {
@@ -49,7 +49,7 @@
 }
 
 // respondWith returns a script that writes the parts of a response body one by one, and ends the response.
-func respondWith(parts ...string) script {
+func respondWith(parts ...string) func(w http.ResponseWriter, r *http.Request) {
 	return func(w http.ResponseWriter, r *http.Request) {
 		for _, p := range parts {
 			w.Write([]byte(p))
--- a/discovery/watcher.go
+++ b/discovery/watcher.go
@@ -20,8 +20,8 @@
 // ends; single watches and snapshots on request; or a list that other instances watch and share. It implements
 // front.EndpointSource.
 //
-// Invariants: the receiver gets one update at a time, in order. Once the current address has delivered its snapshot, no update
-// of an earlier address is delivered. Each address has at most one watch at a time.
+// Invariants: the receiver gets one update at a time, in order. Once an address has delivered its snapshot, no update of an
+// earlier address is delivered. Each address has at most one watch at a time.
 type Watcher struct {
 	receive func(Update)
 	ctx     context.Context // ends all goroutines; stored because the methods that start them are called without a context
@@ -158,8 +158,8 @@
 	}
 }
 
-// WatchDirectly returns to this instance's own watch after a random fraction of within, so that instances do not all do so at
-// the same time. A call of UseSharedList before that cancels it.
+// WatchDirectly returns from a shared list to this instance's own watch after a random fraction of within, so that instances do
+// not all do so at the same time. A call of UseSharedList before that cancels it.
 func (w *Watcher) WatchDirectly(within time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -180,8 +180,8 @@
 	})
 }
 
-// restartWatch ends the running watch and starts the one that is now wanted, if any. It waits for neither. The caller must hold
-// w.mu.
+// restartWatch ends the running watch and starts the one that is now wanted, if any. It does not wait for either watch. The
+// caller must hold w.mu.
 func (w *Watcher) restartWatch() {
 	end, client := w.current.stop, w.current.client
 	w.current.stop = func() {}
