--- a/testsupport/fakeserver/client.go
+++ b/testsupport/fakeserver/client.go
@@ -90,7 +90,7 @@
 // responseTimeout is how long a client waits for a response.
 const responseTimeout = 30 * time.Second
 
-// setResponseDeadline lets reads fail after responseTimeout.
+// setResponseDeadline makes reads fail after responseTimeout.
 func (c *Client) setResponseDeadline() error {
 	return c.conn.SetReadDeadline(time.Now().Add(responseTimeout))
 }
