--- a/cmd/dapplerouter/serve.go
+++ b/cmd/dapplerouter/serve.go
@@ -15,14 +15,14 @@
 	"dapplerouter/deployment"
 )
 
-// serveCommand runs a front: what deploy/balancer.toml starts, configured by EDGE_CONFIG and the operator's file.
+// serveCommand runs a front. deploy/balancer.toml starts it; EDGE_CONFIG and the operator's file configure it.
 type serveCommand struct {
 	File string `env:"DAPPLEROUTER_FILE" type:"path" placeholder:"FILE" help:"The operator's own file; what is new is off without it."`
 }
 
 func (c *serveCommand) run() int { return runProcess(c.File, loadFrontConfig) }
 
-// loadFrontConfig is loadOperatorConfig for a front, which makes no use of the gateway form.
+// loadFrontConfig is loadOperatorConfig for a front, which ignores the gateway form.
 func loadFrontConfig(path string, instance *deployment.Instance) (*operatorConfig, error) {
 	o, err := loadOperatorConfig(path, instance)
 	if err == nil {
@@ -31,10 +31,10 @@
 	return o, err
 }
 
-// errNoGateway is returned for an operator's file that the gateway command can't use.
-var errNoGateway = errors.New("the file has no form gateway")
+// errNoGateway is returned if the gateway command is run with an operator's file that has no gateway form.
+var errNoGateway = errors.New("the file has no gateway form")
 
-// loadGatewayConfig is loadOperatorConfig for the gateway command, which needs a file with the gateway form.
+// loadGatewayConfig is loadOperatorConfig for the gateway command, which requires the gateway form.
 func loadGatewayConfig(path string, instance *deployment.Instance) (*operatorConfig, error) {
 	o, err := loadOperatorConfig(path, instance)
 	if err == nil && o.gateway == nil {
@@ -43,10 +43,10 @@
 	return o, err
 }
 
-// runProcess runs a front or gateway until it is stopped, and returns the exit code. The process is the service's alone: its signals,
-// its log and its limits are set here.
+// runProcess runs a front or gateway until it is stopped, and returns the exit code. It sets what belongs to the whole process: signal
+// handling, the default logger, GOMAXPROCS and the memory limit.
 func runProcess(file string, load func(path string, instance *deployment.Instance) (*operatorConfig, error)) int {
-	// Before the configuration is read: a SIGHUP for a change behind that reading is not missed.
+	// Signals are handled before the configuration is read, so that a SIGHUP for a change after the read is not missed.
 	stop, reload := notifySignals()
 	logOutput := newQueuedWriter(os.Stderr)
 	defer logOutput.close()
@@ -72,16 +72,17 @@
 	return exitOK
 }
 
-// notifySignals returns the channels of the signals that stop the service and have it read its configuration again.
+// notifySignals returns a channel for the signals that stop the service and one for the signal that reloads its configuration.
 func notifySignals() (stop, reload <-chan os.Signal) {
 	stopSignals, reloadSignals := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(stopSignals, syscall.SIGTERM, os.Interrupt)
 	signal.Notify(reloadSignals, syscall.SIGHUP)
-	signal.Ignore(syscall.SIGPIPE) // whoever read the log may be gone
+	signal.Ignore(syscall.SIGPIPE) // the log's reader may be gone
 	return stopSignals, reloadSignals
 }
 
-// setDefaultLogger sends the log to a writer, without repeated warnings; EDGE_LOG=debug lowers the level.
+// setDefaultLogger makes the default logger write to w, with repeated warnings suppressed. EDGE_LOG=debug lowers the level from info to
+// debug.
 func setDefaultLogger(w *queuedWriter) {
 	level := slog.LevelInfo
 	if os.Getenv("EDGE_LOG") == "debug" {
@@ -90,9 +91,9 @@
 	slog.SetDefault(slog.New(newRepeatedWarnings(slog.NewTextHandler(w, &slog.HandlerOptions{Level: level}))))
 }
 
-// programBytes is reserved for the program's own pages, which the garbage collector does not count: in a flood 10 MiB were resident
-// beyond its limit.
-const programBytes = 12 << 20
+// nonHeapBytes is the memory reserved for pages that the garbage collector's limit does not count, such as those of the program itself. In
+// a flood of requests, 10 MiB beyond the limit were resident.
+const nonHeapBytes = 12 << 20
 
-// heapLimit is the garbage collector's limit, in bytes, for an instance's memory.
-func heapLimit(memory int64) int64 { return max(memory/2, min(memory/4*3, memory-programBytes)) }
+// heapLimit returns the garbage collector's memory limit for an instance's memory, both in bytes.
+func heapLimit(memory int64) int64 { return max(memory/2, min(memory/4*3, memory-nonHeapBytes)) }
--- a/cmd/dapplerouter/service.go
+++ b/cmd/dapplerouter/service.go
@@ -22,15 +22,16 @@
 	"dapplerouter/upstream"
 )
 
-// The user and database of connections to servers.
+// User and database of the connections to servers.
 const (
 	upstreamUser     = "portal"
 	upstreamDatabase = "crm"
 )
 
-// How long a graceful shutdown may take. The platform sends SIGKILL no sooner than the longest deadline, counted as maxCountedDeadline
-// at most, and killDelay behind SIGTERM. The process may be suspended once on the way, connections linger until their clients have
-// read the last of what they were sent, and the signal itself takes a moment: so much sooner requests in flight get their answer.
+// Time limits of a graceful shutdown. After SIGTERM, the platform waits at least for the longest deadline, or maxCountedDeadline if that is
+// shorter, plus killDelay before it sends SIGKILL. Requests in flight must be answered drainSafetyMargin earlier: the process may be
+// suspended once during the shutdown, connections linger until their clients have read the last response, and the signal itself takes some
+// time to arrive.
 const (
 	maxCountedDeadline = 3 * time.Second
 	killDelay          = 700 * time.Millisecond
@@ -38,25 +39,25 @@
 	drainSafetyMargin  = 2*maxSuspension + server.MaxCloseLinger
 
 	subsystemDrainTimeout = time.Second
-	closeTimeout          = 2 * time.Second // for the last answers, once the server is closed
+	closeTimeout          = 2 * time.Second // for the last responses, after the server is closed
 )
 
-// drainTimeout is how long after SIGTERM requests may stay in flight, for the longest deadline of a request type.
+// drainTimeout returns how long after SIGTERM requests may stay in flight; longest is the longest deadline of a request type.
 func drainTimeout(longest time.Duration) time.Duration {
 	return min(longest, maxCountedDeadline) + killDelay - drainSafetyMargin
 }
 
-// serviceOptions are what a service is started with.
+// serviceOptions holds the parameters of a service.
 type serviceOptions struct {
 	instance *deployment.Instance
 	operator *operatorConfig
-	stop     <-chan os.Signal                          // a signal begins the graceful shutdown
-	reload   <-chan os.Signal                          // a signal has the instance's configuration read again; nil for never
-	onReady  func(address net.Addr, link *gatewayLink) // called once clients are accepted; may be nil
+	stop     <-chan os.Signal                          // a signal starts the graceful shutdown
+	reload   <-chan os.Signal                          // a signal reloads the instance's configuration; may be nil
+	onReady  func(address net.Addr, link *gatewayLink) // called when the listener is open; may be nil
 }
 
-// service is a front or gateway: the request path, and the subsystems that the operator's file turns on. runService owns it and
-// everything that it starts; the core's goroutine owns what the core decides on.
+// service is a running front or gateway: the request path, and the subsystems that the operator's file turns on. The service and all that
+// it starts belong to runService. The core's state belongs to the core's goroutine.
 type service struct {
 	serviceOptions
 	requestPath
@@ -65,22 +66,23 @@
 	subsystems subsystems   // link and fleet, in the order of their start
 }
 
-// requestPath is what a request passes through: from the server for clients over the core, which decides, to the connections to servers.
+// requestPath holds the components that a request passes through: the server for clients, the core, which routes it, and the connection
+// pools of the database servers.
 type requestPath struct {
 	clock       *monotonic.Clock
-	descriptors *limits.Descriptors // shared by clients, servers and discovery
+	descriptors *limits.Descriptors // file descriptors, shared by the connections of clients, servers and discovery
 	server      *server.Server
 	core        *front.Core
 	upstream    *upstream.Pools
 	endpoints   *discovery.Watcher // follows the endpoint list
 	classifier  *front.Classifier
 	parse       func([]byte) (pgwire.Statement, error)
-	observe     func(front.Event) // takes the events of servers and of the endpoint list, to the core
+	observe     func(front.Event) // receives events from servers and the endpoint list, and passes them to the core
 	maxDeadline time.Duration     // of all request types
 }
 
-// runService serves until a stop is signalled or no more clients can be accepted, and returns the error of the latter. Requests that
-// were accepted are answered in both cases.
+// runService serves until a stop signal arrives or accepting clients fails, and returns the error of the latter. In both cases accepted
+// requests are answered.
 func runService(o serviceOptions) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -98,7 +100,7 @@
 	return s.serve(listener)
 }
 
-// newService builds a service, which runs nothing yet but the watcher's goroutine.
+// newService creates a service. Only the goroutine of the endpoint watcher runs before start is called.
 func newService(ctx context.Context, o serviceOptions) (*service, error) {
 	s := &service{serviceOptions: o}
 	instance := o.instance
@@ -134,11 +136,11 @@
 	return s, nil
 }
 
-// post gives the core an event.
+// post passes an event to the core.
 func (s *service) post(e front.Event) { s.core.Post(e) }
 
-// connectPools makes the pools and the subsystems that take part in carrying attempts, and returns the core's pools. The prober of a
-// fleet is between the core and those events.
+// connectPools creates the pools that carry attempts, along with the subsystems that take part in this, and returns the pools for the core.
+// In a fleet, the prober stands between the core and the pools.
 func (s *service) connectPools() (front.Pools, error) {
 	if s.operator.fleet == nil {
 		return s.newPools(s.post)
@@ -151,7 +153,8 @@
 	return pools, err
 }
 
-// newPools makes the pools of this site, and with a gateway those of its peer's too, whose events go to observe.
+// newPools creates the connection pools of this site's servers. With a gateway, the pools also forward attempts to the peer. Their events
+// go to observe.
 func (s *service) newPools(observe func(front.Event)) (front.Pools, error) {
 	l := s.instance.Settings.Limits
 	s.observe = observe
@@ -166,11 +169,12 @@
 	return s.link.dispatcher, nil
 }
 
-// updateEndpoints passes on what the watcher received.
+// updateEndpoints passes an update of the endpoint list to the core.
 func (s *service) updateEndpoints(u discovery.Update) {
 	s.observe(front.EndpointsChanged{Kind: u.Kind, List: u.List})
 }
 
+// addGatewayLink creates the gateway's link and adds it to the subsystems.
 func (s *service) addGatewayLink() (err error) {
 	s.link, err = newGatewayLink(gatewayLinkOptions{config: s.operator.gateway, instance: s.instance, clock: s.clock, post: s.observe,
 		local: s.upstream, parse: s.parse})
@@ -180,7 +184,7 @@
 	return err
 }
 
-// newFleet makes this front a member of its fleet.
+// newFleet creates the agent that makes this front a member of its fleet.
 func (s *service) newFleet() (err error) {
 	c := agent.Config{Fleet: s.operator.fleet, Rollout: s.operator.rollout, Audit: s.operator.audit, Rules: s.operator.rules}
 	if s.fleet, err = agent.New(c, s.instance, s.endpoints, version); err != nil {
@@ -190,7 +194,8 @@
 	return nil
 }
 
-// prepareCore gives the core what it needs before it runs: the fleet or the file's rules, the peer's groups and the cached endpoint list.
+// prepareCore configures the core before it runs: with the hooks of the fleet, or else the rules in the operator's file, with endpoints for
+// the peer's groups, and with the cached endpoint list.
 func (s *service) prepareCore() {
 	if s.fleet != nil {
 		s.core.JoinFleet(s.fleet.CoreHooks())
@@ -206,8 +211,8 @@
 	s.updateEndpoints(discovery.Update{Kind: routing.CachedSnapshot, List: s.instance.CachedList})
 }
 
-// start starts the core and the subsystems, and listens for clients. Where it returns an error, nothing but the core is left running,
-// which ends with ctx.
+// start starts the core and the subsystems, and opens the listener for clients. If it returns an error, only the core is left running; it
+// ends with ctx.
 func (s *service) start(ctx context.Context) (*net.TCPListener, error) {
 	go s.core.Run(s.clock, ctx.Done())
 	if err := s.subsystems.start(); err != nil {
@@ -224,7 +229,7 @@
 	return listener, nil
 }
 
-// announce logs that clients can connect, and calls onReady.
+// announce calls onReady and logs that clients can connect.
 func (s *service) announce(address net.Addr) {
 	if s.classifier != nil {
 		slog.Info("statement classification enabled", "cache", s.operator.classing.CacheBytes, "rules", len(s.classifier.Rules()))
@@ -236,7 +241,7 @@
 		"descriptors", s.instance.MaxDescriptors, "servers", len(s.instance.CachedList.Endpoints))
 }
 
-// startBackground starts what runs beside the requests until ctx ends.
+// startBackground starts the goroutines that log totals and reload the configuration. They end with ctx.
 func (s *service) startBackground(ctx context.Context) {
 	go runPeriodically(ctx, s.logTotals)
 	if len(s.subsystems) > 0 {
@@ -245,18 +250,18 @@
 	go reloadOnSignal(ctx, s.reload, s.instance, s.discoveryMoved)
 }
 
-// discoveryMoved has the endpoint list followed at another address.
+// discoveryMoved switches the endpoint watcher and the subsystems to another address of discovery.
 func (s *service) discoveryMoved(address string) {
 	s.endpoints.SetAddress(address)
 	s.subsystems.discoveryMoved(address)
 }
 
-// serve accepts clients until a stop is signalled or the listener fails, then shuts down gracefully.
+// serve accepts clients until a stop signal arrives or the listener fails, then shuts down gracefully. It returns the listener's failure.
 func (s *service) serve(listener *net.TCPListener) (failure error) {
 	served := make(chan error, 1)
 	go func() { served <- s.server.Serve(listener) }()
 	select {
-	case failure = <-served: // accepted requests are owed their answers all the same
+	case failure = <-served: // accepted requests must be answered nevertheless
 		close(served)
 		slog.Error("accepting clients failed", "err", failure)
 	case <-s.stop:
@@ -272,8 +277,8 @@
 	return failure
 }
 
-// finishRequests waits for the requests in flight. Those that are still in flight at the deadline are answered then: whoever asked for
-// the stop ends the process by force soon after.
+// finishRequests waits for the requests in flight. At the deadline it answers those that are left, since the platform kills the process
+// soon after.
 func (s *service) finishRequests(deadline time.Time) {
 	complete := s.server.Wait(time.Until(deadline))
 	if !complete {
--- a/cmd/dapplerouter/settings_order_test.go
+++ b/cmd/dapplerouter/settings_order_test.go
@@ -21,12 +21,13 @@
 	"dapplerouter/routing"
 )
 
-// steppedFront is a front's core in steps of a millisecond, before servers that answer by a checksum of the statement.
+// steppedFront runs a front's core in steps of a millisecond of simulated time. It simulates the core's clients, pools and watcher. A
+// checksum of the statement determines how the simulated server answers.
 type steppedFront struct {
 	core    *front.Core
 	now     time.Duration
-	results map[time.Duration][]front.Event
-	actions []string
+	results map[time.Duration][]front.Event // by the time at which the core gets them
+	actions []string                        // a line for each response, attempt and cancellation
 }
 
 func (s *steppedFront) SetAddress(int, string, time.Duration) {}
@@ -34,22 +35,22 @@
 func (s *steppedFront) Watch(bool)                            {}
 func (s *steppedFront) Fetch()                                {}
 func (s *steppedFront) Respond(f front.Response) {
-	s.actions = append(s.actions, fmt.Sprintf("%v answer %v %q %v", s.now, f.Status, f.Code, f.RetryAfter))
+	s.actions = append(s.actions, fmt.Sprintf("%v response %v %q %v", s.now, f.Status, f.Code, f.RetryAfter))
 }
 
-func (s *steppedFront) Send(member int, sub *front.Attempt) {
-	if !sub.Begin(func() { s.actions = append(s.actions, fmt.Sprintf("%v cut at %d", s.now, member)) }) {
+func (s *steppedFront) Send(server int, attempt *front.Attempt) {
+	if !attempt.Begin(func() { s.actions = append(s.actions, fmt.Sprintf("%v cancel at %d", s.now, server)) }) {
 		return
 	}
-	s.actions = append(s.actions, fmt.Sprintf("%v to %d %q", s.now, member, sub.Message()))
-	sum := crc32.ChecksumIEEE(append([]byte{byte(member)}, sub.Message()...))
-	e := &front.AttemptFinished{Attempt: sub, Answer: pgwire.QueryResult{Complete: true, Role: "replica", AppliedMillis: 1_000_000 + s.now.Milliseconds(), HasApplied: true}}
-	if member == 0 {
+	s.actions = append(s.actions, fmt.Sprintf("%v to %d %q", s.now, server, attempt.Message()))
+	sum := crc32.ChecksumIEEE(append([]byte{byte(server)}, attempt.Message()...))
+	e := &front.AttemptFinished{Attempt: attempt, Answer: pgwire.QueryResult{Complete: true, Role: "replica", AppliedMillis: 1_000_000 + s.now.Milliseconds(), HasApplied: true}}
+	if server == 0 {
 		e.Answer.Role = "primary"
 	}
 	switch sum % 16 {
 	case 0:
-		return // nothing ever comes
+		return // no result, ever
 	case 1:
 		e.Answer = pgwire.QueryResult{Code: pgwire.CodeTooManyConnections}
 	case 2:
@@ -61,7 +62,8 @@
 	s.results[at] = append(s.results[at], e)
 }
 
-// playRequests sends the same requests through a core whose settings name types and customers in an order, and returns its actions.
+// playRequests sends the same requests through a core whose settings list request types and customers in a given order, and returns the
+// core's actions.
 func playRequests(t *testing.T, types, customers []int) []string {
 	var file map[string]any
 	require.NoError(t, json.Unmarshal(configure(t, "127.0.0.1:1", `{"index":1,"snapshot":true,"endpoints":[]}`), &file))
@@ -73,7 +75,7 @@
 		return out
 	}
 	classes := settings["Classes"].([]any)
-	for i, c := range classes { // each of its own kind
+	for i, c := range classes { // each type gets values of its own
 		c := c.(map[string]any)
 		c["Aim"], c["Deadline"], c["Worth"] = (2+i)*100_000_000, (7+2*i)*100_000_000, float64(1+i)/2
 	}
@@ -86,16 +88,16 @@
 		map[string]any{"Name": "c", "Share": 0.5}}, customers)
 	data, err := json.Marshal(file)
 	require.NoError(t, err)
-	start, err := deployment.Load(func(name string) string { return map[string]string{deployment.FileVariable: "x"}[name] }, func(string) ([]byte, error) { return data, nil })
+	instance, err := deployment.Load(func(name string) string { return map[string]string{deployment.FileVariable: "x"}[name] }, func(string) ([]byte, error) { return data, nil })
 	require.NoError(t, err)
 	s := &steppedFront{results: map[time.Duration][]front.Event{}}
-	s.core = front.NewCore(front.Options{StartedAt: time.UnixMilli(1_000_000), Seed: 5, Settings: start.Settings,
+	s.core = front.NewCore(front.Options{StartedAt: time.UnixMilli(1_000_000), Seed: 5, Settings: instance.Settings,
 		NewRouter: router.New, Pools: s, Endpoints: s})
-	var members []discovery.Endpoint
+	var servers []discovery.Endpoint
 	for i := range 3 {
-		members = append(members, discovery.Endpoint{Name: fmt.Sprint("s", i), Address: "x", Zone: "a", Weight: 1, Primary: i == 0})
+		servers = append(servers, discovery.Endpoint{Name: fmt.Sprint("s", i), Address: "x", Zone: "a", Weight: 1, Primary: i == 0})
 	}
-	s.core.Post(front.EndpointsChanged{Kind: routing.Snapshot, List: discovery.List{Index: 1, Snapshot: true, Endpoints: members}})
+	s.core.Post(front.EndpointsChanged{Kind: routing.Snapshot, List: discovery.List{Index: 1, Snapshot: true, Endpoints: servers}})
 	r := rand.New(rand.NewPCG(3, 4))
 	names, gone := []string{"browse", "mine", "book", "slots", "pay"}, 0
 	for n := 0; s.now < 4*time.Second; s.now += time.Millisecond {
@@ -123,7 +125,7 @@
 	return s.actions
 }
 
-// Types and customers are found by name: in whatever order the settings have them, the same request gets the same actions.
+// Request types and customers are identified by name: their order in the settings does not change the actions for the same requests.
 func TestOrderOfTypesAndCustomersIsIrrelevant(t *testing.T) {
 	want := playRequests(t, []int{0, 1, 2, 3, 4}, []int{0, 1, 2})
 	require.Greater(t, len(want), 1000)
--- a/cmd/dapplerouter/slow_start_test.go
+++ b/cmd/dapplerouter/slow_start_test.go
@@ -13,28 +13,29 @@
 	"dapplerouter/testsupport/fakeserver"
 )
 
-// A server in slow start fails under the sum of what all fronts send, which know nothing of each other: beyond its budget of N requests in
-// the time that the settings name only 2 x root of N + 2 are put down to chance. N is here its share, by the progress of its slow start,
-// of what each server bore before. It is the primary, so that every write is for it.
+// Guards against fronts that together overload a server in slow start, since they don't communicate with each other. The server's budget is
+// N requests in the time Fall of the settings, plus 2 x sqrt(N) + 2 for chance. Here N is FallMultiple times a share of the mean load of
+// the servers before; the share grows from StartCapacity to 1 with the progress of the slow start. The server is the primary, so that it
+// gets every write.
 func TestSlowStartBudgetHoldsAcrossManyFronts(t *testing.T) {
 	const (
-		fronts   = 24
-		coldFrom = 0.2
-		multiple = 1.5
-		cold     = 3 * time.Second
-		fall     = time.Second
-		step     = fall / 20
+		fronts        = 24
+		startCapacity = 0.2
+		fallMultiple  = 1.5
+		cold          = 3 * time.Second // duration of the slow start
+		fall          = time.Second
+		step          = fall / 20
 	)
 	g := startGroup(t, 4)
 	l := startEndpointList(t, g)
-	addresses := startFleet(t, fronts, g, l.address(), setting{"Aim", 400 * time.Millisecond}, setting{"Cold", cold}, setting{"StartCapacity", coldFrom},
-		setting{"FallMultiple", multiple}, setting{"Fall", fall})
+	addresses := startFleet(t, fronts, g, l.address(), setting{"Aim", 400 * time.Millisecond}, setting{"Cold", cold},
+		setting{"StartCapacity", startCapacity}, setting{"FallMultiple", fallMultiple}, setting{"Fall", fall})
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
-	comes := func(address, name, statement string, every time.Duration) {
+	startClient := func(address, name, statement string, interval time.Duration) {
 		c := dial(t, address)
 		clients.Go(func() {
-			tick := time.NewTicker(every)
+			tick := time.NewTicker(interval)
 			defer tick.Stop()
 			for n := 0; ; n++ {
 				select {
@@ -49,14 +50,14 @@
 			}
 		})
 	}
-	for n, address := range addresses { // some fronts get several times what others do
-		comes(address, fmt.Sprint("r", n), "SELECT 'x' /* id=%id,c=browse,d=3000,cluster=0 */", time.Duration(30+4*n)*time.Millisecond)
+	for n, address := range addresses { // some fronts get several times the load of others
+		startClient(address, fmt.Sprint("r", n), "SELECT 'x' /* id=%id,c=browse,d=3000,cluster=0 */", time.Duration(30+4*n)*time.Millisecond)
 		for w := range 2 {
-			comes(address, fmt.Sprint("w", n, "-", w), "INSERT INTO bookings (id, house, diner) VALUES ('%id', '1', 'x') RETURNING id /* id=%id,c=book,k=%id,d=300,cluster=0 */",
+			startClient(address, fmt.Sprint("w", n, "-", w), "INSERT INTO bookings (id, house, diner) VALUES ('%id', '1', 'x') RETURNING id /* id=%id,c=book,k=%id,d=300,cluster=0 */",
 				time.Duration(100+8*n)*time.Millisecond)
 		}
 	}
-	time.Sleep(cold) // the load by which the fronts know the warm servers
+	time.Sleep(cold) // so that the fronts estimate the load of the warm servers
 	started := time.Now()
 	l.setEndpoint(g.Servers[0], "since_ms", started.UnixMilli())
 	time.Sleep(cold)
@@ -66,18 +67,19 @@
 	for i, m := range g.Servers {
 		seen[i] = m.Statements()
 	}
-	borne := 0.0
+	meanLoad := 0.0 // of a server within fall, before the slow start
 	for _, s := range seen {
-		borne += countWithin(s, started.Add(-fall), started) / float64(len(seen))
+		meanLoad += countWithin(s, started.Add(-fall), started) / float64(len(seen))
 	}
-	worst, most := math.Inf(-1), 0.0
+	maxExcess, peak := math.Inf(-1), 0.0
 	for from := time.Duration(0); from+fall <= cold; from += step {
 		a, b := started.Add(from), started.Add(from+fall)
-		allowed := multiple * (coldFrom + (1-coldFrom)*float64(from)/float64(cold)) * borne
+		budget := fallMultiple * (startCapacity + (1-startCapacity)*float64(from)/float64(cold)) * meanLoad
 		n := countWithin(seen[0], a, b)
-		most, worst = max(most, n), max(worst, n-(allowed+2*math.Sqrt(allowed)+2))
+		peak, maxExcess = max(peak, n), max(maxExcess, n-(budget+2*math.Sqrt(budget)+2))
 	}
-	t.Logf("warm it had %.0f; cold at most %.0f in %v, furthest from its bound %.0f", countWithin(seen[0], started.Add(-fall), started), most, fall, worst)
-	assert.Less(t, worst, 0.0, "it falls")
-	assert.Greater(t, most, 2.0, "and it is not left out")
+	t.Logf("%.0f requests before and at most %.0f during slow start in %v; largest excess over the budget %.0f",
+		countWithin(seen[0], started.Add(-fall), started), peak, fall, maxExcess)
+	assert.Less(t, maxExcess, 0.0, "the server is overloaded")
+	assert.Greater(t, peak, 2.0, "the server gets no requests")
 }
--- a/cmd/dapplerouter/soak_test.go
+++ b/cmd/dapplerouter/soak_test.go
@@ -19,35 +19,37 @@
 	"dapplerouter/testsupport/fakeserver"
 )
 
-// The soak plays short lives of one front, each from a seed: servers hang, break and drain, discovery falls silent and moves, signals
-// come in series, the front is suspended for 0.15 s, its wall clock differs from all others', clients disconnect, pipeline, idle and crowd;
-// then SIGTERM, and SIGKILL at its earliest while all go on. Some clients ask with a quarter of the others' time. CI plays 60 seeds;
-// SOAK_SEEDS=200 go test ./cmd/dapplerouter -run Soak plays so many, SOAK_FIRST=17 from there on; make soak plays 200.
+// The soak test runs one front for a short time under random faults; a seed determines them. Servers hang, fail and drain. Discovery falls
+// silent and changes its address. Series of signals arrive. The front is suspended for up to 0.15 s, and its wall clock differs from the
+// servers' clocks. Clients disconnect, pipeline, stay idle or open many idle connections, and some have a quarter of the others' timeout.
+// Then SIGTERM follows, and SIGKILL as early as the platform may send it, while clients continue and servers still fail.
+//
+// CI runs 60 seeds. SOAK_SEEDS=200 go test ./cmd/dapplerouter -run Soak runs 200; SOAK_FIRST=17 sets the first seed. make soak runs 200.
 
 const (
 	soakSeedsInCI = 60
-	undisturbed   = 300 * time.Millisecond // at least, before the faults begin
+	undisturbed   = 300 * time.Millisecond // minimum time before the first fault
 )
 
-// soakRequest is what a client knows of one of its requests.
+// soakRequest records a request and its outcome as its client sees it.
 type soakRequest struct {
 	sentRequest
-	kind     byte // r: read, s: read with little time, k: keyed write, u: unsafe write
+	kind     byte // r: read, s: read with a short timeout, k: write with idempotency key, u: write that is not idempotent
 	answered time.Time
-	code     string
-	ended    time.Time // its connection did so, with no answer
-	left     time.Time // its client did so
+	code     string    // error code of the response, "" for success
+	ended    time.Time // when the connection was closed without a response
+	left     time.Time // when the client disconnected
 }
 
-// soak is one life and what is noted of it.
+// soak is one run of the soak test, with all that it records.
 type soak struct {
 	t           *testing.T
 	rand        *rand.Rand
 	p           *process
 	g           *fakeserver.Group
 	timeout     time.Duration // deadline of all types
-	dedupWindow time.Duration // in which a repeat of a keyed write is known
-	drainGrace  time.Duration // of a drain
+	dedupWindow time.Duration // in which servers recognize a repeated write by its idempotency key
+	drainGrace  time.Duration // after a drain notice, in which new statements may still be sent
 	faultsFrom  time.Time     // when the faults begin
 	stop        chan struct{}
 	group       sync.WaitGroup
@@ -58,13 +60,14 @@
 	drainKnownAt map[*fakeserver.Server]time.Time // when the front counts as notified
 }
 
-func (s *soak) note(change func()) {
+// record changes what the run has recorded, under the lock.
+func (s *soak) record(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
 }
 
-// request makes a statement and notes that it is sent.
+// request returns a new statement with its request id, and records it as sent.
 func (s *soak) request(kind byte) (id, sql string) {
 	id = fmt.Sprintf("%c%d", kind, s.number.Add(1))
 	timeout := s.timeout
@@ -81,10 +84,11 @@
 	default:
 		sql = fmt.Sprintf("SELECT 'x' /* id=%s,c=browse,d=%d,cluster=0 */", id, ms)
 	}
-	s.note(func() { s.requests[id] = &soakRequest{sentRequest: sentRequest{time.Now(), timeout}, kind: kind} })
+	s.record(func() { s.requests[id] = &soakRequest{sentRequest: sentRequest{time.Now(), timeout}, kind: kind} })
 	return id, sql
 }
 
+// over reports whether the run's clients have to stop.
 func (s *soak) over() bool {
 	select {
 	case <-s.stop:
@@ -94,7 +98,7 @@
 	}
 }
 
-// connect dials until the soak is over.
+// connect dials until it succeeds. It returns nil when the run is over.
 func (s *soak) connect() *fakeserver.Client {
 	for !s.over() {
 		if c, err := fakeserver.Dial(s.p.address); err == nil {
@@ -105,7 +109,7 @@
 	return nil
 }
 
-// client sends requests on connections that it keeps; depth requests are in flight at a time.
+// client sends requests over a connection that it keeps open, with depth requests in flight at a time.
 func (s *soak) client(kind byte, pause time.Duration, depth int) {
 	for c := s.connect(); c != nil; c = s.connect() {
 		for alive := true; alive && !s.over(); time.Sleep(pause) {
@@ -125,10 +129,10 @@
 	}
 }
 
-// receive waits for a request's answer, and reports whether the connection is still open.
+// receive reads a request's response, records it, and reports whether the connection is still open.
 func (s *soak) receive(c *fakeserver.Client, id string) bool {
 	a, err := c.ReadResponse()
-	s.note(func() {
+	s.record(func() {
 		if r := s.requests[id]; err != nil {
 			r.ended = time.Now()
 		} else {
@@ -138,8 +142,8 @@
 	return err == nil
 }
 
-// disconnectingClient sends a request and disconnects a moment later.
-func (s *soak) disconnectingClient(moments []time.Duration) {
+// disconnectingClient sends requests and disconnects a short delay after each.
+func (s *soak) disconnectingClient(delays []time.Duration) {
 	for n := 0; ; n++ {
 		c := s.connect()
 		if c == nil {
@@ -147,13 +151,13 @@
 		}
 		id, sql := s.request('r')
 		c.Send(sql)
-		time.Sleep(moments[n%len(moments)])
-		s.note(func() { s.requests[id].left = time.Now() })
+		time.Sleep(delays[n%len(delays)])
+		s.record(func() { s.requests[id].left = time.Now() })
 		c.Close()
 	}
 }
 
-// idleClient sends one request, is idle until the front closes the connection, and sends another into that moment.
+// idleClient sends one request, stays idle until the front closes the connection, and reconnects.
 func (s *soak) idleClient() {
 	for c := s.connect(); c != nil; c = s.connect() {
 		id, sql := s.request('r')
@@ -164,7 +168,7 @@
 	}
 }
 
-// idleConnections opens connections that rest.
+// idleConnections opens connections that send no request and stay open for up to 3 s.
 func (s *soak) idleConnections() {
 	for !s.over() {
 		c, err := net.DialTimeout("tcp", s.p.address, time.Second)
@@ -176,8 +180,8 @@
 		s.group.Go(func() {
 			defer c.Close()
 			c.SetReadDeadline(time.Now().Add(3 * time.Second))
-			for waste := make([]byte, 1<<10); ; {
-				if _, err := c.Read(waste); err != nil {
+			for discarded := make([]byte, 1<<10); ; {
+				if _, err := c.Read(discarded); err != nil {
 					return
 				}
 			}
@@ -186,10 +190,10 @@
 	}
 }
 
-// injectFaults happen until the stop; signals come in series.
+// injectFaults injects six random faults, one after another.
 func (s *soak) injectFaults(service, next *endpointList) {
-	drains := s.g.Servers[3]
-	moves := s.rand.IntN(2) == 0
+	draining := s.g.Servers[3]
+	discoveryMoves := s.rand.IntN(2) == 0
 	for range 6 {
 		time.Sleep(time.Duration(50+s.rand.IntN(250)) * time.Millisecond)
 		switch s.rand.IntN(7) {
@@ -202,17 +206,17 @@
 				m.Hang(false)
 			}
 		case 3:
-			if _, told := s.drainKnownAt[drains]; !told {
-				service.setEndpoint(drains, "status", []string{"draining", "removed"}[s.rand.IntN(2)])
-				next.setEndpoint(drains, "status", "draining")
+			if _, notified := s.drainKnownAt[draining]; !notified {
+				service.setEndpoint(draining, "status", []string{"draining", "removed"}[s.rand.IntN(2)])
+				next.setEndpoint(draining, "status", "draining")
 				at := time.Now()
-				if moves { // what the new service has counts 4 s after SIGHUP
+				if discoveryMoves { // what the new service reports counts as notified 4 s after SIGHUP
 					at = at.Add(4 * time.Second)
 				}
-				s.drainKnownAt[drains] = at
+				s.drainKnownAt[draining] = at
 			}
 		case 4:
-			if moves {
+			if discoveryMoves {
 				s.p.reload(service, next)
 				for range s.rand.IntN(4) {
 					time.Sleep(time.Duration(s.rand.IntN(20)) * time.Millisecond)
@@ -227,90 +231,93 @@
 	}
 }
 
+// suspend stops the process for a random time, at most maxSuspension.
 func (s *soak) suspend() {
 	s.p.cmd.Process.Signal(syscall.SIGSTOP)
 	time.Sleep(time.Duration(s.rand.Int64N(int64(maxSuspension))))
 	s.p.cmd.Process.Signal(syscall.SIGCONT)
 }
 
-// terminate stops the front, holds it up meanwhile, and ends it by force at the earliest moment.
+// terminate sends SIGTERM to the front, followed by more signals and a suspension, and SIGKILL at the earliest time that the platform may
+// send it.
 func (s *soak) terminate() {
 	for _, m := range s.g.Servers[1 : 1+s.rand.IntN(3)] {
 		m.Hang(true)
 	}
 	time.Sleep(time.Duration(s.rand.IntN(100)) * time.Millisecond)
 	kill := s.timeout + earliestKill
-	asked := time.Now()
+	signaled := time.Now()
 	require.NoError(s.t, s.p.cmd.Process.Signal(syscall.SIGTERM))
 	for range s.rand.IntN(4) {
 		time.Sleep(time.Duration(s.rand.IntN(30)) * time.Millisecond)
 		s.p.cmd.Process.Signal([]os.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGINT}[s.rand.IntN(3)])
 	}
-	time.Sleep(time.Duration(s.rand.Int64N(int64(kill - 2*maxSuspension - time.Since(asked)))))
+	time.Sleep(time.Duration(s.rand.Int64N(int64(kill - 2*maxSuspension - time.Since(signaled)))))
 	s.suspend()
 	select {
 	case <-s.p.ended:
 		assert.Zero(s.t, s.p.cmd.ProcessState.ExitCode())
-	case <-time.After(kill - time.Since(asked)):
+	case <-time.After(kill - time.Since(signaled)):
 		s.p.cmd.Process.Kill()
 		<-s.p.ended
 	}
-	s.t.Logf("ended %v after SIGTERM, SIGKILL after %v", time.Since(asked).Round(time.Millisecond), kill)
+	s.t.Logf("ended %v after SIGTERM, SIGKILL after %v", time.Since(signaled).Round(time.Millisecond), kill)
 }
 
-// writes reports whether the request has an effect.
+// writes reports whether the request is a write.
 func (r *soakRequest) writes() bool { return r.kind == 'k' || r.kind == 'u' }
 
-// verifyLittleTime holds that requests with less time than others' were sent to a server before the faults began. What was sent may have
-// failed: a few statements meet a fault of their server in any life.
-func (s *soak) verifyLittleTime(attempts map[string][]fakeserver.Statement) {
+// verifyShortTimeouts asserts that each request with a short timeout that was answered before the faults had been sent to a server. It may
+// have failed there, since servers fail a few statements in any run.
+func (s *soak) verifyShortTimeouts(attempts map[string][]fakeserver.Statement) {
 	for id, r := range s.requests {
-		if r.littleTimeAnswered(s.faultsFrom) {
-			assert.NotEmpty(s.t, attempts[id], "%s was never sent, before the faults, and answered %q", id, r.code)
+		if r.shortTimeoutAnswered(s.faultsFrom) {
+			assert.NotEmpty(s.t, attempts[id], "%s was answered %q before the faults without being sent to a server", id, r.code)
 		}
 	}
-	assert.Positive(s.t, s.littleTimeAnswers(s.faultsFrom))
+	assert.Positive(s.t, s.shortTimeoutAnswers(s.faultsFrom))
 }
 
-// littleTimeAnswered reports whether this is a request with less time than others' that was answered by then.
-func (r *soakRequest) littleTimeAnswered(by time.Time) bool {
+// shortTimeoutAnswered reports whether the request has a short timeout and was answered by a given time.
+func (r *soakRequest) shortTimeoutAnswered(by time.Time) bool {
 	return r.kind == 's' && !r.answered.IsZero() && !r.answered.After(by)
 }
 
-// littleTimeAnswers is how many of them were answered by then.
-func (s *soak) littleTimeAnswers(by time.Time) (n int) {
+// shortTimeoutAnswers counts the requests with a short timeout that were answered by a given time.
+func (s *soak) shortTimeoutAnswers(by time.Time) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range s.requests {
-		if r.littleTimeAnswered(by) {
+		if r.shortTimeoutAnswered(by) {
 			n++
 		}
 	}
 	return n
 }
 
-// verify holds what was noted to the rules; late is how late this process itself was at most.
+// verify asserts that the recorded requests meet the operators' requirements. late is the longest scheduling delay of this process, which
+// widens the time limits.
 func (s *soak) verify(late time.Duration) {
-	seen := map[string][]fakeserver.Statement{}
+	statements := map[string][]fakeserver.Statement{} // by request id
 	for _, m := range s.g.Servers {
-		told, drains := s.drainKnownAt[m]
+		notified, drains := s.drainKnownAt[m]
 		for _, x := range m.Statements() {
-			seen[x.ID] = append(seen[x.ID], x)
+			statements[x.ID] = append(statements[x.ID], x)
 			if drains {
-				assert.Less(s.t, x.At.Sub(told), s.drainGrace+50*time.Millisecond+late, "drain: %s at %s", x.ID, m.Name)
+				assert.Less(s.t, x.At.Sub(notified), s.drainGrace+50*time.Millisecond+late, "%s was sent to the draining server %s", x.ID, m.Name)
 			}
 		}
 	}
 	served, rejected := 0, 0
 	for id, r := range s.requests {
-		attempts := seen[id]
+		attempts := statements[id]
 		for _, x := range attempts {
-			assert.Less(s.t, r.excess(s.t, x), deadlineSlack+late, "%s was told too long a deadline", id)
+			assert.Less(s.t, r.excess(s.t, x), deadlineSlack+late, "the deadline of an attempt of %s exceeds the client's remaining time", id)
 			if !r.left.IsZero() {
-				assert.Less(s.t, x.At.Sub(r.left), departureSlack+late, "%s was sent for a client that had left", id)
+				assert.Less(s.t, x.At.Sub(r.left), departureSlack+late, "%s was sent for a client that had disconnected", id)
 			}
 		}
-		committed := s.g.ExecutionCount(id)
+		executions := s.g.ExecutionCount(id)
 		switch {
 		case !r.answered.IsZero():
 			assert.Less(s.t, r.answered.Sub(r.at), r.timeout+500*time.Millisecond+late, "%s was answered too late: %q", id, r.code)
@@ -318,35 +325,39 @@
 			case "":
 				served++
 				if r.writes() {
-					assert.Equal(s.t, 1, committed, "%s", id)
+					assert.Equal(s.t, 1, executions, "%s", id)
 				}
 			case pgwire.CodeTooManyConnections, pgwire.CodeCannotConnectNow:
 				rejected++
 				if r.writes() {
-					assert.Zero(s.t, committed, "%s was rejected, which promises that it had no effect", id)
+					assert.Zero(s.t, executions, "%s was rejected but executed", id)
 				}
 			}
 		case !r.left.IsZero():
 		case len(attempts) > 0:
-			assert.Fail(s.t, "lost", "%s was sent on %d times and never answered; sent %v before its connection ended", id, len(attempts), r.ended.Sub(r.at))
+			assert.Fail(s.t, "lost", "%s was sent to servers %d times and never answered; its connection ended %v after the request",
+				id, len(attempts), r.ended.Sub(r.at))
 		case !r.ended.IsZero():
-			assert.Less(s.t, r.ended.Sub(r.at), maxSuspension+departureSlack+late, "lost: %s was never answered though there was time to read it", id)
+			assert.Less(s.t, r.ended.Sub(r.at), maxSuspension+departureSlack+late,
+				"lost: %s was never answered though the front had time to read it", id)
 		}
 		if r.kind == 'u' {
-			assert.LessOrEqual(s.t, committed, 1, "%s", id)
+			assert.LessOrEqual(s.t, executions, 1, "%s", id)
 		}
 		for i := range attempts {
 			if r.kind == 'k' {
-				assert.Less(s.t, attempts[i].At.Sub(attempts[0].At), s.dedupWindow+maxSuspension+late, "%s was repeated behind its window", id)
+				assert.Less(s.t, attempts[i].At.Sub(attempts[0].At), s.dedupWindow+maxSuspension+late,
+					"%s was repeated after its deduplication window", id)
 			}
 		}
 	}
-	s.verifyLittleTime(seen)
-	s.t.Logf("%d requests: %d served, %d rejected; this process was %v late at most", len(s.requests), served, rejected, late)
+	s.verifyShortTimeouts(statements)
+	s.t.Logf("%d requests: %d served, %d rejected; longest scheduling delay %v", len(s.requests), served, rejected, late)
 	assert.Greater(s.t, served, 20)
 }
 
-func playSoak(t *testing.T, seed uint64) {
+// runSoak runs the soak test with one seed.
+func runSoak(t *testing.T, seed uint64) {
 	s := &soak{t: t, rand: rand.New(rand.NewPCG(seed, 46)), stop: make(chan struct{}), requests: map[string]*soakRequest{}, drainKnownAt: map[*fakeserver.Server]time.Time{}}
 	s.timeout = []time.Duration{600 * time.Millisecond, time.Second, 2 * time.Second, 3 * time.Second}[s.rand.IntN(4)]
 	s.dedupWindow = []time.Duration{500 * time.Millisecond, 2 * time.Second}[s.rand.IntN(2)]
@@ -354,16 +365,16 @@
 	crowded := s.rand.IntN(4) == 0
 	s.g = startGroup(t, 5)
 	s.g.MinDuration, s.g.DedupWindow = time.Duration(2+s.rand.IntN(8))*time.Millisecond, s.dedupWindow
-	if s.rand.IntN(3) == 0 { // the front's machine had its clock stepped before it started
+	if s.rand.IntN(3) == 0 { // the clock of the front's machine was stepped before the start
 		s.g.WallClockOffset.Store(int64(steps[s.rand.IntN(len(steps))]))
 	}
-	breaks := rand.New(rand.NewPCG(seed, 47))
+	serverFaults := rand.New(rand.NewPCG(seed, 47))
 	var lock sync.Mutex
 	for _, m := range s.g.Servers {
 		m.SetFault(func(int, string) (f fakeserver.Fault) {
 			lock.Lock()
 			defer lock.Unlock()
-			switch breaks.IntN(60) {
+			switch serverFaults.IntN(60) {
 			case 0:
 				f.BreakAfter = true
 			case 1:
@@ -371,7 +382,7 @@
 			case 2:
 				f.Code = "XX000"
 			case 3:
-				f.Delay = time.Duration(breaks.IntN(400)) * time.Millisecond
+				f.Delay = time.Duration(serverFaults.IntN(400)) * time.Millisecond
 			}
 			return f
 		})
@@ -391,17 +402,17 @@
 		s.group.Go(s.idleClient)
 	}
 	for range 3 {
-		var moments []time.Duration
+		var delays []time.Duration
 		for range 20 {
-			moments = append(moments, time.Duration(s.rand.IntN(60))*time.Millisecond)
+			delays = append(delays, time.Duration(s.rand.IntN(60))*time.Millisecond)
 		}
-		s.group.Go(func() { s.disconnectingClient(moments) })
+		s.group.Go(func() { s.disconnectingClient(delays) })
 	}
 	if crowded {
 		s.group.Go(s.idleConnections)
 	}
 	time.Sleep(undisturbed)
-	require.Eventually(t, func() bool { return s.littleTimeAnswers(time.Now()) > 0 }, 10*time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return s.shortTimeoutAnswers(time.Now()) > 0 }, 10*time.Second, 5*time.Millisecond)
 	s.faultsFrom = time.Now()
 	s.injectFaults(service, next)
 	s.terminate()
@@ -413,11 +424,12 @@
 	s.verify(time.Duration(late.Load()))
 }
 
-func soakNumber(name string, usual int) int {
+// soakNumber returns the number in an environment variable, or the default.
+func soakNumber(name string, defaultNumber int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
 	}
-	return usual
+	return defaultNumber
 }
 
 func TestSoakOfShutdownsUnderFaults(t *testing.T) {
@@ -425,7 +437,7 @@
 	for seed := first; seed < first+soakNumber("SOAK_SEEDS", soakSeedsInCI); seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			playSoak(t, uint64(seed))
+			runSoak(t, uint64(seed))
 		})
 	}
 }
--- a/cmd/dapplerouter/subsystems.go
+++ b/cmd/dapplerouter/subsystems.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// subsystem is what a service runs beside the request path, where the operator's file has its form: the gateway's link, the fleet.
+// subsystem is an optional part of a service beside the request path, such as the gateway's link or the fleet's agent. It runs if the
+// operator's file has its form.
 type subsystem interface {
 	Name() string
 	Start() error
-	Totals() []any                 // attributes for a line of the log
-	DiscoveryMoved(address string) // discovery has another address
-	Drain(within time.Duration)    // transfers what others can take over
+	Totals() []any                 // counters, as attributes for a log line
+	DiscoveryMoved(address string) // the address of discovery has changed
+	Drain(within time.Duration)    // transfers what other fronts can take over, such as leases
 	Close()
 }
 
-// subsystems are those of one service, in the order of their start.
+// subsystems holds the subsystems of one service in the order in which they are started.
 type subsystems []subsystem
 
-// start starts all subsystems. Where one fails, those before it are closed again.
+// start starts all subsystems. If one fails, start closes those that it has started and returns the error.
 func (all subsystems) start() error {
 	for i, s := range all {
 		if err := s.Start(); err != nil {
@@ -47,7 +48,7 @@
 	}
 }
 
-// close closes all, the last started first.
+// close closes all subsystems, in reverse order of their start.
 func (all subsystems) close() {
 	for i := len(all) - 1; i >= 0; i-- {
 		all[i].Close()
--- a/cmd/dapplerouter/system_calls_test.go
+++ b/cmd/dapplerouter/system_calls_test.go
@@ -13,12 +13,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TERMS.md: "System calls fail in all the ways that Linux documents [...] may fail for a moment". Here with the built program.
+// These tests check with the built program that transient failures of system calls do no harm. TERMS.md: "System calls fail in all the ways
+// that Linux documents [...] may fail for a moment".
 
-// A front that transiently cannot listen, or read its configuration, starts all the same.
+// A front that transiently can't listen, or can't read its configuration, starts when the failure is over.
 func TestStartRetriesTransientSystemCallErrors(t *testing.T) {
-	const moment = 700 * time.Millisecond
-	for name, fail := range map[string]func(p *process) (mend func()){
+	const failureDuration = 700 * time.Millisecond
+	for name, fail := range map[string]func(p *process) (repair func()){
 		"its address is taken": func(p *process) func() {
 			l, err := net.Listen("tcp", p.address)
 			require.NoError(p.t, err)
@@ -42,9 +43,9 @@
 			p := newProcess(t, l.address(), g.EndpointSnapshot())
 			_, err := buildProgram()
 			require.NoError(t, err)
-			mend := fail(p)
+			repair := fail(p)
 			p.spawn()
-			time.AfterFunc(moment, mend)
+			time.AfterFunc(failureDuration, repair)
 			require.Eventually(t, func() bool {
 				select {
 				case <-p.ended:
@@ -55,18 +56,18 @@
 			}, 10*time.Second, 5*time.Millisecond)
 			select {
 			case <-p.ended:
-				assert.Fail(t, "it refused to start")
+				assert.Fail(t, "the front exited instead of retrying")
 			default:
 			}
 		})
 	}
 }
 
-// A new configuration that transiently cannot be read after its signal is loaded all the same, within the 4 s after SIGHUP from which on
-// what the new service has counts as notified.
+// A new configuration that can't be read for a moment after SIGHUP is loaded when it can. This must happen within 4 s after SIGHUP: from
+// then on the front counts as notified of what the new discovery service reports.
 func TestReloadRetriesWhileFileIsUnreadable(t *testing.T) {
 	for name, unreadable := range map[string]func(p *process, text []byte){
-		"not there":    func(p *process, _ []byte) { require.NoError(p.t, os.Remove(p.config)) },
+		"missing":      func(p *process, _ []byte) { require.NoError(p.t, os.Remove(p.config)) },
 		"half written": func(p *process, text []byte) { require.NoError(p.t, os.WriteFile(p.config, text[:len(text)/2], 0o600)) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -82,12 +83,12 @@
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGHUP))
 			time.Sleep(time.Second)
 			require.NoError(t, os.WriteFile(p.config, text, 0o600))
-			require.Eventually(t, func() bool { return next.watches.Load() > 0 }, 3*time.Second, time.Millisecond, "the new address is never followed")
+			require.Eventually(t, func() bool { return next.watches.Load() > 0 }, 3*time.Second, time.Millisecond, "the front does not watch the new discovery service")
 		})
 	}
 }
 
-// Signals in series from the first moment at which the process that run starts handles one: none of them is a crash, and it serves.
+// SIGHUPs in quick succession from the first moment at which the process handles the signal: they must not end it, and it must serve.
 func TestSignalsDuringStartDoNotEndFront(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 2)
@@ -104,7 +105,7 @@
 		}
 		select {
 		case <-p.ended:
-			require.Fail(t, "SIGHUP ended it", p.cmd.ProcessState.String())
+			require.Fail(t, "SIGHUP ended the process", p.cmd.ProcessState.String())
 		default:
 		}
 		require.Eventually(t, func() bool { return p.isServed("ready") }, 10*time.Second, 5*time.Millisecond)
@@ -112,12 +113,12 @@
 	}
 }
 
-// A second SIGTERM, a SIGINT and a SIGHUP change nothing of a graceful shutdown.
+// More SIGTERMs, SIGINTs and SIGHUPs during a graceful shutdown have no effect on it: all requests are answered.
 func TestRepeatedSignalsDoNotShortenShutdown(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 2)
 	g.MinDuration = 300 * time.Millisecond
-	p := startListed(t, g, time.Second)
+	p := startWithStaticList(t, g, time.Second)
 	answers := make(chan string, 8)
 	for i := range cap(answers) {
 		c := dial(t, p.address)
@@ -143,7 +144,7 @@
 	assert.Zero(t, p.cmd.ProcessState.ExitCode())
 }
 
-// Writing to the log fails, and service goes on.
+// A front whose log can't be written, since the reader of the pipe is gone, serves on.
 func TestFrontServesOnWhenLogReaderIsGone(t *testing.T) {
 	t.Parallel()
 	g := startGroup(t, 2)
@@ -157,7 +158,7 @@
 	require.Eventually(t, func() bool { return p.isServed("first") }, 10*time.Second, 5*time.Millisecond)
 	read.Close()
 	for n := range 5 {
-		l.setEndpoint(g.Servers[1], "weight", float64(n+2)) // which is logged
+		l.setEndpoint(g.Servers[1], "weight", float64(n+2)) // the change is logged
 		time.Sleep(20 * time.Millisecond)
 		assert.True(t, p.isServed(fmt.Sprint("later", n)))
 	}
--- a/cmd/dapplerouter/totals.go
+++ b/cmd/dapplerouter/totals.go
@@ -11,20 +11,20 @@
 
 const totalsInterval = 10 * time.Second
 
-// logTotals has the core write its totals to the log, with the process's use of resources.
+// logTotals makes the core log its totals, along with the resource usage of the process.
 func (s *service) logTotals() { s.post(front.LogTotals{Extra: s.resourceUsage()}) }
 
-// resourceUsage returns attributes for a line of the log: open connections, goroutines, and memory in bytes.
+// resourceUsage returns attributes for a log line: open connections, goroutines, memory in bytes, garbage collections and CPU time.
 func (s *service) resourceUsage() []any {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	clients, links, peak := s.descriptors.InUse()
 	return []any{"clients", clients, "links", links, "peak", peak, "goroutines", runtime.NumGoroutine(),
-		"memory", m.Sys - m.HeapReleased, "collections", m.NumGC, "cpu", processorTime()}
+		"memory", m.Sys - m.HeapReleased, "collections", m.NumGC, "cpu", processCPUTime()}
 }
 
-// processorTime is what the process has used since its start, in user and system mode; 0 where the system does not tell.
-func processorTime() time.Duration {
+// processCPUTime returns the CPU time of the process since its start, in user and system mode, or 0 if it can't be read.
+func processCPUTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
@@ -32,7 +32,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// runPeriodically calls a function at intervals until ctx ends.
+// runPeriodically calls a function every totalsInterval until ctx ends.
 func runPeriodically(ctx context.Context, call func()) {
 	t := time.NewTicker(totalsInterval)
 	defer t.Stop()
--- a/cmd/dapplerouter/wall_clock_reads_test.go
+++ b/cmd/dapplerouter/wall_clock_reads_test.go
@@ -12,19 +12,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// wallClockReading matches how Go code gets a time without its monotonic reading, which a step of the wall clock moves.
+// wallClockReading matches Go code that obtains a time without a monotonic reading. A step of the wall clock changes such a time.
 var wallClockReading = regexp.MustCompile(`time\.(Unix|UnixMilli|UnixMicro|Date|Parse|ParseInLocation)\(|\.(Unix|UnixMilli|UnixMicro|UnixNano)\(\)|\.Round\(0\)|\.UTC\(\)`)
 
-// datesInService are the places where packages in service use the wall clock, and why a step there is harmless. A new one needs an entry.
-var datesInService = map[string]string{
-	"front/core.go: wall: wallClock{epoch: o.StartedAt.Round(0)}": "the guess that primaries' responses correct (front/wallclock.go)",
-	"front/wallclock.go: time.UnixMilli(ms).Sub(w.epoch)":         "times that others report, against that guess",
+// allowedWallClockUses has an entry for each place at which the packages of a running front use the wall clock. A key is a file and a part
+// of a line. A value is the reason why a step of the clock is harmless there.
+var allowedWallClockUses = map[string]string{
+	"front/core.go: wall: wallClock{epoch: o.StartedAt.Round(0)}": "an estimate that primaries' responses correct (front/wallclock.go)",
+	"front/wallclock.go: time.UnixMilli(ms).Sub(w.epoch)":         "times reported by other processes, relative to that estimate",
 	"front/attempts.go: at.UnixMilli()":                           "a position sent to another site's front; off in run",
-	"tcpconn/tcpconn.go: var Past = time.Unix(1, 0)":              "a deadline that has passed by any clock",
+	"tcpconn/tcpconn.go: var Past = time.Unix(1, 0)":              "a deadline in the past by any clock",
 }
 
-// TERMS.md: "Deadlines, windows, waits and graces are spans of real time." No machine's clock is stepped here: in the packages of
-// service a time without its monotonic reading is used only where the table says why.
+// TERMS.md: "Deadlines, windows, waits and graces are spans of real time." The test steps no clock. It searches the source of the packages
+// of a running front for times without a monotonic reading, and allows only those in the table.
 func TestWallClockIsReadOnlyWhereAStepIsHarmless(t *testing.T) {
 	found := map[string]bool{}
 	for _, dir := range strings.Fields("adapter discovery front pgwire routing router deployment server upstream limits tcpconn monotonic") {
@@ -41,22 +42,22 @@
 				if !wallClockReading.MatchString(line) {
 					continue
 				}
-				place := dateInService(dir+"/"+filepath.Base(file), line)
-				assert.NotEmpty(t, place, fmt.Sprintf("%s:%d reads a date: %s", file, number+1, strings.TrimSpace(line)))
+				place := allowedWallClockUse(dir+"/"+filepath.Base(file), line)
+				assert.NotEmpty(t, place, fmt.Sprintf("%s:%d uses the wall clock: %s", file, number+1, strings.TrimSpace(line)))
 				found[place] = true
 			}
 		}
 	}
-	for place := range datesInService {
-		assert.True(t, found[place], "no longer there: %s", place)
+	for place := range allowedWallClockUses {
+		assert.True(t, found[place], "the table has an entry without a use: %s", place)
 	}
 }
 
-// dateInService is the entry of the table that a line of a file stands under, "" for none.
-func dateInService(file, line string) string {
-	for place := range datesInService {
-		where, code, _ := strings.Cut(place, ": ")
-		if where == file && strings.Contains(line, code) {
+// allowedWallClockUse returns the key of the table's entry for a line of a file, "" for none.
+func allowedWallClockUse(file, line string) string {
+	for place := range allowedWallClockUses {
+		placeFile, code, _ := strings.Cut(place, ": ")
+		if placeFile == file && strings.Contains(line, code) {
 			return place
 		}
 	}
--- a/cmd/dapplerouter/wall_clock_test.go
+++ b/cmd/dapplerouter/wall_clock_test.go
@@ -13,19 +13,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TERMS.md: "A machine's wall clock may be stepped, forward or back, by seconds or by an hour; its monotonic clock runs on." A front
-// that starts behind such a step differs from its servers and its list by it: here theirs differ from its.
+// steps are steps of a wall clock. TERMS.md: "A machine's wall clock may be stepped, forward or back, by seconds or by an hour; its
+// monotonic clock runs on." The wall clock of a front that starts after a step differs by it from those of its servers and of discovery.
+// The tests step the servers' and the list's clocks instead.
 var steps = []time.Duration{-time.Hour, -5 * time.Second, 5 * time.Second, time.Hour}
 
-// assertStaleness asserts that data, by the date in an answer, was no older than a bound and the slack when the request was sent.
-func assertStaleness(t *testing.T, date string, asked time.Time, bound time.Duration) {
-	at, err := strconv.ParseInt(date, 10, 64)
+// assertStaleness asserts that the data of a response was no older than a bound, plus a slack, when the request was sent. timestamp is the
+// time of the data in Unix milliseconds.
+func assertStaleness(t *testing.T, timestamp string, sent time.Time, bound time.Duration) {
+	at, err := strconv.ParseInt(timestamp, 10, 64)
 	assert.NoError(t, err)
-	assert.Less(t, asked.Sub(time.UnixMilli(at)), bound+deadlineSlack, "answered from older data")
+	assert.Less(t, sent.Sub(time.UnixMilli(at)), bound+deadlineSlack, "the data is too old")
 }
 
-// No read is answered from data older than its type allows, whatever the front's wall clock says: servers that do not check
-// themselves answer from what they have.
+// No read returns data older than its type allows, whatever the front's wall clock shows. The servers don't check staleness themselves and
+// return what they have.
 func TestNoStaleReadAfterWallClockStep(t *testing.T) {
 	const bound, behind = time.Second, 3 * time.Second
 	for _, step := range steps {
@@ -34,10 +36,10 @@
 			g := startGroup(t, 3)
 			g.WallClockOffset.Store(int64(step))
 			g.ReplicaLag.Store(int64(behind))
-			p := startListed(t, g, 8*time.Second, setting{"Checks", "silent"})
+			p := startWithStaticList(t, g, 8*time.Second, setting{"Checks", "silent"})
 			t.Cleanup(func() {
 				if t.Failed() {
-					t.Logf("the front said:\n%s", p.logged())
+					t.Logf("log of the front:\n%s", p.logged())
 				}
 			})
 			late := schedulingDelay(t)
@@ -47,44 +49,45 @@
 				c := dial(t, p.address)
 				clients.Go(func() {
 					for n := range 60 {
-						asked := g.Now()
+						sent := g.Now()
 						a, err := c.Query(fmt.Sprintf("SELECT 'age_of_data' /* id=s%d-%d,c=slots,d=3000,cluster=0 */", i, n))
 						if !assert.NoError(t, err) || a.Code != "" || len(a.Rows) != 1 {
 							continue
 						}
 						served.Add(1)
-						assertStaleness(t, a.Rows[0][0], asked, bound+time.Duration(late.Load()))
+						assertStaleness(t, a.Rows[0][0], sent, bound+time.Duration(late.Load()))
 						time.Sleep(5 * time.Millisecond)
 					}
 				})
 			}
 			clients.Wait()
-			t.Logf("%d served, %d probes", served.Load(), g.HealthChecks.Load())
+			t.Logf("%d served, %d health checks", served.Load(), g.HealthChecks.Load())
 			assert.Greater(t, served.Load(), int64(300))
 		})
 	}
 }
 
-// The test above depends on it: a front sends health checks to servers that do not check staleness themselves, for their positions.
+// A front sends health checks to servers that don't check staleness themselves, to learn their positions. TestNoStaleReadAfterWallClockStep
+// depends on this.
 func TestHealthChecksReadPositionsOfServersThatDoNotCheck(t *testing.T) {
 	for _, step := range steps {
 		t.Run(step.String(), func(t *testing.T) {
 			t.Parallel()
 			g := startGroup(t, 3)
 			g.WallClockOffset.Store(int64(step))
-			p := startListed(t, g, 8*time.Second, setting{"Checks", "silent"})
+			p := startWithStaticList(t, g, 8*time.Second, setting{"Checks", "silent"})
 			c := dial(t, p.address)
 			for n := range 60 {
 				_, err := c.Query(fmt.Sprintf("SELECT 'x' /* id=p%d,c=slots,d=3000,cluster=0 */", n))
 				require.NoError(t, err)
 				time.Sleep(5 * time.Millisecond)
 			}
-			assert.NotZero(t, g.HealthChecks.Load(), "the front said:\n%s", p.logged())
+			assert.NotZero(t, g.HealthChecks.Load(), "log of the front:\n%s", p.logged())
 		})
 	}
 }
 
-// The servers' clocks are stepped while the front serves: what their replicas report then says nothing of how far these lag.
+// The servers' clocks are stepped while the front serves. The times that replicas report then don't show how far they lag.
 func TestNoStaleReadWhileServerClocksStep(t *testing.T) {
 	const bound, behind = time.Second, 3 * time.Second
 	for _, step := range steps {
@@ -92,7 +95,7 @@
 			t.Parallel()
 			g := startGroup(t, 3)
 			g.ReplicaLag.Store(int64(behind))
-			p := startListed(t, g, 8*time.Second, setting{"Checks", "silent"})
+			p := startWithStaticList(t, g, 8*time.Second, setting{"Checks", "silent"})
 			late := schedulingDelay(t)
 			c := dial(t, p.address)
 			served := 0
@@ -100,14 +103,14 @@
 				if n%100 == 50 {
 					g.WallClockOffset.Add(int64(step))
 				}
-				asked := g.Now()
+				sent := g.Now()
 				a, err := c.Query(fmt.Sprintf("SELECT 'age_of_data' /* id=l%d,c=slots,d=3000,cluster=0 */", n))
 				require.NoError(t, err)
 				if a.Code != "" {
 					continue
 				}
 				served++
-				assertStaleness(t, a.Rows[0][0], asked, bound+time.Duration(late.Load()))
+				assertStaleness(t, a.Rows[0][0], sent, bound+time.Duration(late.Load()))
 				time.Sleep(5 * time.Millisecond)
 			}
 			assert.Greater(t, served, 280)
@@ -115,9 +118,9 @@
 	}
 }
 
-// A server that has just started gets its share by its slow start, and a full share behind it.
+// After a step of the wall clock, a server that has just started gets the reduced share of a slow start, and a full share afterwards.
 func TestSlowStartHoldsAfterWallClockStep(t *testing.T) {
-	const cold, warmUp = 3 * time.Second, 2 * time.Second
+	const cold, loadTime = 3 * time.Second, 2 * time.Second
 	for _, step := range append(steps, 0) {
 		t.Run(step.String(), func(t *testing.T) {
 			t.Parallel()
@@ -126,8 +129,8 @@
 			g.MinDuration = 2 * time.Millisecond
 			l := startEndpointList(t, g)
 			p := startProcess(t, g, l.address(), 8*time.Second, setting{"Cold", cold}, setting{"StartCapacity", 0.1}, setting{"FallMultiple", 1.5})
-			p.readers(6)
-			time.Sleep(warmUp)
+			p.startReaders(6)
+			time.Sleep(loadTime)
 			started := time.Now()
 			l.setEndpoint(g.Servers[1], "since_ms", g.Now().UnixMilli())
 			time.Sleep(cold * 3)
@@ -143,14 +146,14 @@
 				return one / all
 			}
 			before, early, after := share(-time.Second, 0), share(100*time.Millisecond, 600*time.Millisecond), share(2*cold, 3*cold)
-			t.Logf("share of the one that started: %.2f before, %.2f in its first half second, %.2f once warm", before, early, after)
-			assert.Less(t, early, before*0.6, "a cold server gets its part by its progress")
-			assert.Greater(t, after, before*0.6, "a warm one gets its full part")
+			t.Logf("share of the started server: %.2f before, %.2f in its first half second, %.2f once warm", before, early, after)
+			assert.Less(t, early, before*0.6, "the server in slow start gets too large a share")
+			assert.Greater(t, after, before*0.6, "the server gets too small a share after its slow start")
 		})
 	}
 }
 
-// A front that starts anew behind a step, before servers that started long ago by their own clocks, serves as before.
+// A front that starts after a step of its wall clock serves, and treats servers that by their own clocks started long ago as warm.
 func TestFrontRestartedAfterClockStepServes(t *testing.T) {
 	for _, step := range steps {
 		t.Run(step.String(), func(t *testing.T) {
@@ -173,13 +176,13 @@
 					served++
 				}
 			}
-			assert.GreaterOrEqual(t, served, 18, "its servers are warm")
+			assert.GreaterOrEqual(t, served, 18, "the front treats warm servers as in slow start")
 		})
 	}
 }
 
-// A front that starts just after a server did, with its clock ahead of theirs, gives that one the share of a slow start from its first
-// request on, though nothing but reads comes.
+// A front that starts just after a server did, with a wall clock ahead of the servers', limits that server to the share of a slow start
+// from the first request on, even if all requests are reads.
 func TestSlowStartHoldsAtFrontStartedDuringIt(t *testing.T) {
 	const cold = 10 * time.Second
 	for _, step := range []time.Duration{-time.Hour, -5 * time.Second, 0} {
@@ -192,15 +195,15 @@
 			l.setEndpoint(g.Servers[1], "since_ms", g.Now().UnixMilli())
 			p := startProcess(t, g, l.address(), 8*time.Second, setting{"Cold", cold}, setting{"StartCapacity", 0.1}, setting{"FallMultiple", 1.5})
 			started := time.Now()
-			p.readers(6)
+			p.startReaders(6)
 			time.Sleep(2 * time.Second)
 			within := func(m int, to time.Duration) float64 {
 				return countWithin(g.Servers[m].Statements(), started, started.Add(to))
 			}
 			for _, span := range []time.Duration{200 * time.Millisecond, time.Second} {
-				t.Logf("requests within %v: %v at the primary, %v at the one that started, %v at the warm one", span, within(0, span), within(1, span), within(2, span))
+				t.Logf("requests within %v: %v at the primary, %v at the started server, %v at the warm one", span, within(0, span), within(1, span), within(2, span))
 			}
-			assert.Less(t, within(1, 200*time.Millisecond), 25.0, "a cold server gets its part by its progress: a tenth, and what chance adds")
+			assert.Less(t, within(1, 200*time.Millisecond), 25.0, "the server in slow start gets more than a tenth, with a margin for chance")
 			assert.Less(t, within(1, time.Second), 0.1*within(2, time.Second))
 		})
 	}
