--- a/lab/fleetsim/declarations_test.go
+++ b/lab/fleetsim/declarations_test.go
@@ -12,9 +12,9 @@
 	"dapplerouter/fleet"
 )
 
-// declareEverywhere starts a fleet in which each front declares many leases at once, as it does when it has read the endpoint list.
-// requests counts the fronts' requests as they arrive at the leader.
-func declareEverywhere(fronts, leases int) (sim *Simulation, requests *int) {
+// startFleetDeclaringLeases starts a fleet in which each front declares many leases at once, as a front does when it has read the
+// endpoint list. requests is the number of the fronts' requests that have arrived at the leader.
+func startFleetDeclaringLeases(fronts, leases int) (sim *Simulation, requests *int) {
 	sim, requests = New(Options{Seed: 1, Fronts: fronts, Voters: 3, Timing: testTiming, Leases: twoLeases}), new(int)
 	sim.OnReceive = func(to *Host, _ string, m *fleet.Message) {
 		if m.Kind == fleet.KindRequest && to.Node.IsLeader() {
@@ -30,12 +30,12 @@
 	return sim, requests
 }
 
-// The start of a fleet costs a declaration and a grant of each lease and a join of each front, not a declaration of each lease by
-// each front; and a front asks for all that it lacks at once.
+// When a fleet starts, the log must grow by one declaration and one grant for each lease and one join for each front, not by one
+// declaration for each pair of a lease and a front. A front must ask for all leases that it misses in one request.
 func TestALeaseIsDeclaredOnceHoweverManyFrontsAsk(t *testing.T) {
 	for _, c := range []struct{ fronts, leases int }{{6, 40}, {24, 40}, {24, 160}, {48, 217}} {
 		t.Run(fmt.Sprintf("%d fronts, %d leases", c.fronts, c.leases), func(t *testing.T) {
-			sim, requests := declareEverywhere(c.fronts, c.leases)
+			sim, requests := startFleetDeclaringLeases(c.fronts, c.leases)
 			sim.Run(20 * time.Second)
 			require.Empty(t, sim.Violations)
 			state := sim.Leader().Node.State()
@@ -53,32 +53,34 @@
 	}
 }
 
-// Over slow links a front repeats each request several times before its reply arrives: each is proposed once, however many are in flight.
+// Over slow links a front repeats each request several times before the reply arrives. The leader must propose each request only once,
+// however many are in flight.
 func TestRepeatedRequestIsProposedOnceHoweverManyAreInFlight(t *testing.T) {
-	for _, puts := range []int{10, 60, 200} {
-		t.Run(fmt.Sprint(puts), func(t *testing.T) {
-			sim := started(t, 2, 6)
+	for _, valueCount := range []int{10, 60, 200} {
+		t.Run(fmt.Sprint(valueCount), func(t *testing.T) {
+			sim := startFleet(t, 2, 6)
 			before := sim.Leader().Node.State().Index
 			sim.Delay = 250 * time.Millisecond
 			holder := sim.Leaseholder("list")
 			replies := countEvents[fleet.RequestDone](holder)
 			holder.Do(func(n *fleet.Node, now time.Duration) {
-				for i := range puts {
+				for i := range valueCount {
 					_, ok := n.PutValue(now, "list", fmt.Sprint("key", i), 0, []byte("x"))
 					require.True(t, ok)
 				}
 			})
 			sim.Run(10 * time.Second)
 			require.Empty(t, sim.Violations)
-			require.Len(t, sim.Leader().Node.State().Values, puts)
-			assert.Equal(t, puts, countEvents[fleet.RequestDone](holder)-replies, "each has a reply")
-			assert.LessOrEqual(t, int(sim.Leader().Node.State().Index-before), puts+2, "and proposed once")
+			require.Len(t, sim.Leader().Node.State().Values, valueCount)
+			assert.Equal(t, valueCount, countEvents[fleet.RequestDone](holder)-replies, "each request has one reply")
+			assert.LessOrEqual(t, int(sim.Leader().Node.State().Index-before), valueCount+2, "each request is proposed once")
 		})
 	}
 }
 
-// A membership record renews a bounded number of leases: a front is granted no more, even as the only one that accepts leases, and no
-// link is closed for a record that is too long. The others are granted once another front accepts leases.
+// A membership record can renew only a bounded number of leases. A front must not be granted more than that, even if it is the only
+// one that accepts leases, and no link may be closed because of a record that is too long. The remaining leases must be granted once
+// another front accepts leases.
 func TestNoFrontIsGrantedMoreLeasesThanItCanRenew(t *testing.T) {
 	const maxLeases, leases = 256, 300
 	sim := New(Options{Seed: 1, Fronts: 5, Voters: 3, Timing: testTiming})
@@ -98,7 +100,7 @@
 		}
 	}
 	sim.StartAll()
-	count := func() map[string]int {
+	leasesByHolder := func() map[string]int {
 		held := map[string]int{}
 		for _, lease := range sim.Leader().Node.State().Leases {
 			held[lease.Leaseholder]++
@@ -108,12 +110,12 @@
 	sim.Run(20 * time.Second)
 	require.Empty(t, sim.Violations)
 	assert.Zero(t, closed)
-	assert.Equal(t, map[string]int{"f000": maxLeases, "": leases - maxLeases}, count())
+	assert.Equal(t, map[string]int{"f000": maxLeases, "": leases - maxLeases}, leasesByHolder())
 	sim.Hosts[4].Crash()
 	sim.Hosts[4].DeclinesLeases = false
 	sim.Hosts[4].Start()
 	sim.Run(10 * time.Second)
 	require.Empty(t, sim.Violations)
-	assert.Equal(t, 0, count()[""])
-	assert.LessOrEqual(t, count()["f000"], maxLeases)
+	assert.Equal(t, 0, leasesByHolder()[""])
+	assert.LessOrEqual(t, leasesByHolder()["f000"], maxLeases)
 }
--- a/lab/fleetsim/disk.go
+++ b/lab/fleetsim/disk.go
@@ -10,12 +10,13 @@
 	"dapplerouter/fleet"
 )
 
-// Disk is a voter's disk. What was written survives a crash.
+// Disk is the simulated disk of a voter. Its contents survive a crash of the host.
 type Disk struct {
-	Full  bool // writes fail
+	Full  bool // while set, all writes fail
 	state fleet.DiskState
 }
 
+// clone returns an independent copy of the disk.
 func (d *Disk) clone() *Disk {
 	c := *d
 	c.state.Entries = slices.Clone(d.state.Entries)
@@ -23,10 +24,11 @@
 	return &c
 }
 
-// errNoSpace is the error of every write to a full disk.
+// errNoSpace is the error of a write to a full disk.
 var errNoSpace = errors.New("no space left on device")
 
-// write applies a node's write as a whole: a snapshot replaces the entries up to its index, entries replace those from the first on.
+// write applies a node's write atomically. A snapshot replaces the log entries up to its index. New entries replace those from the
+// first new index on.
 func (d *Disk) write(w *fleet.DiskWrite) error {
 	if d.Full {
 		return errNoSpace
--- a/lab/fleetsim/fault_pairs_test.go
+++ b/lab/fleetsim/fault_pairs_test.go
@@ -10,8 +10,9 @@
 	"dapplerouter/fleet"
 )
 
-// TestEveryPairOfFaultsInASmallFleet runs all pairs of faults, at all hosts and times, in a small fleet of three voters, one follower
-// and two leases. Each must keep the invariants and recover.
+// TestEveryPairOfFaultsInASmallFleet runs all pairs of faults, at all hosts and times, in a small fleet with three voters, one follower
+// and two leases. In each run the invariants must hold and the fleet must recover. With -short or the race detector only some of the
+// pairs are run.
 func TestEveryPairOfFaultsInASmallFleet(t *testing.T) {
 	type fault struct {
 		name   string
@@ -47,7 +48,7 @@
 	type faultAt struct {
 		fault fault
 		host  int
-		when  time.Duration
+		after time.Duration
 	}
 	var all []faultAt
 	for _, f := range faults {
@@ -57,21 +58,21 @@
 			}
 		}
 	}
-	step := 1
+	stride := 1
 	if raceEnabled || testing.Short() {
-		step = 37
+		stride = 37
 	}
 	const parts = 6
 	for part := range parts {
 		t.Run(fmt.Sprint("part", part), func(t *testing.T) {
 			t.Parallel()
 			for i := part; i < len(all); i += parts {
-				for j := i; j < len(all); j += step {
+				for j := i; j < len(all); j += stride {
 					sim := New(Options{Seed: uint64(i*1000 + j), Fronts: 4, Voters: 3, Timing: testTiming, Leases: twoLeases})
 					sim.StartAll()
 					sim.Run(5 * time.Second)
 					for _, x := range []faultAt{all[i], all[j]} {
-						sim.After(x.when, func() { x.fault.inject(sim, sim.Hosts[x.host]) })
+						sim.After(x.after, func() { x.fault.inject(sim, sim.Hosts[x.host]) })
 					}
 					sim.Run(10 * time.Second)
 					sim.Heal()
@@ -81,13 +82,14 @@
 					}
 					sim.Run(14 * time.Second)
 					sim.checkRecovered()
-					require.Empty(t, sim.Violations, "%s at host %d after %v, %s at host %d after %v", all[i].fault.name, all[i].host, all[i].when, all[j].fault.name, all[j].host, all[j].when)
+					require.Empty(t, sim.Violations, "%s at host %d after %v, %s at host %d after %v", all[i].fault.name, all[i].host, all[i].after, all[j].fault.name, all[j].host, all[j].after)
 				}
 			}
 		})
 	}
 }
 
+// startIfDown starts a host unless its process is up.
 func startIfDown(h *Host) {
 	if h.Node == nil {
 		h.Start()
--- a/lab/fleetsim/helpers_test.go
+++ b/lab/fleetsim/helpers_test.go
@@ -11,16 +11,17 @@
 
 var testTiming = fleet.Timing{LeaseDuration: 3 * time.Second}
 
+// twoLeases are two leases without a progress timeout.
 var twoLeases = map[string]time.Duration{"list": 0, "scout/1": 0}
 
-// started returns a fleet of three voters that has run long enough to have a leader and leaseholders.
-func started(t *testing.T, seed uint64, fronts int) *Simulation {
+// startFleet starts a fleet with three voters, and runs it for long enough that it has a leader and leaseholders.
+func startFleet(t *testing.T, seed uint64, fronts int) *Simulation {
 	t.Helper()
-	return startedWithVoters(t, Options{Seed: seed, Fronts: fronts, Voters: 3})
+	return startFleetWithOptions(t, Options{Seed: seed, Fronts: fronts, Voters: 3})
 }
 
-// startedWithVoters does the same for any number of voters.
-func startedWithVoters(t *testing.T, o Options) *Simulation {
+// startFleetWithOptions does the same as startFleet for any number of voters. It overrides the timing and the leases.
+func startFleetWithOptions(t *testing.T, o Options) *Simulation {
 	t.Helper()
 	o.Timing, o.Leases = testTiming, twoLeases
 	sim := New(o)
@@ -31,13 +32,14 @@
 	return sim
 }
 
-// requireRecovered asserts what must hold of a fleet some time after the last fault.
+// requireRecovered requires that no invariant was violated and that the fleet has recovered from all faults.
 func requireRecovered(t *testing.T, sim *Simulation) {
 	t.Helper()
 	sim.checkRecovered()
 	require.Empty(t, sim.Violations)
 }
 
+// countEvents returns the number of events of type E since the host's process started.
 func countEvents[E fleet.Event](h *Host) (n int) {
 	for _, e := range h.Events {
 		if _, ok := e.(E); ok {
@@ -47,8 +49,8 @@
 	return n
 }
 
-// cutBoth cuts both directions between two hosts.
-func (sim *Simulation) cutBoth(a, b *Host) {
+// cutBothDirections cuts both directions of the link between two hosts.
+func (sim *Simulation) cutBothDirections(a, b *Host) {
 	sim.Cut(a.Name, b.Name)
 	sim.Cut(b.Name, a.Name)
 }
--- a/lab/fleetsim/host.go
+++ b/lab/fleetsim/host.go
@@ -8,50 +8,50 @@
 	"dapplerouter/fleet"
 )
 
-// ticksPerLease is how often a host ticks its node in a lease duration.
+// ticksPerLease is the number of times that a host ticks its node within one lease duration.
 const ticksPerLease = 60
 
-// HostConfig is what a host starts its node with. Changes count from the next start.
+// HostConfig is the configuration of a host. A change takes effect when the host starts next.
 type HostConfig struct {
 	Name               string
 	Zone               string
-	ClockRate          float64 // of its clock against virtual time
-	Disk               *Disk   // nil for a host that does not vote
+	ClockRate          float64 // the speed of the host's clock relative to virtual time
+	Disk               *Disk   // nil for a host that is not a voter
 	JoinsExistingFleet bool
 	DeclinesLeases     bool
-	ConfigLease        time.Duration // 0 where no configuration versions are published
-	WithoutFleet       bool          // the host has a clock, is paused and crashes, but has no node
+	ConfigLease        time.Duration // the duration of a configuration lease; 0 if no configuration versions are published
+	WithoutFleet       bool          // the host has a clock and can be paused and crashed, but runs no node
 }
 
-// HostUsage counts what a host's node cost. Measurements reset it.
+// HostUsage counts the resources that a host's node has used. Measurements reset it.
 type HostUsage struct {
-	BytesSent    int64 // where Hooks.MessageSize is set
+	BytesSent    int64 // counted only if Hooks.MessageSize is set
 	MessagesSent int64
-	CPU          time.Duration // of the node's own calls, where Hooks.CPUClock is set
+	CPU          time.Duration // processor time of the node's calls; counted only if Hooks.CPUClock is set
 }
 
-// Host is a simulated machine with one process: one front's fleet node.
+// Host is a simulated machine that runs one process, the fleet node of one front.
 type Host struct {
 	HostConfig
 	HostUsage
 	Node   *fleet.Node   // nil while the process is down
-	Events []fleet.Event // since the process started
+	Events []fleet.Event // the node's events since the process started
 
 	sim *Simulation
 	process
 }
 
-// process is what a host forgets in a crash.
+// process is the state of a host's process. Each start resets it, except for the count of the starts.
 type process struct {
 	up            bool
 	bootedAt      time.Duration // virtual time at which the host's clock was 0
-	incarnation   int           // counts the starts
+	incarnation   int           // number of starts so far
 	paused        bool
-	deferred      []func() // until it is resumed
-	links         map[string]*link
-	dialling      map[string]bool
-	acceptedTerms map[string]uint64 // of broadcasts, by lease
-	checkedIndex  uint64            // at which its replicated state was last compared
+	deferred      []func()          // calls that wait until the process is resumed
+	links         map[string]*link  // open links, by the peer's name
+	dialling      map[string]bool   // names of the peers that are being dialled
+	acceptedTerms map[string]uint64 // term of the last accepted broadcast, by lease
+	checkedIndex  uint64            // log index at which the replicated state was last compared
 }
 
 // Start starts the host's process. The host must be down.
@@ -91,7 +91,8 @@
 	}
 }
 
-// startNode reports whether the node started; otherwise it notes a violation.
+// startNode makes the host's node from its disk and declares the leases. It reports whether the node started. A failure is recorded
+// as a violation.
 func (h *Host) startNode(o fleet.Options) bool {
 	sim := h.sim
 	var disk *fleet.DiskState
@@ -113,7 +114,7 @@
 	return true
 }
 
-// Crash ends the process; the disk keeps what was written.
+// Crash ends the process without a shutdown and closes its links. The disk keeps all completed writes.
 func (h *Host) Crash() {
 	if !h.up {
 		return
@@ -125,7 +126,7 @@
 	}
 }
 
-// Pause stops the process as SIGSTOP does.
+// Pause suspends the process as SIGSTOP does.
 func (h *Host) Pause() {
 	if h.up {
 		h.sim.trace("%s paused", h.Name)
@@ -133,7 +134,7 @@
 	}
 }
 
-// Resume continues a paused process as SIGCONT does.
+// Resume continues a paused process as SIGCONT does, and executes the calls that were deferred in the meantime.
 func (h *Host) Resume() {
 	if !h.paused {
 		return
@@ -147,36 +148,38 @@
 	}
 }
 
-// Up reports whether the process runs, paused or not.
+// Up reports whether the process exists, paused or not.
 func (h *Host) Up() bool { return h.up }
 
 // Paused reports whether the process is paused.
 func (h *Host) Paused() bool { return h.paused }
 
-// CopyDisk returns a copy of the disk as it is now, which a test may restore later.
+// CopyDisk returns a copy of the disk's present contents. A test may assign it to Disk later, as a restored backup.
 func (h *Host) CopyDisk() *Disk { return h.Disk.clone() }
 
-// Clock returns the host's own time.
+// Clock returns the time of the host's own clock, which runs at ClockRate.
 func (h *Host) Clock() time.Duration {
 	return time.Duration(float64(h.sim.Now-h.bootedAt) * h.ClockRate)
 }
 
-// After runs a call on the host after d of its own time: once it is resumed, if it is paused then; never, if the process has ended
-// by then.
+// After schedules a call on the host after d of the host's own time. If the process is paused then, the call waits until the process
+// is resumed. If the process has ended by then, the call is dropped.
 func (h *Host) After(d time.Duration, call func(now time.Duration)) {
 	incarnation := h.incarnation
 	if d > 0 {
-		d = time.Duration(float64(d)/h.ClockRate) + 2 // rounded up, so that the host's clock has reached the time
+		d = time.Duration(float64(d)/h.ClockRate) + 2 // rounded up, so that the host's clock has reached the time when the call runs
 	}
 	h.sim.After(d, func() { h.execute(incarnation, call) })
 }
 
-// Do runs a call of the host's node now, or when the host is resumed.
+// Do calls a function with the host's node and the time of the host's clock, and carries out what the node asks for. The call runs
+// now, or when the host is resumed if it is paused. It is dropped if the process is down.
 func (h *Host) Do(call func(n *fleet.Node, now time.Duration)) {
 	h.execute(h.incarnation, func(now time.Duration) { call(h.Node, now) })
 }
 
-// execute runs a call on the host, deferred while it is paused; nothing if the process is another by then.
+// execute runs a call on the process with the given incarnation, then handles the node's outputs. While the process is paused the
+// call is deferred. The call is dropped if that process has ended.
 func (h *Host) execute(incarnation int, call func(now time.Duration)) {
 	if !h.up || h.incarnation != incarnation {
 		return
@@ -189,7 +192,7 @@
 	h.processOutputs()
 }
 
-// measureCPU runs a call of the node and adds the processor time that it took.
+// measureCPU runs a call of the node and adds the processor time that it took to HostUsage.CPU.
 func (h *Host) measureCPU(call func()) {
 	if h.sim.CPUClock == nil {
 		call()
@@ -200,7 +203,8 @@
 	h.CPU += h.sim.CPUClock() - start
 }
 
-// scheduleTicks ticks the node for as long as the process lives, beginning at a random phase.
+// scheduleTicks ticks the node at a fixed interval until the process ends. The first tick is at a random moment within one interval,
+// so that the hosts don't tick at the same time.
 func (h *Host) scheduleTicks() {
 	incarnation, interval := h.incarnation, h.sim.Timing.LeaseDuration/ticksPerLease
 	var tick func()
@@ -219,7 +223,8 @@
 	h.sim.After(time.Duration(h.sim.Rand.Int64N(int64(interval))), tick)
 }
 
-// processOutputs carries out what the node asks for, and checks the invariants.
+// processOutputs carries out what the node asks for: disk writes, messages, and links to close. Then it handles the node's events
+// and checks the invariants.
 func (h *Host) processOutputs() {
 	if h.Node == nil {
 		return
@@ -241,6 +246,7 @@
 	h.sim.checkInvariants(h)
 }
 
+// writeDisk writes the node's pending writes to the disk, until there are none left or a write fails.
 func (h *Host) writeDisk() {
 	for {
 		write, ok := h.Node.PendingWrite()
@@ -255,6 +261,7 @@
 	}
 }
 
+// sendMessage sends a message over a link and counts it. The receiver closes the link if its node returns an error.
 func (h *Host) sendMessage(l *link, message *fleet.Message) {
 	sim := h.sim
 	h.MessagesSent++
@@ -275,10 +282,11 @@
 	})
 }
 
+// onEvent records and traces an event of the host's node, and checks the term if it is a broadcast.
 func (h *Host) onEvent(e fleet.Event) {
 	sim := h.sim
 	h.Events = append(h.Events, e)
-	if _, ok := e.(fleet.LeaseRenewed); !ok { // too many to be of use in a trace
+	if _, ok := e.(fleet.LeaseRenewed); !ok { // renewals are too frequent to be useful in a trace
 		f := e.Fields()
 		sim.trace("%s event %s lease %s term %d %s %s", h.Name, f.Kind, f.Lease, f.Term, f.Name, f.Reason)
 	}
--- a/lab/fleetsim/idle_bench_test.go
+++ b/lab/fleetsim/idle_bench_test.go
@@ -14,17 +14,18 @@
 	"dapplerouter/lab/capacity/fit"
 )
 
-// idleFleet is the size of a fleet in which nothing happens.
+// idleFleet is the size of a fleet that is measured while nothing happens in it.
 type idleFleet struct {
 	fronts, leases int
-	configLease    time.Duration // that each front renews; 0 where no configuration versions are published
+	configLease    time.Duration // the configuration lease that each front renews; 0 if no configuration versions are published
 }
 
+// String returns the name of the benchmark's run.
 func (r idleFleet) String() string {
 	return fmt.Sprintf("fronts=%d/leases=%d/config-lease=%v", r.fronts, r.leases, r.configLease)
 }
 
-// leasesFor returns n leases: the endpoint list's, and those of probers.
+// leasesFor returns n leases without a progress timeout: that of the endpoint list and n-1 probe leases.
 func leasesFor(n int) map[string]time.Duration {
 	all := map[string]time.Duration{fleet.EndpointListLease: 0}
 	for g := 1; g < n; g++ {
@@ -33,7 +34,7 @@
 	return all
 }
 
-// threadCPU returns the processor time of the calling thread, to which the goroutine has to be locked.
+// threadCPU returns the processor time of the calling thread. The goroutine must be locked to the thread.
 func threadCPU() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t); err != nil {
@@ -42,9 +43,10 @@
 	return time.Duration(t.Nano())
 }
 
-// cost is what a front of a role uses in a second, on average.
+// cost is the average usage of a front in a second: messages, bytes, and milliseconds of processor time.
 type cost struct{ messages, bytes, cpu float64 }
 
+// run measures a fleet of this size, reports the metrics and adds them to series, from which the slopes are computed.
 func (r idleFleet) run(b *testing.B, seed uint64, series fit.Series) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -61,20 +63,20 @@
 		b.Fatal(sim.Violations)
 	}
 	leader := sim.Leader()
-	var costs [3]cost // leader, voters that follow it, followers
+	var costs [3]cost // of the leader, of the other voters, and of the followers
 	var count [3]float64
 	for i, h := range sim.Hosts {
-		k := 2
+		role := 2
 		switch {
 		case h == leader:
-			k = 0
+			role = 0
 		case i < 3:
-			k = 1
+			role = 1
 		}
-		count[k]++
-		costs[k].messages += float64(h.MessagesSent) / seconds
-		costs[k].bytes += float64(h.BytesSent) / seconds
-		costs[k].cpu += h.CPU.Seconds() * 1e3 / seconds
+		count[role]++
+		costs[role].messages += float64(h.MessagesSent) / seconds
+		costs[role].bytes += float64(h.BytesSent) / seconds
+		costs[role].cpu += h.CPU.Seconds() * 1e3 / seconds
 	}
 	report := func(value float64, unit string) {
 		b.ReportMetric(value, unit)
@@ -93,10 +95,10 @@
 		runtime.ReadMemStats(&m)
 		return float64(m.HeapAlloc) / float64(r.fronts) / 1024
 	}
-	sim.queue = nil // messages in flight don't belong to a front
+	sim.queue = nil // messages in flight are not part of a front's memory
 	all := heap()
 	for _, h := range sim.Hosts {
-		h.Events = nil // kept by the simulation only
+		h.Events = nil // only the simulation keeps the events
 	}
 	report(float64(leader.Node.State().Index), "log-entries")
 	report(all, "KiB/front")
@@ -104,15 +106,15 @@
 	runtime.KeepAlive(sim)
 }
 
-// BenchmarkIdleFleet measures what an idle fleet costs a front of each role, by the number of fronts and of leases: messages, bytes
-// and processor time in a second of virtual time. Each run is one measurement with a seed of its own: -benchtime 3x measures three
-// times. The slopes are printed after the last size.
+// BenchmarkIdleFleet measures the resource usage of a front of each role in an idle fleet, by the number of fronts and of leases:
+// messages, bytes and processor time in a second of virtual time. Each run is one measurement with its own seed, so -benchtime 3x
+// measures three times. The slopes are printed after the last size.
 func BenchmarkIdleFleet(b *testing.B) {
 	var all []idleFleet
 	for _, fronts := range []int{10, 50, 150, 300, 540, 1080} {
 		all = append(all, idleFleet{fronts, 2, 0}, idleFleet{fronts, 2, 12 * time.Second})
 	}
-	for _, leases := range []int{11, 71, 141, 218} { // one for each group of three databases, and the endpoint list's
+	for _, leases := range []int{11, 71, 141, 218} { // one lease for each group of three databases, and that of the endpoint list
 		for _, fronts := range []int{50, 150, 300, 540} {
 			all = append(all, idleFleet{fronts, leases, 12 * time.Second})
 		}
@@ -134,8 +136,8 @@
 	}
 }
 
-// BenchmarkTimeWithoutLeaseholder measures how long a lease has no holder, in virtual time, after its holder has transferred it, shut
-// down, crashed or been paused.
+// BenchmarkTimeWithoutLeaseholder measures how long a lease has no holder, in virtual time, after its holder has transferred it, has
+// shut down, has crashed or has been paused.
 func BenchmarkTimeWithoutLeaseholder(b *testing.B) {
 	for name, inject := range map[string]func(sim *Simulation, h *Host){
 		"transfer": func(sim *Simulation, h *Host) {
@@ -180,8 +182,8 @@
 	}
 }
 
-// BenchmarkIdleFleetByLeases measures the processor time of the ticks of an idle fleet, in microseconds for a second of virtual time.
-// The times depend on the machine; what counts is their growth with the number of leases.
+// BenchmarkIdleFleetByLeases measures the time that the ticks of an idle fleet take, in microseconds for each second of virtual time.
+// The absolute times depend on the machine. The benchmark shows how they grow with the number of leases.
 func BenchmarkIdleFleetByLeases(b *testing.B) {
 	for _, leases := range []int{2, 50, 217} {
 		b.Run(fmt.Sprint(leases), func(b *testing.B) {
@@ -202,7 +204,7 @@
 					name string
 					host *Host
 				}{{"leader", leader}, {"holder", holder}, {"follower", follower}} {
-					const ticks = 20000 // all at one time, so that nothing is due but at the first
+					const ticks = 20000 // all at the same time, so that only the first tick finds work that is due
 					now := x.host.Clock()
 					start := time.Now()
 					for range ticks {
--- a/lab/fleetsim/invariants.go
+++ b/lab/fleetsim/invariants.go
@@ -8,25 +8,25 @@
 	"dapplerouter/fleet"
 )
 
-// Invariants is what must always hold, and where it did not:
-//   - a lease has one leaseholder at a time, by the holders' own clocks;
-//   - no front accepts a broadcast under a lease's earlier term once it knows of a later one;
-//   - fronts that are at one index of the replicated log have the same state (checked in fleets of less than 20 hosts).
+// Invariants records the violations of the simulation's invariants, which must hold at all times:
+//   - A lease has at most one leaseholder at a time, according to the holders' own clocks.
+//   - A front that knows of a term of a lease accepts no broadcast under the lease in an earlier term.
+//   - Fronts at the same index of the replicated log have the same state. This is checked in fleets of fewer than 20 hosts.
 type Invariants struct {
-	Violations []string // with the time of each; Run stops at the first
+	Violations []string // each with its virtual time; Run stops at the first one
 
-	stateChecksums map[uint64]uint32  // by index
-	leaseholders   map[string][]*Host // by lease, when they were last checked
+	stateChecksums map[uint64]uint32  // checksum of the replicated state, by log index
+	leaseholders   map[string][]*Host // the holders at the last check, by lease
 }
 
-// Violationf adds a violation, with the present time. It ends the present Run.
+// Violationf records a violation with the current virtual time. It makes the current Run stop.
 func (sim *Simulation) Violationf(format string, args ...any) {
 	sim.Violations = append(sim.Violations, fmt.Sprintf("%v: ", sim.Now)+fmt.Sprintf(format, args...))
 }
 
-// checkInvariants checks leaseholders and replicated state after a step of one host. A node acquires a lease only within a step of
-// its own and loses it as time passes: only this host may hold now what it did not hold before, so it is enough to check it against
-// those who held the lease at the last check.
+// checkInvariants checks the leaseholders and the replicated state after a step of one host. A node acquires a lease only within its
+// own step, and it loses a lease as time passes. So only this host can have become a holder since the last check, and it is enough to
+// compare it with the holders at that check.
 func (sim *Simulation) checkInvariants(h *Host) {
 	for lease := range sim.leases {
 		holders := slices.DeleteFunc(sim.leaseholders[lease], func(o *Host) bool { return o == h || !o.holdsLease(lease) })
@@ -48,10 +48,10 @@
 	}
 }
 
-// checkBroadcast checks the term of a broadcast that a host accepted.
+// checkBroadcast checks that the term of a broadcast is not earlier than one that the host knows of or has accepted before.
 func (sim *Simulation) checkBroadcast(h *Host, e fleet.BroadcastReceived) {
 	if lease := h.Node.State().Leases[e.Lease]; lease != nil && e.Term < lease.Term {
-		sim.Violationf("%s accepted a broadcast under %s in term %d and knows of term %d", h.Name, e.Lease, e.Term, lease.Term)
+		sim.Violationf("%s accepted a broadcast under %s in term %d but knows of term %d", h.Name, e.Lease, e.Term, lease.Term)
 	}
 	if e.Term < h.acceptedTerms[e.Lease] {
 		sim.Violationf("%s accepted a broadcast under %s in term %d after term %d", h.Name, e.Lease, e.Term, h.acceptedTerms[e.Lease])
@@ -59,7 +59,8 @@
 	h.acceptedTerms[e.Lease] = e.Term
 }
 
-// checkRecovered checks a fleet that has run without faults for a while: one leader, every lease held, no front isolated or lagging.
+// checkRecovered records a violation for each way in which the fleet has not recovered from earlier faults. A recovered fleet has a
+// leader and a holder of every lease. None of its running fronts is isolated or more than three log entries behind the leader.
 func (sim *Simulation) checkRecovered() {
 	leader := sim.Leader()
 	if leader == nil {
--- a/lab/fleetsim/leases_test.go
+++ b/lab/fleetsim/leases_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestBroadcastAfterPauseIsRejectedByFrontsThatKnowTheNextTerm(t *testing.T) {
-	sim := started(t, 3, 6)
+	sim := startFleet(t, 3, 6)
 	h := sim.Leaseholder("list")
 	term, _ := h.Node.HoldsLease(h.Clock(), "list")
 	sim.BroadcastLate(h, "list", term, 10*time.Second)
@@ -59,9 +59,9 @@
 		h.DeclinesLeases = true
 	}
 	sim.StartAll()
-	sim.Run(20 * time.Minute) // nobody ever reports progress
+	sim.Run(20 * time.Minute) // no front ever reports progress
 	require.Empty(t, sim.Violations)
 	term := sim.Leader().Node.State().Leases["list"].Term
 	assert.Greater(t, term, uint64(4))
-	assert.Less(t, term, uint64(30), "without a backoff it would move every five seconds, 240 times")
+	assert.Less(t, term, uint64(30), "without a backoff the lease would change its holder every five seconds, 240 times")
 }
--- a/lab/fleetsim/lost_disks_test.go
+++ b/lab/fleetsim/lost_disks_test.go
@@ -11,10 +11,11 @@
 	"dapplerouter/fleet"
 )
 
-// disksLost crashes all three voters, and brings the second back with an older copy and the third with an empty disk. The first is
-// away unless it returns. Between the copy and the crash a lease was transferred, so the copy lacks entries.
-func disksLost(t *testing.T, seed uint64, firstReturns bool) *Simulation {
-	sim := started(t, seed, 6)
+// startFleetWithLostDisks starts a fleet and crashes all three voters. It restarts the second voter with an older copy of its disk and
+// the third with an empty disk. It restarts the first voter, whose disk is intact, only if firstReturns is set. A lease is transferred
+// between the copy and the crash, so the copy lacks log entries.
+func startFleetWithLostDisks(t *testing.T, seed uint64, firstReturns bool) *Simulation {
+	sim := startFleet(t, seed, 6)
 	old := sim.Hosts[1].CopyDisk()
 	sim.Hosts[5].Do(func(n *fleet.Node, now time.Duration) { n.TransferLease(now, "list", "") })
 	sim.Run(4 * time.Second)
@@ -33,7 +34,7 @@
 	return sim
 }
 
-// recoverAt runs the operator's recovery of the voters at a host.
+// recoverAt starts the recovery of the voters at a host, as an operator does.
 func recoverAt(h *Host, reason string) (err error) {
 	h.Do(func(n *fleet.Node, now time.Duration) { err = n.RecoverVoters(now, reason) })
 	return err
@@ -42,14 +43,14 @@
 func TestTwoVotersWithoutTheirDisksElectNoLeader(t *testing.T) {
 	for _, firstReturns := range []bool{false, true} {
 		t.Run(fmt.Sprint("first returns ", firstReturns), func(t *testing.T) {
-			sim := disksLost(t, 21, firstReturns)
+			sim := startFleetWithLostDisks(t, 21, firstReturns)
 			assert.Nil(t, sim.Leader())
 			for _, h := range sim.Hosts {
 				if h.Node != nil {
-					assert.True(t, h.Node.Isolated(), "%s continues isolated", h.Name)
+					assert.True(t, h.Node.Isolated(), "%s continues to run, but isolated", h.Name)
 				}
 			}
-			assert.NotEmpty(t, sim.Hosts[2].Node.VoterHaltReason(), "its disk was lost, and the voter with the old copy detects that")
+			assert.NotEmpty(t, sim.Hosts[2].Node.VoterHaltReason(), "the voter with the old copy detects that this voter's disk was lost")
 			if firstReturns {
 				assert.NotEmpty(t, sim.Hosts[1].Node.VoterHaltReason())
 			}
@@ -57,9 +58,10 @@
 	}
 }
 
-// Two voters that lost their disks must not found a second fleet of the same name while the third, which could tell, is down.
+// Two voters that lost their disks must not start a second fleet of the same name while the third voter is down. Only the third
+// voter's disk shows that the fleet existed before.
 func TestTwoEmptyDisksBeginNoFleetWhileTheThirdVoterIsAway(t *testing.T) {
-	sim := started(t, 22, 3)
+	sim := startFleet(t, 22, 3)
 	for _, h := range sim.Hosts {
 		h.Crash()
 	}
@@ -67,7 +69,7 @@
 	sim.Hosts[1].Start()
 	sim.Hosts[2].Start()
 	sim.Run(20 * time.Second)
-	require.Nil(t, sim.Leader(), "the two cannot tell this from a running fleet")
+	require.Nil(t, sim.Leader(), "two voters with empty disks cannot rule out that the fleet exists")
 	sim.Hosts[0].Start()
 	sim.Run(10 * time.Second)
 	require.Nil(t, sim.Leader())
@@ -77,21 +79,23 @@
 	assert.Empty(t, sim.Hosts[0].Node.VoterHaltReason())
 }
 
-// TestWhichDisksMayElectALeader runs all combinations of three voters' disks: kept, an older copy, empty, or down with its host.
+// TestWhichDisksMayElectALeader runs the combinations of states of three voters' disks: kept, replaced by an older copy, empty, or
+// unavailable because the host is down. A leader must be elected if at least two disks were kept, and not otherwise. Combinations in
+// which no disk shows the loss are left out.
 func TestWhichDisksMayElectALeader(t *testing.T) {
 	const kept, older, empty, down = "kept", "older", "empty", "down"
-	fates := []string{kept, older, empty, down}
+	diskStates := []string{kept, older, empty, down}
 	seed := uint64(100)
-	for _, a := range fates {
-		for _, b := range fates {
-			for _, c := range fates {
-				all := []string{a, b, c}
+	for _, a := range diskStates {
+		for _, b := range diskStates {
+			for _, c := range diskStates {
+				combination := []string{a, b, c}
 				count := map[string]int{}
-				for _, fate := range all {
-					count[fate]++
+				for _, state := range combination {
+					count[state]++
 				}
 				if count[kept] == 0 && count[older] >= 2 || count[empty] == 3 {
-					continue // no remaining disk can tell: see docs/fleet.md, "What is promised"
+					continue // no remaining disk shows the loss: see docs/fleet.md, "What is promised"
 				}
 				seed++
 				sim := New(Options{Seed: seed, Fronts: 4, Voters: 3, Timing: testTiming, Leases: twoLeases})
@@ -105,7 +109,7 @@
 				sim.Run(4 * time.Second)
 				for i, h := range sim.Hosts[:3] {
 					h.Crash()
-					switch all[i] {
+					switch combination[i] {
 					case older:
 						h.Disk = copies[i]
 					case empty:
@@ -113,20 +117,20 @@
 					}
 				}
 				for i, h := range sim.Hosts[:3] {
-					if all[i] != down {
+					if combination[i] != down {
 						h.Start()
 					}
 				}
 				sim.Run(15 * time.Second)
-				require.Empty(t, sim.Violations, "%v, seed %d", all, seed)
-				assert.Equal(t, count[kept] >= 2, sim.Leader() != nil, "%v, seed %d: two voters with their own disks elect a leader", all, seed)
+				require.Empty(t, sim.Violations, "%v, seed %d", combination, seed)
+				assert.Equal(t, count[kept] >= 2, sim.Leader() != nil, "%v, seed %d: two voters with kept disks elect a leader", combination, seed)
 			}
 		}
 	}
 }
 
 func TestRecoveredVotersServeTheWholeFleetAgain(t *testing.T) {
-	sim := disksLost(t, 23, true)
+	sim := startFleetWithLostDisks(t, 23, true)
 	first := sim.Hosts[0]
 	disk, ok := first.Node.VoterDiskPosition()
 	require.True(t, ok)
@@ -141,7 +145,7 @@
 	require.NoError(t, recoverAt(first, "two disks are gone"))
 	assert.ErrorContains(t, recoverAt(first, "again"), "under way")
 	sim.Run(testTiming.LeaseDuration)
-	require.Nil(t, sim.Leader(), "leases granted before may not have expired yet, by the holder's clock")
+	require.Nil(t, sim.Leader(), "leases that were granted before may not have expired yet on their holders' clocks")
 	for sim.Leader() == nil && sim.Now < requestedAt+time.Minute {
 		sim.Run(50 * time.Millisecond)
 	}
@@ -159,9 +163,9 @@
 	first.Start()
 	sim.Run(10 * time.Second)
 	sim.checkRecovered()
-	require.Empty(t, sim.Violations, "the recovered state is on disk")
+	require.Empty(t, sim.Violations, "the recovered state is stored on disk")
 
-	// A voter of a new name replaces each lost one; the lost disks stay rejected.
+	// A voter with a new name replaces each lost voter. The disks of the lost voters stay rejected.
 	for i, name := range []string{"new1", "new2"} {
 		h := sim.AddHost(HostConfig{Name: name, Zone: "b", Disk: &Disk{}, JoinsExistingFleet: true})
 		h.Start()
@@ -180,9 +184,9 @@
 	require.Empty(t, sim.Violations)
 }
 
-// Of five voters two keep their disks: the one that the recovery was not run at is no voter any more.
+// Two of five voters keep their disks, and the recovery is run at one of them. The other one must no longer be accepted as a voter.
 func TestVoterLeftOutOfRecoveryIsRejected(t *testing.T) {
-	sim := startedWithVoters(t, Options{Seed: 24, Fronts: 7, Voters: 5})
+	sim := startFleetWithOptions(t, Options{Seed: 24, Fronts: 7, Voters: 5})
 	for _, h := range sim.Hosts[2:5] {
 		h.Crash()
 	}
@@ -196,13 +200,13 @@
 }
 
 func TestRecoveryIsRejectedWhereItIsNotNeeded(t *testing.T) {
-	sim := disksLost(t, 25, true)
+	sim := startFleetWithLostDisks(t, 25, true)
 	assert.ErrorContains(t, recoverAt(sim.Hosts[0], " "), "needs a reason")
 	assert.ErrorContains(t, recoverAt(sim.Hosts[1], "x"), "has stopped")
 	assert.ErrorContains(t, recoverAt(sim.Hosts[2], "x"), "has stopped")
 	assert.ErrorContains(t, recoverAt(sim.Hosts[4], "x"), "no voter")
 
-	sim = started(t, 26, 5)
+	sim = startFleet(t, 26, 5)
 	assert.ErrorContains(t, recoverAt(sim.Leader(), "x"), "has a leader")
 	for _, h := range sim.Hosts[:3] {
 		h.Crash()
@@ -211,7 +215,7 @@
 	sim.Run(8 * time.Second)
 	require.NoError(t, recoverAt(sim.Hosts[0], "the others seem gone"))
 	sim.Run(time.Second)
-	sim.Hosts[1].Start() // one of them comes back, which ends the recovery
+	sim.Hosts[1].Start() // one of the other voters returns, which ends the recovery
 	sim.Run(20 * time.Second)
 	require.Empty(t, sim.Violations)
 	assert.Equal(t, fleet.RecoveryRefused, sim.Hosts[0].Node.Recovery().State)
@@ -219,9 +223,10 @@
 	assert.Len(t, sim.Leader().Node.State().Voters, 3)
 }
 
-// Only an older copy is left: the followers have log entries that it lacks, among them a grant of a lease.
+// Only an older copy of one voter's disk is left. The followers have log entries that the copy lacks, among them the grant of a lease.
+// The recovered voter must not use the indexes and terms of those entries again.
 func TestRecoveryFromAnOlderCopyReusesNoIndexAndNoTerm(t *testing.T) {
-	sim := started(t, 27, 6)
+	sim := startFleet(t, 27, 6)
 	old := sim.Hosts[1].CopyDisk()
 	from := sim.Leaseholder("list")
 	sim.Hosts[5].Do(func(n *fleet.Node, now time.Duration) { n.TransferLease(now, "list", "") })
--- a/lab/fleetsim/membership_test.go
+++ b/lab/fleetsim/membership_test.go
@@ -14,14 +14,14 @@
 )
 
 func TestDuplicateNameDisplacesOneFront(t *testing.T) {
-	sim := started(t, 8, 5)
+	sim := startFleet(t, 8, 5)
 	first := sim.Hosts[4]
-	twin := &Host{HostConfig: HostConfig{Name: first.Name, Zone: "a", ClockRate: 1}, sim: sim}
-	sim.Hosts = append(sim.Hosts, twin) // not in byName: nobody reaches it, and it dials
-	twin.Start()
+	duplicate := &Host{HostConfig: HostConfig{Name: first.Name, Zone: "a", ClockRate: 1}, sim: sim}
+	sim.Hosts = append(sim.Hosts, duplicate) // not in byName: other hosts can't dial it, but it dials them
+	duplicate.Start()
 	sim.Run(25 * time.Second)
 	require.Empty(t, sim.Violations)
-	assert.Equal(t, 1, countEvents[fleet.FrontDisplaced](first)+countEvents[fleet.FrontDisplaced](twin))
+	assert.Equal(t, 1, countEvents[fleet.FrontDisplaced](first)+countEvents[fleet.FrontDisplaced](duplicate))
 	assert.NotNil(t, sim.Leaseholder("list"))
 }
 
@@ -45,9 +45,10 @@
 	assert.LessOrEqual(t, sim.Leader().Node.State().Leases["list"].Term, uint64(2))
 }
 
-// TestMessagesReplayedAMinuteLateChangeNothing replays to each front, a minute later, all that it received in some seconds of change.
+// TestMessagesReplayedAMinuteLateChangeNothing records the messages that each front receives while leases move, and delivers them to
+// it again a minute later.
 func TestMessagesReplayedAMinuteLateChangeNothing(t *testing.T) {
-	sim := started(t, 12, 5)
+	sim := startFleet(t, 12, 5)
 	type delivery struct {
 		from string
 		m    fleet.Message
@@ -73,13 +74,13 @@
 }
 
 func TestHelloOfAnotherFleetAndMalformedMessagesAreRejected(t *testing.T) {
-	sim := started(t, 13, 4)
+	sim := startFleet(t, 13, 4)
 	n := sim.Hosts[0].Node
 	foreign := sim.Hosts[3].Node.Hello("f000", true)
 	foreign.Hello.Fleet = "another"
 	assert.ErrorContains(t, n.CheckHello(sim.Hosts[0].Clock(), foreign), "another fleet")
 	r := rand.New(rand.NewPCG(1, 1))
-	for range 20_000 { // whatever a peer sends, nothing panics and nothing is kept without bound
+	for range 20_000 { // no message from a peer may cause a panic or unbounded storage
 		m := &fleet.Message{Kind: fleet.Kind(r.IntN(14)), From: fmt.Sprint("x", r.IntN(1e6)), Index: r.Uint64() >> r.IntN(64), Term: r.Uint64() >> r.IntN(64),
 			Number: r.Uint64(), Name: []string{"list", "f001", "", strings.Repeat("n", 500)}[r.IntN(4)], Data: make([]byte, r.IntN(64))}
 		if r.IntN(2) == 0 {
@@ -94,13 +95,13 @@
 }
 
 func TestMembershipRecordOfEndedProcessDisplacesNobody(t *testing.T) {
-	sim := started(t, 15, 5)
-	f, g := sim.Hosts[4], sim.Leader()
+	sim := startFleet(t, 15, 5)
+	restarted, leader := sim.Hosts[4], sim.Leader()
 	var old []fleet.Message
 	var from string
 	sim.OnReceive = func(to *Host, via string, m *fleet.Message) {
 		for _, p := range m.Members {
-			if to == g && p.Name == f.Name {
+			if to == leader && p.Name == restarted.Name {
 				old, from = append(old, *m), via
 			}
 		}
@@ -108,20 +109,20 @@
 	sim.Run(4 * time.Second)
 	sim.OnReceive = nil
 	require.NotEmpty(t, old)
-	f.Crash()
-	f.Start()
+	restarted.Crash()
+	restarted.Start()
 	sim.Run(10 * time.Second)
-	present := g.Node.State().Fronts[f.Name].Incarnation
+	present := leader.Node.State().Fronts[restarted.Name].Incarnation
 	require.NotEqual(t, old[0].Members[0].Incarnation, present)
-	f.Pause() // the present incarnation is silent too
+	restarted.Pause() // so that the present incarnation sends nothing either
 	sim.Run(10 * time.Second)
 	for i := range old {
-		g.Do(func(n *fleet.Node, now time.Duration) { n.Receive(now, from, &old[i]) })
+		leader.Do(func(n *fleet.Node, now time.Duration) { n.Receive(now, from, &old[i]) })
 	}
 	sim.Run(time.Second)
-	assert.Equal(t, present, g.Node.State().Fronts[f.Name].Incarnation)
-	f.Resume()
+	assert.Equal(t, present, leader.Node.State().Fronts[restarted.Name].Incarnation)
+	restarted.Resume()
 	sim.Run(10 * time.Second)
-	assert.False(t, f.Node.Isolated())
+	assert.False(t, restarted.Node.Isolated())
 	require.Empty(t, sim.Violations)
 }
--- a/lab/fleetsim/network.go
+++ b/lab/fleetsim/network.go
@@ -8,26 +8,27 @@
 	"dapplerouter/fleet"
 )
 
-// dialTimeout is how long a dial waits for the peer.
+// dialTimeout is how long a dial waits for the peer's answer.
 const dialTimeout = 500 * time.Millisecond
 
-// Network is the delay of every link and the directions that are cut.
+// Network holds the delays, which are the same for all links, and the directions that are cut.
 type Network struct {
-	Delay, Jitter time.Duration // one way; the jitter is drawn for each message
+	Delay, Jitter time.Duration // one way; each message is delayed by Delay plus a random part of Jitter
 
-	cuts map[[2]string]bool // from, to
+	cuts map[[2]string]bool // cut directions, by the names of the sender and the receiver
 }
 
-// link is a connection between two hosts; messages keep their order each way. Index 0 is the host that dialled.
+// link is a connection between two hosts. Messages of one direction arrive in the order in which they were sent. In each array,
+// index 0 belongs to the host that dialled.
 type link struct {
 	hosts        [2]*Host
 	incarnations [2]int
-	open         [2]bool // as each end sees it
-	lastDelivery [2]time.Duration
-	queued       [2][]func() // behind a cut, by sender
+	open         [2]bool          // whether the link is open, as each end sees it
+	lastDelivery [2]time.Duration // when the last message of each sender is delivered
+	queued       [2][]func()      // messages of each sender that wait for the end of a cut
 }
 
-// side returns a host's index.
+// side returns the index of a host in the link's arrays.
 func (l *link) side(h *Host) int {
 	if l.hosts[1] == h {
 		return 1
@@ -35,13 +36,13 @@
 	return 0
 }
 
-// Cut cuts one direction between two hosts: messages queue until Heal, dials fail.
+// Cut cuts one direction between two hosts. Messages in that direction queue until Heal. Dials between the hosts time out.
 func (sim *Simulation) Cut(from, to string) {
 	sim.trace("cut %s to %s", from, to)
 	sim.cuts[[2]string{from, to}] = true
 }
 
-// Heal ends all cuts and sends what has queued behind them.
+// Heal ends all cuts and sends the messages that were queued because of them.
 func (sim *Simulation) Heal() {
 	sim.trace("healed")
 	clear(sim.cuts)
@@ -62,7 +63,7 @@
 // isCut reports whether the direction between two hosts is cut.
 func (n *Network) isCut(from, to *Host) bool { return n.cuts[[2]string{from.Name, to.Name}] }
 
-// linkDelay draws the delay of one message.
+// linkDelay returns the delay of one message, with a random jitter.
 func (sim *Simulation) linkDelay() time.Duration {
 	if sim.Jitter <= 0 {
 		return sim.Delay
@@ -70,7 +71,8 @@
 	return sim.Delay + time.Duration(sim.Rand.Int64N(int64(sim.Jitter)))
 }
 
-// send delivers something over a link, in order; behind a cut it queues.
+// send schedules deliver at the other end of a link, after the link's delay and after everything sent before. While the direction is
+// cut, the delivery is queued. It is dropped if the other end has closed the link or its process has ended.
 func (h *Host) send(l *link, deliver func(to *Host, now time.Duration)) {
 	sim := h.sim
 	from := l.side(h)
@@ -94,7 +96,8 @@
 	transmit()
 }
 
-// closeLink closes a link at this end; the other end sees that unless the direction is cut.
+// closeLink closes a link at this end and notifies the node. The other end closes the link when the notification arrives, which a cut
+// delays.
 func (h *Host) closeLink(l *link) {
 	side := l.side(h)
 	if !l.open[side] {
@@ -111,7 +114,7 @@
 	h.send(l, func(to *Host, _ time.Duration) { to.closeLink(l) })
 }
 
-// linkUp puts a link to use; it replaces an older one to the same peer.
+// linkUp registers a new link to a peer and notifies the node. An older link to the same peer is closed first.
 func (h *Host) linkUp(l *link, peer *Host, hello *fleet.Message) {
 	if old := h.links[peer.Name]; old != nil {
 		h.closeLink(old)
@@ -120,7 +123,7 @@
 	h.Node.LinkUp(h.Clock(), hello)
 }
 
-// dialWantedLinks dials the peers that the node wants a link to and that aren't being dialled.
+// dialWantedLinks dials the peers that the node wants a link to, except those that are being dialled already.
 func (h *Host) dialWantedLinks(now time.Duration) {
 	sim := h.sim
 	var targets []fleet.DialTarget
@@ -137,15 +140,16 @@
 	}
 }
 
-// dial is one attempt to open a link: a hello to the peer, and the peer's hello back.
+// dial is one attempt to open a link. The dialling host sends a hello, and the peer answers with its own hello.
 type dial struct {
 	from, to    *Host
-	incarnation int // of from
+	incarnation int // the incarnation of from that dials
 	hello       *fleet.Message
 	finished    bool
 }
 
-// failAfter fails the dial after a delay, unless it has finished by then. members are whom to dial instead.
+// failAfter fails the dial after a delay, unless it has finished by then. The reason is the peer's, or empty if the peer did not
+// answer. members are the fronts that the peer suggests to dial instead.
 func (d *dial) failAfter(delay time.Duration, reason string, members []fleet.MembershipRecord) {
 	d.from.sim.After(delay, func() {
 		d.from.execute(d.incarnation, func(now time.Duration) {
@@ -157,12 +161,14 @@
 	})
 }
 
+// finish marks the dial as finished, so that the peer may be dialled again.
 func (d *dial) finish() {
 	d.finished = true
 	delete(d.from.dialling, d.to.Name)
 }
 
-// arrive is the dial's arrival at the peer; behind a cut, or at a paused peer, it times out.
+// arrive handles the arrival of the dial at the peer. The dial times out if either direction is cut or the peer is paused. It fails
+// without a reason if the peer's process is down.
 func (d *dial) arrive() {
 	sim := d.from.sim
 	if sim.isCut(d.from, d.to) || sim.isCut(d.to, d.from) || d.to.paused {
@@ -175,7 +181,7 @@
 	d.to.execute(d.to.incarnation, d.accept)
 }
 
-// accept checks the hello at the peer, and answers it.
+// accept checks the hello at the peer. It then either rejects the dial or opens the link at the peer's end and answers with a hello.
 func (d *dial) accept(now time.Duration) {
 	sim := d.from.sim
 	if err := d.to.Node.CheckHello(now, d.hello); err != nil {
@@ -192,7 +198,8 @@
 	})
 }
 
-// complete checks the peer's hello at the host that dialled.
+// complete checks the peer's hello at the dialling host and opens the link at that end. If the dial has failed or the peer has closed
+// the link in the meantime, the link is closed.
 func (d *dial) complete(now time.Duration, l *link, reply *fleet.Message) {
 	if d.finished || !l.open[0] {
 		d.from.abandon(l)
@@ -207,7 +214,7 @@
 	d.from.linkUp(l, d.to, reply)
 }
 
-// abandon closes a link that this host never used.
+// abandon closes a link that the dialling host has not registered with linkUp.
 func (h *Host) abandon(l *link) {
 	l.open[0] = false
 	h.send(l, func(to *Host, _ time.Duration) { to.closeLink(l) })
--- a/lab/fleetsim/random_faults.go
+++ b/lab/fleetsim/random_faults.go
@@ -7,42 +7,43 @@
 	"dapplerouter/fleet"
 )
 
-// Faults are the kinds of faults that a random run injects; a test leaves some out to see what the others do.
+// Faults selects the kinds of faults that a random run injects. A test may leave some out to see the effect of the others.
 type Faults struct {
 	Pauses         bool
-	Crashes        bool // and graceful shutdowns
+	Crashes        bool // includes graceful shutdowns
 	Partitions     bool
 	LatencySpikes  bool
-	ClockDrift     bool // each host's clock has a rate of its own, within 10 %
+	ClockDrift     bool // the clock of each host has its own rate, within 10 % of virtual time
 	LeaseTransfers bool
-	Broadcasts     bool // by leaseholders: traffic for the invariants, not a fault
+	Broadcasts     bool // leaseholders broadcast; this is no fault but the traffic that the invariants are checked on
 	FullDisks      bool
 }
 
-// AllFaults are all kinds.
+// AllFaults selects all kinds of faults.
 var AllFaults = Faults{Pauses: true, Crashes: true, Partitions: true, LatencySpikes: true, ClockDrift: true, LeaseTransfers: true, Broadcasts: true, FullDisks: true}
 
 const (
-	normalJitter  = 300 * time.Microsecond // without a latency spike
-	recoveryTime  = 25 * time.Second       // without faults, after which a fleet must have recovered
-	broadcastTime = 300 * time.Millisecond // between a leaseholder's broadcasts
+	normalJitter      = 300 * time.Microsecond // the network's jitter outside of latency spikes
+	recoveryTime      = 25 * time.Second       // the time without faults after which a fleet must have recovered
+	broadcastInterval = 300 * time.Millisecond // the interval between broadcasts of a leaseholder
 )
 
-// randomFaultLeases are the names of the leases of a random run, in the order in which the random source picks them.
+// randomFaultLeases are the names of the leases of a random run. Random choices refer to them by index, so their order is fixed.
 var randomFaultLeases = []string{"list", "scout/1", "scout/2"}
 
-// RandomFaultOptions are a random run's size, faults and length.
+// RandomFaultOptions sets the size, the kinds of faults and the length of a random run.
 type RandomFaultOptions struct {
 	Seed     uint64
 	Fronts   int
 	Voters   int
 	Faults   Faults
-	Duration time.Duration // for which faults come
+	Duration time.Duration // how long faults are injected
 	Trace    func(line string)
 }
 
-// RunWithRandomFaults runs a fleet under faults drawn from the seed, then without faults until it must have recovered. It returns
-// the violations: of an invariant on the way, or of recovery (one leader, every lease held, one replicated state).
+// RunWithRandomFaults runs a fleet under random faults that the seed determines, and then without faults until it must have
+// recovered. It returns the violations: those of the invariants during the run, or else those of the final check that the fleet has
+// a leader, a holder of every lease, and no front that is isolated or lags.
 func RunWithRandomFaults(o RandomFaultOptions) (*Simulation, []string) {
 	leases := map[string]time.Duration{randomFaultLeases[0]: 6 * time.Second, randomFaultLeases[1]: 0, randomFaultLeases[2]: 0}
 	sim := New(Options{Seed: o.Seed, Fronts: o.Fronts, Voters: o.Voters, Timing: fleet.Timing{LeaseDuration: 3 * time.Second}, Leases: leases})
@@ -65,15 +66,16 @@
 	return sim, sim.Violations
 }
 
-// randomRun injects faults until its end. Each draw depends on those before it: a change of their order changes what seeds give.
+// randomRun is a run that injects random faults until its end. Each random value depends on those drawn before it, so a change of
+// their order changes the run of every seed.
 type randomRun struct {
 	*Simulation
 	faults Faults
-	end    time.Duration
+	end    time.Duration // the virtual time at which the faults end
 }
 
-// broadcast lets every leaseholder report progress and broadcast, again and again. One in twenty makes no progress for a while; some
-// are paused between the check of their lease and the broadcast.
+// broadcast makes every leaseholder report progress and broadcast, and schedules itself again. Each time, a leaseholder skips its
+// turn with a probability of one in twenty. Some leaseholders are paused between the check of their lease and the broadcast.
 func (r *randomRun) broadcast() {
 	for _, h := range r.Hosts {
 		if h.Node == nil || !r.faults.Broadcasts {
@@ -93,10 +95,11 @@
 			})
 		}
 	}
-	r.After(broadcastTime, r.broadcast)
+	r.After(broadcastInterval, r.broadcast)
 }
 
-// randomFaults are what a random run picks from, by their index: each injects a fault at a host, for a duration, if it may.
+// randomFaults are the faults that a random run picks from by index. Each injects a fault at a host for a duration, if that kind is
+// selected and the host's state allows it.
 var randomFaults = []func(r *randomRun, h *Host, duration time.Duration){
 	(*randomRun).pause,
 	(*randomRun).crash,
@@ -108,7 +111,7 @@
 	(*randomRun).fillDisk,
 }
 
-// injectNext injects a fault now and schedules the next one, until the run's end.
+// injectNext injects a random fault now and schedules the next one, until the run's end.
 func (r *randomRun) injectNext() {
 	if r.Now >= r.end {
 		return
@@ -121,6 +124,7 @@
 
 func (r *randomRun) randomHost() *Host { return r.Hosts[r.Rand.IntN(len(r.Hosts))] }
 
+// pause pauses a host that is up, and resumes it after the duration.
 func (r *randomRun) pause(h *Host, duration time.Duration) {
 	if r.faults.Pauses && h.Node != nil && !h.paused {
 		h.Pause()
@@ -128,6 +132,7 @@
 	}
 }
 
+// crash crashes a host that is up, and restarts it after a quarter of the duration.
 func (r *randomRun) crash(h *Host, duration time.Duration) {
 	if r.faults.Crashes && h.Node != nil {
 		h.Crash()
@@ -135,6 +140,7 @@
 	}
 }
 
+// restartAfter starts a host after a delay if it is down then.
 func (r *randomRun) restartAfter(h *Host, delay time.Duration) {
 	r.After(delay, func() {
 		if h.Node == nil {
@@ -143,7 +149,7 @@
 	})
 }
 
-// cutFromOne cuts a host from another one, in one direction or both.
+// cutFromOne cuts the link between a host and another random one, in one direction or in both.
 func (r *randomRun) cutFromOne(h *Host, duration time.Duration) {
 	if !r.faults.Partitions {
 		return
@@ -157,7 +163,7 @@
 	}
 }
 
-// cutFromAll cuts a host from all others: outbound, inbound, or both.
+// cutFromAll cuts a host from all others: its outbound messages, its inbound messages, or both.
 func (r *randomRun) cutFromAll(h *Host, duration time.Duration) {
 	if !r.faults.Partitions {
 		return
@@ -175,6 +181,7 @@
 	r.After(duration, r.Heal)
 }
 
+// spikeLatency raises the jitter of the whole network to a random value of up to one second.
 func (r *randomRun) spikeLatency(_ *Host, duration time.Duration) {
 	if r.faults.LatencySpikes {
 		r.Jitter = time.Duration(1 + r.Rand.Int64N(int64(time.Second)))
@@ -182,6 +189,7 @@
 	}
 }
 
+// transferLease makes a host ask the leader to transfer a random lease to a front that the leader chooses.
 func (r *randomRun) transferLease(h *Host, _ time.Duration) {
 	if r.faults.LeaseTransfers && h.Node != nil {
 		lease := randomFaultLeases[r.Rand.IntN(len(randomFaultLeases))]
@@ -189,6 +197,7 @@
 	}
 }
 
+// shutDown shuts a host down gracefully and restarts it later.
 func (r *randomRun) shutDown(h *Host, duration time.Duration) {
 	if r.faults.Crashes && h.Node != nil && !h.paused {
 		h.Do(func(n *fleet.Node, now time.Duration) { n.Leave(now) })
@@ -199,10 +208,10 @@
 	}
 }
 
-// fillDisk fills a voter's disk, and restarts the voter once there is space. It needs all voters: a voter with a failed write is out
-// until its restart.
+// fillDisk fills a voter's disk, frees it after the duration and then restarts the voter. A voter whose write has failed stops voting
+// until it is restarted, so the fault is injected only while all voters are up.
 func (r *randomRun) fillDisk(h *Host, duration time.Duration) {
-	if !r.faults.FullDisks || h.Disk == nil || h.Node == nil || r.anyVoterAway() || r.Rand.IntN(3) != 0 {
+	if !r.faults.FullDisks || h.Disk == nil || h.Node == nil || r.anyVoterUnavailable() || r.Rand.IntN(3) != 0 {
 		return
 	}
 	h.Disk.Full = true
@@ -213,7 +222,8 @@
 	})
 }
 
-func (r *randomRun) anyVoterAway() bool {
+// anyVoterUnavailable reports whether a voter is down or paused.
+func (r *randomRun) anyVoterUnavailable() bool {
 	for _, h := range r.Hosts {
 		if h.Disk != nil && (h.Node == nil || h.paused) {
 			return true
@@ -222,7 +232,7 @@
 	return false
 }
 
-// repairAll ends all faults, and restarts voters that stopped voting.
+// repairAll ends all faults. It starts the hosts that are down and restarts the voters that stopped voting.
 func (r *randomRun) repairAll() {
 	r.Heal()
 	r.Jitter = normalJitter
--- a/lab/fleetsim/random_faults_test.go
+++ b/lab/fleetsim/random_faults_test.go
@@ -12,20 +12,20 @@
 )
 
 func TestFleetStartsAndSpreadsLeases(t *testing.T) {
-	sim := started(t, 1, 7)
+	sim := startFleet(t, 1, 7)
 	require.NotNil(t, sim.Leader())
 	a, b := sim.Leaseholder("list"), sim.Leaseholder("scout/1")
 	require.NotNil(t, a)
 	require.NotNil(t, b)
-	assert.NotEqual(t, a, b, "leases are spread")
+	assert.NotEqual(t, a, b, "the leases are spread over the fronts")
 	for _, h := range sim.Hosts {
 		assert.False(t, h.Node.Isolated(), h.Name)
 		assert.Len(t, h.Node.State().Fronts, 7, h.Name)
 	}
 }
 
-// optionsOfSeed are the options of the random run that a seed stands for.
-func optionsOfSeed(seed uint64) RandomFaultOptions {
+// optionsForSeed returns the options of the random run for a seed. The size of the fleet depends on the seed.
+func optionsForSeed(seed uint64) RandomFaultOptions {
 	return RandomFaultOptions{Seed: seed, Fronts: 5 + int(seed%4), Voters: 3 + 2*int(seed%2), Faults: AllFaults, Duration: 40 * time.Second}
 }
 
@@ -41,18 +41,18 @@
 		t.Run(fmt.Sprint("part", part), func(t *testing.T) {
 			t.Parallel()
 			for seed := first + 1 + part; seed <= first+seeds; seed += 6 {
-				_, violations := RunWithRandomFaults(optionsOfSeed(seed))
+				_, violations := RunWithRandomFaults(optionsForSeed(seed))
 				require.Empty(t, violations, "seed %d", seed)
 			}
 		})
 	}
 }
 
-// A seed that found a violation must find it again.
-func TestASeedReplays(t *testing.T) {
+// A seed that found a violation must find it again, so two runs with the same seed must have the same trace.
+func TestSameSeedGivesSameTrace(t *testing.T) {
 	var traces [2][]string
 	for i := range traces {
-		o := optionsOfSeed(3)
+		o := optionsForSeed(3)
 		o.Trace = func(line string) { traces[i] = append(traces[i], line) }
 		_, violations := RunWithRandomFaults(o)
 		require.Empty(t, violations)
@@ -61,13 +61,13 @@
 	assert.Equal(t, traces[0], traces[1])
 }
 
-// TestOneSeed replays SEED with its trace.
+// TestOneSeed runs the seed in the environment variable SEED and prints its trace.
 func TestOneSeed(t *testing.T) {
 	seed, _ := strconv.ParseUint(os.Getenv("SEED"), 10, 64)
 	if seed == 0 {
 		t.Skip()
 	}
-	o := optionsOfSeed(seed)
+	o := optionsForSeed(seed)
 	o.Trace = func(line string) { fmt.Println(line) }
 	_, violations := RunWithRandomFaults(o)
 	require.Empty(t, violations)
--- a/lab/fleetsim/simulation.go
+++ b/lab/fleetsim/simulation.go
@@ -1,8 +1,12 @@
-// Package fleetsim runs fleet.Node, the fleet's own state machine, in virtual time: many hosts, links that delay and are cut,
-// clocks of different rates, hosts that are paused, crash and restart, disks that fill up or are restored from old copies.
+// Package fleetsim is a deterministic simulator of a fleet. It runs many instances of fleet.Node, the fleet's state machine, in
+// virtual time.
 //
-// One seed gives one run: everything random is drawn from Simulation.Rand, on one goroutine. A Simulation owns its hosts, links and
-// disks. After each step of a host it checks the invariants of package fleet (see Invariants). For tests and measurements only.
+// The simulator delays messages, cuts links, gives hosts clocks of different rates, and pauses, crashes and restarts hosts. Disks
+// can fill up or be replaced by older copies.
+//
+// The same seed gives the same run: every random value is drawn from Simulation.Rand, and the whole simulation runs on one
+// goroutine. A Simulation owns its hosts, links and disks. After each step of a host it checks the invariants of package fleet (see
+// Invariants). The package is meant for tests and measurements only.
 package fleetsim
 
 import (
@@ -15,26 +19,26 @@
 	"dapplerouter/fleet"
 )
 
-// Options are the size and the settings of a simulated fleet.
+// Options sets the size and the configuration of a simulated fleet.
 type Options struct {
 	Seed   uint64
 	Fronts int
-	Voters int // the first of the fronts
+	Voters int // how many of the fronts are voters: the first ones
 	Timing fleet.Timing
-	Leases map[string]time.Duration // that every front declares, and the progress timeout of each; 0 for none
+	Leases map[string]time.Duration // the leases that every front declares, with the progress timeout of each; 0 means no timeout
 }
 
-// Hooks let a test or a measurement see, and count, what happens. Each may be nil.
+// Hooks are callbacks by which a test or a measurement observes the simulation. Each may be nil.
 type Hooks struct {
-	MessageSize func(*fleet.Message) int                            // bytes on the wire; called for each message that is sent
-	CPUClock    func() time.Duration                                // processor time of this thread so far, for HostUsage.CPU
-	OnStart     func(h *Host)                                       // a process started: its node, if any, is new
-	OnEvent     func(h *Host, e fleet.Event)                        // every event of every node
-	OnReceive   func(to *Host, from string, message *fleet.Message) // every message, before the node receives it
-	Trace       func(line string)
+	MessageSize func(*fleet.Message) int                            // returns the encoded size in bytes; called for each message sent
+	CPUClock    func() time.Duration                                // returns the thread's processor time so far, for HostUsage.CPU
+	OnStart     func(h *Host)                                       // called when a process has started; its node, if any, is new
+	OnEvent     func(h *Host, e fleet.Event)                        // called for every event of every node
+	OnReceive   func(to *Host, from string, message *fleet.Message) // called for every message before the node receives it
+	Trace       func(line string)                                   // called with each line of the trace
 }
 
-// Simulation is a fleet in virtual time.
+// Simulation is a fleet of hosts that runs in virtual time. It is not safe for concurrent use.
 type Simulation struct {
 	Scheduler
 	Network
@@ -49,7 +53,7 @@
 	leases        map[string]time.Duration
 }
 
-// New makes a fleet whose hosts are all down, spread over zones a, b and c.
+// New makes a fleet whose hosts are spread over the zones a, b and c. All hosts are down until they are started.
 func New(o Options) *Simulation {
 	sim := &Simulation{
 		Network:    Network{Delay: 200 * time.Microsecond, Jitter: normalJitter, cuts: map[[2]string]bool{}},
@@ -74,7 +78,7 @@
 
 func hostName(i int) string { return fmt.Sprintf("f%03d", i) }
 
-// AddHost adds a host, which is down. A clock rate of 0 means 1.
+// AddHost adds a host, which is down until it is started. A clock rate of 0 means 1.
 func (sim *Simulation) AddHost(c HostConfig) *Host {
 	if c.ClockRate == 0 {
 		c.ClockRate = 1
@@ -85,14 +89,15 @@
 	return h
 }
 
-// Host returns the host of a name, nil for none.
+// Host returns the host with the given name, or nil if there is none.
 func (sim *Simulation) Host(name string) *Host { return sim.byName[name] }
 
-// Run runs the simulation for d, or until an invariant is violated.
+// Run runs the simulation for d of virtual time. It stops executing calls once an invariant is violated.
 func (sim *Simulation) Run(d time.Duration) {
 	sim.runUntil(sim.Now+d, func() bool { return len(sim.Violations) > 0 })
 }
 
+// trace writes a line with the current virtual time to Hooks.Trace.
 func (sim *Simulation) trace(format string, args ...any) {
 	if sim.Trace != nil {
 		sim.Trace(fmt.Sprintf("%12v ", sim.Now) + fmt.Sprintf(format, args...))
@@ -108,7 +113,7 @@
 	}
 }
 
-// Leaseholder returns the host that holds a lease now, nil for none.
+// Leaseholder returns the host that holds a lease now, or nil if there is none. Paused hosts are ignored.
 func (sim *Simulation) Leaseholder(lease string) *Host {
 	for _, h := range sim.Hosts {
 		if !h.paused && h.holdsLease(lease) {
@@ -118,7 +123,7 @@
 	return nil
 }
 
-// Leader returns the leader, nil for none that runs.
+// Leader returns the host whose node is the leader, or nil if there is none. Hosts that are down or paused are ignored.
 func (sim *Simulation) Leader() *Host {
 	for _, h := range sim.Hosts {
 		if h.Node != nil && !h.paused && h.Node.IsLeader() {
@@ -128,7 +133,8 @@
 	return nil
 }
 
-// BroadcastLate pauses a leaseholder that has just checked its lease; when it resumes, it broadcasts without another check.
+// BroadcastLate simulates a leaseholder that is paused between the check of its lease and its broadcast. It pauses the host now,
+// resumes it after the pause, and sends the broadcast in the given term without another check of the lease.
 func (sim *Simulation) BroadcastLate(h *Host, lease string, term uint64, pause time.Duration) {
 	incarnation := h.incarnation
 	h.Pause()
@@ -138,11 +144,11 @@
 			return
 		}
 		h.Resume()
-		sim.After(time.Second, func() { // its links were closed while it was paused: by now it has new ones
+		sim.After(time.Second, func() { // the host's links were closed during the pause; after a second it has new ones
 			for _, name := range slices.Sorted(maps.Keys(h.links)) {
 				m := message
 				h.send(h.links[name], func(to *Host, now time.Duration) {
-					_ = to.Node.Receive(now, h.Name, &m) // it should be rejected: the event BroadcastRejected is what tests look for
+					_ = to.Node.Receive(now, h.Name, &m) // the receiver should reject it; tests look for the event BroadcastRejected
 				})
 			}
 		})
--- a/lab/fleetsim/snapshot_chunks_test.go
+++ b/lab/fleetsim/snapshot_chunks_test.go
@@ -11,8 +11,8 @@
 	"dapplerouter/fleet"
 )
 
-// A front that is far behind receives a large snapshot in chunks, within a budget of bytes a second, so that other messages pass on
-// the same links meanwhile and its peers are not blocked.
+// A front that is far behind must receive a large snapshot in chunks, limited to a number of bytes a second. Otherwise the snapshot
+// would hold up other messages on the same links and block the front's peers.
 func TestLargeSnapshotIsSentInChunksWithinAByteBudget(t *testing.T) {
 	sim := New(Options{Seed: 11, Fronts: 7, Voters: 3, Timing: testTiming, Leases: twoLeases})
 	sim.StartAll()
@@ -39,7 +39,7 @@
 		if to == behind && m.Kind == fleet.KindSnapshotChunk {
 			bytes[sim.Now.Truncate(time.Second)] += len(m.Data)
 		}
-		assert.False(t, to == behind && m.Kind == fleet.KindSnapshot, "not in one piece")
+		assert.False(t, to == behind && m.Kind == fleet.KindSnapshot, "the snapshot is not sent in one message")
 	}
 	behind.Start()
 	began := sim.Now
@@ -53,6 +53,6 @@
 		maxBytes = max(maxBytes, n)
 	}
 	assert.Greater(t, sim.Now-began, 700*time.Millisecond)
-	assert.LessOrEqual(t, maxBytes, 1<<20+1<<18, "1 MiB a second, from one peer")
+	assert.LessOrEqual(t, maxBytes, 1<<20+1<<18, "at most about 1 MiB a second, from one peer")
 	t.Logf("3 MB in %v, at most %d bytes in a second", sim.Now-began, maxBytes)
 }
--- a/lab/fleetsim/snapshot_test.go
+++ b/lab/fleetsim/snapshot_test.go
@@ -13,10 +13,10 @@
 	"dapplerouter/fleet"
 )
 
-// A voter that is so far behind that it needs a snapshot is sent one, and the link breaks before it arrives. The leader must send it
-// again.
+// A voter is so far behind that the leader sends it a snapshot, and the link breaks before the snapshot arrives. The leader must send
+// the snapshot again.
 func TestAVoterWhoseSnapshotWasLostCatchesUp(t *testing.T) {
-	sim := started(t, 9, 5)
+	sim := startFleet(t, 9, 5)
 	leader := sim.Leader()
 	var behind *Host
 	for _, h := range sim.Hosts[:3] {
@@ -25,7 +25,7 @@
 		}
 	}
 	behind.Crash()
-	for i := range 800 { // more than the log keeps
+	for i := range 800 { // more entries than the log keeps
 		sim.Leaseholder("list").Do(func(n *fleet.Node, _ time.Duration) { n.DeclareLease(fmt.Sprintf("scout/%d", 100+i), 0) })
 		if i%200 == 0 {
 			sim.Run(500 * time.Millisecond)
@@ -39,7 +39,7 @@
 		var x raftpb.Message
 		if m.Kind == fleet.KindConsensus && proto.Unmarshal(m.Data, &x) == nil && x.GetType() == raftpb.MsgSnap && lost == 0 {
 			lost++
-			sim.cutBoth(leader, behind)
+			sim.cutBothDirections(leader, behind)
 		}
 		return 0
 	}
@@ -53,10 +53,10 @@
 	assert.Equal(t, leader.Node.State().Index, behind.Node.State().Index)
 }
 
-// A voter falls behind by more than the log keeps while its link to the leader is cut, so that the leader's snapshot for it finds no
-// link at all. It is sent again once there is one.
+// A voter falls behind by more entries than the log keeps while its link to the leader is cut, so that the leader has no link to send
+// the snapshot over. The leader must send the snapshot once there is a link again.
 func TestAVoterWhoseSnapshotFoundNoLinkCatchesUp(t *testing.T) {
-	sim := started(t, 9, 5)
+	sim := startFleet(t, 9, 5)
 	leader := sim.Leader()
 	var behind *Host
 	for _, h := range sim.Hosts[:3] {
@@ -64,16 +64,16 @@
 			behind = h
 		}
 	}
-	sim.cutBoth(leader, behind)
+	sim.cutBothDirections(leader, behind)
 	sent := 0
-	sim.MessageSize = func(m *fleet.Message) int { // called for messages that have a link
+	sim.MessageSize = func(m *fleet.Message) int { // called only for messages to a peer that is linked
 		var x raftpb.Message
 		if m.Kind == fleet.KindConsensus && proto.Unmarshal(m.Data, &x) == nil && x.GetType() == raftpb.MsgSnap {
 			sent++
 		}
 		return 0
 	}
-	for range 10 { // more than the log keeps, before the link is given up and after
+	for range 10 { // more entries than the log keeps, some before the leader gives the link up and some after
 		sim.Leaseholder("list").Do(func(n *fleet.Node, now time.Duration) {
 			for i := range 200 {
 				n.PutValue(now, "list", fmt.Sprint("key", i), 0, []byte("x"))
--- a/lab/fleetsim/voters_test.go
+++ b/lab/fleetsim/voters_test.go
@@ -11,38 +11,38 @@
 )
 
 func TestVoterWithOldDiskCopyStopsVoting(t *testing.T) {
-	sim := started(t, 4, 5)
-	k := sim.Hosts[1]
-	old := k.CopyDisk()
-	sim.Leader().Crash() // so that the voters vote in another term
+	sim := startFleet(t, 4, 5)
+	voter := sim.Hosts[1]
+	old := voter.CopyDisk()
+	sim.Leader().Crash() // so that the voters vote in a new term, which the copy lacks
 	sim.Run(5 * time.Second)
 	sim.StartAll()
 	sim.Run(5 * time.Second)
-	k.Crash()
-	k.Disk = old
-	k.Start()
+	voter.Crash()
+	voter.Disk = old
+	voter.Start()
 	sim.Run(5 * time.Second)
 	require.Empty(t, sim.Violations)
-	assert.Contains(t, k.Node.VoterHaltReason(), "an old copy")
-	assert.False(t, k.Node.Isolated(), "the front continues as a follower")
-	assert.Equal(t, sim.Leader().Node.State().Index, k.Node.State().Index)
-	assert.NotNil(t, sim.Leaseholder("list"), "the other two are a majority")
+	assert.Contains(t, voter.Node.VoterHaltReason(), "an old copy")
+	assert.False(t, voter.Node.Isolated(), "the front continues as a follower")
+	assert.Equal(t, sim.Leader().Node.State().Index, voter.Node.State().Index)
+	assert.NotNil(t, sim.Leaseholder("list"), "the other two voters are a majority")
 }
 
 func TestVoterWithLostDiskStopsVoting(t *testing.T) {
-	sim := started(t, 5, 4)
-	k := sim.Hosts[2]
-	k.Crash()
+	sim := startFleet(t, 5, 4)
+	voter := sim.Hosts[2]
+	voter.Crash()
 	sim.Run(time.Second)
-	k.Disk = &Disk{}
-	k.Start()
+	voter.Disk = &Disk{}
+	voter.Start()
 	sim.Run(5 * time.Second)
-	assert.Contains(t, k.Node.VoterHaltReason(), "an old copy")
+	assert.Contains(t, voter.Node.VoterHaltReason(), "an old copy")
 	require.Empty(t, sim.Violations)
 }
 
 func TestVoterIsReplacedWhileAnotherIsDown(t *testing.T) {
-	sim := startedWithVoters(t, Options{Seed: 6, Fronts: 7, Voters: 5})
+	sim := startFleetWithOptions(t, Options{Seed: 6, Fronts: 7, Voters: 5})
 	sim.Hosts[3].Crash() // restarted below
 	lost := sim.Hosts[4]
 	if sim.Leader() == lost {
@@ -50,28 +50,28 @@
 	}
 	lost.Crash()
 	sim.Run(3 * time.Second)
-	n := sim.AddHost(HostConfig{Name: "new", Zone: "a", Disk: &Disk{}, JoinsExistingFleet: true})
-	n.Start()
+	replacement := sim.AddHost(HostConfig{Name: "new", Zone: "a", Disk: &Disk{}, JoinsExistingFleet: true})
+	replacement.Start()
 	sim.Run(3 * time.Second)
-	ask := func(call func(n *fleet.Node, now time.Duration)) {
+	requestAndRun := func(call func(n *fleet.Node, now time.Duration)) {
 		sim.Hosts[6].Do(call)
 		sim.Run(4 * time.Second)
 	}
-	ask(func(n *fleet.Node, now time.Duration) { n.AddVoter(now, "new", "new") })
-	ask(func(n *fleet.Node, now time.Duration) { n.RemoveVoter(now, lost.Name) })
+	requestAndRun(func(n *fleet.Node, now time.Duration) { n.AddVoter(now, "new", "new") })
+	requestAndRun(func(n *fleet.Node, now time.Duration) { n.RemoveVoter(now, lost.Name) })
 	sim.Hosts[3].Start()
 	sim.Run(6 * time.Second)
 	require.Empty(t, sim.Violations)
-	g := sim.Leader().Node.State()
-	assert.Len(t, g.Voters, 5)
-	assert.Contains(t, g.Voters, "new")
-	assert.Equal(t, g.Index, n.Node.State().Index)
-	// With the new voter the others are a majority without two more.
-	gone := 0
+	state := sim.Leader().Node.State()
+	assert.Len(t, state.Voters, 5)
+	assert.Contains(t, state.Voters, "new")
+	assert.Equal(t, state.Index, replacement.Node.State().Index)
+	// Two more voters crash. The remaining ones are a majority only together with the new voter.
+	crashed := 0
 	for _, h := range sim.Hosts[:5] {
-		if h != lost && h.Node != nil && !h.Node.IsLeader() && gone < 2 {
+		if h != lost && h.Node != nil && !h.Node.IsLeader() && crashed < 2 {
 			h.Crash()
-			gone++
+			crashed++
 		}
 	}
 	sim.Run(10 * time.Second)
@@ -80,7 +80,7 @@
 }
 
 func TestFrontsAreIsolatedWithoutMajorityForTenMinutesAndRecover(t *testing.T) {
-	sim := started(t, 7, 6)
+	sim := startFleet(t, 7, 6)
 	sim.Hosts[0].Crash()
 	sim.Hosts[1].Crash()
 	sim.Run(10 * time.Minute)
@@ -95,19 +95,19 @@
 }
 
 func TestLeaderThatReceivesNothingIsReplacedThoughItsHeartbeatsArrive(t *testing.T) {
-	sim := started(t, 14, 6)
-	g := sim.Leader()
+	sim := startFleet(t, 14, 6)
+	leader := sim.Leader()
 	for _, o := range sim.Hosts {
-		if o != g {
-			sim.Cut(o.Name, g.Name)
+		if o != leader {
+			sim.Cut(o.Name, leader.Name)
 		}
 	}
-	sim.Run(12 * time.Second) // its heartbeats alone would keep the others from an election for ever
-	other := false
+	sim.Run(12 * time.Second) // the others still receive its heartbeats, which alone would prevent an election forever
+	replaced := false
 	for _, h := range sim.Hosts {
-		other = other || h != g && h.Node.IsLeader()
+		replaced = replaced || h != leader && h.Node.IsLeader()
 	}
-	assert.True(t, other, "another leads")
+	assert.True(t, replaced, "another voter leads")
 	assert.NotNil(t, sim.Leaseholder("list"))
 	sim.Heal()
 	sim.Run(10 * time.Second)
