--- a/lab/proxysim/changes_bench_test.go
+++ b/lab/proxysim/changes_bench_test.go
@@ -13,8 +13,9 @@
 	"dapplerouter/fleet/rollout"
 )
 
-// sizes returns the numbers of fronts that a capacity benchmark runs at: CAPACITY_FRONTS="150,300", or the defaults.
-func sizes(defaults ...int) (all []int) {
+// fleetSizes returns the numbers of fronts that a capacity benchmark runs with: those of the environment variable CAPACITY_FRONTS, such
+// as "150,300", or else the defaults.
+func fleetSizes(defaults ...int) (all []int) {
 	for _, word := range strings.FieldsFunc(os.Getenv("CAPACITY_FRONTS"), func(r rune) bool { return r == ',' }) {
 		n, err := strconv.Atoi(word)
 		if err != nil || n < 1 {
@@ -28,38 +29,40 @@
 	return all
 }
 
-// changeRun is a run in which configuration changes are requested at given times and published one at a time, the next one once the
-// last is in force.
+// changeRun is a benchmark run in which configuration changes are requested at given times. They are published one at a time: each one
+// once the change before it is in force.
 type changeRun struct {
 	name            string
-	interval        time.Duration // between changes; 0 for one change
-	duration        time.Duration // for which they are requested
-	stages          []uint16      // thousandths of the fleet
+	interval        time.Duration // time between the requests of two changes; 0 if there is only one change
+	duration        time.Duration // how long changes are requested
+	stages          []uint16      // in thousandths of the fleet
 	observationTime time.Duration // of each stage
 	mandatory       bool
-	lostOneIn       int           // one front in lostOneIn is cut off from the first change on; 0 for none
-	lostFor         time.Duration // until it is connected again
-	configLease     time.Duration
-	restart         func(cluster *Cluster, f *Front) // of one front on the new version; nil for none
-	restartAfter    time.Duration                    // from the first change
-	loseOne         bool                             // exactly one front is lost, whatever lostOneIn
+	cutOffOneIn     int                              // one front in cutOffOneIn is cut off when the first change is requested; 0 for none
+	cutOffFor       time.Duration                    // how long these fronts are cut off
+	configLease     time.Duration                    // 0 for the default of benchmarkOptions
+	restart         func(cluster *Cluster, f *Front) // restarts one front that is on the new version; nil if none is restarted
+	restartAfter    time.Duration                    // the time of the restart, from the first change
+	cutOffOne       bool                             // exactly one front is cut off, whatever cutOffOneIn is
 }
 
+// Stages of a rollout, in thousandths of the fleet.
 var (
 	oneStage   = []uint16{1000}
 	fourStages = []uint16{10, 100, 500, 1000}
 )
 
-// changeResult is when one change reached each step, from the start of the measurement.
+// changeResult holds the times at which one change reached each step, counted from the start of the measurement. onReachable is when all
+// fronts that are not cut off act on the change.
 type changeResult struct{ requestedAt, publishedAt, onReachable, inForce time.Duration }
 
 const (
-	warmUpTime   = 20 * time.Second // until the fleet is started
-	maxRunTime   = 10 * time.Minute // after the first change
-	pollInterval = 10 * time.Millisecond
+	warmUpTime   = 20 * time.Second      // how long a fleet runs before a measurement starts
+	maxRunTime   = 10 * time.Minute      // the longest run after the first change
+	pollInterval = 10 * time.Millisecond // how often the state of the rollout is read
 )
 
-// benchmarkOptions are thirty servers in ten groups, with the service's default ratio of lease durations.
+// benchmarkOptions returns the options of a cluster with thirty servers in ten groups and the default ratio of the two lease durations.
 func benchmarkOptions(fronts int) Options {
 	return Options{
 		Seed:          3,
@@ -73,21 +76,22 @@
 	}
 }
 
-// changePublisher publishes the changes of a run, and keeps what became of them.
+// changePublisher publishes the changes of a run and records their results.
 type changePublisher struct {
 	changeRun
 	*Cluster
 	began     time.Duration
-	reachable int // fronts that are not cut off
+	reachable int // the number of fronts that are not cut off
 
-	changes    []changeResult
-	done       int // changes in force
-	base       uint64
-	busy       bool // a change is submitted or being rolled out
-	rejected   int
-	mostQueued int
+	changes      []changeResult
+	inForceCount int // the number of changes in force
+	base         uint64
+	inProgress   bool // a change is submitted or being rolled out
+	rejected     int
+	maxQueued    int
 }
 
+// run performs the run with the given number of fronts and reports the metrics.
 func (c changeRun) run(b *testing.B, fronts int) {
 	o := benchmarkOptions(fronts)
 	if c.configLease > 0 {
@@ -104,23 +108,23 @@
 		}
 	}
 	firstVersion := cluster.State().LastVersion
-	for cluster.Now < p.began+maxRunTime && p.done < len(p.changes) {
+	for cluster.Now < p.began+maxRunTime && p.inForceCount < len(p.changes) {
 		if s := cluster.State(); c.restart != nil && s.LastVersion > firstVersion && s.Next == 0 && s.Base == p.base {
-			break // it was rolled back
+			break // the change was rolled back
 		}
 		p.step()
 	}
 	if len(cluster.Violations) > 0 {
 		b.Fatal(cluster.Violations)
 	}
-	if p.done < len(p.changes) {
-		b.Logf("%s, %d fronts: %d of %d in force; the last rollout change: %s", c.name, fronts, p.done, len(p.changes), cluster.State().Reason)
+	if p.inForceCount < len(p.changes) {
+		b.Logf("%s, %d fronts: %d of %d in force; last rollout change: %s", c.name, fronts, p.inForceCount, len(p.changes), cluster.State().Reason)
 	}
 	p.report(b)
 }
 
-// injectFailures schedules the run's failures, and returns the number of fronts that are cut off now.
-func (c changeRun) injectFailures(cluster *Cluster) (lost int) {
+// injectFailures cuts off fronts and schedules the run's other failures. It returns the number of fronts that it cut off.
+func (c changeRun) injectFailures(cluster *Cluster) (cutOff int) {
 	if c.restart != nil {
 		cluster.After(c.restartAfter, func() {
 			for _, f := range cluster.Fronts[cluster.Options.Voters:] {
@@ -133,56 +137,57 @@
 	}
 	fronts := len(cluster.Fronts)
 	switch {
-	case c.loseOne:
-		lost = 1
-	case c.lostOneIn > 0:
-		lost = fronts / c.lostOneIn
+	case c.cutOffOne:
+		cutOff = 1
+	case c.cutOffOneIn > 0:
+		cutOff = fronts / c.cutOffOneIn
 	default:
 		return 0
 	}
-	for i := range lost {
+	for i := range cutOff {
 		cluster.partition(cluster.Hosts[fronts-1-i], bothDirections)
 	}
-	cluster.After(c.lostFor, cluster.Heal)
-	return lost
+	cluster.After(c.cutOffFor, cluster.Heal)
+	return cutOff
 }
 
-// step publishes the next change if it is due, and runs the cluster for a poll interval.
+// step publishes the next change if it is due, runs the cluster for a poll interval and records the progress.
 func (p *changePublisher) step() {
-	x := &p.changes[p.done]
-	if now := p.Now - p.began; !p.busy && now >= x.requestedAt {
-		p.busy = true
-		if x.publishedAt == 0 {
-			x.publishedAt = now
+	change := &p.changes[p.inForceCount]
+	if now := p.Now - p.began; !p.inProgress && now >= change.requestedAt {
+		p.inProgress = true
+		if change.publishedAt == 0 {
+			change.publishedAt = now
 		}
 		p.publish()
 	}
 	p.Run(pollInterval)
 	now, s := p.Now-p.began, p.State()
-	if p.busy && x.onReachable == 0 && p.frontsOn(p.base+1) >= p.reachable {
-		x.onReachable = now
+	if p.inProgress && change.onReachable == 0 && p.frontsOnVersion(p.base+1) >= p.reachable {
+		change.onReachable = now
 	}
 	if s.Base > p.base {
-		x.inForce, p.base, p.busy = now, s.Base, false
-		p.done++
+		change.inForce, p.base, p.inProgress = now, s.Base, false
+		p.inForceCount++
 	}
-	if !p.busy && p.rejected > 0 && s.Base == p.base {
-		p.Run(500 * time.Millisecond) // before it is submitted again
+	if !p.inProgress && p.rejected > 0 && s.Base == p.base {
+		p.Run(500 * time.Millisecond) // wait before the change is submitted again
 	}
 	queued := 0
-	for _, y := range p.changes[p.done:] {
-		if y.requestedAt <= now {
+	for _, pending := range p.changes[p.inForceCount:] {
+		if pending.requestedAt <= now {
 			queued++
 		}
 	}
-	p.mostQueued = max(p.mostQueued, queued)
+	p.maxQueued = max(p.maxQueued, queued)
 }
 
+// publish submits the next change at the first front.
 func (p *changePublisher) publish() {
 	a := rollout.Action{
 		Type:            rollout.ActionPublish,
 		Base:            p.base,
-		Text:            fmt.Appendf(nil, "(rules (window book %dms))", 1000+p.done),
+		Text:            fmt.Appendf(nil, "(rules (window book %dms))", 1000+p.inForceCount),
 		Stages:          p.stages,
 		ObservationTime: p.observationTime,
 		Mandatory:       p.mandatory,
@@ -191,47 +196,50 @@
 	p.Publish(p.Fronts[0], a, func(rejectedReason string) {
 		if rejectedReason != "" {
 			p.rejected++
-			p.busy = false
+			p.inProgress = false
 		}
 	})
 }
 
+// report reports the run's metrics.
 func (p *changePublisher) report(b *testing.B) {
-	all, done := p.changes, p.done
+	all, done := p.changes, p.inForceCount
 	b.ReportMetric(float64(done), "in-force")
 	b.ReportMetric(float64(len(all)-done), "never")
-	b.ReportMetric(float64(p.mostQueued), "most-waiting")
+	b.ReportMetric(float64(p.maxQueued), "most-waiting")
 	b.ReportMetric(float64(p.rejected), "refused")
 	if done == 0 {
 		return
 	}
-	var took, service []float64
-	for _, x := range all[:done] {
-		took = append(took, (x.inForce - x.requestedAt).Seconds())
-		service = append(service, (x.inForce - x.publishedAt).Seconds())
+	var sinceRequested, sincePublished []float64
+	for _, change := range all[:done] {
+		sinceRequested = append(sinceRequested, (change.inForce - change.requestedAt).Seconds())
+		sincePublished = append(sincePublished, (change.inForce - change.publishedAt).Seconds())
 	}
 	b.ReportMetric(all[0].onReachable.Seconds(), "s-first-on-heard")
-	b.ReportMetric(took[0], "s-first-in-force")
-	b.ReportMetric(took[done-1], "s-last-in-force")
-	b.ReportMetric(slices.Max(service), "s-alone-max")
+	b.ReportMetric(sinceRequested[0], "s-first-in-force")
+	b.ReportMetric(sinceRequested[done-1], "s-last-in-force")
+	b.ReportMetric(slices.Max(sincePublished), "s-alone-max")
 }
 
-// restartGracefully restarts a front as after SIGTERM; crashAndRestart as after SIGKILL.
+// restartGracefully shuts a front down as SIGTERM does and restarts it.
 func restartGracefully(cluster *Cluster, f *Front) {
 	f.host.Do(func(n *fleet.Node, now time.Duration) {
-		f.disk = savedVersions{version: f.version, text: rollout.VersionText(n.State(), f.version)} // a graceful shutdown saves the version that it acts on
+		// A graceful shutdown saves the version that the front acts on.
+		f.disk = savedVersions{version: f.version, text: rollout.VersionText(n.State(), f.version)}
 		n.Leave(now)
 	})
 	cluster.After(time.Second, func() { crashAndRestart(cluster, f) })
 }
 
+// crashAndRestart ends a front as SIGKILL does and restarts it after 2 s.
 func crashAndRestart(cluster *Cluster, f *Front) {
 	f.host.Crash()
 	cluster.After(2*time.Second, f.host.Start)
 }
 
-// frontsOn counts the fronts that act on a version.
-func (c *Cluster) frontsOn(version uint64) (n int) {
+// frontsOnVersion counts the fronts that act on a version.
+func (c *Cluster) frontsOnVersion(version uint64) (n int) {
 	for _, f := range c.Fronts {
 		if f.Core.ConfigVersion() == version {
 			n++
@@ -240,18 +248,19 @@
 	return n
 }
 
-// BenchmarkChanges measures in how many seconds of virtual time a configuration change is in force everywhere, by the number of
-// fronts, and whether changes that are requested one after another queue. One run is one measurement: -benchtime 1x.
+// BenchmarkChanges measures how many seconds of virtual time it takes until a configuration change is in force on all fronts, by the
+// number of fronts. It also measures how many changes queue if they are requested one after another. Run it with -benchtime 1x: one run
+// is one measurement.
 func BenchmarkChanges(b *testing.B) {
 	for _, c := range []changeRun{
 		{name: "one-stage", stages: oneStage},
-		{name: "one-stage/lost=5s", stages: oneStage, lostOneIn: 20, lostFor: 5 * time.Second},
-		{name: "one-stage/lost=20s", stages: oneStage, lostOneIn: 20, lostFor: 20 * time.Second},
-		{name: "one-stage/lost=5m", stages: oneStage, lostOneIn: 20, lostFor: 5 * time.Minute},
-		{name: "one-stage/lost=5m/mandatory", stages: oneStage, lostOneIn: 20, lostFor: 5 * time.Minute, mandatory: true},
-		{name: "one-stage/lost=5m/mandatory/config-lease=6s", stages: oneStage, lostOneIn: 20, lostFor: 5 * time.Minute, mandatory: true, configLease: 6 * time.Second},
+		{name: "one-stage/lost=5s", stages: oneStage, cutOffOneIn: 20, cutOffFor: 5 * time.Second},
+		{name: "one-stage/lost=20s", stages: oneStage, cutOffOneIn: 20, cutOffFor: 20 * time.Second},
+		{name: "one-stage/lost=5m", stages: oneStage, cutOffOneIn: 20, cutOffFor: 5 * time.Minute},
+		{name: "one-stage/lost=5m/mandatory", stages: oneStage, cutOffOneIn: 20, cutOffFor: 5 * time.Minute, mandatory: true},
+		{name: "one-stage/lost=5m/mandatory/config-lease=6s", stages: oneStage, cutOffOneIn: 20, cutOffFor: 5 * time.Minute, mandatory: true, configLease: 6 * time.Second},
 		{name: "four-stages-of-30s", stages: fourStages, observationTime: 30 * time.Second},
-		{name: "one-stage/one-machine=5m", stages: oneStage, loseOne: true, lostFor: 5 * time.Minute},
+		{name: "one-stage/one-machine=5m", stages: oneStage, cutOffOne: true, cutOffFor: 5 * time.Minute},
 		{name: "four-stages-of-30s/a-front-is-restarted", stages: fourStages, observationTime: 30 * time.Second, restart: restartGracefully, restartAfter: 5 * time.Second},
 		{name: "four-stages-of-30s/a-front-is-killed", stages: fourStages, observationTime: 30 * time.Second, restart: crashAndRestart, restartAfter: 5 * time.Second},
 		{name: "four-stages-of-30s/a-front-is-killed-at-60s", stages: fourStages, observationTime: 30 * time.Second, restart: crashAndRestart, restartAfter: time.Minute},
@@ -260,7 +269,7 @@
 		{name: "four-stages-of-30s/each=72s", stages: fourStages, observationTime: 30 * time.Second, interval: 72 * time.Second, duration: 8 * time.Minute},
 		{name: "four-stages-of-30s/each=30s", stages: fourStages, observationTime: 30 * time.Second, interval: 30 * time.Second, duration: 8 * time.Minute},
 	} {
-		for _, fronts := range sizes(50, 150, 300, 540) {
+		for _, fronts := range fleetSizes(50, 150, 300, 540) {
 			b.Run(fmt.Sprintf("%s/fronts=%d", c.name, fronts), func(b *testing.B) {
 				for b.Loop() {
 					c.run(b, fronts)
--- a/lab/proxysim/cluster.go
+++ b/lab/proxysim/cluster.go
@@ -1,10 +1,12 @@
-// Package proxysim runs whole fronts in virtual time: front.Core with the router, the fleet's node, the prober and the endpoint list of
-// the fleet, against modelled servers and a modelled endpoint service. Only links, servers, the endpoint service and what package main
-// wires together are modelled; all else is the code that runs in service.
+// Package proxysim is a deterministic simulator of whole fronts in virtual time. A front consists of front.Core with the router, the
+// fleet's node, the prober and the fleet's endpoint list. The fronts run against modelled servers and a modelled endpoint service.
+// Only the links, the servers, the endpoint service and the wiring of package main are modelled. All other code is the code that runs
+// in production.
 //
-// One seed gives one run: everything random is drawn from the simulation's Rand, on one goroutine. A Cluster owns its fronts, servers,
-// clients and the endpoint service. It checks the invariants of configuration versions at each tick of a front and of requests at the
-// end (see Cluster.AwaitRecovery). For tests and measurements only.
+// The same seed gives the same run: every random value is drawn from the simulation's Rand, and the whole simulation runs on one
+// goroutine. A Cluster owns its fronts, servers, clients and the endpoint service. It checks the invariants of configuration versions
+// at each tick of a front, and those of requests at the end (see Cluster.AwaitRecovery). The package is meant for tests and
+// measurements only.
 package proxysim
 
 import (
@@ -19,46 +21,46 @@
 	"dapplerouter/routing"
 )
 
-// Options are the size and the settings of a simulated cluster.
+// Options sets the size and the configuration of a simulated cluster.
 type Options struct {
 	Seed          uint64
 	Fronts        int
 	Voters        int
-	Fleet         bool // the fronts form a fleet; otherwise each is on its own
+	Fleet         bool // the fronts form a fleet; otherwise each runs without the others
 	LeaseDuration time.Duration
 	Servers       ServerOptions
 	Load          LoadOptions
 	Rollout       RolloutOptions
 
-	PullEndpoints   bool // the endpoint service answers polls and sends no watch events
-	DiscardRequests bool // Cluster.Requests stays empty
-	SparseChecks    bool // for measurements of many fronts: not all fronts are checked at each one's tick
+	PullEndpoints   bool // fronts poll the endpoint service and get no watch events
+	DiscardRequests bool // requests are not recorded in Cluster.Requests
+	SparseChecks    bool // for measurements with many fronts: a tick of one front does not check the versions of all fronts
 }
 
-// ServerOptions are the groups of modelled servers.
+// ServerOptions sets the number and the capacity of the modelled servers.
 type ServerOptions struct {
 	Groups      int
-	PerGroup    int           // servers of a group; the first is the primary
-	Concurrency int           // of a server
-	ServiceTime time.Duration // mean
+	PerGroup    int           // servers in each group, of which the first is the primary
+	Concurrency int           // workers of each server
+	ServiceTime time.Duration // mean time that a worker takes for a statement
 }
 
-// LoadOptions are the requests that clients send.
+// LoadOptions sets the load that clients generate.
 type LoadOptions struct {
-	Rate             float64 // requests a second to each front
+	Rate             float64 // requests per second to each front
 	WriteFraction    float64
-	Deadline         time.Duration // 0 for 2 s, with an objective of 250 ms
+	Deadline         time.Duration // of each request; 0 sets it to 2 s and LatencyObjective to 250 ms
 	LatencyObjective time.Duration
 }
 
-// RolloutOptions are the settings of configuration versions.
+// RolloutOptions configures the rollout of configuration versions.
 type RolloutOptions struct {
-	ConfigLease      time.Duration // 0: no versions are published
-	StopWhenIsolated bool          // an isolated front stops at the end of its configuration lease
-	InForceWithin    time.Duration // by which a published version has to be in force; 0 for no limit
+	ConfigLease      time.Duration // the duration of a configuration lease; 0 if no versions are published
+	StopWhenIsolated bool          // an isolated front stops serving when its configuration lease expires
+	InForceWithin    time.Duration // the time within which a published version must be in force; 0 for no limit
 }
 
-// Cluster is fronts, servers, clients and the endpoint service in one simulation.
+// Cluster is a simulation of fronts, servers, clients and the endpoint service.
 type Cluster struct {
 	*fleetsim.Simulation
 	Options         Options
@@ -66,7 +68,7 @@
 	Servers         []*Server
 	EndpointService EndpointService
 	Requests        []*Request
-	RolloutChanges  []RolloutChange // in the order of the fleet's log
+	RolloutChanges  []RolloutChange // the states of the rollout so far, in the order of the fleet's log
 
 	serversByName map[string]*Server
 	frontsByHost  map[*fleetsim.Host]*Front
@@ -74,27 +76,29 @@
 	rolloutChecks
 }
 
-// EndpointService is the modelled service that fronts have their endpoint list from.
+// EndpointService is the modelled service that fronts get their endpoint list from.
 type EndpointService struct {
-	Index       int64 // of the list
-	Unavailable bool
-	Calls       int
+	Index       int64 // the index of the list
+	Unavailable bool  // while set, calls fail
+	Calls       int   // the number of calls so far
 	OpenWatches int
 }
 
-// epochMillis is the Unix time at which the simulation begins.
+// epochMillis is the Unix time in milliseconds at which the simulation begins.
 const epochMillis = 1_800_000_000_000
 
+// wallMillis converts virtual time to Unix time in milliseconds.
 func (c *Cluster) wallMillis(at time.Duration) int64 { return epochMillis + at.Milliseconds() }
 
-// networkDelay draws the delay of one message to or from a server or the endpoint service.
+// networkDelay returns the random delay of one message to or from a server or the endpoint service.
 func (c *Cluster) networkDelay() time.Duration {
 	return c.Delay + time.Duration(c.Rand.Int64N(int64(c.Delay)))
 }
 
+// zoneNames are the zones over which fronts and servers are spread.
 var zoneNames = []string{"a", "b", "c"}
 
-// New makes a cluster whose fronts are all down; StartAll starts them.
+// New makes a cluster whose fronts are all down. StartAll starts them.
 func New(o Options) *Cluster {
 	if o.Load.Deadline == 0 {
 		o.Load.Deadline, o.Load.LatencyObjective = 2*time.Second, 250*time.Millisecond
@@ -130,7 +134,7 @@
 	return c
 }
 
-// deploymentSettings are the settings of the front of an ordinal.
+// deploymentSettings returns the deployment's settings for the front with the given ordinal.
 func (c *Cluster) deploymentSettings(ordinal int) *deployment.Settings {
 	return &deployment.Settings{
 		TypeNames:    []string{Browse, Book},
@@ -166,7 +170,7 @@
 	}
 }
 
-// requestTypes are a type of reads and one of writes.
+// requestTypes returns the two request types: reads (Browse) and writes (Book), in this order.
 func (c *Cluster) requestTypes() []routing.RequestType {
 	load := c.Options.Load
 	return []routing.RequestType{
@@ -190,7 +194,7 @@
 	}
 }
 
-// endpointList returns the endpoint service's complete list.
+// endpointList returns the complete endpoint list of the endpoint service.
 func (c *Cluster) endpointList() discovery.List {
 	l := discovery.List{Index: c.EndpointService.Index, Snapshot: true}
 	for _, s := range c.Servers {
@@ -199,7 +203,7 @@
 	return l
 }
 
-// Probes returns the number of probes that all servers received.
+// Probes returns the number of probes that all servers together have received.
 func (c *Cluster) Probes() (n int) {
 	for _, s := range c.Servers {
 		n += s.Probes
@@ -207,7 +211,7 @@
 	return n
 }
 
-// front returns the front of a name.
+// front returns the front with the given name. It panics if there is none.
 func (c *Cluster) front(name string) *Front {
 	h := c.Host(name)
 	if h == nil {
@@ -216,7 +220,7 @@
 	return c.frontsByHost[h]
 }
 
-// RolloutChange is a state of the rollout in the fleet's replicated state, and when a front first had it.
+// RolloutChange is a state of the rollout in the fleet's replicated state, with the time at which the first front had it.
 type RolloutChange struct {
 	At    time.Duration
 	Index uint64
--- a/lab/proxysim/cluster_test.go
+++ b/lab/proxysim/cluster_test.go
@@ -13,10 +13,10 @@
 	"dapplerouter/front"
 )
 
-// The log of the fronts is discarded.
+// init discards the log output of the fronts.
 func init() { slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil))) }
 
-// smallOptions are two groups of three servers and five fronts under load.
+// smallOptions returns the options of a cluster with two groups of three servers and five fronts under load.
 func smallOptions(seed uint64, fleet bool) Options {
 	return Options{
 		Seed:          seed,
@@ -38,17 +38,17 @@
 			cluster.Run(10 * time.Second)
 			require.Empty(t, cluster.Violations)
 			succeeded := 0
-			for _, x := range cluster.Requests {
-				assert.LessOrEqual(t, x.Responses, 1, x.ID)
-				if x.Responses == 1 && x.Status == front.StatusSucceeded {
+			for _, request := range cluster.Requests {
+				assert.LessOrEqual(t, request.Responses, 1, request.ID)
+				if request.Responses == 1 && request.Status == front.StatusSucceeded {
 					succeeded++
 				}
-				runs[i] += fmt.Sprintln(x.ID, x.Front, x.FinishedAt, x.Status)
+				runs[i] += fmt.Sprintln(request.ID, request.Front, request.FinishedAt, request.Status)
 			}
 			assert.Greater(t, len(cluster.Requests), 800)
 			assert.Greater(t, succeeded, len(cluster.Requests)*98/100)
 		}
-		assert.Equal(t, runs[0], runs[1], "one seed, one run")
+		assert.Equal(t, runs[0], runs[1], "the same seed gives the same run")
 	}
 }
 
@@ -57,7 +57,7 @@
 	cluster.StartAll()
 	cluster.Run(15 * time.Second)
 	require.Empty(t, cluster.Violations)
-	assert.Equal(t, 1, cluster.EndpointService.OpenWatches, "one watch for all")
+	assert.Equal(t, 1, cluster.EndpointService.OpenWatches, "one watch for the whole fleet")
 	cluster.Leaseholder("list").Crash()
 	cluster.Run(12 * time.Second)
 	assert.LessOrEqual(t, cluster.EndpointService.OpenWatches, 3, "another front watches it")
--- a/lab/proxysim/endpoints.go
+++ b/lab/proxysim/endpoints.go
@@ -10,42 +10,47 @@
 )
 
 const (
-	heartbeatInterval = 2 * time.Second // of the endpoint list's leaseholder to the fleet
-	fleetSilence      = 6 * time.Second // after which a front opens a watch of its own
+	heartbeatInterval  = 2 * time.Second // interval of the heartbeats that the endpoint list's leaseholder broadcasts
+	fleetUpdateTimeout = 6 * time.Second // without broadcasts for this time, a front opens its own watch
 )
 
-// endpointSource is where a front has its endpoint list from: a watch or polls of its own, or the fleet's broadcasts. It implements
-// front.EndpointSource.
+// endpointSource gets a front's endpoint list from the front's own watch, from its own polls, or from the fleet's broadcasts. It
+// implements front.EndpointSource.
 type endpointSource struct {
 	front          *Front
-	pushed         bool // the endpoint service sends watch events unasked
-	watchRequested bool // by the Core
-	watchOpen      bool // a watch of the front's own
-	usesFleet      bool // the fleet's broadcasts are followed
-	holdsLease     bool // of the endpoint list
-	lastUpdate     time.Duration
+	pushed         bool          // a watch is kept open without a request by the Core
+	watchRequested bool          // the Core has requested a watch
+	watchOpen      bool          // the front's own watch is open
+	followsFleet   bool          // the list comes from the fleet's broadcasts
+	holdsLease     bool          // the front holds the lease of the endpoint list
+	lastUpdate     time.Duration // when the last broadcast was received, by the host's clock
 }
 
-// postEndpoints gives the Core an endpoint list.
+// postEndpoints passes an update of the endpoint list to the Core, in a fleet by way of the prober.
 func (f *Front) postEndpoints(kind routing.UpdateKind, l discovery.List) {
 	f.observe(front.EndpointsChanged{Kind: kind, List: l})
 }
 
+// postSnapshot passes a complete endpoint list to the Core.
 func (f *Front) postSnapshot(l discovery.List) { f.postEndpoints(routing.Snapshot, l) }
 
-// checkFleetUpdates returns to a watch of the front's own when the fleet has been silent.
-func (f *Front) checkFleetUpdates(now time.Duration) {
-	if f.endpoints.usesFleet && now-f.endpoints.lastUpdate > fleetSilence {
-		f.endpoints.usesFleet = false
+// detectSilentFleet makes the front return to its own watch if the fleet has sent no broadcast of the endpoint list for
+// fleetUpdateTimeout. It schedules itself again.
+func (f *Front) detectSilentFleet(now time.Duration) {
+	if f.endpoints.followsFleet && now-f.endpoints.lastUpdate > fleetUpdateTimeout {
+		f.endpoints.followsFleet = false
 		f.endpoints.openWatch()
 	}
-	f.host.After(f.cluster.Timing.LeaseDuration/6, f.checkFleetUpdates)
+	f.host.After(f.cluster.Timing.LeaseDuration/6, f.detectSilentFleet)
 }
 
+// service returns the cluster's endpoint service.
 func (s *endpointSource) service() *EndpointService { return &s.front.cluster.EndpointService }
 
+// openWatch opens the front's own watch and fetches the list, unless the watch is open, the list comes from the fleet, or no watch is
+// wanted.
 func (s *endpointSource) openWatch() {
-	if s.watchOpen || s.usesFleet || !s.pushed && !s.watchRequested {
+	if s.watchOpen || s.followsFleet || !s.pushed && !s.watchRequested {
 		return
 	}
 	s.watchOpen = true
@@ -53,6 +58,7 @@
 	s.fetch(s.front.postSnapshot)
 }
 
+// closeWatch closes the front's own watch if it is open.
 func (s *endpointSource) closeWatch() {
 	if s.watchOpen {
 		s.watchOpen = false
@@ -60,7 +66,8 @@
 	}
 }
 
-// fetch asks the endpoint service for the complete list.
+// fetch gets the complete list from the endpoint service and passes it to then. While the service is unavailable, it passes a failed
+// update to the Core instead.
 func (s *endpointSource) fetch(then func(discovery.List)) {
 	f, c := s.front, s.front.cluster
 	s.service().Calls++
@@ -71,7 +78,7 @@
 	f.host.After(2*c.networkDelay(), func(time.Duration) { then(c.endpointList()) })
 }
 
-// postFleetList gives the Core the fleet's list as it is when the call is due.
+// postFleetList schedules a call that passes the fleet's list, as it is at that moment, to the Core.
 func (s *endpointSource) postFleetList() {
 	f := s.front
 	f.host.After(0, func(time.Duration) { f.postSnapshot(f.endpointList.List()) })
@@ -81,7 +88,7 @@
 func (s *endpointSource) Watch(on bool) {
 	s.watchRequested = on
 	switch {
-	case on && s.usesFleet:
+	case on && s.followsFleet:
 		s.postFleetList()
 	case on:
 		s.openWatch()
@@ -92,14 +99,15 @@
 
 // Fetch implements front.EndpointSource.
 func (s *endpointSource) Fetch() {
-	if s.usesFleet {
+	if s.followsFleet {
 		s.postFleetList()
 		return
 	}
 	s.fetch(s.front.postSnapshot)
 }
 
-// watchForFleet is the work of the endpoint list's leaseholder: a watch for all, and heartbeats while it lives.
+// watchForFleet does the work of the endpoint list's leaseholder. It opens a watch for the whole fleet, broadcasts the list and then
+// broadcasts heartbeats until the lease ends.
 func (s *endpointSource) watchForFleet() {
 	f := s.front
 	s.service().OpenWatches++
@@ -127,16 +135,17 @@
 	f.host.After(heartbeatInterval, heartbeat)
 }
 
-// onFleetUpdate takes a broadcast of the endpoint list's leaseholder; the first one replaces the front's own watch.
+// onFleetUpdate handles a broadcast of the endpoint list's leaseholder. The first one makes the front close its own watch and follow
+// the fleet.
 func (s *endpointSource) onFleetUpdate(data []byte) {
 	f := s.front
-	if s.usesFleet {
+	if s.followsFleet {
 		if _, changed := fleet.DecodeEndpointUpdate(data); changed {
 			f.postSnapshot(f.endpointList.List())
 		}
 		return
 	}
-	s.usesFleet = true
+	s.followsFleet = true
 	s.closeWatch()
 	if s.pushed || s.watchRequested {
 		f.postSnapshot(f.endpointList.List())
--- a/lab/proxysim/fault_pairs_test.go
+++ b/lab/proxysim/fault_pairs_test.go
@@ -11,14 +11,15 @@
 	"dapplerouter/fleet/rollout"
 )
 
-// TestEveryPairOfFaultsOverTwoPublishes injects faults of all kinds, at each of three fronts and at times all through two publishes,
-// the second of a mandatory version: each alone, and pairs of them. In each run fronts act on at most two adjacent versions, and in
-// the end all fronts are on one, all new or all old, with one response to each request. ROLL_WALK=all runs every pair.
+// TestEveryPairOfFaultsOverTwoPublishes publishes two versions, the second of them mandatory, and injects faults of all kinds at each of
+// three fronts and at various times: each fault alone, and pairs of faults. In each run fronts must act on at most two adjacent versions.
+// In the end all fronts must be on the same version, new or old, and each request must have one response. By default only some of the
+// pairs are run; ROLL_WALK=all runs all of them.
 func TestEveryPairOfFaultsOverTwoPublishes(t *testing.T) {
 	type faultAt struct {
 		fault Fault
 		host  int
-		when  time.Duration
+		after time.Duration
 	}
 	var all []faultAt
 	for _, f := range Faults {
@@ -28,14 +29,14 @@
 			}
 		}
 	}
-	step := 23
+	stride := 23
 	switch {
 	case os.Getenv("ROLL_WALK") == "all":
-		step = 1
+		stride = 1
 	case raceEnabled || testing.Short():
-		step = len(all)
+		stride = len(all)
 	}
-	run := func(x, y *faultAt, within time.Duration) []string {
+	run := func(first, second *faultAt, within time.Duration) []string {
 		cluster := New(Options{
 			Seed:          7,
 			Fronts:        3,
@@ -59,11 +60,11 @@
 			}
 		}
 		cluster.After(8*time.Second, publishMandatory)
-		for _, z := range []*faultAt{x, y} {
-			if z != nil {
-				cluster.After(z.when, func() {
-					if h := cluster.Hosts[z.host]; h.Up() && !h.Paused() {
-						z.fault.Inject(cluster, h)
+		for _, f := range []*faultAt{first, second} {
+			if f != nil {
+				cluster.After(f.after, func() {
+					if h := cluster.Hosts[f.host]; h.Up() && !h.Paused() {
+						f.fault.Inject(cluster, h)
 					}
 				})
 			}
@@ -71,7 +72,7 @@
 		cluster.Run(16 * time.Second)
 		return cluster.AwaitRecovery(2 * time.Minute)
 	}
-	describe := func(x *faultAt) string { return fmt.Sprintf("%s at host %d after %v", x.fault.Name, x.host, x.when) }
+	describe := func(x *faultAt) string { return fmt.Sprintf("%s at host %d after %v", x.fault.Name, x.host, x.after) }
 	const parts, within = 6, 6 * time.Second
 	for part := range parts {
 		t.Run(fmt.Sprint("part", part), func(t *testing.T) {
@@ -82,10 +83,10 @@
 				}
 				require.Empty(t, run(&all[i], nil, 0), describe(&all[i]))
 				require.Empty(t, run(&all[i], nil, within), "with a time limit: %s", describe(&all[i]))
-				for j := i + 1 + i%step; j < len(all); j += step {
+				for j := i + 1 + i%stride; j < len(all); j += stride {
 					require.Empty(t, run(&all[i], &all[j], 0), "%s, %s", describe(&all[i]), describe(&all[j]))
 				}
-				for j := i + 1 + i%step; j < len(all); j += 6 * step {
+				for j := i + 1 + i%stride; j < len(all); j += 6 * stride {
 					require.Empty(t, run(&all[i], &all[j], within), "with a time limit: %s, %s", describe(&all[i]), describe(&all[j]))
 				}
 			}
--- a/lab/proxysim/faults.go
+++ b/lab/proxysim/faults.go
@@ -8,7 +8,7 @@
 	"dapplerouter/lab/fleetsim"
 )
 
-// Fault is one that can be injected at a host, and ends by itself.
+// Fault is a fault that can be injected at a host. It ends by itself.
 type Fault struct {
 	Name   string
 	Inject func(c *Cluster, h *fleetsim.Host)
@@ -17,7 +17,7 @@
 // normalJitter is the network's jitter without a latency spike.
 const normalJitter = 300 * time.Microsecond
 
-// Faults are those that random runs, and runs of pairs, pick from. Seeds refer to them by their index.
+// Faults are the faults that random runs and the tests of pairs pick from. Seeds select them by index, so their order is fixed.
 var Faults = []Fault{
 	{"crash", func(c *Cluster, h *fleetsim.Host) {
 		h.Crash()
@@ -52,7 +52,7 @@
 	}},
 }
 
-// direction is which messages of a host a partition cuts.
+// direction is the set of directions in which a partition cuts a host's messages.
 type direction uint8
 
 const (
@@ -61,7 +61,7 @@
 	bothDirections = outbound | inbound
 )
 
-// partition cuts a host from all others.
+// partition cuts a host from all others in the given directions.
 func (c *Cluster) partition(h *fleetsim.Host, d direction) {
 	for _, o := range c.Hosts {
 		if o != h && d&outbound != 0 {
--- a/lab/proxysim/fleet_bench_test.go
+++ b/lab/proxysim/fleet_bench_test.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// BenchmarkFleet measures the calls to the endpoint service and the probes a minute, with a fleet and without, while a server of the
-// first group hangs. MODEL_FRONTS selects one size.
+// BenchmarkFleet measures the calls to the endpoint service and the probes per minute, with a fleet and without one, while a server of
+// the first group hangs. The environment variable MODEL_FRONTS selects one size.
 func BenchmarkFleet(b *testing.B) {
-	for _, n := range []int{10, 50, 300} {
+	for _, fronts := range []int{10, 50, 300} {
 		for _, withFleet := range []bool{false, true} {
-			if only := os.Getenv("MODEL_FRONTS"); only != "" && only != fmt.Sprint(n) {
+			if only := os.Getenv("MODEL_FRONTS"); only != "" && only != fmt.Sprint(fronts) {
 				continue
 			}
-			b.Run(fmt.Sprintf("%d/fleet=%v", n, withFleet), func(b *testing.B) {
+			b.Run(fmt.Sprintf("%d/fleet=%v", fronts, withFleet), func(b *testing.B) {
 				for b.Loop() {
 					cluster := New(Options{
 						Seed:            1,
-						Fronts:          n,
+						Fronts:          fronts,
 						Voters:          3,
 						Fleet:           withFleet,
 						LeaseDuration:   3 * time.Second,
--- a/lab/proxysim/front.go
+++ b/lab/proxysim/front.go
@@ -11,22 +11,22 @@
 	"dapplerouter/routing"
 )
 
-// probeSubsystem and probeLeaseKind are the names under which probers of a fleet exchange datagrams and hold leases.
+// probeSubsystem is the subsystem name of the datagrams that probers of a fleet exchange. probeLeaseKind is the kind of their leases.
 const probeSubsystem, probeLeaseKind = "scout", "scout"
 
-// Front is one instance of the service.
+// Front is one simulated front.
 type Front struct {
 	Name      string
 	Core      *front.Core
-	Received  map[string]int // requests, by type
-	Succeeded map[string]int // requests, by type
+	Received  map[string]int // the number of requests received, by request type
+	Succeeded map[string]int // the number of requests that succeeded, by request type
 	VersionFaults
 
 	cluster      *Cluster
 	host         *fleetsim.Host
 	ordinal      int
-	prober       *agent.Prober // nil without a fleet, as is endpointList
-	endpointList *fleet.EndpointList
+	prober       *agent.Prober       // nil without a fleet
+	endpointList *fleet.EndpointList // the endpoint list that the fleet shares; nil without a fleet
 	endpoints    *endpointSource
 	frontProcess
 	frontRollout
@@ -36,12 +36,12 @@
 type frontProcess struct {
 	incarnation int
 	startedAt   time.Duration     // virtual time
-	timerAt     time.Duration     // of the Core's timer, by the host's clock; -1 for none
-	stepping    bool              // within Core.Step
-	observe     func(front.Event) // takes what servers and the endpoint list tell; see connectPools
+	timerAt     time.Duration     // when the Core's timer fires, by the host's clock; -1 if it is not set
+	stepping    bool              // Core.Step is running
+	observe     func(front.Event) // takes the events of servers and of the endpoint list; set by connectPools
 }
 
-// start starts the front's process on its host, whose node, if any, is new.
+// start starts the front's process. Its host has just started; the host's node, if any, is new.
 func (f *Front) start() {
 	c := f.cluster
 	f.incarnation++
@@ -65,25 +65,25 @@
 	}
 	f.generateRequests()
 	if f.host.Node != nil {
-		f.host.After(0, f.checkFleetUpdates)
+		f.host.After(0, f.detectSilentFleet)
 	}
 }
 
-// connectPools returns the Core's pools, and sets observe: the prober of a fleet is between the two.
+// connectPools returns the Core's pools and sets observe. In a fleet, the prober stands between the Core and both of them.
 func (f *Front) connectPools() front.Pools {
 	newPools := func(observe func(front.Event)) (front.Pools, error) {
 		f.observe = observe
 		return &serverPools{front: f}, nil
 	}
 	if f.host.Node == nil {
-		pools, _ := newPools(f.post) // never fails
+		pools, _ := newPools(f.post) // newPools returns no error
 		return pools
 	}
 	pools, _ := f.prober.Connect(f.post, newPools)
 	return pools
 }
 
-// startProber makes the prober of a fleet.
+// startProber makes the front's prober and connects it to the fleet's node.
 func (f *Front) startProber(dialTimeout time.Duration) {
 	p := agent.NewProber(f.cluster.Timing.LeaseDuration, dialTimeout)
 	p.Now = f.host.Clock
@@ -99,15 +99,15 @@
 	f.prober = p
 }
 
-// post gives the Core an event and lets it work.
+// post passes an event to the Core and makes the Core process it.
 func (f *Front) post(e front.Event) {
 	f.Core.Post(e)
 	f.step()
 }
 
-// step runs the Core and sets its timer.
+// step makes the Core process its events, and schedules the next step for the time that the Core asks for.
 func (f *Front) step() {
-	if f.stepping { // an event of this very step: it is processed after it
+	if f.stepping { // the event was posted from within a step: it is processed in the next one
 		f.host.After(0, func(time.Duration) { f.step() })
 		return
 	}
@@ -128,7 +128,7 @@
 	})
 }
 
-// onFleetEvent distributes an event of the fleet's node, as fleet/agent does.
+// onFleetEvent passes an event of the fleet's node to the parts of the front that handle it, as package fleet/agent does.
 func (f *Front) onFleetEvent(e fleet.Event) {
 	f.prober.OnFleetEvent(e, f.Name)
 	if f.Participant != nil {
--- a/lab/proxysim/helpers_test.go
+++ b/lab/proxysim/helpers_test.go
@@ -9,10 +9,10 @@
 	"dapplerouter/fleet/rollout"
 )
 
-// noOutcome stands for the outcome of an action while there is none.
+// noOutcome is the placeholder for the outcome of an action that has no outcome yet.
 const noOutcome = "no outcome"
 
-// newRolloutCluster starts a cluster of nine servers under load, in which versions can be published.
+// newRolloutCluster starts a cluster with nine servers under load, in which configuration versions can be published.
 func newRolloutCluster(seed uint64, fronts int, stopWhenIsolated bool) *Cluster {
 	cluster := New(Options{
 		Seed:          seed,
@@ -29,16 +29,18 @@
 	return cluster
 }
 
-// publishAction publishes a text in stages, in thousandths of the fleet.
-func publishAction(text string, stages ...uint16) rollout.Action {
+// newPublishAction returns an action that publishes a text in stages, which are given in thousandths of the fleet. Without stages it
+// uses three.
+func newPublishAction(text string, stages ...uint16) rollout.Action {
 	if len(stages) == 0 {
 		stages = []uint16{10, 500, 1000}
 	}
 	return rollout.Action{Type: rollout.ActionPublish, Text: []byte(text), Stages: stages, ObservationTime: 2 * time.Second, MaxFenced: 200}
 }
 
-// publish submits an action at the first front and waits for its outcome: why it was rejected, "" for success.
-func publish(t *testing.T, cluster *Cluster, a rollout.Action) (rejectedReason string) {
+// submitAndWait submits an action at the first front and waits for its outcome. It returns the reason of the rejection, "" if the action
+// was accepted, or noOutcome if there was no outcome within 30 s.
+func submitAndWait(t *testing.T, cluster *Cluster, a rollout.Action) (rejectedReason string) {
 	t.Helper()
 	rejectedReason = noOutcome
 	cluster.Publish(cluster.Fronts[0], a, func(reason string) { rejectedReason = reason })
@@ -51,7 +53,7 @@
 	return rejectedReason
 }
 
-// awaitSteady waits until a rollout has ended, and returns its state.
+// awaitSteady waits until a rollout has ended and returns its last state. It fails the test after the timeout or on a violation.
 func awaitSteady(t *testing.T, cluster *Cluster, timeout time.Duration) rollout.State {
 	t.Helper()
 	end := cluster.Now + timeout
@@ -63,7 +65,7 @@
 	return cluster.State()
 }
 
-// activeVersions returns the version that each front acts on.
+// activeVersions returns the configuration version of each front.
 func activeVersions(cluster *Cluster) (all []uint64) {
 	for _, f := range cluster.Fronts {
 		all = append(all, f.Core.ConfigVersion())
--- a/lab/proxysim/in_force_bench_test.go
+++ b/lab/proxysim/in_force_bench_test.go
@@ -12,26 +12,27 @@
 	"dapplerouter/fleet/rollout"
 )
 
-// deadlineRun is a run of configuration changes that are requested at given times, with a limit by which they have to be in force and
-// without. A change that is rejected is submitted again after half a second.
+// deadlineRun is a benchmark run in which configuration changes are requested at given times. It is run with and without a time limit
+// within which the changes must be in force. A change that is rejected is submitted again after half a second.
 type deadlineRun struct {
 	name            string
-	count           int           // of changes
-	interval        time.Duration // between them
+	count           int           // the number of changes
+	interval        time.Duration // time between the requests of two changes
 	stages          []uint16
 	observationTime time.Duration
 	cutOff          bool // one front in twenty is cut off for good when the first change is requested
-	leaderZone      bool // the leader's zone, an eighth of the fleet, is lost for good at that time
+	leaderZoneLost  bool // the leader's zone, an eighth of the fleet, crashes for good at that time
 	configLease     time.Duration
 }
 
-// trackedChange is a change from its request until it is in force.
+// trackedChange is the progress of a change from its request until it is in force. Times are virtual.
 type trackedChange struct {
 	requestedAt, inForce time.Duration
 	published            bool
-	version              uint64 // of which it became part
+	version              uint64 // the version that the change became part of; 0 before
 }
 
+// run performs the run with the given number of fronts and time limit, and reports the metrics.
 func (c deadlineRun) run(b *testing.B, fronts int, within time.Duration) {
 	cluster := New(Options{
 		Seed:          3,
@@ -45,7 +46,7 @@
 	cluster.StartAll()
 	cluster.Run(20 * time.Second)
 	first := rollout.Action{Type: rollout.ActionPublish, Text: []byte("(rules (given-up 1))"), Stages: []uint16{1000}, MaxFenced: 300}
-	cluster.Publish(cluster.Fronts[0], first, func(string) {}) // the first publication ever takes longer
+	cluster.Publish(cluster.Fronts[0], first, func(string) {}) // the first publication of a fleet takes longer than later ones
 	cluster.Run(20 * time.Second)
 	operator := c.injectFailure(cluster, fronts)
 	changes := make([]*trackedChange, c.count)
@@ -53,9 +54,9 @@
 		changes[i] = &trackedChange{requestedAt: cluster.Now + time.Duration(i)*c.interval}
 	}
 	for end := changes[c.count-1].requestedAt + 8*time.Minute; cluster.Now < end; {
-		for i, x := range changes {
-			if !x.published && cluster.Now >= x.requestedAt {
-				c.publish(cluster, operator, i, x)
+		for i, change := range changes {
+			if !change.published && cluster.Now >= change.requestedAt {
+				c.publish(cluster, operator, i, change)
 			}
 		}
 		cluster.Run(50 * time.Millisecond)
@@ -67,9 +68,9 @@
 		b.Fatal(cluster.Violations)
 	}
 	var took []float64
-	for _, x := range changes {
-		if x.inForce > 0 {
-			took = append(took, (x.inForce - x.requestedAt).Seconds())
+	for _, change := range changes {
+		if change.inForce > 0 {
+			took = append(took, (change.inForce - change.requestedAt).Seconds())
 		}
 	}
 	b.ReportMetric(float64(c.count-len(took)), "never")
@@ -80,14 +81,14 @@
 	}
 }
 
-// injectFailure injects the failure of the run, and returns the front that the operator uses.
+// injectFailure injects the failure of the run, if any, and returns a front that still runs, at which the operator submits the changes.
 func (c deadlineRun) injectFailure(cluster *Cluster, fronts int) *Front {
 	switch {
 	case c.cutOff:
 		for i := range max(1, fronts/20) {
 			cluster.partition(cluster.Hosts[fronts-1-i], bothDirections)
 		}
-	case c.leaderZone:
+	case c.leaderZoneLost:
 		leader := cluster.Leader()
 		leader.Crash()
 		for i := range fronts/8 - 1 {
@@ -100,9 +101,9 @@
 	return cluster.Fronts[0]
 }
 
-// publish publishes a change on top of the version in force.
-func (c deadlineRun) publish(cluster *Cluster, operator *Front, i int, x *trackedChange) {
-	x.published = true
+// publish submits change i, based on the version in force.
+func (c deadlineRun) publish(cluster *Cluster, operator *Front, i int, change *trackedChange) {
+	change.published = true
 	var action rollout.Action
 	operator.host.Do(func(n *fleet.Node, _ time.Duration) {
 		s, _ := rollout.ReadState(n.State())
@@ -112,34 +113,35 @@
 	})
 	cluster.Publish(operator, action, func(rejectedReason string) {
 		if rejectedReason != "" {
-			cluster.After(500*time.Millisecond, func() { x.published = false })
+			cluster.After(500*time.Millisecond, func() { change.published = false })
 			return
 		}
 		s, _ := rollout.ReadState(operator.host.Node.State())
-		x.version = s.LastVersion
+		change.version = s.LastVersion
 	})
 }
 
-// recordInForce notes which changes are in force, and reports whether all are.
+// recordInForce records which changes have come into force, and reports whether all have.
 func (c deadlineRun) recordInForce(cluster *Cluster, changes []*trackedChange) bool {
 	s, all := cluster.State(), true
-	for _, x := range changes {
-		if x.inForce == 0 && x.version > 0 && s.Base >= x.version {
-			x.inForce = cluster.Now
+	for _, change := range changes {
+		if change.inForce == 0 && change.version > 0 && s.Base >= change.version {
+			change.inForce = cluster.Now
 		}
-		all = all && x.inForce > 0
+		all = all && change.inForce > 0
 	}
 	return all
 }
 
-// BenchmarkInForce measures in how many seconds of virtual time configuration changes are in force everywhere, with a limit of 20 s
-// and without one, with a lease duration of 3 s. One run is one measurement: -benchtime 1x. MODEL_FRONTS selects one size.
+// BenchmarkInForce measures how many seconds of virtual time it takes until configuration changes are in force on all fronts, with a
+// time limit of 20 s and without one. The lease duration is 3 s. Run it with -benchtime 1x: one run is one measurement. The environment
+// variable MODEL_FRONTS selects one size.
 func BenchmarkInForce(b *testing.B) {
 	one, four := []uint16{1000}, []uint16{10, 100, 500, 1000}
 	for _, c := range []deadlineRun{
 		{name: "heard", count: 1, stages: one, configLease: 12 * time.Second},
 		{name: "cut-off", count: 1, stages: one, configLease: 12 * time.Second, cutOff: true},
-		{name: "leaders-zone", count: 1, stages: one, configLease: 12 * time.Second, leaderZone: true},
+		{name: "leaders-zone", count: 1, stages: one, configLease: 12 * time.Second, leaderZoneLost: true},
 		{name: "burst", count: 12, interval: 5 * time.Second, stages: one, configLease: 12 * time.Second},
 		{name: "burst-cut-off", count: 12, interval: 5 * time.Second, stages: one, configLease: 12 * time.Second, cutOff: true},
 		{name: "staged", count: 1, stages: four, observationTime: 30 * time.Second, configLease: 6 * time.Second},
--- a/lab/proxysim/in_force_test.go
+++ b/lab/proxysim/in_force_test.go
@@ -14,8 +14,8 @@
 	"dapplerouter/fleet/rollout"
 )
 
-// newClusterWithDeadline starts a cluster whose versions have to be in force everywhere within 20 s, with the default ratio of lease
-// durations.
+// newClusterWithDeadline starts a cluster whose versions must be in force on all fronts within 20 s. The two lease durations have their
+// default ratio.
 func newClusterWithDeadline(seed uint64, fronts int) *Cluster {
 	cluster := New(Options{
 		Seed:          seed,
@@ -32,13 +32,13 @@
 	return cluster
 }
 
-// inForce publishes rules at a front and returns how long it takes until they are in force.
-func inForce(t *testing.T, cluster *Cluster, at *Front, text string) time.Duration {
+// publishAndAwaitInForce publishes rules at a front in one stage, waits until they are in force, and returns how long that took.
+func publishAndAwaitInForce(t *testing.T, cluster *Cluster, at *Front, text string) time.Duration {
 	t.Helper()
 	base, began, rejectedReason := cluster.State().Base, cluster.Now, noOutcome
-	x := publishAction(text, 1000)
-	x.Base, x.ObservationTime = base, 0
-	cluster.Publish(at, x, func(reason string) { rejectedReason = reason })
+	action := newPublishAction(text, 1000)
+	action.Base, action.ObservationTime = base, 0
+	cluster.Publish(at, action, func(reason string) { rejectedReason = reason })
 	for cluster.Now < began+2*time.Minute && (cluster.State().Base == base || cluster.State().Phase != rollout.PhaseSteady) {
 		cluster.Run(50 * time.Millisecond)
 	}
@@ -53,24 +53,24 @@
 		cluster := newClusterWithDeadline(51, 20)
 		cluster.partition(cluster.Hosts[19], bothDirections)
 		cluster.Run(cutBefore + time.Millisecond)
-		took := inForce(t, cluster, cluster.Fronts[0], "(rules (given-up 2))")
+		took := publishAndAwaitInForce(t, cluster, cluster.Fronts[0], "(rules (given-up 2))")
 		t.Logf("cut off %v before: %v", cutBefore, took)
 		assert.LessOrEqual(t, took, 20*time.Second, "cut off %v before", cutBefore)
 		if cutBefore > 20*time.Second {
-			assert.LessOrEqual(t, took, 6*time.Second, "its lease has expired, so the rollout does not wait for it")
+			assert.LessOrEqual(t, took, 6*time.Second, "the front's configuration lease has expired, so the rollout does not wait for the front")
 		}
 		cluster.Heal()
 		cluster.Run(10 * time.Second)
-		assert.EqualValues(t, 1, cluster.Fronts[19].Core.ConfigVersion(), "it adopts the version afterwards")
+		assert.EqualValues(t, 1, cluster.Fronts[19].Core.ConfigVersion(), "the front adopts the version afterwards")
 		require.Empty(t, cluster.Violations)
 	}
 }
 
-// A change is published each 5 s for a minute, and a front is cut off half-way: each change is in force within its time, and in the end
-// the rules have all changes.
+// A change is published every 5 s for a minute, and a front is cut off meanwhile. Each change must come into force, and in the end the
+// rules must contain all changes.
 func TestABurstOfChangesIsCoalescedAndEachIsInForceInItsTime(t *testing.T) {
 	cluster := newClusterWithDeadline(53, 20)
-	inForce(t, cluster, cluster.Fronts[0], "(rules (given-up 1))")
+	publishAndAwaitInForce(t, cluster, cluster.Fronts[0], "(rules (given-up 1))")
 	began, published := cluster.Now, 0
 	type change struct{ requestedAt, acceptedAt, inForceAt time.Duration }
 	changes := make([]*change, 12)
@@ -79,12 +79,12 @@
 	publishNext = func() {
 		i := published
 		published++
-		x := &change{requestedAt: cluster.Now}
-		changes[i] = x
+		current := &change{requestedAt: cluster.Now}
+		changes[i] = current
 		var text []byte
 		cluster.Fronts[0].host.Do(func(n *fleet.Node, _ time.Duration) {
 			s, _ := rollout.ReadState(n.State())
-			base := max(s.Base, s.Next) // the operator also sees the version that is being rolled out
+			base := max(s.Base, s.Next) // the operator bases the change on the version that is being rolled out, if there is one
 			seen, err := deployment.RulesText{}.Split(rollout.VersionText(n.State(), base))
 			require.NoError(t, err)
 			key := fmt.Sprintf("given-up %d", 100+i)
@@ -94,7 +94,7 @@
 			action := rollout.Action{Type: rollout.ActionPublish, Base: base, Text: text, Stages: []uint16{1000}, MaxFenced: 300}
 			cluster.Publish(cluster.Fronts[0], action, func(rejectedReason string) {
 				require.Empty(t, rejectedReason, "change %d", i)
-				x.acceptedAt = cluster.Now
+				current.acceptedAt = cluster.Now
 			})
 		})
 		if published < len(changes) {
@@ -133,11 +133,11 @@
 	})
 }
 
-// A zone of the fleet is lost with the leader in it, some time before a version is published.
+// A zone with the leader in it crashes some time before a version is published. The version must still be in force in time.
 func TestVersionIsInForceInTimeAfterTheLeadersZoneIsLost(t *testing.T) {
 	for _, after := range []time.Duration{0, 3 * time.Second, 6 * time.Second, 30 * time.Second} {
 		cluster := newClusterWithDeadline(52, 24)
-		inForce(t, cluster, cluster.Fronts[0], "(rules (given-up 1))")
+		publishAndAwaitInForce(t, cluster, cluster.Fronts[0], "(rules (given-up 1))")
 		leader := cluster.Leader()
 		require.NotNil(t, leader)
 		at := cluster.Fronts[0]
@@ -149,19 +149,19 @@
 			}
 		}
 		cluster.Run(after + time.Millisecond)
-		took := inForce(t, cluster, at, "(rules (given-up 2))")
+		took := publishAndAwaitInForce(t, cluster, at, "(rules (given-up 2))")
 		t.Logf("published %v after the loss: %v", after, took)
 		assert.LessOrEqual(t, took, 20*time.Second, "published %v after the loss", after)
 	}
 }
 
-// A timed stage ends as soon as its canary analysis has decided, or when its share of the time is over; the action says what happens
-// then.
+// A stage with a time limit must end as soon as its canary analysis has decided, or else when its share of the time is over. In the
+// second case the action's OnUndecided says whether the rollout continues, pauses or rolls back.
 func TestTimedStageEndsOnItsObservation(t *testing.T) {
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name        string
-		failureRate float64 // on either version
-		additional  float64 // on the new one
+		failureRate float64 // on both versions
+		additional  float64 // added to failureRate on the new version
 		onUndecided uint8
 		base        uint64
 		lastReason  string
@@ -172,7 +172,7 @@
 		{"pause", 0, 0, rollout.UndecidedPause, 0, "held: the time of wave 1 is over"},
 		{"roll back", 0, 0, rollout.UndecidedRollBack, 0, "the time of wave 1 is over"},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			cluster := New(Options{
 				Seed:          61,
 				Fronts:        12,
@@ -184,14 +184,14 @@
 				Rollout:       RolloutOptions{ConfigLease: 6 * time.Second, StopWhenIsolated: true, InForceWithin: 40 * time.Second},
 			})
 			for _, f := range cluster.Fronts {
-				f.FailureRate = func(v uint64) float64 { return x.failureRate + x.additional*float64(v) }
+				f.FailureRate = func(v uint64) float64 { return test.failureRate + test.additional*float64(v) }
 			}
 			cluster.StartAll()
 			cluster.Run(10 * time.Second)
-			action := publishAction("(rules (window book 1s))", 500, 1000)
-			action.ObservationTime, action.OnUndecided = 30*time.Second, x.onUndecided
+			action := newPublishAction("(rules (window book 1s))", 500, 1000)
+			action.ObservationTime, action.OnUndecided = 30*time.Second, test.onUndecided
 			began := cluster.Now
-			require.Empty(t, publish(t, cluster, action))
+			require.Empty(t, submitAndWait(t, cluster, action))
 			for cluster.Now < began+time.Minute && cluster.State().Phase != rollout.PhaseSteady && !cluster.State().Paused {
 				cluster.Run(100 * time.Millisecond)
 			}
@@ -199,9 +199,9 @@
 			s := cluster.State()
 			require.Empty(t, cluster.Violations)
 			t.Logf("%v: %s", took, s.Reason)
-			assert.Equal(t, x.base, s.Base)
+			assert.Equal(t, test.base, s.Base)
 			assert.LessOrEqual(t, took, 40*time.Second)
-			if x.onUndecided == rollout.UndecidedPause && s.Paused {
+			if test.onUndecided == rollout.UndecidedPause && s.Paused {
 				f := cluster.Fronts[0]
 				cluster.Publish(f, rollout.Action{Type: rollout.ActionResume}, func(string) {})
 				cluster.Run(30 * time.Second)
@@ -210,14 +210,14 @@
 			}
 			found := false
 			for _, change := range cluster.RolloutChanges {
-				found = found || strings.Contains(change.Reason, x.lastReason)
+				found = found || strings.Contains(change.Reason, test.lastReason)
 			}
 			assert.True(t, found, s.Reason)
 		})
 	}
 }
 
-// The only front of the first stage is paused: the stage ends with its time all the same.
+// The only front of the first stage is paused and sends no reports. The stage must still end when its time is over.
 func TestTimedStageOfUnreachableFrontsEndsWithItsTime(t *testing.T) {
 	cluster := New(Options{
 		Seed:          3,
@@ -230,10 +230,10 @@
 	})
 	cluster.StartAll()
 	cluster.Run(10 * time.Second)
-	x := publishAction("(rules (given-up 2))", 1, 500, 1000)
-	x.ObservationTime = 30 * time.Second
+	action := newPublishAction("(rules (given-up 2))", 1, 500, 1000)
+	action.ObservationTime = 30 * time.Second
 	began := cluster.Now
-	cluster.Publish(cluster.Fronts[0], x, func(string) {})
+	cluster.Publish(cluster.Fronts[0], action, func(string) {})
 	for cluster.Now < began+5*time.Second && cluster.State().Next == 0 {
 		cluster.Run(10 * time.Millisecond)
 	}
--- a/lab/proxysim/isolation_test.go
+++ b/lab/proxysim/isolation_test.go
@@ -11,9 +11,9 @@
 	"dapplerouter/fleet/rollout"
 )
 
-// A front that is paused for a minute in the middle of its requests, while a mandatory version comes into force, starts no attempt on
-// the old version when it resumes, by what the servers received.
-func TestFrontPausedOverAMandatoryVersionStartsNoAttemptOnTheOldOne(t *testing.T) {
+// A front is paused for a minute in the middle of its requests, and a mandatory version comes into force meanwhile. When the front
+// resumes, it must start no attempt on the old version. The test checks this by the attempts that the servers received.
+func TestFrontPausedDuringAMandatoryRolloutStartsNoAttemptOnTheOldVersion(t *testing.T) {
 	for seed := range uint64(8) {
 		cluster := newRolloutCluster(20+seed, 6, true)
 		f := cluster.Fronts[5]
@@ -25,26 +25,27 @@
 		cluster.Run(time.Duration(seed) * 300 * time.Microsecond)
 		h.Pause()
 		cluster.After(time.Minute, h.Resume)
-		x := publishAction("(rules (given-up 2))", 1000)
-		x.Mandatory = true
-		require.Empty(t, publish(t, cluster, x))
+		action := newPublishAction("(rules (given-up 2))", 1000)
+		action.Mandatory = true
+		require.Empty(t, submitAndWait(t, cluster, action))
 		s := awaitSteady(t, cluster, 50*time.Second)
 		assert.EqualValues(t, 1, s.Base)
 		inForce := cluster.RolloutChanges[len(cluster.RolloutChanges)-1].At
-		require.True(t, h.Paused(), "it is paused during all of it")
+		require.True(t, h.Paused(), "the front is paused during the whole rollout")
 		cluster.Run(90 * time.Second)
 		require.Empty(t, cluster.Violations)
-		for _, m := range cluster.Servers[6:] {
-			for _, c := range m.Attempts {
-				assert.LessOrEqual(t, c.At, inForce, "seed %d: %s of %s reached %s", seed, c.ID, c.Front, m.Name)
+		for _, server := range cluster.Servers[6:] {
+			for _, attempt := range server.Attempts {
+				assert.LessOrEqual(t, attempt.At, inForce, "seed %d: %s of %s reached %s", seed, attempt.ID, attempt.Front, server.Name)
 			}
 		}
-		for _, x := range cluster.Requests {
-			assert.LessOrEqual(t, x.Responses, 1)
-			assert.False(t, x.Responses == 0 && x.ReceivedAt < cluster.Now-10*time.Second, "%s of %s has its one response", x.ID, x.Front)
+		for _, request := range cluster.Requests {
+			assert.LessOrEqual(t, request.Responses, 1)
+			assert.False(t, request.Responses == 0 && request.ReceivedAt < cluster.Now-10*time.Second,
+				"%s of %s has exactly one response", request.ID, request.Front)
 		}
-		assert.EqualValues(t, 1, f.Core.ConfigVersion(), "it adopts the version afterwards")
-		assert.False(t, f.Core.Standby(), "and serves again")
+		assert.EqualValues(t, 1, f.Core.ConfigVersion(), "the front adopts the version afterwards")
+		assert.False(t, f.Core.Standby(), "the front serves again")
 	}
 }
 
@@ -64,27 +65,27 @@
 		for _, f := range cluster.Fronts {
 			assert.False(t, f.Core.Standby(), f.Name)
 		}
-		require.Empty(t, publish(t, cluster, publishAction("(rules (given-up 2))", 1000)))
+		require.Empty(t, submitAndWait(t, cluster, newPublishAction("(rules (given-up 2))", 1000)))
 		awaitSteady(t, cluster, time.Minute)
 	}
 }
 
 func TestMandatoryVersionIsNotInForceWithoutAMajority(t *testing.T) {
 	cluster := newRolloutCluster(32, 5, false)
-	x := publishAction("(rules (given-up 2))", 400, 1000)
-	x.Mandatory, x.ObservationTime = true, 8*time.Second
-	require.Empty(t, publish(t, cluster, x))
+	action := newPublishAction("(rules (given-up 2))", 400, 1000)
+	action.Mandatory, action.ObservationTime = true, 8*time.Second
+	require.Empty(t, submitAndWait(t, cluster, action))
 	cluster.Hosts[1].Crash()
 	cluster.Hosts[2].Crash()
 	cluster.Run(30 * time.Second)
 	assert.Equal(t, rollout.PhaseRolling, cluster.State().Phase)
-	on := 0
+	onNewVersion := 0
 	for _, f := range cluster.Fronts {
 		if f.host.Up() && f.Core.ConfigVersion() == 1 {
-			on++
+			onNewVersion++
 		}
 	}
-	assert.Less(t, on, 3)
+	assert.Less(t, onNewVersion, 3)
 	cluster.Hosts[1].Start()
 	cluster.Hosts[2].Start()
 	s := awaitSteady(t, cluster, time.Minute)
@@ -94,34 +95,34 @@
 
 func TestFrontThatIsCutOffIsFencedAndComesBackUpToDate(t *testing.T) {
 	cluster := newRolloutCluster(33, 6, true)
-	out := cluster.Fronts[5]
+	cutOff := cluster.Fronts[5]
 	for _, h := range cluster.Hosts {
-		cluster.Cut(h.Name, out.Name)
-		cluster.Cut(out.Name, h.Name)
+		cluster.Cut(h.Name, cutOff.Name)
+		cluster.Cut(cutOff.Name, h.Name)
 	}
-	require.Empty(t, publish(t, cluster, publishAction("(rules (given-up 2))", 1000)))
+	require.Empty(t, submitAndWait(t, cluster, newPublishAction("(rules (given-up 2))", 1000)))
 	s := awaitSteady(t, cluster, 2*time.Minute)
 	assert.EqualValues(t, 1, s.Base)
-	assert.True(t, out.Core.Standby())
-	assert.EqualValues(t, 0, out.Core.ConfigVersion())
+	assert.True(t, cutOff.Core.Standby())
+	assert.EqualValues(t, 0, cutOff.Core.ConfigVersion())
 	cluster.Heal()
 	cluster.Run(15 * time.Second)
-	assert.EqualValues(t, 1, out.Core.ConfigVersion())
-	assert.False(t, out.Core.Standby())
+	assert.EqualValues(t, 1, cutOff.Core.ConfigVersion())
+	assert.False(t, cutOff.Core.Standby())
 	assert.Empty(t, cluster.Violations)
 }
 
 func TestNoMoreThanTheConfiguredShareIsFenced(t *testing.T) {
 	cluster := newRolloutCluster(34, 6, true)
-	for _, out := range []string{"f004", "f005"} {
+	for _, cutOff := range []string{"f004", "f005"} {
 		for _, h := range cluster.Hosts {
-			if h.Name != out {
-				cluster.Cut(h.Name, out)
-				cluster.Cut(out, h.Name)
+			if h.Name != cutOff {
+				cluster.Cut(h.Name, cutOff)
+				cluster.Cut(cutOff, h.Name)
 			}
 		}
 	}
-	require.Empty(t, publish(t, cluster, publishAction("(rules (given-up 2))", 1000)))
+	require.Empty(t, submitAndWait(t, cluster, newPublishAction("(rules (given-up 2))", 1000)))
 	cluster.Run(40 * time.Second)
 	assert.Equal(t, rollout.PhaseRolling, cluster.State().Phase)
 	assert.Contains(t, cluster.State().Reason, "2 fronts lag (f004, f005), and 1 may be shut out at once")
@@ -130,7 +131,8 @@
 	assert.Equal(t, []uint64{1, 1, 1, 1, 1, 1}, activeVersions(cluster))
 }
 
-// A front without a configuration lease releases the leases that it holds and is granted none until it has one.
+// A front without a configuration lease must release the leases that it holds, and must be granted none until it has a configuration
+// lease again.
 func TestFrontWithoutAConfigLeaseHoldsNoLease(t *testing.T) {
 	cluster := newRolloutCluster(41, 5, true)
 	h := cluster.Leaseholder("list")
@@ -140,11 +142,11 @@
 	next := cluster.Leaseholder("list")
 	require.NotNil(t, next, "transferred without waiting for the lease to expire")
 	assert.NotEqual(t, h.Name, next.Name)
-	cluster.Run(200 * time.Millisecond) // the participant sees that it has its configuration lease, and ends the idling
+	cluster.Run(200 * time.Millisecond) // the participant sees that the front has its configuration lease, and lets it take leases again
 	for _, h := range cluster.Hosts {
 		h.Do(func(n *fleet.Node, now time.Duration) {
-			d := n.State().Leases["list"]
-			assert.Equal(t, next.Name, d.Leaseholder)
+			lease := n.State().Leases["list"]
+			assert.Equal(t, next.Name, lease.Leaseholder)
 		})
 	}
 	assert.Empty(t, cluster.Violations)
--- a/lab/proxysim/norace_test.go
+++ b/lab/proxysim/norace_test.go
@@ -2,4 +2,5 @@
 
 package proxysim
 
+// raceEnabled reports whether the race detector is on.
 const raceEnabled = false
--- a/lab/proxysim/prober_test.go
+++ b/lab/proxysim/prober_test.go
@@ -12,7 +12,8 @@
 	"dapplerouter/lab/fleetsim"
 )
 
-// recordProbeResults returns the results of probes that fronts receive from others, pending ones left out.
+// recordProbeResults records the results of probes that fronts receive from other fronts, except those of pending probes. The slice that
+// it returns grows while the cluster runs.
 func recordProbeResults(cluster *Cluster) *[]fleet.ProbeResult {
 	results, onEvent := new([]fleet.ProbeResult), cluster.OnEvent
 	cluster.OnEvent = func(h *fleetsim.Host, e fleet.Event) {
@@ -26,7 +27,7 @@
 	return results
 }
 
-// Guards against a leaseholder that reports answered probes as failed: all fronts then ejected servers that were well.
+// Guards against a leaseholder that reports answered probes as failed. All fronts then ejected healthy servers.
 func TestAnsweredProbesAreReportedHealthy(t *testing.T) {
 	cluster := New(smallOptions(7, true))
 	results := recordProbeResults(cluster)
@@ -51,7 +52,8 @@
 	assert.Zero(t, unhealthy, "of %d results", len(*results))
 }
 
-// Guards against the same where requests with too little time start the probes: one of them had primaries ejected for good.
+// Guards against the same failure when requests with too little time trigger the probes. One such request caused primaries to be ejected
+// permanently.
 func TestRequestsWithTooLittleTimeEjectNoServer(t *testing.T) {
 	o := smallOptions(61, true)
 	o.Fronts = 12
@@ -67,26 +69,26 @@
 		assert.True(t, result.Healthy, "%+v", result)
 	}
 	writes, succeeded := 0, 0
-	for _, x := range cluster.Requests {
-		if x.Write && x.ReceivedAt > 10*time.Second && x.Timeout == cluster.Options.Load.Deadline && x.Responses > 0 {
+	for _, request := range cluster.Requests {
+		if request.Write && request.ReceivedAt > 10*time.Second && request.Timeout == cluster.Options.Load.Deadline && request.Responses > 0 {
 			writes++
-			if x.Status == front.StatusSucceeded {
+			if request.Status == front.StatusSucceeded {
 				succeeded++
 			}
 		}
 	}
-	assert.Greater(t, succeeded, writes*98/100, "of %d writes with time", writes)
+	assert.Greater(t, succeeded, writes*98/100, "of %d writes with enough time", writes)
 }
 
-// Guards against fronts that stay without a primary: a result of another front's probe names none.
-func TestWritesAloneFindThePrimaryBehindAnOutage(t *testing.T) {
+// Guards against fronts that find no primary after an outage, because the result of another front's probe does not name the primary.
+func TestWritesAloneFindThePrimaryAfterAnOutage(t *testing.T) {
 	const outage, recovery = 5 * time.Second, 5 * time.Second
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name       string
 		newPrimary int
 	}{{"the primary returns", 0}, {"another server is primary", 1}} {
 		for _, withFleet := range []bool{false, true} {
-			t.Run(x.name+map[bool]string{true: ", in a fleet"}[withFleet], func(t *testing.T) {
+			t.Run(test.name+map[bool]string{true: ", in a fleet"}[withFleet], func(t *testing.T) {
 				o := smallOptions(8, withFleet)
 				o.Load.WriteFraction = 1
 				cluster := New(o)
@@ -96,16 +98,16 @@
 				group[0].Down = true
 				cluster.Run(outage)
 				for i, s := range group {
-					s.Primary, s.Down = i == x.newPrimary, false
+					s.Primary, s.Down = i == test.newPrimary, false
 				}
 				cluster.Run(recovery)
 				from := cluster.Now
 				cluster.Run(10 * time.Second)
 				require.Empty(t, cluster.Violations)
 				failed := map[string]int{}
-				for _, r := range cluster.Requests {
-					if r.ReceivedAt > from && r.Responses > 0 && r.Status != front.StatusSucceeded {
-						failed[r.Front]++
+				for _, request := range cluster.Requests {
+					if request.ReceivedAt > from && request.Responses > 0 && request.Status != front.StatusSucceeded {
+						failed[request.Front]++
 					}
 				}
 				assert.Empty(t, failed, "failed writes by front")
--- a/lab/proxysim/publish_bench_test.go
+++ b/lab/proxysim/publish_bench_test.go
@@ -10,7 +10,7 @@
 	"dapplerouter/front"
 )
 
-// newBenchmarkCluster starts a cluster of fronts that each receive rate requests a second.
+// newBenchmarkCluster starts a cluster in which each front receives rate requests per second.
 func newBenchmarkCluster(fronts int, rate float64) *Cluster {
 	o := benchmarkOptions(fronts)
 	o.Load = LoadOptions{Rate: rate, WriteFraction: 0.2}
@@ -20,19 +20,20 @@
 	return cluster
 }
 
-// BenchmarkPublish measures how long it takes from an operator's publication until all fronts act on the version, in virtual time: in
-// one stage without observation, with a part of the fleet cut off for 20 s, a lease duration of 3 s, configuration leases of 12 s.
+// BenchmarkPublish measures how much virtual time passes from an operator's publication until all fronts act on the version. The version
+// is rolled out in one stage without observation, while a part of the fleet is cut off for 20 s. The lease duration is 3 s, that of
+// configuration leases 12 s.
 func BenchmarkPublish(b *testing.B) {
-	for _, n := range []int{10, 50, 300} {
-		for _, lag := range []int{0, 5, 20} {
-			if only := os.Getenv("MODEL_FRONTS"); only != "" && only != fmt.Sprint(n) {
+	for _, fronts := range []int{10, 50, 300} {
+		for _, cutOffPercent := range []int{0, 5, 20} {
+			if only := os.Getenv("MODEL_FRONTS"); only != "" && only != fmt.Sprint(fronts) {
 				continue
 			}
-			b.Run(fmt.Sprintf("%d/lag=%d%%", n, lag), func(b *testing.B) {
+			b.Run(fmt.Sprintf("%d/lag=%d%%", fronts, cutOffPercent), func(b *testing.B) {
 				for b.Loop() {
-					cluster := newBenchmarkCluster(n, 2)
-					for i := range n * lag / 100 {
-						cluster.partition(cluster.Hosts[n-1-i], bothDirections)
+					cluster := newBenchmarkCluster(fronts, 2)
+					for i := range fronts * cutOffPercent / 100 {
+						cluster.partition(cluster.Hosts[fronts-1-i], bothDirections)
 					}
 					cluster.After(20*time.Second, cluster.Heal)
 					began := cluster.Now
@@ -40,22 +41,22 @@
 					first, onReachable, steady := time.Duration(0), time.Duration(0), time.Duration(0)
 					for cluster.Now < began+3*time.Minute {
 						cluster.Run(10 * time.Millisecond)
-						on := 0
+						onNewVersion := 0
 						for _, f := range cluster.Fronts {
 							if f.Core.ConfigVersion() == 1 {
-								on++
+								onNewVersion++
 							}
 						}
-						if on > 0 && first == 0 {
+						if onNewVersion > 0 && first == 0 {
 							first = cluster.Now - began
 						}
-						if on >= n-n*lag/100 && onReachable == 0 {
+						if onNewVersion >= fronts-fronts*cutOffPercent/100 && onReachable == 0 {
 							onReachable = cluster.Now - began
 						}
 						if s := cluster.State(); steady == 0 && s.Phase == rollout.PhaseSteady && s.Base == 1 {
 							steady = cluster.Now - began
 						}
-						if on == n && steady > 0 {
+						if onNewVersion == fronts && steady > 0 {
 							break
 						}
 					}
@@ -72,8 +73,9 @@
 	}
 }
 
-// BenchmarkBadVersion measures what a bad version costs before it is rolled back, by the size of the first stage: one that fails a
-// tenth of its requests, and one that fails all, with 50 fronts of 20 requests a second, observed for 30 s.
+// BenchmarkBadVersion measures how many requests fail on a faulty version and how long it takes until the version is rolled back, by the
+// size of the first stage. One version fails a tenth of its requests and another fails all of them. 50 fronts receive 20 requests per
+// second each, and each stage is observed for 30 s.
 func BenchmarkBadVersion(b *testing.B) {
 	for _, failureRate := range []float64{0.1, 1} {
 		for _, stage := range []uint16{1, 100, 500, 1000} {
@@ -88,16 +90,16 @@
 					for cluster.Now < began+2*time.Minute && (cluster.State().Phase != rollout.PhaseSteady || cluster.State().LastVersion == 0) {
 						cluster.Run(50 * time.Millisecond)
 					}
-					bad := 0
-					for _, x := range cluster.Requests {
-						if x.ReceivedAt > began && x.Responses == 1 && x.Status != front.StatusSucceeded {
-							bad++
+					failed := 0
+					for _, request := range cluster.Requests {
+						if request.ReceivedAt > began && request.Responses == 1 && request.Status != front.StatusSucceeded {
+							failed++
 						}
 					}
 					if len(cluster.Violations) > 0 {
 						b.Fatal(cluster.Violations)
 					}
-					b.ReportMetric(float64(bad), "failed")
+					b.ReportMetric(float64(failed), "failed")
 					b.ReportMetric(float64(len(cluster.Requests))*0.002*(cluster.Now-began).Seconds()/cluster.Now.Seconds(), "failed-anyway")
 					b.ReportMetric((cluster.Now - began).Seconds(), "s-to-rest")
 					b.ReportMetric(float64(cluster.State().Base), "base")
--- a/lab/proxysim/random_rollouts.go
+++ b/lab/proxysim/random_rollouts.go
@@ -7,7 +7,7 @@
 	"dapplerouter/fleet/rollout"
 )
 
-// RandomRolloutOptions are a random run of rollouts.
+// RandomRolloutOptions configures a random run of rollouts.
 type RandomRolloutOptions struct {
 	Seed             uint64
 	Fronts           int
@@ -15,27 +15,27 @@
 	Trace            func(line string)
 }
 
-// versionKind is what is wrong with a version of a random run.
+// versionKind is the kind of a version in a random run: good, or with a certain fault.
 type versionKind int
 
 const (
-	goodVersion       versionKind = iota
-	rejectedVersion               // by some fronts
-	crashingVersion               // on every front
-	failingVersion                // part of its requests
-	versionKindsCount = int(iota)
+	goodVersion      versionKind = iota
+	rejectedVersion              // some fronts reject it
+	crashingVersion              // every front crashes on it
+	failingVersion               // a part of the requests fail on it
+	versionKindCount = int(iota)
 )
 
-// randomRollouts publishes versions and injects faults until its end. Each draw depends on those before it: a change of their order
-// changes what seeds give.
+// randomRollouts is a run that publishes versions and injects faults until its end. Each random value depends on those drawn before it,
+// so a change of their order changes the run of every seed.
 type randomRollouts struct {
 	*Cluster
-	end   time.Duration
-	kinds map[uint64]versionKind
+	end   time.Duration          // the virtual time at which publications and faults end
+	kinds map[uint64]versionKind // the kinds of versions by number; a version that is missing is good
 }
 
-// RunRolloutsWithRandomFaults publishes versions, some of them bad, under faults drawn from the seed, and then awaits recovery. It
-// returns the violations.
+// RunRolloutsWithRandomFaults publishes versions, some of them faulty, under random faults that the seed determines, and then awaits
+// recovery. It returns the violations; see Cluster.AwaitRecovery.
 func RunRolloutsWithRandomFaults(o RandomRolloutOptions) (*Cluster, []string) {
 	c := New(randomRolloutCluster(o))
 	c.Trace = o.Trace
@@ -55,6 +55,7 @@
 	return c, c.AwaitRecovery(3 * time.Minute)
 }
 
+// randomRolloutCluster returns the options of the cluster of a random run. Some depend on the seed.
 func randomRolloutCluster(o RandomRolloutOptions) Options {
 	options := Options{
 		Seed:          o.Seed,
@@ -66,13 +67,13 @@
 		Load:          LoadOptions{Rate: 8, WriteFraction: 0.3},
 		Rollout:       RolloutOptions{ConfigLease: 6 * time.Second, StopWhenIsolated: o.StopWhenIsolated},
 	}
-	if o.StopWhenIsolated && o.Seed/2%2 == 0 { // a limit needs StopWhenIsolated; half of these runs have one
+	if o.StopWhenIsolated && o.Seed/2%2 == 0 { // a time limit requires StopWhenIsolated; half of these runs have one
 		options.Rollout.InForceWithin = 15 * time.Second
 	}
 	return options
 }
 
-// versionFaults are what the kinds of versions do on a front. The first two fronts accept a rejectedVersion.
+// versionFaults returns the faults of the run's versions on a front. The first two fronts accept a rejectedVersion.
 func (r *randomRollouts) versionFaults(f *Front) VersionFaults {
 	return VersionFaults{
 		RejectsVersion:   func(v uint64) bool { return r.kinds[v] == rejectedVersion && f.Name > "f001" },
@@ -86,7 +87,7 @@
 	}
 }
 
-// injectNext schedules the next fault and injects one now, at a host that runs.
+// injectNext injects a random fault now, if the randomly chosen host is running, and schedules the next fault.
 func (r *randomRollouts) injectNext() {
 	if r.Now >= r.end {
 		return
@@ -99,8 +100,8 @@
 	}
 }
 
-// publishNext schedules the next action and submits one now: a version of a random kind, a rollback, or one on a version that is not in
-// force.
+// publishNext submits a random action now and schedules the next one. The action publishes a version of a random kind, rolls back, or
+// is based on a version that is not in force.
 func (r *randomRollouts) publishNext() {
 	if r.Now >= r.end {
 		return
@@ -120,13 +121,13 @@
 		MaxFenced:       400,
 		Mandatory:       r.Rand.IntN(2) == 0,
 	}
-	switch k := r.Rand.IntN(8); {
-	case k == 0:
+	switch choice := r.Rand.IntN(8); {
+	case choice == 0:
 		a.Type = rollout.ActionRollBack
-	case k == 1 && s.Next == 0:
-		a.Base++ // the operator is mistaken
-	case k <= versionKindsCount:
-		r.kinds[s.LastVersion+1] = versionKind(k - 1)
+	case choice == 1 && s.Next == 0:
+		a.Base++ // the action is based on a version that is not in force
+	case choice <= versionKindCount:
+		r.kinds[s.LastVersion+1] = versionKind(choice - 1)
 	}
 	r.Publish(f, a, func(string) {})
 }
--- a/lab/proxysim/requests.go
+++ b/lab/proxysim/requests.go
@@ -8,25 +8,25 @@
 	"dapplerouter/pgwire"
 )
 
-// Types of requests.
+// Names of the request types.
 const (
-	Browse = "browse" // reads, which any server of the group may answer
-	Book   = "book"   // writes with an idempotency key
+	Browse = "browse" // a read, which any server of the group may answer
+	Book   = "book"   // a write with an idempotency key
 )
 
-// Request is one that a client sent. Times are virtual.
+// Request is a client's request with its outcome. Times are virtual.
 type Request struct {
 	ID, Front  string
 	Type       string
 	ReceivedAt time.Duration
-	Timeout    time.Duration // that the client allows
+	Timeout    time.Duration // the time that the client gives the request
 	FinishedAt time.Duration
-	Responses  int
+	Responses  int          // the number of responses that the client received
 	Status     front.Status // of the last response
 	Write      bool
 }
 
-// generateRequests sends requests at random times, at the configured rate, for as long as the process lives.
+// generateRequests sends requests to the front at random times, at the configured average rate, until the process ends.
 func (f *Front) generateRequests() {
 	c, load := f.cluster, f.cluster.Options.Load
 	if load.Rate <= 0 {
@@ -38,33 +38,41 @@
 	})
 }
 
-// SendRequest sends the front one request for a group.
+// SendRequest sends a request for a group of servers to the front.
 func (f *Front) SendRequest(group int64, write bool) *Request {
 	c := f.cluster
 	c.requestCount++
-	x := &Request{ID: fmt.Sprint("t", c.requestCount), Front: f.Name, ReceivedAt: c.Now, Timeout: c.Options.Load.Deadline, Type: Browse, Write: write}
+	request := &Request{
+		ID:         fmt.Sprint("t", c.requestCount),
+		Front:      f.Name,
+		ReceivedAt: c.Now,
+		Timeout:    c.Options.Load.Deadline,
+		Type:       Browse,
+		Write:      write,
+	}
 	if f.FailureRate != nil && c.Rand.Float64() < f.FailureRate(f.Core.ConfigVersion()) {
-		x.Timeout = time.Millisecond // too short for any server
+		request.Timeout = time.Millisecond // too short for any server, so the request fails
 	}
-	deadline := x.Timeout.Milliseconds()
-	sql := fmt.Sprintf("SELECT 'x' /* id=%s,c=%s,d=%d,cluster=%d */", x.ID, Browse, deadline, group)
+	deadline := request.Timeout.Milliseconds()
+	sql := fmt.Sprintf("SELECT 'x' /* id=%s,c=%s,d=%d,cluster=%d */", request.ID, Browse, deadline, group)
 	if write {
-		x.Type = Book
-		sql = fmt.Sprintf("INSERT INTO bookings (id) VALUES ('%s') /* id=%s,c=%s,k=m%s,d=%d,cluster=%d */", x.ID, x.ID, Book, x.ID, deadline, group)
+		request.Type = Book
+		sql = fmt.Sprintf("INSERT INTO bookings (id) VALUES ('%s') /* id=%s,c=%s,k=m%s,d=%d,cluster=%d */",
+			request.ID, request.ID, Book, request.ID, deadline, group)
 	}
 	s, err := pgwire.ParseStatement([]byte(sql + "\x00"))
 	if err != nil {
 		panic(fmt.Sprintf("proxysim: parse own statement: %v", err))
 	}
 	if !c.Options.DiscardRequests {
-		c.Requests = append(c.Requests, x)
+		c.Requests = append(c.Requests, request)
 	}
-	f.Received[x.Type]++
-	f.post(front.NewRequest(&client{f, x}, s, f.host.Clock()))
-	return x
+	f.Received[request.Type]++
+	f.post(front.NewRequest(&client{f, request}, s, f.host.Clock()))
+	return request
 }
 
-// client counts the responses to one request.
+// client records the responses to one request. It implements front.Client.
 type client struct {
 	front   *Front
 	request *Request
--- a/lab/proxysim/rollout_checks.go
+++ b/lab/proxysim/rollout_checks.go
@@ -7,15 +7,15 @@
 	"dapplerouter/fleet/rollout"
 )
 
-// rolloutChecks is what the invariants of rollouts are checked against.
+// rolloutChecks is the state that the checks of the rollouts' invariants keep.
 type rolloutChecks struct {
-	lastChangeIndex uint64 // of RolloutChanges
-	checkedIndex    uint64 // lastChangeIndex, and the time, at which all fronts' versions were checked last
-	checkedAt       time.Duration
-	outcomes        map[uint64]string // of operators' actions, by ID, as they were first replicated
+	lastChangeIndex uint64            // log index of the last of Cluster.RolloutChanges
+	checkedIndex    uint64            // lastChangeIndex when the versions of all fronts were last checked
+	checkedAt       time.Duration     // when the versions of all fronts were last checked
+	outcomes        map[uint64]string // outcome of each operator's action, by action ID: the reason of the rejection, or ""
 }
 
-// recordRolloutChange notes the rollout's state in a node's replicated state, if no front had it before.
+// recordRolloutChange records the state of the rollout in a node's replicated state, if no front had it before.
 func (f *Front) recordRolloutChange(n *fleet.Node) {
 	c := f.cluster
 	e := n.State().Values["roll"]
@@ -29,7 +29,7 @@
 	}
 }
 
-// State returns the newest state of the rollout that any front has.
+// State returns the latest state of the rollout that any front has had.
 func (c *Cluster) State() rollout.State {
 	if len(c.RolloutChanges) == 0 {
 		return rollout.State{}
@@ -37,7 +37,7 @@
 	return c.RolloutChanges[len(c.RolloutChanges)-1].State
 }
 
-// checkOutcomes checks that each action has one outcome, which never changes.
+// checkOutcomes checks that each action has only one outcome and that the outcome never changes.
 func (c *Cluster) checkOutcomes(s rollout.State) {
 	seen := map[uint64]bool{}
 	for _, o := range s.Outcomes {
@@ -49,9 +49,9 @@
 	}
 }
 
-// checkVersions checks, at a front's tick, that fronts act on the rollout's Base or Next and on no other version, unless they were
-// isolated and may act on their own. With SparseChecks a tick checks the front itself, and all fronts only once in a tick interval and
-// at each change of the rollout: all fronts at the tick of each would be quadratic in their number.
+// checkVersions checks, at the tick of a front, that all fronts act only on the rollout's Base or Next. Fronts that were isolated until
+// recently are exempt unless StopWhenIsolated is set. With SparseChecks a tick checks only its own front; all fronts are checked once
+// per tick interval and at each change of the rollout. A check of all fronts at the tick of each would be quadratic in their number.
 func (c *Cluster) checkVersions(ticked *Front) {
 	s := c.State()
 	if c.Options.SparseChecks && c.lastChangeIndex == c.checkedIndex && c.Now-c.checkedAt < c.Timing.TickInterval() {
@@ -64,29 +64,32 @@
 	}
 }
 
+// checkFront checks every version on which a front may start an attempt now, and notes whether the front is isolated or paused.
 func (c *Cluster) checkFront(f *Front, s rollout.State) {
 	if !f.host.Up() || f.Participant == nil {
 		return
 	}
 	if f.host.Node.Isolated() || f.host.Paused() {
-		f.lastIsolated = c.Now
+		f.lastIsolatedAt = c.Now
 	}
 	for _, version := range f.Core.ActiveVersions() {
 		c.checkVersion(f, s, version)
 	}
 }
 
+// checkVersion records a violation if a front must not act on a version in the given state of the rollout.
 func (c *Cluster) checkVersion(f *Front, s rollout.State, version uint64) {
 	if version == s.Base || s.Next != 0 && version == s.Next {
 		return
 	}
-	if !c.Options.Rollout.StopWhenIsolated && c.Now-f.lastIsolated <= c.Timing.LeaseDuration*3/2 {
-		return // it was isolated until a moment ago, and has not adopted the version in force yet
+	if !c.Options.Rollout.StopWhenIsolated && c.Now-f.lastIsolatedAt <= c.Timing.LeaseDuration*3/2 {
+		return // the front was isolated until recently and has not adopted the version in force yet
 	}
-	c.Violationf("%s acts on version %d, and in force are %d and %d (%v)", f.Name, version, s.Base, s.Next, s.Phase)
+	c.Violationf("%s acts on version %d, but versions %d and %d are in force (%v)", f.Name, version, s.Base, s.Next, s.Phase)
 }
 
-// rolloutSteady reports whether the rollout has ended, or waits for an operator, and no front waits for it.
+// rolloutSteady reports whether the rollout has ended or is paused for an operator, and no front is on standby. Unless it is paused,
+// all fronts must also act on the version in force.
 func (c *Cluster) rolloutSteady() bool {
 	s := c.State()
 	if s.Phase != rollout.PhaseSteady && !s.Paused {
@@ -100,9 +103,9 @@
 	return true
 }
 
-// AwaitRecovery ends all faults, waits until the rollout has been steady for a while, at most for timeout, and returns the violations:
-// of an invariant on the way, a rollout that is neither all new nor all old, a front on another version, a request without its one
-// response, a write with two effects.
+// AwaitRecovery ends all faults, waits until the rollout has been steady for a while or the timeout has passed, and returns the
+// violations. A violation is a broken invariant of the run, a rollout that did not become steady, a front on a wrong version, a request
+// without exactly one response, or a write that took effect more than once.
 func (c *Cluster) AwaitRecovery(timeout time.Duration) []string {
 	c.Heal()
 	for _, h := range c.Hosts {
@@ -111,7 +114,7 @@
 			h.Start()
 		}
 	}
-	// An action submitted before may start another rollout: it is waited for as long as such an action lives.
+	// An action that was submitted earlier may still start another rollout, so the rollout must stay steady for this time.
 	settleTime := c.Options.Load.Deadline + 2*c.Timing.LeaseDuration
 	steadySince := c.Now
 	for end := c.Now + timeout; c.Now < end && len(c.Violations) == 0 && c.Now < steadySince+settleTime; {
@@ -130,13 +133,14 @@
 			c.Violationf("%s acts on version %d, standby %v, isolated %v", f.Name, f.Core.ConfigVersion(), f.Core.Standby(), f.host.Node.Isolated())
 		}
 	}
-	for _, x := range c.Requests {
-		c.checkRequest(x)
+	for _, request := range c.Requests {
+		c.checkRequest(request)
 	}
 	return c.Violations
 }
 
-// checkRequest checks a request's responses and effects. One whose front restarted, or whose deadline is not over, may lack a response.
+// checkRequest checks the number of a request's responses and effects. A request may lack a response if its front has restarted since
+// or if its deadline has not clearly passed.
 func (c *Cluster) checkRequest(x *Request) {
 	lastDue := c.Now - c.Options.Load.Deadline - time.Second
 	switch {
--- a/lab/proxysim/rollouts.go
+++ b/lab/proxysim/rollouts.go
@@ -11,34 +11,34 @@
 	"dapplerouter/front"
 )
 
-// errVersionRejected is why a front rejects a version that VersionFaults.RejectsVersion is true of.
+// errVersionRejected is the reason with which a front rejects a version if VersionFaults.RejectsVersion says so.
 var errVersionRejected = errors.New("limits do not fit")
 
-// VersionFaults are what is wrong with a configuration version on one front. A nil function stands for nothing.
+// VersionFaults are the faults that configuration versions have on one front. A nil function means that no version has the fault.
 type VersionFaults struct {
-	RejectsVersion   func(version uint64) bool
-	CrashesOnVersion func(version uint64) bool    // soon after the adoption
-	FailureRate      func(version uint64) float64 // part of the requests that fail
+	RejectsVersion   func(version uint64) bool    // the front rejects the version
+	CrashesOnVersion func(version uint64) bool    // the front crashes soon after it adopts the version
+	FailureRate      func(version uint64) float64 // the fraction of requests that fail on the version
 }
 
-// frontRollout is a front's part in rollouts.
+// frontRollout is a front's state as a participant in rollouts.
 type frontRollout struct {
 	Participant *rollout.Participant
 
-	version      uint64 // that was adopted last
-	counts       []rollout.Counts
-	disk         savedVersions
-	lastIsolated time.Duration // when it was isolated, or paused, last
+	version        uint64           // the version that was adopted last
+	counts         []rollout.Counts // of the requests on that version, by request type
+	disk           savedVersions
+	lastIsolatedAt time.Duration // virtual time of the last check at which the front was isolated or paused
 }
 
-// savedVersions is what a front's own disk has of versions; it survives a crash.
+// savedVersions is what a front has stored about versions on its own disk. It survives a crash.
 type savedVersions struct {
-	version     uint64
-	unconfirmed uint64 // adopted last, and perhaps not confirmed
-	text        []byte
+	version     uint64 // the version to restart on; 0 for the front's own file
+	unconfirmed uint64 // a version whose adoption began and which may have crashed the front; 0 for none
+	text        []byte // the rules of version
 }
 
-// participate makes the front a participant in rollouts, as fleet/agent does.
+// participate makes the front a participant in rollouts, as package fleet/agent does. The front starts on the version saved on its disk.
 func (f *Front) participate(s *deployment.Settings) {
 	c := f.cluster
 	f.Core.JoinFleet(front.FleetOptions{Clock: f.host.Clock, Auditor: &requestCounter{front: f}})
@@ -79,7 +79,7 @@
 	f.scheduleParticipantTicks()
 }
 
-// scheduleParticipantTicks ticks the participant for as long as the process lives, and checks versions after each tick.
+// scheduleParticipantTicks ticks the participant until the process ends, and checks the active versions after each tick.
 func (f *Front) scheduleParticipantTicks() {
 	incarnation, interval := f.incarnation, f.cluster.Timing.TickInterval()
 	var tick func(time.Duration)
@@ -97,7 +97,8 @@
 	f.host.After(interval, tick)
 }
 
-// adopt adopts a version, or rejects it, as the rollout asks.
+// adopt handles the participant's request to adopt a version. It makes the Core adopt the version, or rejects the version if its rules
+// are not valid.
 func (f *Front) adopt(a rollout.Adoption, s *deployment.Settings) {
 	rules, err := f.parseVersion(a, s)
 	if err != nil {
@@ -123,7 +124,7 @@
 	})
 }
 
-// parseVersion returns a version's rules, nil where the adoption has no text.
+// parseVersion returns the rules of a version, nil if the adoption has no text. The error is the reason to reject the version.
 func (f *Front) parseVersion(a rollout.Adoption, s *deployment.Settings) (*deployment.Rules, error) {
 	if a.Text == nil {
 		return nil, nil
@@ -141,7 +142,8 @@
 	return rules, nil
 }
 
-// onAdopted counts anew, and saves the version once it has lasted for two lease durations.
+// onAdopted handles the adoption of a version by the Core. It resets the request counts. After two lease durations it saves the
+// version to disk if the version is still the adopted one.
 func (f *Front) onAdopted(a rollout.Adoption) {
 	f.version, f.counts = a.Version, make([]rollout.Counts, len(f.counts))
 	f.Participant.Adopted(a.Version)
@@ -152,12 +154,13 @@
 	})
 }
 
+// crashFor crashes the front's host and restarts it after d.
 func (f *Front) crashFor(d time.Duration) {
 	f.host.Crash()
 	f.cluster.restartAfter(f.host, d)
 }
 
-// requestCounter counts a front's finished requests, as the audit log does in service. It implements front.Auditor.
+// requestCounter counts a front's finished requests, as the audit log does in production. It implements front.Auditor.
 type requestCounter struct{ front *Front }
 
 // RequestAccepted implements front.Auditor.
@@ -187,7 +190,8 @@
 	}
 }
 
-// Publish lets an operator submit an action at a front. outcome gets the reason of a rejection, "" for success, when it is known.
+// Publish submits an operator's action at a front. outcome is called once the result is known. It gets "" if the action was accepted,
+// or else the reason why the action was rejected or got no answer in time.
 func (c *Cluster) Publish(f *Front, a rollout.Action, outcome func(rejectedReason string)) {
 	if r, err := deployment.ParseRules("x", a.Text); err == nil {
 		a.RulesHash = r.Digest()
--- a/lab/proxysim/server.go
+++ b/lab/proxysim/server.go
@@ -11,45 +11,46 @@
 	"dapplerouter/pgwire"
 )
 
-// dedupWindow is how long a server remembers an idempotency key, as the request type promises.
+// dedupWindow is how long a server remembers an idempotency key. It is the deduplication window of the writes' request type.
 const dedupWindow = 2 * time.Second
 
-// errRefused is the cause of every failed dial.
+// errRefused is the cause of every failed connection attempt to a server.
 var errRefused = errors.New("connection refused")
 
-// Server is a modelled database server: workers with one queue before them, exponentially distributed service times, and a log that a
-// replica applies with a lag. It alone counts what reached it.
+// Server is a modelled database server. It has one queue, a fixed number of workers and exponentially distributed service times. A
+// replica's log position lags behind the primary's by a fixed time. The server records what it receives, independently of the fronts.
 type Server struct {
 	Name, Zone      string
 	Group           int64
 	Primary         bool
 	Concurrency     int
 	ServiceTime     time.Duration // mean
-	Lag             time.Duration // of a replica
-	Hangs           bool          // accepts everything and answers nothing
-	Down            bool          // refuses connections
-	StartedAtMillis int64         // Unix time of its last start, as the endpoint list has it
-	Probes          int
+	Lag             time.Duration // replication lag, if the server is a replica
+	Hangs           bool          // while set, the server accepts messages and answers none
+	Down            bool          // while set, the server refuses connections
+	StartedAtMillis int64         // Unix time of the server's last start, as in the endpoint list
+	Probes          int           // the number of probes received
 	Attempts        []ReceivedAttempt
-	Effects         map[string]int // writes that took effect, by request ID
+	Effects         map[string]int // how often the write of each request took effect, by request ID
 
 	serverState
 }
 
-// serverState is what a server is working on.
+// serverState is a server's queue, its busy workers and its memory of idempotency keys.
 type serverState struct {
 	cluster   *Cluster
-	busy      int // workers
+	busy      int // busy workers
 	queue     []*queuedStatement
-	dedupKeys map[string]time.Duration // idempotency keys, by when they were last used
+	dedupKeys map[string]time.Duration // when each idempotency key was last applied
 }
 
-// ReceivedAttempt is an attempt that reached a server.
+// ReceivedAttempt is an attempt that reached a server. ID is that of its request.
 type ReceivedAttempt struct {
 	ID, Front string
 	At        time.Duration // virtual time
 }
 
+// queuedStatement is a statement that waits for a worker. It is skipped if cancelled is set by then.
 type queuedStatement struct {
 	id, dedupKey string
 	write        bool
@@ -57,7 +58,7 @@
 	cancelled    *bool
 }
 
-// newServer makes server i of a group; the first is the primary.
+// newServer makes the server with index i of a group. Index 0 is the primary.
 func newServer(c *Cluster, group, i int) *Server {
 	o := c.Options.Servers
 	return &Server{
@@ -73,12 +74,13 @@
 	}
 }
 
-// endpoint is the server's entry in the endpoint list. Its address is its name.
+// endpoint returns the server's entry in the endpoint list. Its name is also its address.
 func (s *Server) endpoint() discovery.Endpoint {
 	return discovery.Endpoint{Name: s.Name, Address: s.Name, Zone: s.Zone, ServerType: "std", Group: s.Group, Weight: 1, Primary: s.Primary, StartedAtMillis: s.StartedAtMillis}
 }
 
-// receive processes a message that arrived from a front, until cancelled is set; respond carries the result back.
+// receive processes a message from a front: a probe or a statement. respond sends the result back to the front. If *cancelled is set
+// while the statement waits for a worker, the statement is dropped.
 func (s *Server) receive(from string, message []byte, cancelled *bool, respond func(pgwire.QueryResult)) {
 	if bytes.Contains(message, []byte("SHOW load")) {
 		s.Probes++
@@ -92,11 +94,11 @@
 		respond(pgwire.QueryResult{Code: pgwire.CodeSyntaxError})
 		return
 	}
-	q := &queuedStatement{id: string(statement.ID), write: statement.Write, respond: respond, cancelled: cancelled}
+	queued := &queuedStatement{id: string(statement.ID), write: statement.Write, respond: respond, cancelled: cancelled}
 	if statement.Write {
-		q.dedupKey = string(statement.Key)
+		queued.dedupKey = string(statement.Key)
 	}
-	s.Attempts = append(s.Attempts, ReceivedAttempt{q.id, from, s.cluster.Now})
+	s.Attempts = append(s.Attempts, ReceivedAttempt{queued.id, from, s.cluster.Now})
 	switch {
 	case s.Hangs:
 		return
@@ -107,11 +109,11 @@
 		respond(s.withPosition(pgwire.QueryResult{Code: pgwire.CodeSnapshotTooOld}))
 		return
 	}
-	s.queue = append(s.queue, q)
+	s.queue = append(s.queue, queued)
 	s.startQueued()
 }
 
-// loadReport is the answer to a probe.
+// loadReport returns the answer to a probe.
 func (s *Server) loadReport() pgwire.QueryResult {
 	primary := 0
 	if s.Primary {
@@ -120,7 +122,7 @@
 	return pgwire.SingleValueResult(fmt.Appendf(nil, "x0=%.3f,x1=%d,inflight=%d", float64(s.appliedMillis())/1e3, primary, s.busy+len(s.queue)))
 }
 
-// startQueued gives queued statements to free workers.
+// startQueued assigns queued statements to free workers.
 func (s *Server) startQueued() {
 	for s.busy < s.Concurrency && len(s.queue) > 0 {
 		q := s.queue[0]
@@ -140,7 +142,7 @@
 	}
 }
 
-// apply applies a write unless its idempotency key was used within the window.
+// apply applies a write, unless a write with the same idempotency key was applied within the deduplication window.
 func (s *Server) apply(q *queuedStatement) {
 	if at, ok := s.dedupKeys[q.dedupKey]; !ok || s.cluster.Now-at > dedupWindow {
 		s.dedupKeys[q.dedupKey] = s.cluster.Now
@@ -148,7 +150,7 @@
 	}
 }
 
-// appliedMillis is the server's replication position, in Unix milliseconds.
+// appliedMillis returns the log position that the server has applied, as Unix time in milliseconds.
 func (s *Server) appliedMillis() int64 {
 	at := s.cluster.wallMillis(s.cluster.Now)
 	if !s.Primary {
@@ -157,7 +159,7 @@
 	return at
 }
 
-// withPosition adds the server's role and position to a result.
+// withPosition returns a result with the server's role and log position added.
 func (s *Server) withPosition(r pgwire.QueryResult) pgwire.QueryResult {
 	r.Role, r.AppliedMillis, r.HasApplied = "replica", s.appliedMillis(), true
 	if s.Primary {
@@ -166,10 +168,10 @@
 	return r
 }
 
-// serverPools carries a front's attempts to servers. It implements front.Pools.
+// serverPools sends a front's attempts to the modelled servers. It implements front.Pools.
 type serverPools struct {
 	front     *Front
-	addresses []string // by the Core's index of servers
+	addresses []string // by the Core's index of the server
 }
 
 // SetAddress implements front.Pools.
@@ -183,7 +185,8 @@
 // Remove implements front.Pools.
 func (p *serverPools) Remove(server int) { p.addresses[server] = "" }
 
-// Send implements front.Pools. The first delay stands for a pooled connection or a new one, the others are the way there and back.
+// Send implements front.Pools. The first delay stands for getting a connection, pooled or new. The other two are the delays of the
+// message to the server and of the answer.
 func (p *serverPools) Send(server int, a *front.Attempt) {
 	f, c := p.front, p.front.cluster
 	s := c.serversByName[p.addresses[server]]
