--- a/router/admission.go
+++ b/router/admission.go
@@ -51,13 +51,14 @@
 		r.slowStartAdmits(now, s, r.typicalLatency[req.Type].Seconds())
 }
 
-// weightPerWork returns a request's weight per second of its type's typical latency.
+// weightPerWork returns a request's weight per second of its type's typical latency. Requests are queued and ranked by it.
 func (r *Router) weightPerWork(req *request) float64 {
 	return req.weight / r.typicalLatency[req.Type].Seconds()
 }
 
 // rankOf returns the share of the recent work that has more weight per unit of work than the request; 0 is the best.
-// Requests with equal weight per unit of work are ranked at random. It counts the request's own work first.
+// Requests with equal weight per unit of work are ranked at random. Before it computes the share, it adds the request's
+// own work to the recent work. It halves the recent work once it is too much, so that older requests weigh less.
 func (r *Router) rankOf(req *request) float64 {
 	work := r.typicalLatency[req.Type].Seconds()
 	own := min(max(int(2*math.Log2(r.weightPerWork(req)))+len(r.workByDensity)/2, 0), len(r.workByDensity)-1)
@@ -91,9 +92,9 @@
 
 // discountRetry lowers the weight of a retry. Its client already has one rejection, so a second one costs less. It also
 // subtracts from probableObjectiveAt the time that the client has probably waited: for a retry since its first attempt,
-// for a request found after a stall since some moment of the stall. The time waited is inferred from other requests'
-// timeouts, but a client may simply use a shorter timeout. The inference therefore never keeps a request from a server
-// that is not loaded.
+// for a request found after a stall of this instance since some moment of the stall. The time waited is inferred as the
+// difference between the type's typical timeout and the request's, and is at most the duration of the stall after one. A
+// client may simply use a shorter timeout, so the inference never keeps a request from a server that is not loaded.
 func (r *Router) discountRetry(now time.Duration, req *request) {
 	deviation := r.timeoutDeviation(&req.Request)
 	waited := max(-deviation, 0)
--- a/router/concurrency.go
+++ b/router/concurrency.go
@@ -62,7 +62,9 @@
 	return float64(s.inFlight) >= max(s.limit, 1, minFleetLimit*r.limitGrowth)
 }
 
-// observeLoad adds the load of an answer to the means of its server, its group and all servers.
+// observeLoad adds a load to the means of a server, its group and all servers. The load isn't reported by the server: it
+// is derived from the latency of an answer (loadFromLatency), or is a fixed value for an attempt that failed under load.
+// More than maxLoad counts as maxLoad.
 func (r *Router) observeLoad(now time.Duration, s *server, load float64) {
 	for _, mean := range [...]*decayingMean{&s.load, &r.group(s.group).load, &r.overallLoad} {
 		mean.add(now, min(load, maxLoad), &r.latencies)
--- a/router/freshness.go
+++ b/router/freshness.go
@@ -29,13 +29,15 @@
 	return now - time.Duration(float64(s.lag)*f/(f+1/priorWeight))
 }
 
-// observe records a position that was measured the given age ago.
+// observe records a position that a server had applied the given age before now. It computes the lag from it. A position
+// lower than one that is already known doesn't lower that.
 func (p *replicationState) observe(now, applied, age time.Duration) {
 	p.appliedPosition = max(p.appliedPosition, applied)
 	p.lag, p.lagMeasuredAt = max(now-age-p.appliedPosition, 0), now
 }
 
-// reporting says what servers report about themselves, and how old the reports are.
+// reporting holds what this instance knows about the reports of the servers in general: what they contain, how old they
+// are and whether health checks may request them. It doesn't hold the reports themselves.
 type reporting struct {
 	positionsInReports  bool          // positions come only in load reports
 	reportAge           time.Duration // age of load reports, measured by the primaries' positions
--- a/router/health_check.go
+++ b/router/health_check.go
@@ -37,7 +37,8 @@
 	}
 }
 
-// HealthCheckFinished records a server's load report, or the failure of the health check.
+// HealthCheckFinished records the result of the health check of server i: the load report if the check succeeded, which
+// also makes an ejected server eligible for a trial request now, and otherwise the failure. The latency is not used.
 func (r *Router) HealthCheckFinished(now time.Duration, i int, result routing.AttemptResult, _ time.Duration, load routing.LoadReport) {
 	s := &r.servers[i]
 	s.checkInFlight = false
@@ -74,8 +75,9 @@
 	}
 }
 
-// startHealthChecks sends health checks to the servers of groups that healthCheckWanted marks, and to ejected servers
-// with a backoff.
+// startHealthChecks sends health checks to servers of two kinds. Where healthCheckWanted is set, requests lack knowledge
+// about the group, so all its servers are checked, each at most once in two shortest latency objectives. In every group,
+// ejected servers are checked with a backoff, at intervals of ejectionTime.
 func (r *Router) startHealthChecks(now time.Duration) {
 	for k := range r.groups {
 		g := &r.groups[k]
--- a/router/latency.go
+++ b/router/latency.go
@@ -40,7 +40,8 @@
 	return l
 }
 
-// observeLatency updates the typical and the minimum latency of a type with the latency of an answer.
+// observeLatency updates the typical and the minimum latency of a type with the latency of an answer. The typical latency
+// is a running mean in which the initial estimate counts as priorAnswers answers.
 func (l *latencies) observeLatency(now time.Duration, requestType int, latency time.Duration) {
 	t := requestType
 	l.answerCount[t] = min(l.answerCount[t]+1, maxAnswerCount)
@@ -50,7 +51,8 @@
 	l.minimumLatency[t], l.latestAnswerAt[t] = min(l.typicalLatency[t], l.minimumLatency[t]), now
 }
 
-// decay returns the factor for a mean's sum and count after the elapsed time.
+// decay returns the factor, from 1 down to 0, by which a mean's sum and count shrink in the elapsed time. It is 1/e after
+// decayTimeInObjectives shortest latency objectives.
 func (l *latencies) decay(elapsed time.Duration) float64 {
 	return math.Exp(-float64(elapsed) / float64(decayTimeInObjectives*l.shortestObjective))
 }
@@ -61,14 +63,15 @@
 	at     time.Duration // time of the last update
 }
 
-// add includes the value x at the time now, after the decay of the older values.
+// add includes the value x at the time now, after the decay of the older values. l gives the rate of the decay.
 func (d *decayingMean) add(now time.Duration, x float64, l *latencies) {
 	f := l.decay(now - d.at)
 	d.sum, d.n, d.at = d.sum*f+x, d.n*f+1, now
 }
 
-// mean returns the mean at a time, including a prior that weighs as much as priorCount values. A single value therefore
-// changes little.
+// mean returns the mean at the time now. It includes priorCount values that equal prior and don't decay, so the mean
+// returns to prior when no values are added. The larger priorCount is, the less a single value changes the mean. l gives
+// the rate of the decay.
 func (d *decayingMean) mean(now time.Duration, priorCount, prior float64, l *latencies) float64 {
 	f := l.decay(now - d.at)
 	return (d.sum*f + priorCount*prior) / (d.n*f + priorCount)
--- a/router/planning.go
+++ b/router/planning.go
@@ -42,7 +42,8 @@
 	req.planned = to
 }
 
-// destination returns the server that a request should be sent to now, or none if it must wait.
+// destination returns the index in Router.servers of the server that a request should be sent to now, or none if the
+// request must wait.
 func (r *Router) destination(now time.Duration, req *request, t *routing.RequestType, g *group) int {
 	// Without health checks, the answer to a misrouted write is the only way to find the primary.
 	discoverByWrite := t.Consistency == routing.Write && g.primary == none && !r.healthChecksAllowed
--- a/router/request.go
+++ b/router/request.go
@@ -21,7 +21,8 @@
 	finished
 )
 
-// request is the state kept for one request in flight.
+// request is the state kept for one request from its receipt to its end, both while it is queued and while an attempt is
+// in flight.
 type request struct {
 	routing.Request
 	schedule
@@ -41,7 +42,7 @@
 	deadline            time.Duration
 	rank                float64       // share of recent work with a higher weight per unit of work; 0 is the best
 	weight              float64       // the type's priority weight, reduced for a retry
-	requiredPosition    time.Duration // log position that a read must see; never if there is none
+	requiredPosition    time.Duration // log position that a read must see; never if it requires none
 }
 
 // attemptState describes a request's attempts. reconcileRequest removes the difference between sentTo and planned.
@@ -62,7 +63,7 @@
 	mayHaveRunSince time.Duration // start of the first attempt that may have run
 }
 
-// requestTable holds all requests in flight, by slot.
+// requestTable holds all requests that have not ended, by slot. A slot keeps an ended request until it is used again.
 type requestTable struct {
 	requestTypes []routing.RequestType
 	mayCancel    bool
@@ -75,7 +76,8 @@
 // noAttempt is the state of a request that has not been sent.
 var noAttempt = attemptState{sentTo: none, planned: none, lastServer: none}
 
-// RequestReceived stores a new request, computes its objective, deadline and rank, and queues it.
+// RequestReceived stores a new request, computes its objective, deadline and rank, and queues it. Nothing is sent
+// before the next Reconcile.
 func (r *Router) RequestReceived(now time.Duration, in routing.Request) {
 	for len(r.slots) <= int(in.Ref.Slot) {
 		r.slots = append(r.slots, request{state: finished, attemptState: noAttempt})
--- a/router/retry.go
+++ b/router/retry.go
@@ -28,12 +28,13 @@
 	maxRetryBudget = 20
 )
 
-// creditRetryBudget adds a request's share to the budget.
+// creditRetryBudget adds retryBudgetRatio of a retry to the budget, up to maxRetryBudget. It is called once for each
+// request, when the request is received.
 func (p *retryPolicy) creditRetryBudget() {
 	p.retryBudget = min(p.retryBudget+retryBudgetRatio, maxRetryBudget)
 }
 
-// takeFromRetryBudget takes one retry from the budget. It returns false if there is none.
+// takeFromRetryBudget takes one retry from the budget. It returns false, and takes nothing, if less than one is left.
 func (p *retryPolicy) takeFromRetryBudget() bool {
 	if p.retryBudget < 1 {
 		return false
--- a/router/sessions.go
+++ b/router/sessions.go
@@ -26,9 +26,10 @@
 	}
 }
 
-// sessions is a set-associative cache of session targets with a fixed size. A full bucket evicts its oldest target and
-// raises the group's evictedTarget to it. evictedTarget applies to every session that isn't found. It is never too low,
-// and every replica soon passes it.
+// sessions is a set-associative cache of session targets with a fixed size. A full bucket evicts the target with the
+// lowest log position and raises to it the evictedTarget of the group that is written to. A group's evictedTarget
+// applies to each of its sessions that isn't found, so it must never be too low. It is expected, but not guaranteed,
+// that the replicas soon pass it, since it is the position of an older write.
 type sessions struct {
 	clientCarriesToken bool
 	targets            []sessionTarget
@@ -52,7 +53,9 @@
 	return s.targets[i : i+sessionBucketSize]
 }
 
-// recordWrite stores the position of a session's write, unless clients carry tokens.
+// recordWrite raises the session's target to the position of a write in the current term of the group. It never lowers
+// a target. A session that has none gets one, which may evict another session's. In deployments whose clients carry
+// tokens it does nothing, since the token then gives the required position.
 func (s *sessions) recordWrite(key uint64, g *group, pos time.Duration) {
 	if s.clientCarriesToken {
 		return
@@ -75,7 +78,9 @@
 	*oldest = written
 }
 
-// requiredPosition returns the log position that a session's read must see, or never if there is none.
+// requiredPosition returns the log position that a session's read must see. It is the later of the client's token and
+// the session's target. If the session isn't found, the group's evictedTarget takes the place of its target. Where clients
+// carry tokens, only the token counts. The value never means that the read has no such requirement.
 func (s *sessions) requiredPosition(now time.Duration, in *routing.Request, g *group) time.Duration {
 	token := never
 	if in.TokenAge > 0 { // a time without a term; one before the start of this term belongs to an older term
@@ -96,7 +101,8 @@
 // sessionKey identifies a session within a group.
 func sessionKey(in *routing.Request) uint64 { return in.Session + uint64(in.Group) }
 
-// RequiredPosition returns the log position that a read in flight must see, for an instance at another site.
+// RequiredPosition returns the log position that a read in flight must see, for an instance at another site. It reports
+// false if the read requires no position, or if ref is not, or no longer, the request in its slot.
 func (r *Router) RequiredPosition(ref routing.RequestRef) (time.Duration, bool) {
 	req := &r.slots[ref.Slot]
 	return req.requiredPosition, req.Ref == ref && req.requiredPosition != never
--- a/router/slow_start.go
+++ b/router/slow_start.go
@@ -9,10 +9,14 @@
 
 // This file limits what a server that has just started is sent. Inputs: the server's start time, from the endpoint list
 // or because the server was unreachable and answers again; the work done by warm servers. Invariant: all instances
-// together send less than the server can take at its present capacity. Each instance may send the minimum (slow-start
-// rule: N calls plus 2 x sqrt(N) + 2).
+// together send less than the server can take at its present capacity. The deployment's slow-start rule allows them
+// N + 2 x sqrt(N) + 2 requests within the overload window. N is the number of requests of mean work that the rules
+// allow the server in that time at its present capacity. Even if N is small, all instances together may therefore send
+// a minimum, which is one request per overload window.
 
-// slowStartRules holds the deployment's slow-start rules and the work of the warm servers that they refer to.
+// slowStartRules holds the deployment's slow-start rules. It also holds the recent work of the successful attempts at
+// all servers and the number of warm servers. Divided by each other, they give the mean rate of work of a warm server. The
+// traffic to a warming-up server is limited to a share of that rate.
 type slowStartRules struct {
 	initialCapacity   float64       // share of its capacity that a server has when it starts
 	trafficMultiple   float64       // traffic to a warming-up server, as a multiple of what its share of the capacity entitles it to
@@ -26,6 +30,7 @@
 // allows for chance.
 const safetyFactor = 0.6
 
+// newSlowStartRules converts the deployment's rules. No work has been counted yet.
 func newSlowStartRules(rules routing.Guardrails) slowStartRules {
 	return slowStartRules{
 		initialCapacity:   rules.InitialCapacity,
