--- a/limits/descriptors.go
+++ b/limits/descriptors.go
@@ -75,7 +75,8 @@
 	return true
 }
 
-// full reports whether no further connection fits, for a client or a server; d.mu must be held.
+// full reports whether clients and servers together hold Total plus Overshoot descriptors. Then no connection of either
+// kind is admitted. d.mu must be held.
 func (d *Descriptors) full() bool { return d.clients+d.servers >= d.shares.Total+d.shares.Overshoot }
 
 // ReleaseClient releases the descriptor of a client's closed connection.
