--- a/front/attempt.go
+++ b/front/attempt.go
@@ -38,8 +38,9 @@
 )
 
 // sendConditions are the conditions under which an attempt may still be sent. The core sets them when it starts the attempt. The attempt
-// may wait long for a connection, so the sender checks them right before it writes the first byte. A field that is nil or 0 imposes no
-// condition.
+// may wait long for a connection, so the sender checks them right before it writes the first byte. If one no longer holds, Begin returns
+// false and nothing is sent: the core has ended the attempt or is about to. Once the sending has begun, the conditions are not checked
+// again. A field that is nil or 0 imposes no condition.
 type sendConditions struct {
 	lease      *ConfigLease         // of the configuration version under which the request was accepted; must be valid
 	clientGone *atomic.Bool         // set once the client of the request has disconnected
@@ -67,7 +68,8 @@
 	return a.state.CompareAndSwap(stateWaiting, stateSending)
 }
 
-// sendDeadline returns the time from which the attempt must no longer be sent.
+// sendDeadline returns the time, on the core's clock, from which the sending must no longer begin: the attempt's deadline or the end of
+// the deduplication window, whichever comes first.
 func (a *Attempt) sendDeadline() time.Duration {
 	if a.conditions.sendBy > 0 {
 		return min(a.conditions.sendBy, a.deadline)
--- a/front/attempts.go
+++ b/front/attempts.go
@@ -25,7 +25,8 @@
 	}
 }
 
-// send passes an attempt to the pools and sets its timers.
+// send passes an attempt to the pools and sets its timers: here the one for its deadline, which times the attempt out, and in
+// registerInFlight the one for the end of the deduplication window, if that comes first. A health check has only the former.
 func (c *Core) send(a *Attempt) {
 	if e := c.requests.table.Get(a.ref); e != nil {
 		c.registerInFlight(a, e.Value)
@@ -35,7 +36,9 @@
 	c.pools.Send(a.server, a)
 }
 
-// registerInFlight adds an attempt to the in-flight attempts of its request and sets the conditions under which it may be sent.
+// registerInFlight adds an attempt to the in-flight attempts of its request and sets the conditions under which it may be sent. If the
+// deduplication window of the server's group ends before the attempt's deadline, it sets a timer that ends the attempt if nothing of it
+// was sent by then.
 func (c *Core) registerInFlight(a *Attempt, r *Request) {
 	r.inFlight = append(r.inFlight, a)
 	a.conditions = sendConditions{lease: r.version.lease, clientGone: r.clientGone, clock: c.clock}
@@ -79,7 +82,9 @@
 	c.finishAttempt(a, routing.AttemptOutcome{Result: result, Load: deployment.EmptyLoad}, nil)
 }
 
-// timeOut ends an attempt whose deadline has passed.
+// timeOut ends an attempt whose deadline has passed: nothing more of it is sent, its connection is aborted if the sending has begun, and
+// the router is notified of the result TimedOut. It does nothing if the attempt has already finished. The request itself is not ended;
+// the router decides whether it is sent again.
 func (c *Core) timeOut(a *Attempt) {
 	if !a.finished {
 		a.cancel()
@@ -119,9 +124,10 @@
 	result  routing.AttemptResult
 }
 
+// apply notifies the router of the result.
 func (d deferredResult) apply(c *Core, _ time.Duration) { c.finishWithoutResponse(d.attempt, d.result) }
 
-// deferResult reports the result of an attempt to the router in the next batch.
+// deferResult queues the result of an attempt. The router is notified of it in the next batch.
 func (c *Core) deferResult(a *Attempt, result routing.AttemptResult) {
 	c.queue.next = append(c.queue.next, deferredResult{a, result})
 }
--- a/front/classify.go
+++ b/front/classify.go
@@ -118,7 +118,9 @@
 	}
 }
 
-// totals returns the classifier's counters as log attributes for LogTotals.
+// totals returns the classifier's counters as alternating names and values, the form that slog takes as attributes. LogTotals appends
+// them to its own. They cover classified statements since the start: how many there were, how many were matched by a rule, matched none or
+// were undeclared writes, and the present size and the use of the statement cache.
 func (k *classifier) totals() []any {
 	t := k.statements.Stats()
 	return []any{"classified", k.classified, "by_rule", k.byRule, "unmatched", k.unmatched, "undeclared_writes", k.undeclaredWrites,
--- a/front/core.go
+++ b/front/core.go
@@ -26,12 +26,15 @@
 // RouterFactory creates the Router of an instance. The router calls h to carry out its decisions.
 type RouterFactory func(h routing.Host, o routing.Options) routing.Router
 
-// Event is an input of the core, delivered by Post. Each event type is declared next to the code that handles it.
+// Event is an input of the core, delivered by Post. Each event type is declared next to the code that handles it. The core's goroutine
+// calls apply, with the start time of the batch.
 type Event interface {
 	apply(c *Core, now time.Duration)
 }
 
-// Pools sends attempts to servers over pooled connections. Its methods do not block.
+// Pools sends attempts to servers over pooled connections. Servers are given by the index that the router uses for them. The result of
+// each attempt passed to Send arrives as an AttemptFinished event, unless the core has ended the attempt. Remove closes the connections
+// to a server. The methods do not block.
 type Pools interface {
 	SetAddress(server int, address string, uptime time.Duration) // uptime is the time since the server's last start
 	Send(server int, a *Attempt)
@@ -104,14 +107,15 @@
 // Post queues an event for the core. It blocks while the queue is full.
 func (c *Core) Post(e Event) { c.queue.incoming <- e }
 
-// Step handles the posted events and the due timers, and returns when the next batch is due; ok is false if no timer is set. Step is for
-// hosts with their own clock, such as simulations. In production, Run does the same.
+// Step handles the posted events and the timers due at now, a time on the host's own clock, and returns. next is the latest time at which
+// the host must call Step again; ok is false if no timer is set, so that only a posted event requires another call. Step is for hosts
+// with their own clock, such as simulations. In production, Run does the same.
 func (c *Core) Step(now time.Duration) (next time.Duration, ok bool) {
 	c.batch(now)
 	return c.nextDue()
 }
 
-// Run handles events and timers until stop is closed.
+// Run handles events and timers until stop is closed. It does not finish the requests that are unfinished by then; see Shutdown.
 func (c *Core) Run(clock Clock, stop <-chan struct{}) {
 	c.clock = clock.Now
 	for {
@@ -163,7 +167,8 @@
 	c.router.Reconcile(now)
 }
 
-// fire performs the action of a due timer.
+// fire performs the action of a due timer: it calls the router's TimerFired, times an attempt out at its deadline, ends an unsent attempt
+// at the end of the deduplication window, or finishes the requests under configuration leases that have expired.
 func (c *Core) fire(t timer) {
 	switch t.kind {
 	case timerRouter:
--- a/front/endpoints.go
+++ b/front/endpoints.go
@@ -16,6 +16,8 @@
 	List discovery.List
 }
 
+// apply updates the servers and passes the update to the router. It adds the static endpoints to a complete list, corrects the wall clock
+// by the servers' start times, and ends the unsent attempts to servers that no longer accept new work. A failed update changes no server.
 func (u EndpointsChanged) apply(c *Core, now time.Duration) {
 	endpoints := u.List.Endpoints
 	if u.Kind == routing.Snapshot || u.Kind == routing.CachedSnapshot {
--- a/front/fleet.go
+++ b/front/fleet.go
@@ -18,8 +18,9 @@
 	c.versions.current.lease = c.newLease()
 }
 
-// Auditor records requests and changes of the core's state. The core's goroutine calls it; its methods must neither block nor allocate.
-// For each RequestAccepted there is exactly one later RequestFinished, with the audit interval that RequestAccepted returned.
+// Auditor records requests and changes of the core's state. The core's goroutine calls it, with times of the core's clock; its methods
+// must neither block nor allocate. For each RequestAccepted there is exactly one later RequestFinished, with the audit interval that
+// RequestAccepted returned. typ is the index of the request type.
 type Auditor interface {
 	RequestAccepted(now time.Duration, id []byte, typ int) (interval uint32)
 	RequestFinished(now time.Duration, interval uint32, typ int, status Status)
@@ -34,6 +35,7 @@
 // its intervals in time.
 type AuditTick struct{}
 
+// apply calls the auditor's Tick, if there is an auditor.
 func (AuditTick) apply(c *Core, now time.Duration) {
 	if c.fleet.Auditor != nil {
 		c.fleet.Auditor.Tick(now)
@@ -43,6 +45,7 @@
 // CloseAudit is the event that closes the audit log after all events posted before it. It then calls OnClosed.
 type CloseAudit struct{ OnClosed func() }
 
+// apply closes the audit log, if there is an auditor, and calls OnClosed in any case.
 func (e CloseAudit) apply(c *Core, now time.Duration) {
 	if c.fleet.Auditor != nil {
 		c.fleet.Auditor.Close(now)
--- a/front/host.go
+++ b/front/host.go
@@ -40,7 +40,8 @@
 	c.send(a)
 }
 
-// CancelAttempt cancels an attempt. The router is notified of its result in the next batch.
+// CancelAttempt cancels an attempt. The router is notified of its result in the next batch: Cancelled if something of it may have been
+// sent, otherwise NotSent. It does nothing if the attempt has finished.
 func (c *Core) CancelAttempt(ref routing.RequestRef, number int) {
 	for _, a := range c.requests.table.MustGet(ref).Value.inFlight {
 		if a.number == number && !a.finished {
@@ -63,7 +64,8 @@
 // Fail responds that a request failed. The response does not say whether the request ran.
 func (c *Core) Fail(ref routing.RequestRef) { c.respondAndRelease(ref, Response{Status: StatusFailed}) }
 
-// StartHealthCheck requests a server's load report, with the dial timeout as its timeout.
+// StartHealthCheck sends a request for a server's load report, with the dial timeout as its timeout. The router is notified of the result
+// by HealthCheckFinished.
 func (c *Core) StartHealthCheck(server int) {
 	a := NewHealthCheck(healthCheckMessage)
 	a.server, a.startedAt, a.deadline = server, c.now, c.now+c.catalog.limits.DialTimeout
@@ -75,6 +77,7 @@
 // HealthCheckRequested is the event that the fleet requests a health check of a server, for the router of another front.
 type HealthCheckRequested struct{ Server string }
 
+// apply starts a health check of the server. It ignores a server that is not on this front's endpoint list.
 func (h HealthCheckRequested) apply(c *Core, _ time.Duration) {
 	if server, ok := c.servers.names.Lookup(h.Server); ok {
 		c.StartHealthCheck(server)
@@ -97,7 +100,7 @@
 // SendGossip does nothing: fronts have no protocol for messages between their routers.
 func (c *Core) SendGossip(int, []byte) {}
 
-// SetTimer schedules a call of the router's TimerFired.
+// SetTimer schedules a call of the router's TimerFired after the given time. It does not replace timers that were set before.
 func (c *Core) SetTimer(after time.Duration) {
 	c.timers.add(timer{at: c.now + after, kind: timerRouter})
 }
--- a/front/index.go
+++ b/front/index.go
@@ -34,7 +34,7 @@
 	return i
 }
 
-// Release frees an index, which may be assigned to another key from then on.
+// Release frees an index that is in use. Its key then has no index, and the index may be assigned to another key.
 func (x *Index[K]) Release(i int) {
 	delete(x.byKey, x.keys[i])
 	x.free = append(x.free, i)
@@ -46,7 +46,8 @@
 	return i, ok
 }
 
-// Key returns the key to which an index was assigned last.
+// Key returns the key to which an index was assigned last, even if the index was released since. It panics for an index that was never
+// assigned.
 func (x *Index[K]) Key(i int) K { return x.keys[i] }
 
 // Len returns the number of indices in use.
--- a/front/lease.go
+++ b/front/lease.go
@@ -17,7 +17,7 @@
 // NewConfigLease creates a lease that has already expired. clock is the core's clock.
 func NewConfigLease(clock func() time.Duration) *ConfigLease { return &ConfigLease{clock: clock} }
 
-// unexpired reports whether the expiry is in the future.
+// unexpired reports whether the expiry is in the future. Unlike Valid, it does not record that the lease was found expired.
 func (l *ConfigLease) unexpired() bool { return int64(l.clock()) < l.expiry.Load() }
 
 // Valid reports whether the lease has not expired. If it returns false, the core finishes all requests under the lease, even if the
@@ -35,7 +35,8 @@
 	return int64(now) >= l.expiry.Load() || l.foundExpired.Load()
 }
 
-// renew sets a later expiry and clears foundExpired.
+// renew sets the expiry and clears foundExpired, the mark that a sender has found the lease expired. It does not compare: an earlier until
+// would shorten the lease, so renewLease calls it only with a later one.
 func (l *ConfigLease) renew(until time.Duration) {
 	l.expiry.Store(int64(until))
 	l.foundExpired.Store(false)
@@ -59,6 +60,8 @@
 	Expiry  time.Duration
 }
 
+// apply finishes the requests under leases that have expired, and then renews the lease of the version. It ignores a version on which the
+// front no longer acts.
 func (e RenewLease) apply(c *Core, now time.Duration) {
 	c.expireLeases(now)
 	for _, v := range c.versions.all() {
@@ -91,6 +94,7 @@
 // ExpireLease is the event that makes the lease of a configuration version expire immediately.
 type ExpireLease struct{ Version uint64 }
 
+// apply ends the lease and finishes all requests under the version. If it is the current version, the front enters standby.
 func (e ExpireLease) apply(c *Core, now time.Duration) {
 	for _, v := range c.versions.all() {
 		if v.number == e.Version && v.lease != nil {
--- a/front/metrics.go
+++ b/front/metrics.go
@@ -64,9 +64,12 @@
 	}
 }
 
-// LogTotals is the event that writes the totals to the log, followed by the attributes in Extra.
+// LogTotals is the event that writes the counters to the log in one line: the front's own, those of the classifier if there is one, and
+// the attributes in Extra, which alternate names and values. The maxima, batches and timers cover the time since the previous LogTotals,
+// in_flight is the present number of requests in the table, and the other counters count from the start.
 type LogTotals struct{ Extra []any }
 
+// apply writes the line and resets the counters that cover the time since the previous one.
 func (l LogTotals) apply(c *Core, _ time.Duration) {
 	m := &c.metrics
 	attributes := []any{"accepted", m.accepted, "succeeded", m.succeeded, "rejected", m.rejected, "failed", m.failed,
--- a/front/pipeline.go
+++ b/front/pipeline.go
@@ -69,8 +69,9 @@
 	return false
 }
 
-// dependent reports whether two statements must run one after the other. A classified statement may touch other rows than the one that
-// it names, so it depends on every other statement unless both are reads.
+// dependent reports whether two statements must run one after the other. Two reads never do. If at least one is a write, two statements
+// that are not classified depend on each other if they name the same group and the same key. A classified statement may touch other rows
+// than the one that it names, so it depends on every other statement unless both are reads.
 func dependent(earlier, later *pgwire.Statement) bool {
 	if !earlier.Write && !later.Write {
 		return false
--- a/front/request.go
+++ b/front/request.go
@@ -143,6 +143,8 @@
 // ClientGone is the event that the client of a request has closed its connection.
 type ClientGone struct{ Request *Request }
 
+// apply marks the request as finished without a response and notifies the auditor and the router, which may cancel the attempts in flight.
+// It ends those of which nothing was sent. It does nothing if the request has finished before.
 func (g ClientGone) apply(c *Core, now time.Duration) {
 	r := g.Request
 	e := c.requests.table.Get(r.ref)
--- a/front/requesttable.go
+++ b/front/requesttable.go
@@ -60,7 +60,7 @@
 	return e
 }
 
-// Each calls a function for every entry. The function may release the entry.
+// Each calls a function for every request that is not released, in the order of the slots. The function may release the entry.
 func (t *RequestTable[T]) Each(call func(routing.RequestRef, *RequestEntry[T])) {
 	for i := range t.slots {
 		if e := &t.slots[i]; e.inUse {
@@ -81,5 +81,6 @@
 	return true
 }
 
-// Len returns the number of requests in the table.
+// Len returns the number of requests in the table, that is, those added and not yet released. It includes requests that are finished but
+// have an attempt in flight.
 func (t *RequestTable[T]) Len() int { return t.inUse }
--- a/front/result.go
+++ b/front/result.go
@@ -25,7 +25,7 @@
 
 var stageNames = [...]string{"no local resources", "not connected", "not fully written", "no response", "unreadable response"}
 
-// String returns the description of the stage in error messages.
+// String returns the description of the stage in error messages, such as "not connected".
 func (s FailureStage) String() string { return stageNames[s] }
 
 // ConnectionError is the failure of the connection that an attempt used or waited for.
@@ -40,7 +40,10 @@
 // Unwrap returns the cause.
 func (e *ConnectionError) Unwrap() error { return e.Err }
 
-// AttemptFinished is the event that an attempt has received a server's response, or that its connection has failed.
+// AttemptFinished is the event that an attempt has received a server's response, or that its connection has failed: it could not be
+// opened, or it failed while the request was being written or the response read. The response may be an error, or incomplete (see
+// QueryResult.Complete); the attempt has not succeeded then. The core needs no such event for attempts that it has timed out or cancelled,
+// and ignores one that follows.
 type AttemptFinished struct {
 	Attempt *Attempt
 	Answer  pgwire.QueryResult // valid if Err is nil
@@ -53,6 +56,8 @@
 	Release func() // if not nil, called after the response was passed on or dropped; must not block
 }
 
+// apply notifies the router of the result. It responds to the client first if the result is final; otherwise the router decides whether
+// the request is sent again. It drops the result of an attempt that has ended before. In any case it calls Release at the end.
 func (e *AttemptFinished) apply(c *Core, _ time.Duration) {
 	if e.Release != nil {
 		defer e.Release()
--- a/front/shutdown.go
+++ b/front/shutdown.go
@@ -11,6 +11,7 @@
 // afterwards.
 type Shutdown struct{}
 
+// apply responds to all unfinished requests, ends their attempts, and makes the core reject all later requests.
 func (Shutdown) apply(c *Core, now time.Duration) {
 	c.requests.shutdown = true
 	c.finishAll(now, func(*configVersion) bool { return true })
@@ -46,7 +47,8 @@
 // alreadyFinished is the result that cancelAttempts returns for an attempt that had finished before.
 const alreadyFinished = routing.Succeeded
 
-// cancelAttempts cancels attempts of a request and returns their results.
+// cancelAttempts cancels attempts of a request and returns their results, by the index in attempts: Cancelled if something may have been
+// sent, NotSent if nothing was, and alreadyFinished. For Cancelled it also records that the request may have run.
 func (r *Request) cancelAttempts(attempts []*Attempt) []routing.AttemptResult {
 	results := make([]routing.AttemptResult, len(attempts))
 	for i, a := range attempts {
--- a/front/versions.go
+++ b/front/versions.go
@@ -48,7 +48,8 @@
 	}
 }
 
-// dropOlder removes the older versions and calls onOlderFinished if all requests under older versions are finished.
+// dropOlder removes the older versions and calls onOlderFinished, if all requests under older versions are finished. Otherwise it does
+// nothing.
 func (v *versions) dropOlder() {
 	if v.olderUnfinished != 0 {
 		return
@@ -67,7 +68,8 @@
 // Standby reports whether the core accepts no requests because it has no valid lease. It is for hosts that call Step.
 func (c *Core) Standby() bool { return c.versions.standby }
 
-// ActiveVersions returns the configuration versions under which an attempt may be sent now. It is for hosts that call Step.
+// ActiveVersions returns the numbers of the configuration versions under which an attempt may be sent now, the current one last. It
+// excludes versions whose lease has expired. It is for hosts that call Step.
 func (c *Core) ActiveVersions() (active []uint64) {
 	for _, v := range c.versions.all() {
 		if v.lease == nil || v.lease.unexpired() {
@@ -87,6 +89,7 @@
 	OnOlderFinished func() // called once no request under an older version is left, so that the front acts on this version only
 }
 
+// apply makes the version the current one. If the front needs leases and LeaseExpiry has passed, the front enters standby at once.
 func (e AdoptConfig) apply(c *Core, now time.Duration) {
 	v := &configVersion{number: e.Version, types: c.catalog.types, rejectedGroups: map[int64]struct{}{}, lease: c.newLease()}
 	if e.Rules != nil {
