--- a/tcpconn/tcpconn.go
+++ b/tcpconn/tcpconn.go
@@ -49,8 +49,10 @@
 	EndPending        // the end of the stream, or an error
 )
 
-// Peek returns the kind of input that is pending, without consuming it. It ignores the read deadline, because input may arrive after the
-// deadline has ended a read and before the caller reacts.
+// Peek returns the kind of input that is pending. It neither consumes input nor blocks. DataPending means that at least one byte can be
+// read. EndPending means that all input was read and the peer will send no more, or that the connection has failed or was closed locally.
+// NoInput means that nothing has arrived yet. Peek ignores the read deadline, because input may arrive after the deadline has ended a read
+// and before the caller reacts.
 func Peek(conn *net.TCPConn) Input {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -83,14 +85,16 @@
 	return raw.Read(hungUp)
 }
 
-// PeerMonitor reports whether the peer of a connection has closed it. Unread input from the peer does not matter. It may be used from any
-// goroutine, also after the connection was closed locally.
+// PeerMonitor reports whether the peer of a connection has closed it. Unread input from the peer does not matter. A PeerMonitor runs
+// nothing in the background: each call of Disconnected asks the operating system for the present state. It may be used from any goroutine,
+// also after the connection was closed locally.
 type PeerMonitor struct{ raw syscall.RawConn }
 
-// NewPeerMonitor returns the PeerMonitor of a connection.
+// NewPeerMonitor returns the PeerMonitor of a TCP connection. raw is the result of the connection's method SyscallConn.
 func NewPeerMonitor(raw syscall.RawConn) *PeerMonitor { return &PeerMonitor{raw} }
 
-// Disconnected implements front.ClientConnection. It returns true for a connection that was closed locally.
+// Disconnected implements front.ClientConnection. It returns true if the peer has closed the connection or its sending half, if the
+// connection has failed, and if it was closed locally. It does not block.
 func (p *PeerMonitor) Disconnected() bool {
 	gone := true
 	_ = p.raw.Control(func(fd uintptr) { gone = hungUp(fd) })
