--- a/wire/writer.go
+++ b/wire/writer.go
@@ -8,7 +8,9 @@
 	"strings"
 )
 
-// Writer writes actions. Its methods correspond to those of routing.Host. Write errors are returned by EndBatch.
+// Writer writes the actions of instances as lines of text: the action's name, the instance and the action's fields, separated by tabs.
+// Most of its methods correspond to those of routing.Host. The lines are buffered: they are written when the buffer of writeBuffer bytes
+// is full, and at the latest by EndBatch, which also returns the first write error.
 type Writer struct {
 	out    *bufio.Writer
 	digits []byte // buffer for formatted numbers, so that writing a line does not allocate
@@ -16,7 +18,7 @@
 
 const writeBuffer = 1 << 18 // bytes
 
-// NewWriter returns a Writer that writes to w.
+// NewWriter returns a Writer that writes to w through its own buffer. EndBatch flushes the buffer.
 func NewWriter(w io.Writer) *Writer { return &Writer{out: bufio.NewWriterSize(w, writeBuffer)} }
 
 // writeString writes a string to out. out keeps the first error, and EndBatch returns it.
