--- a/adapter/instance.go
+++ b/adapter/instance.go
@@ -46,7 +46,8 @@
 	}
 }
 
-// now returns the time of the batch, relative to the start of the instance.
+// now returns the time of the current batch since the start of the instance. It is the same for all events of a batch, and 0 in the batch
+// that starts the instance.
 func (i *instance) now() time.Duration { return time.Duration(i.adapter.clock - i.startedAt) }
 
 // fieldError returns an EventError for a field of the current event.
@@ -252,10 +253,11 @@
 	i.adapter.out.SendGossip(i.id, peer, message)
 }
 
-// SetTimer implements routing.Host.
+// SetTimer implements routing.Host. It requests a TimerFired event after the given time, which is sent in nanoseconds. All timers of an
+// instance have the same token.
 func (i *instance) SetTimer(after time.Duration) {
 	i.adapter.out.SetTimer(i.id, int64(after), "wake")
 }
 
-// Log implements routing.Host.
+// Log implements routing.Host. It writes the message as an action for the bench's report, not to the log of this process.
 func (i *instance) Log(message string) { i.adapter.out.Log(i.id, message) }
