--- a/pgwire/comment.go
+++ b/pgwire/comment.go
@@ -40,7 +40,8 @@
 // values show whether they are present.
 type commentFields struct{ timeout, group bool }
 
-// parseField parses the name=value pair at text[start:end]. It ignores unknown names.
+// parseField parses the name=value pair at text[start:end] and stores the value in the statement. It ignores unknown names.
+// In found it marks a timeout or a group, since their values don't show whether they were given.
 func (s *Statement) parseField(start, end int, found *commentFields) (err error) {
 	name, value, _ := bytes.Cut(s.text[start:end], []byte{'='})
 	valueStart := start + len(name) + 1
--- a/pgwire/errors.go
+++ b/pgwire/errors.go
@@ -40,6 +40,7 @@
 // Error returns the message that is sent to clients.
 func (e *StatementError) Error() string { return e.Message }
 
+// statementErrorf returns a *StatementError with the given SQLSTATE and a formatted message for the client.
 func statementErrorf(code, format string, args ...any) error {
 	return &StatementError{code, fmt.Sprintf(format, args...)}
 }
--- a/pgwire/result.go
+++ b/pgwire/result.go
@@ -202,7 +202,8 @@
 	return bodyStart
 }
 
-// addAnyStatementMessage adds a message to the result of any statement.
+// addAnyStatementMessage adds a RowDescription, DataRow, CommandComplete or EmptyQueryResponse message to Rows, for a result
+// with AnyStatement. The last two complete the result. The message must have passed CheckMessage.
 func (q *QueryResult) addAnyStatementMessage(typ byte, body []byte) {
 	switch typ {
 	case 'T', 'D':
--- a/pgwire/startup.go
+++ b/pgwire/startup.go
@@ -25,7 +25,9 @@
 }
 
 // ReadStartup reads the startup message, which has no type byte. It accepts version 3 of the protocol and the requests for
-// encryption or cancellation, and returns a ProtocolError for anything else.
+// encryption or cancellation, and returns a ProtocolError for any other message. If the message can't be read, it returns
+// the error of the connection and no ProtocolError: io.EOF before the first byte, io.ErrUnexpectedEOF within the message. It
+// returns ErrBufferLimit if there is no memory for the message.
 func (r *Reader) ReadStartup() (s Startup, err error) {
 	if !r.headerRead {
 		r.setReadLimit(4)
--- a/pgwire/statement.go
+++ b/pgwire/statement.go
@@ -55,9 +55,11 @@
 	return s, s.parseComment(comment[0], comment[1], true)
 }
 
+// errNoComment returns the *StatementError for a statement without a comment.
 func errNoComment() error { return statementErrorf(CodeSyntaxError, "the statement has no comment") }
 
-// queryText returns the text in the body of a Query message, without its terminating zero byte.
+// queryText returns the text in the body of a Query message, without its terminating zero byte. The text shares its memory
+// with body. If body does not end with a zero byte, or has another one before, the error is a *ProtocolError.
 func queryText(body []byte) ([]byte, error) {
 	if len(body) == 0 || body[len(body)-1] != 0 || bytes.IndexByte(body, 0) != len(body)-1 {
 		return nil, &ProtocolError{"a query without its end"}
--- a/pgwire/timeout.go
+++ b/pgwire/timeout.go
@@ -13,7 +13,7 @@
 }
 
 // QueryWithTimeout returns the Query message that forwards the statement. It differs from the received text only in the
-// timeout.
+// timeout, which is given in whole milliseconds, rounded up.
 func (s *Statement) QueryWithTimeout(timeout time.Duration) TimedQuery {
 	b := make([]byte, 0, len(s.text)+16)
 	b = append(b, 'Q', 0, 0, 0, 0)
@@ -29,8 +29,9 @@
 // Query returns the same message as QueryWithTimeout, as bytes.
 func (s *Statement) Query(timeout time.Duration) []byte { return s.QueryWithTimeout(timeout).Message }
 
-// ShortenTimeout replaces the timeout in place and returns the message. The new timeout should not be longer than the
-// present one. If it has more digits, it does not fit and is ignored.
+// ShortenTimeout replaces the timeout in place and returns the message. The message gives it in whole milliseconds: it is
+// rounded up, and at least 1. The new timeout should not be longer than the present one. If it has more digits, it does not
+// fit and is ignored. A message without a timeout stays as it is.
 func (q *TimedQuery) ShortenTimeout(timeout time.Duration) []byte {
 	if q.end == 0 {
 		return q.Message
