--- a/framing/certificates.go
+++ b/framing/certificates.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// NewKeyPair generates an Ed25519 key and a self-signed certificate for a site, both in PEM. The certificate is valid for the given
-// number of days. It is a root certificate if root is set; otherwise peers can pin it.
+// NewKeyPair generates an Ed25519 key and a self-signed certificate for a site, both in PEM. The certificate is valid until
+// the given number of days from now. It is a root certificate if root is set; otherwise peers can pin it.
 func NewKeyPair(site string, root bool, days int) (key, certificate []byte, err error) {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -40,7 +40,8 @@
 // clocks may be stepped by an hour.
 const clockTolerance = 25 * time.Hour
 
-// certificateTemplate returns a certificate for a site with a random serial number, valid for the given number of days from now.
+// certificateTemplate returns a certificate for a site with a random serial number. It is valid from clockTolerance before now until the
+// given number of days from now.
 func certificateTemplate(site string, days int) *x509.Certificate {
 	serial, _ := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120)) // fails only if its reader fails, and rand.Reader never does
 	now := time.Now()
@@ -55,9 +56,9 @@
 	}
 }
 
-// SignCertificate returns a certificate for the site and the public key of the given certificate, signed by the root and valid for the
-// given number of days. All arguments and the result are in PEM. The error is ErrNotRoot, ErrNoSite, ErrOneCertificate, or the error of
-// a certificate or key that cannot be used.
+// SignCertificate returns a certificate for the site and the public key of the given certificate, signed by the root. It is valid until the
+// given number of days from now, and has been since clockTolerance before now. The certificates and the key are in PEM, and so is the
+// result. The error is ErrNotRoot, ErrNoSite, ErrOneCertificate, or the error of a certificate or key that cannot be used.
 func SignCertificate(certificate, rootCertificate, rootKey []byte, days int) ([]byte, error) {
 	c, err := parseOneCertificate(certificate)
 	if err != nil {
--- a/framing/errors.go
+++ b/framing/errors.go
@@ -12,10 +12,11 @@
 	ErrInvalidFrame = errors.New("invalid frame")
 )
 
-// OtherProtocolError is the error for a peer whose greeting does not begin with the magic of the protocol.
+// OtherProtocolError is the error for a peer that speaks another protocol: its greeting does not begin with the 4 bytes of this protocol's
+// magic.
 type OtherProtocolError struct {
 	PeerKind   string // what the peer should be, as in Protocol.PeerKind
-	FirstBytes string // what the peer sent instead of the magic
+	FirstBytes string // the first 4 bytes that the peer sent
 }
 
 // Error implements error.
--- a/framing/key_files.go
+++ b/framing/key_files.go
@@ -18,8 +18,9 @@
 const warnBeforeExpiry = 14 * 24 * time.Hour
 
 // Check returns the time until which an instance with these files can open links. It is the earliest expiry of the instance's certificate
-// and of the trusted certificates that have not expired yet. If the instance's certificate or all trusted ones have expired, the error is
-// ErrCertificateExpired. Otherwise it is ErrNoCertificate or the error of a file that cannot be read. The error names the file.
+// and of the trusted certificates that have not expired by now. The error is nil if the instance can open links now. It is
+// ErrCertificateExpired if the instance's certificate or all trusted ones have expired, ErrNoCertificate if the file of trusted
+// certificates contains none, or the error of a file that cannot be read or used. It names the file.
 func (f KeyFiles) Check(now time.Time) (expires time.Time, err error) {
 	pair, err := tls.LoadX509KeyPair(f.Certificate, f.Key)
 	if err != nil {
