--- a/server/client.go
+++ b/server/client.go
@@ -115,8 +115,9 @@
 	}
 }
 
-// answerAfterPanic is deferred and recovers from a panic, so that the panic ends only this connection. It answers each request that was
-// read with an error that does not say whether the request was executed.
+// answerAfterPanic is deferred and recovers from a panic, so that the panic ends only this connection. It does nothing if there was none.
+// It answers each request in the pipeline with an error that does not say whether the request was executed, and then sends a fatal error
+// as the answer to the message that was being handled. It does not close the connection.
 func (c *client) answerAfterPanic() {
 	p := recover()
 	if p == nil {
--- a/server/refuse.go
+++ b/server/refuse.go
@@ -79,7 +79,9 @@
 	}
 }
 
-// acquire waits for a slot. If all are taken, it closes the connection of the oldest refusal as soon as that is minRefusalTime old.
+// acquire waits for a slot, which a new refusal needs, and takes it. A refusal is a connection that was not admitted and that is open only
+// until its client has read the error. If all slots are taken, acquire closes the connection of the oldest refusal as soon as that is
+// minRefusalTime old. The caller must call release.
 func (r *refusals) acquire() {
 	select {
 	case r.slots <- struct{}{}:
