--- a/fleet/agent/admin_counters.go
+++ b/fleet/agent/admin_counters.go
@@ -8,7 +8,8 @@
 	"dapplerouter/fleet/mesh"
 )
 
-// Counters are the traffic of a front's links and the CPU time of its process since its start.
+// Counters are the traffic of a front's links in messages and bytes, and the CPU time of its process in seconds, both since its start.
+// Links, FollowsFleet, ListIndex and Index are present values.
 type Counters struct {
 	Links         int     `json:"links"`
 	Sent          uint64  `json:"sent"` // messages
--- a/fleet/agent/admin_recovery.go
+++ b/fleet/agent/admin_recovery.go
@@ -41,7 +41,8 @@
 	return a.recoveryStatus()
 }
 
-// recoveryStatus returns the status of the last recovery since this front started. The error is a RejectedError if there was none.
+// recoveryStatus returns the present status of the last recovery of the voters that was requested at this front since it started, whether
+// it has ended or not. WaitSeconds is 0 once the wait for the leases is over. The error is a RejectedError if no recovery was requested.
 func (a *Agent) recoveryStatus() (s RecoveryStatus, err error) {
 	err = adminapi.RejectedError("no recovery was asked for since this front started")
 	a.mesh.Do(func(n *fleet.Node, now time.Duration) {
--- a/fleet/agent/admin_rollout.go
+++ b/fleet/agent/admin_rollout.go
@@ -96,7 +96,8 @@
 	return s
 }
 
-// participantStatus converts a front's report to the leader for the admin API.
+// participantStatus converts what the leader knows of a front into the form of the admin API: which configuration version the front uses,
+// since when, and which version it last rejected and why. AgeSeconds is the age of the front's last report in seconds.
 func participantStatus(report fleet.MemberReport) ParticipantStatus {
 	digest, _ := rollout.DecodeReport(report.Data) // zero if the front has another program version whose reports can't be decoded
 	p := ParticipantStatus{
--- a/fleet/agent/agent.go
+++ b/fleet/agent/agent.go
@@ -56,12 +56,12 @@
 	OnStandby func(standby bool)   // called when the front enters or leaves standby; nil to ignore it
 }
 
-// identity identifies the front and its process in the fleet.
+// identity identifies the front in the fleet by its name, which it keeps over restarts, and this process by its incarnation.
 type identity struct {
 	name        string
 	program     string // version of the program
 	incarnation uint64 // random number of this start
-	seed        uint64
+	seed        uint64 // of the random numbers of the front's parts
 }
 
 // subsystems are the parts that run on top of the fleet. Each exists only if the operator's file has its form.
--- a/fleet/agent/audit_collector.go
+++ b/fleet/agent/audit_collector.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// serve responds to requests one after the other, until the agent stops.
+// serve responds to the requests of other fronts for this front's segments, one after the other, until the agent stops.
 func (c *auditCollector) serve() {
 	a := c.writer.agent
 	for {
--- a/fleet/agent/audit_export.go
+++ b/fleet/agent/audit_export.go
@@ -13,7 +13,7 @@
 	"dapplerouter/fleet/disk"
 )
 
-// segmentExports records which closed segments were exported.
+// segmentExports records, in memory only, which closed segments this process has exported. After a restart it is empty.
 type segmentExports struct {
 	mu      sync.Mutex      // held during an export; guards done and failing
 	done    map[string]bool // segments that were exported, or removed before their export
--- a/fleet/agent/history.go
+++ b/fleet/agent/history.go
@@ -23,7 +23,8 @@
 	rolloutChanged = "turned"
 )
 
-// history appends one line of JSON for each event to a file. A nil history writes nothing.
+// history appends one line of JSON, a fleet.HistoryEntry, for each event to a file. The events are those of package fleet at this front,
+// and the changes of the configuration version and of the rollout that the agent adds. A nil history writes nothing.
 type history struct {
 	file        *os.File
 	front       string
--- a/fleet/agent/lifecycle.go
+++ b/fleet/agent/lifecycle.go
@@ -130,8 +130,9 @@
 	a.history.close()
 }
 
-// closeAudit writes the last audit lines: the counts that the core still holds, and a line that the process stops. It must run after
-// everything that could adopt a version or hold a lease has stopped.
+// closeAudit writes the last audit lines and closes the audit log. The lines are the request counts of the intervals that the core's
+// auditor has not passed on yet, and a line that the process stops. The latter is missing if the core does not answer within
+// closeAuditTimeout. closeAudit must run after everything that could adopt a version or hold a lease has stopped.
 func (a *Agent) closeAudit() {
 	closed := make(chan struct{})
 	a.Post(front.CloseAudit{OnClosed: func() { close(closed) }})
--- a/fleet/agent/pending_requests.go
+++ b/fleet/agent/pending_requests.go
@@ -57,7 +57,8 @@
 	return nil
 }
 
-// awaitRequest sends a request to the leader and waits until it ends. ok is false if that does not happen within five lease durations.
+// awaitRequest sends a request to the leader and waits until it ends. ok reports only that the request has ended; if it was rejected or
+// has failed, e.Error says why. ok is false if the request does not end within five lease durations; e is empty then.
 func (a *Agent) awaitRequest(send func(n *fleet.Node, now time.Duration) (id uint64)) (e fleet.RequestDone, ok bool) {
 	done := make(chan fleet.RequestDone, 1)
 	var id uint64
--- a/fleet/agent/prober.go
+++ b/fleet/agent/prober.go
@@ -15,7 +15,8 @@
 
 // Prober lets one front of a fleet run the health checks of a group for all fronts. It sits between the front's core and its connection
 // pools, and intercepts only probes. The routing module decides which servers are probed, and when. The holder of a group's probe lease
-// broadcasts the results of its probes, and the other fronts answer their own probes from these results.
+// broadcasts the results of its probes, and the other fronts answer their own probes from these results. If no result arrives in time, a
+// front sends its own probe after all, or ends it as not sent if too little time is left for an answer.
 type Prober struct {
 	pools front.Pools       // set by Connect, like post
 	post  func(front.Event) // sends an event to the front's core
@@ -54,7 +55,9 @@
 // failure of the server.
 const waitFraction = 2.0 / 5
 
-// NewProber returns a Prober. leaseDuration is the fleet's lease duration, and probeTimeout is how long the core waits for a probe.
+// NewProber returns a Prober. The fields Broadcast, DeclareLease, Now and RequestProbe must be set before use. leaseDuration is the fleet's
+// lease duration: for that long, the failure of another front's probe is used in place of own probes. probeTimeout is how long the core
+// waits for a probe. A probe waits for another front's result for the part waitFraction of it.
 func NewProber(leaseDuration, probeTimeout time.Duration) *Prober {
 	return &Prober{
 		After:        func(d time.Duration, call func()) { time.AfterFunc(d, call) },
--- a/fleet/agent/version_file.go
+++ b/fleet/agent/version_file.go
@@ -22,8 +22,9 @@
 // versionPath returns the path of the version file.
 func (h *rolloutHost) versionPath() string { return filepath.Join(h.config.Dir, "version.json") }
 
-// loadVersion reads the version file. A file that can't be read or parsed is logged, renamed and otherwise ignored. The error names a
-// directory that can't be created.
+// loadVersion reads the version file: the configuration version that this front used last, to start with. The result is zero if there is
+// none. A file that can't be read or parsed is logged, renamed and otherwise ignored. loadVersion also creates the directory of the file,
+// so that saveVersion can write to it. The error names a directory that can't be created.
 func (h *rolloutHost) loadVersion() (stored storedVersion, err error) {
 	if err := os.MkdirAll(h.config.Dir, 0o700); err != nil {
 		return stored, fmt.Errorf("directory of configuration versions: %w", err)
