--- a/fleet/disk/segments.go
+++ b/fleet/disk/segments.go
@@ -53,15 +53,16 @@
 	reason string // why the last of them was lost
 }
 
-// add counts lines that were lost for a reason.
+// add adds a number of lost lines to the one total of the gap, whatever their reasons. Only the latest reason is kept.
 func (g *gap) add(lines uint64, reason string) {
 	g.lines += lines
 	g.reason = reason
 }
 
 // OpenSegments opens a front's audit log in a directory, creates the directory if necessary, and starts a new segment. If a crash left an
-// incomplete last line, it is truncated and the truncation is recorded before the first line that is written. The error names the
-// directory or the file.
+// incomplete last line, it is truncated and the truncation is recorded before the first line that is written. A segment is closed once its
+// log file and its index together have segmentBytes bytes. When a segment is closed, the oldest ones are removed while all files of the log
+// together have more than maxTotalBytes bytes. The error names the directory or the file.
 func OpenSegments(dir, front string, segmentBytes, maxTotalBytes int64) (*Segments, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("audit directory: %w", err)
