--- a/fleet/broadcasts.go
+++ b/fleet/broadcasts.go
@@ -3,14 +3,15 @@
 import "time"
 
 // Mirror is a data set that each front builds from the broadcasts of a lease. A front that missed some of the broadcasts is brought up
-// to date by its neighbours.
+// to date by its neighbours. The Node calls the methods and passes news of this front's mirror to its owner, in a BroadcastReceived event.
 type Mirror interface {
 	// Position returns the newest known term and the index of the mirror's contents. The index is 0 while the mirror is empty.
 	Position() (term, index uint64)
 	// Snapshot returns the data of a broadcast that brings any older mirror to this position, nil while this mirror is empty.
 	Snapshot() []byte
-	// Apply applies the data of a broadcast. news is the part that was new, nil for none. behind reports that broadcasts before this
-	// one are missing.
+	// Apply applies the data of a broadcast that was sent in a term of the lease. news is what the owner of this front has to learn from
+	// it, as the data of an event; nil for nothing. behind reports that broadcasts before this one are missing, so that it was not
+	// applied; the Node then requests the sender's mirror.
 	Apply(term uint64, data []byte) (news []byte, behind bool)
 }
 
--- a/fleet/endpoint_list.go
+++ b/fleet/endpoint_list.go
@@ -73,7 +73,7 @@
 	return encodeEndpointUpdate(discovery.List{Index: l.index, Snapshot: true, Endpoints: l.List().Endpoints}, 0)
 }
 
-// List returns all endpoints, sorted by name.
+// List returns all endpoints, sorted by name, as a complete list. It has no endpoints where none is known yet, see Known.
 func (l *EndpointList) List() discovery.List {
 	all := discovery.List{Index: l.index, Snapshot: true}
 	for _, name := range slices.Sorted(maps.Keys(l.endpoints)) {
@@ -88,8 +88,9 @@
 // Known reports whether a complete list was received.
 func (l *EndpointList) Known() bool { return l.known }
 
-// Apply implements Mirror. Where an update changes nothing and no earlier update is missing, news is a heartbeat: an update which says
-// only that the discovery service answered.
+// Apply implements Mirror. Where the update changes the list, news is the update itself. Where it changes nothing and no earlier update is
+// missing, news is a heartbeat: an update which says only that the discovery service answered. news is nil for an update that is invalid
+// or older than the list, and where behind is true.
 func (l *EndpointList) Apply(term uint64, data []byte) (news []byte, behind bool) {
 	var update endpointUpdate
 	if err := msgpack.Unmarshal(data, &update); err != nil || len(update.Endpoints) > maxEndpoints || update.Index < 0 {
--- a/fleet/errors.go
+++ b/fleet/errors.go
@@ -36,7 +36,7 @@
 	errForeignConsensus ProtocolError = "consensus message in the name of another voter"
 )
 
-// missingField returns the violation by a message that lacks a field which its kind requires.
+// missingField returns the error for a message of the given kind that lacks a field which this kind requires.
 func missingField(kind Kind) ProtocolError {
 	return ProtocolError("a " + kind.String() + " without its part")
 }
--- a/fleet/heartbeat.go
+++ b/fleet/heartbeat.go
@@ -11,7 +11,8 @@
 	isolated      bool          // no heartbeat was received within the isolation timeout
 }
 
-// newHeartbeatState returns the state of a Node that has received no heartbeat: it is isolated.
+// newHeartbeatState returns the state of a Node that has received no heartbeat. It is isolated from the start, and heartbeatAt lies so far
+// in the past that the isolation timeout has passed at time 0.
 func newHeartbeatState(timing Timing) heartbeatState {
 	return heartbeatState{isolated: true, heartbeatAt: -timing.isolationTimeout() - 1}
 }
@@ -19,12 +20,13 @@
 // Isolated reports whether no heartbeat was received within the isolation timeout, or this front is displaced.
 func (n *Node) Isolated() bool { return n.isolated || n.isDisplaced }
 
-// LastHeartbeat returns the leader whose heartbeat was last received, and how long ago that was.
+// LastHeartbeat returns the leader whose heartbeat was last received, and how long ago that was. At the leader itself it is the last one
+// that it sent. Where no heartbeat was received yet, name is "" and ago means nothing.
 func (n *Node) LastHeartbeat(now time.Duration) (name string, ago time.Duration) {
 	return n.heartbeatFrom, now - n.heartbeatAt
 }
 
-// LeaderTerm returns the highest term of a leader whose heartbeat was received, 0 for none.
+// LeaderTerm returns the highest term of a leader whose heartbeat was received, or sent by this front; 0 for none.
 func (n *Node) LeaderTerm() uint64 { return n.heartbeat.term }
 
 // onHeartbeat handles a heartbeat. It floods a heartbeat that is the newest, and makes the peer that delivered it the next hop to the
--- a/fleet/leader_leases.go
+++ b/fleet/leader_leases.go
@@ -127,7 +127,8 @@
 	return known.AcceptsLeases && !known.Leaving && recent && joined
 }
 
-// backoff returns how long a front is not granted a lease that it has lost the given number of times.
+// backoff returns how long a front is not granted a lease that it has lost the given number of times: 0 for no loss, otherwise the lease
+// duration times two to the power of losses, but at most to the power of 6.
 func (l *leader) backoff(losses uint32) time.Duration {
 	if losses == 0 {
 		return 0
@@ -147,7 +148,7 @@
 	return 0
 }
 
-// backoffKey returns the key of a lease and a front in leaseTable.backoffUntil.
+// backoffKey returns the key under which leaseTable.backoffUntil has the end of a front's backoff for a lease. It is unique for each pair.
 func backoffKey(leaseName, front string) string { return leaseName + "\x00" + front }
 
 // recordLoss adds a loss to a command that ends a term of a lease, where the holder let the lease expire or made no progress. The
--- a/fleet/leader_members.go
+++ b/fleet/leader_members.go
@@ -134,9 +134,15 @@
 	}
 }
 
-// nameInUse reports whether a name still belongs to another process than the one that sent report. A process that keeps reporting
-// keeps its name: neither a delayed record of a process that ended long ago nor a second process displaces it. A second process is
-// displaced if it still reports after more than 3 lease durations in which the owner of the name reported more than 3 times.
+// nameInUse reports whether a name still belongs to another process than the one that sent report. front is the replicated membership of
+// the owner of the name, which is that other process. known is the last record that the leader received under the name, nil for none.
+//
+// Where the result is true, the caller ignores report. It is false once the owner has reported that it is leaving, or has not reported
+// for 3 report intervals; the sender of report may then take the name.
+//
+// A process that keeps reporting keeps its name: neither a delayed record of a process that ended long ago nor a second process displaces
+// it. The second process is displaced, which the leader tells it in a reply, if it still reports after more than 3 lease durations in
+// which the owner reported more than 3 times. The result stays true then.
 func (l *leader) nameInUse(now time.Duration, front *Front, known *member, report MembershipRecord) bool {
 	lastContact := l.since
 	if known != nil && known.Incarnation == front.Incarnation {
--- a/fleet/leases.go
+++ b/fleet/leases.go
@@ -30,7 +30,10 @@
 	return leaseState{ownLeases: map[string]*ownLease{}, declaredLeases: map[string]time.Duration{}, missingLeases: map[string]uint64{}}
 }
 
-// DeclareLease declares a lease that one of the fronts should hold. The holder must report progress within bound; 0 is no bound.
+// DeclareLease declares a lease that one of the fronts should hold; which one is up to the leader. The holder must call ReportProgress at
+// least once within each period of length bound; 0 is no bound. Where it does not, the leader asks it to release the lease, grants the
+// lease to another front, and does not grant it to the former holder again until a backoff has ended. A later call with another bound
+// replaces the bound.
 func (n *Node) DeclareLease(leaseName string, bound time.Duration) {
 	if previous, ok := n.declaredLeases[leaseName]; ok && previous != bound {
 		delete(n.missingLeases, leaseName) // a pending request with the previous bound does not declare the lease as it is now
@@ -78,7 +81,8 @@
 	return 0, 0
 }
 
-// ReportProgress records that this front made progress with a lease that it holds.
+// ReportProgress records that this front made progress with a lease that it holds. The leader learns of it with the next renewal. It does
+// nothing where this front does not hold the lease. See DeclareLease.
 func (n *Node) ReportProgress(leaseName string) {
 	if own := n.ownLeases[leaseName]; own != nil {
 		own.progress++
--- a/fleet/membership.go
+++ b/fleet/membership.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// reportVersion identifies the latest membership record of a front that this front forwarded, and says when.
+// reportVersion identifies, by its incarnation and its Seq, the latest membership record of a front that this front sent or forwarded, and
+// says when that was. A record of the same incarnation that is not newer is dropped.
 type reportVersion struct {
 	incarnation, seq uint64
 	at               time.Duration
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -214,6 +214,7 @@
 	return closing
 }
 
+// emit queues an event for the owner of this Node, who takes it by Events.
 func (n *Node) emit(e Event) { n.events = append(n.events, e) }
 
 // send queues a message to a peer. It drops the message where there is no link to the peer.
--- a/fleet/replication.go
+++ b/fleet/replication.go
@@ -25,8 +25,9 @@
 // recordPeerIndex records that a peer has the replicated state up to an index.
 func (n *Node) recordPeerIndex(p *peer, index uint64) { p.index = max(p.index, index) }
 
-// catchUp sends a peer the log entries that it lacks, or a snapshot where they are no longer cached. A large snapshot is sent only on
-// request.
+// catchUp sends a peer the log entries that it lacks, or a snapshot where they are no longer cached. It does nothing where the snapshot has
+// more than chunkBytes bytes: such a snapshot is sent in chunks, and only to a peer that requests it. It also does nothing for a peer that
+// is up to date or that receives the log by consensus.
 func (n *Node) catchUp(name string) {
 	p := n.peers[name]
 	if p == nil || p.index >= n.state.Index || p.Voter && n.isActiveVoter() {
@@ -45,7 +46,8 @@
 	p.index = n.state.Index
 }
 
-// onEntries applies the log entries that a peer sent. Where entries before them are missing, it requests those instead.
+// onEntries applies the log entries that a peer sent, except those that this front has already. Where entries before them are missing, it
+// requests those instead.
 func (n *Node) onEntries(now time.Duration, from string, m *Message) {
 	if n.isActiveVoter() {
 		return
--- a/fleet/routing.go
+++ b/fleet/routing.go
@@ -8,7 +8,8 @@
 	at  time.Duration
 }
 
-// routingState holds the next hops to fronts further from the leader than this front, by name.
+// routingState holds the next hops to the fronts from which a peer has passed on a membership record, a request or a datagram, by name.
+// These are mostly fronts that are further from the leader than this front. Messages to other fronts go towards the leader.
 type routingState struct {
 	routes map[string]route
 }
--- a/fleet/snapshot_chunks.go
+++ b/fleet/snapshot_chunks.go
@@ -20,7 +20,8 @@
 	sent  int // the number of bytes sent so far
 }
 
-// incomingSnapshot is the part of an encoded state that a peer has sent so far.
+// incomingSnapshot is the part of an encoded state that a peer has sent so far, in chunks that follow each other. It is discarded where a
+// chunk does not follow the last one, and once it is complete and decoded.
 type incomingSnapshot struct {
 	index uint64 // the index of the state
 	data  []byte
--- a/fleet/voter_disk.go
+++ b/fleet/voter_disk.go
@@ -138,7 +138,9 @@
 	v.compact()
 }
 
-// apply applies a committed entry to the replicated state, and a change of the voters also to the raft library.
+// apply applies a committed entry to the replicated state, and a change of the voters also to the raft library. The first committed entry
+// of this voter's own term as the leader makes the leader ready. now is the present time, from which the timers of leases start; it is
+// not part of the replicated state.
 func (v *voter) apply(now time.Duration, e *pb.Entry) {
 	v.applied = e.GetIndex()
 	data := e.GetData()
@@ -160,7 +162,9 @@
 	}
 }
 
-// restore replaces the replicated state by a snapshot from another voter.
+// restore replaces the replicated state by a snapshot from another voter. It ignores a snapshot that is older than the present state, and
+// halts the voter where the snapshot can't be decoded. now is the present time, at which this front's own leases begin or end according to
+// the snapshot.
 func (v *voter) restore(now time.Duration, s *pb.Snapshot) {
 	if err := v.storage.ApplySnapshot(s); err != nil {
 		return // the snapshot is older than the present state
