--- a/fleet/broadcasts.go
+++ b/fleet/broadcasts.go
@@ -29,11 +29,12 @@
 	return mirrorState{fences: map[string]fence{}, mirrors: map[string]Mirror{}}
 }
 
-// SetMirror registers the mirror that this front builds from the broadcasts of a lease.
+// SetMirror registers the mirror that this front builds from the broadcasts of a lease. It replaces an earlier one. From then on, the
+// events of these broadcasts have only what was new to the mirror.
 func (n *Node) SetMirror(leaseName string, m Mirror) { n.mirrors[leaseName] = m }
 
-// Broadcast sends data to all fronts, including this one, under a lease that this front holds. It returns false and sends nothing where
-// this front does not hold the lease.
+// Broadcast sends data to all fronts, including this one, under a lease that this front holds. Delivery is not confirmed: true says only
+// that the data was sent. It returns false and sends nothing where this front does not hold the lease.
 func (n *Node) Broadcast(now time.Duration, leaseName string, data []byte) bool {
 	term, ok := n.HoldsLease(now, leaseName)
 	if !ok {
--- a/fleet/endpoint_list.go
+++ b/fleet/endpoint_list.go
@@ -120,8 +120,9 @@
 	return data, false
 }
 
-// EncodeUpdate encodes an answer of the discovery service as an update: the complete list, or the changes after index after. It
-// returns an OlderListError where the answer is older than this list.
+// EncodeUpdate encodes an answer of the discovery service as an update for a broadcast: the complete list where list is a snapshot, or
+// otherwise the changes after index after. It does not apply the update. It returns an OlderListError where the answer is older than this
+// list.
 func (l *EndpointList) EncodeUpdate(list discovery.List, after int64) ([]byte, error) {
 	if l.known && list.Index < l.index {
 		return nil, &OlderListError{Received: list.Index, Known: l.index}
--- a/fleet/event.go
+++ b/fleet/event.go
@@ -112,7 +112,7 @@
 
 // RequestDone says how one of this front's requests ended.
 type RequestDone struct {
-	ID         uint64
+	ID         uint64         // as returned by the call that sent the request
 	Error      string         // the error text, "" where the request succeeded
 	LeaderTerm uint64         // the term of the leader that answered, 0 where it is not known
 	Reports    []MemberReport // the answer to CollectDigests
--- a/fleet/heartbeat.go
+++ b/fleet/heartbeat.go
@@ -17,7 +17,8 @@
 	return heartbeatState{isolated: true, heartbeatAt: -timing.isolationTimeout() - 1}
 }
 
-// Isolated reports whether no heartbeat was received within the isolation timeout, or this front is displaced.
+// Isolated reports whether no heartbeat was received within the isolation timeout, or this front is displaced. It is true at the start,
+// until the first heartbeat. An isolated front may still have links.
 func (n *Node) Isolated() bool { return n.isolated || n.isDisplaced }
 
 // LastHeartbeat returns the leader whose heartbeat was last received, and how long ago that was. At the leader itself it is the last one
--- a/fleet/leases.go
+++ b/fleet/leases.go
@@ -168,12 +168,14 @@
 	}
 }
 
-// HasLeft reports whether this front holds no lease and does not lead, as after Leave.
+// HasLeft reports whether this front holds no lease and does not lead. After Leave it becomes true once the replicated state no longer
+// names this front as a leaseholder. It may also be true of a front that is not leaving.
 func (n *Node) HasLeft() bool {
 	return len(n.ownLeases) == 0 && (n.voter == nil || !n.voter.isLeader())
 }
 
-// LeaseKind returns the part of a lease's name before the first slash, such as the prefix of ProbeLease.
+// LeaseKind returns the part of a lease's name before the first slash, such as the prefix of ProbeLease. It returns a name without a slash
+// as it is.
 func LeaseKind(leaseName string) string {
 	kind, _, _ := strings.Cut(leaseName, "/")
 	return kind
--- a/fleet/links.go
+++ b/fleet/links.go
@@ -61,8 +61,8 @@
 	return &Message{Kind: KindHello, From: n.options.Name, Index: n.state.Index, Hello: hello}
 }
 
-// CheckHello checks a peer's first message. The error is the reason to reject the link. A link that is accepted replaces an existing
-// link to the same peer.
+// CheckHello checks a peer's first message. The error is the reason to reject the link, nil where the link is accepted. CheckHello changes
+// nothing: the owner adds the link by LinkUp, which replaces an existing link to the same peer.
 func (n *Node) CheckHello(now time.Duration, m *Message) (err error) {
 	if err := m.check(); err != nil {
 		return err
@@ -150,7 +150,8 @@
 	}
 }
 
-// LinkDown removes the link to a peer. Where the peer was the next hop to the leader, it chooses another peer, preferably a voter.
+// LinkDown removes the link to a peer, after it was closed. Where the peer was the next hop to the leader, another peer becomes the next
+// hop, preferably a voter.
 func (n *Node) LinkDown(now time.Duration, name string) {
 	delete(n.peers, name)
 	delete(n.outgoingSnapshots, name)
@@ -168,8 +169,9 @@
 	}
 }
 
-// DialFailed handles the failure to establish a wanted link. reason is the text of the peer's rejection, "" where the peer did not
-// answer. suggestions are fronts to dial instead.
+// DialFailed handles the failure to establish a wanted link: WantedLinks does not name the front again until a wait has passed. reason is
+// the text of the peer's rejection, "" where the peer did not answer. Where it says that another process has this front's name, this front
+// is displaced. suggestions are fronts that may be dialled instead.
 func (n *Node) DialFailed(now time.Duration, name, reason string, suggestions []MembershipRecord) {
 	for _, report := range suggestions {
 		if len(n.suggested) < maxMembers && report.Name != n.options.Name && report.Address != "" {
@@ -229,8 +231,9 @@
 	return all
 }
 
-// WantedLinks returns the fronts that this front should dial. A voter dials all other voters. Any other front dials one voter and two
-// followers, which it selects by its own ranking.
+// WantedLinks returns the fronts that this front should dial now: those to which it has no link and should have one. A voter has links to
+// all other voters. Any other front dials one voter and two followers, which it selects by its own ranking. A front whose dial failed
+// recently is left out. The result is empty where this front is displaced.
 func (n *Node) WantedLinks(now time.Duration) (dials []DialTarget) {
 	if n.isDisplaced {
 		return nil
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -71,7 +71,8 @@
 // Incarnation returns the number that identifies this start of the front.
 func (n *Node) Incarnation() uint64 { return n.options.Incarnation }
 
-// Receive handles a message from a peer. An error is a ProtocolError: the owner must then close the link to the peer.
+// Receive handles a message from a peer. An error is a ProtocolError: the owner must then close the link to the peer. A message from a
+// front to which there is no link is ignored, without an error.
 func (n *Node) Receive(now time.Duration, from string, m *Message) error {
 	err := n.receive(now, from, m)
 	n.updateNeighbours()
@@ -193,21 +194,22 @@
 	Message *Message
 }
 
-// Outgoing returns the messages that were queued since the last call. The messages to one peer must be sent in this order.
+// Outgoing removes and returns the messages that were queued since the last call. The messages to one peer must be sent in this order.
 func (n *Node) Outgoing() []OutgoingMessage {
 	out := n.outgoing
 	n.outgoing = nil
 	return out
 }
 
-// Events returns the events since the last call, in the order in which they happened.
+// Events removes and returns the events since the last call, in the order in which they happened.
 func (n *Node) Events() []Event {
 	events := n.events
 	n.events = nil
 	return events
 }
 
-// LinksToClose returns the names of the peers whose links must be closed, as queued since the last call.
+// LinksToClose returns the names of the peers whose links must be closed, as queued since the last call. The owner closes them and then
+// calls LinkDown for each.
 func (n *Node) LinksToClose() []string {
 	closing := n.linksToClose
 	n.linksToClose = nil
--- a/fleet/options.go
+++ b/fleet/options.go
@@ -11,12 +11,12 @@
 	Name               string
 	Incarnation        uint64 // identifies this start of the front; it must differ at each start
 	Zone               string
-	Address            string // the address at which other fronts reach this front's mesh
-	Version            string
+	Address            string  // the address at which other fronts reach this front's mesh
+	Version            string  // the version of the program
 	InitialVoters      []Voter // the voters that the fleet started with, or some of its present voters
 	JoinsExistingFleet bool    // this voter was added later: it starts empty and receives the log
 	Timing             Timing
-	Seed               uint64
+	Seed               uint64        // of the random numbers of the election timeouts
 	AcceptsLeases      bool          // the leader may grant leases to this front
 	MaxFollowers       int           // the number of followers that may dial a link to this front; 0 for the default
 	ConfigLease        time.Duration // how long a front may use a configuration version without contact; 0 where none are published
--- a/fleet/probe_cache.go
+++ b/fleet/probe_cache.go
@@ -79,7 +79,8 @@
 	until, latest time.Duration // when the wait ends, and when it ends while the prober's own probe is pending
 }
 
-// NewProbeCache returns an empty cache.
+// NewProbeCache returns an empty cache. fresh is how long the failure of a server is used, and maxWait is how long a probe waits for a
+// result; see FreshFor and MaxWait.
 func NewProbeCache[Q any](fresh, maxWait time.Duration) *ProbeCache[Q] {
 	return &ProbeCache[Q]{
 		FreshFor: fresh,
--- a/fleet/requests.go
+++ b/fleet/requests.go
@@ -27,7 +27,8 @@
 }
 
 // Request sends a request to the leader, and assigns its ID. A RequestDone event with this ID follows after at most about four lease
-// durations.
+// durations; until then the request is sent again in each heartbeat interval. No event follows for a RequestRelease that is still
+// unanswered when this front no longer holds the lease in that term.
 func (n *Node) Request(now time.Duration, q Request) (id uint64) {
 	n.lastRequestID++
 	q.ID = n.lastRequestID
@@ -41,8 +42,9 @@
 	return q.ID
 }
 
-// PutValue requests that the leader store a value under a lease that this front holds. prev is the index of the key's present value,
-// 0 for none. ok is false where this front does not hold the lease.
+// PutValue requests that the leader store a value under a lease that this front holds. An empty value deletes the key. prev is the index of
+// the key's present value, 0 for none; where that has changed meanwhile, the request fails. id is the ID of the request, whose RequestDone
+// event says whether it succeeded. ok is false where this front does not hold the lease; nothing is requested then.
 func (n *Node) PutValue(now time.Duration, leaseName, key string, prev uint64, value []byte) (id uint64, ok bool) {
 	term, ok := n.HoldsLease(now, leaseName)
 	if !ok {
@@ -51,12 +53,13 @@
 	return n.proposeCommand(now, Command{Op: opPutValue, Lease: leaseName, Term: term, Key: key, PrevIndex: prev, Value: value}), true
 }
 
-// AddVoter requests that a front become a voter. It returns the ID of the request.
+// AddVoter requests that a front become a voter. address is the address on which its mesh listens. AddVoter returns the ID of the request,
+// whose RequestDone event says whether it succeeded.
 func (n *Node) AddVoter(now time.Duration, name, address string) uint64 {
 	return n.proposeCommand(now, Command{Op: opAddVoter, Target: name, Address: address})
 }
 
-// RemoveVoter requests that a voter become a follower. It returns the ID of the request.
+// RemoveVoter requests that a voter become a follower. It returns the ID of the request, whose RequestDone event says whether it succeeded.
 func (n *Node) RemoveVoter(now time.Duration, name string) uint64 {
 	return n.proposeCommand(now, Command{Op: opRemoveVoter, Target: name})
 }
@@ -67,7 +70,8 @@
 	return n.Request(now, Request{Type: RequestProposal, Lease: c.Lease, Command: c.Encode()})
 }
 
-// TransferLease requests the transfer of a lease to the front to; for "" the leader chooses one. It returns the ID of the request.
+// TransferLease requests the transfer of a lease to the front to; for "" the leader chooses one. It returns the ID of the request, whose
+// RequestDone event follows once another front holds the lease, or says why that failed.
 func (n *Node) TransferLease(now time.Duration, leaseName, to string) uint64 {
 	return n.Request(now, Request{Type: RequestTransfer, Lease: leaseName, To: to})
 }
--- a/fleet/routing.go
+++ b/fleet/routing.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// SendDatagram sends data to a subsystem of a front, along the tree that the heartbeats form. It is unreliable: a sender that needs
-// an answer must retry.
+// SendDatagram sends data to a subsystem of a front, which may be this front, along the tree that the heartbeats form. It arrives as a
+// DatagramReceived event. It is unreliable: a sender that needs an answer must retry.
 func (n *Node) SendDatagram(now time.Duration, to, subsystem string, data []byte) {
 	n.routeDatagram("", &Message{Kind: KindDatagram, From: n.options.Name, Name: to, Reason: subsystem, Data: data})
 }
--- a/fleet/voter_disk.go
+++ b/fleet/voter_disk.go
@@ -51,7 +51,8 @@
 // WriteDone reports that the pending write is on disk.
 func (n *Node) WriteDone(now time.Duration) { n.voter.writeDone(now) }
 
-// WriteFailed reports that the pending write failed. The voter halts, and the front continues as a follower.
+// WriteFailed reports that the pending write failed. The voter halts, and the front continues as a follower. Like WriteDone, it may only be
+// called after PendingWrite has returned a write.
 func (n *Node) WriteFailed(err error) { n.voter.halt("its disk can't be written: " + err.Error()) }
 
 // processReady handles the raft library's output until it has no more, or until some of it must be written to disk first.
