--- a/server/server.go
+++ b/server/server.go
@@ -128,20 +128,23 @@
 	}
 }
 
-// Drain begins a graceful shutdown. Each connection ends once its requests are answered. Serve returns after a grace period, and from
-// then on requests are rejected.
+// Drain begins a graceful shutdown and returns at once. l is the listener that was passed to Serve. Each connection ends once its requests
+// are answered. Serve returns after a grace period of about acceptGrace, and from then on requests are rejected.
 func (s *Server) Drain(l Listener) {
 	s.advanceTo(draining)
 	_ = l.SetDeadline(time.Now().Add(acceptGrace)) // fails only on a closed listener, for which Serve has returned
 }
 
-// Close ends every connection as soon as no answer is outstanding on it.
+// Close ends every connection as soon as no answer is outstanding on it. It returns at once; Wait waits for the end of the connections. It
+// does not end Serve, for which the listener has to be closed or drained.
 func (s *Server) Close() { s.advanceTo(closing) }
 
-// RejectedWhileDraining returns the number of requests that were rejected after Serve returned.
+// RejectedWhileDraining returns the number of requests that were rejected because of the shutdown, that is, after Serve returned or Close
+// was called.
 func (s *Server) RejectedWhileDraining() int64 { return s.rejected.Load() }
 
-// Wait waits until all connections have ended. It returns false if the timeout passes first.
+// Wait waits until all connections have ended, including those that are being refused. It returns false if the timeout passes first. It
+// ends no connection itself.
 func (s *Server) Wait(timeout time.Duration) bool {
 	done := make(chan struct{})
 	go func() {
--- a/server/standby.go
+++ b/server/standby.go
@@ -52,8 +52,9 @@
 }
 
 // SetStandby begins or ends a standby. While it lasts, connections end once their requests are answered, and new connections are refused.
-// After its end an increasing share of new connections is admitted, and all of them once the recovery time has passed, so that the
-// returning instance is not overloaded.
+// After its end an increasing share of new connections is admitted, beginning with minAdmittedShare, and all of them once the recovery time
+// has passed, so that the returning instance is not overloaded. recovery is used only at the end of a standby. To end a standby that did
+// not begin has no effect.
 func (s *Server) SetStandby(on bool, recovery time.Duration) {
 	if !on {
 		s.standby.end(s.options.Clock.Now(), recovery)
