--- a/front/attempt.go
+++ b/front/attempt.go
@@ -129,7 +129,8 @@
 	MinPosition   int64 // log position that a read must have reached, in Unix milliseconds; 0 for none
 }
 
-// Forwarded returns the description of the attempt for another site. It is empty for a health check, which the second result reports.
+// Forwarded returns the description of the attempt for the site that its server represents. It is empty for a health check, which the
+// second result reports, and for a server of this front's own site.
 func (a *Attempt) Forwarded() (f ForwardedAttempt, healthCheck bool) {
 	return a.forwarded, a.healthCheck
 }
--- a/front/classify.go
+++ b/front/classify.go
@@ -57,7 +57,8 @@
 	return all
 }
 
-// ValidateClassification checks the operator's rules against the deployment's request types. The error is a config.ErrorList.
+// ValidateClassification checks the operator's rules against the deployment's request types: each rule must name one of them, and a rule
+// for writes must name a type that writes. The error is a config.ErrorList with all violations, nil if there are none.
 func ValidateClassification(classification *sqlclass.Settings, settings *deployment.Settings) error {
 	var errs config.ErrorList
 	for i, rule := range classification.Rules {
--- a/front/host.go
+++ b/front/host.go
@@ -9,9 +9,9 @@
 
 var _ routing.Host = (*Core)(nil)
 
-// StartAttempt sends a request to a server. The attempt times out after the given time, or at the request's deadline if timeout is 0. If
-// the request is finished, the limit of attempts is reached or no time is left, the attempt is not sent and ends as NotSent in the next
-// batch.
+// StartAttempt sends a request to a server. The attempt times out at the request's deadline, or after the given time if that is not
+// 0 and ends earlier. If the request is finished, the limit of attempts is reached or no time is left, the attempt is not sent and ends
+// as NotSent in the next batch.
 func (c *Core) StartAttempt(ref routing.RequestRef, server int, timeout time.Duration) {
 	e := c.requests.table.MustGet(ref)
 	r := e.Value
--- a/front/pipeline.go
+++ b/front/pipeline.go
@@ -34,10 +34,11 @@
 	pipelineAnswered
 )
 
-// Len returns the number of requests in the pipeline.
+// Len returns the number of requests in the pipeline, in any state: those whose responses have not been taken yet.
 func (p *Pipeline[T]) Len() int { return len(p.queue) }
 
-// Add appends a request to the pipeline. statement is nil if the response is already known.
+// Add appends a request to the pipeline. statement is nil if the response is already known; the request is then not started. The caller
+// calls MarkAnswered of the returned entry once the response is known.
 func (p *Pipeline[T]) Add(request T, statement *pgwire.Statement) *PipelineEntry[T] {
 	entry := &PipelineEntry[T]{Request: request, statement: statement}
 	if statement == nil {
@@ -99,7 +100,8 @@
 	return request, true
 }
 
-// Abandon empties the pipeline of a client that has disconnected. It returns the running requests and the others separately.
+// Abandon empties the pipeline of a client that has disconnected. It returns the running requests, and separately the others: those that
+// were not started and those whose responses are known.
 func (p *Pipeline[T]) Abandon() (running, others []T) {
 	for _, entry := range p.queue {
 		if entry.state == pipelineRunning {
--- a/front/request.go
+++ b/front/request.go
@@ -53,7 +53,8 @@
 	return ClientGone{r}
 }
 
-// apply accepts the request, or rejects it at once: in standby or shutdown, if it is invalid, or if its timeout has passed.
+// apply accepts the request and passes it to the router. Otherwise it responds at once: it rejects the request in standby, in shutdown or
+// if its timeout has passed, and reports an error to the client if the request is invalid.
 func (r *Request) apply(c *Core, now time.Duration) {
 	if c.versions.standby || c.requests.shutdown {
 		c.metrics.rejected++
