--- a/router/clock_correction.go
+++ b/router/clock_correction.go
@@ -7,9 +7,10 @@
 // position that a read requires older, because a wall clock may be stepped.
 
 // ClockCorrected corrects the values that are based on the other processes' clock: log positions and listed start
-// times. Values measured by this instance's own clock stay. It is unknown whether this clock was wrong at the start or
-// another clock was stepped since, so positions are corrected only in the direction that requires more. No position is
-// in the future after the correction, so the next claim of a primary still counts.
+// times. The duration by, which may be negative, is added to them. Values measured by this instance's own clock stay. It
+// is unknown whether this clock was wrong at the start or another clock was stepped since, so positions are corrected only
+// in the direction that requires more. No position is in the future after the correction, so the next claim of a primary
+// still counts.
 func (r *Router) ClockCorrected(now, by time.Duration) {
 	c := clockCorrection{now: now, by: by}
 	for i := range r.servers {
--- a/router/endpoints.go
+++ b/router/endpoints.go
@@ -40,8 +40,9 @@
 	return due
 }
 
-// EndpointsChanged applies an update of the endpoint list. A failed update may mean that the subscription broke, so the
-// router subscribes again. It does so after a random pause, so that the instances of a fleet don't all subscribe at
+// EndpointsChanged applies an update of the endpoint list. A Delta holds the entries that changed. Another update holds the
+// whole list: servers that are missing from it are sent nothing new. A failed update may mean that the subscription broke,
+// so the router subscribes again. It does so after a random pause, so that the instances of a fleet don't all subscribe at
 // once.
 func (r *Router) EndpointsChanged(now time.Duration, kind routing.UpdateKind, _ int64, entries []routing.Endpoint) {
 	if kind == routing.UpdateFailed {
--- a/router/router.go
+++ b/router/router.go
@@ -75,7 +75,7 @@
 	stallDetector
 }
 
-// New returns an instance that knows no servers yet.
+// New returns an instance that knows no servers yet. It calls h only from within its methods.
 func New(h routing.Host, o routing.Options) routing.Router {
 	return &Router{
 		host:           h,
