--- a/fleet/routing.go
+++ b/fleet/routing.go
@@ -8,7 +8,8 @@
 	at  time.Duration
 }
 
-// routingState holds the next hops to fronts further from the leader than this front, by name.
+// routingState holds the next hops to the fronts from which a peer has passed on a membership record, a request or a datagram, by name.
+// These are mostly fronts that are further from the leader than this front. Messages to other fronts go towards the leader.
 type routingState struct {
 	routes map[string]route
 }
@@ -51,8 +52,8 @@
 	}
 }
 
-// SendDatagram sends data to a subsystem of a front, along the tree that the heartbeats form. It is unreliable: a sender that needs
-// an answer must retry.
+// SendDatagram sends data to a subsystem of a front, which may be this front, along the tree that the heartbeats form. It arrives as a
+// DatagramReceived event. It is unreliable: a sender that needs an answer must retry.
 func (n *Node) SendDatagram(now time.Duration, to, subsystem string, data []byte) {
 	n.routeDatagram("", &Message{Kind: KindDatagram, From: n.options.Name, Name: to, Reason: subsystem, Data: data})
 }
