--- a/lab/processtest/backends.go
+++ b/lab/processtest/backends.go
@@ -8,22 +8,23 @@
 	"dapplerouter/testsupport/fakeserver"
 )
 
-// backends are the fake servers and the endpoint service that lists them.
+// backends holds the fake servers and the fake endpoint service that lists them.
 type backends struct {
-	endpoints *endpointService
-	servers   *fakeserver.Group
-	givenUp   *fakeserver.Group // a second group, which published rules may give up; nil without rollouts
+	endpoints    *endpointService
+	servers      *fakeserver.Group
+	givenUpGroup *fakeserver.Group // a second group, which published rules may give up; nil without rollouts
 }
 
+// startBackends starts the server groups that the script needs, and the endpoint service.
 func (b *backends) startBackends(s *Script) (err error) {
 	if b.servers, err = fakeserver.Start(fakeserver.NewBookingData(5, 20, 50), s.Servers, 8, time.Millisecond, 0); err != nil {
 		return err
 	}
 	if s.Rollouts.Enabled() {
-		if b.givenUp, err = fakeserver.Start(fakeserver.NewBookingData(5, 20, 50), 2, 8, time.Millisecond, 0); err != nil {
+		if b.givenUpGroup, err = fakeserver.Start(fakeserver.NewBookingData(5, 20, 50), 2, 8, time.Millisecond, 0); err != nil {
 			return err
 		}
-		b.givenUp.ID, b.servers.ForeignServers = 1, b.givenUp.Servers
+		b.givenUpGroup.ID, b.servers.ForeignServers = 1, b.givenUpGroup.Servers
 	}
 	var list struct{ Endpoints json.RawMessage }
 	if err := json.Unmarshal(b.servers.EndpointSnapshot(), &list); err != nil {
@@ -33,13 +34,13 @@
 	return nil
 }
 
-// stopBackends stops those that were started.
+// stopBackends stops the backends that were started.
 func (b *backends) stopBackends() {
 	if b.endpoints != nil {
 		b.endpoints.stop()
 	}
-	if b.givenUp != nil {
-		b.givenUp.Close()
+	if b.givenUpGroup != nil {
+		b.givenUpGroup.Close()
 	}
 	if b.servers != nil {
 		b.servers.Close()
--- a/lab/processtest/checks_leases.go
+++ b/lab/processtest/checks_leases.go
@@ -11,33 +11,34 @@
 	"dapplerouter/fleet"
 )
 
-// checkTerms checks that each term of a lease is granted to one front, and that no front accepts a broadcast of an older term.
+// checkTerms checks that each term of a lease is granted to only one front. It also checks that no front accepts a broadcast of an
+// older term than one that it accepted before.
 func (c *checker) checkTerms() {
 	granted := map[string]fleet.HistoryEntry{}
 	accepted := map[string]fleet.HistoryEntry{}
 	for _, e := range c.history {
 		switch e.Kind {
 		case leaseGranted:
-			if e.Name == "" { // released: the term stays
+			if e.Name == "" { // the lease was released, which does not change its term
 				continue
 			}
 			key := fmt.Sprint(e.Lease, "/", e.Term)
 			if earlier, ok := granted[key]; ok && earlier.Name != e.Name {
-				c.violated("two fronts were granted %s in term %d:\n  %s\n  %s", e.Lease, e.Term, earlier, e)
+				c.addViolation("two fronts were granted %s in term %d:\n  %s\n  %s", e.Lease, e.Term, earlier, e)
 			}
 			granted[key] = e
 		case broadcastReceived:
 			key := fmt.Sprint(e.Front, "/", e.Incarnation, "/", e.Lease)
 			if earlier, ok := accepted[key]; ok && earlier.Term > e.Term {
-				c.violated("%s accepted a broadcast of an older term:\n  %s\n  %s", e.Front, earlier, e)
+				c.addViolation("%s accepted a broadcast of an older term:\n  %s\n  %s", e.Front, earlier, e)
 			}
 			accepted[key] = e
 		}
 	}
 }
 
-// checkLeases checks that no lease has two holders at a time and that its register is linearizable, and records the gaps between
-// holders.
+// checkLeases checks that no lease has two holders at a time and that the register of each lease is linearizable. It records the gaps
+// between holders.
 func (c *checker) checkLeases() {
 	leases := map[string]bool{}
 	for _, e := range c.history {
@@ -51,7 +52,7 @@
 		for i, t := range tenures {
 			for _, later := range tenures[i+1:] {
 				if later.from < t.to && later.term != t.term {
-					c.violated("%s was held by %s until %d and by %s from %d:\n  %s\n  %s", lease, t.front, t.to, later.front, later.from,
+					c.addViolation("%s was held by %s until %d and by %s from %d:\n  %s\n  %s", lease, t.front, t.to, later.front, later.from,
 						t.acquired, later.acquired)
 				}
 			}
@@ -60,12 +61,12 @@
 			}
 		}
 		if !isLinearizable(c.history, lease) {
-			c.violated("the register of %s is not linearizable: no order of what its holders recorded explains it", lease)
+			c.addViolation("the register of %s is not linearizable: no order of the recorded operations explains it", lease)
 		}
 	}
 }
 
-// recordGap records the time between two tenures, if there is any since the script began.
+// recordGap records the gap between two consecutive tenures of a lease. It ignores gaps that ended before the script began.
 func (c *checker) recordGap(lease string, t, next *tenure) {
 	if next.from <= t.to || next.from <= c.began.UnixMicro() {
 		return
@@ -78,7 +79,7 @@
 	})
 }
 
-// pauseAt is the reason of a tenure that ended while the front was paused, "" for others.
+// pauseAt returns "process paused" if the tenure ended while its front was paused, and "" otherwise.
 func (c *checker) pauseAt(t *tenure) string {
 	for _, f := range c.harness.fronts {
 		if f.Name != t.front {
@@ -93,17 +94,17 @@
 	return ""
 }
 
-// tenure is a time in which a front held a lease, as it recorded itself: from the grant to the end that it recorded or, where there
-// is none, to the latest expiry that it was granted. Times are Unix microseconds.
+// tenure is an interval in which a front held a lease, by the front's own history. It begins with the grant. It ends when the front
+// recorded its end or, without such an entry, at the latest expiry that the front was granted. Times are Unix microseconds.
 type tenure struct {
 	front    string
 	term     uint64
 	from, to int64
 	acquired fleet.HistoryEntry
-	reason   string // of its end
+	reason   string // why it ended
 }
 
-// tenures finds a lease's tenures. A front whose process has exited holds nothing from then on.
+// tenures returns all tenures of a lease. A tenure ends at the latest when the front's process exits.
 func (c *checker) tenures(lease string) (all []*tenure) {
 	open := map[string]*tenure{}
 	for _, e := range c.history {
@@ -134,7 +135,7 @@
 	return all
 }
 
-// endWithProcess shortens a tenure to the life of the process that began it.
+// endWithProcess ends a tenure when the process that began it exited, if that was earlier. Uptimes are those of the tenure's front.
 func (t *tenure) endWithProcess(uptimes []interval) {
 	for _, u := range uptimes {
 		if exit := u.to.UnixMicro(); u.ended() && u.from.UnixMicro() <= t.from && t.from <= exit && exit < t.to {
@@ -143,8 +144,9 @@
 	}
 }
 
-// isLinearizable looks for an order of the operations on a lease's register: the first acquisition of a term takes the register to
-// that term from an older one; a renewal succeeds only while the register is at its term.
+// isLinearizable reports whether the recorded operations on a lease's register are linearizable. The register holds a term. The first
+// acquisition of a term moves the register from an older term to that term. A renewal succeeds only while the register holds its
+// term. A check that takes longer than 20 s counts as linearizable.
 func isLinearizable(history []fleet.HistoryEntry, lease string) bool {
 	type operation struct {
 		acquires bool
--- a/lab/processtest/checks_requests.go
+++ b/lab/processtest/checks_requests.go
@@ -5,13 +5,15 @@
 	"time"
 )
 
-// SQLSTATE codes of rejected requests: they have had no effect, and may be sent again.
+// SQLSTATE codes of rejected requests. A rejected request has had no effect and may be retried.
 const (
 	codeTooManyConnections = "53300"
 	codeCannotConnectNow   = "57P03"
 )
 
-// checkRequests checks that each request has one final answer and one effect at most, and counts them.
+// checkRequests checks the answer and the number of effects of each request, and counts requests by outcome. Only a request to a
+// front that was restarted may have no answer. A write that succeeded has exactly one effect, a rejected write has none, and no
+// request has more than one.
 func (c *checker) checkRequests() {
 	counts := &c.result.Requests
 	counts.Sent = len(c.requests)
@@ -19,37 +21,38 @@
 		counts.countSecond(q, c.began)
 		servers := c.harness.servers
 		if q.group == 1 {
-			servers = c.harness.givenUp
+			servers = c.harness.givenUpGroup
 		}
 		effects := servers.ExecutionCount(q.id)
 		switch {
 		case q.connectionLost:
 			counts.Unanswered++
 			if !c.frontRestarted(q) {
-				c.violated("%s had no answer from %s, which was neither killed nor terminated", q.id, q.front)
+				c.addViolation("%s had no answer from %s, which was neither killed nor terminated", q.id, q.front)
 			}
 		case q.code == "":
 			counts.Succeeded++
 			counts.Latencies = append(counts.Latencies, q.latency)
 			if q.write && effects == 0 {
-				c.violated("%s succeeded at %s and has had no effect", q.id, q.front)
+				c.addViolation("%s succeeded at %s but has had no effect", q.id, q.front)
 			}
 		case q.code == codeTooManyConnections || q.code == codeCannotConnectNow:
 			counts.Rejected++
 			if q.write && effects > 0 {
-				c.violated("%s was rejected by %s and has had an effect: a retry is not harmless", q.id, q.front)
+				c.addViolation("%s was rejected by %s but has had an effect: a retry is unsafe", q.id, q.front)
 			}
 		default:
 			counts.Failed++
 		}
 		if effects > 1 {
-			c.violated("%s has had %d effects", q.id, effects)
+			c.addViolation("%s has had %d effects", q.id, effects)
 		}
 	}
 	slices.Sort(counts.Latencies)
 }
 
-// frontRestarted reports whether a front's process ended or started while a request was in flight.
+// frontRestarted reports whether the process of the request's front exited or started while the request was in flight. It allows for
+// 100 ms before and after the request.
 func (c *checker) frontRestarted(q request) bool {
 	from, to := q.sent.Add(-100*time.Millisecond), q.sent.Add(q.latency+100*time.Millisecond)
 	for _, f := range c.harness.fronts {
@@ -66,6 +69,7 @@
 	return false
 }
 
+// countSecond counts a request in the second of the script in which it was sent.
 func (r *Requests) countSecond(q request, began time.Time) {
 	second := max(0, int(q.sent.Sub(began)/time.Second))
 	for len(r.PerSecond) <= second {
--- a/lab/processtest/checks_versions.go
+++ b/lab/processtest/checks_versions.go
@@ -10,21 +10,23 @@
 	"dapplerouter/fleet"
 )
 
-// resumeDelay is what a front needs, once it is resumed, to notice that it was paused: until then it begins nothing, but has not
-// recorded that it stands by.
-const resumeDelay = 250 * time.Millisecond
+// pauseDetectionDelay is the time that a resumed front may need to notice that it was paused. Until then the front begins no request,
+// but it has not yet recorded that it stands by.
+const pauseDetectionDelay = 250 * time.Millisecond
 
-// notEnded is the end of a period that is not over.
+// notEnded is the end time of a period that has not ended.
 const notEnded = 1 << 62
 
-// versionPeriod is a time in which a front may begin requests on a version, as it recorded itself. Times are Unix microseconds.
+// versionPeriod is an interval in which a front may begin requests on a version, by the front's own history. Times are Unix
+// microseconds.
 type versionPeriod struct {
 	front    string
 	version  uint64
 	from, to int64
 }
 
-// versionPeriods finds who may have acted on which version when, ordered by start.
+// versionPeriods returns the periods of all fronts and versions, ordered by start. Times in which a front's process was down or
+// paused are excluded.
 func (c *checker) versionPeriods() (all []versionPeriod) {
 	for _, p := range recordedVersionPeriods(c.history) {
 		for _, f := range c.harness.fronts {
@@ -41,7 +43,8 @@
 	return all
 }
 
-// whileRunning shortens a period to the life of the process that began it and to its first pause; afterPauses is what remains of it after each pause.
+// whileRunning ends a period when the process that began it exited or was first paused, whichever came first. It returns that period
+// and the remaining periods after each pause.
 func (p versionPeriod) whileRunning(f *Front) (first versionPeriod, afterPauses []versionPeriod) {
 	for _, u := range f.uptimes {
 		if u.ended() && u.from.UnixMicro() <= p.from && p.from <= u.to.UnixMicro() {
@@ -50,7 +53,7 @@
 	}
 	for _, pause := range f.pauses {
 		if paused := pause.from.UnixMicro(); p.from < paused && paused < p.to {
-			if resumed := pause.to.Add(resumeDelay).UnixMicro(); pause.ended() && resumed < p.to {
+			if resumed := pause.to.Add(pauseDetectionDelay).UnixMicro(); pause.ended() && resumed < p.to {
 				afterPauses = append(afterPauses, versionPeriod{p.front, p.version, resumed, p.to})
 			}
 			p.to = paused
@@ -59,10 +62,10 @@
 	return p, afterPauses
 }
 
-// recordedVersionPeriods reads the periods from the history: from the adoption of a version until the front recorded that it acts on
-// another one alone, or stands by.
+// recordedVersionPeriods returns the periods in the history, regardless of exits and pauses. A period begins when the front adopts
+// the version or ends a standby. It ends when the front records that it acts only on another version, or that it stands by.
 func recordedVersionPeriods(history []fleet.HistoryEntry) (all []versionPeriod) {
-	open := map[string]map[uint64]int64{} // by front and incarnation: versions, and since when
+	open := map[string]map[uint64]int64{} // start times of open periods, by front and incarnation, then by version
 	newest := map[string]uint64{}
 	fronts := map[string]string{}
 	end := func(key string, version uint64, at int64) {
@@ -101,8 +104,8 @@
 	return all
 }
 
-// checkConcurrentVersions checks that fronts act on two versions at a time at most. Fronts that serve on alone by their operator's
-// choice are fenced by the replicated state: nothing is checked for them here.
+// checkConcurrentVersions checks that the fronts act on at most two versions at a time. It checks nothing if the script lets fronts
+// without a leader continue to serve: the replicated state fences those fronts instead.
 func (c *checker) checkConcurrentVersions() {
 	if !c.harness.Script.Rollouts.StopWhenAlone {
 		return
@@ -111,22 +114,23 @@
 	for i, p := range periods {
 		versions := map[uint64]string{}
 		for _, other := range periods[:i+1] {
-			if other.from <= p.from && p.from < other.to-resumeDelay.Microseconds()/10 {
+			if other.from <= p.from && p.from < other.to-pauseDetectionDelay.Microseconds()/10 {
 				versions[other.version] = other.front
 			}
 		}
 		if len(versions) > 2 {
-			c.violated("%d versions at a time at %.3f s: %v", len(versions), time.UnixMicro(p.from).Sub(c.began).Seconds(), versions)
+			c.addViolation("%d versions at a time at %.3f s: %v", len(versions), time.UnixMicro(p.from).Sub(c.began).Seconds(), versions)
 		}
 	}
 }
 
-// checkMustVersions checks that no request of a group that a must version gives up reaches a server once that version is in force.
-func (c *checker) checkMustVersions() {
+// checkMandatoryVersions checks mandatory versions that give up a server group: once such a version is in force, no request may reach a
+// server of that group.
+func (c *checker) checkMandatoryVersions() {
 	if !c.harness.Script.Rollouts.StopWhenAlone {
 		return
 	}
-	for _, version := range c.harness.expected.mustVersions {
+	for _, version := range c.harness.expected.mandatoryVersions {
 		inForce := slices.IndexFunc(c.history, func(e fleet.HistoryEntry) bool {
 			return e.Kind == rolloutChanged && e.Number == version && e.Name == phaseSteady
 		})
@@ -134,10 +138,10 @@
 			continue
 		}
 		since := c.history[inForce].At
-		for _, server := range c.harness.givenUp.Servers {
+		for _, server := range c.harness.givenUpGroup.Servers {
 			for _, s := range server.Statements() {
 				if late := s.At.UnixMicro() - since; late > 0 {
-					c.violated("%s reached %s %v after version %d, which gives its group up, was in force", s.ID, server.Name,
+					c.addViolation("%s reached %s %v after version %d, which gives its group up, was in force", s.ID, server.Name,
 						time.Duration(late)*time.Microsecond, version)
 				}
 			}
@@ -145,7 +149,7 @@
 	}
 }
 
-// rolloutTimes finds how long each version took, from the time at which the first front recorded it.
+// rolloutTimes returns the times of each version's rollout. They count from the moment at which the first front recorded the rollout.
 func rolloutTimes(history []fleet.HistoryEntry) (all []RolloutTimes) {
 	began := map[uint64]int64{}
 	index := map[uint64]int{}
--- a/lab/processtest/clients.go
+++ b/lab/processtest/clients.go
@@ -15,23 +15,24 @@
 	front          string
 	sent           time.Time
 	latency        time.Duration
-	code           string // SQLSTATE of the answer, "" for success
-	connectionLost bool   // before a final answer
+	code           string // SQLSTATE of the answer; "" for success
+	connectionLost bool   // the connection was lost before a final answer
 	write          bool
-	group          int // 0, or 1 for the group that may be given up
+	group          int // 0, or 1 for the group that rules may give up
 }
 
-// clients send requests to fronts, each one after the other, and record the answers.
+// clients runs the simulated clients. Each client sends one request at a time to a front and records the answer.
 type clients struct {
 	harness *Harness
-	done    chan struct{}
+	done    chan struct{} // closed to stop the clients
 	running sync.WaitGroup
-	count   atomic.Int64 // of requests
+	count   atomic.Int64 // requests sent so far
 
 	mu       sync.Mutex // guards requests
 	requests []request
 }
 
+// startClients starts n clients, each with its own first front.
 func (h *Harness) startClients(n int) *clients {
 	c := &clients{harness: h, done: make(chan struct{})}
 	for i := range n {
@@ -40,7 +41,8 @@
 	return c
 }
 
-// run keeps a connection to one front, as a session does, and dials the next front when it is lost.
+// run runs one client until the clients are stopped. The client keeps one connection, as a session does. When the connection is lost,
+// the client dials the next front.
 func (c *clients) run(nextFront int) {
 	var conn *fakeserver.Client
 	var front *Front
@@ -73,12 +75,12 @@
 	}
 }
 
-// send sends the next request and records its answer; it reports whether the connection is still open. Every fourth request
-// writes, and two of 32 go to the group that may be given up.
+// send sends the next request and records its answer. It reports whether the connection is still open. Every fourth request is a
+// write. With rollouts, two of 32 requests go to the group that rules may give up.
 func (c *clients) send(conn *fakeserver.Client, front *Front) bool {
 	n := c.count.Add(1)
 	q := request{id: fmt.Sprintf("t%d", n), front: front.Name, sent: time.Now(), write: n%4 == 3}
-	if c.harness.givenUp != nil && n%32 >= 30 {
+	if c.harness.givenUpGroup != nil && n%32 >= 30 {
 		q.group = 1
 	}
 	sql := fmt.Sprintf("SELECT 'x' /* id=%s,c=browse,d=2000,cluster=%d */", q.id, q.group)
@@ -94,7 +96,7 @@
 	return err == nil
 }
 
-// stop ends all clients and returns their requests.
+// stop stops all clients and returns their requests.
 func (c *clients) stop() []request {
 	close(c.done)
 	c.running.Wait()
--- a/lab/processtest/configuration.go
+++ b/lab/processtest/configuration.go
@@ -10,6 +10,7 @@
 	"dapplerouter/fleet/disk"
 )
 
+// instanceConfigFormat is a format string for a front's instance configuration. Harness.instanceConfig fills it in.
 const instanceConfigFormat = `{"name": %q, "listen": %q, "discovery": %q, "seed": "%x",
  "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256}, "known": %s,
  "settings": {
@@ -24,7 +25,8 @@
    "RetryAfter": true, "MaxRetryAfter": 1000000000, "MayDuplicate": false, "Peers": false}
  }}`
 
-// writeConfiguration writes a front's instance configuration and, in a fleet, its operator's file. It draws the front's seed.
+// writeConfiguration writes a front's instance configuration, with a random seed. With a fleet it also writes the front's operator
+// file.
 func (h *Harness) writeConfiguration(f *Front) error {
 	if err := os.MkdirAll(f.dir, 0o700); err != nil {
 		return err
@@ -45,6 +47,7 @@
 	return os.WriteFile(f.operatorConfigPath(), []byte(forms), 0o600)
 }
 
+// instanceConfig returns the text of a front's instance configuration.
 func (h *Harness) instanceConfig(f *Front, seed uint64) string {
 	discovery, window := "push", int64(2e9)
 	if h.Script.Poll {
@@ -57,6 +60,7 @@
 		string(rune('a'+f.index%3)), len(h.fronts), f.index, discovery, window)
 }
 
+// fleetForm returns the fleet form of a front's operator file. Other fronts are reached through the fault proxies.
 func (h *Harness) fleetForm(f *Front) string {
 	var form strings.Builder
 	fmt.Fprintf(&form, "(fleet (id %q) (listen %q) (lease-duration %v) (plain loopback)\n (control %q) (history %q)\n (voters",
@@ -80,7 +84,8 @@
 	return form.String()
 }
 
-// rolloutForms are the forms of rollouts and of the audit log. The first front collects the audit logs of all others.
+// rolloutForms returns the forms of a front's operator file that configure rollouts and the audit log. The first front collects the
+// audit logs of all others.
 func (h *Harness) rolloutForms(f *Front) string {
 	whenAlone, within, collect := "serve", "", ""
 	if h.Script.Rollouts.StopWhenAlone {
@@ -107,7 +112,8 @@
 func (h *Harness) exportDir() string     { return filepath.Join(h.Dir, "exported") }
 func (h *Harness) collectionDir() string { return filepath.Join(h.Dir, "collected") }
 
-// truncateAudit cuts the end of the last line of a front's audit log off. A front without a log is left as it is.
+// truncateAudit removes the last 20 bytes of a front's newest audit log segment, which is a part of its last line. It does nothing if
+// the front has no audit log yet.
 func (h *Harness) truncateAudit(f *Front) error {
 	names, err := disk.ListSegments(f.auditDir(), f.Name)
 	if err != nil || len(names) == 0 {
@@ -125,7 +131,7 @@
 	return nil
 }
 
-// truncateVoterFile keeps the first quarter of a voter's file.
+// truncateVoterFile truncates a voter's file to a quarter of its size.
 func truncateVoterFile(f *Front) error {
 	b, err := os.ReadFile(f.voterFile())
 	if err != nil {
--- a/lab/processtest/endpointservice.go
+++ b/lab/processtest/endpointservice.go
@@ -9,18 +9,19 @@
 	"time"
 )
 
-// endpointService is a fake of the endpoint service: it counts its calls, changes its list, goes away and serves stale lists.
+// endpointService is a fake endpoint service. It counts its calls. A script can change its list, make it reset all connections, and
+// make it serve stale lists.
 type endpointService struct {
 	server *httptest.Server
 
 	mu      sync.Mutex // guards the fields below
 	entries json.RawMessage
 	index   int64
-	down    bool
-	stale   bool
-	changed chan struct{} // closed at each change
+	down    bool          // resets all connections
+	stale   bool          // serves lists with an older index
+	changed chan struct{} // closed and replaced at each change
 	calls   int
-	watches int // open ones
+	watches int // number of open watches
 }
 
 func startEndpointService(entries json.RawMessage) *endpointService {
@@ -31,16 +32,17 @@
 
 func (s *endpointService) address() string { return s.server.Listener.Addr().String() }
 
-// snapshot is the complete list as one JSON line; with the lock held.
+// snapshot returns the complete list as one JSON line. The caller holds s.mu.
 func (s *endpointService) snapshot() []byte {
 	index := s.index
 	if s.stale {
 		index -= 5
 	}
-	b, _ := json.Marshal(map[string]any{"index": index, "snapshot": true, "endpoints": s.entries}) // entries were valid JSON
+	b, _ := json.Marshal(map[string]any{"index": index, "snapshot": true, "endpoints": s.entries}) // cannot fail: the entries are valid JSON
 	return append(b, '\n')
 }
 
+// serve answers a request with the list, and keeps the response open if the request asks for a watch.
 func (s *endpointService) serve(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	s.calls++
@@ -58,7 +60,8 @@
 	s.serveWatch(w, r)
 }
 
-// serveWatch writes the list at each change and an empty line twice a second, until the client or the service goes away.
+// serveWatch writes the list at each change, and an empty line twice a second as a heartbeat. It returns when the client closes the
+// connection, and aborts the response when the service goes down.
 func (s *endpointService) serveWatch(w http.ResponseWriter, r *http.Request) {
 	for {
 		w.(http.Flusher).Flush()
@@ -94,7 +97,7 @@
 	}
 }
 
-// resetConnection closes the request's connection with a reset in place of an answer.
+// resetConnection resets the request's TCP connection instead of answering.
 func resetConnection(w http.ResponseWriter) {
 	hijacker, ok := w.(http.Hijacker)
 	if !ok {
@@ -104,11 +107,11 @@
 	if err != nil {
 		return
 	}
-	_ = c.(*net.TCPConn).SetLinger(0) // the connection ends one way or the other
+	_ = c.(*net.TCPConn).SetLinger(0) // without this the connection closes normally, which is acceptable too
 	_ = c.Close()
 }
 
-// set changes what the service does, and wakes all watches.
+// set applies a change to the service's state under the lock and wakes all watches.
 func (s *endpointService) set(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/lab/processtest/harness.go
+++ b/lab/processtest/harness.go
@@ -1,10 +1,11 @@
-// Package processtest is the process test harness: it starts several processes of the built program with fake servers, an endpoint
-// service and clients on loopback, puts a fault proxy on every link between two fronts, injects the faults that a script names, and
-// checks the histories, statuses, audit logs and answers against the invariants of a fleet.
+// Package processtest is a fault-injection test harness for a fleet of real processes. It starts several processes of the built
+// program, fake servers, a fake endpoint service and clients, all on loopback. Every link between two fronts passes through a fault
+// proxy. The harness injects the faults that a script lists. Then it checks the histories, statuses, audit logs and answers against
+// the invariants of a fleet.
 //
-// A Harness owns all that it starts: processes, proxies, fake servers and the block of ports; Run stops them before it returns.
-// Everything that a script leaves to chance is drawn from one random source, from the goroutine that plays the steps: a script and a
-// seed give the same faults each time. For tests and measurements only.
+// A Harness owns everything that it starts: processes, proxies, fake servers and a block of ports. Run stops all of it before it
+// returns. Every random choice comes from one random source, which only the goroutine that runs the steps uses. So the same script
+// and seed inject the same faults each time. The package is for tests and measurements only.
 package processtest
 
 import (
@@ -20,36 +21,36 @@
 	"time"
 )
 
-// Harness runs one script. Script, Seed, Program and Dir are to be set before Run; it runs once.
+// Harness runs one script. The caller sets Script, Seed, Program and Dir before Run, and calls Run only once.
 type Harness struct {
 	Script  *Script
 	Seed    uint64
-	Program string    // the built dapplerouter
-	Dir     string    // for configurations, histories, audit logs and the processes' logs
-	Out     io.Writer // progress, line by line; nil for none
+	Program string    // path of the built dapplerouter
+	Dir     string    // directory for configurations, histories, audit logs and the processes' logs
+	Out     io.Writer // receives progress lines; nil discards them
 
 	backends
 	fronts     []*Front
 	network    network
 	ports      portBlock
-	rnd        *rand.Rand // only for the goroutine of Run
+	rnd        *rand.Rand // used only by the goroutine of Run
 	started    time.Time
-	background sync.WaitGroup // ends of faults and operators' commands
+	background sync.WaitGroup // delayed ends of faults, and operator commands
 
-	mu       sync.Mutex // guards Out, and expected.unmet and expected.mustVersions
+	mu       sync.Mutex // guards Out, expected.unmet and expected.mandatoryVersions
 	expected expectations
 }
 
-// expectations are what the steps of a script require of the run.
+// expectations holds what the steps of a script require of the run.
 type expectations struct {
-	mustVersions    []uint64 // published with "must", and give a group up
-	mustHalt        []string // voters whose disks lost something
-	unmet           []string // what a step expected and did not find
-	truncatedAudits int      // audit logs whose last line was truncated
+	mandatoryVersions []uint64 // versions that were published as mandatory and give up a server group
+	mustHalt          []string // names of voters whose disks lost state
+	unmet             []string // messages about expectations of steps that were not met
+	truncatedAudits   int      // number of audit logs whose last line was truncated
 }
 
-// Run plays the script and checks what came of it. The error is that of a harness that could not be set up, or of a step that could
-// not be carried out; invariants that did not hold are in the result.
+// Run runs the script and checks the outcome. It returns an error if the harness could not be set up or a step could not be carried
+// out. Violated invariants are not errors: the result lists them.
 func (h *Harness) Run() (*Result, error) {
 	h.rnd = rand.New(rand.NewPCG(h.Seed, 5))
 	if h.Out == nil {
@@ -66,7 +67,7 @@
 	o := observations{began: time.Now()}
 	callsBefore, probesBefore, cpuBefore := h.endpoints.callCount(), h.servers.HealthChecks.Load(), h.cpuTime()
 	clients := h.startClients(h.Script.Clients)
-	if err := h.playSteps(o.began); err != nil {
+	if err := h.runSteps(o.began); err != nil {
 		return nil, err
 	}
 	h.background.Wait()
@@ -77,7 +78,7 @@
 	o.statuses = h.statuses()
 	o.usage.ResidentKiB, o.usage.Watches = h.residentMemory(), h.endpoints.watchCount()
 	if !h.Script.WithoutFleet {
-		time.Sleep(50 * time.Millisecond) // for histories to be written
+		time.Sleep(50 * time.Millisecond) // lets the fronts write their histories
 	}
 	h.stopFronts()
 	var err error
@@ -87,7 +88,7 @@
 	return h.check(o), nil
 }
 
-// startFronts starts all fronts and the proxies between them, and waits until they serve.
+// startFronts starts all fronts and the proxies between them, and waits until all fronts serve clients.
 func (h *Harness) startFronts() error {
 	if err := h.ports.reserve(h.Seed); err != nil {
 		return err
@@ -114,11 +115,11 @@
 			return err
 		}
 	}
-	return h.waitUntilReady(readyLimit)
+	return h.waitUntilReady(readyTimeout)
 }
 
-// playSteps carries the steps out, each at its time, and waits for the end of the script.
-func (h *Harness) playSteps(began time.Time) error {
+// runSteps carries out each step at its time, and returns at the end of the script's duration.
+func (h *Harness) runSteps(began time.Time) error {
 	steps := slices.Clone(h.Script.Steps)
 	slices.SortStableFunc(steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
 	for _, s := range steps {
@@ -131,22 +132,22 @@
 	return nil
 }
 
-// logf writes a line of progress about a front, or "-" for none.
+// logf writes a progress line about a front; "-" stands for no particular front.
 func (h *Harness) logf(front, format string, args ...any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_, _ = fmt.Fprintf(h.Out, "%8.3fs  %-4s %s\n", time.Since(h.started).Seconds(), front, fmt.Sprintf(format, args...)) // progress only
 }
 
-// tearDown stops all that was started, also by a run that failed half way.
+// tearDown stops everything that was started. It also works after a run that failed during its setup.
 func (h *Harness) tearDown() {
 	h.ports.release()
 	h.stopFronts()
 	h.stopBackends()
 }
 
-// stopFronts ends every process, waits for it, and stops the proxies. With audit logs the processes are asked to terminate first, so
-// that they write the rest of them.
+// stopFronts kills every front's process, waits until it has exited, and stops the proxies. With audit logs the processes receive
+// SIGTERM first, so that they can write the remaining audit lines.
 func (h *Harness) stopFronts() {
 	if h.Script.Rollouts.Enabled() {
 		for _, f := range h.fronts {
--- a/lab/processtest/harness_test.go
+++ b/lab/processtest/harness_test.go
@@ -23,13 +23,13 @@
 	return path
 }
 
-// TestScripts runs every script once, four at a time.
+// TestScripts runs every script once, up to four at a time.
 func TestScripts(t *testing.T) {
 	if testing.Short() {
-		t.Skip("it starts processes")
+		t.Skip("starts processes")
 	}
-	if raceOn {
-		t.Skip("the processes run without the race detector: the test without it is the same")
+	if raceEnabled {
+		t.Skip("the processes are built without the race detector, so a run with it tests nothing more")
 	}
 	built := buildProgram(t)
 	scripts, err := filepath.Glob("../scripts/*.sexp")
@@ -62,7 +62,7 @@
 	return fleet.HistoryEntry{At: at, Front: front, Incarnation: 1, Kind: kind, Lease: "list", Term: term, Since: since, Until: until}
 }
 
-// The checks must be able to fail: histories that are wrong, each in its own way.
+// Each faulty history violates one invariant, and the checks must report it.
 func TestChecksFindFaultyHistories(t *testing.T) {
 	good := []fleet.HistoryEntry{leaseEntry(10, "n1", "held", 1, 5, 100), leaseEntry(50, "n1", "kept", 1, 45, 145), leaseEntry(150, "n2", "held", 2, 140, 240)}
 	for name, x := range map[string]struct {
@@ -89,7 +89,7 @@
 
 func TestChecksFindUnmetExpectations(t *testing.T) {
 	h := &Harness{Script: &Script{}, expected: expectations{mustHalt: []string{"n1"}, unmet: []string{"n2 should have no leader"}}}
-	r := h.check(observations{began: time.Now(), unsettled: "nobody holds list"})
+	r := h.check(observations{began: time.Now(), unsettled: "no front holds list"})
 	assert.Len(t, r.Violations, 3)
 }
 
--- a/lab/processtest/history.go
+++ b/lab/processtest/history.go
@@ -13,7 +13,7 @@
 
 const historyFileName = "history.jsonl"
 
-// Kinds of entries in the fronts' histories that the checks read; packages fleet and fleet/agent write them.
+// Kinds of entries in the fronts' histories that the checks read. Packages fleet and fleet/agent write them.
 const (
 	leaseAcquired     = "held"
 	leaseRenewed      = "kept"
@@ -22,19 +22,20 @@
 	broadcastReceived = "came"
 	voterHalted       = "keeper halted"
 	versionAdopted    = "adopted"
-	versionInForce    = "acts" // all requests in flight are of this version
+	versionInForce    = "acts" // all requests in flight use this version
 	standbyBegan      = "stands by"
 	standbyEnded      = "acts again"
 	rolloutChanged    = "turned"
 )
 
-// Phases of a rollout in entries of kind rolloutChanged.
+// Rollout phases in entries of kind rolloutChanged.
 const (
 	phaseSteady      = "steady"
 	phaseRollingBack = "going back"
 )
 
-// readHistories reads the histories of all fronts below a directory, ordered by time. Lines that a kill has truncated are passed over.
+// readHistories reads the histories of all fronts in the subdirectories of dir and returns their entries ordered by time. It skips
+// lines that were truncated when a process was killed.
 func readHistories(dir string) (all []fleet.HistoryEntry, err error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -43,7 +44,7 @@
 	for _, e := range entries {
 		f, err := os.Open(filepath.Join(dir, e.Name(), historyFileName))
 		if err != nil {
-			continue // not a front's directory, or a front without a fleet
+			continue // not the directory of a front, or the fronts form no fleet
 		}
 		for in := bufio.NewScanner(f); in.Scan(); {
 			var entry fleet.HistoryEntry
@@ -51,7 +52,7 @@
 				all = append(all, entry)
 			}
 		}
-		_ = f.Close() // it was only read
+		_ = f.Close() // opened only for reading
 	}
 	slices.SortStableFunc(all, func(a, b fleet.HistoryEntry) int { return cmp.Compare(a.At, b.At) })
 	return all, nil
--- a/lab/processtest/network.go
+++ b/lab/processtest/network.go
@@ -9,15 +9,15 @@
 	"dapplerouter/testsupport/faultproxy"
 )
 
-// link is the pair of indexes of the front that dials and the one that is dialled.
+// link identifies a connection between two fronts by the index of the front that dials and the index of the front that accepts.
 type link struct{ from, to int }
 
-// network is the fault proxies, one for each ordered pair of fronts.
+// network holds one fault proxy for each ordered pair of fronts.
 type network struct {
 	proxies map[link]*faultproxy.Proxy
 }
 
-// startNetwork starts a proxy for each pair; on an error those that run are stopped.
+// startNetwork starts a proxy for each ordered pair of fronts. If one fails to start, it stops the others.
 func startNetwork(fronts []*Front, seed uint64) (network, error) {
 	n := network{proxies: map[link]*faultproxy.Proxy{}}
 	for i := range fronts {
@@ -36,11 +36,12 @@
 	return n, nil
 }
 
-// address is where a front dials another one.
+// address returns the proxy address at which one front dials another. Both are given by index.
 func (n *network) address(from, to int) string { return n.proxies[link{from, to}].Address() }
 
-// set gives new conditions to the bytes that go from a front to another one, whichever of them dialled, where affects says so.
-func (n *network) set(affects func(from, to int) bool, conditions faultproxy.Conditions) {
+// setConditions applies conditions to the traffic from one front to another wherever affects returns true for the two indexes. It
+// covers both connections between the two fronts, regardless of which of them dialled.
+func (n *network) setConditions(affects func(from, to int) bool, conditions faultproxy.Conditions) {
 	for l, p := range n.proxies {
 		if affects(l.from, l.to) {
 			p.SetConditions(faultproxy.ToTarget, conditions)
@@ -51,7 +52,7 @@
 	}
 }
 
-// reset closes all connections, in a fixed order.
+// reset resets all connections, in a fixed order.
 func (n *network) reset() {
 	byPair := func(a, b link) int { return cmp.Or(a.from-b.from, a.to-b.to) }
 	for _, l := range slices.SortedFunc(maps.Keys(n.proxies), byPair) {
--- a/lab/processtest/norace_test.go
+++ b/lab/processtest/norace_test.go
@@ -2,4 +2,4 @@
 
 package processtest
 
-const raceOn = false
+const raceEnabled = false
--- a/lab/processtest/parse.go
+++ b/lab/processtest/parse.go
@@ -11,14 +11,14 @@
 	"dapplerouter/config"
 )
 
-// The form of a script, and that of earlier ones.
+// Names of a script's top-level form: the present one, and the deprecated one that Parse still accepts.
 const (
-	formName    = "process-test"
-	oldFormName = "rig"
+	formName           = "process-test"
+	deprecatedFormName = "rig"
 )
 
-// oldNames are the words of earlier scripts, with those that replace them. They are read as before.
-var oldNames = struct{ settings, steps, selectors map[string]string }{
+// deprecatedNames maps deprecated names to the names that replaced them. Parse still accepts the deprecated names.
+var deprecatedNames = struct{ settings, steps, selectors map[string]string }{
 	settings: map[string]string{"keepers": "voters", "members": "servers", "span": "lease-duration", "alone": "without-fleet", "ask": "poll", "versions": "rollouts"},
 	steps: map[string]string{
 		"stop": "pause", "end": "terminate", "cut": "partition", "one-way": "partition-one-way", "apart": "isolate",
@@ -30,10 +30,10 @@
 	selectors: map[string]string{"giver": selectLeader, "keeper": selectVoter, "holder": selectLeaseholder, "new": selectNewest},
 }
 
-// present gives the present word for one that may be an earlier script's.
-func present(name string, old map[string]string) string { return cmp.Or(old[name], name) }
+// currentName returns the currentName name for a name that may be deprecated.
+func currentName(name string, old map[string]string) string { return cmp.Or(old[name], name) }
 
-// Load reads a script from a file.
+// Load reads and parses a script file.
 func Load(path string) (*Script, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -42,23 +42,24 @@
 	return Parse(path, text)
 }
 
-// Parse reads a script:
+// Parse parses the text of a script. Name is the file name for error messages. An example:
 //
 //	(process-test (fronts 5) (voters 3) (servers 3) (clients 4) (lease-duration 1s) (for 12s)
 //	  (at 3s (pause leaseholder:list 2500ms))
 //	  (at 6s (kill n2 1s)))
 //
-// The steps are those of stepKinds. The error is a config.ErrorList, each with its position and a remedy.
+// stepKinds lists the steps. An error is a config.ErrorList, whose elements each have a position and a remedy.
 func Parse(name string, text []byte) (*Script, error) {
 	f, err := config.Parse(name, text)
 	if err != nil {
 		return nil, err
 	}
 	d := f.NewDecoder()
-	forms := d.Forms(formName, oldFormName)
-	form := cmp.Or(forms[formName], forms[oldFormName])
+	forms := d.Forms(formName, deprecatedFormName)
+	form := cmp.Or(forms[formName], forms[deprecatedFormName])
 	if form == nil {
-		d.Errorf(config.Position{File: name, Line: 1, Column: 1}, "(process-test (fronts 5) ... (at 3s (pause n1 2s)))", "the file has no form %s", formName)
+		d.Errorf(config.Position{File: name, Line: 1, Column: 1}, "(process-test (fronts 5) ... (at 3s (pause n1 2s)))",
+			"the file does not contain the form %s", formName)
 		return nil, d.Err()
 	}
 	s := &Script{Name: name, Fronts: 5, Voters: 3, Servers: 3, Clients: 4, LeaseDuration: time.Second, Duration: 10 * time.Second}
@@ -66,13 +67,15 @@
 		s.parseSetting(g)
 	}
 	if s.Voters > s.Fronts || s.Voters%2 == 0 {
-		form.Errorf(form.Position, "(voters 3), and as many (fronts ...) at least", "%d voters of %d fronts", s.Voters, s.Fronts)
+		form.Errorf(form.Position, "(voters 3), and at least as many (fronts ...)",
+			"%d voters and %d fronts: the number of voters must be odd and not exceed the number of fronts", s.Voters, s.Fronts)
 	}
 	return s, d.Err()
 }
 
+// parseSetting parses one setting of the script, or the steps of one time.
 func (s *Script) parseSetting(g *config.Form) {
-	switch present(g.Name, oldNames.settings) {
+	switch currentName(g.Name, deprecatedNames.settings) {
 	case "fronts":
 		parseCount(g, &s.Fronts, 60)
 	case "voters":
@@ -95,19 +98,21 @@
 		s.parseSteps(g)
 	default:
 		g.Errorf(g.Position, "known are fronts, voters, servers, clients, lease-duration, for, without-fleet, poll, rollouts, at",
-			"a process test has no %s", g.Name)
+			"unknown setting %s", g.Name)
 	}
 }
 
+// parseCount parses a form whose value is a whole number from 0 to limit.
 func parseCount(g *config.Form, to *int, limit int) {
 	w, ok := g.Value()
 	n, err := strconv.Atoi(w.Name)
 	if ok && (err != nil || n < 0 || n > limit) {
-		g.Errorf(w.Position, fmt.Sprintf("a whole number up to %d", limit), "%s is no count of %s", w.Name, g.Name)
+		g.Errorf(w.Position, fmt.Sprintf("a whole number up to %d", limit), "%s is not a valid number of %s", w.Name, g.Name)
 	}
 	*to = n
 }
 
+// parse parses the form (rollouts CONFIG-LEASE [stop] [differ] [within DURATION]).
 func (r *Rollouts) parse(g *config.Form) {
 	within := false
 	for _, w := range g.Atoms() {
@@ -119,7 +124,7 @@
 		case w.Name == "differ":
 			r.DifferingLimits = true
 		case err != nil || d <= 0:
-			g.Errorf(w.Position, "(rollouts 4s [stop] [differ] [within 9s])", "%s is no configuration lease", w.Name)
+			g.Errorf(w.Position, "(rollouts 4s [stop] [differ] [within 9s])", "%s is neither a duration nor an option of rollouts", w.Name)
 		case within:
 			r.Within, within = d, false
 		default:
@@ -128,7 +133,7 @@
 	}
 }
 
-// parseSteps reads the steps of one time: (at 3s STEP ...).
+// parseSteps parses the form (at TIME STEP ...), whose steps all begin at one time.
 func (s *Script) parseSteps(g *config.Form) {
 	w, ok := g.TakeName()
 	if !ok {
@@ -136,18 +141,19 @@
 	}
 	at, err := time.ParseDuration(w.Name)
 	if err != nil || at < 0 {
-		g.Errorf(w.Position, "a time as in 3s or 250ms", "%s is no time", w.Name)
+		g.Errorf(w.Position, "a time as in 3s or 250ms", "%s is not a valid time", w.Name)
 	}
 	for _, x := range g.Subforms() {
 		s.Steps = append(s.Steps, s.parseStep(x, at))
 	}
 }
 
+// parseStep parses one step, which begins at the given time.
 func (s *Script) parseStep(x *config.Form, at time.Duration) Step {
-	step := Step{At: at, Kind: present(x.Name, oldNames.steps), Position: x.Position}
+	step := Step{At: at, Kind: currentName(x.Name, deprecatedNames.steps), Position: x.Position}
 	kind, ok := stepKinds[step.Kind]
 	if !ok {
-		x.Errorf(x.Position, "known are "+strings.Join(sortedKeys(stepKinds), " "), "there is no step %s", x.Name)
+		x.Errorf(x.Position, "known are "+strings.Join(sortedKeys(stepKinds), " "), "unknown step %s", x.Name)
 		return step
 	}
 	switch step.Kind {
@@ -177,7 +183,7 @@
 		}
 		d, err := time.ParseDuration(w.Name)
 		if err != nil || d <= 0 {
-			x.Errorf(w.Position, kind.help, "%s is no time", w.Name)
+			x.Errorf(w.Position, kind.help, "%s is not a valid duration", w.Name)
 		}
 		step.Durations = append(step.Durations, d)
 	}
@@ -187,7 +193,7 @@
 	return step
 }
 
-// parseSelector reads a front's name or its part: n1, leaseholder:list, leader, voter, follower, newest, any.
+// parseSelector parses a front's name, as n1, or a role: leaseholder:LEASE, leader, voter, follower, newest or any.
 func (s *Script) parseSelector(x *config.Form, w config.Atom) FrontSelector {
 	for i := range s.Fronts {
 		if w.Name == frontName(i) {
@@ -195,7 +201,7 @@
 		}
 	}
 	name, lease, hasLease := strings.Cut(w.Name, ":")
-	switch name = present(name, oldNames.selectors); name {
+	switch name = currentName(name, deprecatedNames.selectors); name {
 	case selectLeaseholder:
 		if lease != "" {
 			return FrontSelector{Name: name, Lease: lease}
@@ -206,6 +212,6 @@
 		}
 	}
 	x.Errorf(w.Position, "n1 to n"+strconv.Itoa(s.Fronts)+", leaseholder:LEASE, leader, voter, follower, newest (on the newest version) or any",
-		"%s is no front", w.Name)
+		"%s does not select a front", w.Name)
 	return FrontSelector{Name: selectAny}
 }
--- a/lab/processtest/parse_test.go
+++ b/lab/processtest/parse_test.go
@@ -13,19 +13,19 @@
 
 func TestScriptErrorsNameTheirPosition(t *testing.T) {
 	for text, want := range map[string]string{
-		"(process-test (at 3s (stap n1 1s)))":            "x:1:22: there is no step stap; known are",
-		"(process-test (at 3s (pause n9 1s)))":           "x:1:29: n9 is no front",
-		"(process-test (at 3s (pause leaseholder 1s)))":  "x:1:29: leaseholder is no front",
-		"(process-test (at 3s (pause leader:list 1s)))":  "x:1:29: leader:list is no front",
-		"(process-test (at soon (pause n1 1s)))":         "x:1:19: soon is no time",
+		"(process-test (at 3s (stap n1 1s)))":            "x:1:22: unknown step stap; known are",
+		"(process-test (at 3s (pause n9 1s)))":           "x:1:29: n9 does not select a front",
+		"(process-test (at 3s (pause leaseholder 1s)))":  "x:1:29: leaseholder does not select a front",
+		"(process-test (at 3s (pause leader:list 1s)))":  "x:1:29: leader:list does not select a front",
+		"(process-test (at soon (pause n1 1s)))":         "x:1:19: soon is not a valid time",
 		"(process-test (at 3s (pause n1)))":              "x:1:22: pause is incomplete; (pause FRONT FOR)",
 		"(process-test (at 3s (transfer)))":              "x:1:22: transfer is incomplete; (transfer LEASE)",
 		"(process-test (at 3s (publish window)))":        "x:1:22: publish is incomplete; (publish",
-		"(process-test (fronts 2) (voters 3))":           "x:1:1: 3 voters of 2 fronts",
-		"(process-test (frants 2))":                      "x:1:15: a process test has no frants",
+		"(process-test (fronts 2) (voters 3))":           "x:1:1: 3 voters and 2 fronts",
+		"(process-test (frants 2))":                      "x:1:15: unknown setting frants",
 		"(fronts 3)":                                     "fronts",
 		"(process-test (at 1s (pause n1 1s) (kill n1)))": "x:1:36: kill is incomplete",
-		"(rig (at 3s (stop n9 1s)))":                     "x:1:19: n9 is no front",
+		"(rig (at 3s (stop n9 1s)))":                     "x:1:19: n9 does not select a front",
 		"(rig (at 3s (stop n1)))":                        "x:1:13: stop is incomplete; (pause FRONT FOR)",
 	} {
 		_, err := Parse("x", []byte(text))
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestWordsOfEarlierScriptsAreStillRead(t *testing.T) {
+func TestDeprecatedScriptNamesAreAccepted(t *testing.T) {
 	read := func(name string) (*Script, string) {
 		text, err := os.ReadFile("testdata/" + name)
 		require.NoError(t, err)
@@ -50,22 +50,22 @@
 	earlier, earlierText := read("earlier-words.sexp")
 	present, _ := read("present-words.sexp")
 	assert.Equal(t, present, earlier)
-	for _, words := range []map[string]string{{oldFormName: formName}, oldNames.settings, oldNames.steps} {
+	for _, words := range []map[string]string{{deprecatedFormName: formName}, deprecatedNames.settings, deprecatedNames.steps} {
 		for word := range words {
-			assert.Contains(t, earlierText, "("+word, "the earlier script lacks a word")
+			assert.Contains(t, earlierText, "("+word, "the script with deprecated names lacks one")
 		}
 	}
-	for word := range oldNames.selectors {
-		assert.Contains(t, earlierText, " "+word, "the earlier script lacks a word")
+	for word := range deprecatedNames.selectors {
+		assert.Contains(t, earlierText, " "+word, "the script with deprecated names lacks one")
 	}
 	kinds := map[string]bool{}
 	for _, s := range present.Steps {
 		kinds[s.Kind] = true
 	}
 	for kind := range stepKinds {
-		assert.True(t, kinds[kind], "the scripts lack a %s", kind)
+		assert.True(t, kinds[kind], "the scripts lack the step %s", kind)
 	}
-	assert.False(t, strings.Contains(earlierText, formName+" "), "the earlier script has the earlier form")
+	assert.False(t, strings.Contains(earlierText, formName+" "), "the script with deprecated names uses the deprecated form")
 }
 
 func TestScriptsPageNamesEveryStep(t *testing.T) {
--- a/lab/processtest/ports.go
+++ b/lab/processtest/ports.go
@@ -8,28 +8,28 @@
 	"syscall"
 )
 
-// The blocks of ports lie below the range from which the kernel gives ports to those who dial: a front that is down for a while finds
-// its own ports free again, though harnesses run side by side. Who listens at a block's first port has the block.
+// The blockCount of ports lie below the kernel's range of ephemeral ports. So a front that restarts finds its own ports still free, even
+// when several harnesses run on the machine. A harness reserves a block by listening on the block's first port.
 const (
-	firstPort  = 12000
-	blockPorts = 200
-	blocks     = 100
+	firstPort     = 12000
+	portsPerBlock = 200
+	blockCount    = 100
 )
 
 var errNoPorts = errors.New("all ports of the block are used")
 
-// portBlock is a harness's own range of ports.
+// portBlock is a range of ports that one harness has reserved.
 type portBlock struct {
-	lock net.Listener // at the block's first port
-	base int
-	used int // ports tried so far
+	lock net.Listener // on the block's first port
+	base int          // the block's first port
+	used int          // number of ports tried so far
 }
 
-// reserve takes the first free block from one that depends on the seed and the process.
+// reserve reserves the first free block. The search starts at a block that depends on the seed and the process ID.
 func (p *portBlock) reserve(seed uint64) (err error) {
-	start := int(seed%blocks*7) + os.Getpid()
-	for i := range blocks {
-		p.base = firstPort + (start+i)%blocks*blockPorts
+	start := int(seed%blockCount*7) + os.Getpid()
+	for i := range blockCount {
+		p.base = firstPort + (start+i)%blockCount*portsPerBlock
 		if p.lock, err = net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", p.base)); err == nil {
 			return nil
 		}
@@ -37,10 +37,11 @@
 	return fmt.Errorf("no block of ports is free: %w", err)
 }
 
-// take gives n addresses of free ports of the block; none is given twice.
+// take returns the addresses of n free ports of the block. It never returns the same port twice. It returns errNoPorts if the block has
+// too few free ports left.
 func (p *portBlock) take(n int) (addresses []string, err error) {
 	for len(addresses) < n {
-		if p.used++; p.used >= blockPorts {
+		if p.used++; p.used >= portsPerBlock {
 			return nil, errNoPorts
 		}
 		l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", p.base+p.used))
@@ -58,9 +59,9 @@
 	return addresses, nil
 }
 
-// release lets other harnesses have the block.
+// release makes the block available to other harnesses.
 func (p *portBlock) release() {
 	if p.lock != nil {
-		_ = p.lock.Close() // nobody was accepted
+		_ = p.lock.Close() // no connection was ever accepted
 	}
 }
--- a/lab/processtest/process.go
+++ b/lab/processtest/process.go
@@ -16,12 +16,13 @@
 	"dapplerouter/testsupport/fakeserver"
 )
 
-// Front is one front of the fleet under test: its files and, one after the other, its processes.
+// Front is one front of the fleet under test. It has one directory for its files, and at most one running process: a restart
+// replaces the process.
 type Front struct {
 	Name          string
 	index         int
 	clientAddress string
-	meshAddress   string // where it listens itself; others dial its proxies
+	meshAddress   string // where its mesh listens; the other fronts dial fault proxies that lead to this address
 	dir           string
 	voter         bool
 
@@ -29,21 +30,21 @@
 	cmd     *exec.Cmd
 	exited  chan struct{} // closed once the process cmd has been waited for
 	paused  bool
-	uptimes []interval // of its processes; the last one is open while a process runs
-	pauses  []interval // in which a process was stopped by a signal
+	uptimes []interval // lifetimes of its processes; the last one is open while a process runs
+	pauses  []interval // times in which SIGSTOP suspended the process
 }
 
-// interval is a time span; a zero end means that it has not ended.
+// interval is a time span. A zero end means that it is still open.
 type interval struct{ from, to time.Time }
 
 func (i interval) ended() bool { return !i.to.IsZero() }
 
-// start starts a front's process; its output is appended to its log.
+// start starts a front's process. The process's output is appended to the front's log file.
 func (h *Harness) start(f *Front) error {
 	return h.startWith(f, nil)
 }
 
-// startWith starts a front's process with further environment variables.
+// startWith starts a front's process with additional environment variables.
 func (h *Harness) startWith(f *Front, env []string) error {
 	log, err := os.OpenFile(filepath.Join(f.dir, "log"), os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o600)
 	if err != nil {
@@ -63,7 +64,7 @@
 	f.cmd, f.exited, f.paused = cmd, make(chan struct{}), false
 	f.uptimes = append(f.uptimes, interval{from: time.Now()})
 	go func(exited chan struct{}) {
-		_ = cmd.Wait() // most processes end by a signal of the script
+		_ = cmd.Wait() // the error is expected: a signal from the script ends most processes
 		f.mu.Lock()
 		f.uptimes[len(f.uptimes)-1].to = time.Now()
 		f.mu.Unlock()
@@ -72,22 +73,23 @@
 	return nil
 }
 
-// runs reports whether the front's process is up and not paused.
-func (f *Front) runs() bool {
+// isRunning reports whether the front's process is running and not paused.
+func (f *Front) isRunning() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.cmd != nil && !f.paused && !f.uptimes[len(f.uptimes)-1].ended()
 }
 
-// signal sends a signal to the front's process if it has one.
+// signal sends a signal to the front's process if one is running.
 func (f *Front) signal(s os.Signal) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.cmd != nil && !f.uptimes[len(f.uptimes)-1].ended() {
-		_ = f.cmd.Process.Signal(s) // the process may have exited just now
+		_ = f.cmd.Process.Signal(s) // fails only if the process has just exited
 	}
 }
 
+// pause suspends the front's process with SIGSTOP and records the start of the pause.
 func (f *Front) pause() {
 	f.signal(syscall.SIGSTOP)
 	f.mu.Lock()
@@ -96,6 +98,7 @@
 	f.pauses = append(f.pauses, interval{from: time.Now()})
 }
 
+// resume records the end of the pause and continues the front's process with SIGCONT.
 func (f *Front) resume() {
 	f.mu.Lock()
 	f.paused = false
@@ -104,19 +107,20 @@
 	f.signal(syscall.SIGCONT)
 }
 
-// pid is that of the front's last process.
+// pid returns the process ID of the front's most recent process.
 func (f *Front) pid() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.cmd.Process.Pid
 }
 
-// readyLimit is how long a fleet may take until it serves, on a loaded machine.
-const readyLimit = 20 * time.Second
+// readyTimeout is the timeout for a new fleet to become ready. It allows for a loaded machine.
+const readyTimeout = 20 * time.Second
 
 var errNotReady = errors.New("the fleet is not ready")
 
-// waitUntilReady waits until every front serves a client and, in a fleet, has settled.
+// waitUntilReady waits until every front answers a client's query and, unless the script runs without a fleet, the leases have
+// settled. It returns errNotReady, with what is missing, after the limit.
 func (h *Harness) waitUntilReady(limit time.Duration) error {
 	for deadline := time.Now().Add(limit); ; time.Sleep(20 * time.Millisecond) {
 		missing := h.notServing()
@@ -132,7 +136,7 @@
 	}
 }
 
-// notServing names a front that does not serve clients, "" for none.
+// notServing returns a message about a front that does not serve clients, or "" if all do.
 func (h *Harness) notServing() string {
 	for _, f := range h.fronts {
 		c, err := fakeserver.Dial(f.clientAddress)
@@ -148,34 +152,38 @@
 	return ""
 }
 
-// frontStatus is the part of GET /v1/fleet that the harness reads.
+// frontStatus holds the fields of the GET /v1/fleet response that the harness reads.
 type frontStatus struct {
 	Name, Halted string
 	Leader       string `json:"gives"`
-	Alone        bool   // has no leader
-	Index        uint64 // of the replicated state
+	Alone        bool   // the front has no leader
+	Index        uint64 // log index of the replicated state that the front has applied
 	Fronts       []struct{ Name string }
 	Leases       []leaseStatus `json:"duties"`
 }
 
+// leaseStatus is one lease in a frontStatus.
 type leaseStatus struct {
 	Lease  string `json:"duty"`
 	Holder string
 	Term   uint64
-	Left   float64 `json:"left_s"` // seconds
+	Left   float64 `json:"left_s"` // seconds until it expires
 }
 
+// status asks the front's admin API for its view of the fleet.
 func (f *Front) status() (s frontStatus, err error) {
 	err = adminapi.Call(f.controlSocket(), "GET", "/v1/fleet", nil, &s)
 	return s, err
 }
 
+// rolloutStatus asks the front's admin API for the state of the rollout.
 func (f *Front) rolloutStatus() (s agent.RolloutStatus, err error) {
 	err = adminapi.Call(f.controlSocket(), "GET", "/v1/fleet/roll", nil, &s)
 	return s, err
 }
 
-// residentMemory gives the fronts' resident memory in KiB, sorted. Fronts that have exited are left out.
+// residentMemory returns the resident memory of each front's process in KiB, in ascending order. Processes that have exited are left
+// out.
 func (h *Harness) residentMemory() (all []int) {
 	for _, f := range h.fronts {
 		b, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", f.pid()))
@@ -191,8 +199,8 @@
 	return all
 }
 
-// cpuTime is the processor time that the fronts' processes have used since their starts, all threads. A difference of two calls
-// means something only where no process ended in between.
+// cpuTime returns the CPU time that all threads of the fronts' processes have used since the processes started. The difference
+// between two calls is valid only if no process exited in between.
 func (h *Harness) cpuTime() (sum time.Duration) {
 	for _, f := range h.fronts {
 		tasks, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", f.pid())) // the pattern is well-formed
@@ -200,7 +208,7 @@
 			b, err := os.ReadFile(t)
 			var ns int64
 			if err != nil {
-				continue // the thread has ended
+				continue // the thread has exited
 			}
 			if _, err := fmt.Sscan(string(b), &ns); err == nil {
 				sum += time.Duration(ns)
--- a/lab/processtest/race_test.go
+++ b/lab/processtest/race_test.go
@@ -2,4 +2,4 @@
 
 package processtest
 
-const raceOn = true
+const raceEnabled = true
--- a/lab/processtest/result.go
+++ b/lab/processtest/result.go
@@ -10,30 +10,30 @@
 	"dapplerouter/fleet"
 )
 
-// Result is what came of a run.
+// Result is the outcome of a run.
 type Result struct {
-	Violations []string // of invariants, each with the entries of the history that show it
-	Began      time.Time
+	Violations []string  // violated invariants, with the history entries that show them
+	Began      time.Time // when the script began
 	Requests   Requests
-	Gaps       []Gap                // in leases
-	Rollouts   []RolloutTimes       // by version
-	History    []fleet.HistoryEntry // of all fronts, by time
+	Gaps       []Gap                // times in which a lease had no holder
+	Rollouts   []RolloutTimes       // one for each version
+	History    []fleet.HistoryEntry // entries of all fronts, ordered by time
 	Usage      Usage
-	timeline   []string // a line for each front
+	timeline   []string // one line for each front
 }
 
-// Requests are counts of the clients' requests. Rejected ones have had no effect; unanswered ones lost their connection to a front
-// whose process ended.
+// Requests counts the clients' requests by outcome. Rejected requests have had no effect. Unanswered requests lost their connection to
+// the front before a final answer.
 type Requests struct {
 	Sent, Succeeded, Rejected, Failed, Unanswered int
-	Latencies                                     []time.Duration // of requests that succeeded, sorted
-	PerSecond                                     []Second        // since the script began
+	Latencies                                     []time.Duration // of requests that succeeded, in ascending order
+	PerSecond                                     []Second        // one for each second since the script began
 }
 
-// Second is one second of the clients' requests.
+// Second counts the requests that clients sent in one second, and those of them that succeeded.
 type Second struct{ Sent, Succeeded int }
 
-// Percentile is a percentile of the latencies of requests that succeeded, 0 for none.
+// Percentile returns a percentile of the latencies of requests that succeeded, or 0 if none did.
 func (r *Requests) Percentile(percent int) time.Duration {
 	if len(r.Latencies) == 0 {
 		return 0
@@ -41,35 +41,37 @@
 	return r.Latencies[min(len(r.Latencies)*percent/100, len(r.Latencies)-1)].Round(10 * time.Microsecond)
 }
 
-// Gap is a time in which nobody held a lease.
+// Gap is an interval in which no front held a lease.
 type Gap struct {
 	Lease  string
 	For    time.Duration
 	At     time.Duration // since the script began
-	Reason string        // why the lease before it ended
+	Reason string        // why the previous holder's lease ended
 }
 
-// RolloutTimes are the times of a version's rollout since the first front recorded it; 0 for what did not happen.
+// RolloutTimes holds the times of events in a version's rollout. They count from the moment at which the first front recorded the
+// rollout. A zero time means that the event did not happen.
 type RolloutTimes struct {
 	Version     uint64
-	Adoptions   int // fronts may adopt it again after a restart
-	First, Last time.Duration
+	Adoptions   int           // may exceed the number of fronts: a front may adopt the version again after a restart
+	First, Last time.Duration // first and last adoption
 	InForce     time.Duration
 	RolledBack  time.Duration
 }
 
-// Usage is what the fleet used. Calls, probes and CPU are of the time in which clients sent requests.
+// Usage holds the resources that the fleet used. EndpointCalls, Probes and CPU cover only the time in which clients sent requests.
 type Usage struct {
-	EndpointCalls int   // to the endpoint service
-	Probes        int64 // of servers
-	Watches       int   // of the endpoint service, open at the end
-	ResidentKiB   []int // of each front at the end, sorted
-	CPU           time.Duration
+	EndpointCalls int           // calls to the endpoint service
+	Probes        int64         // health checks of servers
+	Watches       int           // watches of the endpoint service that were open at the end
+	ResidentKiB   []int         // resident memory of each front at the end, in ascending order
+	CPU           time.Duration // CPU time of all fronts
 }
 
+// timelineColumn is the time that one column of the timeline covers.
 const timelineColumn = 250 * time.Millisecond
 
-// timeline draws a line for each front: when it ran, was paused or down, and which leases it held.
+// timeline draws a line for each front that shows when the front ran, was paused or was down, and which leases it held.
 func (c *checker) timeline() (lines []string) {
 	columns := int(c.harness.Script.Duration/timelineColumn) + 1
 	column := func(t time.Time) int { return int(math.Floor(float64(t.Sub(c.began)) / float64(timelineColumn))) }
@@ -105,10 +107,10 @@
 	return lines
 }
 
-// maxPrinted is how many violations are printed.
-const maxPrinted = 20
+// maxPrintedViolations is the maximum number of violations that Print writes.
+const maxPrintedViolations = 20
 
-// Print writes the result for people.
+// Print writes the result as text for human readers.
 func (r *Result) Print(w io.Writer) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "\na column for each %v: - running, . paused, blank is down, a letter for the lease that it holds\n", timelineColumn)
@@ -128,7 +130,7 @@
 		fmt.Fprintf(&b, "result: failed, %d violations\n", len(r.Violations))
 	}
 	for i, v := range r.Violations {
-		if i == maxPrinted {
+		if i == maxPrintedViolations {
 			fmt.Fprintln(&b, "... and more")
 			break
 		}
--- a/lab/processtest/script.go
+++ b/lab/processtest/script.go
@@ -7,7 +7,7 @@
 	"dapplerouter/config"
 )
 
-// Script is a process test: the fleet, how long it runs, and the faults that are injected. See Parse for its text.
+// Script is a process test. It defines the fleet, how long it runs, and the faults that are injected. Parse documents its syntax.
 type Script struct {
 	Name          string
 	Fronts        int
@@ -15,51 +15,52 @@
 	Servers       int
 	Clients       int
 	LeaseDuration time.Duration
-	Duration      time.Duration // from the time at which all fronts serve
-	WithoutFleet  bool          // each front by itself: the baseline of measurements
-	Poll          bool          // the endpoint service is polled in place of watched
+	Duration      time.Duration // counted from the moment at which all fronts serve
+	WithoutFleet  bool          // the fronts form no fleet and each works independently: a baseline for measurements
+	Poll          bool          // the fronts poll the endpoint service instead of watching it
 	Rollouts      Rollouts
 	Steps         []Step
 }
 
-// Rollouts are a script's settings of rollouts and audit logs.
+// Rollouts holds a script's settings for rollouts and audit logs.
 type Rollouts struct {
-	ConfigLease     time.Duration // duration of configuration leases; 0 for no rollouts
-	Within          time.Duration // by which a version has to be in force everywhere; 0 for no limit
-	StopWhenAlone   bool          // fronts without a leader stop at the end of their configuration lease
-	DifferingLimits bool          // fronts of odd index allow a shorter window than the others
+	ConfigLease     time.Duration // duration of configuration leases; 0 disables rollouts
+	Within          time.Duration // time limit for a version to be in force everywhere; 0 means no limit
+	StopWhenAlone   bool          // fronts without a leader stop serving when their configuration lease expires
+	DifferingLimits bool          // fronts with an odd index allow a shorter window than the others
 }
 
 // Enabled reports whether the script has rollouts.
 func (r Rollouts) Enabled() bool { return r.ConfigLease > 0 }
 
-// Step is one fault, operator's command or expectation.
+// Step is one fault, operator command or expectation.
 type Step struct {
 	At        time.Duration // since the script began
-	Kind      string        // of stepKinds
+	Kind      string        // a key of stepKinds
 	Fronts    []FrontSelector
 	Durations []time.Duration
-	Lease     string   // of a transfer
-	Arguments []string // of a publication
+	Lease     string   // the lease to transfer, for stepTransfer
+	Arguments []string // name of the publication and its options, for stepPublish
 	Position  config.Position
 }
 
-// FrontSelector names a front by its name, or by its part in the fleet when the step begins.
+// FrontSelector selects a front by its name, or by its role in the fleet at the time when the step begins.
 type FrontSelector struct {
 	Name  string // n1, ..., or one of the select constants
-	Lease string // of selectLeaseholder
+	Lease string // the lease that the front holds, for selectLeaseholder
 }
 
+// Roles by which a FrontSelector selects a front.
 const (
 	selectLeaseholder = "leaseholder"
 	selectLeader      = "leader"
 	selectVoter       = "voter"
 	selectFollower    = "follower" // neither a voter nor a leaseholder
-	selectNewest      = "newest"   // acts on the version that is being rolled out
+	selectNewest      = "newest"   // a front that acts on the version that is being rolled out
 	selectAny         = "any"
 )
 
-// String names the front for progress lines.
+// String describes the selected front for progress lines.
 func (s FrontSelector) String() string {
 	if s.Lease != "" {
 		return s.Name + " of " + s.Lease
@@ -67,7 +68,7 @@
 	return s.Name
 }
 
-// publications are the rules that a script can publish, by name.
+// publications maps the names that a publish step accepts to the rules that it publishes.
 var publications = map[string]string{
 	"give-up": "(rules (given-up 1))",
 	"window":  "(rules (window book 1500ms))",
@@ -77,4 +78,5 @@
 	"more":    "(rules (window book 900ms) (given-up 2))",
 }
 
+// frontName returns the name of the front with index i, which starts at 0.
 func frontName(i int) string { return "n" + strconv.Itoa(i+1) }
--- a/lab/processtest/settle.go
+++ b/lab/processtest/settle.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// waitUntilSettled lets the fleet settle after the script, and returns what it lacks at the end, "" for nothing.
+// waitUntilSettled waits after the script until the fleet has settled. It returns "" if the fleet settles in time, and otherwise a
+// message that says what is missing.
 func (h *Harness) waitUntilSettled() string {
 	if h.Script.WithoutFleet {
 		return ""
@@ -22,8 +23,8 @@
 	}
 }
 
-// unsettledLeases is what a fleet that has settled has and this one lacks, "" for nothing: every front has a leader and knows all
-// others, and every lease has a holder.
+// unsettledLeases returns "" if every front has a leader and knows all other fronts, and every lease has a holder. Otherwise it
+// returns a message about the first condition that does not hold.
 func (h *Harness) unsettledLeases() string {
 	leases, hasHolder := map[string]bool{}, map[string]bool{}
 	for _, f := range h.fronts {
@@ -47,14 +48,14 @@
 	}
 	for lease := range leases {
 		if !hasHolder[lease] {
-			return "nobody holds " + lease
+			return "no front holds " + lease
 		}
 	}
 	return ""
 }
 
-// unsettledRollout is what a fleet without a rollout on its way has and this one lacks, "" for nothing: every front acts on the
-// version in force.
+// unsettledRollout returns "" if no rollout is in progress and every front acts on the version in force. Otherwise it returns a
+// message about the first condition that does not hold.
 func (h *Harness) unsettledRollout() string {
 	if !h.Script.Rollouts.Enabled() {
 		return ""
@@ -78,7 +79,7 @@
 	return ""
 }
 
-// statuses reads the status of all fronts that answer.
+// statuses returns the status of every front that answers.
 func (h *Harness) statuses() (all []frontStatus) {
 	if h.Script.WithoutFleet {
 		return nil
--- a/lab/processtest/steps.go
+++ b/lab/processtest/steps.go
@@ -13,26 +13,27 @@
 	"dapplerouter/testsupport/faultproxy"
 )
 
-// Steps that take other arguments than fronts and durations.
+// Kinds of steps whose arguments are not only fronts and durations.
 const (
 	stepPublish  = "publish"
 	stepTransfer = "transfer"
 )
 
-// stepKind is a kind of step: its arguments and what it does.
+// stepKind defines a kind of step.
 type stepKind struct {
-	fronts, durations int // that it takes
-	help              string
+	fronts, durations int    // number of arguments of each type
+	help              string // syntax and meaning, as in the README of the scripts
 	run               func(*Harness, runningStep) error
 }
 
-// runningStep is a step whose fronts have been found.
+// runningStep is a step whose front selectors have been resolved.
 type runningStep struct {
 	Step
-	fronts []*Front
-	lasts  time.Duration // the last of its durations
+	fronts         []*Front
+	effectDuration time.Duration // how long its effect effectDuration: the last of Step.Durations
 }
 
+// stepKinds maps the name of each kind of step to its definition.
 var stepKinds = map[string]stepKind{
 	"pause":     {1, 1, "(pause FRONT FOR): SIGSTOP, and SIGCONT later", (*Harness).pauseFront},
 	"kill":      {1, 1, "(kill FRONT FOR): SIGKILL, and a start later", (*Harness).killFront},
@@ -67,7 +68,7 @@
 	"hang-server":      {0, 1, "(hang-server FOR): a replica accepts connections and does not answer", (*Harness).hangServer},
 }
 
-// runStep finds the step's fronts and carries it out. A step whose front is not found in time is passed over.
+// runStep resolves the step's front selectors and carries out the step. It skips the step if a selector matches no front in time.
 func (h *Harness) runStep(s Step) error {
 	running := runningStep{Step: s}
 	for _, selector := range s.Fronts {
@@ -79,12 +80,13 @@
 		running.fronts = append(running.fronts, f)
 	}
 	if n := len(s.Durations); n > 0 {
-		running.lasts = s.Durations[n-1]
+		running.effectDuration = s.Durations[n-1]
 	}
 	h.logStep(running)
 	return stepKinds[s.Kind].run(h, running)
 }
 
+// logStep writes a progress line with the step's kind and arguments.
 func (h *Harness) logStep(s runningStep) {
 	words := append([]string{s.Kind}, s.Arguments...)
 	about := "-"
@@ -101,7 +103,7 @@
 	h.logf(about, "%s", strings.Join(words, " "))
 }
 
-// waitForFront waits up to two lease durations for a front that the selector names, nil for none.
+// waitForFront waits up to two lease durations for a front that matches the selector. It returns nil if there is none.
 func (h *Harness) waitForFront(s FrontSelector) *Front {
 	for deadline := time.Now().Add(2 * h.Script.LeaseDuration); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 		if f := h.selectFront(s); f != nil {
@@ -111,11 +113,11 @@
 	return nil
 }
 
-// selectFront finds the front that a selector names, nil for none just now. It draws among several.
+// selectFront returns a front that matches the selector at present, or nil. If several match, it picks one at random.
 func (h *Harness) selectFront(s FrontSelector) *Front {
 	leaseholders, leader := map[string]bool{}, ""
 	for _, f := range h.fronts {
-		if !f.runs() {
+		if !f.isRunning() {
 			continue
 		}
 		status, err := f.status()
@@ -137,7 +139,7 @@
 		if f.Name == s.Name {
 			return f
 		}
-		if f.runs() && f.matches(s, leader, leaseholders[f.Name]) {
+		if f.isRunning() && f.matches(s, leader, leaseholders[f.Name]) {
 			candidates = append(candidates, f)
 		}
 	}
@@ -147,7 +149,8 @@
 	return candidates[h.rnd.IntN(len(candidates))]
 }
 
-// matches reports whether a running front has the part that a selector names.
+// matches reports whether a running front has the role that the selector names. Leader is the name of the present leader, and
+// leaseholder says whether the front holds a lease.
 func (f *Front) matches(s FrontSelector, leader string, leaseholder bool) bool {
 	switch s.Name {
 	case selectLeader:
@@ -163,7 +166,7 @@
 	return s.Name == selectAny
 }
 
-// after calls a function later; Run waits for it.
+// after calls a function in the background after a delay. Run waits until the call has returned.
 func (h *Harness) after(d time.Duration, call func()) {
 	h.background.Go(func() {
 		time.Sleep(d)
@@ -171,17 +174,19 @@
 	})
 }
 
+// pauseFront suspends a front's process and resumes it later.
 func (h *Harness) pauseFront(s runningStep) error {
 	f := s.fronts[0]
 	f.pause()
-	h.after(s.lasts, func() {
+	h.after(s.effectDuration, func() {
 		f.resume()
 		h.logf(f.Name, "resumes")
 	})
 	return nil
 }
 
-// restart ends a front's process and starts it again later. Either function may be nil.
+// restart ends a front's process with a signal and starts a new one after the step's duration. It calls whileDown once the old
+// process has exited, and afterStart once the new one has been started. Either function may be nil.
 func (h *Harness) restart(s runningStep, signal os.Signal, whileDown, afterStart func(*Front) error) error {
 	f := s.fronts[0]
 	f.signal(signal)
@@ -191,7 +196,7 @@
 			return err
 		}
 	}
-	h.after(s.lasts, func() {
+	h.after(s.effectDuration, func() {
 		h.logf(f.Name, "starts again")
 		err := h.start(f)
 		if err == nil && afterStart != nil {
@@ -215,13 +220,14 @@
 	return h.restart(s, syscall.SIGKILL, h.restoreDisk, nil)
 }
 
+// killAndTruncateDisk kills a voter, truncates its file and starts it again. The voter must halt.
 func (h *Harness) killAndTruncateDisk(s runningStep) error {
 	h.expected.mustHalt = append(h.expected.mustHalt, s.fronts[0].Name)
 	return h.restart(s, syscall.SIGKILL, truncateVoterFile, h.replaceTruncatedDisk)
 }
 
-// replaceTruncatedDisk does what the operator of a voter with an unreadable file does: the process exits by itself, the file is moved
-// away, and the front is started without it under the same name.
+// replaceTruncatedDisk does what an operator does about a voter with an unreadable file. The process exits by itself because it
+// cannot read the file. The file is moved away, and the front is started without it under the same name.
 func (h *Harness) replaceTruncatedDisk(f *Front) error {
 	select {
 	case <-f.exited:
@@ -236,7 +242,8 @@
 	return h.start(f)
 }
 
-// duplicateFront runs a second process of a front's name. After it the operator kills that one, and restarts the first.
+// duplicateFront runs a second process with the name of a running front. After the step's duration it does what an operator would do:
+// it kills the second process and restarts the first.
 func (h *Harness) duplicateFront(s runningStep) error {
 	first := s.fronts[0]
 	addresses, err := h.ports.take(2)
@@ -250,7 +257,7 @@
 	if err := h.startWith(second, []string{"EDGE_LISTEN=" + second.clientAddress}); err != nil {
 		return err
 	}
-	h.after(s.lasts, func() {
+	h.after(s.effectDuration, func() {
 		second.signal(syscall.SIGKILL)
 		<-second.exited
 		first.signal(syscall.SIGTERM)
@@ -262,11 +269,11 @@
 	return nil
 }
 
-// stallLinks stops bytes between fronts while the step lasts.
+// stallLinks holds back all bytes on the affected links for the step's duration.
 func (h *Harness) stallLinks(s runningStep, affects func(from, to int) bool) error {
-	h.network.set(affects, faultproxy.Conditions{Stall: true})
-	h.after(s.lasts, func() {
-		h.network.set(affects, faultproxy.Conditions{})
+	h.network.setConditions(affects, faultproxy.Conditions{Stall: true})
+	h.after(s.effectDuration, func() {
+		h.network.setConditions(affects, faultproxy.Conditions{})
 		h.logf("-", "%s of %s is over", s.Kind, frontNames(s.fronts))
 	})
 	return nil
@@ -305,9 +312,10 @@
 	return h.degradeLinks(s, faultproxy.Conditions{CorruptProbability: 0.05})
 }
 
+// degradeLinks applies conditions to all links for the step's duration.
 func (h *Harness) degradeLinks(s runningStep, conditions faultproxy.Conditions) error {
-	h.network.set(everyLink, conditions)
-	h.after(s.lasts, func() { h.network.set(everyLink, faultproxy.Conditions{}) })
+	h.network.setConditions(everyLink, conditions)
+	h.after(s.effectDuration, func() { h.network.setConditions(everyLink, faultproxy.Conditions{}) })
 	return nil
 }
 
@@ -318,13 +326,13 @@
 
 func (h *Harness) stopEndpointService(s runningStep) error {
 	h.endpoints.set(func() { h.endpoints.down = true })
-	h.after(s.lasts, func() { h.endpoints.set(func() { h.endpoints.down = false }) })
+	h.after(s.effectDuration, func() { h.endpoints.set(func() { h.endpoints.down = false }) })
 	return nil
 }
 
 func (h *Harness) serveStaleEndpoints(s runningStep) error {
 	h.endpoints.set(func() { h.endpoints.stale = true })
-	h.after(s.lasts, func() { h.endpoints.set(func() { h.endpoints.stale = false }) })
+	h.after(s.effectDuration, func() { h.endpoints.set(func() { h.endpoints.stale = false }) })
 	return nil
 }
 
@@ -333,17 +341,18 @@
 	return nil
 }
 
+// hangServer makes the last server, which is a replica, stop answering for the step's duration.
 func (h *Harness) hangServer(s runningStep) error {
 	server := h.servers.Servers[len(h.servers.Servers)-1]
 	server.Hang(true)
-	h.after(s.lasts, func() {
+	h.after(s.effectDuration, func() {
 		server.Hang(false)
 		h.logf("-", "the server answers again")
 	})
 	return nil
 }
 
-// transferLease asks the first front that has a leader to transfer a lease.
+// transferLease asks the first front that has a leader to transfer a lease. It does nothing if no front has a leader.
 func (h *Harness) transferLease(s runningStep) error {
 	for _, f := range h.fronts {
 		if status, err := f.status(); err == nil && !status.Alone {
@@ -358,14 +367,15 @@
 	return nil
 }
 
-// publish publishes rules. Stages are in thousandths of the fleet, or 1 for one front.
+// publish publishes rules through a front that has a leader. The admin API takes each stage in thousandths of the fleet, or as 1 for a
+// single front. A script gives stages in percent.
 func (h *Harness) publish(s runningStep) error {
-	must := false
+	mandatory := false
 	var stages []string
 	for _, w := range s.Arguments[1:] {
 		switch percent, ok := strings.CutSuffix(w, "%"); {
 		case w == "must":
-			must = true
+			mandatory = true
 		case ok:
 			stages = append(stages, percent+"0")
 		default:
@@ -377,23 +387,25 @@
 	}
 	publication := s.Arguments[0]
 	q := url.Values{"do": {"publish"}, "text": {publications[publication]}, "waves": {strings.Join(stages, ",")},
-		"watch": {h.Script.LeaseDuration.String()}, "must": {fmt.Sprint(must)}, "shut_out": {"400"}}
+		"watch": {h.Script.LeaseDuration.String()}, "must": {fmt.Sprint(mandatory)}, "shut_out": {"400"}}
 	h.requestRollout(s, q, func(version uint64) {
-		if publication == "give-up" && must {
+		if publication == "give-up" && mandatory {
 			h.mu.Lock()
 			defer h.mu.Unlock()
-			h.expected.mustVersions = append(h.expected.mustVersions, version)
+			h.expected.mandatoryVersions = append(h.expected.mandatoryVersions, version)
 		}
 	})
 	return nil
 }
 
+// rollBack requests that the rollout in progress be rolled back.
 func (h *Harness) rollBack(s runningStep) error {
 	h.requestRollout(s, url.Values{"do": {"back"}, "why": {"the script"}}, func(uint64) {})
 	return nil
 }
 
-// requestRollout sends an operator's request to the first front that has a leader, and calls succeeded with the version.
+// requestRollout sends an operator's request in the background to the first front that has a leader. It looks for such a front up to
+// 20 times, a quarter of a lease duration apart. If the request succeeds, it calls succeeded with the version in the response.
 func (h *Harness) requestRollout(s runningStep, q url.Values, succeeded func(version uint64)) {
 	h.background.Go(func() {
 		for range 20 {
@@ -416,6 +428,7 @@
 	})
 }
 
+// errorText returns the error's message, or "" for nil.
 func errorText(err error) string {
 	if err == nil {
 		return ""
--- a/lab/processtest/voters_test.go
+++ b/lab/processtest/voters_test.go
@@ -10,7 +10,7 @@
 	"dapplerouter/fleet"
 )
 
-// A copy that lacks nothing must not count as a lost disk, and every other one must.
+// lacksState must accept a copy that lacks no state, and report every copy that lacks some.
 func TestCopyOfVoterFileLacksState(t *testing.T) {
 	present := func() *fleet.DiskState {
 		return &fleet.DiskState{OpenCount: 2, Hard: &pb.HardState{Term: proto.Uint64(3), Vote: proto.Uint64(7), Commit: proto.Uint64(5)},
