--- a/cmd/routertest/audit.go
+++ b/cmd/routertest/audit.go
@@ -30,7 +30,8 @@
 	return exitOK
 }
 
-// writePage writes the page, and reports whether the logs violate an invariant.
+// writePage writes the HTML page, and reports whether the logs violate an invariant. It returns errNoAuditLogs, and writes no page, if
+// there are no logs.
 func (c *auditCommand) writePage() (violated bool, err error) {
 	logs, err := disk.OpenAuditLogs(c.Dirs...)
 	if err != nil {
--- a/cmd/routertest/capacity.go
+++ b/cmd/routertest/capacity.go
@@ -50,7 +50,8 @@
 	return c.report(errors.Join(err, out.Flush()), dir, remove)
 }
 
-// measure runs the measurement in dir and writes its records. Self is this program, of which the worker processes are.
+// measure runs the measurement with its files in dir and writes the records to out. Self is the path of this executable, which also
+// runs the worker processes.
 func (c *capacityCommand) measure(ctx context.Context, out *bufio.Writer, self, dir string) error {
 	size := capacity.Size{Fronts: c.Fronts, SimulatedPerProcess: c.SimulatedPerProcess, Databases: c.Databases, Zones: c.Zones,
 		ChangesPerHour: c.ChangesPerHour, Duration: c.Duration, LeaseDuration: c.LeaseDuration, Mandatory: c.Must, PausedOneIn: c.PausedOneIn}
@@ -80,16 +81,18 @@
 	return err
 }
 
-// workDir gives where files go, and what removes them; Unix sockets need a short name.
+// workDir creates the directory for the files of a run. It returns its path and a function that removes it, which does nothing with
+// --keep. The path of a temporary directory is short because the paths of Unix sockets have a small maximum length.
 func (c *capacityCommand) workDir() (dir string, remove func(), err error) {
 	if c.Keep != "" {
 		return c.Keep, func() {}, os.MkdirAll(c.Keep, 0o700)
 	}
 	dir, err = os.MkdirTemp("", "cap")
-	return dir, func() { _ = os.RemoveAll(dir) }, err // a temporary directory
+	return dir, func() { _ = os.RemoveAll(dir) }, err // a leftover in the temporary directory is harmless
 }
 
-// report writes the error of a run, if any, and gives the exit code. Files of a run that failed stay.
+// report writes the error of a run, if any, to standard error and returns the exit code. It removes the run's files unless the run
+// failed after its start.
 func (c *capacityCommand) report(err error, dir string, remove func()) int {
 	var sizeError capacity.SizeError
 	var exited *capacity.ProcessExitError
@@ -109,7 +112,8 @@
 	return exitError
 }
 
-// progress writes to standard error where that is a terminal.
+// progress returns a function that writes progress messages to standard error. It returns nil with --quiet, and if standard error is
+// not a terminal.
 func (c *capacityCommand) progress() func(string, ...any) {
 	info, err := os.Stderr.Stat()
 	if c.Quiet || err != nil || info.Mode()&os.ModeCharDevice == 0 {
--- a/cmd/routertest/main.go
+++ b/cmd/routertest/main.go
@@ -1,7 +1,7 @@
-// Command routertest runs the process test harness and the capacity measurements, and joins audit logs. It is never needed
-// in service.
+// Command routertest runs the process test harness and the capacity measurements, and joins audit logs on a page. Production
+// deployments do not need it.
 //
-// Errors go to standard error; the exit code distinguishes violations of invariants from errors.
+// It writes errors to standard error. The exit code distinguishes violations of invariants from errors.
 package main
 
 import (
@@ -15,13 +15,14 @@
 	"dapplerouter/config"
 )
 
-// Exit codes, as bin/dapplerouter's.
+// Exit codes. They match those of bin/dapplerouter.
 const (
 	exitOK        = 0
-	exitViolation = 1 // of an invariant, or a process that died
-	exitError     = 2 // wrong usage, or a run that could not be carried out
+	exitViolation = 1 // an invariant was violated, or a process exited during a capacity run
+	exitError     = 2 // the usage was wrong, or the run could not be carried out
 )
 
+// commands is the command line, as kong parses it.
 type commands struct {
 	Process  processCommand  `cmd:"" aliases:"rig" help:"Start a fleet of processes on loopback, inject the faults of a script, and check invariants."`
 	Audit    auditCommand    `cmd:"" help:"Join the audit logs of many fronts on one page."`
@@ -32,7 +33,7 @@
 
 func main() {
 	var all commands
-	exitCode, exited := exitError, false // kong asks for an exit after --help
+	exitCode, exited := exitError, false // kong requests an exit after --help
 	p := kong.Must(&all, kong.Name("routertest"), kong.Description("Test harnesses and measurements of dapplerouter."),
 		kong.Exit(func(code int) { exitCode, exited = code, true }))
 	k, err := p.Parse(os.Args[1:])
@@ -46,7 +47,8 @@
 	os.Exit(k.Selected().Target.Addr().Interface().(interface{ run() int }).run())
 }
 
-// defaultProgram is bin/dapplerouter beside this program where none is named.
+// defaultProgram returns the path of the program to be run: the named one or, if named is "", dapplerouter in the directory of this
+// executable. It returns an error if the file does not exist.
 func defaultProgram(named string) (string, error) {
 	if named == "" {
 		self, err := os.Executable()
@@ -61,7 +63,8 @@
 	return named, nil
 }
 
-// reportError writes an error to standard error, each of a list of them on a line with its position, and gives the exit code.
+// reportError writes an error to standard error and returns the exit code. For a config.ErrorList it writes one line per error, with
+// the position.
 func reportError(err error) int {
 	var list config.ErrorList
 	if !errors.As(err, &list) {
--- a/cmd/routertest/process.go
+++ b/cmd/routertest/process.go
@@ -44,7 +44,7 @@
 	return exitCode
 }
 
-// runScript runs a script with a seed and prints its result. Without --keep, files are removed if it passed.
+// runScript runs a script with a seed and prints the result. It removes the run's files if the run passed, unless --keep is given.
 func (c *processCommand) runScript(s *processtest.Script, seed uint64) (passed bool, err error) {
 	dir, err := c.dir(s, seed)
 	if err != nil {
@@ -81,7 +81,7 @@
 	return passed, nil
 }
 
-// dir is where a run's files go.
+// dir creates the directory for the files of a run and returns its path.
 func (c *processCommand) dir(s *processtest.Script, seed uint64) (string, error) {
 	if c.Keep == "" {
 		return os.MkdirTemp("", "processtest")
@@ -90,7 +90,7 @@
 	return dir, os.MkdirAll(dir, 0o700)
 }
 
-// processRecord is a line of --json.
+// processRecord is the result of a run as a line of the --json output. Its keys and units do not change between versions.
 type processRecord struct {
 	Format int    `json:"format"`
 	Script string `json:"script"`
@@ -103,6 +103,7 @@
 	usageRecord
 }
 
+// requestsRecord holds the request counts and latencies of a processRecord.
 type requestsRecord struct {
 	Sent       int   `json:"txns"`
 	Succeeded  int   `json:"committed"`
@@ -113,6 +114,7 @@
 	P99Micros  int64 `json:"p99_us"`
 }
 
+// usageRecord holds the resource usage of a processRecord.
 type usageRecord struct {
 	EndpointCalls int   `json:"list_calls"`
 	Probes        int64 `json:"probes"`
@@ -121,15 +123,16 @@
 	CPUMicros     int64 `json:"cpu_us"`
 }
 
-// gapRecord is a time without a leaseholder.
+// gapRecord is an interval in which no front held a lease.
 type gapRecord struct {
 	Lease  string `json:"duty"`
 	Millis int64  `json:"ms"`
 	Reason string `json:"why"`
 }
 
+// newProcessRecord returns the record of a run of a script with a seed.
 func newProcessRecord(s *processtest.Script, seed uint64, r *processtest.Result) processRecord {
-	gaps := []gapRecord{} // an empty array for none
+	gaps := []gapRecord{} // not nil, so that it is encoded as an empty array if there are none
 	for _, g := range r.Gaps {
 		gaps = append(gaps, gapRecord{Lease: g.Lease, Millis: g.For.Milliseconds(), Reason: g.Reason})
 	}
--- a/cmd/routertest/process_test.go
+++ b/cmd/routertest/process_test.go
@@ -11,7 +11,7 @@
 	"dapplerouter/lab/processtest"
 )
 
-// Records of earlier versions are compared with present ones: keys and units must stay.
+// Records of different program versions are compared with each other, so keys and units must not change.
 func TestProcessRecordKeepsItsKeys(t *testing.T) {
 	for name, x := range map[string]struct {
 		result processtest.Result
--- a/lab/capacity/capacity_test.go
+++ b/lab/capacity/capacity_test.go
@@ -18,7 +18,7 @@
 	"dapplerouter/fleet"
 )
 
-// workerEnv makes the test's own program a worker.
+// workerEnv is an environment variable that turns the test binary into a worker process. Its value is the kind of worker.
 const workerEnv = "SCALE_TEST_WORKER"
 
 func TestMain(m *testing.M) {
@@ -36,18 +36,19 @@
 	os.Exit(code)
 }
 
-// testOptions returns the options of a run, with a directory of its own and the program that is built once.
+// testOptions returns the options of a run, with a new directory and the built program. It skips the test if processes cannot be
+// started in this mode.
 func testOptions(t *testing.T, size Size) Options {
 	t.Helper()
 	if testing.Short() {
-		t.Skip("it starts processes")
+		t.Skip("starts processes")
 	}
 	if raceEnabled {
-		t.Skip("the same processes are started without the race detector")
+		t.Skip("the test without the race detector starts the same processes")
 	}
 	self, err := os.Executable()
 	require.NoError(t, err)
-	dir, err := os.MkdirTemp("", "scale") // short: control sockets are in it
+	dir, err := os.MkdirTemp("", "scale") // a short path, because it contains Unix sockets
 	require.NoError(t, err)
 	t.Cleanup(func() { os.RemoveAll(dir) })
 	return Options{Size: size, Program: program(t), Dir: dir, Progress: t.Logf, Worker: func(kind string) []string {
@@ -55,13 +56,14 @@
 	}}
 }
 
+// build holds the program that tests share, which is built once.
 var build struct {
 	sync.Once
 	dir string
 	err error
 }
 
-// program builds the program once, and returns its path.
+// program returns the path of the built program. The first call builds it.
 func program(t *testing.T) string {
 	t.Helper()
 	build.Do(func() {
@@ -77,7 +79,7 @@
 	return filepath.Join(build.dir, "dapplerouter")
 }
 
-// findRecord returns the record of a resource of a role in a phase.
+// findRecord returns the record of a role's resource in a phase. It fails the test if there is none.
 func findRecord(t *testing.T, all []Record, phase, role, resource string) Record {
 	t.Helper()
 	for _, r := range all {
@@ -85,12 +87,12 @@
 			return r
 		}
 	}
-	require.Fail(t, "not measured", "%s, %s: %s", phase, role, resource)
+	require.Fail(t, "no such record", "%s, %s: %s", phase, role, resource)
 	return Record{}
 }
 
-// TestCostsGrowAsDesigned asserts slopes as counts, which a loaded machine does not change: messages, bytes and objects, for each front, database
-// and change.
+// TestCostsGrowAsDesigned checks how messages, bytes and links grow with fronts and databases. It checks only counts, because the load
+// of the machine does not affect them.
 func TestCostsGrowAsDesigned(t *testing.T) {
 	sizes := []Size{smallSize(12), smallSize(24), smallSize(48), smallSize(12)}
 	sizes[3].Databases *= 4
@@ -113,15 +115,17 @@
 		return findRecord(t, runs[run], phase, RoleSimulatedFollower, resource+fleet.KindBroadcast.String()).Value
 	}
 	perDatabase := (broadcast(3, PhaseSnapshot, kindBytes) - broadcast(0, PhaseSnapshot, kindBytes)) / float64(sizes[3].Databases-sizes[0].Databases)
-	assert.InDelta(t, 300, perDatabase, 250, "bytes of a snapshot at a front for each database: an entry on each of its links but one")
-	assert.Less(t, broadcast(2, PhaseEntryChange, kindMessages), 3*broadcast(0, PhaseEntryChange, kindMessages), "a front's messages for a change don't grow with fronts")
+	assert.InDelta(t, 300, perDatabase, 250,
+		"bytes that a front sends for each database in a snapshot: one entry on each of its links but one")
+	assert.Less(t, broadcast(2, PhaseEntryChange, kindMessages), 3*broadcast(0, PhaseEntryChange, kindMessages),
+		"a front's messages for a change don't grow with the number of fronts")
 	links := func(run int) float64 {
 		return findRecord(t, runs[run], PhaseIdle, RoleSimulatedFollower, "links").Value
 	}
-	assert.Less(t, links(2), 2*links(0), "nor do its links")
+	assert.Less(t, links(2), 2*links(0), "a front's links don't grow with the number of fronts")
 }
 
-// assertInvariants checks what holds at every size.
+// assertInvariants checks the properties of the records that hold for every size.
 func assertInvariants(t *testing.T, size Size, all []Record) {
 	t.Helper()
 	followers, changes := size.simulated(), size.changes()
@@ -131,14 +135,14 @@
 		assert.Positive(t, findRecord(t, all, PhaseIdle, role, "resident memory").Value, role)
 	}
 	assert.Equal(t, 1.0, findRecord(t, all, PhaseIdle, RoleDiscovery, "watches").Value, "one front watches for all")
-	assert.Less(t, findRecord(t, all, PhaseEntryChange, RoleDiscovery, "bytes sent").Value, 400.0, "an entry goes to one watch")
+	assert.Less(t, findRecord(t, all, PhaseEntryChange, RoleDiscovery, "bytes sent").Value, 400.0, "a change of an entry is sent to one watch")
 	for _, phase := range []string{PhaseEntryChange, PhaseSnapshot} {
 		r := findRecord(t, all, phase, roleFleet, "from discovery to a hollow front")
 		assert.Zero(t, r.Missing, phase)
 		assert.Equal(t, int64(followers*changes), r.Quantiles.Count, "each change reached each front")
 		links := findRecord(t, all, PhaseIdle, RoleSimulatedFollower, "links").Value
 		assert.LessOrEqual(t, findRecord(t, all, phase, RoleSimulatedFollower, kindMessages+fleet.KindBroadcast.String()).Value, 3*links,
-			"a change passes a link once or twice; the heartbeats that are subtracted are one more or less")
+			"a change passes a link once or twice, and the number of subtracted heartbeats may be off by one")
 	}
 	r := findRecord(t, all, PhaseConfiguration, roleFleet, "from the publish to a hollow front")
 	assert.Equal(t, int64(followers*changes), r.Quantiles.Count+int64(r.Missing), "%s", r.Note)
--- a/lab/capacity/configurations.go
+++ b/lab/capacity/configurations.go
@@ -14,39 +14,40 @@
 	"dapplerouter/adminapi"
 )
 
-// How long a configuration may take to be accepted, and then to be in force everywhere, and how often either is polled.
+// Timeout and polling intervals of a publication.
 const (
-	inForceTimeout  = 2 * time.Minute
-	publishInterval = 250 * time.Millisecond
-	historyInterval = 10 * time.Millisecond
+	inForceTimeout  = 2 * time.Minute        // for a configuration to be accepted, and again for it to be in force everywhere
+	publishInterval = 250 * time.Millisecond // between two attempts to publish
+	historyInterval = 10 * time.Millisecond  // between two reads of the history
 )
 
-// The shortest rollout: one stage with all fronts, which is not watched. A fifth of the fleet may be fenced at once.
+// Options of the shortest possible rollout. It has one stage with all fronts and no watch time. Up to a fifth of the fleet may be
+// fenced at once.
 const (
 	singleStage       = "1000"
 	maxFencedPermille = "200"
 )
 
-// configurationPhase publishes configurations one after the other.
+// configurationPhase is the phase that publishes configurations, one after the other.
 type configurationPhase struct {
 	*testbed
 	history *historyReader
 	times   rolloutTimes
 }
 
-// rolloutTimes are the times of the rollouts of a phase.
+// rolloutTimes holds the measured times of all rollouts of a phase.
 type rolloutTimes struct {
-	adopted         *hdrhistogram.Histogram // from the publish to each simulated follower that is not paused
-	stageDone       *hdrhistogram.Histogram // from the publish to the end of the stage: all fronts that are connected have reported it
-	inForce         *hdrhistogram.Histogram // from the publish to the end of the rollout, by the history
-	inForceSinceDue *hdrhistogram.Histogram // the same from when the change was due: it waits for the one before
-	afterResume     *hdrhistogram.Histogram // from the end of the pause to each front that was paused
-	missing         int                     // adoptions that were not seen
+	adopted         *hdrhistogram.Histogram // from the publish to the adoption by each simulated follower that is not paused
+	stageDone       *hdrhistogram.Histogram // from the publish to the end of the stage: all connected fronts have reported the version
+	inForce         *hdrhistogram.Histogram // from the publish to the end of the rollout in the history
+	inForceSinceDue *hdrhistogram.Histogram // from the due time of the change, which may wait for the previous one, to the end of the rollout
+	afterResume     *hdrhistogram.Histogram // from the end of the pause to the adoption by each front that was paused
+	missing         int                     // adoptions that were not observed
 	rejected        int                     // publishes that the leaseholder rejected and that were retried
 	rollbackReasons []string
 }
 
-// measureConfigurations publishes changes at the rate of the size, and measures when each was adopted and in force.
+// measureConfigurations publishes configurations at the rate that the size specifies, and measures when each was adopted and in force.
 func (b *testbed) measureConfigurations(ctx context.Context) ([]Record, error) {
 	b.options.Progress("%s: %d changes in %v or more", PhaseConfiguration, b.options.changes(), b.options.Duration)
 	p := &configurationPhase{testbed: b, history: newHistoryReader(b.settings.historyFile(historyOrdinal)),
@@ -62,7 +63,7 @@
 	return append(b.results.changeRecords(b.options.Size, PhaseConfiguration, b.options.changes(), usage), p.timeRecords()...), nil
 }
 
-// run makes all changes.
+// run publishes all configurations of the phase, each at its due time or once the previous one has finished.
 func (p *configurationPhase) run(ctx context.Context) error {
 	startedAt := time.Now()
 	for k := range p.options.changes() {
@@ -77,7 +78,7 @@
 	return p.sleepUntil(ctx, startedAt.Add(p.options.Duration))
 }
 
-// timeRecords makes the records of the times.
+// timeRecords returns the records of the measured times.
 func (p *configurationPhase) timeRecords() (all []Record) {
 	t := &p.times
 	timings := []timing{
@@ -99,7 +100,8 @@
 	return all
 }
 
-// note says which rollouts did not come into force, and why. It is part of records.
+// note returns how many rollouts were rolled back, the first reason, and how many publishes were rejected. The text is part of
+// records, so it does not change.
 func (t *rolloutTimes) note() (text string) {
 	if len(t.rollbackReasons) > 0 {
 		text = fmt.Sprintf("%d rollouts were taken back, the first since %s", len(t.rollbackReasons), t.rollbackReasons[0])
@@ -110,13 +112,13 @@
 	return strings.TrimPrefix(text, "; ")
 }
 
-// publishAndWait makes change k and waits until it is in force, or was rolled back. Fronts that are to be paused are paused
-// meanwhile. Then it waits until every simulated follower has adopted it.
+// publishAndWait publishes configuration k and waits until it is in force or rolled back. Meanwhile the followers that are selected
+// for it are paused. If the configuration came into force, the function then waits until every simulated follower has adopted it.
 func (p *configurationPhase) publishAndWait(ctx context.Context, k int, due time.Time) error {
 	if err := p.pauseFollowers(true); err != nil {
 		return err
 	}
-	defer func() { _ = p.pauseFollowers(false) }() // after an error; else it has been called with its error checked
+	defer func() { _ = p.pauseFollowers(false) }() // needed after an error; otherwise the followers already run
 	published := time.Now()
 	version, err := p.publish(ctx, rulesText(k))
 	if err != nil {
@@ -144,7 +146,7 @@
 	return p.waitAdopted(ctx, version, published.UnixMicro(), nowMicros())
 }
 
-// pauseFollowers pauses the simulated followers that are to be paused, or lets them go on.
+// pauseFollowers pauses or resumes the simulated followers that are selected to be paused, if any.
 func (b *testbed) pauseFollowers(paused bool) error {
 	if b.paused == nil {
 		return nil
@@ -152,7 +154,8 @@
 	return b.paused.setPaused(paused)
 }
 
-// publish asks the rollouts' leaseholder until it accepts a configuration, and returns its version.
+// publish publishes a configuration through the rollouts' leaseholder and returns its version. It retries a rejected publish until
+// inForceTimeout.
 func (p *configurationPhase) publish(ctx context.Context, text string) (version uint64, err error) {
 	q := url.Values{"do": {"publish"}, "text": {text}, "waves": {singleStage}, "watch": {"0s"}, "shut_out": {maxFencedPermille},
 		"must": {strconv.FormatBool(p.options.Mandatory)}}
@@ -175,8 +178,8 @@
 	}
 }
 
-// waitInForce waits for the end of a version's rollout and returns its time in Unix microseconds, or rolledBack. The error is
-// ErrNotInForce, or that of sleepUntil or the history.
+// waitInForce waits for the end of a version's rollout. It returns the time of the end in Unix microseconds, or rolledBack. The error
+// is ErrNotInForce after the timeout, or an error of sleepUntil or of reading the history.
 func (p *configurationPhase) waitInForce(ctx context.Context, version uint64) (finishedAt int64, err error) {
 	for until := time.Now().Add(inForceTimeout); time.Now().Before(until); {
 		if finishedAt, err = p.history.finished(version); finishedAt != 0 || err != nil {
@@ -189,8 +192,8 @@
 	return 0, fmt.Errorf("version %d: %w after %v: %s", version, ErrNotInForce, inForceTimeout, p.history.lastEntry.Reason)
 }
 
-// waitAdopted waits until every simulated follower has adopted a version, for arrivalTimeout at most, and records the times:
-// since the publish, and for those that were paused since they were resumed. Both are Unix microseconds.
+// waitAdopted waits until every simulated follower has adopted a version, for at most arrivalTimeout. It records the time of each
+// adoption since published or, for a follower that was paused, since resumed. Both are Unix microseconds.
 func (p *configurationPhase) waitAdopted(ctx context.Context, version uint64, published, resumed int64) error {
 	for until := time.Now().Add(arrivalTimeout); ; {
 		running, paused, err := p.pollAdoptions(version)
@@ -208,7 +211,8 @@
 	}
 }
 
-// pollAdoptions asks all simulated followers when they adopted a version: those that ran on, and those that were paused.
+// pollAdoptions returns when each simulated follower adopted a version, in Unix microseconds; 0 means not yet. Followers that were
+// paused are returned separately.
 func (b *testbed) pollAdoptions(version uint64) (running, paused []int64, err error) {
 	for _, p := range b.simulated {
 		r, err := p.call(Request{Operation: opArrivals, Version: version})
--- a/lab/capacity/converge.go
+++ b/lab/capacity/converge.go
@@ -11,14 +11,14 @@
 	"dapplerouter/fleet/agent"
 )
 
-// status returns what a real front knows of the fleet.
+// status asks the admin API of the real front i for its view of the fleet.
 func (b *testbed) status(i int) (s agent.Status, err error) {
 	err = adminapi.Call(b.settings.adminSocket(i), "GET", "/v1/fleet", nil, &s)
 	return s, err
 }
 
-// waitConverged waits until every front knows the fleet and the endpoint list, and all leases are held. The error is
-// ErrNotConverged, a ProcessExitError, or the cause of ctx.
+// waitConverged waits until every simulated follower has the endpoint list from the fleet, every real front knows all fronts, and all
+// leases are held. The error is ErrNotConverged after the timeout, a ProcessExitError, or the cause of ctx.
 func (b *testbed) waitConverged(ctx context.Context) error {
 	startedAt := time.Now()
 	timeout := convergeTimeout + time.Duration(b.options.Fronts)*convergePerFront
@@ -41,7 +41,8 @@
 	}
 }
 
-// unconverged says what is missing in a fleet that has not converged, "" for nothing. Its texts are part of a record.
+// unconverged returns a message about what keeps the fleet from having converged, or "" if it has. The messages become part of
+// records, so they do not change.
 func (b *testbed) unconverged() string {
 	if missing := b.unconvergedSimulated(); missing != "" {
 		return missing
@@ -54,9 +55,10 @@
 	return ""
 }
 
+// unconvergedSimulated returns a message if not all simulated followers have the endpoint list from the fleet.
 func (b *testbed) unconvergedSimulated() string {
 	using, minIndex := 0, int64(1)
-	var mu sync.Mutex // guards both
+	var mu sync.Mutex // guards using and minIndex
 	err := parallel(b.simulated, func(_ int, p *process) error {
 		r, err := p.call(Request{Operation: opCounters})
 		mu.Lock()
@@ -73,6 +75,7 @@
 	return ""
 }
 
+// unconvergedReal returns a message if the real front i lacks a part of the fleet's state.
 func (b *testbed) unconvergedReal(i int) string {
 	s, err := b.status(i)
 	switch {
@@ -91,14 +94,14 @@
 			granted++
 		}
 	}
-	if want := 2 + b.options.groups(); granted < want { // the endpoint list, rollouts, and health checks of each group
+	if want := 2 + b.options.groups(); granted < want { // leases of the endpoint list, of rollouts, and of each group's health checks
 		return fmt.Sprintf("%s knows of %d of %d leases", frontName(i), granted, want)
 	}
 	return ""
 }
 
-// transferLease gives a lease to a real front. The leader rejects a front whose report has not arrived yet, so it is asked until
-// transferTimeout.
+// transferLease transfers a lease to the real front with ordinal to. The leader rejects a front whose report has not arrived yet, so
+// the request is retried until transferTimeout.
 func (b *testbed) transferLease(ctx context.Context, lease string, to int) error {
 	b.options.Progress("transferring lease %s to %s", lease, frontName(to))
 	q := url.Values{"lease": {lease}, "to": {frontName(to)}}
@@ -120,7 +123,7 @@
 	}
 }
 
-// leaseholder returns the front that holds a lease as far as the asked front knows, "" for none.
+// leaseholder returns the name of the front that holds a lease according to a status, or "" for none.
 func leaseholder(s agent.Status, lease string) string {
 	for _, l := range s.Leases {
 		if l.Lease == lease {
--- a/lab/capacity/database_host.go
+++ b/lab/capacity/database_host.go
@@ -7,10 +7,10 @@
 	"dapplerouter/testsupport/fakeserver"
 )
 
-// statementTime is how long a fake database works on a statement.
+// statementTime is the execution time of a statement at a fake database.
 const statementTime = time.Millisecond
 
-// databaseHost is a worker that hosts fake databases, in groups of a primary and its replicas.
+// databaseHost is a worker that hosts fake databases. They form groups of a primary and its replicas.
 type databaseHost struct{ groups []*fakeserver.Group }
 
 func (d *databaseHost) serve(q Request) (r Reply, err error) {
@@ -45,7 +45,7 @@
 	return addresses, nil
 }
 
-// endpointList lists databases by their addresses, spread over zones.
+// endpointList returns an endpoint list of the databases with the given addresses. It spreads them over the zones.
 func endpointList(addresses []string, zones int) (all []Endpoint) {
 	for i, a := range addresses {
 		group := i / groupSize
--- a/lab/capacity/errors.go
+++ b/lab/capacity/errors.go
@@ -7,44 +7,45 @@
 )
 
 var (
-	// ErrNotConverged is that a fleet took too long to come up. Its text is part of a record, so it stays as committed records
-	// have it.
+	// ErrNotConverged means that a fleet took too long to converge after its start. Its text is part of records, so it must stay the
+	// same as in committed records.
 	ErrNotConverged = errors.New("the fleet has not settled")
-	// ErrNotInForce is that a published configuration took too long to be in force everywhere.
+	// ErrNotInForce means that a published configuration took too long to be in force everywhere.
 	ErrNotInForce = errors.New("configuration not in force")
-	// ErrNoReply is that a worker process runs and does not answer a request.
+	// ErrNoReply means that a worker process runs but does not answer a request.
 	ErrNoReply = errors.New("no reply")
-	// ErrUnknownWorker is that Work has no worker of a kind.
+	// ErrUnknownWorker means that Work does not know a kind of worker.
 	ErrUnknownWorker = errors.New("unknown kind of worker")
-	// ErrUnknownOperation is that a worker has no such operation.
+	// ErrUnknownOperation means that a worker does not know an operation.
 	ErrUnknownOperation = errors.New("unknown operation")
-	// ErrFieldMissing is that a file of /proc lacks a line.
+	// ErrFieldMissing means that a file in /proc lacks a field.
 	ErrFieldMissing = errors.New("field missing")
 )
 
-// SizeError is a size that has a value out of range, or that the machine cannot bear. Each line names a flag, and what would fit.
+// SizeError reports a size with values that are out of range or that exceed the machine's resources. Each element is a line that names
+// a flag and what would fit.
 type SizeError []string
 
-// Error returns the lines.
+// Error returns the lines, separated by newlines.
 func (e SizeError) Error() string { return strings.Join(e, "\n") }
 
-// WorkerError is a request that a worker process could not carry out.
+// WorkerError reports a request that a worker process could not carry out.
 type WorkerError struct {
-	Worker  string // the name of its process
-	Message string // the worker's error, as it came over the pipe
+	Worker  string // name of the worker's process
+	Message string // the worker's error text, as received over the pipe
 }
 
-// Error has the worker's name before its error.
+// Error returns the worker's name and its error text.
 func (e *WorkerError) Error() string { return e.Worker + ": " + e.Message }
 
-// ProcessExitError is a process that ended before the run did.
+// ProcessExitError reports a process that exited before the end of the run.
 type ProcessExitError struct {
-	Process string
-	Exit    string // "signal: killed", "exit status 1"
-	LastLog string // the last line of its log, "" for none
+	Process string // name of the process
+	Exit    string // exit status, as in "signal: killed" or "exit status 1"
+	LastLog string // the line of its log that explains the exit, usually the last one; "" for none
 }
 
-// Error names the process, how it ended, and what it logged last.
+// Error returns the name of the process, its exit status and its last log line.
 func (e *ProcessExitError) Error() string {
 	text := fmt.Sprintf("%s ended during the run (%s); its measurements are not counted", e.Process, e.Exit)
 	if e.LastLog != "" {
--- a/lab/capacity/errors_test.go
+++ b/lab/capacity/errors_test.go
@@ -34,7 +34,8 @@
 	require.ErrorIs(t, err, ErrFieldMissing)
 }
 
-// fakeProcess is a process that runs and answers with what is written to the pipe.
+// fakeProcess returns a worker process that seems to run. It discards requests. Its replies are what the test writes to the returned
+// pipe.
 func fakeProcess(t *testing.T) (*process, *io.PipeWriter) {
 	t.Helper()
 	requests, in := io.Pipe()
@@ -44,7 +45,7 @@
 		_ = in.Close()
 		_ = replies.Close()
 	})
-	return &process{name: "hollow-1", ended: make(chan struct{}), in: in, replies: json.NewDecoder(out)}, replies
+	return &process{name: "hollow-1", exited: make(chan struct{}), in: in, replies: json.NewDecoder(out)}, replies
 }
 
 func TestWorkerErrorNamesItsProcess(t *testing.T) {
@@ -68,8 +69,8 @@
 
 func TestExitedWorkerIsReportedAsSuch(t *testing.T) {
 	p, replies := fakeProcess(t)
-	p.exit = "signal: killed"
-	close(p.ended)
+	p.exitStatus = "signal: killed"
+	close(p.exited)
 	require.NoError(t, replies.Close())
 	_, err := p.call(Request{Operation: opCounters})
 	var exited *ProcessExitError
--- a/lab/capacity/fit/fit.go
+++ b/lab/capacity/fit/fit.go
@@ -1,6 +1,6 @@
-// Package fit fits straight lines to costs that were measured at several sizes: the slope is how a cost grows with the size. It
-// reports how far the values are from the line, so that a curve is not taken for one. It keeps no state, and is for measurements
-// only.
+// Package fit fits straight lines to costs that were measured at several sizes. The slope tells how a cost grows with the size. The
+// package also reports how far the values are from the line, so that a curve is not mistaken for a line. It keeps no state and is for
+// measurements only.
 package fit
 
 import (
@@ -13,32 +13,34 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Point is a value that was measured at a size. A size may have several.
+// Point is a value that was measured at a size. There may be several points of the same size.
 type Point struct{ Size, Value float64 }
 
-// Line is a least-squares fit to points, and how far they are from it.
+// Line is a least-squares fit to points, with measures of how well it fits.
 type Line struct {
 	Intercept float64 // in the value's unit
-	Slope     float64 // in the value's unit, for each unit of the size
+	Slope     float64 // in the value's unit per unit of the size
 	Sizes     int     // number of different sizes
-	Points    int
-	Residual  float64 // the greatest distance of a point from the line, as a share of the greatest value
-	Bend      float64 // slope between the means at the two largest sizes over that at the two smallest; 1 is straight, NaN or infinite where the latter is 0
+	Points    int     // number of points
+	Residual  float64 // the greatest distance of a point from the line, as a fraction of the greatest absolute value
+	// Bend is the slope between the mean values at the two largest sizes, divided by the slope between those at the two smallest.
+	// It is 1 for a straight line, and NaN or infinite if the slope at the smallest sizes is 0.
+	Bend float64
 }
 
-// MinSizes is the least number of different sizes that a line is fitted to.
+// MinSizes is the minimum number of different sizes for a fit.
 const MinSizes = 4
 
-// maxStraightResidual and maxStraightBend bound what counts as straight.
+// Criteria for straight lines.
 const (
-	maxStraightResidual = 0.1
-	maxStraightBend     = 2
+	maxStraightResidual = 0.1 // above it the points are not on a line
+	maxStraightBend     = 2   // above it, or below its inverse, points that are not on a line are on a curve
 )
 
-// ErrTooFew is that points are of fewer than MinSizes sizes.
+// ErrTooFew means that the points have fewer than MinSizes different sizes.
 var ErrTooFew = errors.New("a slope needs values at four sizes or more")
 
-// New fits a line. The error is ErrTooFew.
+// New fits a line to points. The error is ErrTooFew.
 func New(points []Point) (Line, error) {
 	means := meansBySize(points)
 	if len(means) < MinSizes {
@@ -67,28 +69,28 @@
 // At returns the line's value at a size.
 func (l Line) At(size float64) float64 { return l.Intercept + l.Slope*size }
 
-// Straight reports whether the line describes the points: none is far from it.
+// Straight reports whether all points are close enough to the line for it to describe them.
 func (l Line) Straight() bool { return l.Residual <= maxStraightResidual }
 
-// String returns the line, and how far it can be relied on.
+// String returns the line's equation and an assessment of its fit.
 func (l Line) String() string {
-	how := "straight"
+	shape := "straight"
 	switch {
 	case l.Straight():
 	case l.Bend > maxStraightBend:
-		how = "steeper towards large sizes: no line"
+		shape = "steeper towards large sizes: no line"
 	case l.Bend >= 0 && l.Bend < 1.0/maxStraightBend:
-		how = "flatter towards large sizes: no line"
+		shape = "flatter towards large sizes: no line"
 	default:
-		how = "scattered: no line"
+		shape = "scattered: no line"
 	}
 	return fmt.Sprintf("%.4g + %.4g x size (%d points at %d sizes, greatest residual %.0f%%, bend %.1f: %s)",
-		l.Intercept, l.Slope, l.Points, l.Sizes, 100*l.Residual, l.Bend, how)
+		l.Intercept, l.Slope, l.Points, l.Sizes, 100*l.Residual, l.Bend, shape)
 }
 
 func slope(a, b Point) float64 { return (b.Value - a.Value) / (b.Size - a.Size) }
 
-// meansBySize returns the mean at each size, in the order of sizes.
+// meansBySize returns the mean value at each size, in ascending order of sizes.
 func meansBySize(points []Point) (means []Point) {
 	sums, counts := map[float64]float64{}, map[float64]float64{}
 	for _, p := range points {
@@ -102,13 +104,13 @@
 	return means
 }
 
-// Series are points by the name of what was measured.
+// Series maps the name of what was measured to its points.
 type Series map[string][]Point
 
 // Add adds a value that was measured at a size.
 func (s Series) Add(name string, size, value float64) { s[name] = append(s[name], Point{size, value}) }
 
-// Lines returns each series' line as a text, sorted by name; one with too few sizes says so.
+// Lines returns the fitted line of each series as text, sorted by name. For a series with too few sizes the text says so.
 func (s Series) Lines() (lines []string) {
 	for _, name := range slices.Sorted(maps.Keys(s)) {
 		text := ErrTooFew.Error()
--- a/lab/capacity/fit/fit_test.go
+++ b/lab/capacity/fit/fit_test.go
@@ -62,7 +62,7 @@
 	assert.True(t, line.Straight())
 }
 
-// record is the part of a line of routertest capacity --json that is fitted.
+// record holds the fields of a line of "routertest capacity --json" that the benchmark reads.
 type record struct {
 	Fleet, Databases      float64
 	Phase, Role, Resource string
@@ -71,12 +71,12 @@
 	Partial               any
 }
 
-// BenchmarkRecords fits what routertest capacity measured: CAPACITY_RECORDS names the file, CAPACITY_BY is fleet (the default) or
-// databases. Partial records are left out.
+// BenchmarkRecords fits lines to the records of "routertest capacity --json". CAPACITY_RECORDS names the file with the records.
+// CAPACITY_BY is the size against which values are fitted: fleet, which is the default, or databases. Partial records are left out.
 func BenchmarkRecords(b *testing.B) {
 	file, err := os.Open(os.Getenv("CAPACITY_RECORDS"))
 	if err != nil {
-		b.Skip("CAPACITY_RECORDS=FILE names what routertest capacity --json wrote")
+		b.Skip("set CAPACITY_RECORDS to a file that routertest capacity --json wrote")
 	}
 	defer file.Close()
 	series := Series{}
--- a/lab/capacity/front_config.go
+++ b/lab/capacity/front_config.go
@@ -12,48 +12,48 @@
 	"dapplerouter/fleet/rollout"
 )
 
-// RunSettings are the settings that all fronts of a run share; the supervisor sends them to its workers.
+// RunSettings holds the settings that all fronts of a run share. The supervisor sends them to its workers.
 type RunSettings struct {
-	Network             string        `json:"network"` // the first two numbers of the fronts' loopback addresses
-	Dir                 string        `json:"dir"`
-	Discovery           string        `json:"discovery"`
+	Network             string        `json:"network"`   // the first two octets of the fronts' loopback addresses
+	Dir                 string        `json:"dir"`       // directory of the run
+	Discovery           string        `json:"discovery"` // address of the discovery server
 	Fronts              int           `json:"fronts"`
 	Zones               int           `json:"zones"`
 	LeaseDuration       time.Duration `json:"span_ns"`
 	ConfigLeaseDuration time.Duration `json:"right_ns"`
 }
 
-// Ports of a front at its own loopback address.
+// Ports on which a front listens at its own loopback address.
 const (
 	clientPort = 7400
 	meshPort   = 7500
 )
 
-// The resource limits of a front.
+// Resource limits of a front.
 const (
 	frontCores    = 1.0
 	frontMemoryMB = 32
 )
 
-// Seeds of fronts differ from each other by seedFactor.
+// seedFactor is the difference between the seeds of two consecutive fronts.
 const seedFactor = 2654435761
 
-// hostsPerByte is how many fronts share the third number of their loopback addresses.
-const hostsPerByte = 250
+// hostsPerOctet is the number of fronts that share the third octet of their loopback addresses.
+const hostsPerOctet = 250
 
-// frontName returns the name of the front with an ordinal from 0 on.
+// frontName returns the name of the front with ordinal i. Ordinals start at 0, and names at n1.
 func frontName(i int) string { return fmt.Sprintf("n%d", i+1) }
 
-// host returns a front's own loopback address.
+// host returns the loopback address of the front with ordinal i.
 func (s *RunSettings) host(i int) string {
-	return fmt.Sprintf("%s.%d.%d", s.Network, i/hostsPerByte, i%hostsPerByte+1)
+	return fmt.Sprintf("%s.%d.%d", s.Network, i/hostsPerOctet, i%hostsPerOctet+1)
 }
 
 func (s *RunSettings) meshAddress(i int) string { return fmt.Sprintf("%s:%d", s.host(i), meshPort) }
-func (s *RunSettings) folder(i int) string      { return filepath.Join(s.Dir, frontName(i)) }
-func (s *RunSettings) adminSocket(i int) string { return filepath.Join(s.folder(i), "ctl") }
+func (s *RunSettings) frontDir(i int) string    { return filepath.Join(s.Dir, frontName(i)) }
+func (s *RunSettings) adminSocket(i int) string { return filepath.Join(s.frontDir(i), "ctl") }
 func (s *RunSettings) historyFile(i int) string {
-	return filepath.Join(s.folder(i), "history.jsonl")
+	return filepath.Join(s.frontDir(i), "history.jsonl")
 }
 
 func zoneName(i int) string { return fmt.Sprintf("z%d", i) }
@@ -64,7 +64,7 @@
 	bookClass   = "book"
 )
 
-// instanceConfigFormat is the instance configuration; configText fills it in.
+// instanceConfigFormat is a format string for a front's instance configuration. RunSettings.configText fills it in.
 const instanceConfigFormat = `{"name": %q, "listen": "%s:%d", "discovery": %q, "seed": "%x",
  "limits": {"cores": %.1f, "memory_mb": %d, "sockets": 256}, "known": {"index": 0, "snapshot": true, "endpoints": []},
  "settings": {
@@ -79,7 +79,7 @@
    "RetryAfter": true, "MaxRetryAfter": 1000000000, "MayDuplicate": false, "Peers": false}
  }}`
 
-// configText returns a front's instance configuration.
+// configText returns the text of a front's instance configuration.
 func (s *RunSettings) configText(i int) string {
 	var zones []string
 	for z := range s.Zones {
@@ -93,8 +93,8 @@
 		names, zoneName(i%s.Zones), s.Fronts, i, browseClass, bookClass)
 }
 
-// operatorText returns a front's operator's file: its part in the fleet and in rollouts. Voters keep their state on disk, real
-// fronts serve the admin API, and one keeps a history.
+// operatorText returns the text of a front's operator file, which configures the fleet and rollouts. Voters store their state on disk,
+// real fronts serve the admin API, and one real front writes a history.
 func (s *RunSettings) operatorText(i int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "(fleet (id \"scale\") (listen %q) (lease-duration %v) (plain loopback)\n (voters", s.meshAddress(i), s.LeaseDuration)
@@ -103,7 +103,7 @@
 	}
 	fmt.Fprint(&b, ")")
 	if i < voterCount {
-		fmt.Fprintf(&b, "\n (voter %q)", filepath.Join(s.folder(i), "fleet.db"))
+		fmt.Fprintf(&b, "\n (voter %q)", filepath.Join(s.frontDir(i), "fleet.db"))
 	}
 	if i < realFronts {
 		fmt.Fprintf(&b, "\n (control %q)", s.adminSocket(i))
@@ -111,11 +111,11 @@
 	if i == historyOrdinal {
 		fmt.Fprintf(&b, "\n (history %q)", s.historyFile(i))
 	}
-	fmt.Fprintf(&b, ")\n(roll (right %v) (when-alone serve) (dir %q))\n", s.ConfigLeaseDuration, filepath.Join(s.folder(i), "roll"))
+	fmt.Fprintf(&b, ")\n(roll (right %v) (when-alone serve) (dir %q))\n", s.ConfigLeaseDuration, filepath.Join(s.frontDir(i), "roll"))
 	return b.String()
 }
 
-// operatorForms parses an operator's file, as the program does.
+// operatorForms parses the text of an operator file in the same way as the program.
 func operatorForms(text string) (*fleet.Config, *rollout.Config, error) {
 	file, err := config.Parse("operator", []byte(text))
 	if err != nil {
@@ -127,7 +127,7 @@
 	return fleetConfig, rolloutConfig, decoder.Err()
 }
 
-// rulesText returns the text of a configuration; each differs in meaning from the one before.
+// rulesText returns the text of configuration n. Two consecutive configurations differ in meaning.
 func rulesText(n int) string {
 	return fmt.Sprintf("(rules (window %s %dms))", bookClass, 1000+n%2*500)
 }
--- a/lab/capacity/host.go
+++ b/lab/capacity/host.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// cpuTime returns this process's processor time, user and system, all threads.
+// cpuTime returns the CPU time of all threads of this process, user and system.
 func cpuTime() (time.Duration, error) {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -25,7 +25,7 @@
 	return kib << 10, err
 }
 
-// ThisMachine returns what this machine has. The error says what can't be read.
+// ThisMachine returns the resources of this machine. The error says which of them could not be read.
 func ThisMachine() (Machine, error) {
 	kib, err := readField("/proc/meminfo", "MemTotal:")
 	if err != nil {
@@ -38,7 +38,7 @@
 	return Machine{Memory: kib << 10, Descriptors: int(min(limit.Cur, 1<<30))}, nil
 }
 
-// readField returns the number that follows a name at the beginning of a line. The error is ErrFieldMissing where there is none.
+// readField returns the number after a name at the beginning of a line of a file. The error is ErrFieldMissing if no line has the name.
 func readField(path, name string) (int64, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/lab/capacity/phases.go
+++ b/lab/capacity/phases.go
@@ -8,10 +8,10 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// arrivalTimeout is how long a change may take to reach every simulated follower.
+// arrivalTimeout is the timeout for a change to reach every simulated follower.
 const arrivalTimeout = 30 * time.Second
 
-// measurePhases measures one phase after the other, and emits each one's records once it is over.
+// measurePhases runs the phases one after the other, and emits the records of each phase at its end.
 func (b *testbed) measurePhases(ctx context.Context) error {
 	latency := &wakeLatency{}
 	measuring, stop := context.WithCancel(ctx)
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// emit keeps records and passes them to the caller of Run.
+// emit adds records to the results and passes them to Options.Emit.
 func (b *testbed) emit(records []Record) error {
 	for _, r := range records {
 		r.Format = RecordFormat
@@ -49,7 +49,8 @@
 	return nil
 }
 
-// measure calls run between two samples, and returns what each role used. A role whose front changed is partial.
+// measure takes a sample of the counters before and after it calls run, and returns each role's usage in between. The usage of a role
+// that moved to another front in between is marked as partial.
 func (b *testbed) measure(ctx context.Context, run func(ctx context.Context) error) (u phaseUsage, err error) {
 	rolesBefore, err := b.pollRoles()
 	if err != nil {
@@ -73,6 +74,7 @@
 	return phaseUsage{byRole: usageBetween(before, after, rolesAfter), partial: roleChanges(rolesBefore, rolesAfter)}, nil
 }
 
+// measureIdle measures the fleet while nothing changes.
 func (b *testbed) measureIdle(ctx context.Context) ([]Record, error) {
 	b.options.Progress("idle for %v", b.options.Duration)
 	usage, err := b.measure(ctx, func(ctx context.Context) error {
@@ -92,7 +94,8 @@
 	return b.measureListChanges(ctx, PhaseSnapshot, opSnapshot)
 }
 
-// measureListChanges has discovery make changes at the rate of the size, and measures when each reached every simulated follower.
+// measureListChanges makes discovery change the endpoint list at the rate that the size specifies, and measures when each change
+// reached every simulated follower.
 func (b *testbed) measureListChanges(ctx context.Context, phase, operation string) ([]Record, error) {
 	n := b.options.changes()
 	b.options.Progress("%s: %d changes in %v", phase, n, b.options.Duration)
@@ -122,13 +125,13 @@
 		timeRecord(b.options.Size, phase, timing{resource: "from discovery to a hollow front", changes: n, times: h, missing: missing})), nil
 }
 
-// dueTime returns when the change k of a phase is due: changes are spread evenly over its duration.
+// dueTime returns when change k of a phase is due. Changes are spread evenly over the duration of the phase.
 func (b *testbed) dueTime(startedAt time.Time, k int) time.Time {
 	return startedAt.Add(b.options.Duration * time.Duration(k) / time.Duration(b.options.changes()))
 }
 
-// waitForArrivals waits until each change reached every simulated follower, for arrivalTimeout at most, and returns how long each
-// took and how many are missing.
+// waitForArrivals waits until each change has reached every simulated follower, for at most arrivalTimeout. It returns how long each
+// arrival took, and how many arrivals are missing.
 func (b *testbed) waitForArrivals(ctx context.Context, changes []Reply) (h *hdrhistogram.Histogram, missing int, err error) {
 	for until := time.Now().Add(arrivalTimeout); ; {
 		h, missing = newHistogram(), 0
@@ -148,7 +151,7 @@
 	}
 }
 
-// pollArrivals asks all simulated followers when an endpoint list arrived; 0 stands for not yet.
+// pollArrivals returns when an endpoint list arrived at each simulated follower, in Unix microseconds; 0 means not yet.
 func (b *testbed) pollArrivals(index int64) ([]int64, error) {
 	byProcess := make([][]int64, len(b.simulated))
 	err := parallel(b.simulated, func(i int, p *process) error {
@@ -163,7 +166,8 @@
 	return all, err
 }
 
-// recordTimes adds the times from a moment until arrivals, all in microseconds, and returns how many have not arrived.
+// recordTimes adds the time from one moment to each arrival to a histogram. It returns the number of arrivals that are 0, which means
+// not yet. The moments are Unix microseconds.
 func recordTimes(h *hdrhistogram.Histogram, from int64, arrivals []int64) (missing int) {
 	for _, at := range arrivals {
 		if at == 0 {
--- a/lab/capacity/print.go
+++ b/lab/capacity/print.go
@@ -8,13 +8,14 @@
 	"text/tabwriter"
 )
 
-// Print writes records as two tables: a role and resource a line with a column for each phase, and the times. The error is w's.
+// Print writes records as two tables. The first has a line for each role and resource, and a column for each phase. The second has the
+// measured times. The error is an error of w.
 func Print(w io.Writer, all []Record) error {
 	var resources strings.Builder
 	fmt.Fprintln(&resources, "ROLE\tOVER\tRESOURCE\tSTART\tAT REST\tONE ENTRY\tWHOLE LIST\tCONFIGURATION\tNOTE")
 	for _, role := range append(slices.Clone(roleOrder), roleFleet) {
 		for _, resource := range resourcesOf(all, role) {
-			if !strings.HasPrefix(resource, kindMessages) && !strings.HasPrefix(resource, kindBytes) { // these are in the JSON
+			if !strings.HasPrefix(resource, kindMessages) && !strings.HasPrefix(resource, kindBytes) { // only the JSON output has these
 				printRow(&resources, all, role, resource)
 			}
 		}
@@ -33,7 +34,7 @@
 	return writeTable(w, times.String())
 }
 
-// writeTable aligns the cells of a text.
+// writeTable writes a text with its tab-separated cells aligned in columns.
 func writeTable(w io.Writer, text string) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	if _, err := io.WriteString(t, text); err != nil {
@@ -42,7 +43,7 @@
 	return t.Flush()
 }
 
-// resourcesOf returns a role's resources in the order of the records.
+// resourcesOf returns the names of a role's resources in the order of the records. It leaves out times.
 func resourcesOf(all []Record, role string) (names []string) {
 	for _, r := range all {
 		if r.Role == role && r.Quantiles == nil && !slices.Contains(names, r.Resource) {
@@ -52,6 +53,7 @@
 	return names
 }
 
+// printRow writes the line of one resource of a role to the first table.
 func printRow(b *strings.Builder, all []Record, role, resource string) {
 	over, cells, notes := "", map[string]string{}, []string{}
 	for _, r := range all {
--- a/lab/capacity/process.go
+++ b/lab/capacity/process.go
@@ -13,40 +13,41 @@
 	"time"
 )
 
+// Timeouts for child processes.
 const (
-	exitGrace    = 3 * time.Second  // for a process to end by itself before it is killed
-	replyTimeout = 90 * time.Second // of a worker; the start of many simulated followers takes longest
+	exitTimeout  = 3 * time.Second  // for a process to exit by itself before it is killed
+	replyTimeout = 90 * time.Second // for a worker to reply; starting many simulated followers takes longest
 )
 
-// maxLogLine bounds a log line that is quoted in an error, in bytes.
+// maxLogLine is the maximum length in bytes of a log line that is quoted in an error.
 const maxLogLine = 300
 
-// process is a child of this one.
+// process is a child process of the supervisor. A worker also has pipes for requests and replies.
 type process struct {
-	name    string // with the fronts that it hosts: "hollow-2 (n57 to n104)"
-	cmd     *exec.Cmd
-	logPath string
-	ended   chan struct{} // closed once it has ended
-	exit    string        // how it ended; valid once ended is closed
+	name       string // for a host of simulated followers with their names: "hollow-2 (n57 to n104)"
+	cmd        *exec.Cmd
+	logPath    string
+	exited     chan struct{} // closed once the process has exited
+	exitStatus string        // exit status; valid once ended is closed
 
-	mu      sync.Mutex // guards the pipes: one request at a time
+	mu      sync.Mutex // guards in and replies, so that there is only one request at a time
 	in      io.WriteCloser
 	replies *json.Decoder
 }
 
-// child is what startProcess starts.
-type child struct {
+// processSpec describes a child process to be started.
+type processSpec struct {
 	name    string
-	dir     string // for its log
+	dir     string // directory for its log
 	command []string
-	env     []string // beside this process's own
-	worker  bool     // it answers requests over its standard input and output
+	env     []string // added to this process's environment
+	worker  bool     // answers requests over its standard input and output
 }
 
-// startProcess starts a child. The child ends with the thread that started it, so the caller is locked to its own
-// (runtime.LockOSThread).
-func startProcess(c child) (*process, error) {
-	p := &process{name: c.name, ended: make(chan struct{}), logPath: filepath.Join(c.dir, "log")}
+// startProcess starts a child process. The kernel kills the child when the thread that started it exits, so the caller must have locked
+// its goroutine to its thread with runtime.LockOSThread.
+func startProcess(c processSpec) (*process, error) {
+	p := &process{name: c.name, exited: make(chan struct{}), logPath: filepath.Join(c.dir, "log")}
 	if err := os.MkdirAll(c.dir, 0o700); err != nil {
 		return nil, err
 	}
@@ -54,10 +55,10 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = log.Close() }() // the child writes through a descriptor of its own
+	defer func() { _ = log.Close() }() // the child has its own descriptor of the log
 	p.cmd = exec.Command(c.command[0], c.command[1:]...)
 	p.cmd.Env, p.cmd.Stderr = append(os.Environ(), c.env...), log
-	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL} // an interrupt at the terminal is the supervisor's to pass on
+	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL} // own group: an interrupt reaches only the supervisor
 	if c.worker {
 		out, err := p.cmd.StdoutPipe()
 		if err != nil {
@@ -75,19 +76,20 @@
 	return p, nil
 }
 
-// reap waits for the process to end.
+// reap waits until the process has exited and records its exit status.
 func (p *process) reap() {
-	defer close(p.ended)
+	defer close(p.exited)
 	state, err := p.cmd.Process.Wait()
 	if err != nil {
-		p.exit = err.Error()
+		p.exitStatus = err.Error()
 		return
 	}
-	p.exit = state.String()
+	p.exitStatus = state.String()
 }
 
-// call sends a request to a worker and returns its reply. The error is a WorkerError, ErrNoReply, or a ProcessExitError where the
-// process has ended. After ErrNoReply the worker must not be called again: its late reply would be taken for the next one.
+// call sends a request to a worker and returns its reply. The error is a WorkerError if the worker could not carry out the request, a
+// ProcessExitError if the process has exited, or ErrNoReply. After ErrNoReply the worker must not be called again, because its late
+// reply would be mistaken for the reply to the next request.
 func (p *process) call(q Request) (r Reply, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,9 +98,9 @@
 	}
 	if err != nil {
 		select {
-		case <-p.ended:
+		case <-p.exited:
 			return r, p.newExitError()
-		case <-time.After(exitGrace):
+		case <-time.After(exitTimeout):
 			return r, fmt.Errorf("%s: request %s: %w", p.name, q.Operation, err)
 		}
 	}
@@ -108,7 +110,7 @@
 	return r, nil
 }
 
-// readReply waits for a reply, for replyTimeout at most.
+// readReply reads the next reply. It returns ErrNoReply after replyTimeout.
 func (p *process) readReply() (Reply, error) {
 	type result struct {
 		reply Reply
@@ -128,10 +130,10 @@
 	}
 }
 
-// exitedError returns a ProcessExitError where the process has ended, and nil while it runs.
+// exitedError returns a ProcessExitError if the process has exited, and nil while it runs.
 func (p *process) exitedError() error {
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return p.newExitError()
 	default:
 		return nil
@@ -139,17 +141,18 @@
 }
 
 func (p *process) newExitError() error {
-	return &ProcessExitError{Process: p.name, Exit: p.exit, LastLog: lastLogLine(p.logPath)}
+	return &ProcessExitError{Process: p.name, Exit: p.exitStatus, LastLog: lastLogLine(p.logPath)}
 }
 
-// lastLogLine returns the line of a log that says most likely why a process ended.
+// lastLogLine returns the line of a log that most likely says why the process exited: the reason of a Go panic or fatal error, or
+// otherwise the end of the last line. It returns "" if the log cannot be read.
 func lastLogLine(path string) string {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return ""
 	}
 	lines := strings.Split(strings.TrimSpace(string(data)), "\n")
-	for _, l := range lines { // a Go program that panics writes the reason before the stacks
+	for _, l := range lines { // a Go program that panics writes the reason before the stack traces
 		if strings.HasPrefix(l, "panic:") || strings.HasPrefix(l, "fatal error:") {
 			return l
 		}
@@ -158,7 +161,7 @@
 	return last[max(0, len(last)-maxLogLine):]
 }
 
-// setPaused stops the process from running, or lets it go on.
+// setPaused suspends the process with SIGSTOP or resumes it with SIGCONT.
 func (p *process) setPaused(paused bool) error {
 	sig := syscall.SIGCONT
 	if paused {
@@ -170,9 +173,10 @@
 	return nil
 }
 
-// terminate asks the process to end. Errors are dropped: they mean that it has ended already, and waitOrKill sees to the rest.
+// terminate asks the process to exit. Errors are ignored: they mean that the process has already exited, and waitOrKill kills a
+// process that remains.
 func (p *process) terminate() {
-	_ = p.cmd.Process.Signal(syscall.SIGCONT) // a paused process cannot end
+	_ = p.cmd.Process.Signal(syscall.SIGCONT) // a paused process cannot exit
 	if p.in != nil {
 		_ = p.in.Close()
 		return
@@ -180,12 +184,12 @@
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
 }
 
-// waitOrKill waits until the process has ended, and kills it at a time.
+// waitOrKill waits until the process has exited, and kills it at the given time if it still runs.
 func (p *process) waitOrKill(at time.Time) {
 	select {
-	case <-p.ended:
+	case <-p.exited:
 	case <-time.After(time.Until(at)):
-		_ = p.cmd.Process.Kill() // the error says that it has just ended
-		<-p.ended
+		_ = p.cmd.Process.Kill() // fails only if the process has just exited
+		<-p.exited
 	}
 }
--- a/lab/capacity/protocol.go
+++ b/lab/capacity/protocol.go
@@ -2,77 +2,78 @@
 
 import "dapplerouter/fleet/mesh"
 
-// Kinds of worker process, as arguments of its command.
+// Kinds of worker processes. They are arguments of the worker's command.
 const (
 	FollowerWorker  = "hollow" // hosts simulated followers
 	DiscoveryWorker = "discovery"
 	DatabaseWorker  = "databases"
 )
 
-// Operations of workers. A worker answers each Request with one Reply, a line of JSON each way, and ends with its input.
+// Operations of workers. Requests and replies are JSON, one per line. A worker answers each Request with one Reply, and exits at the
+// end of its input.
 const (
 	opStart       = "start"
 	opCounters    = "counters"
 	opEntryChange = "change"   // discovery: changes one entry
 	opSnapshot    = "whole"    // discovery: sends a snapshot of the list
-	opArrivals    = "arrivals" // simulated followers: when a list or a configuration arrived
+	opArrivals    = "arrivals" // simulated followers: returns when a list or a configuration arrived
 )
 
-// Request is what the supervisor asks of a worker.
+// Request is a request of the supervisor to a worker.
 type Request struct {
 	Operation string       `json:"do"`
-	Settings  *RunSettings `json:"shared,omitempty"`    // start, simulated followers
-	Ordinals  []int        `json:"ordinals,omitempty"`  // start, simulated followers
-	Databases int          `json:"databases,omitempty"` // start, databases
-	Entries   []Endpoint   `json:"entries,omitempty"`   // start, discovery
-	Index     int64        `json:"index,omitempty"`     // arrivals: of an endpoint list,
-	Version   uint64       `json:"version,omitempty"`   // or of a configuration
+	Settings  *RunSettings `json:"shared,omitempty"`    // opStart of simulated followers
+	Ordinals  []int        `json:"ordinals,omitempty"`  // opStart of simulated followers: which fronts to start
+	Databases int          `json:"databases,omitempty"` // opStart of databases: how many to start
+	Entries   []Endpoint   `json:"entries,omitempty"`   // opStart of discovery: the endpoint list
+	Index     int64        `json:"index,omitempty"`     // opArrivals of an endpoint list: its index
+	Version   uint64       `json:"version,omitempty"`   // opArrivals of a configuration: its version; 0 for an endpoint list
 }
 
-// Reply is a worker's answer.
+// Reply is a worker's reply to a Request.
 type Reply struct {
-	Error     string   `json:"fault,omitempty"`       // "" for success; a WorkerError at the supervisor
-	Address   string   `json:"address,omitempty"`     // of discovery
-	Addresses []string `json:"addresses,omitempty"`   // of databases
-	Index     int64    `json:"index,omitempty"`       // of the list that a change made
-	ChangedAt int64    `json:"at_us,omitempty"`       // Unix microseconds
-	Arrivals  []int64  `json:"arrivals_us,omitempty"` // Unix microseconds, by follower; 0 for not yet
+	Error     string   `json:"fault,omitempty"`       // "" for success; the supervisor turns it into a WorkerError
+	Address   string   `json:"address,omitempty"`     // address of the discovery server
+	Addresses []string `json:"addresses,omitempty"`   // addresses of the databases
+	Index     int64    `json:"index,omitempty"`       // index of the list after a change
+	ChangedAt int64    `json:"at_us,omitempty"`       // when the change was sent; Unix microseconds
+	Arrivals  []int64  `json:"arrivals_us,omitempty"` // Unix microseconds, one for each follower; 0 means not yet
 	Counters  Counters `json:"counters"`
 }
 
-// Counters are what a process and its fronts used since their start. The embedded groups are flat in JSON.
+// Counters holds what a process and its fronts have used since they were started. The fields of the embedded structs are flat in JSON.
 type Counters struct {
 	SampledAt int64 `json:"at_us"`  // Unix microseconds
-	Fronts    int   `json:"fronts"` // in this process
+	Fronts    int   `json:"fronts"` // number of fronts in this process
 	ProcessUsage
 	MeshCounters
-	UsingSharedList int `json:"leaning"` // fronts that have the endpoint list from the fleet
+	UsingSharedList int `json:"leaning"` // number of fronts that have the endpoint list from the fleet
 	ServerCounters
-	MinListIndex int64  `json:"least_index"` // of the endpoint list, at the front that is furthest behind
-	LogIndex     uint64 `json:"log_index"`   // of the replicated state, at a real front
+	MinListIndex int64  `json:"least_index"` // smallest index of the endpoint list at any front of the process
+	LogIndex     uint64 `json:"log_index"`   // log index of the replicated state; only for a real front
 
 	Kinds map[string]KindCounters `json:"kinds,omitempty"` // messages sent, by kind
 }
 
-// ProcessUsage is what a process used of the machine.
+// ProcessUsage holds the machine resources that a process has used.
 type ProcessUsage struct {
-	CPUSeconds    float64 `json:"cpu_s"`      // user and system
+	CPUSeconds    float64 `json:"cpu_s"`      // user and system time
 	ResidentBytes int64   `json:"rss_bytes"`  // VmRSS
-	HeapBytes     int64   `json:"heap_bytes"` // in use; 0 of a real front
+	HeapBytes     int64   `json:"heap_bytes"` // heap in use; 0 for a real front
 }
 
-// MeshCounters are what fronts exchanged with their peers. Bytes are frames, without TCP.
+// MeshCounters holds what fronts have exchanged with their peers. Bytes include frames, but not TCP overhead.
 type MeshCounters struct {
 	Links         int    `json:"links"`
 	Sent          uint64 `json:"sent"` // messages
 	Received      uint64 `json:"received"`
 	SentBytes     uint64 `json:"sent_bytes"`
 	ReceivedBytes uint64 `json:"received_bytes"`
-	Shed          uint64 `json:"shed"` // links to slow peers that were closed
+	Shed          uint64 `json:"shed"` // number of links that were closed because the peer was slow
 	Dials         uint64 `json:"dials"`
 }
 
-// addMesh adds another front's.
+// addMesh adds the counters of another front.
 func (c *MeshCounters) addMesh(o MeshCounters) {
 	c.Links += o.Links
 	c.Sent += o.Sent
@@ -83,21 +84,21 @@
 	c.Dials += o.Dials
 }
 
-// ServerCounters are those of the fake servers.
+// ServerCounters holds the counters of the fake servers.
 type ServerCounters struct {
-	Watches     int    `json:"watches"`     // discovery: open
-	Calls       uint64 `json:"calls"`       // discovery
-	Connections int    `json:"connections"` // databases: open; not counted, always 0
-	Statements  uint64 `json:"statements"`  // databases: health checks, as there are no clients
+	Watches     int    `json:"watches"`     // discovery: open watches
+	Calls       uint64 `json:"calls"`       // discovery: requests
+	Connections int    `json:"connections"` // databases: open connections; not counted, always 0
+	Statements  uint64 `json:"statements"`  // databases: only health checks, because there are no clients
 }
 
-// KindCounters are the messages of one kind that were sent.
+// KindCounters counts the messages of one kind that were sent.
 type KindCounters struct {
 	Messages uint64 `json:"messages"`
 	Bytes    uint64 `json:"bytes"`
 }
 
-// addKinds adds what one front sent.
+// addKinds adds the messages that one front has sent, by kind.
 func (c *Counters) addKinds(sent []mesh.KindTotals) {
 	if c.Kinds == nil {
 		c.Kinds = map[string]KindCounters{}
--- a/lab/capacity/record.go
+++ b/lab/capacity/record.go
@@ -11,14 +11,14 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// RecordFormat is the version of Record's form. The names of roles, phases, resources and units, the notes, and the reasons in
-// Record.Partial are part of it: they stay as committed records have them.
+// RecordFormat is the version of the format of records. The names of roles, phases, resources and units, the notes, and the reasons in
+// Record.Partial are part of the format. They must stay the same as in committed records.
 const RecordFormat = 1
 
 // Roles of processes.
 const (
 	RoleLeader               = "voter, leader"
-	RoleVoter                = "voter" // that is not the leader
+	RoleVoter                = "voter" // a voter that is not the leader
 	RoleEndpointsLeaseholder = "leaseholder of the endpoint list"
 	RoleRolloutsLeaseholder  = "leaseholder of rollouts"
 	RoleRealFollower         = "follower, real"
@@ -27,18 +27,19 @@
 	RoleDatabases            = "databases"
 	roleFleet                = "fleet"
 	roleSupervisor           = "supervisor"
-	noRole                   = "" // measured in none
+	noRole                   = "" // of a process that is not measured
 )
 
 // Phases of a run.
 const (
-	PhaseStart         = "start"         // from the first process until the fleet has converged
-	PhaseIdle          = "rest"          // nothing changes
+	PhaseStart         = "start"         // from the start of the first process until the fleet has converged
+	PhaseIdle          = "rest"          // neither the endpoint list nor the configuration changes
 	PhaseEntryChange   = "one entry"     // discovery changes one entry at a time
 	PhaseSnapshot      = "whole list"    // discovery sends snapshots of the list
 	PhaseConfiguration = "configuration" // configurations are published
 )
 
+// Notes and units of records.
 const (
 	simulatedNote      = "a process's figure by its hollow fronts"
 	unitMilliseconds   = "ms"
@@ -49,33 +50,33 @@
 // Record is one measured value.
 type Record struct {
 	Format    int        `json:"format"`
-	Fleet     int        `json:"fleet"` // fronts of the run
+	Fleet     int        `json:"fleet"` // number of fronts in the run
 	Databases int        `json:"databases"`
 	Phase     string     `json:"phase"`
 	Role      string     `json:"role"`
 	Resource  string     `json:"resource"`
 	Unit      string     `json:"unit"`
-	Value     float64    `json:"value"`               // of one front of the role, or of a fake server's process
-	Fronts    int        `json:"fronts"`              // over which it was taken
-	Changes   int        `json:"changes,omitempty"`   // number of changes, where the value is for one
-	Quantiles *Quantiles `json:"quantiles,omitempty"` // of a time
-	Missing   int        `json:"missing,omitempty"`   // times that were not measured before the phase ended
-	Partial   string     `json:"partial,omitempty"`   // why the value is not that of the whole role or phase; "" for a complete one
+	Value     float64    `json:"value"`               // per front of the role, or for the process of a fake server
+	Fronts    int        `json:"fronts"`              // number of fronts over which the value was measured
+	Changes   int        `json:"changes,omitempty"`   // number of changes, if the value is per change
+	Quantiles *Quantiles `json:"quantiles,omitempty"` // only if the value is a time
+	Missing   int        `json:"missing,omitempty"`   // number of times that were not measured before the phase ended
+	Partial   string     `json:"partial,omitempty"`   // why the value does not cover the whole role or phase; "" for a complete value
 	Note      string     `json:"note,omitempty"`
 }
 
-// Header comes before a run's records: the command, its size, and the machine.
+// Header describes a run. It precedes the run's records in the JSON output.
 type Header struct {
 	Format      int     `json:"format"`
 	Command     string  `json:"command"`
-	Revision    string  `json:"revision,omitempty"` // of the source; ends with "+" where files were changed since
+	Revision    string  `json:"revision,omitempty"` // source revision of the build; ends with "+" if the sources had uncommitted changes
 	Size        Size    `json:"size"`
 	Cores       int     `json:"cores"`
 	Memory      int64   `json:"memory_bytes"`
-	LoadAverage float64 `json:"load_average"` // of one minute, as the run began: other work on the machine
+	LoadAverage float64 `json:"load_average"` // one-minute load average at the start of the run, which shows other work on the machine
 }
 
-// NewHeader returns the header of a run on this machine. The error says what can't be read of the machine.
+// NewHeader returns the header of a run on this machine. The error says which resource of the machine could not be read.
 func NewHeader(command string, size Size) (Header, error) {
 	m, err := ThisMachine()
 	if err != nil {
@@ -89,7 +90,7 @@
 	return h, err
 }
 
-// revision returns the revision that the program was built from, "" where the build does not say.
+// revision returns the source revision that the program was built from, or "" if the build information lacks it.
 func revision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -116,12 +117,13 @@
 	Max   float64 `json:"most"`
 }
 
-// The range and precision of a histogram of times, which are microseconds.
+// Range and precision of a histogram of times.
 const (
-	maxTime            = 600_000_000
+	maxTime            = 600_000_000 // microseconds
 	significantFigures = 3
 )
 
+// Unit conversions.
 const (
 	microsPerMilli  = 1000
 	millisPerSecond = 1000
@@ -130,12 +132,12 @@
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxTime, significantFigures) }
 
-// recordTime adds a time in microseconds. One out of the histogram's range is not counted.
+// recordTime adds a time in microseconds to a histogram. A time out of the histogram's range is not counted.
 func recordTime(h *hdrhistogram.Histogram, micros int64) {
-	_ = h.RecordValue(micros) // the only error is one out of range
+	_ = h.RecordValue(micros) // fails only if the time is out of range
 }
 
-// quantiles converts a histogram.
+// quantiles returns the quantiles of a histogram of microseconds, in milliseconds.
 func quantiles(h *hdrhistogram.Histogram) *Quantiles {
 	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / microsPerMilli }
 	return &Quantiles{Count: h.TotalCount(), P50: at(50), P90: at(90), P99: at(99), Max: float64(h.Max()) / microsPerMilli}
@@ -143,7 +145,7 @@
 
 func nowMicros() int64 { return time.Now().UnixMicro() }
 
-// rounded returns a value with five significant figures, more than a run is exact to.
+// rounded rounds a value to five significant figures, which is more than the precision of a run.
 func rounded(x float64) float64 {
 	y, err := strconv.ParseFloat(strconv.FormatFloat(x, 'g', 5, 64), 64)
 	if err != nil {
--- a/lab/capacity/results.go
+++ b/lab/capacity/results.go
@@ -7,34 +7,35 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// results are the records so far, and what the phases with changes are compared with.
+// results holds the records so far, and the usage in the idle phase, with which phases with changes are compared.
 type results struct {
 	all  []Record
-	idle map[string]roleUsage // by role, of the idle phase
+	idle map[string]roleUsage // by role
 }
 
-// phaseUsage is what each role used in a phase, and which of it is partial and why.
+// phaseUsage is the usage of each role in a phase.
 type phaseUsage struct {
 	byRole  map[string]roleUsage
-	partial map[string]string
+	partial map[string]string // reasons why the usage of a role is partial, by role
 }
 
-// startResult is what the start of a fleet used, and how it ended.
+// startResult is the usage of a fleet during its start, and the outcome of the start.
 type startResult struct {
-	usage  map[string]roleUsage
-	took   time.Duration
-	failed error // nil for a fleet that converged
+	usage    map[string]roleUsage // by role
+	duration time.Duration
+	err      error // nil for a fleet that converged
 }
 
-// counterResource is a resource that is used over time.
+// counterResource is a resource whose usage accumulates over time.
 type counterResource struct {
 	name       string
-	idleUnit   string // for a second
-	changeUnit string // for a change
-	scale      float64
+	idleUnit   string  // unit of the usage per second
+	changeUnit string  // unit of the usage per change
+	scale      float64 // converts value to the unit
 	value      func(*roleUsage) float64
 }
 
+// counterResources lists the counter resources in the order of the records.
 var counterResources = []counterResource{
 	{"processor", unitCorePerSecond, "ms of a core", millisPerSecond, func(u *roleUsage) float64 { return u.cpuSeconds }},
 	{"bytes sent", unitBytesPerSecond, "B", 1, func(u *roleUsage) float64 { return u.mesh.sentBytes }},
@@ -47,13 +48,14 @@
 	{"slow peers let go", "1/s", "links", 1, func(u *roleUsage) float64 { return u.mesh.shed }},
 }
 
-// gaugeResource is a resource that has a level.
+// gaugeResource is a resource whose usage is a level at a moment.
 type gaugeResource struct {
 	name, unit string
-	scale      float64
+	scale      float64 // converts value to the unit
 	value      func(*roleUsage) float64
 }
 
+// gaugeResources lists the gauge resources in the order of the records.
 var gaugeResources = []gaugeResource{
 	{"resident memory", "MiB", 1.0 / bytesPerMiB, func(u *roleUsage) float64 { return u.residentBytes }},
 	{"heap in use", "MiB", 1.0 / bytesPerMiB, func(u *roleUsage) float64 { return u.heapBytes }},
@@ -61,23 +63,24 @@
 	{"watches", "watches", 1, func(u *roleUsage) float64 { return u.server.watches }},
 }
 
-// minMessages of a kind for a change make a record: fewer are the difference between two idle times.
+// minMessages is the least number of messages of one kind per change that makes a record. A smaller number is noise: the idle traffic
+// varies by as much between two phases.
 const minMessages = 0.5
 
-// Prefixes of the resources that are messages of one kind.
+// Prefixes of the names of resources that count the messages of one kind.
 const (
 	kindMessages = "messages sent: "
 	kindBytes    = "bytes sent: "
 )
 
-// meshResources are those that the fake servers do not have.
+// meshResources are the resources that the fake servers do not have.
 var meshResources = map[string]bool{"messages sent": true, "messages received": true, "links": true, "slow peers let go": true}
 
-// serverResources are those that fronts do not have.
+// serverResources are the resources that fronts do not have.
 var serverResources = map[string]bool{"statements": true, "calls": true, "watches": true}
 
-// applies reports whether a role has a resource.
-func applies(role, resource string) bool {
+// hasResource reports whether a resource is measured for a role.
+func hasResource(role, resource string) bool {
 	if resource == "log entries" {
 		return role == RoleLeader
 	}
@@ -92,7 +95,7 @@
 	return !serverResources[resource] && resource != "heap in use"
 }
 
-// newRecord returns a record without a resource.
+// newRecord returns a record of a role in a phase. Its resource is not set yet.
 func newRecord(size Size, phase, role string) Record {
 	r := Record{Fleet: size.Fronts, Databases: size.Databases, Phase: phase, Role: role}
 	if role == RoleSimulatedFollower {
@@ -101,14 +104,14 @@
 	return r
 }
 
-// with returns a copy that has a resource.
-func (r Record) with(resource, unit string, value float64) Record {
+// withResource returns a copy of the record with a resource and its value.
+func (r Record) withResource(resource, unit string, value float64) Record {
 	r.Resource, r.Unit, r.Value = resource, unit, rounded(value)
 	return r
 }
 
-// idleRecords makes the records of the idle phase: each resource for one front and second. It keeps the usage, which changeRecords
-// needs.
+// idleRecords returns the records of the idle phase. Counters are per front and second, and gauges per front. It stores the usage for
+// changeRecords.
 func (r *results) idleRecords(size Size, phase phaseUsage) (all []Record) {
 	r.idle = phase.byRole
 	for _, role := range roleOrder {
@@ -119,8 +122,8 @@
 		base := newRecord(size, PhaseIdle, role)
 		base.Fronts, base.Partial = u.fronts, phase.partial[role]
 		add := func(resource, unit string, value float64) {
-			if applies(role, resource) {
-				all = append(all, base.with(resource, unit, value))
+			if hasResource(role, resource) {
+				all = append(all, base.withResource(resource, unit, value))
 			}
 		}
 		for _, c := range counterResources {
@@ -137,15 +140,15 @@
 	return all
 }
 
-// startRecords makes the records of the start: what each front used until the fleet converged, or failed to.
+// startRecords returns the records of the start phase: the usage per front until the fleet converged or failed to converge.
 func startRecords(size Size, start startResult) (all []Record) {
 	partial := ""
-	if start.failed != nil {
-		partial = start.failed.Error()
+	if start.err != nil {
+		partial = start.err.Error()
 	}
 	fleet := newRecord(size, PhaseStart, roleFleet)
 	fleet.Fronts, fleet.Partial = size.Fronts, partial
-	all = append(all, fleet.with("time until it has settled", "s", start.took.Seconds()))
+	all = append(all, fleet.withResource("time until it has settled", "s", start.duration.Seconds()))
 	for _, role := range roleOrder {
 		u, ok := start.usage[role]
 		if !ok {
@@ -154,19 +157,19 @@
 		base := newRecord(size, PhaseStart, role)
 		base.Fronts, base.Partial = u.fronts, partial
 		for _, c := range counterResources {
-			if applies(role, c.name) {
-				all = append(all, base.with(c.name, c.changeUnit, u.perFront(c.value(&u)*c.scale)))
+			if hasResource(role, c.name) {
+				all = append(all, base.withResource(c.name, c.changeUnit, u.perFront(c.value(&u)*c.scale)))
 			}
 		}
 		for _, kind := range u.kindNames() {
-			all = append(all, base.with(kindMessages+kind, "messages", u.perFront(u.kinds[kind].messages)),
-				base.with(kindBytes+kind, "B", u.perFront(u.kinds[kind].bytes)))
+			all = append(all, base.withResource(kindMessages+kind, "messages", u.perFront(u.kinds[kind].messages)),
+				base.withResource(kindBytes+kind, "B", u.perFront(u.kinds[kind].bytes)))
 		}
 	}
 	return all
 }
 
-// changeRecords makes the records of a phase with changes: what one front used for one change beyond the idle phase.
+// changeRecords returns the records of a phase with changes: the usage per front and change beyond the usage in the idle phase.
 func (r *results) changeRecords(size Size, phase string, changes int, usage phaseUsage) (all []Record) {
 	for _, role := range roleOrder {
 		u, ok := usage.byRole[role]
@@ -177,8 +180,8 @@
 		base := newRecord(size, phase, role)
 		base.Fronts, base.Changes, base.Partial = u.fronts, changes, usage.partial[role]
 		add := func(resource, unit string, value float64) {
-			if applies(role, resource) {
-				all = append(all, base.with(resource, unit, value))
+			if hasResource(role, resource) {
+				all = append(all, base.withResource(resource, unit, value))
 			}
 		}
 		seconds := u.perFront(u.frontSeconds)
@@ -202,15 +205,15 @@
 	return all
 }
 
-// timing is a time that was measured several times.
+// timing is a duration that was measured several times.
 type timing struct {
-	resource string // from when to when
-	changes  int    // 0 where it is not of changes
+	resource string // name of the duration in the record: its start and end
+	changes  int    // number of changes; 0 if the duration is not that of a change
 	times    *hdrhistogram.Histogram
-	missing  int // that took too long to be measured
+	missing  int // measurements that took too long
 }
 
-// timeRecord makes the record of a time; its value is the longest.
+// timeRecord returns the record of a timing. Its value is the longest time.
 func timeRecord(size Size, phase string, t timing) Record {
 	q := quantiles(t.times)
 	r := newRecord(size, phase, roleFleet)
--- a/lab/capacity/role_usage.go
+++ b/lab/capacity/role_usage.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// roleUsage is what the processes of a role used between two samples, summed over their fronts. Levels (links, watches, memory)
-// are those at the end.
+// roleUsage is the resource usage of all processes of a role between two samples. Gauges (links, watches and memory) are the values at
+// the second sample.
 type roleUsage struct {
 	fronts        int
-	frontSeconds  float64 // between the samples
+	frontSeconds  float64 // time between the samples, summed over the fronts
 	cpuSeconds    float64
 	residentBytes float64
 	heapBytes     float64
@@ -19,7 +19,7 @@
 	kinds         map[string]kindUsage // messages sent, by kind
 }
 
-// meshUsage is what fronts exchanged with their peers.
+// meshUsage is the traffic between fronts and their peers.
 type meshUsage struct {
 	links, shed              float64
 	sent, received           float64 // messages
@@ -35,7 +35,7 @@
 	u.receivedBytes += float64(after.ReceivedBytes - before.ReceivedBytes)
 }
 
-// serverUsage is what the fake servers did.
+// serverUsage is the usage of the fake servers.
 type serverUsage struct{ watches, calls, statements float64 }
 
 func (u *serverUsage) add(before, after ServerCounters) {
@@ -44,10 +44,11 @@
 	u.statements += float64(after.Statements - before.Statements)
 }
 
-// kindUsage is the messages of one kind that were sent.
+// kindUsage counts the messages of one kind that were sent.
 type kindUsage struct{ messages, bytes float64 }
 
-// usageBetween adds up what was used between samples, by the roles at the end. A process without a sample before is left out.
+// usageBetween returns the usage of each role between two sets of samples. Current holds the roles at the end. A process that is missing
+// in the first set is left out.
 func usageBetween(before, after []sample, current roles) map[string]roleUsage {
 	earlier := map[string]Counters{}
 	for _, s := range before {
@@ -57,7 +58,7 @@
 	for _, s := range after {
 		role := s.role
 		if s.ordinal >= 0 {
-			role = current.of(s.ordinal)
+			role = current.roleOf(s.ordinal)
 		}
 		first, ok := earlier[s.process]
 		if !ok || role == noRole {
@@ -70,7 +71,7 @@
 	return byRole
 }
 
-// add adds what one process used.
+// add adds the usage of one process between two samples.
 func (u *roleUsage) add(before, after Counters) {
 	fronts := max(1, after.Fronts)
 	u.fronts += fronts
@@ -96,10 +97,10 @@
 	}
 }
 
-// perFront divides by the fronts.
+// perFront divides a total by the number of fronts.
 func (u *roleUsage) perFront(total float64) float64 { return total / float64(u.fronts) }
 
-// perFrontSecond divides by the fronts and the time.
+// perFrontSecond divides a total by the number of fronts and the time between the samples.
 func (u *roleUsage) perFrontSecond(total float64) float64 { return total / u.frontSeconds }
 
 // kindNames returns the kinds of messages that the role sent, sorted.
--- a/lab/capacity/role_usage_test.go
+++ b/lab/capacity/role_usage_test.go
@@ -17,7 +17,7 @@
 	assert.Contains(t, reasons, RoleVoter)
 	assert.NotContains(t, reasons, RoleEndpointsLeaseholder)
 	assert.Equal(t, "the lease was n5's and is n6's", reasons[RoleRolloutsLeaseholder])
-	assert.Equal(t, noRole, after.of(historyOrdinal), "it keeps a history, and counts in no role")
+	assert.Equal(t, noRole, after.roleOf(historyOrdinal), "the front that writes the history is counted in no role")
 }
 
 func TestProcessWithoutFirstSampleIsLeftOut(t *testing.T) {
@@ -31,7 +31,7 @@
 	u := usageBetween(before, after, roles{})[RoleSimulatedFollower]
 	assert.Equal(t, 4, u.fronts)
 	assert.Equal(t, 80.0, u.mesh.sent)
-	assert.Equal(t, 8.0, u.frontSeconds, "two seconds of four fronts")
+	assert.Equal(t, 8.0, u.frontSeconds, "two seconds, four fronts")
 }
 
 func TestCountersStayFlatInJSON(t *testing.T) {
--- a/lab/capacity/roles.go
+++ b/lab/capacity/roles.go
@@ -7,16 +7,16 @@
 	"dapplerouter/fleet/rollout"
 )
 
-// roles are the names of the fronts that are leader and leaseholders at a time.
+// roles holds the names of the fronts that are the leader and the leaseholders at a moment.
 type roles struct {
 	leader, endpoints, rollouts string
 }
 
-// roleOrder is that of records and the table.
+// roleOrder is the order of roles in the records and in the printed table.
 var roleOrder = []string{RoleLeader, RoleVoter, RoleEndpointsLeaseholder, RoleRolloutsLeaseholder, RoleRealFollower, RoleSimulatedFollower,
 	RoleDiscovery, RoleDatabases}
 
-// pollRoles asks a real front for the leader and the leaseholders.
+// pollRoles asks a real front which fronts are the leader and the leaseholders.
 func (b *testbed) pollRoles() (r roles, err error) {
 	s, err := b.status(endpointsOrdinal)
 	if err != nil {
@@ -25,8 +25,8 @@
 	return roles{leader: s.Leader, endpoints: leaseholder(s, fleet.EndpointListLease), rollouts: leaseholder(s, rollout.Lease)}, nil
 }
 
-// of returns a real front's role.
-func (r roles) of(i int) string {
+// roleOf returns the role of the real front with ordinal i, or noRole for the front that writes the history.
+func (r roles) roleOf(i int) string {
 	switch name := frontName(i); {
 	case i == historyOrdinal:
 		return noRole
@@ -42,7 +42,8 @@
 	return RoleRealFollower
 }
 
-// roleChanges returns the roles whose values are partial since their fronts changed in a phase, with the reasons.
+// roleChanges returns the roles that moved to another front during a phase, with a reason for each. Their measurements are partial.
+// The reasons are part of records.
 func roleChanges(before, after roles) map[string]string {
 	reasons := map[string]string{}
 	if before.leader != after.leader {
--- a/lab/capacity/rollout_history.go
+++ b/lab/capacity/rollout_history.go
@@ -11,21 +11,21 @@
 	"dapplerouter/fleet"
 )
 
-// historyReader follows the rollouts in the history of the real front that keeps one. It reads each line once.
+// historyReader follows the rollouts in the history of the real front that writes one. It reads each line once.
 type historyReader struct {
 	path            string
-	offset          int64              // bytes read
-	finishedAt      map[uint64]int64   // by version, Unix microseconds; rolledBack for one that did not come into force
+	offset          int64              // number of bytes read so far
+	finishedAt      map[uint64]int64   // by version; Unix microseconds, or rolledBack for a version that did not come into force
 	rollbackReasons map[uint64]string  // by version
-	stageDoneAt     map[uint64]int64   // when a version's last stage ended, Unix microseconds
-	lastEntry       fleet.HistoryEntry // of a rollout
+	stageDoneAt     map[uint64]int64   // when the last stage ended, by version; Unix microseconds
+	lastEntry       fleet.HistoryEntry // the last entry about a rollout
 }
 
 func newHistoryReader(path string) *historyReader {
 	return &historyReader{path: path, finishedAt: map[uint64]int64{}, rollbackReasons: map[uint64]string{}, stageDoneAt: map[uint64]int64{}}
 }
 
-// The history's words for a rollout. They change only with its format version.
+// Kind and phase names of rollout entries in a history. They are part of the history's format.
 const (
 	rolloutEntryKind = "turned"
 	rolloutSteady    = "steady"
@@ -33,22 +33,23 @@
 	rolloutGoingBack = "going back"
 )
 
-// rolledBack stands for the end of a rollout that did not come into force.
+// rolledBack replaces the end time of a rollout that did not come into force.
 const rolledBack = -1
 
-// finished reads what is new and returns when a version's rollout was over: Unix microseconds, 0 for not yet, or rolledBack.
+// finished reads the new lines of the history and returns when a version's rollout finished, in Unix microseconds. It returns 0 if the
+// rollout has not finished, and rolledBack if it was rolled back.
 func (h *historyReader) finished(version uint64) (at int64, err error) {
 	f, err := os.Open(h.path)
 	if err != nil {
 		return 0, fmt.Errorf("rollout history: %w", err)
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // opened only for reading
 	if _, err := f.Seek(h.offset, io.SeekStart); err != nil {
 		return 0, fmt.Errorf("rollout history: %w", err)
 	}
 	for r := bufio.NewReader(f); ; {
 		line, err := r.ReadBytes('\n')
-		if err != nil { // the rest of a line comes later
+		if err != nil { // an incomplete line is read again later
 			return h.finishedAt[version], nil
 		}
 		h.offset += int64(len(line))
@@ -56,7 +57,7 @@
 	}
 }
 
-// apply takes a line of the history; those that are not of rollouts are skipped.
+// apply updates the state with a line of the history. It skips lines that are not about rollouts.
 func (h *historyReader) apply(line []byte) {
 	if !bytes.Contains(line, []byte(rolloutEntryKind)) {
 		return
@@ -73,7 +74,7 @@
 	case rolloutFinishing:
 		h.stageDoneAt[e.Term] = e.At
 	case rolloutSteady:
-		if previous.Term != 0 && previous.Term != e.Number { // the version that was rolled out is not the one in force
+		if previous.Term != 0 && previous.Term != e.Number { // the version that was being rolled out is not the one in force
 			h.finishedAt[previous.Term] = rolledBack
 		}
 		if _, ok := h.finishedAt[e.Number]; !ok {
--- a/lab/capacity/rollout_history_test.go
+++ b/lab/capacity/rollout_history_test.go
@@ -25,14 +25,14 @@
 		return at
 	}
 	write(`{"at":5,"what":"turned","term":1,"name":"rolling"}` + "\n" + `{"at":9,"what":"turned","name":"steady","num`)
-	assert.Zero(t, finished(1), "half a line says nothing yet")
+	assert.Zero(t, finished(1), "an incomplete line is not read yet")
 	write(`ber":1}` + "\n" + `{"at":11,"what":"came","duty":"list"}` + "\n")
 	assert.Equal(t, int64(9), finished(1))
 	write(`{"at":12,"what":"turned","number":1,"term":2,"name":"rolling"}` + "\n" +
 		`{"at":13,"what":"turned","number":1,"term":2,"name":"going back","why":"n7 can't use it"}` + "\n")
 	assert.Zero(t, finished(2))
 	write(`{"at":14,"what":"turned","number":1,"name":"steady"}` + "\n")
-	assert.Equal(t, int64(rolledBack), finished(2), "an end, but not in force")
+	assert.Equal(t, int64(rolledBack), finished(2), "the rollout finished, but the version is not in force")
 	assert.Equal(t, "n7 can't use it", h.rollbackReasons[2])
-	assert.Equal(t, int64(9), finished(1), "the first time stands")
+	assert.Equal(t, int64(9), finished(1), "the first end time is kept")
 }
--- a/lab/capacity/run.go
+++ b/lab/capacity/run.go
@@ -10,46 +10,45 @@
 	"time"
 )
 
-// Options say what a run starts and measures, and who receives its results.
+// Options configures a run.
 type Options struct {
 	Size
-	Program     string                           // bin/dapplerouter
-	Worker      func(kind string) []string       // returns the command that calls Work
-	Dir         string                           // for files, logs and sockets; the caller removes it
-	Progress    func(format string, args ...any) // may be nil
-	Emit        func(Record) error               // receives each record once its phase is over; may be nil
+	Program     string                           // path of bin/dapplerouter
+	Worker      func(kind string) []string       // returns the command line of a worker process, which calls Work
+	Dir         string                           // directory for files, logs and sockets; the caller removes it
+	Progress    func(format string, args ...any) // receives progress messages; may be nil
+	Emit        func(Record) error               // receives each record at the end of its phase; may be nil
 	onConverged func(*testbed)                   // for tests: called once, after the fleet has converged
 }
 
-// testbed is a running fleet. It owns every process of it.
+// testbed is a running fleet. It owns every process of the fleet.
 type testbed struct {
-	options   Options
-	settings  RunSettings
-	guard     net.Listener // reserves the network's addresses against another run
-	real      []*process   // by ordinal
-	simulated []*process   // hosts of simulated followers
-	paused    *process     // the one of them that is paused during configuration changes; nil for none
-	discovery *process
-	databases *process
-	startedAt time.Time
-	results   results
+	options     Options
+	settings    RunSettings
+	networkLock net.Listener // reserves the loopback network, so that no other run uses its addresses
+	real        []*process   // real fronts, by ordinal
+	simulated   []*process   // worker processes that host simulated followers
+	paused      *process     // the element of simulated that is paused during configuration changes; nil for none
+	discovery   *process
+	databases   *process
+	startedAt   time.Time
+	results     results
 }
 
-// How long a fleet may take to converge (convergePerFront is added for each front) and a lease to be transferred, and how often
-// processes are polled.
+// Timeouts and the polling interval of a run.
 const (
-	convergeTimeout  = 90 * time.Second
+	convergeTimeout  = 90 * time.Second // for a fleet to converge, plus convergePerFront for each front
 	convergePerFront = 500 * time.Millisecond
-	transferTimeout  = 30 * time.Second
-	pollInterval     = 500 * time.Millisecond
+	transferTimeout  = 30 * time.Second       // for the transfer of a lease
+	pollInterval     = 500 * time.Millisecond // between two polls of the processes
 )
 
-// configLeaseFactor is the duration of a configuration lease in lease durations.
+// configLeaseFactor is the duration of a configuration lease, in multiples of the lease duration.
 const configLeaseFactor = 4
 
-// Run starts a fleet, measures it, and ends it. It returns the records of all phases that were over. The error is a SizeError
-// before anything is started, a ProcessExitError where a process ended by itself, ErrNotConverged, ErrNotInForce, ErrNoReply, the
-// cause of ctx, or what could not be set up.
+// Run starts a fleet, measures it, and ends it. It returns the records of all phases that were completed, also with an error. The
+// error is a SizeError before any process is started, a ProcessExitError if a process exited unexpectedly, ErrNotConverged,
+// ErrNotInForce, ErrNoReply, the cause of ctx, or an error of the setup.
 func Run(ctx context.Context, o Options) (all []Record, err error) {
 	machine, err := ThisMachine()
 	if err != nil {
@@ -61,7 +60,7 @@
 	if o.Progress == nil {
 		o.Progress = func(string, ...any) {}
 	}
-	runtime.LockOSThread() // children end with the thread that started them
+	runtime.LockOSThread() // the kernel kills the children when the thread that started them exits
 	defer runtime.UnlockOSThread()
 	b := &testbed{options: o, startedAt: time.Now()}
 	defer b.close()
@@ -75,7 +74,7 @@
 	return b.results.all, err
 }
 
-// parallel calls for each element in a goroutine of its own, waits for all, and joins the errors.
+// parallel calls the function for every element concurrently, waits for all calls, and returns their errors joined.
 func parallel[T any](all []T, call func(i int, x T) error) error {
 	errs := make([]error, len(all))
 	var done sync.WaitGroup
@@ -86,12 +85,12 @@
 	return errors.Join(errs...)
 }
 
-// processes returns all children.
+// processes returns all child processes.
 func (b *testbed) processes() []*process {
 	return append(slices.Concat(b.real, b.simulated), b.servers()...)
 }
 
-// servers returns the fake servers that were started.
+// servers returns the processes of the fake servers that were started.
 func (b *testbed) servers() (started []*process) {
 	for _, p := range []*process{b.discovery, b.databases} {
 		if p != nil {
@@ -101,8 +100,8 @@
 	return started
 }
 
-// exited returns a ProcessExitError for every process that ended by itself, joined.
-func (b *testbed) exited() error {
+// exitErrors returns a ProcessExitError for each process that has exited, all joined, or nil if all processes run.
+func (b *testbed) exitErrors() error {
 	var errs []error
 	for _, p := range b.processes() {
 		errs = append(errs, p.exitedError())
@@ -110,10 +109,11 @@
 	return errors.Join(errs...)
 }
 
-// sleepUntil waits. The error is the cause of ctx, or a ProcessExitError.
+// sleepUntil sleeps until a time. It returns early with the cause of ctx when ctx is done, or with a ProcessExitError when a process
+// exits.
 func (b *testbed) sleepUntil(ctx context.Context, until time.Time) error {
 	for {
-		if err := b.exited(); err != nil {
+		if err := b.exitErrors(); err != nil {
 			return err
 		}
 		left := time.Until(until)
@@ -128,17 +128,17 @@
 	}
 }
 
-// close ends every process by its id, the simulated followers first, and waits for it.
+// close ends every process by its process ID, the simulated followers first, and waits until all have exited.
 func (b *testbed) close() {
 	all := append(slices.Concat(b.simulated, b.real), b.servers()...)
 	for _, p := range all {
 		p.terminate()
 	}
-	until := time.Now().Add(exitGrace)
+	until := time.Now().Add(exitTimeout)
 	for _, p := range all {
 		p.waitOrKill(until)
 	}
-	if b.guard != nil {
-		_ = b.guard.Close() // nothing was ever accepted; the run is over
+	if b.networkLock != nil {
+		_ = b.networkLock.Close() // no connection was ever accepted, and the run is over
 	}
 }
--- a/lab/capacity/sample.go
+++ b/lab/capacity/sample.go
@@ -9,15 +9,15 @@
 	"dapplerouter/fleet/agent"
 )
 
-// sample is one process's counters at a time.
+// sample is a reading of one process's counters.
 type sample struct {
 	process string
-	ordinal int    // of a real front, -1 for another process
-	role    string // of a process other than a real front
+	ordinal int    // ordinal of a real front; -1 for other processes
+	role    string // role of a process that is not a real front
 	Counters
 }
 
-// sample reads the counters of all processes at about one time; each has its own SampledAt.
+// sample reads the counters of all processes in parallel. Each sample has its own SampledAt.
 func (b *testbed) sample() ([]sample, error) {
 	var all []sample
 	var mu sync.Mutex // guards all
@@ -37,6 +37,7 @@
 	return all, err
 }
 
+// sampleOf reads the counters of one process.
 func (b *testbed) sampleOf(p *process) (s sample, err error) {
 	s = sample{process: p.name, ordinal: slices.Index(b.real, p)}
 	if s.ordinal >= 0 {
@@ -56,15 +57,15 @@
 	return s, err
 }
 
-// realCounters asks a process of the program by its admin API.
+// realCounters reads the counters of the real front i from its admin API, and its resident memory from /proc.
 func (b *testbed) realCounters(i int, p *process) (c Counters, err error) {
-	var of agent.Counters
-	if err := adminapi.Call(b.settings.adminSocket(i), "GET", "/v1/fleet/counters", nil, &of); err != nil {
+	var own agent.Counters
+	if err := adminapi.Call(b.settings.adminSocket(i), "GET", "/v1/fleet/counters", nil, &own); err != nil {
 		return c, err
 	}
-	c = Counters{SampledAt: nowMicros(), Fronts: 1, MeshCounters: meshCounters(of), MinListIndex: of.ListIndex, LogIndex: of.Index}
-	c.CPUSeconds = of.CPUSeconds
-	c.addKinds(of.Kinds)
+	c = Counters{SampledAt: nowMicros(), Fronts: 1, MeshCounters: meshCounters(own), MinListIndex: own.ListIndex, LogIndex: own.Index}
+	c.CPUSeconds = own.CPUSeconds
+	c.addKinds(own.Kinds)
 	c.ResidentBytes, err = residentMemory(p.cmd.Process.Pid)
 	return c, err
 }
--- a/lab/capacity/simulated_follower.go
+++ b/lab/capacity/simulated_follower.go
@@ -18,23 +18,23 @@
 	"dapplerouter/upstream"
 )
 
-// The database session's user and database, as the program has them.
+// User and database of the sessions with databases, the same as in the program.
 const (
 	databaseUser = "portal"
 	databaseName = "crm"
 )
 
-// simulatedFollower is a front without clients: the core with the router, the fleet agent, the mesh, the pools and the watch of
-// the endpoint list, wired as cmd/dapplerouter wires them, with their sockets. It runs until its process ends.
+// simulatedFollower is a front without clients. It has the core with the router, the fleet agent, the mesh, the connection pools and
+// the watch of the endpoint list, with real sockets, connected as in cmd/dapplerouter. It runs until its process exits.
 type simulatedFollower struct {
 	agent *agent.Agent
 
-	mu              sync.Mutex       // guards what follows
-	listArrivals    map[int64]int64  // when the core received each list, by index; Unix microseconds
-	versionArrivals map[uint64]int64 // when each configuration was adopted
+	mu              sync.Mutex       // guards the fields below
+	listArrivals    map[int64]int64  // when the core received each list, by list index; Unix microseconds
+	versionArrivals map[uint64]int64 // when the core adopted each configuration, by version; Unix microseconds
 }
 
-// startSimulatedFollower starts the follower with an ordinal; the error names it.
+// startSimulatedFollower starts the simulated follower with ordinal i. The error contains its name.
 func startSimulatedFollower(s *RunSettings, i int) (*simulatedFollower, error) {
 	f := &simulatedFollower{listArrivals: map[int64]int64{}, versionArrivals: map[uint64]int64{}}
 	if err := f.start(s, i); err != nil {
@@ -43,8 +43,9 @@
 	return f, nil
 }
 
+// start creates the follower's components, connects them and starts them.
 func (f *simulatedFollower) start(s *RunSettings, i int) error {
-	if err := os.MkdirAll(s.folder(i), 0o700); err != nil {
+	if err := os.MkdirAll(s.frontDir(i), 0o700); err != nil {
 		return err
 	}
 	instance, err := deployment.Load(func(name string) string {
@@ -57,7 +58,7 @@
 	if err != nil {
 		return err
 	}
-	ctx := context.Background() // nothing ends a follower but the end of its process
+	ctx := context.Background() // a follower stops only when its process exits
 	clock := monotonic.NewClock()
 	var observe func(front.Event)
 	watcher := discovery.NewWatcher(ctx, discovery.NewClient(instance.Discovery, instance.CachedList.Index),
@@ -87,7 +88,7 @@
 	return nil
 }
 
-// newPools makes an instance's connection pools; post receives their events.
+// newPools returns an instance's connection pools. They pass their events to post.
 func newPools(instance *deployment.Instance, post func(front.Event)) *upstream.Pools {
 	limiter := limits.NewDescriptors(limits.SharesOf(instance.MaxDescriptors, deployment.ReservedDescriptors))
 	l := instance.Settings.Limits
@@ -95,7 +96,8 @@
 		DialTimeout: l.DialTimeout, IdleTimeout: l.IdleConnTimeout, MemoryBytes: instance.MemoryBytes})
 }
 
-// recordArrival records when a list reaches the core or a configuration is adopted, and returns the event to be posted.
+// recordArrival records the time if the event brings a list to the core. If the event is an AdoptConfig, it sets up recording the time
+// of the adoption. It returns the event to be posted.
 func (f *simulatedFollower) recordArrival(e front.Event) front.Event {
 	switch e := e.(type) {
 	case front.EndpointsChanged:
@@ -115,7 +117,7 @@
 	return e
 }
 
-// recordList keeps the first time of a list.
+// recordList records the present time as the arrival of a list, unless the list has arrived before.
 func (f *simulatedFollower) recordList(index int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -124,14 +126,15 @@
 	}
 }
 
+// recordVersion records the present time as the adoption of a configuration.
 func (f *simulatedFollower) recordVersion(version uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.versionArrivals[version] = time.Now().UnixMicro()
 }
 
-// listArrival returns when a list or a later one arrived, in Unix microseconds, 0 for not yet: a later list contains the changes
-// of an earlier one.
+// listArrival returns when the list with an index or a later list arrived first, in Unix microseconds; 0 means not yet. A later list
+// contains the changes of all earlier ones.
 func (f *simulatedFollower) listArrival(index int64) (at int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -143,7 +146,7 @@
 	return at
 }
 
-// versionArrival returns when a configuration was adopted, in Unix microseconds, 0 for not yet.
+// versionArrival returns when a configuration was adopted, in Unix microseconds; 0 means not yet.
 func (f *simulatedFollower) versionArrival(version uint64) int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/lab/capacity/size.go
+++ b/lab/capacity/size.go
@@ -5,62 +5,65 @@
 	"time"
 )
 
-// Size is how large a fleet a run measures, and for how long.
+// Size is the size of the fleet that a run measures, with the rates and durations of the run.
 type Size struct {
-	Fronts              int           `json:"fronts"`             // real and simulated together
-	SimulatedPerProcess int           `json:"hollow_per_process"` // simulated followers of a worker process
+	Fronts              int           `json:"fronts"`             // number of real and simulated fronts together
+	SimulatedPerProcess int           `json:"hollow_per_process"` // number of simulated followers in a worker process
 	Databases           int           `json:"databases"`
 	Zones               int           `json:"zones"`
-	ChangesPerHour      float64       `json:"changes_per_hour"` // of each kind of change, in its own phase
-	Duration            time.Duration `json:"duration_ns"`      // of each phase
-	LeaseDuration       time.Duration `json:"span_ns"`          // a configuration lease lasts configLeaseFactor of it
+	ChangesPerHour      float64       `json:"changes_per_hour"` // rate of each kind of change, in its own phase
+	Duration            time.Duration `json:"duration_ns"`      // duration of each phase
+	LeaseDuration       time.Duration `json:"span_ns"`          // a configuration lease lasts configLeaseFactor times as long
 	Mandatory           bool          `json:"must"`             // configurations are published as mandatory: fronts that lag are fenced sooner
-	PausedOneIn         int           `json:"cut_off"`          // one front in so many is paused during configuration changes; 0 for none
+	PausedOneIn         int           `json:"cut_off"`          // one in this many fronts is paused during configuration changes; 0 for none
 }
 
-// The real processes of a run, by ordinal: n1 to n8.
+// Ordinals and numbers of the real fronts of a run, n1 to n8. The voters have the ordinals below voterCount.
 const (
 	voterCount       = 3
-	endpointsOrdinal = voterCount     // the endpoint list's lease is transferred to it
-	rolloutsOrdinal  = voterCount + 1 // the rollouts' lease
-	realFollowers    = 2              // measured as real followers
-	historyOrdinal   = voterCount + 2 + realFollowers
-	realFronts       = historyOrdinal + 1 // the last keeps a history, which costs: it is counted in no role
+	endpointsOrdinal = voterCount                     // holds the endpoint list's lease during the measurements
+	rolloutsOrdinal  = voterCount + 1                 // holds the rollouts' lease during the measurements
+	realFollowers    = 2                              // number of fronts that are measured as real followers
+	historyOrdinal   = voterCount + 2 + realFollowers // writes a history, which uses resources, so it is counted in no role
+	realFronts       = historyOrdinal + 1
 )
 
-// groupSize is the number of databases of a group: one primary and its replicas.
+// groupSize is the number of databases in a group: one primary and its replicas.
 const groupSize = 3
 
-// What one process or front needs, rounded up from runs. Check rejects a size by them.
+// Resource needs of one process or front, rounded up from the usage in runs. Check rejects a size that exceeds the machine's resources
+// or maxProcesses by these estimates.
 const (
 	maxProcesses               = 300
 	realFrontMemory            = 48 << 20 // resident bytes of a real front
-	workerMemory               = 32 << 20 // of a worker process beside its followers or databases
-	simulatedMemory            = 3 << 20  // of a simulated follower
-	simulatedMemoryPerDatabase = 8 << 10  // of a simulated follower, for each database
-	databaseMemory             = 64 << 10 // of a fake database
-	simulatedDescriptors       = 32       // of a simulated follower: its listener, links both ways, discovery
+	workerMemory               = 32 << 20 // bytes of a worker process without its followers or databases
+	simulatedMemory            = 3 << 20  // bytes of a simulated follower
+	simulatedMemoryPerDatabase = 8 << 10  // bytes of a simulated follower for each database
+	databaseMemory             = 64 << 10 // bytes of a fake database
+	simulatedDescriptors       = 32       // descriptors of a simulated follower: its listener, links in both directions, discovery
 	databaseDescriptors        = 2
-	spareDescriptors           = 128
+	reservedDescriptors        = 128 // descriptors that a process needs for other purposes
 )
 
-// Limits of Size.LeaseDuration. A longer one suits a machine that is short of processors.
+// Limits of Size.LeaseDuration. A longer duration suits a machine with too few processors for the fleet.
 const (
 	minLeaseDuration = time.Second
 	maxLeaseDuration = time.Minute
 )
 
-// maxZones is the number of zones that an endpoint list may name.
+// maxZones is the maximum number of zones in an endpoint list.
 const maxZones = 64
 
-// Machine is what a machine has of the resources that limit a run.
+// Machine holds the resources of a machine that limit a run.
 type Machine struct {
-	Memory      int64 // bytes, used or not
-	Descriptors int   // that one process may open
+	Memory      int64 // total memory in bytes, used or not
+	Descriptors int   // maximum number of descriptors that one process may open
 }
 
-// simulated returns the number of simulated followers, simulatedProcesses that of the processes that host them.
-func (s Size) simulated() int          { return s.Fronts - realFronts }
+// simulated returns the number of simulated followers.
+func (s Size) simulated() int { return s.Fronts - realFronts }
+
+// simulatedProcesses returns the number of worker processes that host simulated followers.
 func (s Size) simulatedProcesses() int { return len(s.ordinalsByProcess()) }
 
 // groups returns the number of groups of databases.
@@ -74,10 +77,10 @@
 	return min(s.Fronts/s.PausedOneIn, s.simulated()-1)
 }
 
-// ordinalsByProcess returns the ordinals of the simulated followers of each process. Those that are paused have the last one for
-// themselves.
+// ordinalsByProcess returns the ordinals of the simulated followers in each worker process. The followers that are paused share the
+// last process, which hosts no others.
 func (s Size) ordinalsByProcess() (all [][]int) {
-	running := s.Fronts - s.pausedFronts() // the ordinals below are not paused
+	running := s.Fronts - s.pausedFronts() // fronts with lower ordinals are not paused
 	for first := realFronts; first < s.Fronts; {
 		end := min(first+s.SimulatedPerProcess, running)
 		if first == running {
@@ -93,23 +96,23 @@
 	return all
 }
 
-// changes returns the number of changes in a phase: at least one.
+// changes returns the number of changes in a phase, which is at least one.
 func (s Size) changes() int {
 	return max(1, int(s.ChangesPerHour*s.Duration.Hours()+0.5))
 }
 
-// memory estimates what the run needs, in bytes.
+// memory returns an estimate of the memory that the run needs, in bytes.
 func (s Size) memory() int64 {
 	perFollower := int64(simulatedMemory + s.Databases*simulatedMemoryPerDatabase)
 	return realFronts*realFrontMemory + int64(s.simulated())*perFollower + int64(s.simulatedProcesses()+2)*workerMemory + int64(s.Databases)*databaseMemory
 }
 
-// descriptors estimates what the largest worker process needs.
+// descriptors returns an estimate of the descriptors that the largest worker process needs.
 func (s Size) descriptors() int {
-	return max(min(s.SimulatedPerProcess, s.simulated())*simulatedDescriptors, s.Databases*databaseDescriptors, s.Fronts*2) + spareDescriptors
+	return max(min(s.SimulatedPerProcess, s.simulated())*simulatedDescriptors, s.Databases*databaseDescriptors, s.Fronts*2) + reservedDescriptors
 }
 
-// Check reports whether a size is valid and a machine can bear it. The error is a SizeError.
+// Check returns nil if the size is valid and a machine has the resources for it, and a SizeError otherwise.
 func (s Size) Check(m Machine) error {
 	problems := s.checkValues()
 	if problems == nil {
@@ -121,55 +124,56 @@
 	return nil
 }
 
-// add adds a line.
+// add appends a line to the error.
 func (e *SizeError) add(format string, args ...any) { *e = append(*e, fmt.Sprintf(format, args...)) }
 
-// checkValues returns what is out of range.
+// checkValues returns a line for each value that is out of range, or nil.
 func (s Size) checkValues() (e SizeError) {
 	if s.Fronts <= realFronts {
-		e.add("--fronts %d: %d are real processes (%d voters, two leaseholders, followers); %d at least", s.Fronts, realFronts, voterCount, realFronts+1)
+		e.add("--fronts %d: %d are real processes (%d voters, two leaseholders, followers); the minimum is %d",
+			s.Fronts, realFronts, voterCount, realFronts+1)
 	}
 	if s.SimulatedPerProcess < 1 {
-		e.add("--hollow-per-process %d: 1 at least; 48 is usual", s.SimulatedPerProcess)
+		e.add("--simulated-per-process %d: the minimum is 1; 48 is usual", s.SimulatedPerProcess)
 	}
 	if s.Databases < 1 {
-		e.add("--databases %d: 1 at least", s.Databases)
+		e.add("--databases %d: the minimum is 1", s.Databases)
 	}
 	if s.Zones < 1 || s.Zones > maxZones {
-		e.add("--zones %d: between 1 and %d", s.Zones, maxZones)
+		e.add("--zones %d: must be between 1 and %d", s.Zones, maxZones)
 	}
 	if s.ChangesPerHour <= 0 {
-		e.add("--changes-per-hour %v: above 0; 50 are 1,200 a day", s.ChangesPerHour)
+		e.add("--changes-per-hour %v: must be above 0; 50 are 1,200 a day", s.ChangesPerHour)
 	}
 	if s.Duration < time.Second {
-		e.add("--duration %v: 1s at least, of each phase", s.Duration)
+		e.add("--duration %v: the minimum is 1s for each phase", s.Duration)
 	}
 	if s.LeaseDuration < minLeaseDuration || s.LeaseDuration > maxLeaseDuration {
-		e.add("--span %v: between %v and %v; 3s is usual", s.LeaseDuration, minLeaseDuration, maxLeaseDuration)
+		e.add("--lease-duration %v: must be between %v and %v; 3s is usual", s.LeaseDuration, minLeaseDuration, maxLeaseDuration)
 	}
 	if s.PausedOneIn < 0 || s.PausedOneIn == 1 {
-		e.add("--cut-off %d: 0 for none, or one front in so many, 2 at least", s.PausedOneIn)
+		e.add("--paused-one-in %d: must be 0 for none, or at least 2 to pause one front in so many", s.PausedOneIn)
 	}
 	return e
 }
 
-// checkMachine returns what a machine cannot bear.
+// checkMachine returns a line for each resource that a machine has too little of, or nil.
 func (s Size) checkMachine(m Machine) (e SizeError) {
 	if n := s.simulatedProcesses(); n > maxProcesses {
-		e.add("--fronts %d by --hollow-per-process %d are %d processes, and %d are the most: --hollow-per-process %d would fit",
+		e.add("--fronts %d with --simulated-per-process %d need %d processes, but the maximum is %d: --simulated-per-process %d would fit",
 			s.Fronts, s.SimulatedPerProcess, n, maxProcesses, (s.simulated()+maxProcesses-1)/maxProcesses)
 	}
 	if need, have := s.memory(), m.Memory/2; need > have {
-		e.add("--fronts %d and --databases %d need about %d MiB, and half of the machine's memory is %d MiB: %s",
+		e.add("--fronts %d and --databases %d need about %d MiB, but half of the machine's memory is %d MiB: %s",
 			s.Fronts, s.Databases, need>>20, have>>20, s.largestSize(func(t Size) bool { return t.memory() <= have }))
 	}
 	if need := s.descriptors(); need > m.Descriptors {
-		e.add("a process would need about %d descriptors, and %d are allowed: %s", need, m.Descriptors, s.descriptorAdvice(m.Descriptors))
+		e.add("a process would need about %d descriptors, but %d are allowed: %s", need, m.Descriptors, s.descriptorAdvice(m.Descriptors))
 	}
 	return e
 }
 
-// largestSize names the largest number of fronts that passes.
+// largestSize returns advice that names the largest number of fronts for which passes returns true.
 func (s Size) largestSize(passes func(Size) bool) string {
 	for t := s; t.Fronts > realFronts; t.Fronts-- {
 		if passes(t) {
@@ -179,10 +183,11 @@
 	return "fewer --databases would fit"
 }
 
-// descriptorAdvice names a size that so many descriptors would suffice for.
+// descriptorAdvice returns advice that names a size for which the given number of descriptors would suffice.
 func (s Size) descriptorAdvice(have int) string {
-	if per := (have - spareDescriptors) / simulatedDescriptors; per >= 1 && per < s.SimulatedPerProcess {
-		return fmt.Sprintf("--hollow-per-process %d would fit", per)
+	if per := (have - reservedDescriptors) / simulatedDescriptors; per >= 1 && per < s.SimulatedPerProcess {
+		return fmt.Sprintf("--simulated-per-process %d would fit", per)
 	}
-	return fmt.Sprintf("--databases %d and --fronts %d are the most", (have-spareDescriptors)/databaseDescriptors, (have-spareDescriptors)/2)
+	return fmt.Sprintf("--databases %d and --fronts %d are the maximum",
+		(have-reservedDescriptors)/databaseDescriptors, (have-reservedDescriptors)/2)
 }
--- a/lab/capacity/startup.go
+++ b/lab/capacity/startup.go
@@ -14,14 +14,14 @@
 	"dapplerouter/fleet/rollout"
 )
 
-// networkAttempts is how many loopback networks are tried; the first depends on the process id.
+// networkAttempts is the number of loopback networks that reserveNetwork tries. The first one depends on the process ID.
 const networkAttempts = 200
 
-// reserveNetwork finds a loopback network that no other run uses.
+// reserveNetwork reserves a loopback network that no other run uses.
 func (b *testbed) reserveNetwork() (err error) {
 	for i := range networkAttempts {
 		network := fmt.Sprintf("127.%d", 20+(os.Getpid()+i)%networkAttempts)
-		if b.guard, err = net.Listen("tcp", fmt.Sprintf("%s.0.254:%d", network, meshPort)); err == nil {
+		if b.networkLock, err = net.Listen("tcp", fmt.Sprintf("%s.0.254:%d", network, meshPort)); err == nil {
 			b.settings.Network = network
 			return nil
 		}
@@ -29,8 +29,8 @@
 	return fmt.Errorf("no loopback network is free: %w", err)
 }
 
-// start starts all processes, waits until the fleet has converged, emits what that cost, and gives the leases to the fronts that
-// are measured as their leaseholders.
+// start starts all processes, waits until the fleet has converged, and emits the records of the start phase. Then it transfers the
+// leases to the fronts that are measured as their leaseholders.
 func (b *testbed) start(ctx context.Context) error {
 	o := b.options
 	b.settings = RunSettings{Dir: o.Dir, Fronts: o.Fronts, Zones: o.Zones, LeaseDuration: o.LeaseDuration,
@@ -60,7 +60,8 @@
 	return b.waitConverged(ctx)
 }
 
-// emitStart emits what the start of the fleet cost, also where it failed to converge with an error, which is returned.
+// emitStart emits the records of the start phase. Failed is the error of a fleet that did not converge, or nil. The records are emitted
+// in both cases, and failed is returned, joined with any other error.
 func (b *testbed) emitStart(failed error) error {
 	after, err := b.sample()
 	if err != nil {
@@ -75,11 +76,11 @@
 		before[i] = sample{process: s.process, Counters: Counters{SampledAt: b.startedAt.UnixMicro()}}
 	}
 	records := startRecords(b.options.Size, startResult{
-		usage: usageBetween(before, after, current), took: time.Since(b.startedAt), failed: failed})
+		usage: usageBetween(before, after, current), duration: time.Since(b.startedAt), err: failed})
 	return errors.Join(failed, b.emit(records))
 }
 
-// startServers starts the fake databases and the fake discovery server, which lists them.
+// startServers starts the fake databases, and the fake discovery server that lists them.
 func (b *testbed) startServers() (err error) {
 	if b.databases, err = b.startWorker(DatabaseWorker, "databases"); err != nil {
 		return err
@@ -96,14 +97,15 @@
 	return err
 }
 
+// startWorker starts a worker process of a kind. Its directory is named after the first word of its name.
 func (b *testbed) startWorker(kind, name string) (*process, error) {
-	folder, _, _ := strings.Cut(name, " ") // of "hollow-2 (n57 to n104)"
-	return startProcess(child{name: name, dir: filepath.Join(b.options.Dir, folder), command: b.options.Worker(kind), worker: true})
+	dirName, _, _ := strings.Cut(name, " ") // for example "hollow-2" of "hollow-2 (n57 to n104)"
+	return startProcess(processSpec{name: name, dir: filepath.Join(b.options.Dir, dirName), command: b.options.Worker(kind), worker: true})
 }
 
-// startReal starts a process of the program.
+// startReal starts the real front with ordinal i as a process of the program.
 func (b *testbed) startReal(i int) error {
-	dir := b.settings.folder(i)
+	dir := b.settings.frontDir(i)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
@@ -114,7 +116,7 @@
 	if err := os.WriteFile(operatorFile, []byte(b.settings.operatorText(i)), 0o600); err != nil {
 		return err
 	}
-	p, err := startProcess(child{name: "real front " + frontName(i), dir: dir, command: []string{b.options.Program, "serve"},
+	p, err := startProcess(processSpec{name: "real front " + frontName(i), dir: dir, command: []string{b.options.Program, "serve"},
 		env: []string{"EDGE_CONFIG=" + configFile, "DAPPLEROUTER_FILE=" + operatorFile}})
 	if err != nil {
 		return err
@@ -123,7 +125,8 @@
 	return nil
 }
 
-// startSimulated starts the hosts of simulated followers one after the other: what a start of all at once costs is not measured.
+// startSimulated starts the worker processes of the simulated followers one after the other. The cost of starting them all at once is
+// not measured.
 func (b *testbed) startSimulated(ctx context.Context) error {
 	for k, ordinals := range b.options.ordinalsByProcess() {
 		if ctx.Err() != nil {
--- a/lab/capacity/wake_latency.go
+++ b/lab/capacity/wake_latency.go
@@ -8,17 +8,17 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// wakeInterval is how often wakeLatency takes a sample.
+// wakeInterval is the time between two samples of wakeLatency.
 const wakeInterval = 10 * time.Millisecond
 
-// wakeLatency measures how late the machine wakes a goroutine that sleeps: other work on the machine delays every time of a run
-// by as much.
+// wakeLatency measures how much later than requested a sleeping goroutine wakes up. Other work on the machine delays every event of a
+// run by about as much.
 type wakeLatency struct {
 	mu    sync.Mutex // guards times
 	times *hdrhistogram.Histogram
 }
 
-// run takes samples until ctx is done. Call swap before it.
+// run takes samples until ctx is done. The caller calls swap first.
 func (l *wakeLatency) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		due := time.Now().Add(wakeInterval)
@@ -30,7 +30,7 @@
 	}
 }
 
-// swap returns the times since the last call, nil for the first one.
+// swap returns the histogram of samples since the previous call, or nil at the first call, and starts a new histogram.
 func (l *wakeLatency) swap() *hdrhistogram.Histogram {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/lab/capacity/worker.go
+++ b/lab/capacity/worker.go
@@ -14,16 +14,16 @@
 	"dapplerouter/fleet/agent"
 )
 
-// workerCores is how many processors a worker process may use at once.
+// workerCores is the number of processors that a worker process may use at once.
 const workerCores = 2
 
-// worker carries out requests of one kind, one at a time.
+// worker implements one kind of worker process. It serves one request at a time.
 type worker interface {
 	serve(q Request) (Reply, error)
 }
 
-// Work runs a worker process: it answers requests until its input ends, which it does when the supervisor does. The error is
-// ErrUnknownWorker, or a broken pipe.
+// Work runs a worker process. It answers requests until the end of its input, which the supervisor closes and which also ends when the
+// supervisor exits. The error is ErrUnknownWorker, or an error of reading a request or writing a reply.
 func Work(kind string, in io.Reader, out io.Writer) error {
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError})))
 	runtime.GOMAXPROCS(workerCores)
@@ -56,7 +56,7 @@
 	}
 }
 
-// ownCounters returns those of this process, without its fronts'.
+// ownCounters returns the counters of this process, without those of the fronts that it hosts.
 func ownCounters() (c Counters, err error) {
 	cpu, err := cpuTime()
 	if err != nil {
@@ -104,28 +104,28 @@
 	return nil
 }
 
-// counters adds up the followers'.
+// counters returns the counters of this process, and the sums of its followers' counters.
 func (w *followerHost) counters() (c Counters, err error) {
 	if c, err = ownCounters(); err != nil {
 		return c, err
 	}
 	c.Fronts = len(w.followers)
 	for i, f := range w.followers {
-		of := f.agent.Counters()
-		c.addMesh(meshCounters(of))
-		c.addKinds(of.Kinds)
-		if of.FollowsFleet {
+		own := f.agent.Counters()
+		c.addMesh(meshCounters(own))
+		c.addKinds(own.Kinds)
+		if own.FollowsFleet {
 			c.UsingSharedList++
 		}
-		if i == 0 || of.ListIndex < c.MinListIndex {
-			c.MinListIndex = of.ListIndex
+		if i == 0 || own.ListIndex < c.MinListIndex {
+			c.MinListIndex = own.ListIndex
 		}
 	}
 	return c, nil
 }
 
-// meshCounters returns the part of a front's own counters that is its mesh's.
-func meshCounters(of agent.Counters) MeshCounters {
-	return MeshCounters{Links: of.Links, Sent: of.Sent, Received: of.Received, SentBytes: of.SentBytes, ReceivedBytes: of.ReceivedBytes,
-		Shed: of.Shed, Dials: of.Dials}
+// meshCounters extracts the mesh counters from a front's counters.
+func meshCounters(c agent.Counters) MeshCounters {
+	return MeshCounters{Links: c.Links, Sent: c.Sent, Received: c.Received, SentBytes: c.SentBytes, ReceivedBytes: c.ReceivedBytes,
+		Shed: c.Shed, Dials: c.Dials}
 }
--- a/lab/processtest/harness_test.go
+++ b/lab/processtest/harness_test.go
@@ -29,7 +29,7 @@
 		t.Skip("starts processes")
 	}
 	if raceEnabled {
-		t.Skip("the processes are built without the race detector, so a run with it tests nothing more")
+		t.Skip("the processes run without the race detector, so the test without it covers the same")
 	}
 	built := buildProgram(t)
 	scripts, err := filepath.Glob("../scripts/*.sexp")
--- a/lab/processtest/parse.go
+++ b/lab/processtest/parse.go
@@ -30,7 +30,7 @@
 	selectors: map[string]string{"giver": selectLeader, "keeper": selectVoter, "holder": selectLeaseholder, "new": selectNewest},
 }
 
-// currentName returns the currentName name for a name that may be deprecated.
+// currentName returns the present name for a name that may be deprecated.
 func currentName(name string, old map[string]string) string { return cmp.Or(old[name], name) }
 
 // Load reads and parses a script file.
--- a/lab/processtest/ports.go
+++ b/lab/processtest/ports.go
@@ -8,7 +8,7 @@
 	"syscall"
 )
 
-// The blockCount of ports lie below the kernel's range of ephemeral ports. So a front that restarts finds its own ports still free, even
+// The blocks of ports lie below the kernel's range of ephemeral ports. So a front that restarts finds its own ports still free, even
 // when several harnesses run on the machine. A harness reserves a block by listening on the block's first port.
 const (
 	firstPort     = 12000
--- a/lab/report/audit.go
+++ b/lab/report/audit.go
@@ -1,4 +1,4 @@
-// Package report writes measurements and audit logs as HTML pages, by templates. It is for bin/routertest only, and keeps no state.
+// Package report renders audit logs as an HTML page from a template. Only bin/routertest uses it. It keeps no state.
 package report
 
 import (
@@ -17,29 +17,31 @@
 )
 
 //go:embed *.html
-var pages embed.FS
+var templateFiles embed.FS
 
-var audits = template.Must(template.ParseFS(pages, "audit.html"))
+// auditTemplate is the template of the audit page. Its data is a page.
+var auditTemplate = template.Must(template.ParseFS(templateFiles, "audit.html"))
 
-// colours of versions, in turn; 0 is each front's own file.
+// colours are the colours of versions. The first is for version 0, which is a front's own configuration file. The others are reused in
+// turn.
 var colours = []string{"#c8ccd0", "#4477aa", "#ee6677", "#228833", "#ccbb44", "#66ccee", "#aa3377"}
 
-// bar is a use of a version on a front's row.
+// bar is a chart bar on a front's row. It shows an interval in which the front used a version.
 type bar struct {
 	X, W    float64
 	Colour  string
 	Version uint64
-	Tip     string
-	Open    bool
+	Tooltip string
+	Open    bool // the log does not record how the interval ended
 }
 
-// mark is the beginning of a front's standby.
+// mark is a chart mark on a front's row. It shows when the front began to stand by.
 type mark struct {
-	X   float64
-	Tip string
+	X       float64
+	Tooltip string
 }
 
-// row is a front's line of the chart.
+// row is the row of one front in the chart.
 type row struct {
 	Front string
 	Y     float64
@@ -47,30 +49,30 @@
 	Marks []mark
 }
 
-// tick is a label of the axis.
+// tick is a tick of the time axis.
 type tick struct {
 	X     float64
 	Label string
 }
 
-// version is what the fronts served on one version.
+// version is a row of the table of versions. It summarizes what all fronts served on one version.
 type version struct {
 	Version             uint64
-	Colour, Meaning     string
+	Colour, RulesHash   string
 	First, Last         string
 	Fronts              int
 	Succeeded, Rejected uint32
 	Other               uint32
-	Spread              string // from its first adoption to its last
-	LastFront           string
+	AdoptionSpan        string // time between the first and the last adoption
+	LastFront           string // the front that adopted the version last
 }
 
-// event is a row of the list of events.
-type event struct{ Order, When, Front, What string }
+// event is a row of the table of events.
+type event struct{ Index, Time, Front, Description string }
 
-// page is what the template shows.
+// page is the data of the template.
 type page struct {
-	Made          string
+	GeneratedAt   string
 	Fronts, Lines int
 	Violations    []audit.Finding
 	Notes         []audit.Finding
@@ -79,30 +81,31 @@
 	Ticks         []tick
 	Versions      []version
 	Events        []event
-	MoreEvents    int
+	MoreEvents    int // number of events that the page does not show
 	From, Until   string
-	Clock         string
+	MaxClockError string
 }
 
+// Dimensions of the chart in pixels, and limits of the page.
 const (
 	labelWidth = 120.0
 	axisWidth  = 1100.0
 	rowHeight  = 16.0
 	tickCount  = 11
-	maxEvents  = 400 // shown
+	maxEvents  = 400 // maximum number of events that the page shows
 )
 
-// stamp is the time of day of a time in Unix microseconds.
-func stamp(micros int64) string {
+// formatTime formats a time in Unix microseconds as a UTC time of day.
+func formatTime(micros int64) string {
 	return time.UnixMicro(micros).UTC().Format("15:04:05.000")
 }
 
-// ErrNoInterval says that the logs hold no interval in which a front used a version.
+// ErrNoInterval means that the logs contain no interval in which a front used a version.
 var ErrNoInterval = errors.New("the audit logs hold no interval")
 
-// Audit writes one page on many fronts' logs: which front used which version when, which were late, and what each version served.
-// Events are ordered by cause: the index of the replicated state, then terms; clocks decide only between equal ones. The error is
-// ErrNoInterval or that of w.
+// Audit writes an HTML page about the audit logs of many fronts to w. The page shows which front used which version at what time, which
+// fronts adopted a version late, and the outcomes of the requests on each version. It orders events causally: by the index of the
+// replicated state, then by term, and only then by the fronts' clocks. The error is ErrNoInterval or an error of w.
 func Audit(w io.Writer, logs []*audit.FrontLog, findings []audit.Finding) error {
 	uses := audit.VersionUses(logs)
 	axis, err := newTimeline(uses)
@@ -114,18 +117,19 @@
 	for i, log := range logs {
 		p.Lines += len(log.Lines)
 		p.Rows = append(p.Rows, newRow(i, log, uses, axis))
-		noteAdoptions(adoptions, log)
+		addAdoptions(adoptions, log)
 	}
 	for _, summary := range audit.SummarizeVersions(logs, uses) {
 		p.Versions = append(p.Versions, newVersion(summary, adoptions[summary.Version]))
 	}
-	p.Events, p.MoreEvents = eventsByCause(logs)
-	return audits.Execute(w, &p)
+	p.Events, p.MoreEvents = causallyOrderedEvents(logs)
+	return auditTemplate.Execute(w, &p)
 }
 
-// timeline places times of the logs, in Unix microseconds, on the page's axis.
+// timeline is the time axis of the chart. Its times are Unix microseconds, and maxClockError is in microseconds.
 type timeline struct{ from, until, maxClockError int64 }
 
+// newTimeline returns an axis that covers all uses of versions. The error is ErrNoInterval.
 func newTimeline(uses []audit.VersionUse) (t timeline, err error) {
 	t.from = math.MaxInt64
 	for _, u := range uses {
@@ -139,30 +143,31 @@
 	return t, nil
 }
 
-// x is the place of a time on the axis.
+// x returns the horizontal position of a time on the axis.
 func (t timeline) x(at int64) float64 {
 	return labelWidth + axisWidth*float64(at-t.from)/float64(t.until-t.from)
 }
 
+// ticks returns the ticks of the axis, evenly spaced.
 func (t timeline) ticks() (ticks []tick) {
 	for i := range int64(tickCount) {
 		at := t.from + (t.until-t.from)*i/(tickCount-1)
-		ticks = append(ticks, tick{t.x(at), stamp(at)})
+		ticks = append(ticks, tick{t.x(at), formatTime(at)})
 	}
 	return ticks
 }
 
-// newPage returns the page without its rows.
+// newPage returns the page without rows, versions and events.
 func newPage(logs []*audit.FrontLog, findings []audit.Finding, t timeline) page {
 	p := page{
-		Made:   time.Now().UTC().Format(time.RFC3339),
-		Fronts: len(logs),
-		Width:  axisWidth + 160,
-		Height: rowHeight*float64(len(logs)) + 40,
-		From:   time.UnixMicro(t.from).UTC().Format(time.RFC3339),
-		Until:  time.UnixMicro(t.until).UTC().Format(time.RFC3339),
-		Clock:  (time.Duration(t.maxClockError) * time.Microsecond).String(),
-		Ticks:  t.ticks(),
+		GeneratedAt:   time.Now().UTC().Format(time.RFC3339),
+		Fronts:        len(logs),
+		Width:         axisWidth + 160,
+		Height:        rowHeight*float64(len(logs)) + 40,
+		From:          time.UnixMicro(t.from).UTC().Format(time.RFC3339),
+		Until:         time.UnixMicro(t.until).UTC().Format(time.RFC3339),
+		MaxClockError: (time.Duration(t.maxClockError) * time.Microsecond).String(),
+		Ticks:         t.ticks(),
 	}
 	for _, f := range findings {
 		if f.Violation {
@@ -174,7 +179,7 @@
 	return p
 }
 
-// newRow is a front's line of the chart: a bar for each use of a version, a mark for each beginning of its standby.
+// newRow returns a front's row of the chart. It has a bar for each use of a version, and a mark each time the front began to stand by.
 func newRow(index int, log *audit.FrontLog, uses []audit.VersionUse, t timeline) row {
 	r := row{Front: log.Front, Y: 24 + rowHeight*float64(index)}
 	for _, u := range uses {
@@ -184,12 +189,13 @@
 	}
 	for _, line := range log.Lines {
 		if line.Event == audit.EventConfigLeaseExpired {
-			r.Marks = append(r.Marks, mark{t.x(line.At), log.Front + " stood by from " + stamp(line.At)})
+			r.Marks = append(r.Marks, mark{t.x(line.At), log.Front + " stood by from " + formatTime(line.At)})
 		}
 	}
 	return r
 }
 
+// newBar returns the bar of one use of a version.
 func newBar(u audit.VersionUse, t timeline) bar {
 	total := uint32(0)
 	for _, n := range u.Outcomes {
@@ -201,19 +207,19 @@
 		Colour:  colour(u.Version),
 		Version: u.Version,
 		Open:    u.Open,
-		Tip: fmt.Sprintf("%s on version %d, %s to %s: %d requests, %d succeeded", u.Front, u.Version, stamp(u.Start), stamp(u.End), total,
+		Tooltip: fmt.Sprintf("%s on version %d, %s to %s: %d requests, %d succeeded", u.Front, u.Version, formatTime(u.Start), formatTime(u.End), total,
 			u.Outcomes[front.StatusSucceeded]),
 	}
 }
 
-// adoption is when a version was adopted first and last, in Unix microseconds, and the front that was last.
+// adoption holds the times of a version's first and last adoption in Unix microseconds, and the front that adopted it last.
 type adoption struct {
 	first, last int64
 	lastFront   string
 }
 
-// noteAdoptions adds a front's adoptions, by version.
-func noteAdoptions(adoptions map[uint64]*adoption, log *audit.FrontLog) {
+// addAdoptions adds the adoptions in a front's log to adoptions, which is keyed by version.
+func addAdoptions(adoptions map[uint64]*adoption, log *audit.FrontLog) {
 	for _, line := range log.Lines {
 		if line.Event != audit.EventVersionAdopted {
 			continue
@@ -230,25 +236,27 @@
 	}
 }
 
+// newVersion returns the table row of a version. The adoption is nil if no log records one.
 func newVersion(s audit.VersionSummary, a *adoption) version {
 	v := version{
 		Version:   s.Version,
 		Colour:    colour(s.Version),
-		Meaning:   s.RulesHash,
-		First:     stamp(s.First),
-		Last:      stamp(s.Last),
+		RulesHash: s.RulesHash,
+		First:     formatTime(s.First),
+		Last:      formatTime(s.Last),
 		Fronts:    s.Fronts,
 		Succeeded: s.Outcomes[front.StatusSucceeded],
 		Rejected:  s.Outcomes[front.StatusRejected],
 		Other:     s.Outcomes[front.StatusFailed] + s.Outcomes[front.StatusInvalid] + s.Outcomes[front.StatusAbandoned],
 	}
 	if a != nil {
-		v.Spread = (time.Duration(a.last-a.first) * time.Microsecond).Round(time.Millisecond).String()
+		v.AdoptionSpan = (time.Duration(a.last-a.first) * time.Microsecond).Round(time.Millisecond).String()
 		v.LastFront = a.lastFront
 	}
 	return v
 }
 
+// colour returns the colour of a version.
 func colour(version uint64) string {
 	if version == 0 {
 		return colours[0]
@@ -256,8 +264,9 @@
 	return colours[1+int(version-1)%(len(colours)-1)]
 }
 
-// eventsByCause returns the logs' events, but for intervals, by cause, and how many more there are than the page shows.
-func eventsByCause(logs []*audit.FrontLog) (shown []event, more int) {
+// causallyOrderedEvents returns the events of all logs in causal order, without intervals. It returns at most maxEvents of them, and the number
+// of events that were left out.
+func causallyOrderedEvents(logs []*audit.FrontLog) (shown []event, more int) {
 	type described struct {
 		audit.Line
 		description string
@@ -277,12 +286,12 @@
 		if i == maxEvents {
 			return shown, len(all) - i
 		}
-		shown = append(shown, event{fmt.Sprint(e.Index), stamp(e.At), e.Front, e.description})
+		shown = append(shown, event{fmt.Sprint(e.Index), formatTime(e.At), e.Front, e.description})
 	}
 	return shown, 0
 }
 
-// describe says in words what a line records; "" for lines that the list of events leaves out.
+// describe returns a description of the event that a line records, or "" if the table of events leaves the line out.
 func describe(line *audit.Line) string {
 	switch line.Event {
 	case audit.EventVersionAdopted:
@@ -292,7 +301,7 @@
 	case audit.EventLeaseAcquired:
 		return fmt.Sprintf("holds %s in term %d", line.Lease, line.Term)
 	case audit.EventLeaseEnded:
-		return fmt.Sprintf("holds %s no more: %s", line.Lease, line.Reason)
+		return fmt.Sprintf("no longer holds %s: %s", line.Lease, line.Reason)
 	case audit.EventConfigLeaseExpired:
 		return "stands by: its configuration lease expired"
 	case audit.EventConfigLeaseAcquired:
@@ -300,7 +309,7 @@
 	case audit.EventProcessStarted:
 		return "starts, with version " + fmt.Sprint(line.Version)
 	case audit.EventProcessStopped:
-		return "ends"
+		return "stops"
 	case audit.EventLinesLost, audit.EventTailTruncated, audit.EventSegmentRemoved:
 		return "audit: " + line.Event + " " + line.Reason
 	}
