--- a/cmd/routertest/audit.go
+++ b/cmd/routertest/audit.go
@@ -13,6 +13,7 @@
 
 var errNoAuditLogs = errors.New("no audit logs")
 
+// auditCommand joins the audit logs of many fronts on an HTML page.
 type auditCommand struct {
 	Dirs []string `arg:"" type:"existingdir" help:"Directories with audit logs, and those below them."`
 	Out  string   `type:"path" default:"audit.html" help:"The page."`
--- a/cmd/routertest/capacity.go
+++ b/cmd/routertest/capacity.go
@@ -15,6 +15,7 @@
 	"dapplerouter/lab/capacity"
 )
 
+// capacityCommand measures what a fleet of a given size costs.
 type capacityCommand struct {
 	Fronts              int           `default:"540" help:"Fronts, real and simulated together."`
 	SimulatedPerProcess int           `default:"48" aliases:"hollow-per-process" help:"Simulated fronts in one process."`
@@ -125,6 +126,7 @@
 	}
 }
 
+// capacityWorkerCommand runs one worker process of a capacity measurement. Only capacityCommand starts it.
 type capacityWorkerCommand struct {
 	Kind string `arg:""`
 }
--- a/cmd/routertest/process.go
+++ b/cmd/routertest/process.go
@@ -10,6 +10,7 @@
 	"dapplerouter/lab/processtest"
 )
 
+// processCommand runs scripts of the process test harness.
 type processCommand struct {
 	Scripts []string `arg:"" type:"existingfile" help:"Scripts, run one after the other."`
 	Seed    uint64   `default:"1" help:"Of what a script leaves to chance."`
--- a/lab/capacity/configurations.go
+++ b/lab/capacity/configurations.go
@@ -112,8 +112,8 @@
 	return strings.TrimPrefix(text, "; ")
 }
 
-// publishAndWait publishes configuration k and waits until it is in force or rolled back. Meanwhile the followers that are selected
-// for it are paused. If the configuration came into force, the function then waits until every simulated follower has adopted it.
+// publishAndWait publishes configuration k and waits until it is in force or rolled back. The followers that are selected to be paused
+// are paused until then. If the configuration came into force, publishAndWait also waits until every simulated follower has adopted it.
 func (p *configurationPhase) publishAndWait(ctx context.Context, k int, due time.Time) error {
 	if err := p.pauseFollowers(true); err != nil {
 		return err
--- a/lab/capacity/fit/fit.go
+++ b/lab/capacity/fit/fit.go
@@ -88,6 +88,7 @@
 		l.Intercept, l.Slope, l.Points, l.Sizes, 100*l.Residual, l.Bend, shape)
 }
 
+// slope returns the slope of the line through two points.
 func slope(a, b Point) float64 { return (b.Value - a.Value) / (b.Size - a.Size) }
 
 // meansBySize returns the mean value at each size, in ascending order of sizes.
--- a/lab/capacity/fit/fit_test.go
+++ b/lab/capacity/fit/fit_test.go
@@ -11,6 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// points returns the points of a function at the given sizes.
 func points(f func(x float64) float64, sizes ...float64) (all []Point) {
 	for _, x := range sizes {
 		all = append(all, Point{x, f(x)})
--- a/lab/capacity/process.go
+++ b/lab/capacity/process.go
@@ -24,11 +24,11 @@
 
 // process is a child process of the supervisor. A worker also has pipes for requests and replies.
 type process struct {
-	name       string // for a host of simulated followers with their names: "hollow-2 (n57 to n104)"
+	name       string // a host of simulated followers is named with its fronts, as in "hollow-2 (n57 to n104)"
 	cmd        *exec.Cmd
 	logPath    string
 	exited     chan struct{} // closed once the process has exited
-	exitStatus string        // exit status; valid once ended is closed
+	exitStatus string        // exit status; valid once exited is closed
 
 	mu      sync.Mutex // guards in and replies, so that there is only one request at a time
 	in      io.WriteCloser
@@ -140,6 +140,7 @@
 	}
 }
 
+// newExitError returns a ProcessExitError for a process that has exited.
 func (p *process) newExitError() error {
 	return &ProcessExitError{Process: p.name, Exit: p.exitStatus, LastLog: lastLogLine(p.logPath)}
 }
--- a/lab/capacity/record.go
+++ b/lab/capacity/record.go
@@ -130,6 +130,7 @@
 	bytesPerMiB     = 1 << 20
 )
 
+// newHistogram returns an empty histogram of times in microseconds.
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxTime, significantFigures) }
 
 // recordTime adds a time in microseconds to a histogram. A time out of the histogram's range is not counted.
--- a/lab/capacity/results.go
+++ b/lab/capacity/results.go
@@ -7,7 +7,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// results holds the records so far, and the usage in the idle phase, with which phases with changes are compared.
+// results holds the records so far and the usage in the idle phase. The records of phases with changes show the usage beyond it.
 type results struct {
 	all  []Record
 	idle map[string]roleUsage // by role
@@ -207,7 +207,7 @@
 
 // timing is a duration that was measured several times.
 type timing struct {
-	resource string // name of the duration in the record: its start and end
+	resource string // the record's resource, which names the start and the end of the duration
 	changes  int    // number of changes; 0 if the duration is not that of a change
 	times    *hdrhistogram.Histogram
 	missing  int // measurements that took too long
--- a/lab/capacity/role_usage.go
+++ b/lab/capacity/role_usage.go
@@ -85,6 +85,7 @@
 	u.addKinds(before.Kinds, after.Kinds)
 }
 
+// addKinds adds the messages that one process sent between two samples, by kind.
 func (u *roleUsage) addKinds(before, after map[string]KindCounters) {
 	if u.kinds == nil {
 		u.kinds = map[string]kindUsage{}
--- a/lab/capacity/rollout_history.go
+++ b/lab/capacity/rollout_history.go
@@ -21,6 +21,7 @@
 	lastEntry       fleet.HistoryEntry // the last entry about a rollout
 }
 
+// newHistoryReader returns a reader that starts at the beginning of the history file.
 func newHistoryReader(path string) *historyReader {
 	return &historyReader{path: path, finishedAt: map[uint64]int64{}, rollbackReasons: map[uint64]string{}, stageDoneAt: map[uint64]int64{}}
 }
--- a/lab/capacity/run.go
+++ b/lab/capacity/run.go
@@ -46,9 +46,9 @@
 // configLeaseFactor is the duration of a configuration lease, in multiples of the lease duration.
 const configLeaseFactor = 4
 
-// Run starts a fleet, measures it, and ends it. It returns the records of all phases that were completed, also with an error. The
-// error is a SizeError before any process is started, a ProcessExitError if a process exited unexpectedly, ErrNotConverged,
-// ErrNotInForce, ErrNoReply, the cause of ctx, or an error of the setup.
+// Run starts a fleet, measures it, and ends it. It returns the records of all completed phases, even if it also returns an error. The
+// error is a SizeError if the size is rejected before any process is started. Otherwise it is a ProcessExitError if a process exited
+// unexpectedly, ErrNotConverged, ErrNotInForce, ErrNoReply, the cause of ctx, or an error of the setup.
 func Run(ctx context.Context, o Options) (all []Record, err error) {
 	machine, err := ThisMachine()
 	if err != nil {
--- a/lab/capacity/size.go
+++ b/lab/capacity/size.go
@@ -109,7 +109,8 @@
 
 // descriptors returns an estimate of the descriptors that the largest worker process needs.
 func (s Size) descriptors() int {
-	return max(min(s.SimulatedPerProcess, s.simulated())*simulatedDescriptors, s.Databases*databaseDescriptors, s.Fronts*2) + reservedDescriptors
+	return max(min(s.SimulatedPerProcess, s.simulated())*simulatedDescriptors, s.Databases*databaseDescriptors, s.Fronts*2) +
+		reservedDescriptors
 }
 
 // Check returns nil if the size is valid and a machine has the resources for it, and a SizeError otherwise.
--- a/lab/capacity/size_test.go
+++ b/lab/capacity/size_test.go
@@ -11,6 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// smallSize returns the size of a short run with the given number of simulated followers.
 func smallSize(simulated int) Size {
 	return Size{Fronts: realFronts + simulated, SimulatedPerProcess: 12, Databases: 12, Zones: 3, ChangesPerHour: 1800,
 		Duration: 4 * time.Second, LeaseDuration: 3 * time.Second}
--- a/lab/capacity/worker.go
+++ b/lab/capacity/worker.go
@@ -19,11 +19,12 @@
 
 // worker implements one kind of worker process. It serves one request at a time.
 type worker interface {
+	// serve carries out one request. Work sends an error to the supervisor as the reply's Error.
 	serve(q Request) (Reply, error)
 }
 
-// Work runs a worker process. It answers requests until the end of its input, which the supervisor closes and which also ends when the
-// supervisor exits. The error is ErrUnknownWorker, or an error of reading a request or writing a reply.
+// Work runs a worker process. It answers requests until its input ends. The input ends when the supervisor closes the pipe to stop the
+// worker, and also when the supervisor exits. The error is ErrUnknownWorker, or an error of reading a request or writing a reply.
 func Work(kind string, in io.Reader, out io.Writer) error {
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError})))
 	runtime.GOMAXPROCS(workerCores)
@@ -93,6 +94,7 @@
 	return r, err
 }
 
+// start starts one simulated follower for each ordinal.
 func (w *followerHost) start(s *RunSettings, ordinals []int) error {
 	for _, i := range ordinals {
 		f, err := startSimulatedFollower(s, i)
--- a/lab/processtest/endpointservice.go
+++ b/lab/processtest/endpointservice.go
@@ -24,6 +24,7 @@
 	watches int // number of open watches
 }
 
+// startEndpointService starts a service whose list has the given JSON entries.
 func startEndpointService(entries json.RawMessage) *endpointService {
 	s := &endpointService{entries: entries, index: 10, changed: make(chan struct{})}
 	s.server = httptest.NewServer(http.HandlerFunc(s.serve))
@@ -120,6 +121,7 @@
 	s.changed = make(chan struct{})
 }
 
+// countWatch adds to the number of open watches.
 func (s *endpointService) countWatch(by int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/lab/processtest/harness.go
+++ b/lab/processtest/harness.go
@@ -4,8 +4,8 @@
 // the invariants of a fleet.
 //
 // A Harness owns everything that it starts: processes, proxies, fake servers and a block of ports. Run stops all of it before it
-// returns. Every random choice comes from one random source, which only the goroutine that runs the steps uses. So the same script
-// and seed inject the same faults each time. The package is for tests and measurements only.
+// returns. Everything that a script leaves to chance is drawn from one random source, which only the goroutine that runs the steps
+// uses. So the same script and seed inject the same faults each time. The package is for tests and measurements only.
 package processtest
 
 import (
@@ -173,4 +173,5 @@
 	h.network.stop()
 }
 
+// sortedKeys returns the keys of a map in ascending order.
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/lab/processtest/harness_test.go
+++ b/lab/processtest/harness_test.go
@@ -58,6 +58,7 @@
 	})
 }
 
+// leaseEntry returns a history entry of a front about the lease "list".
 func leaseEntry(at int64, front, kind string, term uint64, since, until int64) fleet.HistoryEntry {
 	return fleet.HistoryEntry{At: at, Front: front, Incarnation: 1, Kind: kind, Lease: "list", Term: term, Since: since, Until: until}
 }
--- a/lab/processtest/network.go
+++ b/lab/processtest/network.go
@@ -67,4 +67,5 @@
 	n.proxies = nil
 }
 
+// everyLink selects all links in setConditions.
 func everyLink(int, int) bool { return true }
--- a/lab/processtest/process.go
+++ b/lab/processtest/process.go
@@ -119,8 +119,8 @@
 
 var errNotReady = errors.New("the fleet is not ready")
 
-// waitUntilReady waits until every front answers a client's query and, unless the script runs without a fleet, the leases have
-// settled. It returns errNotReady, with what is missing, after the limit.
+// waitUntilReady waits until every front answers a client's query and, unless the script runs without a fleet, the fleet's leases have
+// settled. After the limit it returns errNotReady with a message that says what is missing.
 func (h *Harness) waitUntilReady(limit time.Duration) error {
 	for deadline := time.Now().Add(limit); ; time.Sleep(20 * time.Millisecond) {
 		missing := h.notServing()
--- a/lab/processtest/steps.go
+++ b/lab/processtest/steps.go
@@ -227,7 +227,8 @@
 }
 
 // replaceTruncatedDisk does what an operator does about a voter with an unreadable file. The process exits by itself because it
-// cannot read the file. The file is moved away, and the front is started without it under the same name.
+// cannot read the file. The file is moved away, and the front is started without it under the same name. If the process is still
+// running after 5 s, replaceTruncatedDisk only logs this.
 func (h *Harness) replaceTruncatedDisk(f *Front) error {
 	select {
 	case <-f.exited:
@@ -304,10 +305,12 @@
 	return h.stallLinks(s, func(from, _ int) bool { return from == f })
 }
 
+// delayLinks delays the traffic on all links by at least the first duration and at most twice as much.
 func (h *Harness) delayLinks(s runningStep) error {
 	return h.degradeLinks(s, faultproxy.Conditions{Delay: s.Durations[0], Jitter: s.Durations[0]})
 }
 
+// corruptLinks corrupts bytes on all links at random.
 func (h *Harness) corruptLinks(s runningStep) error {
 	return h.degradeLinks(s, faultproxy.Conditions{CorruptProbability: 0.05})
 }
@@ -336,6 +339,7 @@
 	return nil
 }
 
+// changeEndpoints publishes the endpoint list under a new index. The entries stay the same.
 func (h *Harness) changeEndpoints(runningStep) error {
 	h.endpoints.set(func() { h.endpoints.index++ })
 	return nil
--- a/lab/report/audit.go
+++ b/lab/report/audit.go
@@ -207,8 +207,8 @@
 		Colour:  colour(u.Version),
 		Version: u.Version,
 		Open:    u.Open,
-		Tooltip: fmt.Sprintf("%s on version %d, %s to %s: %d requests, %d succeeded", u.Front, u.Version, formatTime(u.Start), formatTime(u.End), total,
-			u.Outcomes[front.StatusSucceeded]),
+		Tooltip: fmt.Sprintf("%s on version %d, %s to %s: %d requests, %d succeeded", u.Front, u.Version, formatTime(u.Start),
+			formatTime(u.End), total, u.Outcomes[front.StatusSucceeded]),
 	}
 }
 
@@ -264,8 +264,8 @@
 	return colours[1+int(version-1)%(len(colours)-1)]
 }
 
-// causallyOrderedEvents returns the events of all logs in causal order, without intervals. It returns at most maxEvents of them, and the number
-// of events that were left out.
+// causallyOrderedEvents returns the events of all logs in causal order, without intervals. It returns at most maxEvents of them, and
+// the number of events that were left out.
 func causallyOrderedEvents(logs []*audit.FrontLog) (shown []event, more int) {
 	type described struct {
 		audit.Line
--- a/lab/report/audit_test.go
+++ b/lab/report/audit_test.go
@@ -34,6 +34,7 @@
 	for _, want := range []string{"<svg", "2 fronts, 10 lines", "No violations.", "m&lt;1&gt;", "stood by from", "holds roll in term 2"} {
 		assert.Contains(t, page, want)
 	}
-	assert.Less(t, strings.Index(page, "holds roll in term 1"), strings.Index(page, "holds roll in term 2"), "events are ordered by index, although the clocks say otherwise")
+	assert.Less(t, strings.Index(page, "holds roll in term 1"), strings.Index(page, "holds roll in term 2"),
+		"events are ordered by index, although the clocks say otherwise")
 	assert.Error(t, Audit(&out, nil, nil))
 }
