--- a/lab/processtest/backends.go
+++ b/lab/processtest/backends.go
@@ -10,9 +10,9 @@
 
 // backends holds the fake servers and the fake endpoint service that lists them.
 type backends struct {
-	endpoints    *endpointService
-	servers      *fakeserver.Group
-	givenUpGroup *fakeserver.Group // a second group, which published rules may give up; nil without rollouts
+	endpoints     *endpointService
+	servers       *fakeserver.Group
+	rejectedGroup *fakeserver.Group // a second group, whose requests published rules may reject; nil without rollouts
 }
 
 // startBackends starts the server groups that the script needs, and the endpoint service.
@@ -21,10 +21,10 @@
 		return err
 	}
 	if s.Rollouts.Enabled() {
-		if b.givenUpGroup, err = fakeserver.Start(fakeserver.NewBookingData(5, 20, 50), 2, 8, time.Millisecond, 0); err != nil {
+		if b.rejectedGroup, err = fakeserver.Start(fakeserver.NewBookingData(5, 20, 50), 2, 8, time.Millisecond, 0); err != nil {
 			return err
 		}
-		b.givenUpGroup.ID, b.servers.ForeignServers = 1, b.givenUpGroup.Servers
+		b.rejectedGroup.ID, b.servers.ForeignServers = 1, b.rejectedGroup.Servers
 	}
 	var list struct{ Endpoints json.RawMessage }
 	if err := json.Unmarshal(b.servers.EndpointSnapshot(), &list); err != nil {
@@ -39,8 +39,8 @@
 	if b.endpoints != nil {
 		b.endpoints.stop()
 	}
-	if b.givenUpGroup != nil {
-		b.givenUpGroup.Close()
+	if b.rejectedGroup != nil {
+		b.rejectedGroup.Close()
 	}
 	if b.servers != nil {
 		b.servers.Close()
--- a/lab/processtest/checks_requests.go
+++ b/lab/processtest/checks_requests.go
@@ -21,7 +21,7 @@
 		counts.countSecond(q, c.began)
 		servers := c.harness.servers
 		if q.group == 1 {
-			servers = c.harness.givenUpGroup
+			servers = c.harness.rejectedGroup
 		}
 		effects := servers.ExecutionCount(q.id)
 		switch {
--- a/lab/processtest/checks_versions.go
+++ b/lab/processtest/checks_versions.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// checkMandatoryVersions checks mandatory versions that give up a server group: once such a version is in force, no request may reach a
-// server of that group.
+// checkMandatoryVersions checks mandatory versions whose rules reject the requests of a server group. Once such a version is in force,
+// no request may reach a server of that group.
 func (c *checker) checkMandatoryVersions() {
 	if !c.harness.Script.Rollouts.StopWhenAlone {
 		return
@@ -138,10 +138,10 @@
 			continue
 		}
 		since := c.history[inForce].At
-		for _, server := range c.harness.givenUpGroup.Servers {
+		for _, server := range c.harness.rejectedGroup.Servers {
 			for _, s := range server.Statements() {
 				if late := s.At.UnixMicro() - since; late > 0 {
-					c.addViolation("%s reached %s %v after version %d, which gives its group up, was in force", s.ID, server.Name,
+					c.addViolation("%s reached %s %v after version %d, which rejects requests of its group, was in force", s.ID, server.Name,
 						time.Duration(late)*time.Microsecond, version)
 				}
 			}
--- a/lab/processtest/clients.go
+++ b/lab/processtest/clients.go
@@ -18,7 +18,7 @@
 	code           string // SQLSTATE of the answer; "" for success
 	connectionLost bool   // the connection was lost before a final answer
 	write          bool
-	group          int // 0, or 1 for the group that rules may give up
+	group          int // 0, or 1 for the group whose requests published rules may reject
 }
 
 // clients runs the simulated clients. Each client sends one request at a time to a front and records the answer.
@@ -76,11 +76,12 @@
 }
 
 // send sends the next request and records its answer. It reports whether the connection is still open. Every fourth request is a
-// write. With rollouts, two of 32 requests go to the group that rules may give up.
+// write. With rollouts, two of 32 requests go to the group whose requests
+// published rules may reject.
 func (c *clients) send(conn *fakeserver.Client, front *Front) bool {
 	n := c.count.Add(1)
 	q := request{id: fmt.Sprintf("t%d", n), front: front.Name, sent: time.Now(), write: n%4 == 3}
-	if c.harness.givenUpGroup != nil && n%32 >= 30 {
+	if c.harness.rejectedGroup != nil && n%32 >= 30 {
 		q.group = 1
 	}
 	sql := fmt.Sprintf("SELECT 'x' /* id=%s,c=browse,d=2000,cluster=%d */", q.id, q.group)
--- a/lab/processtest/harness.go
+++ b/lab/processtest/harness.go
@@ -43,7 +43,7 @@
 
 // expectations holds what the steps of a script require of the run.
 type expectations struct {
-	mandatoryVersions []uint64 // versions that were published as mandatory and give up a server group
+	mandatoryVersions []uint64 // versions that were published as mandatory and whose rules reject the requests of a server group
 	mustHalt          []string // names of voters whose disks lost state
 	unmet             []string // messages about expectations of steps that were not met
 	truncatedAudits   int      // number of audit logs whose last line was truncated
