--- a/cmd/routertest/audit.go
+++ b/cmd/routertest/audit.go
@@ -13,6 +13,7 @@
 
 var errNoAuditLogs = errors.New("no audit logs")
 
+// auditCommand joins the audit logs of many fronts on an HTML page.
 type auditCommand struct {
 	Dirs []string `arg:"" type:"existingdir" help:"Directories with audit logs, and those below them."`
 	Out  string   `type:"path" default:"audit.html" help:"The page."`
@@ -30,7 +31,8 @@
 	return exitOK
 }
 
-// writePage writes the page, and reports whether the logs violate an invariant.
+// writePage writes the HTML page, and reports whether the logs violate an invariant. It returns errNoAuditLogs, and writes no page, if
+// there are no logs.
 func (c *auditCommand) writePage() (violated bool, err error) {
 	logs, err := disk.OpenAuditLogs(c.Dirs...)
 	if err != nil {
