--- a/lab/report/audit.go
+++ b/lab/report/audit.go
@@ -309,7 +309,7 @@
 	case audit.EventProcessStarted:
 		return "starts, with version " + fmt.Sprint(line.Version)
 	case audit.EventProcessStopped:
-		return "stops"
+		return "ends"
 	case audit.EventLinesLost, audit.EventTailTruncated, audit.EventSegmentRemoved:
 		return "audit: " + line.Event + " " + line.Reason
 	}
--- a/router/sessions.go
+++ b/router/sessions.go
@@ -80,7 +80,7 @@
 
 // requiredPosition returns the log position that a session's read must see. It is the later of the client's token and
 // the session's target. If the session isn't found, the group's evictedTarget takes the place of its target. Where clients
-// carry tokens, only the token counts. The value never means that the read has no such requirement.
+// carry tokens, only the token counts. If the read has no such requirement, the result is the constant never.
 func (s *sessions) requiredPosition(now time.Duration, in *routing.Request, g *group) time.Duration {
 	token := never
 	if in.TokenAge > 0 { // a time without a term; one before the start of this term belongs to an older term
