--- a/router/sessions_test.go
+++ b/router/sessions_test.go
@@ -34,6 +34,20 @@
 	assert.Equal(t, 3*ms, s.requiredPosition(0, &routing.Request{Session: 3}, g))
 }
 
+// Buckets are shared by all groups. A target that a write of another group evicts must raise the evictedTarget of its own group;
+// otherwise a later read of its session may be served by a replica that has not applied the session's write.
+func TestTargetEvictedByAnotherGroupRaisesItsOwnGroupTarget(t *testing.T) {
+	s := newSessions(false)
+	s.targets = s.targets[:sessionBucketSize]
+	read := &routing.Request{Session: 100, Group: 1}
+	own, other := &group{evictedTarget: sessionTarget{pos: never}}, &group{evictedTarget: sessionTarget{pos: never}}
+	s.recordWrite(sessionKey(read), own, 5*ms)
+	for i := range uint64(sessionBucketSize) {
+		s.recordWrite(i+1, other, time.Duration(i+10)*ms)
+	}
+	assert.Equal(t, 5*ms, s.requiredPosition(0, read, own))
+}
+
 func TestCarriedTokenIsAnAge(t *testing.T) {
 	s := newSessions(true)
 	assert.Equal(t, 700*ms, s.requiredPosition(time.Second, &routing.Request{TokenAge: 300 * ms}, &group{termStart: never}))
