--- a/lab/processtest/clients.go
+++ b/lab/processtest/clients.go
@@ -76,8 +76,7 @@
 }
 
 // send sends the next request and records its answer. It reports whether the connection is still open. Every fourth request is a
-// write. With rollouts, two of 32 requests go to the group whose requests
-// published rules may reject.
+// write. With rollouts, two of 32 requests go to the group whose requests published rules may reject.
 func (c *clients) send(conn *fakeserver.Client, front *Front) bool {
 	n := c.count.Add(1)
 	q := request{id: fmt.Sprintf("t%d", n), front: front.Name, sent: time.Now(), write: n%4 == 3}
