--- a/adapter/adapter.go
+++ b/adapter/adapter.go
@@ -142,7 +142,7 @@
 		a.callRouter(i.id, func() {
 			s := e.Start.Settings
 			i.router = a.newRouter(i, routing.Options{Seed: e.Start.Seed, Topology: s.Topology, RequestTypes: s.RequestTypes,
-				Customers: s.CustomerQuotas, Replication: s.Replication, Guardrails: s.Guardrails, Limits: s.Limits, CostWeights: s.CostWeights})
+				Customers: s.CustomerQuotas, Replication: s.Replication, DeploymentRules: s.DeploymentRules, Limits: s.Limits, CostWeights: s.CostWeights})
 		})
 	default: // an event of a running instance
 	}
--- a/adapter/answers_test.go
+++ b/adapter/answers_test.go
@@ -47,7 +47,7 @@
 func (r *loggingRouter) EndpointsChanged(now time.Duration, kind routing.UpdateKind, version int64, endpoints []routing.Endpoint) {
 	r.log(now, "endpoints changed", int(kind), version, len(endpoints))
 	for _, e := range endpoints {
-		r.log(now, "endpoint", e.Server, e.Zone, e.Kind, e.Group, int(e.State), e.Weight, e.Primary, e.StartedAt, e.HasStartTime)
+		r.log(now, "endpoint", e.Server, e.Zone, e.ServerType, e.Group, int(e.State), e.Weight, e.Primary, e.StartedAt, e.HasStartTime)
 	}
 }
 
--- a/adapter/instance.go
+++ b/adapter/instance.go
@@ -155,7 +155,7 @@
 				return i.fieldError("RegionPart", ErrUnknownID, "%q is not in Zones", e.Zone)
 			}
 			i.endpoints = append(i.endpoints, routing.Endpoint{Server: i.ids.servers.Intern(e.Server), Zone: zone,
-				Kind: i.ids.serverTypes.Intern(e.ServerType), Group: i.ids.groups.Intern(e.Group),
+				ServerType: i.ids.serverTypes.Intern(e.ServerType), Group: i.ids.groups.Intern(e.Group),
 				State: e.State, Weight: e.Weight, Primary: e.Primary,
 				StartedAt: time.Duration(e.StartedAt - i.startedAt), HasStartTime: e.StartedAt != 0})
 		}
--- a/cmd/dapplerouter/classify.go
+++ b/cmd/dapplerouter/classify.go
@@ -60,7 +60,7 @@
 	cost := c.classifier.Estimate(s, &details)
 	r.Cost, r.Rows = float64(cost)/float64(time.Millisecond), s.EstimatedRows(&details)
 	if i := c.classifier.MatchRule(s, cost); i >= 0 && !s.Empty {
-		r.RequestType = c.classifier.Rules()[i].Type
+		r.RequestType = c.classifier.Rules()[i].RequestType
 	}
 	return r
 }
--- a/cmd/dapplerouter/fleet_audit.go
+++ b/cmd/dapplerouter/fleet_audit.go
@@ -273,7 +273,7 @@
 	}
 	matches, unread := l.Find(c.ID)
 	for _, m := range matches {
-		b, err := l.Lines(m.Segment)
+		b, err := l.Log(m.Segment)
 		if errors.Is(err, os.ErrNotExist) {
 			continue // the segment was removed after its index was read, to keep the audit log within its maximum size
 		}
--- a/cmd/dapplerouter/fleet_rollout.go
+++ b/cmd/dapplerouter/fleet_rollout.go
@@ -30,7 +30,7 @@
 	} else {
 		printRollout(&s)
 	}
-	if s.Paused || len(s.Unproven) > 0 {
+	if s.Paused || len(s.UnconfirmedFronts) > 0 {
 		return exitNegative
 	}
 	return exitOK
@@ -39,11 +39,11 @@
 func printRollout(s *agent.RolloutStatus) {
 	fmt.Printf("version %d is in force", s.Base)
 	if s.Next != 0 {
-		fmt.Printf(", version %d on its way: %s, stage %d of %d, each watched for %s", s.Next, s.Phase, s.Stage, len(s.Stages), s.Watch)
-		if s.Within != "" {
-			fmt.Printf(", in force within %s", s.Within)
+		fmt.Printf(", version %d on its way: %s, stage %d of %d, each watched for %s", s.Next, s.Phase, s.Stage, len(s.Stages), s.ObservationTime)
+		if s.InForceWithin != "" {
+			fmt.Printf(", in force within %s", s.InForceWithin)
 		}
-		if s.Must {
+		if s.Mandatory {
 			fmt.Print(", must")
 		}
 		if s.Paused {
@@ -54,11 +54,11 @@
 	if s.Reason != "" {
 		fmt.Println("last change:", s.Reason)
 	}
-	for _, w := range s.Waiting {
+	for _, w := range s.QueuedPublications {
 		fmt.Printf("waiting for the next version, by %s on version %d: %s\n", w.Front, w.Base, w.Changes)
 	}
-	if len(s.Unproven) > 0 {
-		fmt.Printf("may act on an older version, since they are isolated and serve on: %s\n", strings.Join(s.Unproven, " "))
+	if len(s.UnconfirmedFronts) > 0 {
+		fmt.Printf("may act on an older version, since they are isolated and serve on: %s\n", strings.Join(s.UnconfirmedFronts, " "))
 	}
 	fmt.Println()
 	t := newTable("FRONT", "ZONE", "VERSION", "ADOPTED", "HEARD", "NOTE")
--- a/cmd/dapplerouter/fleet_voters.go
+++ b/cmd/dapplerouter/fleet_voters.go
@@ -92,7 +92,7 @@
 		printJSON(s)
 	}
 	if s.State != fleet.RecoveryDone {
-		printError(fmt.Errorf("%w: %s", errRecoveryRefused, s.Fault))
+		printError(fmt.Errorf("%w: %s", errRecoveryRefused, s.RejectionReason))
 		return exitNegative
 	}
 	if !c.JSON {
--- a/cmd/dapplerouter/fleet_voters_test.go
+++ b/cmd/dapplerouter/fleet_voters_test.go
@@ -34,6 +34,6 @@
 	c.Confirm = true
 	assert.Equal(t, exitOK, c.run())
 	assert.Equal(t, []url.Values{{"confirm": {"yes"}, "reason": {"two disks are gone"}}}, requests)
-	end = agent.RecoveryStatus{State: fleet.RecoveryRefused, Fault: "a majority is here"}
+	end = agent.RecoveryStatus{State: fleet.RecoveryRefused, RejectionReason: "a majority is here"}
 	assert.Equal(t, exitNegative, c.run())
 }
--- a/cmd/dapplerouter/gateway.go
+++ b/cmd/dapplerouter/gateway.go
@@ -88,8 +88,8 @@
 		"duplicates", n.Duplicates}
 }
 
-// DiscoveryMoved does nothing: the link does not use discovery.
-func (g *gatewayLink) DiscoveryMoved(string) {}
+// DiscoveryAddressChanged does nothing: the link does not use discovery.
+func (g *gatewayLink) DiscoveryAddressChanged(string) {}
 
 // Drain does nothing: the server's drain waits for the peer's requests in flight.
 func (g *gatewayLink) Drain(time.Duration) {}
--- a/cmd/dapplerouter/memory_flood_test.go
+++ b/cmd/dapplerouter/memory_flood_test.go
@@ -76,7 +76,7 @@
 				if _, err := r.ReadStartup(); err != nil {
 					return
 				}
-				c.Write(pgwire.AppendGreeting(nil))
+				c.Write(pgwire.AppendStartupResponse(nil))
 				if _, _, err := r.Next(); err == nil {
 					c.Write(answer)
 					r.Next() // until the front closes the connection
--- a/cmd/dapplerouter/operator_file.go
+++ b/cmd/dapplerouter/operator_file.go
@@ -84,10 +84,10 @@
 
 // checkAgainst checks the file against the configuration of the instance that uses it, and returns the first conflict.
 func (o *operatorConfig) checkAgainst(instance *deployment.Instance) error {
-	if g := o.gateway; g != nil && 2*(g.Settings.CreditBytes+g.Settings.RetainedBytes) > instance.MemoryBytes/2 {
+	if g := o.gateway; g != nil && 2*(g.Settings.CreditBytes+g.Settings.MaxRetainedBytes) > instance.MemoryBytes/2 {
 		return config.ErrorList{{Position: g.Position, Message: fmt.Sprintf(
 			"credit of %d bytes and kept of %d bytes are too much for the instance's memory of %d bytes",
-			g.Settings.CreditBytes, g.Settings.RetainedBytes, instance.MemoryBytes),
+			g.Settings.CreditBytes, g.Settings.MaxRetainedBytes, instance.MemoryBytes),
 			Remedy: "reduce them: twice their sum may be at most half of the memory"}}
 	}
 	if o.fleet != nil {
--- a/cmd/dapplerouter/operator_file_fixture_test.go
+++ b/cmd/dapplerouter/operator_file_fixture_test.go
@@ -38,8 +38,8 @@
 	if c := o.classing; c != nil {
 		var rules []map[string]any
 		for i, r := range c.Rules {
-			rules = append(rules, map[string]any{"type": r.Type, "class": r.Class.String(), "verbs": r.Verbs, "tables": r.Tables, "below": r.Below.String(),
-				"above": r.Above.String(), "place": c.RulePositions[i].String()})
+			rules = append(rules, map[string]any{"type": r.RequestType, "class": r.Class.String(), "verbs": r.Verbs, "tables": r.Tables, "below": r.MaxEstimate.String(),
+				"above": r.MinEstimate.String(), "place": c.RulePositions[i].String()})
 		}
 		statements := "SELECT seat_name(1)\nSELECT geo.distance(1)\nSELECT next_seat(1)\nSELECT * FROM busy_view\nSELECT a.house FROM slots a\nSELECT unknown_one(1)\n"
 		classifier := &statementClassifier{c.NewClassifier()}
@@ -53,7 +53,7 @@
 		all["gateway"] = map[string]any{"here": g.LocalSite, "peer": g.PeerSite, "address": g.Address, "listen": g.Listen, "groups": g.Groups,
 			"keys": []string{g.KeyFile, g.CertificateFile, g.TrustFile}, "place": g.Position.String(),
 			"times": []string{s.HeartbeatInterval.String(), s.PeerTimeout.String(), s.RecoveryTimeout.String(), s.OutcomeRetention.String()},
-			"sizes": []int64{int64(s.MaxInFlight), s.CreditBytes, s.RetainedBytes}}
+			"sizes": []int64{int64(s.MaxInFlight), s.CreditBytes, s.MaxRetainedBytes}}
 	}
 	if f := o.fleet; f != nil {
 		var voters []string
@@ -62,16 +62,16 @@
 		}
 		all["fleet"] = map[string]any{"id": f.ID, "listen": f.Listen, "address": f.Address, "voters": voters, "voter_file": f.VoterPath, "joins": f.JoinsExistingFleet,
 			"lease_duration": f.LeaseDuration.String(), "accepts_leases": f.AcceptsLeases, "keys": []string{f.Key, f.Certificate, f.Trust},
-			"control": f.Control, "history": f.History, "reach": f.AddressOverrides, "place": f.Place.String()}
+			"control": f.Control, "history": f.History, "reach": f.AddressOverrides, "place": f.Position.String()}
 	}
 	if r := o.rollout; r != nil {
 		lease, err := r.ConfigLeaseFor(o.fleet.LeaseDuration)
 		require.NoError(t, err)
-		all["roll"] = map[string]any{"lease": lease.String(), "stop": r.StopWhenIsolated, "within": r.InForceWithin.String(), "dir": r.Dir, "place": r.Place.String()}
+		all["roll"] = map[string]any{"lease": lease.String(), "stop": r.StopWhenIsolated, "within": r.InForceWithin.String(), "dir": r.Dir, "place": r.Position.String()}
 	}
 	if a := o.audit; a != nil {
 		all["audit"] = map[string]any{"folders": []string{a.LogDir, a.ExportDir, a.CollectDir}, "sizes": []int64{a.MaxTotalBytes, a.SegmentBytes, a.CollectBytesPerSecond},
-			"clock_error": a.MaxClockError.String(), "place": a.Place.String()}
+			"clock_error": a.MaxClockError.String(), "place": a.Position.String()}
 	}
 	if r := o.rules; r != nil {
 		all["rules"] = map[string]any{"bounds": r.MaxStaleness, "windows": r.DedupWindows, "given_up": r.RejectedGroups}
--- a/cmd/dapplerouter/pipeline_memory_test.go
+++ b/cmd/dapplerouter/pipeline_memory_test.go
@@ -47,7 +47,7 @@
 	if _, err := r.ReadStartup(); err != nil {
 		return
 	}
-	c.Write(pgwire.AppendGreeting(nil))
+	c.Write(pgwire.AppendStartupResponse(nil))
 	for {
 		if _, _, err := r.Next(); err != nil {
 			return
--- a/cmd/dapplerouter/service.go
+++ b/cmd/dapplerouter/service.go
@@ -105,7 +105,7 @@
 	s := &service{serviceOptions: o}
 	instance := o.instance
 	s.clock = monotonic.NewClock()
-	s.descriptors = limits.NewDescriptors(limits.SharesOf(instance.MaxDescriptors, deployment.ReservedDescriptors))
+	s.descriptors = limits.NewDescriptors(limits.NewDescriptorShares(instance.MaxDescriptors, deployment.ReservedDescriptors))
 	s.endpoints = discovery.NewWatcher(ctx, discovery.NewClient(instance.Discovery, instance.CachedList.Index), s.updateEndpoints,
 		discovery.NewJitter(instance.Seed))
 	s.classifier, s.parse = o.operator.newClassifier(), pgwire.ParseStatement
--- a/cmd/dapplerouter/settings_order_test.go
+++ b/cmd/dapplerouter/settings_order_test.go
@@ -44,17 +44,17 @@
 	}
 	s.actions = append(s.actions, fmt.Sprintf("%v to %d %q", s.now, server, attempt.Message()))
 	sum := crc32.ChecksumIEEE(append([]byte{byte(server)}, attempt.Message()...))
-	e := &front.AttemptFinished{Attempt: attempt, Answer: pgwire.QueryResult{Complete: true, Role: "replica", AppliedMillis: 1_000_000 + s.now.Milliseconds(), HasApplied: true}}
+	e := &front.AttemptFinished{Attempt: attempt, Result: pgwire.QueryResult{Complete: true, Role: "replica", AppliedMillis: 1_000_000 + s.now.Milliseconds(), HasApplied: true}}
 	if server == 0 {
-		e.Answer.Role = "primary"
+		e.Result.Role = "primary"
 	}
 	switch sum % 16 {
 	case 0:
 		return // no result, ever
 	case 1:
-		e.Answer = pgwire.QueryResult{Code: pgwire.CodeTooManyConnections}
+		e.Result = pgwire.QueryResult{Code: pgwire.CodeTooManyConnections}
 	case 2:
-		e.Answer = pgwire.QueryResult{Code: "XX000"}
+		e.Result = pgwire.QueryResult{Code: "XX000"}
 	case 3:
 		e.Err = &front.ConnectionError{Stage: front.StageRead, Err: os.ErrClosed}
 	}
--- a/cmd/dapplerouter/subsystems.go
+++ b/cmd/dapplerouter/subsystems.go
@@ -10,9 +10,9 @@
 type subsystem interface {
 	Name() string
 	Start() error
-	Totals() []any                 // counters, as attributes for a log line
-	DiscoveryMoved(address string) // the address of discovery has changed
-	Drain(within time.Duration)    // transfers what other fronts can take over, such as leases
+	Totals() []any                          // counters, as attributes for a log line
+	DiscoveryAddressChanged(address string) // the address of discovery has changed
+	Drain(within time.Duration)             // transfers what other fronts can take over, such as leases
 	Close()
 }
 
@@ -38,7 +38,7 @@
 
 func (all subsystems) discoveryMoved(address string) {
 	for _, s := range all {
-		s.DiscoveryMoved(address)
+		s.DiscoveryAddressChanged(address)
 	}
 }
 
--- a/deployment/instance_file_test.go
+++ b/deployment/instance_file_test.go
@@ -59,9 +59,9 @@
 	line("FamilyInfo.TellsPosition", replication.PositionInResponses)
 	line("FamilyInfo.Synchronous", replication.SemiSyncWrites)
 	line("Stats.Source", replication.LoadInResponses)
-	guardrails := settings.Guardrails
-	line("Rules", int64(guardrails.AnswerSlack), int64(guardrails.DrainGrace), int64(guardrails.MaxPollInterval),
-		guardrails.InitialCapacity, guardrails.OverloadMultiple, int64(guardrails.SlowStartDuration), int64(guardrails.OverloadWindow))
+	rules := settings.DeploymentRules
+	line("Rules", int64(rules.DeadlineGrace), int64(rules.DrainGrace), int64(rules.MaxPollInterval),
+		rules.InitialCapacity, rules.OverloadMultiple, int64(rules.SlowStartDuration), int64(rules.OverloadWindow))
 	limits := settings.Limits
 	line("Limits", limits.MaxAttempts, limits.HealthChecks, limits.Gossip, limits.Cancellation, limits.HedgedRequests,
 		int64(limits.MaxRetryAfter), int64(limits.DialTimeout), int64(limits.IdleConnTimeout))
--- a/deployment/settings.go
+++ b/deployment/settings.go
@@ -24,7 +24,7 @@
 	RequestTypes                        []routing.RequestType
 	CustomerQuotas                      []routing.Customer
 	Replication                         routing.Replication
-	Guardrails                          routing.Guardrails
+	DeploymentRules                     routing.DeploymentRules
 	Limits                              routing.Limits
 	CostWeights                         routing.CostWeights
 }
@@ -67,7 +67,7 @@
 	s.readCustomers(r)
 	s.readTopology(r)
 	s.readReplication(r)
-	s.readGuardrails(r)
+	s.readDeploymentRules(r)
 	s.readLimits(r)
 	s.readCostWeights(r)
 	r.checkUnique("Classes", s.TypeNames)
@@ -145,9 +145,9 @@
 	}
 }
 
-func (s *Settings) readGuardrails(r *keyReader) {
-	s.Guardrails = routing.Guardrails{
-		AnswerSlack: r.duration("Rules.AnswerSlack"), DrainGrace: r.duration("Rules.StopSendingWithin"),
+func (s *Settings) readDeploymentRules(r *keyReader) {
+	s.DeploymentRules = routing.DeploymentRules{
+		DeadlineGrace: r.duration("Rules.AnswerSlack"), DrainGrace: r.duration("Rules.StopSendingWithin"),
 		MaxPollInterval: time.Duration(r.optionalInteger("Rules.AskEvery")), InitialCapacity: r.decimal("Rules.StartCapacity", 1),
 		OverloadMultiple: r.decimal("Rules.FallMultiple", 1), SlowStartDuration: r.duration("Rules.Cold"),
 		OverloadWindow: r.duration("Rules.Fall"),
--- a/discovery/client.go
+++ b/discovery/client.go
@@ -30,12 +30,12 @@
 
 // Reasons for which a call or a watch ends.
 var (
-	ErrSilent     = errors.New("discovery service: no heartbeat in time")
-	ErrNoAnswer   = errors.New("discovery service: no response in time")
-	ErrStatus     = errors.New("discovery service: unexpected status")
-	ErrIndexBack  = errors.New("discovery service: index went backwards")
-	ErrBadChange  = errors.New("discovery service: change with unusable endpoints")
-	ErrLineLength = errors.New("discovery service: line too long")
+	ErrHeartbeatTimeout  = errors.New("discovery service: no heartbeat in time")
+	ErrResponseTimeout   = errors.New("discovery service: no response in time")
+	ErrStatus            = errors.New("discovery service: unexpected status")
+	ErrIndexDecreased    = errors.New("discovery service: index went backwards")
+	ErrUnusableEndpoints = errors.New("discovery service: change with unusable endpoints")
+	ErrLineTooLong       = errors.New("discovery service: line too long")
 )
 
 // Client reads the endpoint list from the discovery service. It opens at most two connections. Its methods are safe for
@@ -119,7 +119,7 @@
 		return l, cancelCause(ctx, err)
 	}
 	defer func() { _ = body.Close() }() // the body was read to its end, or the call has failed
-	totalTimer := time.AfterFunc(c.heartbeat*2, func() { cancel(ErrSilent) })
+	totalTimer := time.AfterFunc(c.heartbeat*2, func() { cancel(ErrHeartbeatTimeout) })
 	defer totalTimer.Stop()
 	data, err := io.ReadAll(&idleTimeoutReader{from: io.LimitReader(body, maxObjectBytes), timer: answerTimer, timeout: c.heartbeat / 2})
 	if err != nil {
@@ -152,7 +152,7 @@
 	}
 	defer func() { _ = body.Close() }() // the watch has already failed
 	answerTimer.Stop()
-	heartbeatTimer := time.AfterFunc(c.heartbeat*silenceTimeoutQuarters/4, func() { cancel(ErrSilent) })
+	heartbeatTimer := time.AfterFunc(c.heartbeat*silenceTimeoutQuarters/4, func() { cancel(ErrHeartbeatTimeout) })
 	defer heartbeatTimer.Stop()
 	lines := bufio.NewReader(body)
 	for {
@@ -173,7 +173,7 @@
 }
 
 // handleLine passes the list in a line of a watch to onList. If some endpoints of a change are unusable, it passes on the
-// others and returns ErrBadChange.
+// others and returns ErrUnusableEndpoints.
 func (c *Client) handleLine(line []byte, onList func(List)) error {
 	l, skipped, err := Decode(line)
 	logSkipped(skipped)
@@ -181,12 +181,12 @@
 		return fmt.Errorf("decode line: %w", err)
 	}
 	if !l.Snapshot && l.Index < c.index.Load() {
-		return fmt.Errorf("%w: %d after %d", ErrIndexBack, l.Index, c.index.Load())
+		return fmt.Errorf("%w: %d after %d", ErrIndexDecreased, l.Index, c.index.Load())
 	}
 	c.index.Store(l.Index)
 	onList(l)
 	if len(skipped) > 0 && !l.Snapshot {
-		return fmt.Errorf("%w: %d skipped", ErrBadChange, len(skipped))
+		return fmt.Errorf("%w: %d skipped", ErrUnusableEndpoints, len(skipped))
 	}
 	return nil
 }
@@ -233,10 +233,10 @@
 	return res.Body, nil
 }
 
-// startAnswerTimer starts a timer that cancels a call with ErrNoAnswer after half a heartbeat. The caller stops it when the
+// startAnswerTimer starts a timer that cancels a call with ErrResponseTimeout after half a heartbeat. The caller stops it when the
 // response begins, or resets it when more of the response arrives.
 func (c *Client) startAnswerTimer(cancel context.CancelCauseFunc) *time.Timer {
-	return time.AfterFunc(c.heartbeat/2, func() { cancel(ErrNoAnswer) })
+	return time.AfterFunc(c.heartbeat/2, func() { cancel(ErrResponseTimeout) })
 }
 
 // notifyResponse calls OnResponse, if it is set.
@@ -260,7 +260,7 @@
 	return p.from.Read(b)
 }
 
-// readLine reads a line, including its newline. A line over maxObjectBytes is ErrLineLength; a line without a newline at the
+// readLine reads a line, including its newline. A line over maxObjectBytes is ErrLineTooLong; a line without a newline at the
 // end of the stream is an error too.
 func readLine(r *bufio.Reader) ([]byte, error) {
 	var long []byte
@@ -277,7 +277,7 @@
 			return nil, err
 		}
 		if len(long) > maxObjectBytes {
-			return nil, fmt.Errorf("%w: over %d bytes", ErrLineLength, maxObjectBytes)
+			return nil, fmt.Errorf("%w: over %d bytes", ErrLineTooLong, maxObjectBytes)
 		}
 	}
 }
--- a/discovery/client_test.go
+++ b/discovery/client_test.go
@@ -100,7 +100,7 @@
 		<-r.Context().Done()
 	})
 	c.heartbeat = 20 * time.Millisecond
-	assert.ErrorIs(t, c.Watch(context.Background(), func(List) {}), ErrSilent)
+	assert.ErrorIs(t, c.Watch(context.Background(), func(List) {}), ErrHeartbeatTimeout)
 }
 
 func TestRejectedCallAndTruncatedLineAreErrors(t *testing.T) {
@@ -264,13 +264,13 @@
 		response script
 		want     error
 	}{
-		"index goes back":   {respondWith(encodeList(6, false, "up") + "\n"), ErrIndexBack},
-		"unusable endpoint": {respondWith(encodeList(8, false, "asleep") + "\n"), ErrBadChange},
+		"index goes back":   {respondWith(encodeList(6, false, "up") + "\n"), ErrIndexDecreased},
+		"unusable endpoint": {respondWith(encodeList(8, false, "asleep") + "\n"), ErrUnusableEndpoints},
 		"no index":          {respondWith(`{"endpoints":[]}` + "\n"), ErrNoIndex},
-		"no heartbeat":      {respondThenHang("\n"), ErrSilent},
-		"no answer":         {hang, ErrNoAnswer},
+		"no heartbeat":      {respondThenHang("\n"), ErrHeartbeatTimeout},
+		"no answer":         {hang, ErrResponseTimeout},
 		"status":            {respond503, ErrStatus},
-		"line too long":     {respondWith(strings.Repeat(" ", maxObjectBytes+1<<16)), ErrLineLength},
+		"line too long":     {respondWith(strings.Repeat(" ", maxObjectBytes+1<<16)), ErrLineTooLong},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -281,5 +281,5 @@
 	c, _ := newScriptedService(t, hang)
 	c.heartbeat = 200 * time.Millisecond
 	_, err := c.FetchSnapshot(t.Context())
-	assert.ErrorIs(t, err, ErrNoAnswer)
+	assert.ErrorIs(t, err, ErrResponseTimeout)
 }
--- a/fleet/agent/admin.go
+++ b/fleet/agent/admin.go
@@ -52,7 +52,7 @@
 	Lease            string  `json:"duty"`
 	Term             uint64  `json:"term"`
 	Leaseholder      string  `json:"holder"`
-	Since            uint64  `json:"since_index"`      // index of the log entry that granted the lease
+	GrantIndex       uint64  `json:"since_index"`      // index of the log entry that granted the lease
 	Reason           string  `json:"why"`              // reason of the last grant or release
 	RemainingSeconds float64 `json:"left_s,omitempty"` // time until the lease expires; reported by the leaseholder only
 }
@@ -117,7 +117,7 @@
 			s.Fronts = append(s.Fronts, FrontStatus{x.Name, x.Zone, x.Version, hexIncarnation(x.Incarnation), x.Address, isVoter, len(x.PastIncarnations)})
 		}
 		for _, lease := range state.Leases {
-			x := LeaseStatus{Lease: lease.Name, Term: lease.Term, Leaseholder: lease.Leaseholder, Since: lease.GrantIndex, Reason: lease.Reason}
+			x := LeaseStatus{Lease: lease.Name, Term: lease.Term, Leaseholder: lease.Leaseholder, GrantIndex: lease.GrantIndex, Reason: lease.Reason}
 			if _, ok := n.HoldsLease(now, lease.Name); ok {
 				x.RemainingSeconds = (n.LeaseExpiry(lease.Name) - now).Seconds()
 			}
--- a/fleet/agent/admin_recovery.go
+++ b/fleet/agent/admin_recovery.go
@@ -11,12 +11,12 @@
 
 // RecoveryStatus is the state of a recovery of the voters as the admin API reports it.
 type RecoveryStatus struct {
-	State       fleet.RecoveryState `json:"state"`
-	Reason      string              `json:"reason"`
-	Fault       string              `json:"fault,omitempty"` // why the recovery was rejected
-	WaitSeconds float64             `json:"wait_s"`          // time until all leases of the lost voters have expired
-	Lost        []string            `json:"lost"`            // the voters that are removed
-	Index       uint64              `json:"index"`           // index of this front's replicated state
+	State           fleet.RecoveryState `json:"state"`
+	Reason          string              `json:"reason"`
+	RejectionReason string              `json:"fault,omitempty"` // why the recovery was rejected
+	WaitSeconds     float64             `json:"wait_s"`          // time until all leases of the lost voters have expired
+	Lost            []string            `json:"lost"`            // the voters that are removed
+	Index           uint64              `json:"index"`           // index of this front's replicated state
 }
 
 // registerRecovery registers the handlers for a recovery of the voters from this front's disk.
@@ -49,7 +49,7 @@
 			wait := max(0, r.DueAt-now)
 			s = RecoveryStatus{State: r.State, Reason: r.Reason, WaitSeconds: wait.Seconds(), Lost: r.Lost, Index: n.State().Index}
 			if r.Err != nil {
-				s.Fault = r.Err.Error()
+				s.RejectionReason = r.Err.Error()
 			}
 			err = nil
 		}
--- a/fleet/agent/admin_rollout.go
+++ b/fleet/agent/admin_rollout.go
@@ -20,16 +20,16 @@
 	Phase              string              `json:"phase"`
 	Base               uint64              `json:"base"`           // the version in force; 0 for each front's own file
 	Next               uint64              `json:"next,omitempty"` // the version that is being rolled out; 0 for none
-	Must               bool                `json:"must,omitempty"` // the version is mandatory: no front may use Base once Next is in force
+	Mandatory          bool                `json:"must,omitempty"` // the version is mandatory: no front may use Base once Next is in force
 	Paused             bool                `json:"held,omitempty"`
 	Stage              int                 `json:"wave,omitempty"`   // the current stage, counted from 1
 	Stages             []uint16            `json:"waves,omitempty"`  // share of the fleet at each stage, in thousandths
-	Watch              string              `json:"watch,omitempty"`  // observation time of each stage
-	Within             string              `json:"within,omitempty"` // time within which Next must be in force
+	ObservationTime    string              `json:"watch,omitempty"`  // observation time of each stage
+	InForceWithin      string              `json:"within,omitempty"` // time within which Next must be in force
 	Reason             string              `json:"why"`
-	Meaning            [2]string           `json:"meaning"`            // hashes of the rules of Base and Next
-	Waiting            []WaitingStatus     `json:"waiting,omitempty"`  // queued publications, for the version after Next
-	Unproven           []string            `json:"unproven,omitempty"` // fronts that may continue to use Base while they are isolated
+	RulesHashes        [2]string           `json:"meaning"`            // hashes of the rules of Base and Next
+	QueuedPublications []WaitingStatus     `json:"waiting,omitempty"`  // queued publications, for the version after Next
+	UnconfirmedFronts  []string            `json:"unproven,omitempty"` // fronts that may continue to use Base while they are isolated
 	ActiveVersion      uint64              `json:"acts"`               // version that the responding front uses
 	ConfigLeaseSeconds float64             `json:"right_left_s"`       // time until the configuration lease of the responding front expires
 	Fronts             []ParticipantStatus `json:"fronts"`             // reports of all fronts to the leader; empty without a leader
@@ -62,7 +62,7 @@
 
 // rolloutStatus returns the state of rollouts as this front knows it, with the reports of all fronts to the leader.
 func (a *Agent) rolloutStatus() (s RolloutStatus) {
-	reports := a.collectDigests(rollout.Part)
+	reports := a.collectDigests(rollout.Subsystem)
 	a.mesh.Do(func(n *fleet.Node, now time.Duration) {
 		state, _ := rollout.ReadState(n.State())
 		active := a.rollout.participant.Adopter.Active()
@@ -70,24 +70,24 @@
 			Phase:              state.Phase.String(),
 			Base:               state.Base,
 			Next:               state.Next,
-			Must:               state.Mandatory,
+			Mandatory:          state.Mandatory,
 			Paused:             state.Paused,
 			Stage:              state.Stage + 1,
 			Stages:             state.Stages,
 			Reason:             state.Reason,
-			Meaning:            state.RulesHashes,
-			Unproven:           state.UnconfirmedFronts,
+			RulesHashes:        state.RulesHashes,
+			UnconfirmedFronts:  state.UnconfirmedFronts,
 			ActiveVersion:      active,
 			ConfigLeaseSeconds: max(0, (n.ConfigLeaseExpiry(active) - now).Seconds()),
 		}
 		if within := rollout.InForceWithin(n.State()); within > 0 {
-			s.Within = within.String()
+			s.InForceWithin = within.String()
 		}
 		for _, w := range rollout.QueuedPublications(n.State()) {
-			s.Waiting = append(s.Waiting, WaitingStatus{Front: w.Front, Base: w.Base, Changes: w.Changes})
+			s.QueuedPublications = append(s.QueuedPublications, WaitingStatus{Front: w.Front, Base: w.Base, Changes: w.Changes})
 		}
 		if state.ObservationTime > 0 {
-			s.Watch = state.ObservationTime.String()
+			s.ObservationTime = state.ObservationTime.String()
 		}
 	})
 	for _, report := range reports {
--- a/fleet/agent/audit_collector.go
+++ b/fleet/agent/audit_collector.go
@@ -85,7 +85,9 @@
 			return
 		case r := <-c.requests:
 			response := c.respond(*r.request)
-			a.mesh.Do(func(n *fleet.Node, now time.Duration) { n.SendDatagram(now, r.from, audit.Part, response.Encode()) })
+			a.mesh.Do(func(n *fleet.Node, now time.Duration) {
+				n.SendDatagram(now, r.from, audit.Subsystem, response.Encode())
+			})
 		}
 	}
 }
@@ -93,7 +95,7 @@
 // respond returns the response to a request: the names of this front's closed segments, or a chunk of one of their files.
 func (c *auditCollector) respond(q audit.FetchRequest) audit.FetchResponse {
 	r := audit.FetchResponse{Request: q}
-	sealed := c.writer.segments.Sealed()
+	sealed := c.writer.segments.ClosedSegments()
 	if q.Name == "" {
 		r.Names = audit.SegmentsAfter(sealed, q.After)
 		return r
@@ -152,6 +154,6 @@
 func (c *auditCollector) sendRequests(n *fleet.Node, now time.Duration) {
 	fronts := slices.Collect(maps.Keys(n.State().Fronts))
 	for _, fetch := range c.fetches.Step(now, fronts) {
-		n.SendDatagram(now, fetch.Front, audit.Part, fetch.Request.Encode())
+		n.SendDatagram(now, fetch.Front, audit.Subsystem, fetch.Request.Encode())
 	}
 }
--- a/fleet/agent/audit_export.go
+++ b/fleet/agent/audit_export.go
@@ -43,7 +43,7 @@
 	x := &w.exports
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	for _, name := range w.segments.Sealed() {
+	for _, name := range w.segments.ClosedSegments() {
 		if x.done[name] {
 			continue
 		}
--- a/fleet/agent/endpoint_follower.go
+++ b/fleet/agent/endpoint_follower.go
@@ -74,7 +74,7 @@
 	client := discovery.NewClient(f.address, 0)
 	client.OnResponse = func() {
 		a.mesh.Do(func(n *fleet.Node, now time.Duration) {
-			if f.list.Known() {
+			if f.list.HasList() {
 				n.ReportProgress(fleet.EndpointListLease)
 				n.Broadcast(now, fleet.EndpointListLease, f.list.EncodeHeartbeat())
 			}
--- a/fleet/agent/events.go
+++ b/fleet/agent/events.go
@@ -60,7 +60,7 @@
 	switch {
 	case e.Subsystem == probeSubsystem:
 		a.Prober.OnProbeRequest(string(e.Data))
-	case e.Subsystem == audit.Part && a.audit != nil:
+	case e.Subsystem == audit.Subsystem && a.audit != nil:
 		a.audit.collector.onDatagram(e)
 	}
 }
--- a/fleet/agent/lifecycle.go
+++ b/fleet/agent/lifecycle.go
@@ -95,8 +95,8 @@
 	return out
 }
 
-// DiscoveryMoved switches to another address of the discovery service.
-func (a *Agent) DiscoveryMoved(address string) { a.endpoints.setAddress(address) }
+// DiscoveryAddressChanged switches to another address of the discovery service.
+func (a *Agent) DiscoveryAddressChanged(address string) { a.endpoints.setAddress(address) }
 
 // Drain releases the front's leases so that other fronts take them over. It waits for that for the duration within at most.
 func (a *Agent) Drain(within time.Duration) {
--- a/fleet/agent/prober.go
+++ b/fleet/agent/prober.go
@@ -170,9 +170,9 @@
 	if e.Err != nil {
 		return fleet.ProbeResult{ConnectionLost: e.Err.Stage == front.StageRead}, e.Err.Stage != front.StageLocal
 	}
-	result = fleet.ProbeResult{Healthy: e.Answer.Code == "" && e.Answer.Complete, Code: e.Answer.Code}
+	result = fleet.ProbeResult{Healthy: e.Result.Code == "" && e.Result.Complete, Code: e.Result.Code}
 	if result.Healthy {
-		result.Role = claimedRole(&e.Answer)
+		result.Role = claimedRole(&e.Result)
 	}
 	return result, true
 }
@@ -241,7 +241,7 @@
 	waited := p.cache.AddResult(p.Now(), term, result)
 	p.mu.Unlock()
 	for _, probe := range waited {
-		if result.Answers() {
+		if result.ReplacesProbe() {
 			p.post(probeFinished(probe.attempt, result))
 		} else {
 			p.pools.Send(probe.server, probe.attempt)
@@ -276,9 +276,9 @@
 func probeFinished(attempt *front.Attempt, result fleet.ProbeResult) *front.AttemptFinished {
 	switch {
 	case result.Healthy:
-		return &front.AttemptFinished{Attempt: attempt, Answer: pgwire.SingleValueResult(nil)}
+		return &front.AttemptFinished{Attempt: attempt, Result: pgwire.SingleValueResult(nil)}
 	case result.Code != "":
-		return &front.AttemptFinished{Attempt: attempt, Answer: pgwire.QueryResult{Code: result.Code}}
+		return &front.AttemptFinished{Attempt: attempt, Result: pgwire.QueryResult{Code: result.Code}}
 	case result.ConnectionLost:
 		return &front.AttemptFinished{Attempt: attempt, Err: &front.ConnectionError{Stage: front.StageRead, Err: errSharedProbe}}
 	}
--- a/fleet/agent/prober_test.go
+++ b/fleet/agent/prober_test.go
@@ -21,10 +21,10 @@
 		back, ok := fleet.DecodeProbeResult(l.Encode())
 		require.True(t, ok)
 		e := probeFinished(nil, back)
-		assert.Empty(t, e.Answer.Role)
-		assert.False(t, e.Answer.HasApplied)
-		assert.Empty(t, e.Answer.Value())
-		assert.Equal(t, l.Healthy, e.Err == nil && e.Answer.Complete && e.Answer.Code == "")
+		assert.Empty(t, e.Result.Role)
+		assert.False(t, e.Result.HasApplied)
+		assert.Empty(t, e.Result.Value())
+		assert.Equal(t, l.Healthy, e.Err == nil && e.Result.Complete && e.Result.Code == "")
 		assert.Equal(t, l.Code != "" || l.Healthy, e.Err == nil)
 	}
 }
--- a/fleet/audit/config.go
+++ b/fleet/audit/config.go
@@ -27,7 +27,7 @@
 
 	CollectBytesPerSecond int64
 	MaxClockError         time.Duration
-	Place                 config.Position // of the form
+	Position              config.Position // of the form
 }
 
 // Bounds of each size in the form, in bytes.
@@ -38,7 +38,7 @@
 
 // ReadConfig reads the form. Errors are recorded with the form's decoder, each with its position and remedy.
 func ReadConfig(f *config.Form) *Config {
-	c := &Config{MaxTotalBytes: 64 << 20, SegmentBytes: 1 << 20, CollectBytesPerSecond: 256 << 10, MaxClockError: 500 * time.Millisecond, Place: f.Position}
+	c := &Config{MaxTotalBytes: 64 << 20, SegmentBytes: 1 << 20, CollectBytesPerSecond: 256 << 10, MaxClockError: 500 * time.Millisecond, Position: f.Position}
 	forms := f.Forms("dir", "budget", "segment", "clock-error", "export", "collect", "rate")
 	for name, field := range map[string]*string{"dir": &c.LogDir, "export": &c.ExportDir, "collect": &c.CollectDir} {
 		if form := forms[name]; form != nil {
--- a/fleet/audit/fetch.go
+++ b/fleet/audit/fetch.go
@@ -6,8 +6,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Part is the subsystem of a front that datagrams of the audit are addressed to.
-const Part = "audit"
+// Subsystem is the subsystem of a front that datagrams of the audit are addressed to.
+const Subsystem = "audit"
 
 // FetchRequest asks a front for the names of its closed segments, or for a chunk of a segment's file.
 type FetchRequest struct {
--- a/fleet/audit/logs_test.go
+++ b/fleet/audit/logs_test.go
@@ -25,9 +25,9 @@
 	return all
 }
 
-func (m memoryLogs) Lines(name string) ([]byte, error) { return m.lines[name], nil }
+func (m memoryLogs) Log(name string) ([]byte, error) { return m.lines[name], nil }
 
-func (m memoryLogs) IDs(name string) ([]byte, error) {
+func (m memoryLogs) Index(name string) ([]byte, error) {
 	if b, ok := m.ids[name]; ok {
 		return b, nil
 	}
--- a/fleet/audit/read.go
+++ b/fleet/audit/read.go
@@ -11,10 +11,10 @@
 // LogSource provides the segments of logs. It identifies them by their names without a suffix.
 type LogSource interface {
 	Names() []string // sorted
-	// Lines returns the file with a segment's lines.
-	Lines(name string) ([]byte, error)
-	// IDs returns the file with a segment's index.
-	IDs(name string) ([]byte, error)
+	// Log returns the file with a segment's lines.
+	Log(name string) ([]byte, error)
+	// Index returns the file with a segment's index.
+	Index(name string) ([]byte, error)
 }
 
 // Finding is a result of verification. It is a violation, or a note about something that the log itself reports as missing.
@@ -47,11 +47,11 @@
 // FrontLog is the log of one front, its lines in the order in which they were written.
 type FrontLog struct {
 	Front string
-	Lines []PlacedLine
+	Lines []LocatedLine
 }
 
-// PlacedLine is a line together with its segment and its number there.
-type PlacedLine struct {
+// LocatedLine is a line together with its segment and its number there.
+type LocatedLine struct {
 	Line
 	Segment    string
 	LineNumber int // in the segment, from 1
@@ -117,13 +117,13 @@
 		r.process.startMissing = true
 	}
 	position := r.segments.advance(r.log.Front, number)
-	text, err := source.Lines(name)
+	text, err := source.Log(name)
 	if err != nil {
 		r.findings = append(r.findings, UnreadSegment(name, fmt.Sprintf("the segment can't be read: %v", err)))
 		return
 	}
 	index := segmentIndex{}
-	index.data, index.err = source.IDs(name)
+	index.data, index.err = source.Index(name)
 	for len(text) > 0 {
 		r.line++
 		lineText, remaining, ended := bytes.Cut(text, []byte{'\n'})
@@ -142,7 +142,7 @@
 		if l.IndexOffset > 0 || l.Requests > 0 {
 			r.verifyIndex(&l, &index)
 		}
-		p := PlacedLine{Line: l, Segment: name, LineNumber: r.line}
+		p := LocatedLine{Line: l, Segment: name, LineNumber: r.line}
 		r.verifyLine(&p)
 		r.log.Lines = append(r.log.Lines, p)
 	}
--- a/fleet/audit/verify.go
+++ b/fleet/audit/verify.go
@@ -96,7 +96,7 @@
 
 // processState is what the lines of the front's current process have said so far.
 type processState struct {
-	started      *PlacedLine     // the first line of the process; nil while no process runs
+	started      *LocatedLine    // the first line of the process; nil while no process runs
 	stopped      map[uint64]bool // incarnations of processes that ended
 	startMissing bool            // the beginning of the log is missing, and no process has started since
 	wallClock    int64           // highest time of a line so far
@@ -105,7 +105,7 @@
 }
 
 // verifyLine verifies a line against those before it.
-func (r *logReader) verifyLine(p *PlacedLine) {
+func (r *logReader) verifyLine(p *LocatedLine) {
 	l := &p.Line
 	if l.Event == EventProcessStarted {
 		r.startProcess(p)
@@ -136,7 +136,7 @@
 }
 
 // startProcess records that the lines of another process begin, and verifies that this process has not ended before.
-func (r *logReader) startProcess(p *PlacedLine) {
+func (r *logReader) startProcess(p *LocatedLine) {
 	state := &r.process
 	if state.started != nil && state.started.Incarnation != p.Incarnation {
 		r.note("the previous process did not close its log: what it did after %d is not recorded", state.wallClock)
--- a/fleet/compat_test.go
+++ b/fleet/compat_test.go
@@ -165,5 +165,5 @@
 	result, ok := DecodeProbeResult(b)
 	require.True(t, ok)
 	assert.Equal(t, ProbeResult{Server: "s-1", Healthy: true, Code: "57P03", ConnectionLost: true, Pending: true}, result)
-	assert.False(t, result.Answers(), "the server may be the primary")
+	assert.False(t, result.ReplacesProbe(), "the server may be the primary")
 }
--- a/fleet/config.go
+++ b/fleet/config.go
@@ -35,7 +35,7 @@
 	Key, Certificate, Trust string            // the paths of the TLS files; "" for a mesh without TLS
 	Control, History        string            // the paths of the control socket and the history file; "" for none
 	AddressOverrides        map[string]string // by front: an address to use in place of the one that the front reports
-	Place                   config.Position   // the position of the form in its file
+	Position                config.Position   // the position of the form in its file
 }
 
 // Limits of the lease duration. With a shorter one, pauses of a loaded machine would cause leases to expire. With a longer one, it
@@ -47,7 +47,7 @@
 
 // ReadConfig reads the form. It records errors with the form's decoder, each with its position and its remedy.
 func ReadConfig(f *config.Form) *Config {
-	c := &Config{LeaseDuration: DefaultLeaseDuration, AcceptsLeases: true, AddressOverrides: map[string]string{}, Place: f.Position}
+	c := &Config{LeaseDuration: DefaultLeaseDuration, AcceptsLeases: true, AddressOverrides: map[string]string{}, Position: f.Position}
 	forms := f.Forms("id", "listen", "address", "voters", "voter", "joins", "lease-duration", "leases", "key", "certificate", "trust", "plain",
 		"control", "history", "reach", "keepers", "keeper", "span", "duties")
 	readDeprecated(f, forms)
@@ -194,9 +194,9 @@
 	}
 	switch {
 	case isInitialVoter && c.VoterPath == "":
-		return config.ErrorList{{Position: c.Place, Message: name + " is named as a voter and has no file", Remedy: "(voter \"FILE\")"}}
+		return config.ErrorList{{Position: c.Position, Message: name + " is named as a voter and has no file", Remedy: "(voter \"FILE\")"}}
 	case !isInitialVoter && c.VoterPath != "" && !c.JoinsExistingFleet:
-		return config.ErrorList{{Position: c.Place, Message: name + " has a voter's file and is not among the voters",
+		return config.ErrorList{{Position: c.Position, Message: name + " has a voter's file and is not among the voters",
 			Remedy: "name it there, or add (joins) for a voter that joins an existing fleet"}}
 	}
 	return nil
--- a/fleet/disk/audit_logs.go
+++ b/fleet/disk/audit_logs.go
@@ -79,13 +79,13 @@
 // Names returns the names of all segments, sorted.
 func (l *AuditLogs) Names() []string { return l.names }
 
-// Lines returns the content of a segment's log file.
-func (l *AuditLogs) Lines(name string) ([]byte, error) {
+// Log returns the content of a segment's log file.
+func (l *AuditLogs) Log(name string) ([]byte, error) {
 	return os.ReadFile(filepath.Join(l.dirs[name], name+audit.LogSuffix))
 }
 
-// IDs returns the content of a segment's index file.
-func (l *AuditLogs) IDs(name string) ([]byte, error) {
+// Index returns the content of a segment's index file.
+func (l *AuditLogs) Index(name string) ([]byte, error) {
 	return os.ReadFile(filepath.Join(l.dirs[name], name+audit.IndexSuffix))
 }
 
--- a/fleet/disk/segments.go
+++ b/fleet/disk/segments.go
@@ -287,8 +287,8 @@
 	return errors.Join(s.open.index.Sync(), s.open.log.Sync())
 }
 
-// Sealed returns the names of the closed segments, oldest first.
-func (s *Segments) Sealed() []string {
+// ClosedSegments returns the names of the closed segments, oldest first.
+func (s *Segments) ClosedSegments() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.sealed)
--- a/fleet/encoding_test.go
+++ b/fleet/encoding_test.go
@@ -55,7 +55,7 @@
 		{Kind: KindRequest, From: "n3", Number: 2, Request: &Request{ID: 1 << 40, Type: RequestTransfer, Lease: "list", Term: 3, To: "n2",
 			Command: []byte("c"), Declarations: []Declaration{{Lease: "scout/1", Bound: 6 * time.Second}}}},
 		{Kind: KindReply, From: "n1", Term: 3, Number: 1, Name: "n3", Reply: &LeaderReply{RenewedSeq: 9, Renewed: []LeaseRenewal{{Lease: "list", Term: 3, Progress: 44}},
-			Release: "scout/1", Term: 4, TransferTo: "n2", RequestID: 1 << 40, Error: "nobody holds it", Displaced: 6,
+			Release: "scout/1", Term: 4, TransferTo: "n2", RequestID: 1 << 40, Error: "nobody holds it", DisplacedIncarnation: 6,
 			Reports: []MemberReport{{Front: "n2", Incarnation: 8, Zone: "a", Age: 1500 * time.Millisecond, ActiveVersion: 5, WantsConfigLease: true,
 				Leaving: true, Index: 11, Data: []byte("d")}}}},
 		{Kind: KindBroadcast, From: "n1", Term: 3, Number: 17, Name: "list", Data: []byte("update")},
--- a/fleet/endpoint_list.go
+++ b/fleet/endpoint_list.go
@@ -85,8 +85,8 @@
 // Index returns the index of the list, which is its version at the discovery service.
 func (l *EndpointList) Index() int64 { return l.index }
 
-// Known reports whether a complete list was received.
-func (l *EndpointList) Known() bool { return l.known }
+// HasList reports whether a complete list was received.
+func (l *EndpointList) HasList() bool { return l.known }
 
 // Apply implements Mirror. Where an update changes nothing and no earlier update is missing, news is a heartbeat: an update which says
 // only that the discovery service answered.
--- a/fleet/leader_members.go
+++ b/fleet/leader_members.go
@@ -35,7 +35,7 @@
 func (l *leader) onMembership(now time.Duration, report MembershipRecord) {
 	front := l.node.state.Fronts[report.Name]
 	if front != nil && front.isPast(report.Incarnation) {
-		l.reply(now, report.Name, &LeaderReply{Displaced: report.Incarnation})
+		l.reply(now, report.Name, &LeaderReply{DisplacedIncarnation: report.Incarnation})
 		return
 	}
 	known := l.members[report.Name]
@@ -156,7 +156,7 @@
 			l.duplicates[report.Name] = &duplicate{report.Incarnation, now, now, 0}
 		}
 	case now-other.firstReportAt > 3*l.node.options.Timing.LeaseDuration && other.ownerReports > 3:
-		l.reply(now, report.Name, &LeaderReply{Displaced: report.Incarnation})
+		l.reply(now, report.Name, &LeaderReply{DisplacedIncarnation: report.Incarnation})
 	}
 	return true
 }
--- a/fleet/leases.go
+++ b/fleet/leases.go
@@ -101,7 +101,7 @@
 	}
 	own = &ownLease{term: lease.Term}
 	n.ownLeases[lease.Name] = own
-	if n.leaving || n.idle {
+	if n.leaving || n.leasesSuspended {
 		n.releaseLease(now, lease.Name, "", reasonAcceptsNoLeases)
 		return
 	}
--- a/fleet/lenient_decode.go
+++ b/fleet/lenient_decode.go
@@ -70,7 +70,7 @@
 // DecodeMsgpack decodes a LeaderReply of this or another version of the program.
 func (reply *LeaderReply) DecodeMsgpack(d *msgpack.Decoder) error {
 	return decodeLenient(d, &reply.RenewedSeq, &reply.Renewed, &reply.Release, &reply.Term, &reply.TransferTo, &reply.RequestID,
-		&reply.Error, &reply.Displaced, &reply.Reports)
+		&reply.Error, &reply.DisplacedIncarnation, &reply.Reports)
 }
 
 // DecodeMsgpack decodes a LogEntry of this or another version of the program.
--- a/fleet/membership.go
+++ b/fleet/membership.go
@@ -14,14 +14,14 @@
 
 // membershipState holds the contents of a Node's own membership records, and the records of other fronts that it forwards.
 type membershipState struct {
-	reportSeq      uint64                             // the Seq of this front's last record
-	reportedAt     time.Duration                      // when this front sent its last record
-	sentAt         [rememberedSendTimes]time.Duration // by Seq modulo the length: when this front sent its records
-	pendingReports map[string]MembershipRecord        // by front: records that are forwarded at the next tick
-	latestReports  map[string]reportVersion           // by front
-	digests        []Digest                           // the digests of this front's subsystems
-	leaving        bool                               // this front is shutting down, see Leave
-	idle           bool                               // this front accepts no leases for now, see SetIdle
+	reportSeq       uint64                             // the Seq of this front's last record
+	reportedAt      time.Duration                      // when this front sent its last record
+	sentAt          [rememberedSendTimes]time.Duration // by Seq modulo the length: when this front sent its records
+	pendingReports  map[string]MembershipRecord        // by front: records that are forwarded at the next tick
+	latestReports   map[string]reportVersion           // by front
+	digests         []Digest                           // the digests of this front's subsystems
+	leaving         bool                               // this front is shutting down, see Leave
+	leasesSuspended bool                               // this front accepts no leases for now, see SetLeasesSuspended
 }
 
 func newMembershipState() membershipState {
@@ -44,7 +44,7 @@
 		Address:          n.options.Address,
 		Version:          n.options.Version,
 		Index:            n.state.Index,
-		AcceptsLeases:    n.options.AcceptsLeases && !n.leaving && !n.idle,
+		AcceptsLeases:    n.options.AcceptsLeases && !n.leaving && !n.leasesSuspended,
 		Leaving:          n.leaving,
 		ActiveVersion:    n.activeVersion,
 		WantsConfigLease: n.options.ConfigLease > 0,
@@ -91,15 +91,15 @@
 	n.digests = slices.Concat(others, []Digest{{Subsystem: subsystem, Data: data}})
 }
 
-// SetIdle sets whether this front is idle. An idle front releases its leases and accepts no new ones. It is for a front whose
-// configuration lease does not allow it to act.
-func (n *Node) SetIdle(now time.Duration, idle bool) {
-	if n.idle == idle {
+// SetLeasesSuspended sets whether this front's leases are suspended: it then releases its leases and accepts no new ones. It is for a
+// front whose configuration lease does not allow it to act.
+func (n *Node) SetLeasesSuspended(now time.Duration, suspended bool) {
+	if n.leasesSuspended == suspended {
 		return
 	}
-	n.idle = idle
+	n.leasesSuspended = suspended
 	for _, leaseName := range slices.Sorted(maps.Keys(n.ownLeases)) {
-		if idle {
+		if suspended {
 			n.releaseLease(now, leaseName, "", reasonNoConfigLease)
 		}
 	}
--- a/fleet/mesh/format_test.go
+++ b/fleet/mesh/format_test.go
@@ -29,7 +29,7 @@
 		{Kind: fleet.KindRequest, From: "n1", Number: 1, Request: &fleet.Request{ID: 1 << 33, Type: fleet.RequestTransfer, Lease: "list", Term: 3, To: "n2", Command: []byte{1, 2},
 			Declarations: []fleet.Declaration{{Lease: "scout/1", Bound: time.Second}}}},
 		{Kind: fleet.KindReply, From: "n2", Name: "n1", Reply: &fleet.LeaderReply{RenewedSeq: 1, Renewed: member.Renewals, Release: "list", Term: 2, TransferTo: "n3", RequestID: 4,
-			Error: "no", Displaced: 5, Reports: []fleet.MemberReport{{Front: "n1", Incarnation: 7, Zone: "a", Age: time.Second, ActiveVersion: 1, WantsConfigLease: true, Leaving: true,
+			Error: "no", DisplacedIncarnation: 5, Reports: []fleet.MemberReport{{Front: "n1", Incarnation: 7, Zone: "a", Age: time.Second, ActiveVersion: 1, WantsConfigLease: true, Leaving: true,
 				Index: 9, Data: []byte("d")}}}},
 		{Kind: fleet.KindBroadcast, From: "n1", Term: 3, Number: 4, Name: "list", Data: bytes.Repeat([]byte{7}, 300), Entries: []fleet.LogEntry{{Index: 9, Data: []byte("e")}},
 			Positions: []fleet.Position{{Name: "list", Term: 1, Index: 2, Version: 3}}},
--- a/fleet/message.go
+++ b/fleet/message.go
@@ -183,15 +183,15 @@
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
 
-	RenewedSeq uint64         // the Seq of the membership record whose leases are renewed
-	Renewed    []LeaseRenewal // the leases that are renewed
-	Release    string         // a lease that the front is asked to release, "" for none
-	Term       uint64         // the term of the lease Release
-	TransferTo string         // the front to which Release is to be transferred, "" for one that the leader chooses
-	RequestID  uint64         // the request that is answered
-	Error      string         // the error of the request, "" where it succeeded
-	Displaced  uint64         // an incarnation of the front that was displaced by another process with its name, 0 for none
-	Reports    []MemberReport // the answer to RequestDigests
+	RenewedSeq           uint64         // the Seq of the membership record whose leases are renewed
+	Renewed              []LeaseRenewal // the leases that are renewed
+	Release              string         // a lease that the front is asked to release, "" for none
+	Term                 uint64         // the term of the lease Release
+	TransferTo           string         // the front to which Release is to be transferred, "" for one that the leader chooses
+	RequestID            uint64         // the request that is answered
+	Error                string         // the error of the request, "" where it succeeded
+	DisplacedIncarnation uint64         // an incarnation of the front that was displaced by another process with its name, 0 for none
+	Reports              []MemberReport // the answer to RequestDigests
 }
 
 // LogEntry is an entry of the replicated log: an encoded Command and its index.
--- a/fleet/probe_cache.go
+++ b/fleet/probe_cache.go
@@ -34,9 +34,11 @@
 	Role           ClaimedRole
 }
 
-// Answers reports whether another front can use the result in place of a probe of its own: it can use a failure, and the health of a
+// ReplacesProbe reports whether another front can use the result in place of a probe of its own: it can use a failure, and the health of a
 // replica. Each front itself probes a server that may be the primary, since only the server's own answer makes it the primary there.
-func (result *ProbeResult) Answers() bool { return !result.Healthy || result.Role == ClaimedReplica }
+func (result *ProbeResult) ReplacesProbe() bool {
+	return !result.Healthy || result.Role == ClaimedReplica
+}
 
 // Encode encodes the result for a broadcast.
 func (result ProbeResult) Encode() []byte {
@@ -108,7 +110,7 @@
 		return ProbeNow, result
 	}
 	if cached, ok := s.results[server]; ok && now-cached.receivedAt < s.lifetime(&cached.ProbeResult) {
-		if !cached.Answers() {
+		if !cached.ReplacesProbe() {
 			return ProbeNow, result
 		}
 		s.ProbesAvoided++
@@ -140,7 +142,7 @@
 }
 
 // AddResult adds a prober's result, which was broadcast in a term of its lease, and returns the probes that waited for it. The caller
-// must send them unless result.Answers. AddResult ignores a result of an older term than the last one of the same server.
+// must send them unless result.ReplacesProbe. AddResult ignores a result of an older term than the last one of the same server.
 func (s *ProbeCache[Q]) AddResult(now time.Duration, term uint64, result ProbeResult) (waited []Q) {
 	previous, ok := s.results[result.Server]
 	if ok && term < previous.term || !ok && len(s.results) >= maxKnownFronts {
@@ -159,7 +161,7 @@
 	for _, waiting := range s.waiting[result.Server] {
 		waited = append(waited, waiting.probe)
 	}
-	if result.Answers() {
+	if result.ReplacesProbe() {
 		s.ProbesAvoided += len(waited)
 	}
 	delete(s.waiting, result.Server)
--- a/fleet/reasons.go
+++ b/fleet/reasons.go
@@ -12,9 +12,9 @@
 	reasonLaterTerm         = "a later term acts"          // the holder received a broadcast of a later term
 	reasonGrantedTo         = "it passed to "              // followed by the name of the new holder
 	reasonTransferRequested = "it was asked to hand it on" // the leader asked the holder to release the lease
-	reasonAcceptsNoLeases   = "this front takes no duty"   // the new holder is shutting down or idle
+	reasonAcceptsNoLeases   = "this front takes no duty"   // the new holder is shutting down, or its leases are suspended
 	reasonShutdown          = "this front ends"
-	reasonNoConfigLease     = "this front has no right to act" // see Node.SetIdle
+	reasonNoConfigLease     = "this front has no right to act" // see Node.SetLeasesSuspended
 	reasonLeaderOffloads    = "its holder gives as well"       // the leader transfers its own leases, see leader.offloadOwnLease
 	reasonFrontDisplaced    = "another front has this one's name"
 	reasonNameTaken         = "another front of the fleet has this name"
--- a/fleet/requests.go
+++ b/fleet/requests.go
@@ -80,7 +80,7 @@
 
 // onReply handles a reply of the leader to this front. leaderTerm is 0 where the leader is an older program.
 func (n *Node) onReply(now time.Duration, reply *LeaderReply, leaderTerm uint64) {
-	if reply.Displaced == n.options.Incarnation && reply.Displaced != 0 {
+	if reply.DisplacedIncarnation == n.options.Incarnation && reply.DisplacedIncarnation != 0 {
 		n.markDisplaced(reasonNameTaken)
 		return
 	}
--- a/fleet/rollout/canary_analysis.go
+++ b/fleet/rollout/canary_analysis.go
@@ -15,7 +15,7 @@
 // ones at once.
 //
 // Error rates: a version that fails as often as the old one is found worse with probability alpha, over all these tests together and
-// however often the verdict is read. A version that fails twice as often is found alike with probability beta, if a test comes to that
+// however often the verdict is read. A version that fails twice as often is found equivalent with probability beta, if a test comes to that
 // verdict at all. If failures are common, the counts vary less than the model assumes, and the errors are on the safe side.
 type CanaryAnalysis struct {
 	tests []sequentialTest // the first is for all types together, the others are for each type
@@ -76,23 +76,23 @@
 
 // Verdicts of a CanaryAnalysis.
 const (
-	Undecided Verdict = iota // the evidence is not sufficient
-	Alike                    // both versions fail equally often
-	Worse                    // the new version fails more often
+	Undecided  Verdict = iota // the evidence is not sufficient
+	Equivalent                // both versions fail equally often
+	Worse                     // the new version fails more often
 )
 
-// thresholds returns the logarithms of the likelihood ratio at which a test decides: Worse at the upper one or above, Alike at the lower
+// thresholds returns the logarithms of the likelihood ratio at which a test decides: Worse at the upper one or above, Equivalent at the lower
 // one or below. The error rate alpha is divided among all tests.
 func (a *CanaryAnalysis) thresholds() (upper, lower float64) {
 	n := float64(max(len(a.tests)*len(odds), 1))
 	return math.Log((1 - beta) / (alpha / n)), math.Log(beta / (1 - alpha/n))
 }
 
-// verdict returns what the counts show so far, and the evidence if it is Worse. The verdict is Alike only if the tests of all request
+// verdict returns what the counts show so far, and the evidence if it is Worse. The verdict is Equivalent only if the tests of all request
 // types that saw failures come to it.
 func (a *CanaryAnalysis) verdict() (v Verdict, evidence string) {
 	upper, lower := a.thresholds()
-	alike, anyFailures := true, false
+	equivalent, anyFailures := true, false
 	for i, t := range a.tests {
 		for _, x := range t.logLikelihood {
 			if x >= upper {
@@ -106,11 +106,11 @@
 		}
 		if t.failures[newSide]+t.failures[oldSide] > 0 {
 			anyFailures = true
-			alike = alike && t.logLikelihood[0] <= lower
+			equivalent = equivalent && t.logLikelihood[0] <= lower
 		}
 	}
-	if anyFailures && alike {
-		return Alike, ""
+	if anyFailures && equivalent {
+		return Equivalent, ""
 	}
 	return Undecided, ""
 }
--- a/fleet/rollout/canary_analysis_test.go
+++ b/fleet/rollout/canary_analysis_test.go
@@ -50,7 +50,7 @@
 	}
 	for _, base := range []float64{0.02, 0.2} {
 		n, cost := simulateAnalyses(2, 400, base, 2)
-		assert.LessOrEqual(t, n[Alike], 400*3/100, "twice as bad at %v, called alike %d times of 400", base, n[Alike])
+		assert.LessOrEqual(t, n[Equivalent], 400*3/100, "twice as bad at %v, called equivalent %d times of 400", base, n[Equivalent])
 		assert.Greater(t, n[Worse], 400*95/100)
 		t.Logf("at %v of failures, twice as bad: found after %.0f failed requests of the new side", base, cost)
 	}
--- a/fleet/rollout/config.go
+++ b/fleet/rollout/config.go
@@ -23,7 +23,7 @@
 	StopWhenIsolated bool
 	InForceWithin    time.Duration   // time within which a published version has to be in force at all fronts; 0 for no limit
 	Dir              string          // stores the adopted version
-	Place            config.Position // of the form
+	Position         config.Position // of the form
 }
 
 // Bounds and default of a configuration lease, in multiples of the fleet's lease duration.
@@ -35,7 +35,7 @@
 
 // ReadConfig reads the form. Errors are recorded with the form's decoder, each with its position and remedy.
 func ReadConfig(f *config.Form) *Config {
-	c := &Config{Place: f.Position}
+	c := &Config{Position: f.Position}
 	forms := f.Forms("right", "when-alone", "in-force-within", "dir")
 	if lease := forms["right"]; lease != nil {
 		c.ConfigLease = lease.Duration()
@@ -87,5 +87,5 @@
 }
 
 func (c *Config) newError(message, remedy string) error {
-	return config.ErrorList{{Position: c.Place, Message: message, Remedy: remedy}}
+	return config.ErrorList{{Position: c.Position, Message: message, Remedy: remedy}}
 }
--- a/fleet/rollout/config_test.go
+++ b/fleet/rollout/config_test.go
@@ -48,13 +48,13 @@
 		lease := timing.LeaseDuration * time.Duration(rapid.IntRange(2, 16).Draw(t, "leases"))
 		within := time.Duration(rapid.IntRange(1, 300).Draw(t, "within")) * time.Second
 		err := CheckInForceWithin(timing, lease, within)
-		if least := timing.ExpiredAfter(lease) + 2*timing.LeaseDuration; (err == nil) != (within >= least) {
+		if least := timing.ConfigLeaseExpiredAfter(lease) + 2*timing.LeaseDuration; (err == nil) != (within >= least) {
 			t.Fatalf("%v with leases of %v: %v", within, lease, err)
 		}
 		if err != nil && !errors.Is(err, ErrDeadlineTooShort) {
 			t.Fatal(err)
 		}
-		if err == nil && timeForStages(timing, lease, within)+timing.ExpiredAfter(lease) >= within {
+		if err == nil && timeForStages(timing, lease, within)+timing.ConfigLeaseExpiredAfter(lease) >= within {
 			t.Fatal("nothing is left for the fleet's answers")
 		}
 	})
--- a/fleet/rollout/controller.go
+++ b/fleet/rollout/controller.go
@@ -72,7 +72,7 @@
 
 // NewController makes a Controller for a front that has acquired the lease.
 func NewController(o ControllerOptions) *Controller {
-	return newController(o, &leaseProof{expiredAfter: o.Timing.ExpiredAfter(o.ConfigLease)})
+	return newController(o, &leaseProof{expiredAfter: o.Timing.ConfigLeaseExpiredAfter(o.ConfigLease)})
 }
 
 // newController makes a Controller with a proof that may know already for how long the present leader has led.
--- a/fleet/rollout/deadline.go
+++ b/fleet/rollout/deadline.go
@@ -46,7 +46,7 @@
 // timeForStages returns how much of a deadline is available to the stages and to reachable fronts that lag, before the lagging fronts are
 // fenced. The rest is reserved for the expiry of their configuration leases, plus one lease duration for the fleet's answers.
 func timeForStages(timing fleet.Timing, configLease, within time.Duration) time.Duration {
-	return within - timing.ExpiredAfter(configLease) - timing.LeaseDuration
+	return within - timing.ConfigLeaseExpiredAfter(configLease) - timing.LeaseDuration
 }
 
 // CheckInForceWithin checks whether a version can be in force at all fronts within a time. It returns a DeadlineError if not.
@@ -55,7 +55,7 @@
 	if left >= timing.LeaseDuration {
 		return nil
 	}
-	least := timing.ExpiredAfter(configLease) + 2*timing.LeaseDuration
+	least := timing.ConfigLeaseExpiredAfter(configLease) + 2*timing.LeaseDuration
 	err := &DeadlineError{
 		Reason: fmt.Sprintf("in force within %v does not fit a right of %v and a span of %v: fronts that are cut off are waited for until their rights are over",
 			within, configLease, timing.LeaseDuration),
--- a/fleet/rollout/finish.go
+++ b/fleet/rollout/finish.go
@@ -46,7 +46,7 @@
 // since. Or its lease on another version has expired since that version was disallowed.
 func (c *Controller) frontsOnOtherVersions(in *stepInput, version uint64) (unconfirmed []string, othersConfirmed bool) {
 	r := in.replicated
-	leasesExpired := c.allowed.index != 0 && in.now-c.allowed.since > c.options.Timing.ExpiredAfter(c.options.ConfigLease)
+	leasesExpired := c.allowed.index != 0 && in.now-c.allowed.since > c.options.Timing.ConfigLeaseExpiredAfter(c.options.ConfigLease)
 	hasDeadline := in.deadline().InForceWithin > 0
 	stored := readFenceableFronts(r)
 	othersConfirmed = true
--- a/fleet/rollout/format_test.go
+++ b/fleet/rollout/format_test.go
@@ -71,7 +71,7 @@
 		"deadline":     hex.EncodeToString(encode(&storedDeadline)),
 		"queue":        hex.EncodeToString(encode(sampleQueue)),
 		"bounded":      hex.EncodeToString(encode(sampleFenceableFronts)),
-		"keys":         strings.Join([]string{stateKey, textKey(9), deadlineKey, fenceableKey, queueKey, Lease, Part}, " "),
+		"keys":         strings.Join([]string{stateKey, textKey(9), deadlineKey, fenceableKey, queueKey, Lease, Subsystem}, " "),
 		"ranks":        fmt.Sprint(rank("n1", 9), rank("n2", 9), rank("n1", 10)),
 		"hashes":       fmt.Sprintf("%x %x", frontHash("n1", 7), frontHash("n2", 7)),
 		"cuts":         fmt.Sprint(cutoffRank([]string{"n1", "n2", "n3", "n4"}, 9, 1), cutoffRank([]string{"n1", "n2", "n3", "n4"}, 9, 500)),
--- a/fleet/rollout/lease_proof.go
+++ b/fleet/rollout/lease_proof.go
@@ -21,7 +21,7 @@
 // The proof shows that a front has no lease at the time of the answer. It does not get one on a disallowed version afterwards, provided
 // that the version was disallowed before the answer was requested.
 type leaseProof struct {
-	expiredAfter time.Duration    // see fleet.Timing.ExpiredAfter
+	expiredAfter time.Duration    // see fleet.Timing.ConfigLeaseExpiredAfter
 	term         uint64           // highest term of a leader that was seen
 	termSince    time.Duration    // when that term was first seen
 	unconfirmed  []digestResponse // waiting for confirmation, oldest first
--- a/fleet/rollout/participant.go
+++ b/fleet/rollout/participant.go
@@ -54,7 +54,7 @@
 		Adopter: NewAdopter(o),
 		options: o,
 		hooks:   h,
-		proof:   leaseProof{expiredAfter: o.Timing.ExpiredAfter(o.ConfigLease)},
+		proof:   leaseProof{expiredAfter: o.Timing.ConfigLeaseExpiredAfter(o.ConfigLease)},
 	}
 }
 
@@ -71,7 +71,7 @@
 	if adopt != nil {
 		p.hooks.Adopt(*adopt)
 	}
-	n.SetIdle(now, until <= now && !n.Isolated()) // a front that may not serve must not hold leases
+	n.SetLeasesSuspended(now, until <= now && !n.Isolated()) // a front that may not serve must not hold leases
 	p.renew(now, renewal{p.Adopter.Active(), until})
 	if now-p.reportedAt >= p.options.Timing.HeartbeatInterval() {
 		p.reportedAt = now
@@ -80,7 +80,7 @@
 		if s, ok := ReadState(n.State()); ok && s.Next != 0 {
 			typesChecksum, counts = p.hooks.Counts()
 		}
-		n.SetDigest(Part, p.Adopter.Report(typesChecksum, counts).Encode())
+		n.SetDigest(Subsystem, p.Adopter.Report(typesChecksum, counts).Encode())
 	}
 	p.proof.observeTerm(now, n.LeaderTerm())
 	if p.controller != nil {
@@ -117,7 +117,7 @@
 			p.controller = nil
 		}
 	case fleet.DatagramReceived:
-		if e.Subsystem == Part && p.controller != nil {
+		if e.Subsystem == Subsystem && p.controller != nil {
 			if action, ok := DecodeAction(e.Data); ok {
 				p.controller.Submit(e.From, action)
 			}
@@ -138,14 +138,14 @@
 		return // another version was adopted meanwhile
 	}
 	p.reportedAt = now
-	n.SetDigest(Part, p.Adopter.Report(0, nil).Encode())
+	n.SetDigest(Subsystem, p.Adopter.Report(0, nil).Encode())
 	n.SetActiveVersion(now, version)
 }
 
 // Rejected records that the front can't use a version.
 func (p *Participant) Rejected(now time.Duration, n *fleet.Node, version uint64, reason string) {
 	p.Adopter.Reject(version, reason)
-	n.SetDigest(Part, p.Adopter.Report(0, nil).Encode())
+	n.SetDigest(Subsystem, p.Adopter.Report(0, nil).Encode())
 }
 
 // Submit sends an operator's action to the leaseholder, repeatedly, until its outcome is known or the timeout is over. It calls outcome
@@ -176,7 +176,7 @@
 			if now-a.sentAt >= p.options.Timing.HeartbeatInterval() {
 				a.sentAt = now
 				if lease := n.State().Leases[Lease]; lease != nil && lease.Leaseholder != "" {
-					n.SendDatagram(now, lease.Leaseholder, Part, a.action.Encode())
+					n.SendDatagram(now, lease.Leaseholder, Subsystem, a.action.Encode())
 				}
 			}
 			pending = append(pending, a)
--- a/fleet/rollout/publish_checks.go
+++ b/fleet/rollout/publish_checks.go
@@ -15,7 +15,7 @@
 		case ok && !t.WantsConfigLease:
 			notEnrolledFronts = append(notEnrolledFronts, name)
 		case ok && t.ActiveVersion == in.state.Base:
-		case !ok || in.now-c.allowed.since <= c.options.Timing.ExpiredAfter(c.options.ConfigLease) || c.allowed.index == 0:
+		case !ok || in.now-c.allowed.since <= c.options.Timing.ConfigLeaseExpiredAfter(c.options.ConfigLease) || c.allowed.index == 0:
 			unconfirmed = append(unconfirmed, name)
 		default:
 			if report, _ := DecodeReport(t.Data); report.ServesIsolated && t.Age > c.options.Timing.LeaseDuration {
--- a/fleet/rollout/report_collector.go
+++ b/fleet/rollout/report_collector.go
@@ -21,7 +21,7 @@
 // request requests reports, at most once in an interval and one request at a time.
 func (c *reportCollector) request(now time.Duration, n *fleet.Node, interval time.Duration) {
 	if c.pending == 0 && now-c.requestedAt >= interval {
-		c.pending, c.requestedAt = n.CollectDigests(now, Part), now
+		c.pending, c.requestedAt = n.CollectDigests(now, Subsystem), now
 	}
 }
 
--- a/fleet/rollout/stages.go
+++ b/fleet/rollout/stages.go
@@ -55,7 +55,7 @@
 	timeLeft := min(times.stageTime, max(0, times.stageEnd-(c.stage.completeSince-c.rollout.at)))
 	undecided := fmt.Sprintf("the time of wave %d is over, and did not tell whether version %d serves worse", s.Stage+1, s.Next)
 	switch {
-	case !s.lastStage() && verdict == Alike:
+	case !s.lastStage() && verdict == Equivalent:
 		c.openNextStage(in, lagging)
 	case observed < min(s.ObservationTime, timeLeft):
 		return
--- a/fleet/rollout/state.go
+++ b/fleet/rollout/state.go
@@ -13,8 +13,8 @@
 
 // Names in the fleet's protocol. Programs of other versions depend on them, so they must not change.
 const (
-	Lease = "roll" // the lease of the Controller
-	Part  = "roll" // the subsystem that datagrams and digests of rollouts are addressed to
+	Lease     = "roll" // the lease of the Controller
+	Subsystem = "roll" // the subsystem that datagrams and digests of rollouts are addressed to
 )
 
 // stateKey is the key under which the State is stored among the replicated values.
--- a/fleet/timing.go
+++ b/fleet/timing.go
@@ -23,9 +23,11 @@
 // HandshakeTimeout is how long the handshake of a new link may take.
 func (t Timing) HandshakeTimeout() time.Duration { return t.LinkTimeout() }
 
-// ExpiredAfter is the time after which a configuration lease of the given duration has expired at every front. It counts from when
+// ConfigLeaseExpiredAfter is the time after which a configuration lease of the given duration has expired at every front. It counts from when
 // the lease was refused to all fronts, on the clock of the front that refused it.
-func (t Timing) ExpiredAfter(configLease time.Duration) time.Duration { return upperBound(configLease) }
+func (t Timing) ConfigLeaseExpiredAfter(configLease time.Duration) time.Duration {
+	return upperBound(configLease)
+}
 
 // reportInterval is the interval at which a front without leases sends its membership record.
 func (t Timing) reportInterval() time.Duration { return t.LeaseDuration / 2 }
--- a/fleet/zones/controller.go
+++ b/fleet/zones/controller.go
@@ -136,7 +136,7 @@
 
 // observersText returns how many fronts see the zone failing, as a text for the reason of a state.
 func (z *zoneStep) observersText() string {
-	return fmt.Sprintf("%d of %d fronts see it failing", z.estimate.SeeFailures, z.estimate.Observers)
+	return fmt.Sprintf("%d of %d fronts see it failing", z.estimate.FailureObservers, z.estimate.Observers)
 }
 
 // stepZone changes the state of one zone, unless it is pinned.
--- a/fleet/zones/controller_test.go
+++ b/fleet/zones/controller_test.go
@@ -19,7 +19,7 @@
 func newInput(failureShares map[string]float64) Input {
 	in := Input{Plan: fullPlan}
 	for _, zone := range allZones {
-		in.Estimates = append(in.Estimates, Estimate{Zone: zone, FailureShare: failureShares[zone], Observers: 9, SeeFailures: 6})
+		in.Estimates = append(in.Estimates, Estimate{Zone: zone, FailureShare: failureShares[zone], Observers: 9, FailureObservers: 6})
 	}
 	return in
 }
--- a/fleet/zones/estimator.go
+++ b/fleet/zones/estimator.go
@@ -26,12 +26,12 @@
 
 // Estimate is the fleet's estimate of one zone.
 type Estimate struct {
-	Zone            string
-	FailureShare    float64            // trimmed mean above the expected share, as seen from other zones, or by its own fronts if no others report
-	ByObserver      map[string]float64 // the same, by the zone of the observing fronts
-	Observers       int                // number of fronts whose reports count
-	SeeFailures     int                // number of those fronts that see the zone failing
-	PartitionedFrom []string           // the only zone from which it fails: the two are partitioned, and the zone itself has not failed
+	Zone             string
+	FailureShare     float64            // trimmed mean above the expected share, as seen from other zones, or by its own fronts if no others report
+	ByObserver       map[string]float64 // the same, by the zone of the observing fronts
+	Observers        int                // number of fronts whose reports count
+	FailureObservers int                // number of those fronts that see the zone failing
+	PartitionedFrom  []string           // the only zone from which it fails: the two are partitioned, and the zone itself has not failed
 }
 
 // Estimator estimates the failures of zones from fronts' reports, relative to a baseline that it learns.
@@ -90,7 +90,7 @@
 		estimate.Observers += len(samples)
 		for _, s := range samples {
 			if s.failureShare-expected > suspectThreshold {
-				estimate.SeeFailures++
+				estimate.FailureObservers++
 			}
 		}
 		if observer != zone {
@@ -109,7 +109,7 @@
 	if len(failingFrom) == 1 && healthyFrom > 0 && failingFrom[0] != zone {
 		estimate.PartitionedFrom, estimate.FailureShare = failingFrom, 0
 	}
-	if estimate.SeeFailures < minObservers {
+	if estimate.FailureObservers < minObservers {
 		estimate.FailureShare = 0
 	}
 	return estimate
--- a/fleet/zones/estimator_test.go
+++ b/fleet/zones/estimator_test.go
@@ -47,7 +47,7 @@
 	})
 	estimate := estimateOf(e, failing, "a")
 	assert.Greater(t, estimate.FailureShare, 0.8)
-	assert.Equal(t, 9, estimate.SeeFailures)
+	assert.Equal(t, 9, estimate.FailureObservers)
 	failing[4].Report.Observations[0] = Observation{Succeeded: 100} // one front that reports no failure has little influence
 	assert.Greater(t, estimateOf(e, failing, "a").FailureShare, 0.6)
 }
--- a/fleet/zones/format_test.go
+++ b/fleet/zones/format_test.go
@@ -21,7 +21,7 @@
 	w := Report{Zones: []string{"a", "b"}, Observations: []Observation{{Succeeded: 100, Failed: 2, ConnectFailed: 3, Slow: 70_000}, {}}, Unreliable: true}
 	assert.Equal(t, stateOf030, hex.EncodeToString(s.Encode()))
 	assert.Equal(t, reportOf030, hex.EncodeToString(w.Encode()))
-	assert.Equal(t, "zones zones zones", stateKey+" "+Lease+" "+Part)
+	assert.Equal(t, "zones zones zones", stateKey+" "+Lease+" "+Subsystem)
 	b, err := hex.DecodeString(reportOf030)
 	require.NoError(t, err)
 	got, ok := DecodeReport(b)
--- a/fleet/zones/state.go
+++ b/fleet/zones/state.go
@@ -12,8 +12,8 @@
 
 // Names in the fleet's protocol. Programs of other versions depend on them, so they must not change.
 const (
-	Lease = "zones" // the lease of the Controller
-	Part  = "zones" // the subsystem that digests of zones are addressed to
+	Lease     = "zones" // the lease of the Controller
+	Subsystem = "zones" // the subsystem that digests of zones are addressed to
 )
 
 const (
--- a/framing/certificates.go
+++ b/framing/certificates.go
@@ -56,7 +56,7 @@
 }
 
 // SignCertificate returns a certificate for the site and the public key of the given certificate, signed by the root and valid for the
-// given number of days. All arguments and the result are in PEM. The error is ErrNotRoot, ErrNoSite, ErrOneCertificate, or the error of
+// given number of days. All arguments and the result are in PEM. The error is ErrNotRoot, ErrNotOneSite, ErrNotOneCertificate, or the error of
 // a certificate or key that cannot be used.
 func SignCertificate(certificate, rootCertificate, rootKey []byte, days int) ([]byte, error) {
 	c, err := parseOneCertificate(certificate)
@@ -75,7 +75,7 @@
 		return nil, fmt.Errorf("root key: %w", err)
 	}
 	if len(c.DNSNames) != 1 {
-		return nil, ErrNoSite
+		return nil, ErrNotOneSite
 	}
 	der, err := x509.CreateCertificate(rand.Reader, certificateTemplate(c.DNSNames[0], days), root, c.PublicKey, pair.PrivateKey)
 	if err != nil {
@@ -91,7 +91,7 @@
 		return nil, err
 	}
 	if len(all) != 1 {
-		return nil, fmt.Errorf("%w: found %d", ErrOneCertificate, len(all))
+		return nil, fmt.Errorf("%w: found %d", ErrNotOneCertificate, len(all))
 	}
 	return all[0], nil
 }
--- a/framing/codec_test.go
+++ b/framing/codec_test.go
@@ -24,7 +24,7 @@
 func TestFramesRoundTrip(t *testing.T) {
 	var wire bytes.Buffer
 	c := NewCodec[gateway.Frame](protocol, &wire)
-	result := gateway.Frame{Kind: gateway.FrameResult, ID: 9, Status: gateway.StatusServed, Data: bytes.Repeat([]byte{7}, 100_000), Role: 1, ReplicaPosition: 1767225600123, Age: 5}
+	result := gateway.Frame{Kind: gateway.FrameResult, ID: 9, Status: gateway.StatusSucceeded, Data: bytes.Repeat([]byte{7}, 100_000), Role: 1, ReplicaPosition: 1767225600123, Age: 5}
 	for _, f := range []gateway.Frame{forwardedFrame, result, {Kind: gateway.FramePing}} {
 		require.NoError(t, c.Append(&f))
 	}
--- a/framing/errors.go
+++ b/framing/errors.go
@@ -34,10 +34,10 @@
 // Errors of certificates and keys, for use with errors.Is.
 var (
 	ErrNoCertificate      = errors.New("no certificate")
-	ErrOneCertificate     = errors.New("one certificate expected")
+	ErrNotOneCertificate  = errors.New("one certificate expected")
 	ErrCertificateExpired = errors.New("certificate expired")
 	ErrNotRoot            = errors.New("not a root certificate")
-	ErrNoSite             = errors.New("certificate does not name exactly one site")
+	ErrNotOneSite         = errors.New("certificate does not name exactly one site")
 )
 
 // PeerNameError is the error for a peer whose certificate does not contain the expected name.
--- a/framing/key_files_test.go
+++ b/framing/key_files_test.go
@@ -30,7 +30,7 @@
 	assert.ErrorIs(t, err, ErrNotRoot)
 	assert.ErrorContains(t, err, "keys new --root")
 	_, err = SignCertificate(append(own, own...), root, rootKey, 20)
-	assert.ErrorIs(t, err, ErrOneCertificate)
+	assert.ErrorIs(t, err, ErrNotOneCertificate)
 	f := KeyFiles{Key: writeFile("k", key), Certificate: writeFile("c", signed), Trust: writeFile("t", root)}
 	ends, err := f.Check(time.Now())
 	require.NoError(t, err)
--- a/front/attempt_test.go
+++ b/front/attempt_test.go
@@ -109,7 +109,7 @@
 	assert.Equal(t, 2, network.aborts)
 	assert.Len(t, router.requests, 3)
 	assert.Zero(t, c.requests.table.Len())
-	c.Post(&AttemptFinished{Attempt: network.sent[1], Answer: pgwire.QueryResult{Complete: true}})
+	c.Post(&AttemptFinished{Attempt: network.sent[1], Result: pgwire.QueryResult{Complete: true}})
 	c.batch(30 * ms)
 	assert.Len(t, network.responses, 4, "each request has one response")
 }
--- a/front/classify.go
+++ b/front/classify.go
@@ -31,7 +31,7 @@
 func newClassifier(o *Classifier, catalog *catalog) *classifier {
 	k := &classifier{statements: o.Classifier}
 	for _, rule := range o.Rules() {
-		k.ruleTypes = append(k.ruleTypes, catalog.typeNames.Intern(rule.Type)) // ValidateClassification has checked that the type exists
+		k.ruleTypes = append(k.ruleTypes, catalog.typeNames.Intern(rule.RequestType)) // ValidateClassification has checked that the type exists
 	}
 	catalog.types = k.addWriteTypes(catalog.types, o.UndeclaredWriteEffect)
 	return k
@@ -61,13 +61,13 @@
 func ValidateClassification(classification *sqlclass.Settings, settings *deployment.Settings) error {
 	var errs config.ErrorList
 	for i, rule := range classification.Rules {
-		t := slices.Index(settings.TypeNames, rule.Type)
+		t := slices.Index(settings.TypeNames, rule.RequestType)
 		switch {
 		case t < 0:
-			errs = append(errs, config.Error{Position: classification.RulePositions[i], Message: rule.Type + " is no request type of this site",
+			errs = append(errs, config.Error{Position: classification.RulePositions[i], Message: rule.RequestType + " is no request type of this site",
 				Remedy: fmt.Sprint("its types are ", settings.TypeNames)})
 		case rule.Class == sqlclass.Write && settings.RequestTypes[t].Consistency != routing.Write:
-			errs = append(errs, config.Error{Position: classification.RulePositions[i], Message: rule.Type + " reads, and the rule is for writes",
+			errs = append(errs, config.Error{Position: classification.RulePositions[i], Message: rule.RequestType + " reads, and the rule is for writes",
 				Remedy: "name a type that writes, or take (class write) away"})
 		}
 	}
--- a/front/classify_test.go
+++ b/front/classify_test.go
@@ -15,10 +15,10 @@
 func TestValidateClassification(t *testing.T) {
 	settings := &deployment.Settings{TypeNames: []string{"browse", "order"},
 		RequestTypes: []routing.RequestType{{Consistency: routing.Eventual}, {Consistency: routing.Write}}}
-	valid := &sqlclass.Settings{Rules: []sqlclass.Rule{{Type: "order", Class: sqlclass.Write}, {Type: "browse"}}, RulePositions: make([]config.Position, 2)}
+	valid := &sqlclass.Settings{Rules: []sqlclass.Rule{{RequestType: "order", Class: sqlclass.Write}, {RequestType: "browse"}}, RulePositions: make([]config.Position, 2)}
 	require.NoError(t, ValidateClassification(valid, settings))
 
-	invalid := &sqlclass.Settings{Rules: []sqlclass.Rule{{Type: "browse", Class: sqlclass.Write}, {Type: "order"}, {Type: "other"}},
+	invalid := &sqlclass.Settings{Rules: []sqlclass.Rule{{RequestType: "browse", Class: sqlclass.Write}, {RequestType: "order"}, {RequestType: "other"}},
 		RulePositions: []config.Position{{Line: 1}, {Line: 2}, {Line: 3}}}
 	var errs config.ErrorList
 	require.ErrorAs(t, ValidateClassification(invalid, settings), &errs)
--- a/front/core.go
+++ b/front/core.go
@@ -94,7 +94,7 @@
 	}
 	c.versions.current = &configVersion{types: c.catalog.types}
 	c.router = o.NewRouter(c, routing.Options{Seed: o.Seed, Topology: s.Topology, RequestTypes: c.catalog.types, Customers: s.CustomerQuotas,
-		Replication: s.Replication, Guardrails: s.Guardrails, Limits: s.Limits, CostWeights: s.CostWeights})
+		Replication: s.Replication, DeploymentRules: s.DeploymentRules, Limits: s.Limits, CostWeights: s.CostWeights})
 	return c
 }
 
--- a/front/core_bench_test.go
+++ b/front/core_bench_test.go
@@ -37,7 +37,7 @@
 				attempt := network.sent[0]
 				attempt.Begin(abort)
 				attempt.Message()
-				c.Post(&AttemptFinished{Attempt: attempt, Answer: result})
+				c.Post(&AttemptFinished{Attempt: attempt, Result: result})
 				c.batch(now)
 				if len(network.responses) != 1 || network.responses[0].Status != StatusSucceeded || router.outcomes[0].Result != routing.Succeeded {
 					b.Fatal(network.responses)
--- a/front/endpoints.go
+++ b/front/endpoints.go
@@ -60,7 +60,7 @@
 	if e.Address != "" {
 		c.setAddress(index, e.Address, e.StartedAtMillis)
 	}
-	c.servers.endpoints = append(c.servers.endpoints, routing.Endpoint{Server: index, Zone: zone, Kind: c.servers.types.Intern(e.ServerType),
+	c.servers.endpoints = append(c.servers.endpoints, routing.Endpoint{Server: index, Zone: zone, ServerType: c.servers.types.Intern(e.ServerType),
 		Group: c.servers.groups.Intern(e.Group), State: e.State, Weight: e.Weight, Primary: e.Primary,
 		StartedAt: c.wall.at(e.StartedAtMillis), HasStartTime: e.StartedAtMillis != 0})
 	return true
--- a/front/forward_test.go
+++ b/front/forward_test.go
@@ -86,7 +86,7 @@
 			c.catalog.types[0].Consistency, c.catalog.types[0].MaxStaleness = routing.BoundedStaleness, 300*ms
 			receiveAndStart(t, c, router, network)
 			network.begin(t, 0)
-			c.Post(&AttemptFinished{Attempt: network.sent[0], Answer: pgwire.QueryResult{Complete: true, Rows: []byte("r")}, Remote: true,
+			c.Post(&AttemptFinished{Attempt: network.sent[0], Result: pgwire.QueryResult{Complete: true, Rows: []byte("r")}, Remote: true,
 				DataAge: x.age, DataAgeKnown: x.known})
 			c.batch(20 * ms)
 			assert.Len(t, network.responses, x.responses)
--- a/front/request.go
+++ b/front/request.go
@@ -103,8 +103,8 @@
 	if (consistency == routing.Write || consistency == routing.ReadYourWrites) && (s.Normalized == nil || len(s.Key) > 0) {
 		req.Session = SessionHash(s.Key)
 	}
-	if s.After > 0 {
-		req.TokenAge = max(1, now-c.wall.at(s.After))
+	if s.LastWritePosition > 0 {
+		req.TokenAge = max(1, now-c.wall.at(s.LastWritePosition))
 	}
 	return req, ""
 }
--- a/front/response.go
+++ b/front/response.go
@@ -74,9 +74,9 @@
 // the attempt was started plus, for a replica, how far its log position lies behind the present. Only clocks of one site are compared; a
 // result from another site comes with its data age.
 func (c *Core) successResponse(e *AttemptFinished, o *routing.AttemptOutcome) Response {
-	response := Response{Status: StatusSucceeded, Rows: e.Answer.Rows, FromPrimary: o.Role == routing.Primary}
-	if e.Answer.HasApplied {
-		response.Position = e.Answer.AppliedMillis
+	response := Response{Status: StatusSucceeded, Rows: e.Result.Rows, FromPrimary: o.Role == routing.Primary}
+	if e.Result.HasApplied {
+		response.Position = e.Result.AppliedMillis
 	}
 	switch {
 	case e.Remote:
--- a/front/result.go
+++ b/front/result.go
@@ -43,7 +43,7 @@
 // AttemptFinished is the event that an attempt has received a server's response, or that its connection has failed.
 type AttemptFinished struct {
 	Attempt *Attempt
-	Answer  pgwire.QueryResult // valid if Err is nil
+	Result  pgwire.QueryResult // valid if Err is nil
 	Err     *ConnectionError
 
 	Remote       bool          // the response comes from another site
@@ -61,7 +61,7 @@
 		return
 	}
 	e.Attempt.finished = true
-	o := routing.AttemptOutcome{Result: attemptResult(&e.Answer, e.Err), Load: deployment.EmptyLoad}
+	o := routing.AttemptOutcome{Result: attemptResult(&e.Result, e.Err), Load: deployment.EmptyLoad}
 	var err error
 	if e.Err == nil {
 		c.readServerState(e, &o)
@@ -82,7 +82,7 @@
 // readServerState copies the server's role, load and log position from its response into the outcome, and corrects the wall clock by a
 // primary's log position.
 func (c *Core) readServerState(e *AttemptFinished, o *routing.AttemptOutcome) {
-	answer, startedAt := &e.Answer, e.Attempt.startedAt
+	answer, startedAt := &e.Result, e.Attempt.startedAt
 	o.Role = roles[answer.Role]
 	if answer.HasApplied && o.Role == routing.Primary && answer.Code == "" && !e.Remote {
 		c.correctClock(c.wall.observePresent(answer.AppliedMillis, startedAt, c.now))
@@ -108,10 +108,10 @@
 	case o.Result == routing.Succeeded:
 		c.observeExecution(e.Attempt, &entry.Value.Statement)
 		c.respond(entry, c.successResponse(e, o))
-	case e.Answer.IsStatementError(): // every server would return the same error
-		c.respond(entry, Response{Status: StatusInvalid, Code: e.Answer.Code, Reason: cmp.Or(e.Answer.ErrorMessage, "the statement cannot be served")})
-	case e.Answer.TooLong: // the statement ran, and the result of another server would be too long as well
-		c.respond(entry, Response{Status: StatusInvalid, Code: pgwire.CodeProgramLimitExceeded, Reason: e.Answer.ErrorMessage})
+	case e.Result.IsStatementError(): // every server would return the same error
+		c.respond(entry, Response{Status: StatusInvalid, Code: e.Result.Code, Reason: cmp.Or(e.Result.ErrorMessage, "the statement cannot be served")})
+	case e.Result.TooLong: // the statement ran, and the result of another server would be too long as well
+		c.respond(entry, Response{Status: StatusInvalid, Code: pgwire.CodeProgramLimitExceeded, Reason: e.Result.ErrorMessage})
 	}
 }
 
--- a/front/scripted_test.go
+++ b/front/scripted_test.go
@@ -125,7 +125,7 @@
 	r.s.line("endpoints changed kind %d index %d", kind, index)
 	for _, e := range endpoints {
 		r.s.line("  endpoint %d %d %d %d %d %v %v %v %v",
-			e.Server, e.Zone, e.Kind, e.Group, e.State, e.Weight, e.Primary, e.StartedAt, e.HasStartTime)
+			e.Server, e.Zone, e.ServerType, e.Group, e.State, e.Weight, e.Primary, e.StartedAt, e.HasStartTime)
 	}
 }
 func (r scriptRouter) RequestReceived(_ time.Duration, q routing.Request) {
@@ -223,27 +223,27 @@
 	s.step(5*ms, s.start(1, 0))
 	s.now = 30 * ms // the connection opens late
 	s.begin()
-	s.finish(AttemptFinished{Answer: pgwire.QueryResult{Code: pgwire.CodeTooManyConnections}})
+	s.finish(AttemptFinished{Result: pgwire.QueryResult{Code: pgwire.CodeTooManyConnections}})
 	s.step(35*ms, s.start(2, 90*ms))
 	s.finish(AttemptFinished{Err: &ConnectionError{StageWrite, errors.New("link down")}})
 	s.step(40*ms, s.start(0, 0))
 	s.begin()
-	s.finish(AttemptFinished{Answer: s.result("primary", 1_000_043)})
+	s.finish(AttemptFinished{Result: s.result("primary", 1_000_043)})
 	s.step(50*ms, nil)
 
 	s.line("# a read served by a replica, and one for which a remote site first returns data that is too old")
 	s.request(fmt.Sprintf(scriptRead, 2))
 	s.step(60*ms, s.start(1, 0))
 	s.begin()
-	s.finish(AttemptFinished{Answer: s.result("replica", 1_000_020)})
+	s.finish(AttemptFinished{Result: s.result("replica", 1_000_020)})
 	s.step(64*ms, nil)
 	s.request(fmt.Sprintf(scriptRead, 3))
 	s.step(70*ms, s.start(2, 0))
 	s.begin()
-	s.finish(AttemptFinished{Answer: s.result("replica", 1_000_020), Remote: true, DataAge: 400 * ms, DataAgeKnown: true})
+	s.finish(AttemptFinished{Result: s.result("replica", 1_000_020), Remote: true, DataAge: 400 * ms, DataAgeKnown: true})
 	s.step(75*ms, s.start(2, 0))
 	s.begin()
-	s.finish(AttemptFinished{Answer: s.result("replica", 1_000_020), Remote: true, DataAge: 100 * ms, DataAgeKnown: true})
+	s.finish(AttemptFinished{Result: s.result("replica", 1_000_020), Remote: true, DataAge: 100 * ms, DataAgeKnown: true})
 	s.step(80*ms, nil)
 
 	s.line("# a write whose connection is lost; it is retried within its deduplication window, and rejected")
@@ -272,7 +272,7 @@
 		s.request(fmt.Sprintf(scriptCart, i))
 		s.step(s.now, s.start(1, 0))
 		s.begin()
-		s.finish(AttemptFinished{Answer: result})
+		s.finish(AttemptFinished{Result: result})
 		s.step(s.now+20*ms, s.reject())
 	}
 	for i, stage := range []FailureStage{StageLocal, StageDial, StageDecode} {
@@ -311,7 +311,7 @@
 		s.host.Log("said")
 	})
 	s.begin()
-	s.finish(AttemptFinished{Answer: pgwire.SingleValueResult([]byte("x0=1000.5,x1=1,inflight=2"))})
+	s.finish(AttemptFinished{Result: pgwire.SingleValueResult([]byte("x0=1000.5,x1=1,inflight=2"))})
 	s.step(5330*ms, nil)
 	s.request(fmt.Sprintf(scriptRead, 31))
 	s.step(5400*ms, s.start(1, 0))
@@ -357,8 +357,8 @@
 
 // The output of a core that classifies statements: request types by rule and by comment, undeclared writes, and invalid requests.
 func TestScriptedRunOfClassifiedStatements(t *testing.T) {
-	settings := &sqlclass.Settings{CacheBytes: 1 << 20, Rules: []sqlclass.Rule{{Type: "order", Class: sqlclass.Write, Tables: []string{"facts"}},
-		{Type: "browse", Class: sqlclass.Read, Tables: []string{"facts"}}}}
+	settings := &sqlclass.Settings{CacheBytes: 1 << 20, Rules: []sqlclass.Rule{{RequestType: "order", Class: sqlclass.Write, Tables: []string{"facts"}},
+		{RequestType: "browse", Class: sqlclass.Read, Tables: []string{"facts"}}}}
 	classifier := settings.NewClassifier()
 	s := newScript(t, &Classifier{Classifier: classifier, UndeclaredWriteEffect: routing.IdempotencyKey})
 	for i, text := range []string{
@@ -384,7 +384,7 @@
 		})
 	}
 	s.begin()
-	s.finish(AttemptFinished{Answer: pgwire.QueryResult{TooLong: true, ErrorMessage: "executed, but its answer is too long"}})
+	s.finish(AttemptFinished{Result: pgwire.QueryResult{TooLong: true, ErrorMessage: "executed, but its answer is too long"}})
 	s.step(30*ms, nil)
 	assertScript(t, s, "testdata/scripted_run_classed.txt")
 }
--- a/front/wallclock_test.go
+++ b/front/wallclock_test.go
@@ -82,7 +82,7 @@
 	c.wall.confirmed = false
 	receiveAndStart(t, c, router, network)
 	network.begin(t, 0)
-	c.Post(&AttemptFinished{Attempt: network.sent[0], Answer: successResult()})
+	c.Post(&AttemptFinished{Attempt: network.sent[0], Result: successResult()})
 	c.batch(30 * ms)
 	assert.False(t, router.outcomes[0].HasPosition, "a replica's position is ignored until the clock is confirmed")
 	router.requests = nil
@@ -92,7 +92,7 @@
 	network.begin(t, 1)
 	result := successResult()
 	result.Role, result.AppliedMillis = "primary", 1_000_045+time.Hour.Milliseconds()
-	c.Post(&AttemptFinished{Attempt: network.sent[1], Answer: result})
+	c.Post(&AttemptFinished{Attempt: network.sent[1], Result: result})
 	c.batch(50 * ms)
 	assert.Equal(t, -time.Hour-5*ms, router.clockShift)
 	assert.Equal(t, 40*ms, router.outcomes[1].Position)
@@ -110,7 +110,7 @@
 	network.begin(t, 0)
 	result := successResult()
 	result.AppliedMillis += 3_600_000
-	c.Post(&AttemptFinished{Attempt: network.sent[0], Answer: result})
+	c.Post(&AttemptFinished{Attempt: network.sent[0], Result: result})
 	c.batch(30 * ms)
 	assert.False(t, router.outcomes[0].HasPosition)
 }
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -114,7 +114,7 @@
 		s.CreditBytes = f.Size(MaxDataBytes+frameOverhead, 1<<30)
 	}
 	if f := forms["kept"]; f != nil {
-		s.RetainedBytes = f.Size(MaxDataBytes, 1<<30)
+		s.MaxRetainedBytes = f.Size(MaxDataBytes, 1<<30)
 	}
 	if f := forms["crossings"]; f != nil {
 		v, _ := f.Value()
--- a/gateway/execution.go
+++ b/gateway/execution.go
@@ -9,11 +9,11 @@
 // PeerRequest is a request of the peer that must be executed here, or the cancellation of an execution.
 type PeerRequest struct {
 	Execution   uint64 // number of the execution, to be passed to ExecutionFinished
-	Canceled    bool   // the execution must be stopped; no field but Execution is set
+	IsCancel    bool   // the execution must be stopped; no field but Execution is set
 	Group       int64
 	Timeout     time.Duration // time that the peer still waits for the result
 	MaxAttempts uint32        // maximum number of attempts at this site
-	After       int64         // replication position that a read must see, Unix milliseconds; 0 for none
+	MinPosition int64         // replication position that a read must see, Unix milliseconds; 0 for none
 	Data        []byte        // the statement
 }
 
@@ -117,7 +117,7 @@
 		x.attemptNumber, x.serial = f.AttemptNumber, f.Serial
 		e.Counters.Duplicates++
 		return nil
-	case x.result.Status == StatusServed && f.Write: // a write must not be executed twice; a read is executed again
+	case x.result.Status == StatusSucceeded && f.Write: // a write must not be executed twice; a read is executed again
 		x.attemptNumber, x.serial = f.AttemptNumber, f.Serial
 		e.Counters.Duplicates++
 		e.unsentResults = append(e.unsentResults, x)
@@ -132,17 +132,17 @@
 		return nil
 	}
 	e.peerRequests = append(e.peerRequests, PeerRequest{Execution: x.number, Group: f.Group, Timeout: f.Timeout,
-		MaxAttempts: f.MaxAttempts, After: f.After, Data: f.Data})
+		MaxAttempts: f.MaxAttempts, MinPosition: f.MinPosition, Data: f.Data})
 	return nil
 }
 
 // canRetain reports whether outcomes of the given size may be retained in addition. If necessary it evicts expired outcomes.
 func (e *Endpoint) canRetain(now time.Duration, bytes int64) bool {
-	if e.execs.retainedBytes+bytes <= e.settings.RetainedBytes {
+	if e.execs.retainedBytes+bytes <= e.settings.MaxRetainedBytes {
 		return true
 	}
 	e.execs.evictExpired(now, e.settings.OutcomeRetention, e.conn.peerEpoch)
-	return e.execs.retainedBytes+bytes <= e.settings.RetainedBytes
+	return e.execs.retainedBytes+bytes <= e.settings.MaxRetainedBytes
 }
 
 // receiveCancel requests that the execution of a canceled request be stopped. The retained outcome of the request is unknown, since
@@ -152,7 +152,7 @@
 	if x == nil || x.attemptNumber != f.AttemptNumber || x.result != nil {
 		return
 	}
-	e.peerRequests = append(e.peerRequests, PeerRequest{Execution: x.number, Canceled: true})
+	e.peerRequests = append(e.peerRequests, PeerRequest{Execution: x.number, IsCancel: true})
 	e.execs.finish(now, x, Frame{Status: StatusUnknown})
 }
 
--- a/gateway/forward.go
+++ b/gateway/forward.go
@@ -13,7 +13,7 @@
 	Deadline      time.Duration // time at which the request times out; its state is discarded then
 	MaxAttempts   uint32        // maximum number of attempts at the remote site
 	Write         bool
-	After         int64  // replication position that a read must see, Unix milliseconds; 0 for none
+	MinPosition   int64  // replication position that a read must see, Unix milliseconds; 0 for none
 	Message       []byte // the statement
 }
 
--- a/gateway/frame.go
+++ b/gateway/frame.go
@@ -26,10 +26,10 @@
 
 // The statuses of a FrameResult.
 const (
-	StatusServed   ResultStatus = iota + 1
-	StatusRejected              // nothing was executed
-	StatusUnknown               // the request may have been executed: it failed, for example, or its outcome was evicted
-	StatusInvalid               // the statement is invalid, as the frame's Code says; nothing was executed
+	StatusSucceeded ResultStatus = iota + 1
+	StatusRejected               // nothing was executed
+	StatusUnknown                // the request may have been executed: it failed, for example, or its outcome was evicted
+	StatusInvalid                // the statement is invalid, as the frame's Code says; nothing was executed
 )
 
 // MaxDataBytes is the maximum size of the statement or the rows that a frame carries, in bytes.
@@ -50,7 +50,7 @@
 	Timeout       time.Duration // Forward: time that the sender still waits for the result
 	MaxAttempts   uint32        // Forward: maximum number of attempts at the remote site
 	Write         bool          // Forward: the request writes
-	After         int64         // Forward: replication position that a read must see, Unix milliseconds; 0 for none
+	MinPosition   int64         // Forward: replication position that a read must see, Unix milliseconds; 0 for none
 	Data          []byte        // Forward: the statement; Result: the rows
 	Status        ResultStatus
 	Code          string        // Result: SQLSTATE
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -41,7 +41,7 @@
 	require.NoError(t, e.Receive(0, forwardFrame(5, 1, 2)))
 	starts := e.TakePeerRequests()
 	require.Len(t, starts, 1)
-	e.ExecutionFinished(0, starts[0].Execution, Frame{Status: StatusServed, Data: []byte("row")})
+	e.ExecutionFinished(0, starts[0].Execution, Frame{Status: StatusSucceeded, Data: []byte("row")})
 	out := sentFrames(e, 0)
 	require.Len(t, out, 1)
 	assert.EqualValues(t, 1, out[0].AttemptNumber)
@@ -55,7 +55,7 @@
 	require.NoError(t, e.Receive(0, forwardFrame(5, 0, 1)))
 	require.NoError(t, e.Receive(0, read))
 	for _, p := range e.TakePeerRequests() {
-		e.ExecutionFinished(0, p.Execution, Frame{Status: StatusServed, Data: []byte("row"), Age: 10 * ms, AgeKnown: true})
+		e.ExecutionFinished(0, p.Execution, Frame{Status: StatusSucceeded, Data: []byte("row"), Age: 10 * ms, AgeKnown: true})
 	}
 	sentFrames(e, 0)
 	retry := *read
@@ -65,7 +65,7 @@
 	assert.Len(t, e.TakePeerRequests(), 1, "only the read")
 	out := sentFrames(e, 300*ms)
 	require.Len(t, out, 1)
-	assert.Equal(t, StatusServed, out[0].Status)
+	assert.Equal(t, StatusSucceeded, out[0].Status)
 	assert.Equal(t, 310*ms, out[0].Age, "the age includes the time that the result was retained")
 }
 
@@ -76,7 +76,7 @@
 	require.NoError(t, e.Receive(0, forwardFrame(5, 0, 1)))
 	require.NoError(t, e.Receive(0, forwardFrame(6, 0, 2)))
 	starts := e.TakePeerRequests()
-	e.ExecutionFinished(0, starts[0].Execution, Frame{Status: StatusServed, Data: []byte("row")})
+	e.ExecutionFinished(0, starts[0].Execution, Frame{Status: StatusSucceeded, Data: []byte("row")})
 	sentFrames(e, 0)
 	e.ConnectionLost(0)
 	e.Tick(smallSettings.OutcomeRetention + ms)
@@ -105,7 +105,7 @@
 	require.Len(t, sentFrames(e, 0), 2, "the cancellation and the later attempt")
 	require.NoError(t, e.Receive(0, &Frame{Kind: FrameResult, ID: 5, AttemptNumber: 0, Status: StatusRejected}))
 	assert.Empty(t, e.TakeOutcomes(), "only the first attempt is known not to have been executed")
-	require.NoError(t, e.Receive(0, &Frame{Kind: FrameResult, ID: 5, AttemptNumber: 1, Status: StatusServed, Data: []byte("r")}))
+	require.NoError(t, e.Receive(0, &Frame{Kind: FrameResult, ID: 5, AttemptNumber: 1, Status: StatusSucceeded, Data: []byte("r")}))
 	assert.Len(t, e.TakeOutcomes(), 1)
 }
 
@@ -141,7 +141,7 @@
 	for i := range uint64(12) {
 		require.NoError(t, e.Receive(0, forwardFrame(i, 0, i+1)))
 		for _, p := range e.TakePeerRequests() {
-			e.ExecutionFinished(0, p.Execution, Frame{Status: StatusServed, Data: row})
+			e.ExecutionFinished(0, p.Execution, Frame{Status: StatusSucceeded, Data: row})
 		}
 	}
 	for _, r := range e.execs.byRequest {
@@ -149,7 +149,7 @@
 			rejected++
 		}
 	}
-	assert.LessOrEqual(t, e.execs.retainedBytes, smallSettings.RetainedBytes+MaxDataBytes)
+	assert.LessOrEqual(t, e.execs.retainedBytes, smallSettings.MaxRetainedBytes+MaxDataBytes)
 	assert.Positive(t, rejected, "a request is rejected rather than an outcome evicted too early")
 	e.Tick(smallSettings.OutcomeRetention + ms)
 	assert.Empty(t, e.execs.byRequest)
--- a/gateway/link/attempts.go
+++ b/gateway/link/attempts.go
@@ -32,7 +32,7 @@
 	}
 	l.attempts[w.RequestID] = a
 	l.endpoint.Forward(l.opts.Clock.Now(), gateway.ForwardedRequest{ID: w.RequestID, AttemptNumber: uint32(w.AttemptNumber), Group: w.Group,
-		Deadline: w.Deadline, MaxAttempts: uint32(w.MaxAttempts), Write: w.Write, After: w.MinPosition, Message: a.Message()[messageHeader:]})
+		Deadline: w.Deadline, MaxAttempts: uint32(w.MaxAttempts), Write: w.Write, MinPosition: w.MinPosition, Message: a.Message()[messageHeader:]})
 	l.collectOutcomes()
 	l.changed.Broadcast()
 }
@@ -52,7 +52,7 @@
 	if l.endpoint.State() != gateway.Up {
 		return &front.AttemptFinished{Attempt: a, Err: &front.ConnectionError{Stage: front.StageDial, Err: ErrLinkDown}}
 	}
-	return &front.AttemptFinished{Attempt: a, Answer: pgwire.SingleValueResult([]byte("x1=1"))}
+	return &front.AttemptFinished{Attempt: a, Result: pgwire.SingleValueResult([]byte("x1=1"))}
 }
 
 // collectOutcomes queues the outcomes of forwarded requests for notifyFront and returns the peer's requests. The caller must hold
@@ -77,25 +77,25 @@
 	}
 	f := o.Result
 	switch f.Status {
-	case gateway.StatusServed:
+	case gateway.StatusSucceeded:
 		r := pgwire.QueryResult{Rows: f.Data, Complete: true, AppliedMillis: f.ReplicaPosition, HasApplied: f.ReplicaPosition != 0}
 		if f.Role == 1 {
 			r.Role = "primary"
 		}
-		return &front.AttemptFinished{Attempt: a, Answer: r, Remote: true, DataAge: f.Age + o.Elapsed, DataAgeKnown: f.AgeKnown}
+		return &front.AttemptFinished{Attempt: a, Result: r, Remote: true, DataAge: f.Age + o.Elapsed, DataAgeKnown: f.AgeKnown}
 	case gateway.StatusRejected:
-		return &front.AttemptFinished{Attempt: a, Answer: pgwire.QueryResult{Code: pgwire.CodeTooManyConnections}}
+		return &front.AttemptFinished{Attempt: a, Result: pgwire.QueryResult{Code: pgwire.CodeTooManyConnections}}
 	case gateway.StatusInvalid:
-		return &front.AttemptFinished{Attempt: a, Answer: pgwire.QueryResult{Code: f.Code, ErrorMessage: f.Reason, AnyStatement: true}}
+		return &front.AttemptFinished{Attempt: a, Result: pgwire.QueryResult{Code: f.Code, ErrorMessage: f.Reason, AnyStatement: true}}
 	}
-	return &front.AttemptFinished{Attempt: a, Answer: pgwire.QueryResult{Code: pgwire.CodeInternalError}}
+	return &front.AttemptFinished{Attempt: a, Result: pgwire.QueryResult{Code: pgwire.CodeInternalError}}
 }
 
 // attemptWithoutResult converts an outcome without a result frame to an event for the front.
 func attemptWithoutResult(a *front.Attempt, o *gateway.Outcome) *front.AttemptFinished {
 	switch {
 	case o.Overloaded:
-		return &front.AttemptFinished{Attempt: a, Answer: pgwire.QueryResult{Code: pgwire.CodeTooManyConnections}}
+		return &front.AttemptFinished{Attempt: a, Result: pgwire.QueryResult{Code: pgwire.CodeTooManyConnections}}
 	case o.NotExecuted:
 		return &front.AttemptFinished{Attempt: a, Err: &front.ConnectionError{Stage: front.StageWrite, Err: ErrLinkDown}}
 	}
--- a/gateway/link/errors_test.go
+++ b/gateway/link/errors_test.go
@@ -105,5 +105,5 @@
 	assert.Equal(t, front.StageRead, unknown.Err.Stage)
 	overloaded := attemptFinished(a, &gateway.Outcome{NotExecuted: true, Overloaded: true})
 	assert.Nil(t, overloaded.Err)
-	assert.Equal(t, "53300", overloaded.Answer.Code)
+	assert.Equal(t, "53300", overloaded.Result.Code)
 }
--- a/gateway/link/executions.go
+++ b/gateway/link/executions.go
@@ -31,7 +31,7 @@
 // execute starts or cancels an execution. A statement that cannot be parsed is answered without the front. Posting to the front
 // may block, so the mutex is not held meanwhile.
 func (l *Link) execute(p gateway.PeerRequest) {
-	if p.Canceled {
+	if p.IsCancel {
 		l.mu.Lock()
 		r := l.setExecution(p.Execution, nil)
 		l.mu.Unlock()
@@ -46,7 +46,7 @@
 		client.Respond(invalidStatement(err))
 		return
 	}
-	statement.Timeout, statement.After = min(statement.Timeout, p.Timeout), max(statement.After, p.After)
+	statement.Timeout, statement.LastWritePosition = min(statement.Timeout, p.Timeout), max(statement.LastWritePosition, p.MinPosition)
 	r := front.NewRequest(client, statement, l.opts.Clock.Now())
 	r.MaxAttempts = int(p.MaxAttempts)
 	l.mu.Lock()
@@ -84,7 +84,7 @@
 		if len(r.Rows) > gateway.MaxDataBytes { // the statement was executed, but its rows do not fit in a frame
 			return gateway.Frame{Status: gateway.StatusUnknown, Code: pgwire.CodeProgramLimitExceeded}
 		}
-		f := gateway.Frame{Status: gateway.StatusServed, Data: r.Rows, ReplicaPosition: r.Position, Age: r.DataAge, AgeKnown: r.DataAgeKnown}
+		f := gateway.Frame{Status: gateway.StatusSucceeded, Data: r.Rows, ReplicaPosition: r.Position, Age: r.DataAge, AgeKnown: r.DataAgeKnown}
 		if r.FromPrimary {
 			f.Role = 1
 		}
--- a/gateway/link/peer_test.go
+++ b/gateway/link/peer_test.go
@@ -77,7 +77,7 @@
 	_, k := dialAsPeer(t, l, 100)
 	var h gateway.Frame
 	require.NoError(t, k.Read(&h))
-	send(t, k, gateway.Frame{Kind: gateway.FrameResult, ID: 77, Status: gateway.StatusServed, Data: []byte("x")})
+	send(t, k, gateway.Frame{Kind: gateway.FrameResult, ID: 77, Status: gateway.StatusSucceeded, Data: []byte("x")})
 	send(t, k, gateway.Frame{Kind: gateway.FrameCancel, ID: 78})
 	send(t, k, gateway.Frame{Kind: gateway.FrameOutcomeRequest, ID: 79, AttemptNumber: 1, Serial: 9})
 	for h.Kind != gateway.FrameNotExecuted {
--- a/gateway/link/wire_test.go
+++ b/gateway/link/wire_test.go
@@ -36,15 +36,15 @@
 // fullFrame returns a frame with every field set, so that the position of each field in the encoding is tested.
 func fullFrame(kind gateway.FrameKind) gateway.Frame {
 	return gateway.Frame{Kind: kind, ID: 1 << 40, AttemptNumber: 3, Serial: 1 << 33, Group: -7, Timeout: 1500 * time.Millisecond, MaxAttempts: 2,
-		Write: true, After: 1767225600123, Data: []byte("SELECT 1\x00"), Status: gateway.StatusUnknown, Code: "40000", Reason: "reason",
+		Write: true, MinPosition: 1767225600123, Data: []byte("SELECT 1\x00"), Status: gateway.StatusUnknown, Code: "40000", Reason: "reason",
 		RetryAfter: 250 * time.Millisecond, Role: 1, ReplicaPosition: 1767225600456, Age: 20 * time.Millisecond, AgeKnown: true, CreditBytes: 1 << 20,
 		Epoch: math.MaxUint64, ConnectionNumber: 9, Site: "pokhara"}
 }
 
 func TestFramesOnTheWire(t *testing.T) {
 	frames := []gateway.Frame{{Kind: gateway.FrameHello, Site: "kathmandu", Epoch: 7, ConnectionNumber: 1, CreditBytes: 1 << 20},
-		{Kind: gateway.FrameForward, ID: 5, AttemptNumber: 1, Serial: 2, Group: 3, Timeout: time.Second, MaxAttempts: 2, Write: true, After: 17, Data: []byte("SELECT 1\x00")},
-		{Kind: gateway.FrameResult, ID: 5, AttemptNumber: 1, Status: gateway.StatusServed, Data: []byte("row"), Role: 1, ReplicaPosition: 18, Age: time.Millisecond, AgeKnown: true},
+		{Kind: gateway.FrameForward, ID: 5, AttemptNumber: 1, Serial: 2, Group: 3, Timeout: time.Second, MaxAttempts: 2, Write: true, MinPosition: 17, Data: []byte("SELECT 1\x00")},
+		{Kind: gateway.FrameResult, ID: 5, AttemptNumber: 1, Status: gateway.StatusSucceeded, Data: []byte("row"), Role: 1, ReplicaPosition: 18, Age: time.Millisecond, AgeKnown: true},
 		{Kind: gateway.FrameResult, ID: 5, AttemptNumber: 1, Status: gateway.StatusRejected, RetryAfter: time.Second},
 		{Kind: gateway.FrameResult, ID: 5, AttemptNumber: 1, Status: gateway.StatusUnknown},
 		{Kind: gateway.FrameResult, ID: 5, AttemptNumber: 1, Status: gateway.StatusInvalid, Code: "42601", Reason: "no"},
@@ -94,11 +94,11 @@
 			got = append(got, fmt.Sprintf("%s: end %d %d never=%t full=%t word=%d took=%v", event, e.ID, e.AttemptNumber, e.NotExecuted, e.Overloaded, status, e.Elapsed))
 		}
 		for _, s := range endpoint.TakePeerRequests() {
-			got = append(got, fmt.Sprintf("%s: start %d abort=%t %d %v %d %d %q", event, s.Execution, s.Canceled, s.Group, s.Timeout, s.MaxAttempts, s.After, s.Data))
+			got = append(got, fmt.Sprintf("%s: start %d abort=%t %d %v %d %d %q", event, s.Execution, s.IsCancel, s.Group, s.Timeout, s.MaxAttempts, s.MinPosition, s.Data))
 		}
 	}
 	forward := func(now time.Duration, id uint64, attempt uint32, group int64) {
-		endpoint.Forward(now, gateway.ForwardedRequest{ID: id, AttemptNumber: attempt, Group: group, Deadline: now + 2*time.Second, MaxAttempts: 2, Write: true, After: 17,
+		endpoint.Forward(now, gateway.ForwardedRequest{ID: id, AttemptNumber: attempt, Group: group, Deadline: now + 2*time.Second, MaxAttempts: 2, Write: true, MinPosition: 17,
 			Message: []byte("SELECT 1\x00")})
 	}
 	receive := func(now time.Duration, f gateway.Frame) { require.NoError(t, endpoint.Receive(now, &f)) }
@@ -113,7 +113,7 @@
 		forward(ms, id, 0, int64(id%2))
 	}
 	out(ms, "five requests of two groups")
-	receive(2*ms, gateway.Frame{Kind: gateway.FrameResult, ID: 2, Status: gateway.StatusServed, Data: []byte("row")})
+	receive(2*ms, gateway.Frame{Kind: gateway.FrameResult, ID: 2, Status: gateway.StatusSucceeded, Data: []byte("row")})
 	receive(2*ms, gateway.Frame{Kind: gateway.FrameResult, ID: 3, Status: gateway.StatusRejected, RetryAfter: time.Second})
 	out(2*ms, "two results")
 	endpoint.Cancel(4, 0)
@@ -126,12 +126,12 @@
 	out(10*ms, "greeted again")
 	receive(11*ms, gateway.Frame{Kind: gateway.FrameNotExecuted, ID: 5})
 	out(11*ms, "never ran")
-	receive(12*ms, gateway.Frame{Kind: gateway.FrameForward, ID: 50, Serial: 1, Group: 9, Timeout: time.Second, MaxAttempts: 1, Write: true, After: 5, Data: []byte("SELECT 2\x00")})
+	receive(12*ms, gateway.Frame{Kind: gateway.FrameForward, ID: 50, Serial: 1, Group: 9, Timeout: time.Second, MaxAttempts: 1, Write: true, MinPosition: 5, Data: []byte("SELECT 2\x00")})
 	receive(12*ms, gateway.Frame{Kind: gateway.FrameForward, ID: 51, Serial: 2, Group: 9, Timeout: time.Second, MaxAttempts: 1, Data: []byte("SELECT 3\x00")})
 	out(12*ms, "two requests of the peer")
 	receive(13*ms, gateway.Frame{Kind: gateway.FrameOutcomeRequest, ID: 50, Serial: 1})
 	out(13*ms, "asked while it runs")
-	endpoint.ExecutionFinished(20*ms, 1, gateway.Frame{Status: gateway.StatusServed, Data: []byte("row"), Age: 5 * ms, AgeKnown: true, Role: 1, ReplicaPosition: 18})
+	endpoint.ExecutionFinished(20*ms, 1, gateway.Frame{Status: gateway.StatusSucceeded, Data: []byte("row"), Age: 5 * ms, AgeKnown: true, Role: 1, ReplicaPosition: 18})
 	out(25*ms, "answered, 5 ms later")
 	receive(26*ms, gateway.Frame{Kind: gateway.FrameCancel, ID: 51})
 	out(26*ms, "canceled by the peer")
--- a/gateway/model_test.go
+++ b/gateway/model_test.go
@@ -14,7 +14,7 @@
 const ms = time.Millisecond
 
 var smallSettings = Settings{HeartbeatInterval: 100 * ms, PeerTimeout: 300 * ms, RecoveryTimeout: 500 * ms, OutcomeRetention: 1500 * ms, MaxInFlight: 8,
-	CreditBytes: MaxDataBytes + frameOverhead, RetainedBytes: 8 * MaxDataBytes}
+	CreditBytes: MaxDataBytes + frameOverhead, MaxRetainedBytes: 8 * MaxDataBytes}
 
 // connection has the frames that are in flight on a connection, in each direction.
 type connection struct{ toFar, toNear []Frame }
@@ -68,7 +68,7 @@
 			m.farConn.toNear = append(m.farConn.toNear, f)
 		}
 		for _, s := range m.far.TakePeerRequests() {
-			if s.Canceled {
+			if s.IsCancel {
 				continue // an execution at a server may commit even if it is canceled
 			}
 			m.executions = append(m.executions, &serverExecution{request: uint64(s.Data[0]), execution: s.Execution, epoch: m.epoch})
@@ -96,7 +96,7 @@
 		}
 		m.finished[e.ID]++
 		m.rejected[e.ID] = true
-	case e.Result != nil && e.Result.Status == StatusServed:
+	case e.Result != nil && e.Result.Status == StatusSucceeded:
 		if m.effects[e.ID] != 1 {
 			m.addViolation("request %d served with %d effects", e.ID, m.effects[e.ID])
 		}
@@ -207,7 +207,7 @@
 		for _, x := range m.executions {
 			if x.committed && !x.reported && x.epoch == m.epoch {
 				x.reported = true
-				m.far.ExecutionFinished(m.now, x.execution, Frame{Status: StatusServed, Data: []byte("row")})
+				m.far.ExecutionFinished(m.now, x.execution, Frame{Status: StatusSucceeded, Data: []byte("row")})
 				m.pump()
 				return true
 			}
--- a/gateway/receive.go
+++ b/gateway/receive.go
@@ -50,7 +50,7 @@
 		e.Counters.LateResults++
 		return nil
 	}
-	if f.Status < StatusServed || f.Status > StatusInvalid || f.Age < 0 {
+	if f.Status < StatusSucceeded || f.Status > StatusInvalid || f.Age < 0 {
 		return fmt.Errorf("%w: result with status %d and age %v", ErrProtocol, f.Status, f.Age)
 	}
 	if p.state == outcomeRequested {
--- a/gateway/send.go
+++ b/gateway/send.go
@@ -75,7 +75,7 @@
 	}
 	for p := e.forwards.next(); p != nil; p = e.forwards.next() {
 		f := Frame{Kind: FrameForward, ID: p.ID, AttemptNumber: p.AttemptNumber, Serial: e.forwards.lastSerial + 1, Group: p.Group,
-			Timeout: p.Deadline - now, MaxAttempts: p.MaxAttempts, Write: p.Write, After: p.After, Data: p.Message}
+			Timeout: p.Deadline - now, MaxAttempts: p.MaxAttempts, Write: p.Write, MinPosition: p.MinPosition, Data: p.Message}
 		if !e.credit.allows(f.creditCost()) {
 			return Frame{}, false
 		}
--- a/lab/capacity/simulated_follower.go
+++ b/lab/capacity/simulated_follower.go
@@ -89,7 +89,7 @@
 
 // newPools makes an instance's connection pools; post receives their events.
 func newPools(instance *deployment.Instance, post func(front.Event)) *upstream.Pools {
-	limiter := limits.NewDescriptors(limits.SharesOf(instance.MaxDescriptors, deployment.ReservedDescriptors))
+	limiter := limits.NewDescriptors(limits.NewDescriptorShares(instance.MaxDescriptors, deployment.ReservedDescriptors))
 	l := instance.Settings.Limits
 	return upstream.NewPools(upstream.Options{Post: post, Limiter: limiter, User: databaseUser, Database: databaseName,
 		DialTimeout: l.DialTimeout, IdleTimeout: l.IdleConnTimeout, MemoryBytes: instance.MemoryBytes})
--- a/lab/fleetsim/declarations_test.go
+++ b/lab/fleetsim/declarations_test.go
@@ -63,7 +63,7 @@
 			sim.Delay = 250 * time.Millisecond
 			holder := sim.Leaseholder("list")
 			replies := countEvents[fleet.RequestDone](holder)
-			holder.Do(func(n *fleet.Node, now time.Duration) {
+			holder.WithNode(func(n *fleet.Node, now time.Duration) {
 				for i := range valueCount {
 					_, ok := n.PutValue(now, "list", fmt.Sprint("key", i), 0, []byte("x"))
 					require.True(t, ok)
--- a/lab/fleetsim/failures_bench_test.go
+++ b/lab/fleetsim/failures_bench_test.go
@@ -97,7 +97,7 @@
 		return
 	}
 	h := sim.Hosts[len(sim.initialVoters)+second/9]
-	h.Do(func(n *fleet.Node, now time.Duration) { n.Leave(now) })
+	h.WithNode(func(n *fleet.Node, now time.Duration) { n.Leave(now) })
 	sim.After(time.Second, h.Crash)
 	sim.After(3*time.Second, h.Start)
 }
--- a/lab/fleetsim/fault_pairs_test.go
+++ b/lab/fleetsim/fault_pairs_test.go
@@ -37,11 +37,11 @@
 			sim.After(4*time.Second, sim.Heal)
 		}},
 		{"shutdown", func(sim *Simulation, h *Host) {
-			h.Do(func(n *fleet.Node, now time.Duration) { n.Leave(now) })
+			h.WithNode(func(n *fleet.Node, now time.Duration) { n.Leave(now) })
 			sim.After(300*time.Millisecond, func() { h.Crash(); startIfDown(h) })
 		}},
 		{"transfer", func(sim *Simulation, h *Host) {
-			h.Do(func(n *fleet.Node, now time.Duration) { n.TransferLease(now, "list", "") })
+			h.WithNode(func(n *fleet.Node, now time.Duration) { n.TransferLease(now, "list", "") })
 		}},
 	}
 	times := []time.Duration{0, 700 * time.Millisecond, 3400 * time.Millisecond}
--- a/lab/fleetsim/host.go
+++ b/lab/fleetsim/host.go
@@ -20,7 +20,7 @@
 	JoinsExistingFleet bool
 	DeclinesLeases     bool
 	ConfigLease        time.Duration // the duration of a configuration lease; 0 if no configuration versions are published
-	WithoutFleet       bool          // the host has a clock and can be paused and crashed, but runs no node
+	WithoutNode        bool          // the host has a clock and can be paused and crashed, but runs no node
 }
 
 // HostUsage counts the resources that a host's node has used. Measurements reset it.
@@ -80,13 +80,13 @@
 		AcceptsLeases:      !h.DeclinesLeases,
 		ConfigLease:        h.ConfigLease,
 	}
-	if !h.WithoutFleet && !h.startNode(o) {
+	if !h.WithoutNode && !h.startNode(o) {
 		return
 	}
 	if sim.OnStart != nil {
 		sim.OnStart(h)
 	}
-	if !h.WithoutFleet {
+	if !h.WithoutNode {
 		h.scheduleTicks()
 	}
 }
@@ -172,9 +172,9 @@
 	h.sim.After(d, func() { h.execute(incarnation, call) })
 }
 
-// Do calls a function with the host's node and the time of the host's clock, and carries out what the node asks for. The call runs
+// WithNode calls a function with the host's node and the time of the host's clock, and carries out what the node asks for. The call runs
 // now, or when the host is resumed if it is paused. It is dropped if the process is down.
-func (h *Host) Do(call func(n *fleet.Node, now time.Duration)) {
+func (h *Host) WithNode(call func(n *fleet.Node, now time.Duration)) {
 	h.execute(h.incarnation, func(now time.Duration) { call(h.Node, now) })
 }
 
--- a/lab/fleetsim/idle_bench_test.go
+++ b/lab/fleetsim/idle_bench_test.go
@@ -141,10 +141,10 @@
 func BenchmarkTimeWithoutLeaseholder(b *testing.B) {
 	for name, inject := range map[string]func(sim *Simulation, h *Host){
 		"transfer": func(sim *Simulation, h *Host) {
-			h.Do(func(n *fleet.Node, now time.Duration) { n.TransferLease(now, "list", "") })
+			h.WithNode(func(n *fleet.Node, now time.Duration) { n.TransferLease(now, "list", "") })
 		},
 		"shutdown": func(sim *Simulation, h *Host) {
-			h.Do(func(n *fleet.Node, now time.Duration) { n.Leave(now) })
+			h.WithNode(func(n *fleet.Node, now time.Duration) { n.Leave(now) })
 		},
 		"crash": func(sim *Simulation, h *Host) { h.Crash() },
 		"pause": func(sim *Simulation, h *Host) { h.Pause() },
--- a/lab/fleetsim/leases_test.go
+++ b/lab/fleetsim/leases_test.go
@@ -14,7 +14,7 @@
 	sim := startFleet(t, 3, 6)
 	h := sim.Leaseholder("list")
 	term, _ := h.Node.HoldsLease(h.Clock(), "list")
-	sim.BroadcastLate(h, "list", term, 10*time.Second)
+	sim.BroadcastAfterPause(h, "list", term, 10*time.Second)
 	sim.Run(9 * time.Second)
 	require.NotNil(t, sim.Leaseholder("list"))
 	require.NotEqual(t, h, sim.Leaseholder("list"))
@@ -35,7 +35,7 @@
 	report = func() {
 		for _, h := range sim.Hosts {
 			if h.Name != stuck {
-				h.Do(func(n *fleet.Node, now time.Duration) { n.ReportProgress("list") })
+				h.WithNode(func(n *fleet.Node, now time.Duration) { n.ReportProgress("list") })
 			}
 		}
 		sim.After(500*time.Millisecond, report)
--- a/lab/fleetsim/lost_disks_test.go
+++ b/lab/fleetsim/lost_disks_test.go
@@ -17,7 +17,7 @@
 func startFleetWithLostDisks(t *testing.T, seed uint64, firstReturns bool) *Simulation {
 	sim := startFleet(t, seed, 6)
 	old := sim.Hosts[1].CopyDisk()
-	sim.Hosts[5].Do(func(n *fleet.Node, now time.Duration) { n.TransferLease(now, "list", "") })
+	sim.Hosts[5].WithNode(func(n *fleet.Node, now time.Duration) { n.TransferLease(now, "list", "") })
 	sim.Run(4 * time.Second)
 	for _, h := range sim.Hosts[:3] {
 		h.Crash()
@@ -36,7 +36,7 @@
 
 // recoverAt starts the recovery of the voters at a host, as an operator does.
 func recoverAt(h *Host, reason string) (err error) {
-	h.Do(func(n *fleet.Node, now time.Duration) { err = n.RecoverVoters(now, reason) })
+	h.WithNode(func(n *fleet.Node, now time.Duration) { err = n.RecoverVoters(now, reason) })
 	return err
 }
 
@@ -105,7 +105,7 @@
 				for _, h := range sim.Hosts[:3] {
 					copies = append(copies, h.CopyDisk())
 				}
-				sim.Hosts[3].Do(func(n *fleet.Node, now time.Duration) { n.TransferLease(now, "list", "") })
+				sim.Hosts[3].WithNode(func(n *fleet.Node, now time.Duration) { n.TransferLease(now, "list", "") })
 				sim.Run(4 * time.Second)
 				for i, h := range sim.Hosts[:3] {
 					h.Crash()
@@ -170,7 +170,7 @@
 		h := sim.AddHost(HostConfig{Name: name, Zone: "b", Disk: &Disk{}, JoinsExistingFleet: true})
 		h.Start()
 		sim.Run(3 * time.Second)
-		sim.Hosts[5].Do(func(n *fleet.Node, now time.Duration) { n.AddVoter(now, name, name) })
+		sim.Hosts[5].WithNode(func(n *fleet.Node, now time.Duration) { n.AddVoter(now, name, name) })
 		sim.Run(6 * time.Second)
 		assert.Len(t, sim.Leader().Node.State().Voters, i+2)
 	}
@@ -229,7 +229,7 @@
 	sim := startFleet(t, 27, 6)
 	old := sim.Hosts[1].CopyDisk()
 	from := sim.Leaseholder("list")
-	sim.Hosts[5].Do(func(n *fleet.Node, now time.Duration) { n.TransferLease(now, "list", "") })
+	sim.Hosts[5].WithNode(func(n *fleet.Node, now time.Duration) { n.TransferLease(now, "list", "") })
 	sim.Run(4 * time.Second)
 	require.NotEqual(t, from, sim.Leaseholder("list"))
 	known := sim.Hosts[5].Node.State().Index
--- a/lab/fleetsim/membership_test.go
+++ b/lab/fleetsim/membership_test.go
@@ -60,13 +60,13 @@
 	sim.Leaseholder("list").Crash()
 	sim.Run(6 * time.Second)
 	sim.StartAll()
-	sim.Hosts[4].Do(func(n *fleet.Node, now time.Duration) { n.TransferLease(now, "list", "") })
+	sim.Hosts[4].WithNode(func(n *fleet.Node, now time.Duration) { n.TransferLease(now, "list", "") })
 	sim.Run(4 * time.Second)
 	sim.OnReceive = nil
 	sim.Run(time.Minute)
 	for _, h := range sim.Hosts {
 		for _, l := range received[h] {
-			h.Do(func(n *fleet.Node, now time.Duration) { n.Receive(now, l.from, &l.m) })
+			h.WithNode(func(n *fleet.Node, now time.Duration) { n.Receive(now, l.from, &l.m) })
 		}
 	}
 	sim.Run(10 * time.Second)
@@ -89,7 +89,7 @@
 			m.Reply = &fleet.LeaderReply{Release: "list", Term: r.Uint64() >> 60, RenewedSeq: r.Uint64(), RequestID: r.Uint64()}
 			m.Entries = []fleet.LogEntry{{Index: r.Uint64() >> r.IntN(64), Data: make([]byte, r.IntN(9))}}
 		}
-		sim.Hosts[0].Do(func(n *fleet.Node, now time.Duration) { n.Receive(now, "f001", m) })
+		sim.Hosts[0].WithNode(func(n *fleet.Node, now time.Duration) { n.Receive(now, "f001", m) })
 	}
 	assert.Less(t, len(n.State().Fronts), 10_000)
 }
@@ -117,7 +117,7 @@
 	restarted.Pause() // so that the present incarnation sends nothing either
 	sim.Run(10 * time.Second)
 	for i := range old {
-		leader.Do(func(n *fleet.Node, now time.Duration) { n.Receive(now, from, &old[i]) })
+		leader.WithNode(func(n *fleet.Node, now time.Duration) { n.Receive(now, from, &old[i]) })
 	}
 	sim.Run(time.Second)
 	assert.Equal(t, present, leader.Node.State().Fronts[restarted.Name].Incarnation)
--- a/lab/fleetsim/random_faults.go
+++ b/lab/fleetsim/random_faults.go
@@ -82,7 +82,7 @@
 			continue
 		}
 		for _, lease := range randomFaultLeases {
-			h.Do(func(n *fleet.Node, now time.Duration) {
+			h.WithNode(func(n *fleet.Node, now time.Duration) {
 				term, ok := n.HoldsLease(now, lease)
 				if !ok || r.Rand.IntN(20) == 0 {
 					return
@@ -90,7 +90,7 @@
 				n.ReportProgress(lease)
 				n.Broadcast(now, lease, fmt.Appendf(nil, "%s/%d", lease, term))
 				if r.faults.Pauses && r.Rand.IntN(30) == 0 && !h.paused && r.Now < r.end {
-					r.BroadcastLate(h, lease, term, 4*time.Second+time.Duration(r.Rand.Int64N(int64(4*time.Second))))
+					r.BroadcastAfterPause(h, lease, term, 4*time.Second+time.Duration(r.Rand.Int64N(int64(4*time.Second))))
 				}
 			})
 		}
@@ -193,14 +193,14 @@
 func (r *randomRun) transferLease(h *Host, _ time.Duration) {
 	if r.faults.LeaseTransfers && h.Node != nil {
 		lease := randomFaultLeases[r.Rand.IntN(len(randomFaultLeases))]
-		h.Do(func(n *fleet.Node, now time.Duration) { n.TransferLease(now, lease, "") })
+		h.WithNode(func(n *fleet.Node, now time.Duration) { n.TransferLease(now, lease, "") })
 	}
 }
 
 // shutDown shuts a host down gracefully and restarts it later.
 func (r *randomRun) shutDown(h *Host, duration time.Duration) {
 	if r.faults.Crashes && h.Node != nil && !h.paused {
-		h.Do(func(n *fleet.Node, now time.Duration) { n.Leave(now) })
+		h.WithNode(func(n *fleet.Node, now time.Duration) { n.Leave(now) })
 		r.After(200*time.Millisecond, func() {
 			h.Crash()
 			r.restartAfter(h, duration/4)
--- a/lab/fleetsim/simulation.go
+++ b/lab/fleetsim/simulation.go
@@ -133,9 +133,9 @@
 	return nil
 }
 
-// BroadcastLate simulates a leaseholder that is paused between the check of its lease and its broadcast. It pauses the host now,
+// BroadcastAfterPause simulates a leaseholder that is paused between the check of its lease and its broadcast. It pauses the host now,
 // resumes it after the pause, and sends the broadcast in the given term without another check of the lease.
-func (sim *Simulation) BroadcastLate(h *Host, lease string, term uint64, pause time.Duration) {
+func (sim *Simulation) BroadcastAfterPause(h *Host, lease string, term uint64, pause time.Duration) {
 	incarnation := h.incarnation
 	h.Pause()
 	message := fleet.Message{Kind: fleet.KindBroadcast, From: h.Name, Name: lease, Term: term, Number: 1 << 40, Data: []byte("late")}
--- a/lab/fleetsim/snapshot_chunks_test.go
+++ b/lab/fleetsim/snapshot_chunks_test.go
@@ -20,7 +20,7 @@
 	h := sim.Leaseholder("list")
 	require.NotNil(t, h)
 	for i := range 60 { // 3 MB
-		h.Do(func(n *fleet.Node, now time.Duration) {
+		h.WithNode(func(n *fleet.Node, now time.Duration) {
 			n.PutValue(now, "list", fmt.Sprintf("entry/%d", i), 0, make([]byte, 50<<10))
 		})
 		sim.Run(100 * time.Millisecond)
--- a/lab/fleetsim/snapshot_test.go
+++ b/lab/fleetsim/snapshot_test.go
@@ -26,7 +26,7 @@
 	}
 	behind.Crash()
 	for i := range 800 { // more entries than the log keeps
-		sim.Leaseholder("list").Do(func(n *fleet.Node, _ time.Duration) { n.DeclareLease(fmt.Sprintf("scout/%d", 100+i), 0) })
+		sim.Leaseholder("list").WithNode(func(n *fleet.Node, _ time.Duration) { n.DeclareLease(fmt.Sprintf("scout/%d", 100+i), 0) })
 		if i%200 == 0 {
 			sim.Run(500 * time.Millisecond)
 		}
@@ -74,7 +74,7 @@
 		return 0
 	}
 	for range 10 { // more entries than the log keeps, some before the leader gives the link up and some after
-		sim.Leaseholder("list").Do(func(n *fleet.Node, now time.Duration) {
+		sim.Leaseholder("list").WithNode(func(n *fleet.Node, now time.Duration) {
 			for i := range 200 {
 				n.PutValue(now, "list", fmt.Sprint("key", i), 0, []byte("x"))
 			}
--- a/lab/fleetsim/voters_test.go
+++ b/lab/fleetsim/voters_test.go
@@ -54,7 +54,7 @@
 	replacement.Start()
 	sim.Run(3 * time.Second)
 	requestAndRun := func(call func(n *fleet.Node, now time.Duration)) {
-		sim.Hosts[6].Do(call)
+		sim.Hosts[6].WithNode(call)
 		sim.Run(4 * time.Second)
 	}
 	requestAndRun(func(n *fleet.Node, now time.Duration) { n.AddVoter(now, "new", "new") })
--- a/lab/proxysim/changes_bench_test.go
+++ b/lab/proxysim/changes_bench_test.go
@@ -100,16 +100,16 @@
 	cluster := New(o)
 	cluster.StartAll()
 	cluster.Run(warmUpTime)
-	p := &changePublisher{changeRun: c, Cluster: cluster, began: cluster.Now, reachable: fronts - c.injectFailures(cluster), base: cluster.State().Base}
+	p := &changePublisher{changeRun: c, Cluster: cluster, began: cluster.Now, reachable: fronts - c.injectFailures(cluster), base: cluster.RolloutState().Base}
 	for at := time.Duration(0); at == 0 || at < c.duration; at += c.interval {
 		p.changes = append(p.changes, changeResult{requestedAt: at})
 		if c.interval == 0 {
 			break
 		}
 	}
-	firstVersion := cluster.State().LastVersion
+	firstVersion := cluster.RolloutState().LastVersion
 	for cluster.Now < p.began+maxRunTime && p.inForceCount < len(p.changes) {
-		if s := cluster.State(); c.restart != nil && s.LastVersion > firstVersion && s.Next == 0 && s.Base == p.base {
+		if s := cluster.RolloutState(); c.restart != nil && s.LastVersion > firstVersion && s.Next == 0 && s.Base == p.base {
 			break // the change was rolled back
 		}
 		p.step()
@@ -118,7 +118,7 @@
 		b.Fatal(cluster.Violations)
 	}
 	if p.inForceCount < len(p.changes) {
-		b.Logf("%s, %d fronts: %d of %d in force; last rollout change: %s", c.name, fronts, p.inForceCount, len(p.changes), cluster.State().Reason)
+		b.Logf("%s, %d fronts: %d of %d in force; last rollout change: %s", c.name, fronts, p.inForceCount, len(p.changes), cluster.RolloutState().Reason)
 	}
 	p.report(b)
 }
@@ -128,7 +128,7 @@
 	if c.restart != nil {
 		cluster.After(c.restartAfter, func() {
 			for _, f := range cluster.Fronts[cluster.Options.Voters:] {
-				if f.Core.ConfigVersion() == cluster.State().Next {
+				if f.Core.ConfigVersion() == cluster.RolloutState().Next {
 					c.restart(cluster, f)
 					return
 				}
@@ -162,7 +162,7 @@
 		p.publish()
 	}
 	p.Run(pollInterval)
-	now, s := p.Now-p.began, p.State()
+	now, s := p.Now-p.began, p.RolloutState()
 	if p.inProgress && change.onReachable == 0 && p.frontsOnVersion(p.base+1) >= p.reachable {
 		change.onReachable = now
 	}
@@ -193,7 +193,7 @@
 		Mandatory:       p.mandatory,
 		MaxFenced:       300,
 	}
-	p.Publish(p.Fronts[0], a, func(rejectedReason string) {
+	p.SubmitAction(p.Fronts[0], a, func(rejectedReason string) {
 		if rejectedReason != "" {
 			p.rejected++
 			p.inProgress = false
@@ -224,7 +224,7 @@
 
 // restartGracefully shuts a front down as SIGTERM does and restarts it.
 func restartGracefully(cluster *Cluster, f *Front) {
-	f.host.Do(func(n *fleet.Node, now time.Duration) {
+	f.host.WithNode(func(n *fleet.Node, now time.Duration) {
 		// A graceful shutdown saves the version that the front acts on.
 		f.disk = savedVersions{version: f.version, text: rollout.VersionText(n.State(), f.version)}
 		n.Leave(now)
--- a/lab/proxysim/cluster.go
+++ b/lab/proxysim/cluster.go
@@ -125,7 +125,7 @@
 		}
 	}
 	for i, h := range c.Hosts {
-		h.WithoutFleet, h.ConfigLease = !o.Fleet, o.Rollout.ConfigLease
+		h.WithoutNode, h.ConfigLease = !o.Fleet, o.Rollout.ConfigLease
 		f := &Front{Name: h.Name, cluster: c, host: h, ordinal: i, Received: map[string]int{}, Succeeded: map[string]int{}}
 		c.Fronts, c.frontsByHost[h] = append(c.Fronts, f), f
 	}
@@ -150,8 +150,8 @@
 			TickInterval:  5 * time.Millisecond,
 		},
 		Replication: routing.Replication{StalenessCheck: routing.RejectIfStale, PositionInResponses: true},
-		Guardrails: routing.Guardrails{
-			AnswerSlack:       20 * time.Millisecond,
+		DeploymentRules: routing.DeploymentRules{
+			DeadlineGrace:     20 * time.Millisecond,
 			DrainGrace:        2 * time.Second,
 			InitialCapacity:   1,
 			OverloadMultiple:  1,
--- a/lab/proxysim/endpoints.go
+++ b/lab/proxysim/endpoints.go
@@ -112,7 +112,7 @@
 	f := s.front
 	s.service().OpenWatches++
 	s.fetch(func(l discovery.List) {
-		f.host.Do(func(n *fleet.Node, now time.Duration) {
+		f.host.WithNode(func(n *fleet.Node, now time.Duration) {
 			if update, err := f.endpointList.EncodeUpdate(l, 0); err == nil {
 				n.ReportProgress(fleet.EndpointListLease)
 				n.Broadcast(now, fleet.EndpointListLease, update)
@@ -124,8 +124,8 @@
 		if !s.holdsLease {
 			return
 		}
-		f.host.Do(func(n *fleet.Node, now time.Duration) {
-			if f.endpointList.Known() && !s.service().Unavailable {
+		f.host.WithNode(func(n *fleet.Node, now time.Duration) {
+			if f.endpointList.HasList() && !s.service().Unavailable {
 				n.ReportProgress(fleet.EndpointListLease)
 				n.Broadcast(now, fleet.EndpointListLease, f.endpointList.EncodeHeartbeat())
 			}
--- a/lab/proxysim/fault_pairs_test.go
+++ b/lab/proxysim/fault_pairs_test.go
@@ -49,12 +49,12 @@
 		})
 		cluster.StartAll()
 		cluster.Run(4 * time.Second)
-		cluster.Publish(cluster.Fronts[0], rollout.Action{Type: rollout.ActionPublish, Text: []byte("(rules (window book 1500ms))"), Stages: []uint16{1, 1000}, ObservationTime: time.Second, MaxFenced: 400}, func(string) {})
+		cluster.SubmitAction(cluster.Fronts[0], rollout.Action{Type: rollout.ActionPublish, Text: []byte("(rules (window book 1500ms))"), Stages: []uint16{1, 1000}, ObservationTime: time.Second, MaxFenced: 400}, func(string) {})
 		publishMandatory := func() {
-			s := cluster.State()
+			s := cluster.RolloutState()
 			for _, f := range cluster.Fronts {
 				if f.host.Up() && !f.host.Paused() {
-					cluster.Publish(f, rollout.Action{Type: rollout.ActionPublish, Base: s.Base, Text: []byte("(rules (given-up 1))"), Stages: []uint16{500, 1000}, ObservationTime: time.Second, MaxFenced: 400, Mandatory: true}, func(string) {})
+					cluster.SubmitAction(f, rollout.Action{Type: rollout.ActionPublish, Base: s.Base, Text: []byte("(rules (given-up 1))"), Stages: []uint16{500, 1000}, ObservationTime: time.Second, MaxFenced: 400, Mandatory: true}, func(string) {})
 					return
 				}
 			}
--- a/lab/proxysim/faults.go
+++ b/lab/proxysim/faults.go
@@ -48,7 +48,7 @@
 		c.After(7*time.Second, func() { c.Jitter = normalJitter })
 	}},
 	{"transfer", func(_ *Cluster, h *fleetsim.Host) {
-		h.Do(func(n *fleet.Node, now time.Duration) { n.TransferLease(now, rollout.Lease, "") })
+		h.WithNode(func(n *fleet.Node, now time.Duration) { n.TransferLease(now, rollout.Lease, "") })
 	}},
 }
 
--- a/lab/proxysim/front.go
+++ b/lab/proxysim/front.go
@@ -88,12 +88,12 @@
 	p := agent.NewProber(f.cluster.Timing.LeaseDuration, dialTimeout)
 	p.Now = f.host.Clock
 	p.RequestProbe = func(to, server string) {
-		f.host.Do(func(n *fleet.Node, now time.Duration) { n.SendDatagram(now, to, probeSubsystem, []byte(server)) })
+		f.host.WithNode(func(n *fleet.Node, now time.Duration) { n.SendDatagram(now, to, probeSubsystem, []byte(server)) })
 	}
 	p.After = func(d time.Duration, call func()) { f.host.After(d, func(time.Duration) { call() }) }
 	p.DeclareLease = func(lease string) { f.host.Node.DeclareLease(lease, 0) }
 	p.Broadcast = func(lease string, data []byte) (ok bool) {
-		f.host.Do(func(n *fleet.Node, now time.Duration) { ok = n.Broadcast(now, lease, data) })
+		f.host.WithNode(func(n *fleet.Node, now time.Duration) { ok = n.Broadcast(now, lease, data) })
 		return ok
 	}
 	f.prober = p
--- a/lab/proxysim/helpers_test.go
+++ b/lab/proxysim/helpers_test.go
@@ -43,7 +43,7 @@
 func submitAndWait(t *testing.T, cluster *Cluster, a rollout.Action) (rejectedReason string) {
 	t.Helper()
 	rejectedReason = noOutcome
-	cluster.Publish(cluster.Fronts[0], a, func(reason string) { rejectedReason = reason })
+	cluster.SubmitAction(cluster.Fronts[0], a, func(reason string) { rejectedReason = reason })
 	for range 100 {
 		cluster.Run(300 * time.Millisecond)
 		if rejectedReason != noOutcome {
@@ -57,12 +57,12 @@
 func awaitSteady(t *testing.T, cluster *Cluster, timeout time.Duration) rollout.State {
 	t.Helper()
 	end := cluster.Now + timeout
-	for cluster.Now < end && (cluster.State().Phase != rollout.PhaseSteady || cluster.State().LastVersion == 0) {
+	for cluster.Now < end && (cluster.RolloutState().Phase != rollout.PhaseSteady || cluster.RolloutState().LastVersion == 0) {
 		cluster.Run(250 * time.Millisecond)
 	}
 	require.Empty(t, cluster.Violations)
-	require.Equal(t, rollout.PhaseSteady, cluster.State().Phase, cluster.State().Reason)
-	return cluster.State()
+	require.Equal(t, rollout.PhaseSteady, cluster.RolloutState().Phase, cluster.RolloutState().Reason)
+	return cluster.RolloutState()
 }
 
 // activeVersions returns the configuration version of each front.
--- a/lab/proxysim/in_force_bench_test.go
+++ b/lab/proxysim/in_force_bench_test.go
@@ -46,7 +46,7 @@
 	cluster.StartAll()
 	cluster.Run(20 * time.Second)
 	first := rollout.Action{Type: rollout.ActionPublish, Text: []byte("(rules (given-up 1))"), Stages: []uint16{1000}, MaxFenced: 300}
-	cluster.Publish(cluster.Fronts[0], first, func(string) {}) // the first publication of a fleet takes longer than later ones
+	cluster.SubmitAction(cluster.Fronts[0], first, func(string) {}) // the first publication of a fleet takes longer than later ones
 	cluster.Run(20 * time.Second)
 	operator := c.injectFailure(cluster, fronts)
 	changes := make([]*trackedChange, c.count)
@@ -105,13 +105,13 @@
 func (c deadlineRun) publish(cluster *Cluster, operator *Front, i int, change *trackedChange) {
 	change.published = true
 	var action rollout.Action
-	operator.host.Do(func(n *fleet.Node, _ time.Duration) {
+	operator.host.WithNode(func(n *fleet.Node, _ time.Duration) {
 		s, _ := rollout.ReadState(n.State())
 		rules, _ := deployment.RulesText{}.Split(rollout.VersionText(n.State(), s.Base))
 		rules[fmt.Sprint(i)] = fmt.Sprintf("(given-up %d)", 100+i)
 		action = rollout.Action{Type: rollout.ActionPublish, Base: s.Base, Text: deployment.RulesText{}.Join(rules), Stages: c.stages, ObservationTime: c.observationTime, MaxFenced: 300}
 	})
-	cluster.Publish(operator, action, func(rejectedReason string) {
+	cluster.SubmitAction(operator, action, func(rejectedReason string) {
 		if rejectedReason != "" {
 			cluster.After(500*time.Millisecond, func() { change.published = false })
 			return
@@ -123,7 +123,7 @@
 
 // recordInForce records which changes have come into force, and reports whether all have.
 func (c deadlineRun) recordInForce(cluster *Cluster, changes []*trackedChange) bool {
-	s, all := cluster.State(), true
+	s, all := cluster.RolloutState(), true
 	for _, change := range changes {
 		if change.inForce == 0 && change.version > 0 && s.Base >= change.version {
 			change.inForce = cluster.Now
--- a/lab/proxysim/in_force_test.go
+++ b/lab/proxysim/in_force_test.go
@@ -35,16 +35,16 @@
 // publishAndAwaitInForce publishes rules at a front in one stage, waits until they are in force, and returns how long that took.
 func publishAndAwaitInForce(t *testing.T, cluster *Cluster, at *Front, text string) time.Duration {
 	t.Helper()
-	base, began, rejectedReason := cluster.State().Base, cluster.Now, noOutcome
+	base, began, rejectedReason := cluster.RolloutState().Base, cluster.Now, noOutcome
 	action := newPublishAction(text, 1000)
 	action.Base, action.ObservationTime = base, 0
-	cluster.Publish(at, action, func(reason string) { rejectedReason = reason })
-	for cluster.Now < began+2*time.Minute && (cluster.State().Base == base || cluster.State().Phase != rollout.PhaseSteady) {
+	cluster.SubmitAction(at, action, func(reason string) { rejectedReason = reason })
+	for cluster.Now < began+2*time.Minute && (cluster.RolloutState().Base == base || cluster.RolloutState().Phase != rollout.PhaseSteady) {
 		cluster.Run(50 * time.Millisecond)
 	}
 	require.Empty(t, cluster.Violations)
 	require.Empty(t, rejectedReason)
-	require.Greater(t, cluster.State().Base, base, cluster.State().Reason)
+	require.Greater(t, cluster.RolloutState().Base, base, cluster.RolloutState().Reason)
 	return cluster.Now - began
 }
 
@@ -82,7 +82,7 @@
 		current := &change{requestedAt: cluster.Now}
 		changes[i] = current
 		var text []byte
-		cluster.Fronts[0].host.Do(func(n *fleet.Node, _ time.Duration) {
+		cluster.Fronts[0].host.WithNode(func(n *fleet.Node, _ time.Duration) {
 			s, _ := rollout.ReadState(n.State())
 			base := max(s.Base, s.Next) // the operator bases the change on the version that is being rolled out, if there is one
 			seen, err := deployment.RulesText{}.Split(rollout.VersionText(n.State(), base))
@@ -92,7 +92,7 @@
 			rules[key] = seen[key]
 			text = deployment.RulesText{}.Join(seen)
 			action := rollout.Action{Type: rollout.ActionPublish, Base: base, Text: text, Stages: []uint16{1000}, MaxFenced: 300}
-			cluster.Publish(cluster.Fronts[0], action, func(rejectedReason string) {
+			cluster.SubmitAction(cluster.Fronts[0], action, func(rejectedReason string) {
 				require.Empty(t, rejectedReason, "change %d", i)
 				current.acceptedAt = cluster.Now
 			})
@@ -106,10 +106,10 @@
 	maxQueued := 0
 	for cluster.Now < began+2*time.Minute {
 		cluster.Run(100 * time.Millisecond)
-		cluster.Fronts[0].host.Do(func(n *fleet.Node, _ time.Duration) {
+		cluster.Fronts[0].host.WithNode(func(n *fleet.Node, _ time.Duration) {
 			maxQueued = max(maxQueued, len(rollout.QueuedPublications(n.State())))
 		})
-		if s := cluster.State(); s.Phase == rollout.PhaseSteady {
+		if s := cluster.RolloutState(); s.Phase == rollout.PhaseSteady {
 			for _, x := range changes {
 				if x != nil && x.acceptedAt > 0 && x.inForceAt == 0 && x.acceptedAt < cluster.Now-time.Second {
 					x.inForceAt = cluster.Now
@@ -123,10 +123,10 @@
 		require.NotZero(t, x.inForceAt, "change %d", i)
 		took = append(took, x.inForceAt-x.requestedAt)
 	}
-	t.Logf("in force after %v; at most %d queued; versions %d", took, maxQueued, cluster.State().Base)
+	t.Logf("in force after %v; at most %d queued; versions %d", took, maxQueued, cluster.RolloutState().Base)
 	assert.Positive(t, maxQueued, "an operator sees the queue")
-	cluster.Fronts[0].host.Do(func(n *fleet.Node, _ time.Duration) {
-		got, err := deployment.RulesText{}.Split(rollout.VersionText(n.State(), cluster.State().Base))
+	cluster.Fronts[0].host.WithNode(func(n *fleet.Node, _ time.Duration) {
+		got, err := deployment.RulesText{}.Split(rollout.VersionText(n.State(), cluster.RolloutState().Base))
 		require.NoError(t, err)
 		assert.Equal(t, rules, got)
 		assert.Empty(t, rollout.QueuedPublications(n.State()))
@@ -192,20 +192,20 @@
 			action.ObservationTime, action.OnUndecided = 30*time.Second, test.onUndecided
 			began := cluster.Now
 			require.Empty(t, submitAndWait(t, cluster, action))
-			for cluster.Now < began+time.Minute && cluster.State().Phase != rollout.PhaseSteady && !cluster.State().Paused {
+			for cluster.Now < began+time.Minute && cluster.RolloutState().Phase != rollout.PhaseSteady && !cluster.RolloutState().Paused {
 				cluster.Run(100 * time.Millisecond)
 			}
 			took := cluster.Now - began
-			s := cluster.State()
+			s := cluster.RolloutState()
 			require.Empty(t, cluster.Violations)
 			t.Logf("%v: %s", took, s.Reason)
 			assert.Equal(t, test.base, s.Base)
 			assert.LessOrEqual(t, took, 40*time.Second)
 			if test.onUndecided == rollout.UndecidedPause && s.Paused {
 				f := cluster.Fronts[0]
-				cluster.Publish(f, rollout.Action{Type: rollout.ActionResume}, func(string) {})
+				cluster.SubmitAction(f, rollout.Action{Type: rollout.ActionResume}, func(string) {})
 				cluster.Run(30 * time.Second)
-				assert.EqualValues(t, 1, cluster.State().Base, "an operator resumes it")
+				assert.EqualValues(t, 1, cluster.RolloutState().Base, "an operator resumes it")
 				return
 			}
 			found := false
@@ -233,21 +233,21 @@
 	action := newPublishAction("(rules (given-up 2))", 1, 500, 1000)
 	action.ObservationTime = 30 * time.Second
 	began := cluster.Now
-	cluster.Publish(cluster.Fronts[0], action, func(string) {})
-	for cluster.Now < began+5*time.Second && cluster.State().Next == 0 {
+	cluster.SubmitAction(cluster.Fronts[0], action, func(string) {})
+	for cluster.Now < began+5*time.Second && cluster.RolloutState().Next == 0 {
 		cluster.Run(10 * time.Millisecond)
 	}
-	s := cluster.State()
+	s := cluster.RolloutState()
 	for _, f := range cluster.Fronts {
 		if s.VersionFor(f.Name) == s.Next {
 			f.host.Pause()
 		}
 	}
-	for cluster.Now < began+time.Minute && (cluster.State().Phase != rollout.PhaseSteady || cluster.State().LastVersion == 0) {
+	for cluster.Now < began+time.Minute && (cluster.RolloutState().Phase != rollout.PhaseSteady || cluster.RolloutState().LastVersion == 0) {
 		cluster.Run(100 * time.Millisecond)
 	}
 	require.Empty(t, cluster.Violations)
-	assert.EqualValues(t, 1, cluster.State().Base, cluster.State().Reason)
+	assert.EqualValues(t, 1, cluster.RolloutState().Base, cluster.RolloutState().Reason)
 	assert.LessOrEqual(t, cluster.Now-began, 20*time.Second)
 	t.Logf("in force after %v", cluster.Now-began)
 }
--- a/lab/proxysim/isolation_test.go
+++ b/lab/proxysim/isolation_test.go
@@ -78,7 +78,7 @@
 	cluster.Hosts[1].Crash()
 	cluster.Hosts[2].Crash()
 	cluster.Run(30 * time.Second)
-	assert.Equal(t, rollout.PhaseRolling, cluster.State().Phase)
+	assert.Equal(t, rollout.PhaseRolling, cluster.RolloutState().Phase)
 	onNewVersion := 0
 	for _, f := range cluster.Fronts {
 		if f.host.Up() && f.Core.ConfigVersion() == 1 {
@@ -124,8 +124,8 @@
 	}
 	require.Empty(t, submitAndWait(t, cluster, newPublishAction("(rules (given-up 2))", 1000)))
 	cluster.Run(40 * time.Second)
-	assert.Equal(t, rollout.PhaseRolling, cluster.State().Phase)
-	assert.Contains(t, cluster.State().Reason, "2 fronts lag (f004, f005), and 1 may be shut out at once")
+	assert.Equal(t, rollout.PhaseRolling, cluster.RolloutState().Phase)
+	assert.Contains(t, cluster.RolloutState().Reason, "2 fronts lag (f004, f005), and 1 may be shut out at once")
 	cluster.Heal()
 	awaitSteady(t, cluster, time.Minute)
 	assert.Equal(t, []uint64{1, 1, 1, 1, 1, 1}, activeVersions(cluster))
@@ -137,14 +137,14 @@
 	cluster := newRolloutCluster(41, 5, true)
 	h := cluster.Leaseholder("list")
 	require.NotNil(t, h)
-	h.Do(func(n *fleet.Node, now time.Duration) { n.SetIdle(now, true) })
+	h.WithNode(func(n *fleet.Node, now time.Duration) { n.SetLeasesSuspended(now, true) })
 	cluster.Run(500 * time.Millisecond)
 	next := cluster.Leaseholder("list")
 	require.NotNil(t, next, "transferred without waiting for the lease to expire")
 	assert.NotEqual(t, h.Name, next.Name)
 	cluster.Run(200 * time.Millisecond) // the participant sees that the front has its configuration lease, and lets it take leases again
 	for _, h := range cluster.Hosts {
-		h.Do(func(n *fleet.Node, now time.Duration) {
+		h.WithNode(func(n *fleet.Node, now time.Duration) {
 			lease := n.State().Leases["list"]
 			assert.Equal(t, next.Name, lease.Leaseholder)
 		})
--- a/lab/proxysim/partition_bench_test.go
+++ b/lab/proxysim/partition_bench_test.go
@@ -50,7 +50,7 @@
 		return
 	}
 	p.waiting = true
-	cluster.Publish(at, rollout.Action{Type: rollout.ActionPublish, Text: []byte("(rules (window book 900ms))"), Base: 1, Stages: oneStage, MaxFenced: 300}, func(rejectedReason string) {
+	cluster.SubmitAction(at, rollout.Action{Type: rollout.ActionPublish, Text: []byte("(rules (window book 900ms))"), Base: 1, Stages: oneStage, MaxFenced: 300}, func(rejectedReason string) {
 		p.accepted = rejectedReason == ""
 		if !p.accepted {
 			p.rejected, p.lastReason = p.rejected+1, rejectedReason[max(0, len(rejectedReason)-90):]
@@ -62,8 +62,8 @@
 // publishFirst publishes a change before any fault is injected and waits until it is in force, because the first publication of a fleet
 // takes longer than later ones.
 func (c *Cluster) publishFirst() {
-	c.Publish(c.Fronts[0], rollout.Action{Type: rollout.ActionPublish, Text: []byte("(rules (window book 1s))"), Stages: oneStage, MaxFenced: 300}, func(string) {})
-	for end := c.Now + time.Minute; c.Now < end && c.State().Base != 1; {
+	c.SubmitAction(c.Fronts[0], rollout.Action{Type: rollout.ActionPublish, Text: []byte("(rules (window book 1s))"), Stages: oneStage, MaxFenced: 300}, func(string) {})
+	for end := c.Now + time.Minute; c.Now < end && c.RolloutState().Base != 1; {
 		c.Run(50 * time.Millisecond)
 	}
 	c.Run(30 * time.Second)
@@ -125,7 +125,7 @@
 		}
 		recordFirst(&result.allIsolated, regions[1].isolated == regions[1].fronts)
 		recordFirst(&result.allStandby, regions[1].standby == regions[1].fronts)
-		recordFirst(&result.changeInForce, r.State().Base == 2)
+		recordFirst(&result.changeInForce, r.RolloutState().Base == 2)
 	}
 	return result
 }
--- a/lab/proxysim/publish_bench_test.go
+++ b/lab/proxysim/publish_bench_test.go
@@ -37,7 +37,7 @@
 					}
 					cluster.After(20*time.Second, cluster.Heal)
 					began := cluster.Now
-					cluster.Publish(cluster.Fronts[0], rollout.Action{Type: rollout.ActionPublish, Text: []byte("(rules (window book 1s))"), Stages: []uint16{1000}, MaxFenced: 300}, func(string) {})
+					cluster.SubmitAction(cluster.Fronts[0], rollout.Action{Type: rollout.ActionPublish, Text: []byte("(rules (window book 1s))"), Stages: []uint16{1000}, MaxFenced: 300}, func(string) {})
 					first, onReachable, steady := time.Duration(0), time.Duration(0), time.Duration(0)
 					for cluster.Now < began+3*time.Minute {
 						cluster.Run(10 * time.Millisecond)
@@ -53,7 +53,7 @@
 						if onNewVersion >= fronts-fronts*cutOffPercent/100 && onReachable == 0 {
 							onReachable = cluster.Now - began
 						}
-						if s := cluster.State(); steady == 0 && s.Phase == rollout.PhaseSteady && s.Base == 1 {
+						if s := cluster.RolloutState(); steady == 0 && s.Phase == rollout.PhaseSteady && s.Base == 1 {
 							steady = cluster.Now - began
 						}
 						if onNewVersion == fronts && steady > 0 {
@@ -61,7 +61,7 @@
 						}
 					}
 					if len(cluster.Violations) > 0 || steady == 0 {
-						b.Fatal(cluster.Violations, cluster.State().Reason)
+						b.Fatal(cluster.Violations, cluster.RolloutState().Reason)
 					}
 					b.ReportMetric(first.Seconds(), "s-first")
 					b.ReportMetric(onReachable.Seconds(), "s-all-heard")
@@ -86,8 +86,8 @@
 						f.FailureRate = func(v uint64) float64 { return 0.002 + failureRate*float64(v) }
 					}
 					began := cluster.Now
-					cluster.Publish(cluster.Fronts[0], rollout.Action{Type: rollout.ActionPublish, Text: []byte("(rules (window book 1s))"), Stages: []uint16{stage, 1000}, ObservationTime: 30 * time.Second, MaxFenced: 300}, func(string) {})
-					for cluster.Now < began+2*time.Minute && (cluster.State().Phase != rollout.PhaseSteady || cluster.State().LastVersion == 0) {
+					cluster.SubmitAction(cluster.Fronts[0], rollout.Action{Type: rollout.ActionPublish, Text: []byte("(rules (window book 1s))"), Stages: []uint16{stage, 1000}, ObservationTime: 30 * time.Second, MaxFenced: 300}, func(string) {})
+					for cluster.Now < began+2*time.Minute && (cluster.RolloutState().Phase != rollout.PhaseSteady || cluster.RolloutState().LastVersion == 0) {
 						cluster.Run(50 * time.Millisecond)
 					}
 					failed := 0
@@ -102,7 +102,7 @@
 					b.ReportMetric(float64(failed), "failed")
 					b.ReportMetric(float64(len(cluster.Requests))*0.002*(cluster.Now-began).Seconds()/cluster.Now.Seconds(), "failed-anyway")
 					b.ReportMetric((cluster.Now - began).Seconds(), "s-to-rest")
-					b.ReportMetric(float64(cluster.State().Base), "base")
+					b.ReportMetric(float64(cluster.RolloutState().Base), "base")
 				}
 			})
 		}
--- a/lab/proxysim/random_rollouts.go
+++ b/lab/proxysim/random_rollouts.go
@@ -111,7 +111,7 @@
 	if !f.host.Up() {
 		return
 	}
-	s := r.State()
+	s := r.RolloutState()
 	a := rollout.Action{
 		Type:            rollout.ActionPublish,
 		Base:            s.Base,
@@ -129,5 +129,5 @@
 	case choice <= versionKindCount:
 		r.kinds[s.LastVersion+1] = versionKind(choice - 1)
 	}
-	r.Publish(f, a, func(string) {})
+	r.SubmitAction(f, a, func(string) {})
 }
--- a/lab/proxysim/rollout_checks.go
+++ b/lab/proxysim/rollout_checks.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// State returns the latest state of the rollout that any front has had.
-func (c *Cluster) State() rollout.State {
+// RolloutState returns the latest state of the rollout that any front has had.
+func (c *Cluster) RolloutState() rollout.State {
 	if len(c.RolloutChanges) == 0 {
 		return rollout.State{}
 	}
@@ -53,7 +53,7 @@
 // recently are exempt unless StopWhenIsolated is set. With SparseChecks a tick checks only its own front; all fronts are checked once
 // per tick interval and at each change of the rollout. A check of all fronts at the tick of each would be quadratic in their number.
 func (c *Cluster) checkVersions(ticked *Front) {
-	s := c.State()
+	s := c.RolloutState()
 	if c.Options.SparseChecks && c.lastChangeIndex == c.checkedIndex && c.Now-c.checkedAt < c.Timing.TickInterval() {
 		c.checkFront(ticked, s)
 		return
@@ -91,7 +91,7 @@
 // rolloutSteady reports whether the rollout has ended or is paused for an operator, and no front is on standby. Unless it is paused,
 // all fronts must also act on the version in force.
 func (c *Cluster) rolloutSteady() bool {
-	s := c.State()
+	s := c.RolloutState()
 	if s.Phase != rollout.PhaseSteady && !s.Paused {
 		return false
 	}
@@ -127,7 +127,7 @@
 		return c.Violations
 	}
 	if !c.rolloutSteady() {
-		s := c.State()
+		s := c.RolloutState()
 		c.Violationf("rollout did not become steady: %v of version %d to %d, %s", s.Phase, s.Base, s.Next, s.Reason)
 		for _, f := range c.Fronts {
 			c.Violationf("%s acts on version %d, standby %v, isolated %v", f.Name, f.Core.ConfigVersion(), f.Core.Standby(), f.host.Node.Isolated())
--- a/lab/proxysim/rollouts.go
+++ b/lab/proxysim/rollouts.go
@@ -87,7 +87,7 @@
 		if f.incarnation != incarnation || f.host.Node == nil {
 			return
 		}
-		f.host.Do(func(n *fleet.Node, now time.Duration) {
+		f.host.WithNode(func(n *fleet.Node, now time.Duration) {
 			f.Participant.Tick(now, n)
 			f.recordRolloutChange(n)
 		})
@@ -102,7 +102,7 @@
 func (f *Front) adopt(a rollout.Adoption, s *deployment.Settings) {
 	rules, err := f.parseVersion(a, s)
 	if err != nil {
-		f.host.Do(func(n *fleet.Node, now time.Duration) { f.Participant.Rejected(now, n, a.Version, err.Error()) })
+		f.host.WithNode(func(n *fleet.Node, now time.Duration) { f.Participant.Rejected(now, n, a.Version, err.Error()) })
 		return
 	}
 	f.disk.unconfirmed = a.Version
@@ -118,7 +118,7 @@
 		},
 		OnOlderFinished: func() {
 			f.host.After(0, func(time.Duration) {
-				f.host.Do(func(n *fleet.Node, now time.Duration) { f.Participant.Acknowledge(now, n, a.Version) })
+				f.host.WithNode(func(n *fleet.Node, now time.Duration) { f.Participant.Acknowledge(now, n, a.Version) })
 			})
 		},
 	})
@@ -190,14 +190,14 @@
 	}
 }
 
-// Publish submits an operator's action at a front. outcome is called once the result is known. It gets "" if the action was accepted,
+// SubmitAction submits an operator's action at a front. outcome is called once the result is known. It gets "" if the action was accepted,
 // or else the reason why the action was rejected or got no answer in time.
-func (c *Cluster) Publish(f *Front, a rollout.Action, outcome func(rejectedReason string)) {
+func (c *Cluster) SubmitAction(f *Front, a rollout.Action, outcome func(rejectedReason string)) {
 	if r, err := deployment.ParseRules("x", a.Text); err == nil {
 		a.RulesHash = r.Digest()
 	}
 	a.ID = c.Rand.Uint64() | 1
-	f.host.Do(func(n *fleet.Node, now time.Duration) {
+	f.host.WithNode(func(n *fleet.Node, now time.Duration) {
 		f.Participant.Submit(now, a, 10*c.Timing.LeaseDuration, func(err error) {
 			reason := ""
 			if err != nil {
--- a/lab/proxysim/rollouts_test.go
+++ b/lab/proxysim/rollouts_test.go
@@ -37,7 +37,7 @@
 	for i := range reasons { // two publications at the same time, both based on version 0
 		reasons[i] = noOutcome
 		action := newPublishAction([]string{"(rules (given-up 1))", "(rules (given-up 2))"}[i])
-		cluster.Publish(cluster.Fronts[i], action, func(f string) { reasons[i] = f })
+		cluster.SubmitAction(cluster.Fronts[i], action, func(f string) { reasons[i] = f })
 	}
 	cluster.Run(3 * time.Second)
 	if reasons[0] == "" {
@@ -107,7 +107,7 @@
 	awaitSteady(t, cluster, time.Minute)
 	action := newPublishAction("(rules (given-up 1))", 1000)
 	action.Base = 1
-	cluster.Publish(cluster.Fronts[0], action, func(string) {})
+	cluster.SubmitAction(cluster.Fronts[0], action, func(string) {})
 	cluster.Run(5 * time.Second)
 	s := awaitSteady(t, cluster, time.Minute)
 	assert.EqualValues(t, 1, s.Base)
@@ -171,9 +171,9 @@
 	cluster := newRolloutCluster(6, 7, true)
 	require.Empty(t, submitAndWait(t, cluster, newPublishAction("(rules (given-up 2))", 150, 400, 700, 1000)))
 	seen := map[int]bool{}
-	for end := cluster.Now + 4*time.Minute; cluster.Now < end && cluster.State().Phase != rollout.PhaseSteady; {
+	for end := cluster.Now + 4*time.Minute; cluster.Now < end && cluster.RolloutState().Phase != rollout.PhaseSteady; {
 		cluster.Run(250 * time.Millisecond)
-		if s := cluster.State(); s.Phase == rollout.PhaseRolling && !seen[s.Stage] {
+		if s := cluster.RolloutState(); s.Phase == rollout.PhaseRolling && !seen[s.Stage] {
 			if h := cluster.Leaseholder(rollout.Lease); h != nil {
 				seen[s.Stage] = true
 				cluster.Run(500 * time.Millisecond)
--- a/lab/proxysim/server.go
+++ b/lab/proxysim/server.go
@@ -105,7 +105,7 @@
 	case statement.Write && !s.Primary:
 		respond(s.withPosition(pgwire.QueryResult{Code: pgwire.CodeReadOnlyTransaction}))
 		return
-	case statement.After > s.appliedMillis():
+	case statement.LastWritePosition > s.appliedMillis():
 		respond(s.withPosition(pgwire.QueryResult{Code: pgwire.CodeSnapshotTooOld}))
 		return
 	}
@@ -204,7 +204,7 @@
 			s.receive(f.Name, message, cancelled, func(r pgwire.QueryResult) {
 				c.After(c.networkDelay(), func() {
 					if !*cancelled {
-						f.host.After(0, func(time.Duration) { f.observe(&front.AttemptFinished{Attempt: a, Answer: r}) })
+						f.host.After(0, func(time.Duration) { f.observe(&front.AttemptFinished{Attempt: a, Result: r}) })
 					}
 				})
 			})
--- a/limits/descriptors.go
+++ b/limits/descriptors.go
@@ -12,11 +12,11 @@
 	Overshoot  int // how far the limits may be exceeded briefly while other connections are being closed
 }
 
-// SharesOf divides the process's descriptor limit, less a number reserved for other purposes. In ordinary use,
+// NewDescriptorShares divides the process's descriptor limit, less a number reserved for other purposes. In ordinary use,
 // clients hold at most a third. From a quarter of the limit on, each new client evicts the client that has been idle
 // longest, since clients that send one request and stay connected would otherwise use up that third. If no client is
 // idle, clients may hold three quarters.
-func SharesOf(limit, reserved int) DescriptorShares {
+func NewDescriptorShares(limit, reserved int) DescriptorShares {
 	total := limit - reserved
 	return DescriptorShares{Total: total, MaxClients: total * 3 / 4, EvictFrom: limit / 4, Overshoot: max(2, reserved/4)}
 }
@@ -38,9 +38,9 @@
 	return &Descriptors{shares: shares, evictClient: func() bool { return false }}
 }
 
-// OnEvict sets the function that closes an idle client's connection. evict must start the close without blocking, and
+// SetEvictClient sets the function that closes an idle client's connection. evict must start the close without blocking, and
 // return false if no client is idle.
-func (d *Descriptors) OnEvict(evict func() bool) {
+func (d *Descriptors) SetEvictClient(evict func() bool) {
 	d.mu.Lock()
 	d.evictClient = evict
 	d.mu.Unlock()
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestSharesOfDescriptors(t *testing.T) {
-	assert.Equal(t, DescriptorShares{Total: 992, MaxClients: 744, EvictFrom: 256, Overshoot: 8}, SharesOf(1024, 32))
-	assert.Equal(t, DescriptorShares{Total: 32, MaxClients: 24, EvictFrom: 16, Overshoot: 8}, SharesOf(64, 32))
+func TestNewDescriptorShares(t *testing.T) {
+	assert.Equal(t, DescriptorShares{Total: 992, MaxClients: 744, EvictFrom: 256, Overshoot: 8}, NewDescriptorShares(1024, 32))
+	assert.Equal(t, DescriptorShares{Total: 32, MaxClients: 24, EvictFrom: 16, Overshoot: 8}, NewDescriptorShares(64, 32))
 }
 
 func TestDescriptorsAdmitWithinTheirShares(t *testing.T) {
@@ -30,7 +30,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := NewDescriptors(shares)
-			d.OnEvict(x.evictClient)
+			d.SetEvictClient(x.evictClient)
 			assert.Equal(t, x.clients, count(func() bool { return d.AdmitClient(x.evictClient) }))
 			assert.Equal(t, x.servers, count(func() bool { return d.AdmitServer(x.evictServer) }))
 			clients, servers, peak := d.InUse()
--- a/limits/memory.go
+++ b/limits/memory.go
@@ -2,9 +2,9 @@
 
 import "sync/atomic"
 
-// LongMessagesPart divides the memory limit: all long messages of clients together may hold this fraction (1/8) of it,
+// LongMessagesDivisor divides the memory limit: all long messages of clients together may hold this fraction (1/8) of it,
 // and so may those of servers.
-const LongMessagesPart = 8
+const LongMessagesDivisor = 8
 
 // Memory is a budget of bytes. It keeps a flood of long messages from exhausting the memory of the process.
 type Memory struct {
--- a/pgwire/comment.go
+++ b/pgwire/comment.go
@@ -64,7 +64,7 @@
 		}
 		found.group = true
 	case "after":
-		if s.After, err = strconv.ParseInt(string(value), 10, 64); err != nil {
+		if s.LastWritePosition, err = strconv.ParseInt(string(value), 10, 64); err != nil {
 			return statementErrorf(CodeInvalidParameterValue, "after is no number: %.40q", value)
 		}
 	case "d":
--- a/pgwire/messages.go
+++ b/pgwire/messages.go
@@ -9,8 +9,8 @@
 
 var readyForQuery = []byte{'Z', 0, 0, 0, 5, 'I'}
 
-// AppendGreeting appends the response to a startup message: AuthenticationOk, ParameterStatus messages and ReadyForQuery.
-func AppendGreeting(b []byte) []byte {
+// AppendStartupResponse appends the response to a startup message: AuthenticationOk, ParameterStatus messages and ReadyForQuery.
+func AppendStartupResponse(b []byte) []byte {
 	b = append(b, 'R', 0, 0, 0, 8, 0, 0, 0, 0)
 	for _, p := range [][2]string{{"server_version", "15.0"}, {"server_encoding", "UTF8"},
 		{"client_encoding", "UTF8"}, {"standard_conforming_strings", "on"}} {
--- a/pgwire/pgwire_test.go
+++ b/pgwire/pgwire_test.go
@@ -32,12 +32,12 @@
 	assert.Equal(t, []string{"7f3a", "9b1f", "basket", "acme"},
 		[]string{string(s.Key), string(s.ID), string(s.RequestType), string(s.Customer)})
 	assert.Equal(t, int64(2), s.Group)
-	assert.Equal(t, int64(17), s.After)
+	assert.Equal(t, int64(17), s.LastWritePosition)
 	assert.Equal(t, 480*time.Millisecond, s.Timeout)
 	assert.False(t, s.Write || s.Retry)
 	want := strings.Replace(readStatement, "d=480", "d=1480", 1) + "\x00"
 	assert.Equal(t, "Q"+string(binary.BigEndian.AppendUint32(nil, uint32(len(want)+4)))+want,
-		string(s.Query(1479500*time.Microsecond)))
+		string(s.QueryMessage(1479500*time.Microsecond)))
 }
 
 func TestForwardedWriteKeepsItsCommentAndQuotes(t *testing.T) {
@@ -46,7 +46,7 @@
 	assert.True(t, s.Write && s.Retry)
 	assert.Equal(t, "it''s; /* x", string(s.Key))
 	assert.Equal(t, int64(-3), s.Group)
-	assert.Contains(t, string(s.Query(time.Microsecond)), "d = 1 ,c=o,r=1,k=5c")
+	assert.Contains(t, string(s.QueryMessage(time.Microsecond)), "d = 1 ,c=o,r=1,k=5c")
 }
 
 func TestInvalidStatementsHaveTheirErrorCode(t *testing.T) {
@@ -248,7 +248,7 @@
 		if err != nil || s.Empty {
 			return
 		}
-		again, err := ParseStatement(s.Query(123 * time.Millisecond)[5:])
+		again, err := ParseStatement(s.QueryMessage(123 * time.Millisecond)[5:])
 		if err != nil || again.Timeout != 123*time.Millisecond || again.Group != s.Group || !bytes.Equal(again.Key, s.Key) {
 			t.Fatalf("%q is forwarded with a change other than its timeout: %v", body, err)
 		}
@@ -287,12 +287,12 @@
 	require.NoError(t, err)
 	for _, wait := range []time.Duration{12 * time.Second, 9999 * time.Millisecond, 10 * time.Millisecond, 9*time.Millisecond + 1, 0, -time.Second} {
 		q := s.QueryWithTimeout(12 * time.Second)
-		assert.Equal(t, string(s.Query(wait)), string(q.ShortenTimeout(wait)), "%v", wait)
+		assert.Equal(t, string(s.QueryMessage(wait)), string(q.ShortenTimeout(wait)), "%v", wait)
 	}
 	q := s.QueryWithTimeout(12 * time.Second)
 	for _, wait := range []time.Duration{11 * time.Second, 900 * time.Millisecond, 899 * time.Millisecond, time.Millisecond} {
-		assert.Equal(t, string(s.Query(wait)), string(q.ShortenTimeout(wait)), "shortened repeatedly")
+		assert.Equal(t, string(s.QueryMessage(wait)), string(q.ShortenTimeout(wait)), "shortened repeatedly")
 	}
-	assert.Equal(t, string(s.Query(time.Millisecond)), string(q.ShortenTimeout(time.Minute)), "a longer timeout is ignored")
+	assert.Equal(t, string(s.QueryMessage(time.Millisecond)), string(q.ShortenTimeout(time.Minute)), "a longer timeout is ignored")
 	assert.Equal(t, text, string(s.text))
 }
--- a/pgwire/statement.go
+++ b/pgwire/statement.go
@@ -21,11 +21,11 @@
 	Group                     int64
 	Timeout                   time.Duration // how long the client waits for the response, counted from when it sent the statement
 	Retry                     bool          // the client marked the request as a retry
-	After                     int64         // log position of the session's last write, in Unix milliseconds; 0 for none
+	LastWritePosition         int64         // log position of the session's last write, in Unix milliseconds; 0 for none
 
 	// Normalized and Details are set only if statements are classified.
 	Normalized *sqlclass.NormalizedStatement
-	Details    sqlclass.Details
+	Details    sqlclass.TextDetails
 }
 
 // ParseStatement parses the body of a Query message. The statement must be a single SELECT or INSERT with a key and a
--- a/pgwire/timeout.go
+++ b/pgwire/timeout.go
@@ -26,8 +26,10 @@
 	return TimedQuery{b, start, end}
 }
 
-// Query returns the same message as QueryWithTimeout, as bytes.
-func (s *Statement) Query(timeout time.Duration) []byte { return s.QueryWithTimeout(timeout).Message }
+// QueryMessage returns the same message as QueryWithTimeout, as bytes.
+func (s *Statement) QueryMessage(timeout time.Duration) []byte {
+	return s.QueryWithTimeout(timeout).Message
+}
 
 // ShortenTimeout replaces the timeout in place and returns the message. The new timeout should not be longer than the
 // present one. If it has more digits, it does not fit and is ignored.
--- a/pgwire/wire_test.go
+++ b/pgwire/wire_test.go
@@ -18,8 +18,8 @@
 func TestMessagesOnTheWire(t *testing.T) {
 	var got []string
 	add := func(name string, b []byte) { got = append(got, fmt.Sprintf("%q %q", name, b)) }
-	add("greeting", AppendGreeting(nil))
-	add("greeting after other bytes", AppendGreeting([]byte("x")))
+	add("greeting", AppendStartupResponse(nil))
+	add("greeting after other bytes", AppendStartupResponse([]byte("x")))
 	add("parameter status", AppendParameterStatus(nil, "role", "primary"))
 	add("empty", AppendEmptyQueryResponse(nil))
 	add("ready", AppendReadyForQuery(nil))
@@ -37,7 +37,7 @@
 	s, err := statement(`INSERT INTO facts (code, data) VALUES ('it''s', '\x9f') /* id=7,d = 12000 ,c=o,r=1,k=5c,cluster=-3 */;`)
 	require.NoError(t, err)
 	for _, wait := range []time.Duration{12 * time.Second, 9999 * time.Millisecond, 9*time.Millisecond + 1, 0, -time.Second, 24 * time.Hour} {
-		add(fmt.Sprintf("query d=%v", wait), s.Query(wait))
+		add(fmt.Sprintf("query d=%v", wait), s.QueryMessage(wait))
 	}
 	q := s.QueryWithTimeout(12 * time.Second)
 	for _, wait := range []time.Duration{11 * time.Second, 900 * time.Millisecond, time.Millisecond, time.Minute} {
--- a/router/endpoints.go
+++ b/router/endpoints.go
@@ -27,7 +27,7 @@
 	roleListing      routing.RoleListing
 }
 
-func newEndpointWatch(topology routing.Topology, rules routing.Guardrails) endpointWatch {
+func newEndpointWatch(topology routing.Topology, rules routing.DeploymentRules) endpointWatch {
 	return endpointWatch{pullEndpoints: topology.PullEndpoints, subscribePending: topology.PullEndpoints,
 		maxPollInterval: rules.MaxPollInterval, roleListing: topology.RoleListing}
 }
--- a/router/harness_test.go
+++ b/router/harness_test.go
@@ -27,7 +27,7 @@
 		Seed:        7,
 		Topology:    routing.Topology{ZoneCount: 2, FleetSize: 1, TickInterval: 5 * ms, RoleListing: routing.RolesDelayed},
 		Replication: routing.Replication{StalenessCheck: routing.WaitUntilFresh, FreshnessWait: 50 * ms, PositionInResponses: true},
-		Guardrails: routing.Guardrails{AnswerSlack: 20 * ms, DrainGrace: time.Second, MaxPollInterval: 10 * time.Second,
+		DeploymentRules: routing.DeploymentRules{DeadlineGrace: 20 * ms, DrainGrace: time.Second, MaxPollInterval: 10 * time.Second,
 			InitialCapacity: 0.2, OverloadMultiple: 2.5, SlowStartDuration: 10 * time.Second, OverloadWindow: 2 * time.Second},
 		Limits: routing.Limits{MaxAttempts: 6, HealthChecks: true, Cancellation: true,
 			MaxRetryAfter: 400 * ms},
--- a/router/recorded_actions_test.go
+++ b/router/recorded_actions_test.go
@@ -116,11 +116,11 @@
 		RetriesMarked: sim.chance(0.5), RoleListing: routing.RoleListing(random.IntN(3))}
 	replication := routing.Replication{StalenessCheck: routing.StalenessCheck(seed % 3), FreshnessWait: 50 * time.Millisecond, ClientCarriesToken: sim.chance(0.3), PositionInResponses: sim.chance(0.7)}
 	replication.LoadInResponses = !replication.PositionInResponses
-	guardrails := routing.Guardrails{AnswerSlack: 20 * time.Millisecond, DrainGrace: time.Second, MaxPollInterval: 10 * time.Second,
+	rules := routing.DeploymentRules{DeadlineGrace: 20 * time.Millisecond, DrainGrace: time.Second, MaxPollInterval: 10 * time.Second,
 		InitialCapacity: 0.2, OverloadMultiple: 2.5, SlowStartDuration: 4 * time.Second, OverloadWindow: time.Second}
 	limits := routing.Limits{MaxAttempts: 2 + random.IntN(6), HealthChecks: sim.chance(0.7), Cancellation: sim.chance(0.7), MaxRetryAfter: 400 * time.Millisecond,
 		IdleConnTimeout: time.Second}
-	sim.router = router.New(sim, routing.Options{Seed: seed, Topology: topology, RequestTypes: sim.types, Replication: replication, Guardrails: guardrails, Limits: limits})
+	sim.router = router.New(sim, routing.Options{Seed: seed, Topology: topology, RequestTypes: sim.types, Replication: replication, DeploymentRules: rules, Limits: limits})
 	for i := range simulatedGroups * simulatedGroupSize {
 		sim.servers = append(sim.servers, server{group: i / simulatedGroupSize, primary: i%simulatedGroupSize == 0, lag: time.Duration(random.IntN(200)) * time.Millisecond})
 	}
--- a/router/slow_start.go
+++ b/router/slow_start.go
@@ -26,7 +26,7 @@
 // allows for chance.
 const safetyFactor = 0.6
 
-func newSlowStartRules(rules routing.Guardrails) slowStartRules {
+func newSlowStartRules(rules routing.DeploymentRules) slowStartRules {
 	return slowStartRules{
 		initialCapacity:   rules.InitialCapacity,
 		trafficMultiple:   safetyFactor * rules.OverloadMultiple,
--- a/router/slow_start_test.go
+++ b/router/slow_start_test.go
@@ -71,7 +71,7 @@
 	h.now = 20 * time.Second
 	h.updateEndpoints(routing.Delta, routing.Endpoint{Server: 1, HasStartTime: true, StartedAt: h.now})
 	assert.True(t, h.servers[1].warmingUp)
-	h.now += o.Guardrails.OverloadWindow
+	h.now += o.DeploymentRules.OverloadWindow
 	assert.False(t, h.slowStartAdmits(h.now, &h.servers[1], 0.05), "an instance that sent nothing may send a hundredth of a request")
 }
 
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -17,14 +17,14 @@
 
 // Options configures a Router. It doesn't change during the Router's lifetime.
 type Options struct {
-	Seed         uint64 // seed of the Router's random numbers: the same seed and the same events produce the same actions
-	Topology     Topology
-	RequestTypes []RequestType // indexed by Request.Type
-	Customers    []Customer    // indexed by Request.Customer
-	Replication  Replication
-	Guardrails   Guardrails
-	Limits       Limits
-	CostWeights  CostWeights
+	Seed            uint64 // seed of the Router's random numbers: the same seed and the same events produce the same actions
+	Topology        Topology
+	RequestTypes    []RequestType // indexed by Request.Type
+	Customers       []Customer    // indexed by Request.Customer
+	Replication     Replication
+	DeploymentRules DeploymentRules
+	Limits          Limits
+	CostWeights     CostWeights
 }
 
 // Router receives events and decides. A host calls Reconcile after the last event of each batch. The Router calls its
--- a/routing/server.go
+++ b/routing/server.go
@@ -43,12 +43,12 @@
 
 // Endpoint is an entry of the endpoint list.
 type Endpoint struct {
-	Server, Zone, Kind, Group int // Kind is the hardware type of the server
-	State                     ServerState
-	Weight                    float64
-	Primary                   bool
-	StartedAt                 time.Duration
-	HasStartTime              bool // false if the server started long ago
+	Server, Zone, ServerType, Group int // ServerType is the hardware type of the server
+	State                           ServerState
+	Weight                          float64
+	Primary                         bool
+	StartedAt                       time.Duration
+	HasStartTime                    bool // false if the server started long ago
 }
 
 // UpdateKind says how an update of the endpoint list relates to the previous list.
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -42,9 +42,9 @@
 	WaitUntilFresh                         // waits up to FreshnessWait, then rejects the read
 )
 
-// Guardrails holds the deployment's rules on deadlines, drains, slow start and the endpoint list.
-type Guardrails struct {
-	AnswerSlack       time.Duration // time after a deadline within which a final answer still counts
+// DeploymentRules holds the deployment's rules on deadlines, drains, slow start and the endpoint list.
+type DeploymentRules struct {
+	DeadlineGrace     time.Duration // time after a deadline within which a final answer still counts
 	DrainGrace        time.Duration // time within which no more attempts may start at a draining server
 	MaxPollInterval   time.Duration // longest interval between polls of the endpoint list, if it is pulled and there is no subscription
 	InitialCapacity   float64       // minimum share of its capacity that a server has when it starts, 0 to 1
--- a/server/bad_input_test.go
+++ b/server/bad_input_test.go
@@ -18,10 +18,10 @@
 func TestLongQueryOverMemoryLimitIsRejected(t *testing.T) {
 	h := newHarness(t, 60, messageMemoryLimit(300<<10))
 	h.DiscardEvents()
-	h.AnswerAll()
+	h.RespondToAll()
 	reserved := func() int64 { return h.server.messageMemory.Reserved() }
 	long := pgwire.AppendQuery(nil, "SELECT data FROM facts WHERE code = '"+strings.Repeat("k", 200<<10)+"' /* id=long,c=read,d=4000,cluster=2 */")
-	first, second, small := h.Client(), h.Client(), h.Client()
+	first, second, small := h.ConnectClient(), h.ConnectClient(), h.ConnectClient()
 	first.Send(long[:len(long)-1]...)
 	h.Eventually(func() bool { return reserved() > 200<<10 })
 	second.Send(long...)
@@ -32,7 +32,7 @@
 	first.Send(long[len(long)-1])
 	first.Expect("TDCZ")
 	h.Eventually(func() bool { return reserved() == 0 })
-	third := h.Client()
+	third := h.ConnectClient()
 	third.Send(long[:len(long)-1]...)
 	h.Eventually(func() bool { return reserved() > 200<<10 })
 	third.Close()
@@ -43,8 +43,8 @@
 func TestMalformedInputClosesOnlyItsConnection(t *testing.T) {
 	h := newHarness(t, 60)
 	h.DiscardEvents()
-	h.AnswerAll()
-	good := h.Client()
+	h.RespondToAll()
+	good := h.ConnectClient()
 	for i, bad := range [][]byte{
 		append(pgwire.AppendStartup(nil, "portal", "crm"), 'Q', 127, 255, 255, 255),
 		append(pgwire.AppendStartup(nil, "portal", "crm"), pgwire.AppendQuery(nil, "SELECT \x00 1")...),
--- a/server/client.go
+++ b/server/client.go
@@ -80,7 +80,7 @@
 				return net.ErrClosed
 			}
 		default:
-			if !c.write(pgwire.AppendGreeting(nil)) {
+			if !c.write(pgwire.AppendStartupResponse(nil)) {
 				return net.ErrClosed
 			}
 			return nil
@@ -96,7 +96,7 @@
 // evict marks the connection to be closed between requests and wakes its goroutine.
 func (c *client) evict() {
 	c.evicted.Store(true)
-	tcpconn.Wake(c.tcp)
+	tcpconn.InterruptRead(c.tcp)
 }
 
 // write writes b in a single call. It returns false if the client has disconnected or does not read within the write timeout.
--- a/server/closing_test.go
+++ b/server/closing_test.go
@@ -20,7 +20,7 @@
 func awaitHalfClose(t *testing.T, p *conntest.Peer) {
 	done := make(chan struct{})
 	go func() { defer close(done); tcpconn.AwaitHangup(p.Conn.(*net.TCPConn)) }()
-	conntest.Within(t, "the server does not close its half", done)
+	conntest.WaitClosed(t, "the server does not close its half", done)
 }
 
 // Regression test: Clients send their next request as soon as they receive an answer. No connection ended after a shutdown began, and
@@ -28,8 +28,8 @@
 func TestDrainClosesConnectionThatAlwaysHasMoreRequests(t *testing.T) {
 	h := newHarness(t, 40)
 	h.DiscardEvents()
-	forwarded := h.AnswerAll()
-	c := h.Client()
+	forwarded := h.RespondToAll()
+	c := h.ConnectClient()
 	c.SetDeadline(time.Now().Add(time.Minute))
 	writerDone := make(chan struct{})
 	go func() { // sends requests without a pause until the connection is closed
@@ -65,7 +65,7 @@
 	assert.Equal(t, forwarded.Load(), served, "each forwarded statement is answered")
 	assert.Equal(t, h.server.RejectedWhileDraining(), refused, "each statement that was read and not forwarded is answered")
 	c.Close()
-	conntest.Within(t, "the client can still write", writerDone)
+	conntest.WaitClosed(t, "the client can still write", writerDone)
 	require.NoError(t, <-h.Served)
 	assert.True(t, h.server.Wait(10*time.Second))
 	h.Served <- nil
@@ -99,7 +99,7 @@
 
 func TestLastAnswerArrivesWhileClientKeepsWriting(t *testing.T) {
 	h := newHarness(t, 40)
-	c := h.Client()
+	c := h.ConnectClient()
 	c.Send(conntest.ReadQuery("4000")...)
 	upstream := h.AcceptServer()
 	upstream.Expect("Q")
@@ -155,7 +155,7 @@
 // Regression test: If a client had sent more than the server reads ahead, its disconnect was not noticed and its requests were forwarded.
 func TestDisconnectNoticedBehindUnreadRequests(t *testing.T) {
 	h := newHarness(t, 40)
-	c := h.Client()
+	c := h.ConnectClient()
 	c.Send(bytes.Repeat(conntest.ReadQuery("4000"), 3*readBufferBytes/len(conntest.ReadQuery("4000")))...)
 	h.AcceptServer().Expect("Q")
 	c.Close()
@@ -179,7 +179,7 @@
 // not exit without an answer to it.
 func TestRequestAfterDrainIsRejected(t *testing.T) {
 	h := newHarness(t, 40)
-	c := h.Client()
+	c := h.ConnectClient()
 	h.server.Drain(h.Listener)
 	require.NoError(t, <-h.Served) // no more connections are accepted, and requests are rejected
 	h.Served <- nil
@@ -196,7 +196,7 @@
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 40)
 			h.server.linger = 0
-			c := h.Client()
+			c := h.ConnectClient()
 			c.Send([]byte(sent)...)
 			h.server.Drain(h.Listener)
 			require.NoError(t, <-h.Served)
@@ -239,7 +239,7 @@
 // A server whose listener has failed still answers the requests on its open connections.
 func TestListenerFailureLeavesNoRequestUnanswered(t *testing.T) {
 	h := newHarness(t, 40)
-	c := h.Client()
+	c := h.ConnectClient()
 	c.Send(conntest.ReadQuery("4000")...)
 	upstream := h.AcceptServer()
 	upstream.Expect("Q")
@@ -257,7 +257,7 @@
 // A shutdown of the core answers requests in flight at once and cancels their attempts.
 func TestShutdownAnswersRequestsInFlight(t *testing.T) {
 	h := newHarness(t, 40)
-	c := h.Client()
+	c := h.ConnectClient()
 	c.Send(conntest.ReadQuery("4000")...)
 	upstream := h.AcceptServer()
 	upstream.Expect("Q")
--- a/server/eviction_test.go
+++ b/server/eviction_test.go
@@ -22,7 +22,7 @@
 	upstream.Expect("Q")
 	<-h.Router.Received
 	for range 60 {
-		h.Client() // idle after the greeting, or refused
+		h.ConnectClient() // idle after the greeting, or refused
 	}
 	clients, _, _ := h.Limiter.InUse()
 	assert.LessOrEqual(t, clients, 30+2)
--- a/server/harness_test.go
+++ b/server/harness_test.go
@@ -22,7 +22,7 @@
 // newHarness returns a harness whose limiter distributes the given number of descriptors. It calls each function of configure before the
 // server starts.
 func newHarness(t *testing.T, descriptors int, configure ...func(*Server)) *harness {
-	return newHarnessWith(t, limits.SharesOf(descriptors, 0), configure...)
+	return newHarnessWith(t, limits.NewDescriptorShares(descriptors, 0), configure...)
 }
 
 // newHarnessWith is like newHarness with explicit shares of the descriptors.
@@ -51,7 +51,7 @@
 
 // serve serves one request. It returns the idle connections of its client and to the fake server.
 func (h *harness) serve() (c, server *conntest.Peer) {
-	c, server = h.Serve()
+	c, server = h.RunRequest()
 	clients, servers, _ := h.Limiter.InUse()
 	require.True(h.T, clients > 0 && servers == 1)
 	return c, server
--- a/server/messages.go
+++ b/server/messages.go
@@ -84,7 +84,7 @@
 	defer c.idleSince.Store(0)
 	// This is checked after the deadline is set: setting the deadline cancels an earlier wake, but not a later one.
 	if c.evicted.Load() || c.answered && c.endsBetweenRequests() || c.server.stage.Load() == closing {
-		tcpconn.Wake(c.tcp)
+		tcpconn.InterruptRead(c.tcp)
 	}
 	_, err := c.reader.WaitForInput()
 	return err
--- a/server/partial_messages_test.go
+++ b/server/partial_messages_test.go
@@ -47,7 +47,7 @@
 				var c, upstream *conntest.Peer
 				message := conntest.ReadQuery("4000")
 				if first {
-					c = h.Client()
+					c = h.ConnectClient()
 				} else {
 					c, upstream = h.serve()
 				}
--- a/server/refuse_test.go
+++ b/server/refuse_test.go
@@ -17,7 +17,7 @@
 func TestSlowRefusalsDoNotDelayOthers(t *testing.T) {
 	h := newHarnessWith(t, limits.DescriptorShares{Total: 40, MaxClients: 1, EvictFrom: 1, Overshoot: 0})
 	h.server.linger = time.Hour
-	h.Client().Send(conntest.ReadQuery("4000")...)
+	h.ConnectClient().Send(conntest.ReadQuery("4000")...)
 	<-h.Router.Received
 	var slow []*conntest.Peer
 	for range 3 * maxRefusals {
@@ -35,7 +35,7 @@
 // Each request that was read must be answered, also a second one that a refused connection sent together with the first.
 func TestRefusedConnectionGetsErrorForEachPipelinedRequest(t *testing.T) {
 	h := newHarnessWith(t, limits.DescriptorShares{Total: 40, MaxClients: 1, EvictFrom: 1, Overshoot: 0})
-	h.Client().Send(conntest.ReadQuery("4000")...)
+	h.ConnectClient().Send(conntest.ReadQuery("4000")...)
 	<-h.Router.Received
 	c := h.Dial()
 	part := conntest.ReadQuery("4000")[:9] // the beginning of a third request, whose rest is never sent
--- a/server/requests_test.go
+++ b/server/requests_test.go
@@ -25,12 +25,12 @@
 // pipelining clients, 28 to 190 requests a day got no answer.
 func TestPipelinedRequestsRunConcurrentlyAndAreAnsweredInOrder(t *testing.T) {
 	h := newHarness(t, 40)
-	c := h.Client()
+	c := h.ConnectClient()
 	c.Send(conntest.ReadQueries(3)...)
 	servers := map[string]*conntest.Peer{}
 	for range 3 { // all three are in flight before any is answered
 		upstream := h.AcceptServer()
-		servers[conntest.IDOf(upstream.Expect("Q"))] = upstream
+		servers[conntest.RequestIDOf(upstream.Expect("Q"))] = upstream
 	}
 	var order []string
 	for range 3 {
@@ -39,7 +39,7 @@
 	for id := range servers {
 		order = append(order, id)
 	}
-	last := conntest.IDs.Load()
+	last := conntest.LastRequestID.Load()
 	for n := last; n > last-3; n-- { // answers the last request first
 		servers[strconv.FormatInt(n, 10)].Send(conntest.RowResponse(strconv.FormatInt(n, 10))...)
 		<-h.Router.Finished
@@ -55,7 +55,7 @@
 
 func TestPipelinedReadWaitsForWriteOfItsRow(t *testing.T) {
 	h := newHarness(t, 40)
-	c := h.Client()
+	c := h.ConnectClient()
 	c.Send(bytes.Join([][]byte{conntest.WriteQuery("a", "60000"), conntest.ReadQueryOf("a", "60000"), conntest.ReadQueryOf("b", "60000")}, nil)...)
 	first, other := h.AcceptServer(), h.AcceptServer()
 	heard := []string{string(first.Expect("Q")), string(other.Expect("Q"))}
@@ -78,7 +78,7 @@
 
 func TestPipelinedRequestPastItsDeadlineIsRejectedInOrder(t *testing.T) {
 	h := newHarness(t, 40)
-	c := h.Client()
+	c := h.ConnectClient()
 	c.Send(append(conntest.WriteQuery("a", "60000"), conntest.ReadQueryOf("a", "20")...)...)
 	upstream := h.AcceptServer()
 	upstream.Expect("Q")
@@ -92,17 +92,17 @@
 
 func TestReadAheadIsBoundedByCount(t *testing.T) {
 	h := newHarness(t, 100)
-	c := h.Client()
+	c := h.ConnectClient()
 	c.Send(conntest.ReadQueries(maxPipelined + 3)...)
 	servers := map[string]*conntest.Peer{}
 	for range maxPipelined {
 		upstream := h.AcceptServer()
-		servers[conntest.IDOf(upstream.Expect("Q"))] = upstream
+		servers[conntest.RequestIDOf(upstream.Expect("Q"))] = upstream
 		<-h.Router.Received
 	}
 	h.Eventually(func() bool { return h.allClients(func(c *client) bool { return !c.mayReadAhead() }) })
 	assert.Empty(t, h.Router.Received)
-	first := conntest.IDs.Load() - maxPipelined - 2
+	first := conntest.LastRequestID.Load() - maxPipelined - 2
 	upstream := servers[strconv.FormatInt(first, 10)]
 	upstream.Send(conntest.RowResponse("v")...)
 	c.Expect("TDCZ")
@@ -127,7 +127,7 @@
 // client has to wait.
 func TestReadAheadIsBoundedByMemory(t *testing.T) {
 	h := newHarness(t, 100, messageMemoryLimit(int64(2*len(conntest.ReadQuery("60000"))+10))) // suffices for two messages besides the first
-	c := h.Client()
+	c := h.ConnectClient()
 	c.Send(conntest.ReadQueries(5)...)
 	var servers []*conntest.Peer
 	for range 3 {
@@ -161,7 +161,7 @@
 // retried.
 func TestWaitingAnswerOverMemoryLimitIsDropped(t *testing.T) {
 	h := newHarness(t, 100, answerMemoryLimit(8<<10))
-	c := h.Client()
+	c := h.ConnectClient()
 	c.Send(append(conntest.ReadQueryOf("a", "60000"), conntest.ReadQueryOf("b", "60000")...)...)
 	first, second := h.AcceptServer(), h.AcceptServer()
 	if strings.Contains(string(first.Expect("Q")), "'b'") {
@@ -181,7 +181,7 @@
 // A disconnect cancels all requests of the connection. The core is notified of those in flight, and the others are never started.
 func TestDisconnectCancelsAllPipelinedRequests(t *testing.T) {
 	h := newHarness(t, 100)
-	c := h.Client()
+	c := h.ConnectClient()
 	c.Send(append(bytes.Join([][]byte{conntest.WriteQuery("a", "60000"), conntest.ReadQueryOf("a", "60000")}, nil), conntest.ReadQueries(2*maxPipelined)...)...)
 	started := map[routing.RequestRef]bool{}
 	for range maxPipelined - 1 { // all except the read that waits for the write
@@ -204,7 +204,7 @@
 // A protocol error ends its connection. All earlier requests are answered first, and later ones are not read.
 func TestProtocolErrorIsAnsweredInOrder(t *testing.T) {
 	h := newHarness(t, 40)
-	c := h.Client()
+	c := h.ConnectClient()
 	c.Send(bytes.Join([][]byte{conntest.ReadQuery("60000"), pgwire.AppendQuery(nil, "SELECT 1"), conntest.Message('P', "x"), conntest.Message('S', ""), conntest.Message('?', ""), conntest.ReadQuery("60000")}, nil)...)
 	upstream := h.AcceptServer()
 	upstream.Expect("Q")
@@ -221,7 +221,7 @@
 // A client that has sent Terminate still receives the answers to its earlier requests.
 func TestTerminateWaitsForEarlierAnswers(t *testing.T) {
 	h := newHarness(t, 40)
-	c := h.Client()
+	c := h.ConnectClient()
 	c.Send(append(conntest.ReadQuery("60000"), conntest.Message(pgwire.TypeTerminate, "")...)...)
 	upstream := h.AcceptServer()
 	upstream.Expect("Q")
@@ -233,7 +233,7 @@
 // A message that is partly received while requests are in flight must be completed within the message timeout, like any other.
 func TestPartialMessageBehindRequestsTimesOutInOrder(t *testing.T) {
 	h := newHarness(t, 40)
-	c := h.Client()
+	c := h.ConnectClient()
 	c.Send(append(conntest.ReadQuery("60000"), conntest.ReadQuery("60000")[:20]...)...)
 	upstream := h.AcceptServer()
 	upstream.Expect("Q")
@@ -248,7 +248,7 @@
 // client sends more.
 func TestDrainAnswersPipelinedRequests(t *testing.T) {
 	h := newHarness(t, 40)
-	c := h.Client()
+	c := h.ConnectClient()
 	c.Send(conntest.ReadQueries(3)...)
 	var servers []*conntest.Peer
 	for range 3 {
@@ -289,7 +289,7 @@
 		}
 		return pgwire.ParseStatement(body)
 	})
-	c := h.Client()
+	c := h.ConnectClient()
 	c.Send(conntest.ReadQuery("4000")...)
 	upstream := h.AcceptServer()
 	upstream.Expect("Q") // the server does not answer it
--- a/server/responses.go
+++ b/server/responses.go
@@ -83,7 +83,7 @@
 // of memory until they are written, because a client may be slow to read or a response may have to wait for an earlier one.
 func (q *request) Respond(r front.Response) {
 	if q.client.inbox.add(q, r) {
-		tcpconn.Wake(q.client.tcp)
+		tcpconn.InterruptRead(q.client.tcp)
 	}
 }
 
--- a/server/server.go
+++ b/server/server.go
@@ -86,9 +86,9 @@
 		o.IdleTimeout = idleTimeout
 	}
 	s := &Server{options: o, linger: closeLinger, parse: pgwire.ParseStatement, clients: map[*client]struct{}{},
-		messageMemory: limits.NewMemory(o.MemoryBytes / limits.LongMessagesPart),
+		messageMemory: limits.NewMemory(o.MemoryBytes / limits.LongMessagesDivisor),
 		answerMemory:  limits.NewMemory(o.MemoryBytes / answerMemoryDivisor), refusals: newRefusals()}
-	o.Limiter.OnEvict(s.evictIdle)
+	o.Limiter.SetEvictClient(s.evictIdle)
 	return s
 }
 
@@ -165,7 +165,7 @@
 	}
 	s.stage.Store(stage)
 	for c := range s.clients {
-		tcpconn.Wake(c.tcp)
+		tcpconn.InterruptRead(c.tcp)
 	}
 }
 
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -68,7 +68,7 @@
 
 func TestDisconnectNoticedWhileRequestInFlight(t *testing.T) {
 	h := newHarness(t, 40)
-	c := h.Client()
+	c := h.ConnectClient()
 	c.Send(conntest.ReadQuery("4000")...)
 	h.AcceptServer().Expect("Q")
 	c.Close()
@@ -93,22 +93,22 @@
 	h := newHarnessWith(t, limits.DescriptorShares{Total: 4, MaxClients: 3, EvictFrom: 3, Overshoot: 2}) // clients may have three
 	c, upstream := h.serve()
 	h.awaitIdleClient()
-	h.Client()
-	h.Client()
+	h.ConnectClient()
+	h.ConnectClient()
 	assert.True(t, h.Limiter.AdmitServer(h.pools.EvictIdle), "evicts the idle server connection")
 	upstream.ExpectClosed()
 	assert.True(t, h.Limiter.AdmitServer(h.pools.EvictIdle), "evicts the idle client, because no server connection is idle")
 	c.ExpectClosed()
 	h = newHarnessWith(t, limits.DescriptorShares{Total: 40, MaxClients: 3, EvictFrom: 3, Overshoot: 2})
-	silent := h.Client()
+	silent := h.ConnectClient()
 	h.awaitIdleClient()
 	for range 3 {
-		h.Client().Send(conntest.ReadQuery("4000")...)
+		h.ConnectClient().Send(conntest.ReadQuery("4000")...)
 		<-h.Router.Received
 	}
 	assert.Contains(t, string(silent.Expect("E")), pgwire.CodeTooManyConnections, "a client evicted before its first request gets an error")
 	silent.ExpectClosed()
-	c = h.Client()
+	c = h.ConnectClient()
 	c.Send(conntest.ReadQuery("4000")...)
 	assert.Contains(t, string(c.Expect("E")), pgwire.CodeTooManyConnections, "refused, because all clients have a request in flight")
 	c.ExpectClosed()
@@ -159,10 +159,10 @@
 	c, _ := h.serve()
 	h.awaitIdleClient()
 	for range 9 {
-		h.Client().Send(conntest.ReadQuery("4000")...)
+		h.ConnectClient().Send(conntest.ReadQuery("4000")...)
 		<-h.Router.Received
 	}
-	h.Client()
+	h.ConnectClient()
 	c.ExpectClosed()
 }
 
@@ -177,18 +177,18 @@
 
 func TestDrainAnswersAcceptedRequests(t *testing.T) {
 	h := newHarness(t, 40)
-	idle := h.Client()
+	idle := h.ConnectClient()
 	idle.Send(pgwire.AppendQuery(nil, "")...)
 	idle.Expect("IZ")
 	h.awaitIdleClient()
-	busy := h.Client()
+	busy := h.ConnectClient()
 	busy.Send(conntest.ReadQuery("4000")...)
 	upstream := h.AcceptServer()
 	upstream.Expect("Q")
 	h.server.Drain(h.Listener)
 	idle.ExpectClosed()
 	idle.Close()
-	late := h.Client()
+	late := h.ConnectClient()
 	late.Send(conntest.ReadQuery("4000")...)
 	lateFirst := h.AcceptServer()
 	lateFirst.Expect("Q")
@@ -216,17 +216,17 @@
 func TestStandbyClosesConnectionsAndRecoveryAdmitsGradually(t *testing.T) {
 	h := newHarness(t, 40)
 	h.server.SetStandby(false, time.Hour) // has no effect, because the server was not on standby
-	idle := h.Client()
+	idle := h.ConnectClient()
 	idle.Send(pgwire.AppendQuery(nil, "")...)
 	idle.Expect("IZ")
 	h.awaitIdleClient()
-	busy := h.Client()
+	busy := h.ConnectClient()
 	busy.Send(conntest.ReadQuery("4000")...)
 	upstream := h.AcceptServer()
 	upstream.Expect("Q")
 	h.server.SetStandby(true, 0)
 	idle.ExpectClosed()
-	late := h.Client()
+	late := h.ConnectClient()
 	late.Send(conntest.ReadQuery("4000")...)
 	assert.Contains(t, string(late.Expect("E")), pgwire.CodeTooManyConnections)
 	upstream.Send(conntest.RowResponse("v")...)
@@ -243,5 +243,5 @@
 	h.server.standby.recovery.Store(1)
 	assert.False(t, h.server.standby.refuses(h.Clock.Now()))
 	assert.Zero(t, h.server.standby.state.Load(), "all connections are admitted again")
-	h.Client()
+	h.ConnectClient()
 }
--- a/sqlclass/classifier.go
+++ b/sqlclass/classifier.go
@@ -112,7 +112,7 @@
 // Classify returns the normal form of a text with its classification, and the text's details. A syntax error means that
 // no server would accept the text; it must not be sent. Texts with the same normal form share a NormalizedStatement while
 // it is cached.
-func (c *Classifier) Classify(text []byte) (*NormalizedStatement, Details, *SyntaxError) {
+func (c *Classifier) Classify(text []byte) (*NormalizedStatement, TextDetails, *SyntaxError) {
 	w := c.scratch.Get().(*scratch)
 	s, details, err := c.classify(w, text)
 	w.release()
@@ -121,9 +121,9 @@
 }
 
 // classify is Classify with the given working memory.
-func (c *Classifier) classify(w *scratch, text []byte) (*NormalizedStatement, Details, *SyntaxError) {
+func (c *Classifier) classify(w *scratch, text []byte) (*NormalizedStatement, TextDetails, *SyntaxError) {
 	if err := checkEncoding(text); err != nil {
-		return nil, Details{}, err
+		return nil, TextDetails{}, err
 	}
 	normal, details, err := w.scan.Normalize(w.text[:0], text)
 	w.text = normal
--- a/sqlclass/classifier_test.go
+++ b/sqlclass/classifier_test.go
@@ -270,7 +270,7 @@
 
 func TestEstimatesFollowMeasurementsAndDecay(t *testing.T) {
 	c := New(Options{CacheBytes: 1 << 20})
-	classify := func(text string) (*NormalizedStatement, Details) {
+	classify := func(text string) (*NormalizedStatement, TextDetails) {
 		s, details, syntaxErr := c.Classify([]byte(text))
 		require.Nil(t, syntaxErr)
 		return s, details
@@ -299,10 +299,10 @@
 
 func TestRulesMatchByClassVerbTablesAndCost(t *testing.T) {
 	c := New(Options{CacheBytes: 1 << 20, Rules: []Rule{
-		{Type: "book", Class: Write, Verbs: []string{"insert"}, Tables: []string{"bookings"}},
-		{Type: "other-write", Class: Write},
-		{Type: "report", Class: Read, Above: 20 * time.Millisecond},
-		{Type: "browse", Class: Read, Tables: []string{"slots", "houses"}, Below: 20 * time.Millisecond},
+		{RequestType: "book", Class: Write, Verbs: []string{"insert"}, Tables: []string{"bookings"}},
+		{RequestType: "other-write", Class: Write},
+		{RequestType: "report", Class: Read, MinEstimate: 20 * time.Millisecond},
+		{RequestType: "browse", Class: Read, Tables: []string{"slots", "houses"}, MaxEstimate: 20 * time.Millisecond},
 	}})
 	for _, q := range []struct {
 		text string
--- a/sqlclass/cost.go
+++ b/sqlclass/cost.go
@@ -62,10 +62,10 @@
 }
 
 // EstimatedRows returns the estimated number of rows that a text touches, from its normal form and details alone.
-func (s *NormalizedStatement) EstimatedRows(d *Details) float64 { return s.rows.forDetails(d) }
+func (s *NormalizedStatement) EstimatedRows(d *TextDetails) float64 { return s.rows.forDetails(d) }
 
 // Estimate returns the expected latency of a text at a server, from its estimated rows and the measurements.
-func (c *Classifier) Estimate(s *NormalizedStatement, d *Details) time.Duration {
+func (c *Classifier) Estimate(s *NormalizedStatement, d *TextDetails) time.Duration {
 	x := math.Log(s.EstimatedRows(d))
 	a, b := c.costs.line()
 	y := a + b*x
@@ -80,7 +80,7 @@
 
 // Observe records the measured latency of a text at a server: the time from the first byte sent to the last byte received.
 // A latency of 0 or less is ignored.
-func (c *Classifier) Observe(s *NormalizedStatement, d *Details, took time.Duration) {
+func (c *Classifier) Observe(s *NormalizedStatement, d *TextDetails, took time.Duration) {
 	if took <= 0 {
 		return
 	}
--- a/sqlclass/normalize.go
+++ b/sqlclass/normalize.go
@@ -5,21 +5,21 @@
 	"slices"
 )
 
-// Details are the parts of a text that its normal form leaves out.
-type Details struct {
+// TextDetails are the parts of a text that its normal form leaves out.
+type TextDetails struct {
 	ListItems   int    // number of literals in lists that the normal form replaces with (?+)
 	Limit       int    // the number after the last LIMIT or FETCH FIRST; -1 for none
 	FirstString []byte // the content of the first string literal, without unescaping; nil for none
 	LastComment [2]int // start and end offset of the content of the last block comment; {-1, -1} for none
 }
 
-const maxListItems = 1 << 20 // upper limit of Details.ListItems
+const maxListItems = 1 << 20 // upper limit of TextDetails.ListItems
 
 // normalizer builds the normal form of one text, token by token.
 type normalizer struct {
 	text    []byte
 	out     []byte // the normal form
-	details Details
+	details TextDetails
 
 	previous     previousToken
 	afterLiteral bool // the previous token was a literal
@@ -53,9 +53,9 @@
 //
 // Normalize handles the most frequent tokens itself, selected by their first byte, and uses Next for all others. Otherwise a
 // cache hit would spend most of its time on passing tokens between functions.
-func (s *Scanner) Normalize(b, text []byte) ([]byte, Details, *SyntaxError) {
+func (s *Scanner) Normalize(b, text []byte) ([]byte, TextDetails, *SyntaxError) {
 	s.Reset(text)
-	n := normalizer{text: text, out: b, details: Details{Limit: -1}, rowsStart: -1}
+	n := normalizer{text: text, out: b, details: TextDetails{Limit: -1}, rowsStart: -1}
 	for i := 0; i < len(text); {
 		c := text[i]
 		switch leadClass[c] {
--- a/sqlclass/rowestimate.go
+++ b/sqlclass/rowestimate.go
@@ -15,7 +15,7 @@
 }
 
 // forDetails returns the estimate for a text with the given details, in rows touched. It is at least 1.
-func (e *rowEstimate) forDetails(d *Details) float64 {
+func (e *rowEstimate) forDetails(d *TextDetails) float64 {
 	rows := e.rows + e.perListItem*float64(d.ListItems)
 	if e.limitApplies && d.Limit >= 0 {
 		rows = min(rows, 1+float64(d.Limit))
--- a/sqlclass/rules.go
+++ b/sqlclass/rules.go
@@ -7,18 +7,18 @@
 
 // Rule assigns a request type to the statements that match it. A condition that is left out matches every statement.
 type Rule struct {
-	Type   string        // request type
-	Class  Class         // Unknown matches every class; Write also matches Unknown statements
-	Verbs  []string      // matches if the statement's verb is one of them
-	Tables []string      // matches if the statement names at least one of them
-	Below  time.Duration // the estimated latency is less than Below; 0 for no upper limit
-	Above  time.Duration // the estimated latency is at least Above
+	RequestType string        // assigned request type
+	Class       Class         // Unknown matches every class; Write also matches Unknown statements
+	Verbs       []string      // matches if the statement's verb is one of them
+	Tables      []string      // matches if the statement names at least one of them
+	MaxEstimate time.Duration // the estimated latency is less than MaxEstimate; 0 for no upper limit
+	MinEstimate time.Duration // the estimated latency is at least MinEstimate
 }
 
 // MaxRules is the maximum number of rules: NormalizedStatement has one bit for each.
 const MaxRules = 64
 
-// matches reports whether the rule's conditions other than Above and Below are met.
+// matches reports whether the rule's conditions other than MinEstimate and MaxEstimate are met.
 func (r *Rule) matches(c *Classification) bool {
 	write := c.Class != Read
 	return (r.Class == Unknown || (r.Class == Write) == write) &&
@@ -30,7 +30,7 @@
 func (r *Rule) covers(other *Rule) bool {
 	return (r.Class == Unknown || r.Class == other.Class) &&
 		coversNames(r.Verbs, other.Verbs) && coversNames(r.Tables, other.Tables) &&
-		r.Above <= other.Above && (r.Below == 0 || other.Below > 0 && other.Below <= r.Below)
+		r.MinEstimate <= other.MinEstimate && (r.MaxEstimate == 0 || other.MaxEstimate > 0 && other.MaxEstimate <= r.MaxEstimate)
 }
 
 // coversNames reports whether a condition on names is met whenever the condition on others is met. An empty list is no
@@ -42,7 +42,7 @@
 	return len(others) > 0 && !slices.ContainsFunc(others, func(n string) bool { return !slices.Contains(names, n) })
 }
 
-// matchingRules returns a bit set of the rules whose conditions other than Above and Below are met.
+// matchingRules returns a bit set of the rules whose conditions other than MinEstimate and MaxEstimate are met.
 func matchingRules(rules []Rule, c *Classification) (matching uint64) {
 	for i := range rules {
 		if rules[i].matches(c) {
@@ -57,7 +57,7 @@
 func (c *Classifier) MatchRule(s *NormalizedStatement, estimate time.Duration) int {
 	for i := range c.rules {
 		r := &c.rules[i]
-		if s.matchingRules&(1<<i) != 0 && estimate >= r.Above && (r.Below == 0 || estimate < r.Below) {
+		if s.matchingRules&(1<<i) != 0 && estimate >= r.MinEstimate && (r.MaxEstimate == 0 || estimate < r.MaxEstimate) {
 			return i
 		}
 	}
