--- a/sqlclass/settings.go
+++ b/sqlclass/settings.go
@@ -160,7 +160,7 @@
 func (s *Settings) addRule(f *config.Form) {
 	r, abovePosition := readRule(f)
 	switch {
-	case r.Below > 0 && r.Above >= r.Below:
+	case r.MaxEstimate > 0 && r.MinEstimate >= r.MaxEstimate:
 		f.Errorf(abovePosition, "above must be less than below", "%s fits no statement", f.Name)
 	case len(s.Rules) == MaxRules:
 		f.Errorf(f.Position, "combine some of them", "more than %d types", MaxRules)
@@ -168,7 +168,7 @@
 	}
 	for i, earlier := range s.Rules {
 		if earlier.covers(&r) {
-			f.Errorf(f.Position, "put the narrower one first", "%s can never fit: %s at %s takes all that it would", f.Name, earlier.Type,
+			f.Errorf(f.Position, "put the narrower one first", "%s can never fit: %s at %s takes all that it would", f.Name, earlier.RequestType,
 				s.RulePositions[i])
 			break
 		}
@@ -178,7 +178,7 @@
 
 // readRule reads a rule. It also returns the position of the subform above, if the rule has one.
 func readRule(f *config.Form) (r Rule, above config.Position) {
-	r.Type = f.Name
+	r.RequestType = f.Name
 	forms := f.Forms("class", "verbs", "tables", "below", "above")
 	if class := forms["class"]; class != nil {
 		switch class.Choice("read", "write") {
@@ -199,10 +199,10 @@
 		}
 	}
 	if below := forms["below"]; below != nil {
-		r.Below = below.Duration()
+		r.MaxEstimate = below.Duration()
 	}
 	if a := forms["above"]; a != nil {
-		r.Above, above = a.Duration(), a.Position
+		r.MinEstimate, above = a.Duration(), a.Position
 	}
 	return r, above
 }
--- a/tcpconn/tcpconn.go
+++ b/tcpconn/tcpconn.go
@@ -30,8 +30,8 @@
 // SetDeadline sets the deadlines of reads and writes.
 func SetDeadline(conn *net.TCPConn, at time.Time) { _ = conn.SetDeadline(at) }
 
-// Wake ends a blocked read. The read returns an error for which IsTimeout is true.
-func Wake(conn *net.TCPConn) { SetReadDeadline(conn, Past) }
+// InterruptRead ends a blocked read. The read returns an error for which IsTimeout is true.
+func InterruptRead(conn *net.TCPConn) { SetReadDeadline(conn, Past) }
 
 // Close closes a connection. It ignores the error, because the descriptor is released in any case.
 func Close(conn *net.TCPConn) { _ = conn.Close() }
--- a/testsupport/conntest/harness.go
+++ b/testsupport/conntest/harness.go
@@ -21,7 +21,7 @@
 	"dapplerouter/routing"
 )
 
-// waitTimeout is how long Within waits before it fails the test; it is long enough for a busy machine.
+// waitTimeout is how long WaitClosed waits before it fails the test; it is long enough for a busy machine.
 const waitTimeout = 15 * time.Second
 
 // Harness runs a core between the client connections of a test and the connections to a fake server.
@@ -61,7 +61,7 @@
 			return h.Router
 		},
 	})
-	h.List(h.Upstream.Addr().String(), 0)
+	h.PostEndpoints(h.Upstream.Addr().String(), 0)
 	stop := make(chan struct{})
 	var running sync.WaitGroup
 	running.Go(func() { h.Core.Run(h.Clock, stop) })
@@ -73,9 +73,9 @@
 	})
 }
 
-// Serve runs one request from a client to the fake server and back. It returns the two connections, which are idle again.
-func (h *Harness) Serve() (client, server *Peer) {
-	client = h.Client()
+// RunRequest runs one request from a client to the fake server and back. It returns the two connections, which are idle again.
+func (h *Harness) RunRequest() (client, server *Peer) {
+	client = h.ConnectClient()
 	client.Send(ReadQuery("4000")...)
 	server = h.AcceptServer()
 	server.Expect("Q")
@@ -85,8 +85,8 @@
 	return client, server
 }
 
-// List posts an endpoint list with one server. since is the start time of that server in Unix milliseconds.
-func (h *Harness) List(address string, since int64) {
+// PostEndpoints posts an endpoint list with one server. since is the start time of that server in Unix milliseconds.
+func (h *Harness) PostEndpoints(address string, since int64) {
 	h.Core.Post(front.EndpointsChanged{Kind: routing.Snapshot, List: discovery.List{Endpoints: []discovery.Endpoint{
 		{Name: "s-1", Address: address, Zone: "a", Group: 2, StartedAtMillis: since}}}})
 }
@@ -98,8 +98,8 @@
 	return NewPeer(h.T, c)
 }
 
-// Client connects a client, sends its startup message and reads the greeting.
-func (h *Harness) Client() *Peer {
+// ConnectClient connects a client, sends its startup message and reads the greeting.
+func (h *Harness) ConnectClient() *Peer {
 	p := h.Dial()
 	p.Send(pgwire.AppendStartup(nil, "portal", "crm")...)
 	p.Expect("RSSSSZ")
@@ -119,12 +119,12 @@
 // AcceptServer accepts a connection to the fake server, reads its startup message and sends the greeting.
 func (h *Harness) AcceptServer() *Peer {
 	p := h.AcceptStartup()
-	p.Send(pgwire.AppendGreeting(nil)...)
+	p.Send(pgwire.AppendStartupResponse(nil)...)
 	return p
 }
 
-// AnswerAll makes the fake server respond to every statement with one row. It returns a counter of the statements received.
-func (h *Harness) AnswerAll() *atomic.Int64 {
+// RespondToAll makes the fake server respond to every statement with one row. It returns a counter of the statements received.
+func (h *Harness) RespondToAll() *atomic.Int64 {
 	var statements atomic.Int64
 	go func() {
 		for {
@@ -145,7 +145,7 @@
 	if _, err := reader.ReadStartup(); err != nil {
 		return
 	}
-	if _, err := conn.Write(pgwire.AppendGreeting(nil)); err != nil {
+	if _, err := conn.Write(pgwire.AppendStartupResponse(nil)); err != nil {
 		return
 	}
 	for {
@@ -180,8 +180,8 @@
 	require.Eventually(h.T, condition, 10*time.Second, time.Millisecond)
 }
 
-// Within waits until a channel is closed, and fails the test with the message failure after waitTimeout.
-func Within(t *testing.T, failure string, done <-chan struct{}) {
+// WaitClosed waits until a channel is closed, and fails the test with the message failure after waitTimeout.
+func WaitClosed(t *testing.T, failure string, done <-chan struct{}) {
 	t.Helper()
 	select {
 	case <-done:
--- a/testsupport/conntest/messages.go
+++ b/testsupport/conntest/messages.go
@@ -15,11 +15,11 @@
 	"dapplerouter/pgwire"
 )
 
-// IDs is the id of the last request. Each of the statements below takes the next id and carries it in its comment.
-var IDs atomic.Int64
+// LastRequestID is the id of the last request. Each of the statements below takes the next id and carries it in its comment.
+var LastRequestID atomic.Int64
 
-// IDOf returns the request id in the comment of a statement.
-func IDOf(query []byte) string {
+// RequestIDOf returns the request id in the comment of a statement.
+func RequestIDOf(query []byte) string {
 	_, after, _ := bytes.Cut(query, []byte("id="))
 	id, _, _ := bytes.Cut(after, []byte(","))
 	return string(id)
@@ -31,7 +31,7 @@
 // ReadQueryOf returns a Query message with a statement that reads the row of a key. Its deadline is in milliseconds.
 func ReadQueryOf(key, deadline string) []byte {
 	return pgwire.AppendQuery(nil, fmt.Sprintf("SELECT data FROM facts WHERE code = '%s' /* id=%d,c=read,d=%s,cluster=2 */",
-		key, IDs.Add(1), deadline))
+		key, LastRequestID.Add(1), deadline))
 }
 
 // ReadQueries returns n Query messages, each with a statement that reads a row and has a deadline of one minute.
@@ -46,7 +46,7 @@
 func WriteQuery(key, deadline string) []byte {
 	return pgwire.AppendQuery(nil, fmt.Sprintf(
 		"INSERT INTO facts (code, data) VALUES ('%s', '\\x00') RETURNING data /* id=%d,c=write,d=%s,cluster=2 */",
-		key, IDs.Add(1), deadline))
+		key, LastRequestID.Add(1), deadline))
 }
 
 // Message returns an encoded message of a type.
--- a/testsupport/fakeserver/cost_test.go
+++ b/testsupport/fakeserver/cost_test.go
@@ -106,7 +106,7 @@
 	r := rand.New(rand.NewPCG(3, 5))
 	type execution struct {
 		s        *sqlclass.NormalizedStatement
-		f        sqlclass.Details
+		f        sqlclass.TextDetails
 		took     time.Duration
 		estimate time.Duration
 	}
--- a/testsupport/fakeserver/server.go
+++ b/testsupport/fakeserver/server.go
@@ -23,7 +23,7 @@
 	Cores           int           // statements that a server runs concurrently; others wait
 	Servers         []*Server
 	ForeignServers  []*Server    // servers of other groups that this group's endpoint list also contains
-	Primary         atomic.Int64 // index of the primary in Servers
+	PrimaryIndex    atomic.Int64 // index of the primary in Servers
 	ReplicaLag      atomic.Int64 // nanoseconds by which replicas lag behind the primary
 	WallClockOffset atomic.Int64 // nanoseconds by which the servers' wall clocks are ahead of this process's
 
@@ -161,7 +161,7 @@
 	s.fault = f
 }
 
-func (s *Server) isPrimary() bool { return s.group.Primary.Load() == int64(s.index) }
+func (s *Server) isPrimary() bool { return s.group.PrimaryIndex.Load() == int64(s.index) }
 
 // accept accepts connections and serves each in its own goroutine, until the listener is closed.
 func (s *Server) accept() {
@@ -206,7 +206,7 @@
 		}
 	}
 	time.Sleep(s.currentGreetingDelay())
-	if _, err := c.Write(pgwire.AppendGreeting(nil)); err != nil {
+	if _, err := c.Write(pgwire.AppendStartupResponse(nil)); err != nil {
 		return
 	}
 	for {
--- a/upstream/conn.go
+++ b/upstream/conn.go
@@ -38,7 +38,7 @@
 // pass passes the next attempt, or nil to close it, to a connection that was removed from its pool. It does not block.
 func (c *conn) pass(a *front.Attempt) {
 	c.next <- a
-	tcpconn.Wake(c.tcp)
+	tcpconn.InterruptRead(c.tcp)
 }
 
 // serve is the goroutine of a connection. It opens the connection, sends the first attempt and all later ones, and closes the connection.
@@ -106,7 +106,7 @@
 
 // readResult reads the server's response to an attempt. It returns false if the connection cannot be reused.
 func (c *conn) readResult(result *front.AttemptFinished) bool {
-	answer := &result.Answer
+	answer := &result.Result
 	answer.AnyStatement, answer.MaxBytes = c.pools.anyResult, c.pools.maxMessage
 	c.reader.CheckMessage = answer.CheckMessage
 	for {
--- a/upstream/dial.go
+++ b/upstream/dial.go
@@ -86,7 +86,7 @@
 		var err error
 		complete, err = c.readMessage(&greeting)
 		if greeting.Code != "" {
-			return &RejectedError{Answer: greeting}
+			return &RejectedError{Result: greeting}
 		}
 		if err != nil {
 			return err
@@ -102,8 +102,8 @@
 func (c *conn) postOpenError(a *front.Attempt, err error) {
 	var rejected *RejectedError
 	switch {
-	case errors.As(err, &rejected) && rejected.Answer.Code == pgwire.CodeTooManyConnections:
-		c.pools.options.Post(&front.AttemptFinished{Attempt: a, Answer: rejected.Answer})
+	case errors.As(err, &rejected) && rejected.Result.Code == pgwire.CodeTooManyConnections:
+		c.pools.options.Post(&front.AttemptFinished{Attempt: a, Result: rejected.Result})
 	case isLocal(err):
 		c.pools.postError(a, front.StageLocal, err)
 	default:
--- a/upstream/dial_test.go
+++ b/upstream/dial_test.go
@@ -30,8 +30,8 @@
 				}
 				return nil
 			}
-			h.AnswerAll()
-			client := h.Client()
+			h.RespondToAll()
+			client := h.ConnectClient()
 			client.Send(conntest.ReadQuery("4000")...)
 			assert.Equal(t, routing.Succeeded, (<-h.Router.Finished).Result)
 			assert.EqualValues(t, 4, tries.Load())
@@ -41,7 +41,7 @@
 		h := newHarness(t, 40)
 		h.pools.options.DialTimeout = 400 * time.Millisecond // a delay of 0.15 s is less than half of the timeout
 		h.pools.dialControl = func(string, string, syscall.RawConn) error { return os.NewSyscallError("connect", syscall.ENOBUFS) }
-		client := h.Client()
+		client := h.ConnectClient()
 		client.Send(conntest.ReadQuery("4000")...)
 		assert.Equal(t, routing.NotSent, (<-h.Router.Finished).Result)
 		client.Expect("EZ")
@@ -61,7 +61,7 @@
 		time.Sleep(20 * time.Millisecond) // a slow machine: the deadline passes before the connect
 		return nil
 	}
-	client := h.Client()
+	client := h.ConnectClient()
 	client.Send(conntest.ReadQuery("4000")...)
 	assert.Equal(t, routing.NotSent, (<-h.Router.Finished).Result)
 	client.Expect("EZ")
@@ -79,7 +79,7 @@
 		time.Sleep(1020 * time.Millisecond)
 		return nil
 	}
-	h.Client().Send(conntest.ReadQuery("4000")...)
+	h.ConnectClient().Send(conntest.ReadQuery("4000")...)
 	assert.Equal(t, routing.Unreachable, (<-h.Router.Finished).Result)
 }
 
@@ -88,7 +88,7 @@
 	for _, number := range []syscall.Errno{syscall.ECONNREFUSED, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET} {
 		h := newHarness(t, 40)
 		h.pools.dialControl = func(string, string, syscall.RawConn) error { return os.NewSyscallError("connect", number) }
-		h.Client().Send(conntest.ReadQuery("4000")...)
+		h.ConnectClient().Send(conntest.ReadQuery("4000")...)
 		assert.Equal(t, routing.Unreachable, (<-h.Router.Finished).Result, number.Error())
 	}
 }
--- a/upstream/errors.go
+++ b/upstream/errors.go
@@ -18,8 +18,8 @@
 
 // RejectedError means that a server responded to the startup message with an error.
 type RejectedError struct {
-	Answer pgwire.QueryResult // Code is not empty
+	Result pgwire.QueryResult // Code is not empty
 }
 
 // Error implements error.
-func (e *RejectedError) Error() string { return "server rejected the connection with " + e.Answer.Code }
+func (e *RejectedError) Error() string { return "server rejected the connection with " + e.Result.Code }
--- a/upstream/errors_test.go
+++ b/upstream/errors_test.go
@@ -14,7 +14,7 @@
 
 // Operators distinguish the causes of failed connections in the log, so each failure must carry its own cause.
 func TestConnectionErrorCauses(t *testing.T) {
-	greeting := pgwire.AppendGreeting(nil)
+	greeting := pgwire.AppendStartupResponse(nil)
 	for name, x := range map[string]struct {
 		act   func(h *harness)
 		check func(t *testing.T, stage front.FailureStage, cause error)
@@ -34,7 +34,7 @@
 			func(t *testing.T, stage front.FailureStage, cause error) {
 				var rejected *RejectedError
 				require.ErrorAs(t, cause, &rejected)
-				assert.Equal(t, "28P01", rejected.Answer.Code)
+				assert.Equal(t, "28P01", rejected.Result.Code)
 				assert.Equal(t, front.StageDial, stage)
 			},
 		},
--- a/upstream/harness_test.go
+++ b/upstream/harness_test.go
@@ -20,7 +20,7 @@
 }
 
 func newHarness(t *testing.T, descriptors int) *harness {
-	h := &harness{Harness: conntest.New(t, limits.NewDescriptors(limits.SharesOf(descriptors, 0)))}
+	h := &harness{Harness: conntest.New(t, limits.NewDescriptors(limits.NewDescriptorShares(descriptors, 0)))}
 	h.pools = NewPools(Options{Post: h.Post, Limiter: h.Limiter, User: "portal", Database: "crm", DialTimeout: 5 * time.Second,
 		IdleTimeout: time.Minute, MemoryBytes: 32 << 20})
 	h.server = server.New(server.Options{Post: h.Post, Limiter: h.Limiter, Clock: h.Clock, WriteTimeout: 5 * time.Second,
@@ -31,7 +31,7 @@
 
 // serve completes one request and returns its client connection and its server connection, both idle.
 func (h *harness) serve() (client, upstream *conntest.Peer) {
-	client, upstream = h.Serve()
+	client, upstream = h.RunRequest()
 	require.Equal(h.T, 1, h.idle())
 	return client, upstream
 }
--- a/upstream/pools.go
+++ b/upstream/pools.go
@@ -50,7 +50,7 @@
 // the protocol's documentation states.
 func NewPools(o Options) *Pools {
 	return &Pools{options: o, idleTimeout: o.IdleTimeout - o.IdleTimeout/20, maxMessage: int(o.MemoryBytes / maxMessagesInMemory),
-		bodies: limits.NewMemory(o.MemoryBytes / limits.LongMessagesPart)}
+		bodies: limits.NewMemory(o.MemoryBytes / limits.LongMessagesDivisor)}
 }
 
 // AllowAnyResult accepts the result of any statement: any number of rows of any width, up to the maximum length of a message in total.
--- a/upstream/pools_test.go
+++ b/upstream/pools_test.go
@@ -23,16 +23,16 @@
 // router cancels nothing, because the deployment forbids cancellation, and while the core is busy.
 func TestNothingSentForClientThatLeftDuringDial(t *testing.T) {
 	h := newHarness(t, 40)
-	client := h.Client()
+	client := h.ConnectClient()
 	client.Send(conntest.ReadQuery("4000")...)
 	upstream := h.AcceptStartup() // the greeting is sent below
 	<-h.Router.Received
 	client.Close()
 	<-h.Router.Gone // the router does not cancel the attempt
-	upstream.Send(pgwire.AppendGreeting(nil)...)
+	upstream.Send(pgwire.AppendStartupResponse(nil)...)
 	assert.Equal(t, routing.NotSent, (<-h.Router.Finished).Result)
 	h.awaitIdle(1) // the connection is kept for other requests
-	client = h.Client()
+	client = h.ConnectClient()
 	client.Send(conntest.ReadQuery("4000")...)
 	second := <-h.Router.Received
 	upstream.Expect("Q")
@@ -44,11 +44,11 @@
 // A server connection that opens after its request has timed out carries nothing of the request and is kept for other requests.
 func TestLateConnectionIsKeptIdle(t *testing.T) {
 	h := newHarness(t, 40)
-	client := h.Client()
+	client := h.ConnectClient()
 	client.Send(conntest.ReadQuery("60")...)
 	upstream := h.AcceptStartup()
 	assert.Contains(t, string(client.Expect("EZ")), pgwire.CodeTransactionRollback)
-	upstream.Send(pgwire.AppendGreeting(nil)...)
+	upstream.Send(pgwire.AppendStartupResponse(nil)...)
 	h.awaitIdle(1)
 	client.Send(conntest.ReadQuery("4000")...)
 	upstream.Expect("Q")
@@ -63,7 +63,7 @@
 	held := func() int64 { return h.pools.bodies.Reserved() }
 	h.pools.bodies = limits.NewMemory(300 << 10)
 	long := conntest.RowResponse(strings.Repeat("v", 200<<10))
-	first, second := h.Client(), h.Client()
+	first, second := h.ConnectClient(), h.ConnectClient()
 	first.Send(conntest.ReadQuery("4000")...)
 	upstream := h.AcceptServer()
 	upstream.Expect("Q")
@@ -85,7 +85,7 @@
 	h := newHarness(t, 60)
 	held := func() int64 { return h.pools.bodies.Reserved() }
 	long := conntest.RowResponse(strings.Repeat("v", 200<<10))
-	client := h.Client()
+	client := h.ConnectClient()
 	client.Send(conntest.ReadQuery("4000")...)
 	upstream := h.AcceptServer()
 	upstream.Expect("Q")
@@ -98,7 +98,7 @@
 
 func TestTimedOutAttemptIsCancelledAtServer(t *testing.T) {
 	h := newHarness(t, 40)
-	client := h.Client()
+	client := h.ConnectClient()
 	client.Send(conntest.ReadQuery("60")...)
 	upstream := h.AcceptServer()
 	upstream.Expect("Q")
@@ -121,10 +121,10 @@
 		"closed before greeting": {func(h *harness) { h.AcceptStartup().Close() }, routing.Unreachable},
 		"malformed greeting":     {func(h *harness) { h.AcceptStartup().Send(conntest.Message('?', "")...) }, routing.Unreachable},
 		"a result with the greeting": {func(h *harness) {
-			h.AcceptStartup().Send(append(pgwire.AppendGreeting(nil), conntest.RowResponse("v")...)...)
+			h.AcceptStartup().Send(append(pgwire.AppendStartupResponse(nil), conntest.RowResponse("v")...)...)
 		}, routing.Unreachable},
 		"half a row with the greeting": {func(h *harness) {
-			h.AcceptStartup().Send(append(pgwire.AppendGreeting(nil), conntest.Row("v")[:20]...)...)
+			h.AcceptStartup().Send(append(pgwire.AppendStartupResponse(nil), conntest.Row("v")[:20]...)...)
 		}, routing.Unreachable},
 		"closed with the greeting": {func(h *harness) { // TCP_CORK sends the greeting and the FIN in one segment
 			upstream := h.AcceptStartup()
@@ -132,7 +132,7 @@
 			require.NoError(h.T, err)
 			raw.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_CORK, 1) })
 			require.NoError(h.T, err)
-			upstream.Send(pgwire.AppendGreeting(nil)...)
+			upstream.Send(pgwire.AppendStartupResponse(nil)...)
 			upstream.Close()
 		}, routing.Unreachable},
 		"rejected at startup": {func(h *harness) {
@@ -179,7 +179,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 40)
-			client := h.Client()
+			client := h.ConnectClient()
 			if x.want == routing.Unreachable && name == "connection refused" {
 				x.act(h)
 				client.Send(conntest.ReadQuery("4000")...)
@@ -221,7 +221,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 40)
-			client := h.Client()
+			client := h.ConnectClient()
 			client.Send(conntest.ReadQuery("4000")...)
 			upstream := h.AcceptServer()
 			upstream.Expect("Q")
@@ -278,7 +278,7 @@
 		seen <- err
 		post(e)
 	}
-	h.Client().Send(conntest.ReadQuery("4000")...)
+	h.ConnectClient().Send(conntest.ReadQuery("4000")...)
 	upstream := h.AcceptServer()
 	upstream.Expect("Q")
 	upstream.Send(conntest.Message('?', "")...)
@@ -290,11 +290,11 @@
 func TestConnectionsBeforeServerRestartAreClosed(t *testing.T) {
 	h := newHarness(t, 40)
 	_, upstream := h.serve()
-	h.List(h.Upstream.Addr().String(), time.Now().Add(time.Hour).UnixMilli())
+	h.PostEndpoints(h.Upstream.Addr().String(), time.Now().Add(time.Hour).UnixMilli())
 	upstream.ExpectClosed()
 	h = newHarness(t, 40)
 	_, upstream = h.serve()
-	h.List("127.0.0.1:1", 0)
+	h.PostEndpoints("127.0.0.1:1", 0)
 	upstream.ExpectClosed() // the server's address has changed
 }
 
--- a/upstream/server_bytes_test.go
+++ b/upstream/server_bytes_test.go
@@ -35,13 +35,13 @@
 	const file = "testdata/server_messages.txt"
 	h := newHarness(t, 40)
 	h.DiscardEvents()
-	client := h.Client()
+	client := h.ConnectClient()
 	client.Send(pgwire.AppendQuery(nil, "SELECT data FROM facts WHERE code = 'k' /* id=r1,c=read,d=60000,cluster=2 */")...)
 	conn, err := h.Upstream.Accept()
 	require.NoError(t, err)
 	upstream := conntest.NewPeer(t, conn)
 	conntest.AssertRecorded(t, file, "startup", string(rawMessage(t, upstream, 4)))
-	upstream.Send(pgwire.AppendGreeting(nil)...)
+	upstream.Send(pgwire.AppendStartupResponse(nil)...)
 	timeout := regexp.MustCompile(`\bd=(\d+)`)
 	for i, statement := range []string{"",
 		`SELECT data  FROM facts WHERE code = 'it''s' /* id=r2,c=read,t=acme,d=60000,k=5c,cluster=2,after=17,new=1 */ ; `,
