--- a/front/classify.go
+++ b/front/classify.go
@@ -57,7 +57,8 @@
 	return all
 }
 
-// ValidateClassification checks the operator's rules against the deployment's request types. The error is a config.ErrorList.
+// ValidateClassification checks the operator's rules against the deployment's request types: each rule must name one of them, and a rule
+// for writes must name a type that writes. The error is a config.ErrorList with all violations, nil if there are none.
 func ValidateClassification(classification *sqlclass.Settings, settings *deployment.Settings) error {
 	var errs config.ErrorList
 	for i, rule := range classification.Rules {
@@ -118,7 +119,9 @@
 	}
 }
 
-// totals returns the classifier's counters as log attributes for LogTotals.
+// totals returns the classifier's counters as alternating names and values, the form that slog takes as attributes. LogTotals appends
+// them to its own. They cover classified statements since the start: how many there were, how many were matched by a rule, matched none or
+// were undeclared writes, and the present size and the use of the statement cache.
 func (k *classifier) totals() []any {
 	t := k.statements.Stats()
 	return []any{"classified", k.classified, "by_rule", k.byRule, "unmatched", k.unmatched, "undeclared_writes", k.undeclaredWrites,
--- a/front/pipeline.go
+++ b/front/pipeline.go
@@ -34,10 +34,11 @@
 	pipelineAnswered
 )
 
-// Len returns the number of requests in the pipeline.
+// Len returns the number of requests in the pipeline, in any state: those whose responses have not been taken yet.
 func (p *Pipeline[T]) Len() int { return len(p.queue) }
 
-// Add appends a request to the pipeline. statement is nil if the response is already known.
+// Add appends a request to the pipeline. statement is nil if the response is already known; the request is then not started. The caller
+// calls MarkAnswered of the returned entry once the response is known.
 func (p *Pipeline[T]) Add(request T, statement *pgwire.Statement) *PipelineEntry[T] {
 	entry := &PipelineEntry[T]{Request: request, statement: statement}
 	if statement == nil {
@@ -69,8 +70,9 @@
 	return false
 }
 
-// dependent reports whether two statements must run one after the other. A classified statement may touch other rows than the one that
-// it names, so it depends on every other statement unless both are reads.
+// dependent reports whether two statements must run one after the other. Two reads never do. If at least one is a write, two statements
+// that are not classified depend on each other if they name the same group and the same key. A classified statement may touch other rows
+// than the one that it names, so it depends on every other statement unless both are reads.
 func dependent(earlier, later *pgwire.Statement) bool {
 	if !earlier.Write && !later.Write {
 		return false
@@ -98,7 +100,8 @@
 	return request, true
 }
 
-// Abandon empties the pipeline of a client that has disconnected. It returns the running requests and the others separately.
+// Abandon empties the pipeline of a client that has disconnected. It returns the running requests, and separately the others: those that
+// were not started and those whose responses are known.
 func (p *Pipeline[T]) Abandon() (running, others []T) {
 	for _, entry := range p.queue {
 		if entry.state == pipelineRunning {
--- a/front/request.go
+++ b/front/request.go
@@ -53,7 +53,8 @@
 	return ClientGone{r}
 }
 
-// apply accepts the request, or rejects it at once: in standby or shutdown, if it is invalid, or if its timeout has passed.
+// apply accepts the request and passes it to the router. Otherwise it responds at once: it rejects the request in standby, in shutdown or
+// if its timeout has passed, and reports an error to the client if the request is invalid.
 func (r *Request) apply(c *Core, now time.Duration) {
 	if c.versions.standby || c.requests.shutdown {
 		c.metrics.rejected++
@@ -143,6 +144,8 @@
 // ClientGone is the event that the client of a request has closed its connection.
 type ClientGone struct{ Request *Request }
 
+// apply marks the request as finished without a response and notifies the auditor and the router, which may cancel the attempts in flight.
+// It ends those of which nothing was sent. It does nothing if the request has finished before.
 func (g ClientGone) apply(c *Core, now time.Duration) {
 	r := g.Request
 	e := c.requests.table.Get(r.ref)
