--- a/cmd/dapplerouter/service.go
+++ b/cmd/dapplerouter/service.go
@@ -198,7 +198,7 @@
 // the peer's groups, and with the cached endpoint list.
 func (s *service) prepareCore() {
 	if s.fleet != nil {
-		s.core.JoinFleet(s.fleet.CoreHooks())
+		s.core.JoinFleet(s.fleet.FleetOptions())
 	} else if s.operator.rules != nil {
 		s.post(front.AdoptConfig{Rules: s.operator.rules})
 	}
--- a/fleet/agent/lifecycle.go
+++ b/fleet/agent/lifecycle.go
@@ -63,9 +63,9 @@
 	}
 }
 
-// CoreHooks returns the options that connect the front's core with this agent. Call it once, before the core runs. The options are zero
+// FleetOptions returns the options that connect the front's core with this agent. Call it once, before the core runs. The options are zero
 // if neither an audit nor rollouts are configured.
-func (a *Agent) CoreHooks() (o front.FleetOptions) {
+func (a *Agent) FleetOptions() (o front.FleetOptions) {
 	if a.recorder == nil {
 		return o
 	}
@@ -80,7 +80,7 @@
 func (a *Agent) Totals() []any {
 	t := a.mesh.Totals()
 	out := []any{"links", t.Links, "sent", t.Sent, "received", t.Received, "sent_bytes", t.SentBytes, "received_bytes", t.ReceivedBytes,
-		"shed", t.Shed, "rejected", t.Rejected, "dials", t.Dials, "shared_list", a.endpoints.watcher.UsesSharedList(),
+		"shed", t.SlowLinksClosed, "rejected", t.Rejected, "dials", t.Dials, "shared_list", a.endpoints.watcher.UsesSharedList(),
 		"probes_avoided", a.Prober.AvoidedProbes()}
 	if a.audit != nil {
 		out = append(out, "audit_lines", a.audit.written.Load(), "audit_lines_lost", a.audit.lost.Load(), "segments_exported", a.audit.exports.count.Load())
--- a/fleet/endpoint_list.go
+++ b/fleet/endpoint_list.go
@@ -73,7 +73,7 @@
 	return encodeEndpointUpdate(discovery.List{Index: l.index, Snapshot: true, Endpoints: l.List().Endpoints}, 0)
 }
 
-// List returns all endpoints, sorted by name, as a complete list. It has no endpoints where none is known yet, see Known.
+// List returns all endpoints, sorted by name, as a complete list. It has no endpoints where none is known yet, see HasList.
 func (l *EndpointList) List() discovery.List {
 	all := discovery.List{Index: l.index, Snapshot: true}
 	for _, name := range slices.Sorted(maps.Keys(l.endpoints)) {
--- a/fleet/mesh/counters.go
+++ b/fleet/mesh/counters.go
@@ -12,7 +12,7 @@
 	Links                    int
 	Sent, Received           uint64 // messages
 	SentBytes, ReceivedBytes uint64 // bytes of frames and greetings, without the overhead of TLS and TCP
-	Shed                     uint64 // links to slow peers that were closed
+	SlowLinksClosed          uint64 // links to slow peers that were closed
 	Rejected                 uint64 // links that this front or the peer rejected
 	Dials                    uint64
 	Kinds                    []KindTotals // messages sent, by kind; kinds without any are omitted
@@ -54,15 +54,15 @@
 	m.mu.Unlock()
 	c := &m.counters
 	return Totals{
-		Links:         links,
-		Sent:          c.sent.Load(),
-		Received:      c.received.Load(),
-		SentBytes:     c.sentBytes.Load(),
-		ReceivedBytes: c.receivedBytes.Load(),
-		Shed:          c.shed.Load(),
-		Rejected:      c.rejected.Load(),
-		Dials:         c.dials.Load(),
-		Kinds:         c.sentKinds(),
+		Links:           links,
+		Sent:            c.sent.Load(),
+		Received:        c.received.Load(),
+		SentBytes:       c.sentBytes.Load(),
+		ReceivedBytes:   c.receivedBytes.Load(),
+		SlowLinksClosed: c.shed.Load(),
+		Rejected:        c.rejected.Load(),
+		Dials:           c.dials.Load(),
+		Kinds:           c.sentKinds(),
 	}
 }
 
--- a/lab/capacity/simulated_follower.go
+++ b/lab/capacity/simulated_follower.go
@@ -78,7 +78,7 @@
 	}
 	core = front.NewCore(front.Options{StartedAt: clock.StartedAt, Seed: instance.Seed, Settings: instance.Settings,
 		NewRouter: router.New, Pools: pools, Endpoints: watcher})
-	core.JoinFleet(f.agent.CoreHooks())
+	core.JoinFleet(f.agent.FleetOptions())
 	observe(front.EndpointsChanged{Kind: routing.CachedSnapshot, List: instance.CachedList})
 	go core.Run(clock, ctx.Done())
 	if err := f.agent.Start(); err != nil {
--- a/lab/capacity/worker.go
+++ b/lab/capacity/worker.go
@@ -129,5 +129,5 @@
 // meshCounters extracts the mesh counters from a front's counters.
 func meshCounters(c agent.Counters) MeshCounters {
 	return MeshCounters{Links: c.Links, Sent: c.Sent, Received: c.Received, SentBytes: c.SentBytes, ReceivedBytes: c.ReceivedBytes,
-		Shed: c.Shed, Dials: c.Dials}
+		Shed: c.SlowLinksClosed, Dials: c.Dials}
 }
