--- a/cmd/dapplerouter/service.go
+++ b/cmd/dapplerouter/service.go
@@ -105,7 +105,7 @@
 	s := &service{serviceOptions: o}
 	instance := o.instance
 	s.clock = monotonic.NewClock()
-	s.descriptors = limits.NewDescriptors(limits.SharesOf(instance.MaxDescriptors, deployment.ReservedDescriptors))
+	s.descriptors = limits.NewDescriptors(limits.NewDescriptorShares(instance.MaxDescriptors, deployment.ReservedDescriptors))
 	s.endpoints = discovery.NewWatcher(ctx, discovery.NewClient(instance.Discovery, instance.CachedList.Index), s.updateEndpoints,
 		discovery.NewJitter(instance.Seed))
 	s.classifier, s.parse = o.operator.newClassifier(), pgwire.ParseStatement
@@ -198,7 +198,7 @@
 // the peer's groups, and with the cached endpoint list.
 func (s *service) prepareCore() {
 	if s.fleet != nil {
-		s.core.JoinFleet(s.fleet.CoreHooks())
+		s.core.JoinFleet(s.fleet.FleetOptions())
 	} else if s.operator.rules != nil {
 		s.post(front.AdoptConfig{Rules: s.operator.rules})
 	}
--- a/lab/capacity/simulated_follower.go
+++ b/lab/capacity/simulated_follower.go
@@ -78,7 +78,7 @@
 	}
 	core = front.NewCore(front.Options{StartedAt: clock.StartedAt, Seed: instance.Seed, Settings: instance.Settings,
 		NewRouter: router.New, Pools: pools, Endpoints: watcher})
-	core.JoinFleet(f.agent.CoreHooks())
+	core.JoinFleet(f.agent.FleetOptions())
 	observe(front.EndpointsChanged{Kind: routing.CachedSnapshot, List: instance.CachedList})
 	go core.Run(clock, ctx.Done())
 	if err := f.agent.Start(); err != nil {
@@ -90,7 +90,7 @@
 
 // newPools returns an instance's connection pools. They pass their events to post.
 func newPools(instance *deployment.Instance, post func(front.Event)) *upstream.Pools {
-	limiter := limits.NewDescriptors(limits.SharesOf(instance.MaxDescriptors, deployment.ReservedDescriptors))
+	limiter := limits.NewDescriptors(limits.NewDescriptorShares(instance.MaxDescriptors, deployment.ReservedDescriptors))
 	l := instance.Settings.Limits
 	return upstream.NewPools(upstream.Options{Post: post, Limiter: limiter, User: databaseUser, Database: databaseName,
 		DialTimeout: l.DialTimeout, IdleTimeout: l.IdleConnTimeout, MemoryBytes: instance.MemoryBytes})
--- a/router/slow_start.go
+++ b/router/slow_start.go
@@ -31,7 +31,7 @@
 const safetyFactor = 0.6
 
 // newSlowStartRules converts the deployment's rules. No work has been counted yet.
-func newSlowStartRules(rules routing.Guardrails) slowStartRules {
+func newSlowStartRules(rules routing.DeploymentRules) slowStartRules {
 	return slowStartRules{
 		initialCapacity:   rules.InitialCapacity,
 		trafficMultiple:   safetyFactor * rules.OverloadMultiple,
