--- a/sqlclass/analyzer.go
+++ b/sqlclass/analyzer.go
@@ -42,10 +42,12 @@
 	keyword2 string // the value of keyword before the last word
 }
 
-// set records a token that is not a word.
+// set records a token that is not a word. operand says that the token ends an operand; keyword is "," or "(" for these marks,
+// otherwise "".
 func (p *previousTokens) set(operand bool, keyword string) { p.operand, p.keyword = operand, keyword }
 
-// setWord records a word. The keyword before it becomes keyword2.
+// setWord records a word. operand says that the word ends an operand, which a keyword does not; keyword is the word if it is a
+// keyword, otherwise "". The previous value of keyword moves to keyword2, so that two keywords in a row are recognized.
 func (p *previousTokens) setWord(operand bool, keyword string) {
 	p.operand, p.keyword2, p.keyword = operand, p.keyword, keyword
 }
@@ -99,7 +101,8 @@
 // noVerb is the reason for a statement whose first word is not a known verb.
 const noVerb = "it begins with no verb that is known"
 
-// consume handles the next token. It returns false at the end of the text, and if the rest of the text needs no analysis.
+// consume updates the state and the class for the next token. more is false at the end of the text, and if the analysis stops
+// there: at an invalid token, at a second statement, and where parentheses are nested too deeply.
 func (a *analyzer) consume(t Token) (more bool) {
 	switch {
 	case t.Kind == EndOfText:
@@ -156,7 +159,8 @@
 	}
 }
 
-// handleToken handles any token except the end of the text and an invalid token.
+// handleToken updates the state and the class for a token, which is neither the end of the text nor invalid. more is false if
+// the rest of the text need not be read, because parentheses are nested too deeply and the class is therefore Unknown or Write.
 func (a *analyzer) handleToken(t Token) (more bool) {
 	if t.Kind == Word || t.Kind == QuotedName {
 		a.handleWord(t)
@@ -188,7 +192,9 @@
 	return true
 }
 
-// handlePunctuation handles a punctuation mark. first says that a statement may begin with the mark.
+// handlePunctuation updates the state for a punctuation mark: a dot continues a name, parentheses begin and end scopes,
+// brackets are counted, a comma separates list items, and a semicolon ends the statement. first says that a statement may
+// begin with the mark. more is as for handleToken.
 func (a *analyzer) handlePunctuation(t Token, first bool) (more bool) {
 	scope := a.top()
 	switch a.text[t.Start] {
@@ -225,7 +231,8 @@
 	return true
 }
 
-// closeParenthesis ends the innermost scope.
+// closeParenthesis ends the innermost scope for a closing parenthesis. A parenthesis or bracket without its counterpart makes
+// the class Unknown.
 func (a *analyzer) closeParenthesis(t Token) {
 	if a.depth == 0 {
 		a.markUnknown(t.Start, "a ) without its (")
@@ -243,8 +250,9 @@
 	}
 }
 
-// openParenthesis begins a scope. The tokens before the parenthesis determine what it contains. It returns false if the
-// parentheses are nested too deeply.
+// openParenthesis begins a scope for an opening parenthesis. The tokens before it determine whether the scope contains the
+// options of EXPLAIN, arguments, a list, a query or the columns of an alias. more is false if the parentheses are nested too
+// deeply, which makes the class Unknown.
 func (a *analyzer) openParenthesis(t Token, first bool) (more bool) {
 	inner := scope{atStatementStart: true, yieldsOperand: true}
 	name, outer := &a.name, a.top()
--- a/sqlclass/clauses.go
+++ b/sqlclass/clauses.go
@@ -2,7 +2,8 @@
 
 // This file has the part of the analyzer that handles words: how the keywords of a statement determine its class.
 
-// handleWord handles a name or a keyword.
+// handleWord updates the state for a name or a keyword. After a dot the word extends the name that is being read; otherwise it
+// ends that name and begins another. A keyword also updates the class, except where it is only the label of a column.
 func (a *analyzer) handleWord(t Token) {
 	name := &a.name
 	if name.active && name.trailingDot {
@@ -39,7 +40,7 @@
 	}
 }
 
-// handleNonKeyword handles a word that is not a keyword.
+// handleNonKeyword updates the state for a word that is not a keyword. A statement that begins with such a word is Unknown.
 func (a *analyzer) handleNonKeyword(t Token) {
 	scope := a.top()
 	if scope.explainOptions && t.Kind == QuotedName { // the option may be quoted, as in EXPLAIN ("analyze")
@@ -70,7 +71,7 @@
 	return t.Kind == Operator && string(a.text[t.Start:t.End]) == "::"
 }
 
-// handleKeyword updates the state for a keyword.
+// handleKeyword updates the state and the class for a keyword, depending on its position in the statement.
 func (a *analyzer) handleKeyword(t Token, kw *keyword) {
 	scope := a.top()
 	if (scope.atStatementStart || scope.inWithList || scope.explainOptions) && a.handleStatementStart(t, kw) {
--- a/sqlclass/cost.go
+++ b/sqlclass/cost.go
@@ -31,7 +31,7 @@
 
 func newCostModel() *costModel { return &costModel{intercept: initialIntercept, slope: initialSlope} }
 
-// line returns the current intercept and slope.
+// line returns the current line: log(seconds) = intercept + slope * log(estimated rows), with natural logarithms.
 func (m *costModel) line() (intercept, slope float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/sqlclass/names.go
+++ b/sqlclass/names.go
@@ -30,7 +30,8 @@
 	return n.keyword != nil && n.keyword.name == name
 }
 
-// endName handles the end of a name that is not followed by an opening parenthesis.
+// endName determines what the name that is being read refers to, if no opening parenthesis follows it: a type, a field or a
+// table. It updates the class and the tables accordingly, and does nothing if no name is being read.
 func (a *analyzer) endName(next Token) {
 	name, scope := &a.name, a.top()
 	if !name.active {
@@ -64,8 +65,9 @@
 	return name.afterComma && a.top().inFromList
 }
 
-// nameBeforeParenthesis handles a name that is followed by an opening parenthesis. It is an alias, a type, or a function that
-// is called. The result is true if the parenthesis may contain the column list of an alias or a table.
+// nameBeforeParenthesis determines what a name before an opening parenthesis refers to, and updates the class: it is an alias, a
+// table after INTO, a type, or a function that is called. The result is true if the parenthesis may contain the column list of
+// an alias or a table.
 func (a *analyzer) nameBeforeParenthesis(t Token) (alias bool) {
 	name, scope := &a.name, a.top()
 	simple := name.parts == 1 && !name.ofExpression
@@ -183,8 +185,8 @@
 	}
 }
 
-// plainName returns a name as the server stores it: in lower case, or without its quotes. The result is in the buffer. It is
-// not ok for a name with Unicode escapes.
+// plainName returns a name as the server stores it (see appendName). The result is valid until the buffer is used again. ok is
+// false for a name with Unicode escapes, which are not decoded.
 func (a *analyzer) plainName(t Token) ([]byte, bool) {
 	a.buffer = a.buffer[:0]
 	if t.UnicodeEscaped {
@@ -194,7 +196,8 @@
 	return a.buffer, true
 }
 
-// appendName appends a name to the buffer as the server stores it.
+// appendName appends a name to the buffer as the server stores it: an unquoted name in lower case, a quoted name without its
+// quotes and with each "" as a single ".
 func (a *analyzer) appendName(t Token) {
 	b := a.text[t.Start:t.End]
 	if t.Kind != QuotedName {
--- a/sqlclass/normalize.go
+++ b/sqlclass/normalize.go
@@ -146,7 +146,9 @@
 	n.inLiteralList, n.previous, n.afterLimit, n.afterLiteral = false, previousOther, false, false
 }
 
-// appendPunctuation appends one of ( ) [ ] , and ;.
+// appendPunctuation appends one of ( ) [ ] , and ; to the normal form. It also tracks lists: at the closing
+// bracket, a list that contains only literals is replaced with (?+) or [?+], and consecutive such rows of VALUES with a single
+// (?+).
 func (n *normalizer) appendPunctuation(c byte) {
 	switch c {
 	case '[':
@@ -187,7 +189,8 @@
 	n.afterLimit, n.afterLiteral = false, false
 }
 
-// openList appends an opening bracket, which may begin a list of literals.
+// openList appends an opening bracket, ( or [, and starts to track whether only literals follow it. listStart becomes the offset
+// of the bracket in the normal form.
 func (n *normalizer) openList(bracket byte) {
 	n.inLiteralList, n.items, n.listStart, n.previous = true, 0, len(n.out), previousOther
 	n.out = append(n.out, bracket, ' ')
@@ -195,7 +198,8 @@
 
 // closeList appends a closing bracket. If the list contains only literals and its brackets match, closeList replaces the
 // normal form from offset start on with (?+) or [?+] and returns true. If the brackets do not match, no server accepts the
-// text; it must not have the same normal form, and so the same class, as a text that servers execute.
+// text. It must not share a normal form, and so a class, with a text that servers execute; so the list is not replaced, and both
+// brackets stay in the normal form as they are.
 func (n *normalizer) closeList(bracket byte, start int) (replaced bool) {
 	replaced = n.inLiteralList && n.afterLiteral && bracketsMatch(n.out[n.listStart], bracket)
 	if replaced {
--- a/sqlclass/rules.go
+++ b/sqlclass/rules.go
@@ -33,8 +33,9 @@
 		r.MinEstimate <= other.MinEstimate && (r.MaxEstimate == 0 || other.MaxEstimate > 0 && other.MaxEstimate <= r.MaxEstimate)
 }
 
-// coversNames reports whether a condition on names is met whenever the condition on others is met. An empty list is no
-// condition.
+// coversNames compares two conditions of the same kind, each of which is met by any one of its names. It reports whether every
+// statement that meets the condition with the list others also meets the one with the list names, because names contains all
+// of others. An empty list is a condition that every statement meets.
 func coversNames(names, others []string) bool {
 	if len(names) == 0 {
 		return true
--- a/sqlclass/scanner.go
+++ b/sqlclass/scanner.go
@@ -89,6 +89,7 @@
 	lowerCase = makeLowerCase() // the byte in lower case; 0 for a byte that cannot be part of a name
 )
 
+// makeCharClass returns the bits of charClass for each byte, by PostgreSQL's lexical rules.
 func makeCharClass() (class [256]uint8) {
 	for c := range class {
 		switch {
@@ -114,6 +115,7 @@
 	return class
 }
 
+// makeLeadClass returns the value of leadClass for each byte, derived from charClass.
 func makeLeadClass() (lead [256]uint8) {
 	for c, class := range charClass {
 		switch {
@@ -133,6 +135,7 @@
 	return lead
 }
 
+// makeLowerCase returns the value of lowerCase for each byte.
 func makeLowerCase() (low [256]byte) {
 	for c, class := range charClass {
 		if class&classNamePart == 0 {
@@ -216,6 +219,7 @@
 	return s.pos, true
 }
 
+// skipLineComment skips a comment up to the end of its line, which is not skipped.
 func (s *Scanner) skipLineComment() {
 	for s.pos < len(s.text) && s.text[s.pos] != '\n' && s.text[s.pos] != '\r' {
 		s.pos++
