--- a/gateway/config.go
+++ b/gateway/config.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// read reads the settings that the subforms contain.
+// read reads the settings from those of the peer form's subforms that are present. The other settings keep their values.
 func (s *Settings) read(forms map[string]*config.Form) {
 	readDuration(forms["heartbeat"], &s.HeartbeatInterval)
 	readDuration(forms["silence"], &s.PeerTimeout)
@@ -126,7 +126,8 @@
 	}
 }
 
-// readText stores the value of a subform in to, if the subform is present.
+// readText stores the value that a subform of the peer form, such as (address "192.0.2.7:7443"), contains in to. f is nil if the peer
+// form lacks the subform; to then keeps its value.
 func readText(f *config.Form, to *string) {
 	if f != nil {
 		v, _ := f.Value()
@@ -134,7 +135,8 @@
 	}
 }
 
-// readDuration stores the duration of a subform in to, if the subform is present.
+// readDuration stores the duration that a subform of the peer form, such as (heartbeat 200ms), contains in to. f is nil if the peer form
+// lacks the subform; to then keeps its default.
 func readDuration(f *config.Form, to *time.Duration) {
 	if f != nil {
 		*to = f.Duration()
--- a/gateway/link/link.go
+++ b/gateway/link/link.go
@@ -21,7 +21,8 @@
 	"dapplerouter/pgwire"
 )
 
-// Options configure a Link.
+// Options configure a Link: the two sites, how they connect, the front that the link belongs to, and the settings of the protocol.
+// Exactly one of Address and Listen is set.
 type Options struct {
 	LocalSite, PeerSite string      // names of the sites
 	Address             string      // address of the peer; "" if the peer dials
