--- a/fleet/zones/controller.go
+++ b/fleet/zones/controller.go
@@ -46,7 +46,7 @@
 	Plan func(zone string, evacuated map[string]bool) *Plan
 }
 
-// RecoveryTraffic is what all fronts together observed of a recovering zone.
+// RecoveryTraffic counts the attempts of all fronts together in a recovering zone since the Controller's last step, by outcome.
 type RecoveryTraffic struct {
 	Attempts, Succeeded float64
 	Overloaded          float64 // attempts that were answered late or rejected
@@ -203,9 +203,11 @@
 	timers.evacuating.start(z.now)
 }
 
-// stepRamp lets more traffic return to a recovering zone. One ramp applies to all fronts. While attempts succeed, each step returns a
-// quarter more traffic; at overload the returned traffic is halved. The ramp is not complete before servers have warmed up. Another
-// leaseholder continues the ramp from the replicated state.
+// stepRamp changes the share of its traffic that returns to a recovering zone. One ramp applies to all fronts. It decides by the zone's
+// estimated failure share and by the outcomes of all fronts' attempts in the zone since the last step. While more than three quarters of
+// the attempts succeed, or the zone looks healthy and had too few attempts to tell, each step returns a quarter more traffic. If the zone
+// fails, or more than a quarter of the attempts were answered late or rejected, the returned traffic is halved. The ramp is not
+// complete before servers have warmed up. Another leaseholder continues the ramp from the replicated state.
 func (c *Controller) stepRamp(z *zoneStep, timers *zoneTimers) {
 	if !timers.rampStep.started {
 		timers.rampStep.start(z.now)
--- a/fleet/zones/estimator.go
+++ b/fleet/zones/estimator.go
@@ -24,7 +24,8 @@
 	Report      Report
 }
 
-// Estimate is the fleet's estimate of one zone.
+// Estimate is the fleet's estimate of how far the share of failed attempts at the servers of one zone exceeds the share that is usual
+// there.
 type Estimate struct {
 	Zone             string
 	FailureShare     float64            // trimmed mean above the expected share, as seen from other zones, or by its own fronts if no others report
@@ -53,9 +54,9 @@
 	return baselineFactor * e.baseline[zone]
 }
 
-// Estimate returns an estimate of each observed zone, sorted by name. It ignores reports that are older than maxAge or unreliable. It
-// also ignores a front that sees every zone failing while another front of its zone sees a healthy one, because that front observes its
-// own failure.
+// Estimate returns an estimate of the failures of each observed zone, sorted by name. It ignores reports that are older than maxAge or
+// unreliable. It also ignores a front that sees every zone failing while another front of its zone sees a healthy one, because that
+// front observes its own failure.
 func (e *Estimator) Estimate(reports []FrontReport, maxAge time.Duration) (estimates []Estimate) {
 	samples := map[string]map[string][]sample{} // by zone, by the observing front's zone
 	for _, r := range reports {
@@ -78,7 +79,7 @@
 	return estimates
 }
 
-// estimateZone estimates one zone from samples, which are grouped by the zone of the observing fronts.
+// estimateZone estimates the failures of one zone from samples, which are grouped by the zone of the observing fronts.
 func (e *Estimator) estimateZone(zone string, byObserver map[string][]sample) Estimate {
 	expected := e.expectedFailureShare(zone)
 	estimate := Estimate{Zone: zone, ByObserver: map[string]float64{}}
--- a/fleet/zones/observer.go
+++ b/fleet/zones/observer.go
@@ -34,7 +34,7 @@
 // conclusive reports whether there were enough attempts to judge the zone.
 func (o Observation) conclusive() bool { return o.attempts() >= minAttempts }
 
-// Report is a front's digest. Its size is bounded by the number of zones.
+// Report is what a front observed of all zones. It is sent as the front's digest; its size is bounded by the number of zones.
 type Report struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -44,7 +44,7 @@
 	Unreliable   bool          // the front was suspended, or is in standby: its observations reflect its own state
 }
 
-// Encode encodes the report as a digest.
+// Encode encodes the report as a digest: the data that a front sends with its membership records for a subsystem.
 func (r Report) Encode() []byte { return encode(&r) }
 
 // DecodeReport decodes a digest. ok is false if it is malformed.
--- a/fleet/zones/plan.go
+++ b/fleet/zones/plan.go
@@ -83,7 +83,7 @@
 	moved, movable map[string]float64 // work by request type
 }
 
-// planGroup plans the moves of one group.
+// planGroup plans which work of one group's servers in the zone moves to the group's servers in other zones.
 func (p *planner) planGroup(group int64) error {
 	sources, used := p.sources(group)
 	if len(sources) == 0 {
@@ -160,7 +160,7 @@
 	slices.Sort(p.plan.Limits)
 }
 
-// solution is the solution of one group's linear program.
+// solution is the solution of the linear program that plans the moves of work of one group (see solve).
 type solution struct {
 	x                []float64 // the moves by source and target, then the slack variables of sources, then those of targets
 	sources, targets int
@@ -174,8 +174,11 @@
 	return s.x[s.sources*s.targets+s.sources+target]
 }
 
-// solve solves the linear program of one group. It has a variable for each pair of source and target, a bound on the work of each source
-// and a bound on the capacity of each target. The simplex method needs equations, so each bound has a slack variable.
+// solve finds the moves of work between the zones' servers of one group that move the most priority weight. They are the solution of a
+// linear program with a variable for each pair of source and target: the work that moves. It minimizes the negative sum of the moved
+// work times its priority weight. The work that leaves a source is at most the source's work. The work that a target takes, including
+// the overhead of work in another zone, is at most the target's free capacity. The simplex method needs equations, so each of these
+// bounds has a slack variable.
 func solve(sources []Load, targets []Capacity) (*solution, error) {
 	n, m := len(sources), len(targets)
 	rows, columns := n+m, n*m+n+m
--- a/fleet/zones/state.go
+++ b/fleet/zones/state.go
@@ -22,7 +22,8 @@
 	maxZones = 32
 )
 
-// ZoneState is the state of a zone. It is the same for all fronts of the fleet.
+// ZoneState says whether a zone, the servers and fronts with the same zone name, is failing and whether its traffic is moved to other
+// zones: Healthy, Suspected, Evacuating, Evacuated or Recovering. It is the same for all fronts of the fleet.
 type ZoneState uint8
 
 // States of a zone.
