--- a/fleet/rollout/config.go
+++ b/fleet/rollout/config.go
@@ -86,6 +86,7 @@
 	return nil
 }
 
+// newError returns a config.ErrorList with one error at the position of the form.
 func (c *Config) newError(message, remedy string) error {
 	return config.ErrorList{{Position: c.Position, Message: message, Remedy: remedy}}
 }
--- a/fleet/rollout/controller.go
+++ b/fleet/rollout/controller.go
@@ -68,6 +68,7 @@
 // fronts returns the names of all fronts, sorted.
 func (in *stepInput) fronts() []string { return sortedFronts(in.replicated) }
 
+// sortedFronts returns the names of all fronts in the replicated state, sorted.
 func sortedFronts(r *fleet.ReplicatedState) []string { return slices.Sorted(maps.Keys(r.Fronts)) }
 
 // NewController makes a Controller for a front that has acquired the lease.
@@ -129,7 +130,9 @@
 	c.writer.writeNext(now, n)
 }
 
-// planWrites decides which values to store next.
+// planWrites decides what the Controller does next, and queues the values of the replicated state that this changes: it carries out the
+// action that waits longest; else it processes the queue of publications; else, once for each new answer with the fronts' reports, it
+// continues the phase of the rollout in progress. It is called while no write is queued or in progress.
 func (c *Controller) planWrites(in *stepInput) {
 	c.stage.resetIfStageChanged(in)
 	known := c.reports.recent(in.now, c.options.Timing.LeaseDuration)
--- a/fleet/rollout/errors.go
+++ b/fleet/rollout/errors.go
@@ -36,6 +36,7 @@
 	cause  error // nil if the outcome was read from the replicated state
 }
 
+// Error returns the reason of the rejection.
 func (e *RejectedError) Error() string { return e.Reason }
 
 // Unwrap returns one of the errors of this package, or nil if only the text is known.
@@ -51,6 +52,7 @@
 	Reason, Remedy string
 }
 
+// Error returns the reason and the remedy.
 func (e *DeadlineError) Error() string { return e.Reason + ": " + e.Remedy }
 
 // Unwrap returns ErrDeadlineTooShort.
--- a/fleet/rollout/participant.go
+++ b/fleet/rollout/participant.go
@@ -100,7 +100,9 @@
 	}
 }
 
-// OnEvent handles an event of the node.
+// OnEvent handles those events of the node that concern the Controller: it starts or ends the Controller when the front acquires or loses
+// the lease, and passes the operators' actions that fronts send and the results of the Controller's own requests to it. Other events are
+// ignored.
 func (p *Participant) OnEvent(now time.Duration, e fleet.Event) {
 	switch e := e.(type) {
 	case fleet.LeaseAcquired:
--- a/fleet/rollout/publish.go
+++ b/fleet/rollout/publish.go
@@ -79,6 +79,7 @@
 	c.writer.replaceQueued(append(writes, allowedWrite(s.Base, s.Next), stateWrite(s, v.reason))...)
 }
 
+// invalidStagesError rejects a publication whose stages do not increase to the whole fleet.
 func invalidStagesError() error { return rejectf(ErrInvalidStages, "waves rise to 100%%") }
 
 // validStages reports whether the stages increase to the whole fleet, which is 1000 thousandths.
--- a/fleet/rollout/report.go
+++ b/fleet/rollout/report.go
@@ -2,10 +2,10 @@
 
 import "github.com/vmihailenco/msgpack/v5"
 
-// maxReasonBytes is the length to which the reason in a report is cut, because a report is sent with every heartbeat.
+// maxReasonBytes is the length to which the reason in a report is cut, because a report is sent with every membership record.
 const maxReasonBytes = 200
 
-// Report is a front's digest for the Controller.
+// Report is what a front tells the Controller about itself. It is sent as the front's digest, with its membership records.
 type Report struct {
 	//lint:ignore U1000 package msgpack reads this field's tag
 	_msgpack struct{} `msgpack:",as_array"`
@@ -35,7 +35,8 @@
 	c.Succeeded += other.Succeeded
 }
 
-// Encode encodes the report as a digest. It cuts a long RejectedReason.
+// Encode encodes the report as a digest: the data that a front sends with its membership records for a subsystem. A RejectedReason
+// over maxReasonBytes is cut.
 func (report Report) Encode() []byte {
 	if len(report.RejectedReason) > maxReasonBytes {
 		report.RejectedReason = report.RejectedReason[:maxReasonBytes]
--- a/fleet/rollout/stages.go
+++ b/fleet/rollout/stages.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// checkStage decides what follows the open stage: the next stage, the end of the rollout, a pause, a rollback, or more waiting.
+// checkStage decides what follows the open stage, which is the stage in progress: the next stage, the end of the rollout, a pause, a
+// rollback, or more waiting.
 func (c *Controller) checkStage(in *stepInput) {
 	if reason := c.failureReason(in); reason != "" {
 		c.rollBack(in.state, reason)
@@ -94,7 +95,7 @@
 	return !s.lastStage() || in.now-c.stage.openedAt < patience
 }
 
-// stageProgress counts the fronts of the open stage by whether they are on the new version.
+// stageProgress counts the fronts that should be on the new version by the open stage, by whether they have adopted it.
 type stageProgress struct {
 	adopted          int      // reachable and on the new version
 	lagging          []string // not on the new version, and waited for or to be fenced
@@ -104,8 +105,9 @@
 	inZone, laggingInZone map[string]int // number of fronts by zone
 }
 
-// progress counts the fronts of the open stage. In a rollout with a deadline, fronts whose configuration leases have already expired do
-// not count as lagging: they serve nothing, so they need not be fenced.
+// progress counts the fronts that should be on the new version by the open stage, which is the stage in progress: those that have adopted
+// it and those that lag behind. Before the last stage, fronts without a recent report do not count as lagging. In a rollout with a
+// deadline, neither do silent fronts whose configuration leases have already expired: they serve nothing, so they need not be fenced.
 func (c *Controller) progress(in *stepInput) stageProgress {
 	r, s := in.replicated, in.state
 	hasDeadline := in.deadline().InForceWithin > 0
