--- a/fleet/audit/collector.go
+++ b/fleet/audit/collector.go
@@ -56,7 +56,9 @@
 	f.wanted, f.file, f.data = f.wanted[1:], indexFile, [segmentFileCount][]byte{}
 }
 
-// NewCollector makes a Collector that receives up to rate bytes a second. have are the names of segments that were fetched before.
+// NewCollector makes a Collector that receives up to rate bytes a second. A request without a response is sent again after the timeout,
+// and a front whose known segments are all fetched is asked for new ones after twice the timeout. have are the names of the segments that
+// were fetched before, for example before a restart: of each front, only segments newer than the newest of them are fetched.
 func NewCollector(rate int64, timeout time.Duration, have []string) *Collector {
 	c := &Collector{timeout: timeout, budget: tokenBucket{rate: float64(rate)}, fronts: map[string]*frontFetch{}}
 	for _, name := range have {
--- a/fleet/audit/verify.go
+++ b/fleet/audit/verify.go
@@ -20,7 +20,7 @@
 	return position
 }
 
-// chainPosition is the last line of the hash chain that was verified.
+// chainPosition is how far the hash chain of a front's log was verified: the highest line number and the hash of the last line read.
 type chainPosition struct {
 	started  bool
 	sequence uint64
