--- a/fleet/mesh/counters.go
+++ b/fleet/mesh/counters.go
@@ -76,7 +76,7 @@
 	return all
 }
 
-// countingConn is a connection that counts the bytes read and written.
+// countingConn is a connection that adds the bytes it reads and writes to the mesh's counters.
 type countingConn struct {
 	net.Conn
 	counters *counters
