--- a/cmd/dapplerouter/check.go
+++ b/cmd/dapplerouter/check.go
@@ -17,6 +17,8 @@
 	JSON   bool   `help:"A line of JSON for each error instead."`
 }
 
+// run exits with exitNegative if the operator's file has errors, and with exitUnusable if it can't be read or the instance's configuration
+// can't be used.
 func (c *checkCommand) run() int {
 	o, err := readOperatorFile(c.File)
 	if err == nil && c.Config != "" {
--- a/cmd/dapplerouter/classify.go
+++ b/cmd/dapplerouter/classify.go
@@ -65,6 +65,7 @@
 	return r
 }
 
+// run is classify with the standard streams.
 func (c *classifyCommand) run() int { return c.classify(os.Stdin, os.Stdout, os.Stderr) }
 
 // classify classifies the statements of the files on the command line, or those of in without such files. It returns the exit code.
@@ -126,6 +127,7 @@
 	table  *tabwriter.Writer // nil for JSON
 }
 
+// newClassificationOutput makes a classificationOutput to out. For a table it adds the heading.
 func newClassificationOutput(out io.Writer, asJSON bool) *classificationOutput {
 	o := &classificationOutput{buffer: bufio.NewWriter(out)}
 	if asJSON {
@@ -138,6 +140,7 @@
 	return o
 }
 
+// write adds a classification as a line of JSON or as a row of the table.
 func (o *classificationOutput) write(c classification) {
 	if o.json != nil {
 		_ = o.json.Encode(c)
@@ -150,6 +153,7 @@
 	_, _ = fmt.Fprintf(o.table, "%s\t%.2fms\t%s\t%s\t%s\t%s\n", c.Class, c.Cost, c.RequestType, c.Fingerprint, reason, truncate(c.Normalized))
 }
 
+// flush writes what is buffered. A table is written only then, since its column widths depend on all rows.
 func (o *classificationOutput) flush() {
 	if o.table != nil {
 		_ = o.table.Flush()
--- a/cmd/dapplerouter/fleet.go
+++ b/cmd/dapplerouter/fleet.go
@@ -63,6 +63,7 @@
 	return exitOK
 }
 
+// printFleetStatus prints the leader, the state of the front and of its voter, and a table of the fleet's fronts.
 func printFleetStatus(s *agent.Status) {
 	leader := fmt.Sprintf("%s leads, heard %.1f s ago", s.Leader, s.HeartbeatAgeSeconds)
 	if s.Isolated {
@@ -93,6 +94,7 @@
 	t.flush()
 }
 
+// fleetIDCommands make the id of a fleet.
 type fleetIDCommands struct {
 	New fleetIDNewCommand `cmd:"" help:"Make one, for (id ...) in the file of every front of the fleet."`
 }
@@ -100,6 +102,7 @@
 // fleetIDNewCommand prints a random id for a new fleet.
 type fleetIDNewCommand struct{}
 
+// run prints 64 random bits in hexadecimal.
 func (*fleetIDNewCommand) run() int {
 	var b [8]byte
 	rand.Read(b[:]) // never fails
--- a/cmd/dapplerouter/fleet_audit.go
+++ b/cmd/dapplerouter/fleet_audit.go
@@ -152,12 +152,13 @@
 	t.flush()
 }
 
-// auditAtCommand shows which front acted on which version at a given time.
+// auditAtCommand shows which front acted on which version of the fleet's configuration at a given time, from the audit logs.
 type auditAtCommand struct {
 	Time string `arg:"" help:"As 2026-12-01T18:00:00Z, with or without parts of a second."`
 	auditFolders
 }
 
+// run exits with exitNegative if no front used a version at that time, or if some segments could not be read.
 func (c *auditAtCommand) run() int {
 	at, err := time.Parse(time.RFC3339Nano, c.Time)
 	if err != nil {
@@ -175,12 +176,13 @@
 	return finishSearch(len(uses) > 0, incomplete, "", errNoMatch)
 }
 
-// auditFrontCommand shows the versions that one front acted on, over time.
+// auditFrontCommand shows the versions of the fleet's configuration that one front acted on, over time.
 type auditFrontCommand struct {
 	Name string `arg:"" help:"The front's name."`
 	auditFolders
 }
 
+// run exits with exitNegative if the logs have no use of a version by the front, or if some segments could not be read.
 func (c *auditFrontCommand) run() int {
 	all, found, err := c.read()
 	if err != nil {
@@ -198,9 +200,11 @@
 	return finishSearch(len(uses) > 0, incomplete, c.Name, errNoMatch)
 }
 
-// auditVersionsCommand summarizes each version: when it was in use, by how many fronts, and the outcomes of requests on it.
+// auditVersionsCommand summarizes each version of the fleet's configuration: when it was in use, by how many fronts, and the outcomes of
+// requests on it.
 type auditVersionsCommand struct{ auditFolders }
 
+// run exits with exitNegative if some segments could not be read.
 func (c *auditVersionsCommand) run() int {
 	all, found, err := c.read()
 	if err != nil {
@@ -212,6 +216,7 @@
 	return finishSearch(true, incomplete, "", nil)
 }
 
+// print prints the summaries, one per line of JSON or as a table.
 func (c *auditVersionsCommand) print(versions []audit.VersionSummary) {
 	if c.JSON {
 		for _, v := range versions {
@@ -227,7 +232,7 @@
 	t.flush()
 }
 
-// auditRequestCommand shows which front accepted a request, when, and on which version.
+// auditRequestCommand shows which front accepted a request, when, and on which version of the fleet's configuration.
 type auditRequestCommand struct {
 	ID string `arg:"" help:"The request's id, as its client gave it."`
 	auditFolders
@@ -245,6 +250,7 @@
 	Requests    int    `json:"txns"`
 }
 
+// run exits with exitNegative if no interval has the request, or if some segments could not be read.
 func (c *auditRequestCommand) run() int {
 	found, unread, err := c.find()
 	if err != nil {
@@ -304,6 +310,7 @@
 	return requestInterval{}, false
 }
 
+// printRequestIntervals prints the intervals as a table.
 func printRequestIntervals(all []requestInterval) {
 	t := newTable("FRONT", "INCARNATION", "VERSION", "ACCEPTED BETWEEN", "AND", "INTERVAL", "REQUESTS")
 	for _, x := range all {
--- a/cmd/dapplerouter/fleet_leases.go
+++ b/cmd/dapplerouter/fleet_leases.go
@@ -31,6 +31,7 @@
 	return exit
 }
 
+// printLeases prints the leases as a table.
 func printLeases(all []agent.LeaseStatus) {
 	t := newTable("LEASE", "TERM", "HOLDER", "REASON")
 	for _, l := range all {
@@ -50,6 +51,7 @@
 	adminClient
 }
 
+// run requests the transfer from the front's admin API.
 func (c *fleetTransferCommand) run() int {
 	return c.postAndPrint("/v1/fleet/transfer", url.Values{"lease": {c.Lease}, "to": {c.To}}, c.Lease+" is transferred")
 }
--- a/cmd/dapplerouter/fleet_publish.go
+++ b/cmd/dapplerouter/fleet_publish.go
@@ -70,6 +70,7 @@
 	return strings.Join(stages, ","), nil
 }
 
+// run checks the rules and the options, and requests the publication from the front's admin API. It does not wait for the rollout.
 func (c *fleetPublishCommand) run() int {
 	text, err := os.ReadFile(c.Rules)
 	if err != nil {
--- a/cmd/dapplerouter/fleet_rollout.go
+++ b/cmd/dapplerouter/fleet_rollout.go
@@ -36,6 +36,7 @@
 	return exitOK
 }
 
+// printRollout prints the version in force, the rollout in progress, the queued publications, and a table with the version of each front.
 func printRollout(s *agent.RolloutStatus) {
 	fmt.Printf("version %d is in force", s.Base)
 	if s.Next != 0 {
@@ -80,7 +81,7 @@
 	adminClient
 }
 
-// request requests an action from the front and returns the exit code.
+// request requests an action on the rollout from the front's admin API, prints success or the error, and returns the exit code.
 func (a *rolloutAction) request(action, success string) int {
 	return a.postAndPrint("/v1/fleet/roll", url.Values{"do": {action}, "why": {a.Why}}, success)
 }
@@ -88,14 +89,17 @@
 // rolloutBackCommand rolls back the version that is being rolled out.
 type rolloutBackCommand struct{ rolloutAction }
 
+// run requests the rollback and prints the result.
 func (c *rolloutBackCommand) run() int { return c.request("back", "the version is rolled back") }
 
 // rolloutHoldCommand pauses the rollout.
 type rolloutHoldCommand struct{ rolloutAction }
 
+// run requests the pause and prints the result.
 func (c *rolloutHoldCommand) run() int { return c.request("hold", "the rollout is paused") }
 
 // rolloutResumeCommand resumes a paused rollout.
 type rolloutResumeCommand struct{ rolloutAction }
 
+// run requests that the rollout continues, and prints the result.
 func (c *rolloutResumeCommand) run() int { return c.request("resume", "the rollout is resumed") }
--- a/cmd/dapplerouter/fleet_voters.go
+++ b/cmd/dapplerouter/fleet_voters.go
@@ -26,6 +26,7 @@
 	adminClient
 }
 
+// run requests from the front's admin API that the named front becomes a voter.
 func (c *votersAddCommand) run() int {
 	return c.postAndPrint("/v1/fleet/voters/add", url.Values{"name": {c.Name}, "address": {c.Address}}, c.Name+" is a voter")
 }
@@ -36,6 +37,7 @@
 	adminClient
 }
 
+// run requests from the front's admin API that the named voter is removed.
 func (c *votersRemoveCommand) run() int {
 	return c.postAndPrint("/v1/fleet/voters/remove", url.Values{"name": {c.Name}}, c.Name+" is no voter any more")
 }
--- a/cmd/dapplerouter/gateway.go
+++ b/cmd/dapplerouter/gateway.go
@@ -20,6 +20,7 @@
 	File string `required:"" env:"DAPPLEROUTER_FILE" type:"path" placeholder:"FILE" help:"The operator's own file, with its gateway form."`
 }
 
+// run runs one site's instance of a gateway until it is told to stop.
 func (c *gatewayCommand) run() int { return runProcess(c.File, loadGatewayConfig) }
 
 // gatewayLink is the subsystem that keeps a gateway's link to its peer.
--- a/cmd/dapplerouter/keys.go
+++ b/cmd/dapplerouter/keys.go
@@ -29,6 +29,7 @@
 	Dir  string `default:"." type:"path" help:"Where SITE.key and SITE.crt are written."`
 }
 
+// run writes SITE.key and SITE.crt. It overwrites neither.
 func (k *keysNewCommand) run() int {
 	key, cert, err := framing.NewKeyPair(k.Site, k.Root, k.Days)
 	if err == nil {
@@ -73,6 +74,7 @@
 	Out         string `required:"" type:"path" help:"Where the signed certificate is written."`
 }
 
+// run writes the signed certificate. It does not overwrite a file.
 func (k *keysSignCommand) run() int {
 	rootKey := k.RootKey
 	if rootKey == "" {
@@ -121,6 +123,7 @@
 	return exit
 }
 
+// print prints one certificate of the file path, as a line of JSON or of text.
 func (k *keysShowCommand) print(path string, c *x509.Certificate) {
 	fingerprint := fmt.Sprintf("%x", sha256.Sum256(c.Raw))
 	if k.JSON {
@@ -141,6 +144,7 @@
 	File string `required:"" env:"DAPPLEROUTER_FILE" type:"path" placeholder:"FILE" help:"The operator's file, with its gateway form."`
 }
 
+// run exits with exitNegative if the keys fail the check, and with exitUnusable if the file can't be read or names no keys.
 func (k *keysCheckCommand) run() int {
 	o, err := readOperatorFile(k.File)
 	if err != nil {
--- a/cmd/dapplerouter/log_queue.go
+++ b/cmd/dapplerouter/log_queue.go
@@ -17,6 +17,8 @@
 	logCloseTimeout = time.Second
 )
 
+// newQueuedWriter makes a queuedWriter for w and starts its goroutine, which close ends. A line that is written while maxQueuedLines lines
+// wait is dropped without an error.
 func newQueuedWriter(w io.Writer) *queuedWriter {
 	q := &queuedWriter{queue: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go func() {
--- a/cmd/dapplerouter/log_repeats.go
+++ b/cmd/dapplerouter/log_repeats.go
@@ -41,6 +41,7 @@
 	maxRepeatedWarnings = 256 // in the table; any more pass unchanged
 )
 
+// newRepeatedWarnings makes a repeatedWarnings that passes records to h.
 func newRepeatedWarnings(h slog.Handler) *repeatedWarnings {
 	return &repeatedWarnings{h, &warningTable{now: time.Now, interval: repeatInterval, warnings: map[string]*warning{}}}
 }
--- a/cmd/dapplerouter/main.go
+++ b/cmd/dapplerouter/main.go
@@ -67,6 +67,7 @@
 	JSON bool `help:"A line of JSON instead."`
 }
 
+// run prints the versions as text or as a line of JSON.
 func (c *versionCommand) run() int {
 	if c.JSON {
 		printJSON(map[string]string{"version": version, "go": runtime.Version()})
--- a/cmd/dapplerouter/output.go
+++ b/cmd/dapplerouter/output.go
@@ -17,6 +17,7 @@
 // table writes rows with aligned columns to standard output when it is flushed.
 type table struct{ w *tabwriter.Writer }
 
+// newTable makes a table whose first row has the given headings of columns.
 func newTable(columns ...string) table {
 	t := table{tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)}
 	t.row(strings.Join(columns, "\t"))
@@ -26,6 +27,7 @@
 // row adds a row, whose cells are separated by tabs.
 func (t table) row(row string) { _, _ = fmt.Fprintln(t.w, row) }
 
+// flush writes all rows to standard output.
 func (t table) flush() { _ = t.w.Flush() }
 
 // printError prints an error to standard error.
--- a/cmd/dapplerouter/reload.go
+++ b/cmd/dapplerouter/reload.go
@@ -9,8 +9,9 @@
 )
 
 // reloadOnSignal reloads the instance's configuration on each signal and calls setDiscovery with the address of discovery, until ctx ends.
-// A file that can't be opened or is incomplete is retried; the next signal starts a new attempt. An invalid file changes nothing. Changed
-// settings that require a restart are logged. Reloads continue while the service drains.
+// A file that can't be opened or is incomplete is read again for up to reloadTimeout. Another signal meanwhile cancels that attempt and
+// reads the file anew. An invalid file changes nothing. Changed settings that require a restart are logged. Reloads continue while the
+// service drains.
 func reloadOnSignal(ctx context.Context, signals <-chan os.Signal, instance *deployment.Instance, setDiscovery func(address string)) {
 	loaded := make(chan *deployment.Instance)
 	cancelAttempt := func() {}
--- a/cmd/dapplerouter/serve.go
+++ b/cmd/dapplerouter/serve.go
@@ -20,6 +20,7 @@
 	File string `env:"DAPPLEROUTER_FILE" type:"path" placeholder:"FILE" help:"The operator's own file; what is new is off without it."`
 }
 
+// run runs a front until it is told to stop.
 func (c *serveCommand) run() int { return runProcess(c.File, loadFrontConfig) }
 
 // loadFrontConfig is loadOperatorConfig for a front, which ignores the gateway form.
--- a/cmd/dapplerouter/subsystems.go
+++ b/cmd/dapplerouter/subsystems.go
@@ -30,18 +30,21 @@
 	return nil
 }
 
+// logTotals writes a log line with the counters of each subsystem.
 func (all subsystems) logTotals() {
 	for _, s := range all {
 		slog.Info(s.Name()+" totals", s.Totals()...)
 	}
 }
 
+// discoveryMoved tells each subsystem that the address of discovery has changed.
 func (all subsystems) discoveryMoved(address string) {
 	for _, s := range all {
 		s.DiscoveryAddressChanged(address)
 	}
 }
 
+// drain lets each subsystem in turn transfer what other fronts can take over; each has the whole time.
 func (all subsystems) drain(within time.Duration) {
 	for _, s := range all {
 		s.Drain(within)
