--- a/deployment/instance.go
+++ b/deployment/instance.go
@@ -109,7 +109,8 @@
 	}
 }
 
-// readCachedList decodes the endpoint list in the file.
+// readCachedList decodes the endpoint list to start with, which is part of the instance's configuration file, into CachedList and
+// SkippedEndpoints. data is its JSON, or nil if the file has none. It records an error in r for a missing or malformed list.
 func (s *Instance) readCachedList(r *keyReader, data json.RawMessage) {
 	if data == nil {
 		r.fail(cachedListKey, "is missing")
--- a/deployment/key_reader.go
+++ b/deployment/key_reader.go
@@ -149,12 +149,14 @@
 	return false
 }
 
-// requiredChoice returns the value that words has for the text of a key. A missing key or an unknown word is an error.
+// requiredChoice returns the value that words has for the text of a key. If the key is missing or the word unknown, it records an
+// error in r, which keeps the first one, and returns the zero value.
 func requiredChoice[T any](r *keyReader, key string, words map[string]T) T {
 	return parseChoice(r, key, r.required(key), words)
 }
 
-// parseChoice returns the value that words has for v, the text of a key. An unknown word is an error.
+// parseChoice returns the value that words has for v, the text of a key. If the word is unknown, it records an error in r,
+// which keeps the first one, and returns the zero value.
 func parseChoice[T any](r *keyReader, key, v string, words map[string]T) T {
 	t, ok := words[v]
 	if !ok {
