--- a/discovery/client.go
+++ b/discovery/client.go
@@ -88,7 +88,7 @@
 // CloseIdleConnections closes the connections that no call is using.
 func (c *Client) CloseIdleConnections() { c.http.CloseIdleConnections() }
 
-// FetchSnapshot reads the complete list. If a concurrent watch has received a newer version meanwhile, the snapshot would undo
+// FetchSnapshot reads the complete endpoint list. If a concurrent watch has received a newer version meanwhile, the snapshot would undo
 // those changes, so it is fetched again.
 func (c *Client) FetchSnapshot(ctx context.Context) (List, error) {
 	for {
--- a/discovery/watcher.go
+++ b/discovery/watcher.go
@@ -78,8 +78,8 @@
 	w.restartWatch()
 }
 
-// Fetch requests one snapshot, and returns without waiting for it. It is delivered as an update; if it cannot be read, a failed
-// update is delivered.
+// Fetch requests one snapshot of the endpoint list, that is the complete list, and returns without waiting for it. The list is
+// delivered as an update; if it cannot be read, a failed update is delivered.
 func (w *Watcher) Fetch() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
