--- a/lab/capacity/converge.go
+++ b/lab/capacity/converge.go
@@ -11,7 +11,8 @@
 	"dapplerouter/fleet/agent"
 )
 
-// status asks the admin API of the real front i for its view of the fleet.
+// status asks the admin API of the real front with ordinal i for its view of the fleet. A real front is a process of the program, in
+// contrast to a simulated follower.
 func (b *testbed) status(i int) (s agent.Status, err error) {
 	err = adminapi.Call(b.settings.adminSocket(i), "GET", "/v1/fleet", nil, &s)
 	return s, err
@@ -75,7 +76,7 @@
 	return ""
 }
 
-// unconvergedReal returns a message if the real front i lacks a part of the fleet's state.
+// unconvergedReal returns a message if the real front with ordinal i lacks a part of the fleet's state, or "" if it has all.
 func (b *testbed) unconvergedReal(i int) string {
 	s, err := b.status(i)
 	switch {
--- a/lab/capacity/discovery.go
+++ b/lab/capacity/discovery.go
@@ -171,7 +171,7 @@
 	return &countingConn{c, l.server}, nil
 }
 
-// countingConn is a connection that counts its bytes in a discoveryServer.
+// countingConn is a connection that adds the bytes it reads and writes to the received and sent bytes of a discoveryServer.
 type countingConn struct {
 	net.Conn
 	server *discoveryServer
--- a/lab/capacity/protocol.go
+++ b/lab/capacity/protocol.go
@@ -62,7 +62,8 @@
 	HeapBytes     int64   `json:"heap_bytes"` // heap in use; 0 for a real front
 }
 
-// MeshCounters holds what fronts have exchanged with their peers. Bytes include frames, but not TCP overhead.
+// MeshCounters holds what fronts have exchanged with their peers, summed over the fronts of the process. Bytes include frames, but not
+// TCP overhead.
 type MeshCounters struct {
 	Links         int    `json:"links"`
 	Sent          uint64 `json:"sent"` // messages
@@ -73,7 +74,7 @@
 	Dials         uint64 `json:"dials"`
 }
 
-// addMesh adds the counters of another front.
+// addMesh adds the counters of another front of the same process to the sum.
 func (c *MeshCounters) addMesh(o MeshCounters) {
 	c.Links += o.Links
 	c.Sent += o.Sent
--- a/lab/capacity/role_usage.go
+++ b/lab/capacity/role_usage.go
@@ -19,7 +19,7 @@
 	kinds         map[string]kindUsage // messages sent, by kind
 }
 
-// meshUsage is the traffic between fronts and their peers.
+// meshUsage is the traffic between the fronts of a role and their peers, summed over these fronts.
 type meshUsage struct {
 	links, shed              float64
 	sent, received           float64 // messages
@@ -98,10 +98,10 @@
 	}
 }
 
-// perFront divides a total by the number of fronts.
+// perFront returns a total over the role's fronts as the average of one front.
 func (u *roleUsage) perFront(total float64) float64 { return total / float64(u.fronts) }
 
-// perFrontSecond divides a total by the number of fronts and the time between the samples.
+// perFrontSecond returns a total over the role's fronts as the average of one front in one second between the samples.
 func (u *roleUsage) perFrontSecond(total float64) float64 { return total / u.frontSeconds }
 
 // kindNames returns the kinds of messages that the role sent, sorted.
--- a/lab/capacity/roles.go
+++ b/lab/capacity/roles.go
@@ -7,7 +7,7 @@
 	"dapplerouter/fleet/rollout"
 )
 
-// roles holds the names of the fronts that are the leader and the leaseholders at a moment.
+// roles holds the names of three fronts at a moment: the leader, and the holders of the leases on the endpoint list and on rollouts.
 type roles struct {
 	leader, endpoints, rollouts string
 }
@@ -16,7 +16,7 @@
 var roleOrder = []string{RoleLeader, RoleVoter, RoleEndpointsLeaseholder, RoleRolloutsLeaseholder, RoleRealFollower, RoleSimulatedFollower,
 	RoleDiscovery, RoleDatabases}
 
-// pollRoles asks a real front which fronts are the leader and the leaseholders.
+// pollRoles asks a real front which fronts are the leader and the holders of the leases on the endpoint list and on rollouts.
 func (b *testbed) pollRoles() (r roles, err error) {
 	s, err := b.status(endpointsOrdinal)
 	if err != nil {
--- a/lab/capacity/sample.go
+++ b/lab/capacity/sample.go
@@ -57,7 +57,8 @@
 	return s, err
 }
 
-// realCounters reads the counters of the real front i from its admin API, and its resident memory from /proc.
+// realCounters reads the counters of the front with ordinal i from its admin API, and its resident memory from /proc. The front is a real
+// one: a process of the program, in contrast to the simulated followers of the worker processes.
 func (b *testbed) realCounters(i int, p *process) (c Counters, err error) {
 	var own agent.Counters
 	if err := adminapi.Call(b.settings.adminSocket(i), "GET", "/v1/fleet/counters", nil, &own); err != nil {
--- a/lab/processtest/checks.go
+++ b/lab/processtest/checks.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// checkReplicatedState checks that fronts whose replicated state is at the same index know the same leaseholders and terms.
+// checkReplicatedState checks that fronts whose replicated state is at the same index know the same holder and term of each lease.
 func (c *checker) checkReplicatedState() {
 	for i, a := range c.statuses {
 		for _, b := range c.statuses[i+1:] {
--- a/lab/processtest/steps.go
+++ b/lab/processtest/steps.go
@@ -30,7 +30,7 @@
 type runningStep struct {
 	Step
 	fronts         []*Front
-	effectDuration time.Duration // how long its effect effectDuration: the last of Step.Durations
+	effectDuration time.Duration // how long its effect lasts: the last of Step.Durations
 }
 
 // stepKinds maps the name of each kind of step to its definition.
@@ -174,7 +174,7 @@
 	})
 }
 
-// pauseFront suspends a front's process and resumes it later.
+// pauseFront suspends a front's process with SIGSTOP and returns. The process is resumed after the step's duration.
 func (h *Harness) pauseFront(s runningStep) error {
 	f := s.fronts[0]
 	f.pause()
--- a/lab/proxysim/requests.go
+++ b/lab/proxysim/requests.go
@@ -11,7 +11,7 @@
 // Names of the request types.
 const (
 	Browse = "browse" // a read, which any server of the group may answer
-	Book   = "book"   // a write with an idempotency key
+	Book   = "book"   // a write with an idempotency key, which the primary applies only once within dedupWindow
 )
 
 // Request is a client's request with its outcome. Times are virtual.
--- a/lab/proxysim/rollout_checks.go
+++ b/lab/proxysim/rollout_checks.go
@@ -37,7 +37,8 @@
 	return c.RolloutChanges[len(c.RolloutChanges)-1].State
 }
 
-// checkOutcomes checks that each action has only one outcome and that the outcome never changes.
+// checkOutcomes checks the outcomes in a state of the rollout: each operator's action has at most one, and it is the same as in the
+// states checked before.
 func (c *Cluster) checkOutcomes(s rollout.State) {
 	seen := map[uint64]bool{}
 	for _, o := range s.Outcomes {
--- a/lab/proxysim/server.go
+++ b/lab/proxysim/server.go
@@ -142,7 +142,8 @@
 	}
 }
 
-// apply applies a write, unless a write with the same idempotency key was applied within the deduplication window.
+// apply applies a write at the primary and counts its effect. It changes nothing if a write with the same idempotency key was applied
+// within the last dedupWindow.
 func (s *Server) apply(q *queuedStatement) {
 	if at, ok := s.dedupKeys[q.dedupKey]; !ok || s.cluster.Now-at > dedupWindow {
 		s.dedupKeys[q.dedupKey] = s.cluster.Now
