--- a/sqlclass/cost.go
+++ b/sqlclass/cost.go
@@ -29,6 +29,7 @@
 	maxEstimate      = time.Hour
 )
 
+// newCostModel returns a model without measurements, whose estimates come from the initial line.
 func newCostModel() *costModel { return &costModel{intercept: initialIntercept, slope: initialSlope} }
 
 // line returns the current line: log(seconds) = intercept + slope * log(estimated rows), with natural logarithms.
--- a/sqlclass/rowestimate.go
+++ b/sqlclass/rowestimate.go
@@ -48,10 +48,10 @@
 	tables, joins int
 }
 
-// begin resets the block.
+// begin opens the block without any features.
 func (b *queryBlock) begin() { *b = queryBlock{open: true} }
 
-// keyword updates the block for a keyword.
+// keyword records the clause that a keyword begins, and whether a condition begins or ends there.
 func (b *queryBlock) keyword(name string) {
 	switch name {
 	case "where":
@@ -82,14 +82,14 @@
 	}
 }
 
-// openParenthesis updates the block for an opening parenthesis after a keyword.
+// openParenthesis records the list of a condition with IN: keyword is the word before an opening parenthesis.
 func (b *queryBlock) openParenthesis(keyword string) {
 	if keyword == "in" && b.inCondition {
 		b.hasInList = true
 	}
 }
 
-// literal updates the block for a literal that follows the token before.
+// literal records a condition by equality with a literal: before is the token that precedes a literal.
 func (b *queryBlock) literal(before Token, text []byte) {
 	if b.hasWhere && b.inCondition && before.Kind == Operator && string(text[before.Start:before.End]) == "=" {
 		b.hasEquality = true
--- a/sqlclass/scanner.go
+++ b/sqlclass/scanner.go
@@ -452,6 +452,7 @@
 	return isDigit
 }
 
+// isDecimal reports whether a byte is a decimal digit.
 func isDecimal(c byte) bool { return c >= '0' && c <= '9' }
 
 // scanPunctuation reads a punctuation mark, or one of the operators :: and :=.
