--- a/fleet/rollout/finish.go
+++ b/fleet/rollout/finish.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// finish ends the rollout once no front uses the old version any more.
+// finish ends the rollout once no front uses the old version any more, apart from those that State.UnconfirmedFronts names: the new
+// version becomes the one in force, and the text of the old one is deleted.
 func (c *Controller) finish(in *stepInput) {
 	s := in.state
 	unconfirmed, othersConfirmed := c.frontsOnOtherVersions(in, s.Next)
--- a/fleet/rollout/merge.go
+++ b/fleet/rollout/merge.go
@@ -68,8 +68,9 @@
 	count    int       // number of publications that are part of the version
 }
 
-// merge merges publications into one version on top of the version in force. Of the publications' settings it takes the most cautious
-// ones: the most stages, the longest observation time, the smallest share that may be fenced, the shortest deadline.
+// merge merges publications into one version on top of the version in force. Of the publications' settings it takes the
+// strictest ones: the most stages, the longest observation time, the smallest share that may be fenced, the shortest deadline, and
+// mandatory if one of them is.
 func merge(all []publication, rules RuleSet, base ruleVersion) (m mergedVersion, err error) {
 	merged, err := rules.Split(base.text)
 	if err != nil {
@@ -100,12 +101,12 @@
 	return m, nil
 }
 
-// reject records that a publication is not part of the version.
+// reject records that a publication is not part of the version: err is the reason in its outcome.
 func (m *mergedVersion) reject(p publication, err error) {
 	m.outcomes = append(m.outcomes, outcomeOf(p.action.ID, err))
 }
 
-// add records that a publication is part of the version, and merges its settings.
+// add records that a publication is part of the version, and merges its settings with those of the publications before it.
 func (m *mergedVersion) add(p publication) {
 	m.outcomes = append(m.outcomes, outcomeOf(p.action.ID, nil))
 	m.count++
--- a/fleet/rollout/publication_queue.go
+++ b/fleet/rollout/publication_queue.go
@@ -23,7 +23,7 @@
 // minQueueTime is the shortest time for which a publication stays queued before it is rejected, in lease durations.
 const minQueueTime = 6
 
-// publication is a publication in the queue.
+// publication is an operator's publication that waits in the queue to be merged into the next version.
 type publication struct {
 	action  Action
 	from    string            // the front at which it was made
@@ -134,8 +134,9 @@
 	return changes, nil
 }
 
-// processQueue starts the next version from the queued publications, or rejects those that have waited for too long. It returns false if
-// there is nothing to do.
+// processQueue stores the queue for operators if it has changed. Else, if no rollout is in progress and every front is known to use only
+// the version in force, it starts the rollout of a version that merges the queued publications; if not, it rejects those that have waited
+// for too long. It returns false if there is nothing to do.
 func (c *Controller) processQueue(in *stepInput) bool {
 	c.publications = slices.DeleteFunc(c.publications, func(p publication) bool {
 		_, done := in.state.Outcome(p.action.ID)
--- a/fleet/rollout/publish.go
+++ b/fleet/rollout/publish.go
@@ -57,7 +57,7 @@
 	return c.checkPublication(in)
 }
 
-// newVersion is a version whose rollout starts.
+// newVersion is the action that publishes a version, with the deadline and the reason of the rollout that it starts.
 type newVersion struct {
 	Action
 	within time.Duration // 0 for no deadline
