--- a/lab/processtest/steps.go
+++ b/lab/processtest/steps.go
@@ -440,6 +440,7 @@
 	return err.Error()
 }
 
+// frontNames returns the names of the fronts, separated by spaces.
 func frontNames(fronts []*Front) string {
 	var names []string
 	for _, f := range fronts {
