--- a/fleet/rollout/publish.go
+++ b/fleet/rollout/publish.go
@@ -57,7 +57,7 @@
 	return c.checkPublication(in)
 }
 
-// newVersion is a version whose rollout starts.
+// newVersion is the action that publishes a version, with the deadline and the reason of the rollout that it starts.
 type newVersion struct {
 	Action
 	within time.Duration // 0 for no deadline
@@ -79,6 +79,7 @@
 	c.writer.replaceQueued(append(writes, allowedWrite(s.Base, s.Next), stateWrite(s, v.reason))...)
 }
 
+// invalidStagesError rejects a publication whose stages do not increase to the whole fleet.
 func invalidStagesError() error { return rejectf(ErrInvalidStages, "waves rise to 100%%") }
 
 // validStages reports whether the stages increase to the whole fleet, which is 1000 thousandths.
--- a/sqlclass/cost.go
+++ b/sqlclass/cost.go
@@ -29,9 +29,10 @@
 	maxEstimate      = time.Hour
 )
 
+// newCostModel returns a model without measurements, whose estimates come from the initial line.
 func newCostModel() *costModel { return &costModel{intercept: initialIntercept, slope: initialSlope} }
 
-// line returns the current intercept and slope.
+// line returns the current line: log(seconds) = intercept + slope * log(estimated rows), with natural logarithms.
 func (m *costModel) line() (intercept, slope float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
