--- a/fleet/zones/observer.go
+++ b/fleet/zones/observer.go
@@ -100,7 +100,7 @@
 func (o *Observer) ConnectFailed(zone int) { o.observations[zone].ConnectFailed++ }
 
 // TakeReport returns what was observed since the last report. urgent reports that a zone has started or stopped failing, so that the
-// report should not wait for the next heartbeat.
+// report should be sent at once and not with the next periodic one.
 func (o *Observer) TakeReport(unreliable bool) (r Report, urgent bool) {
 	r = Report{Zones: o.zones, Observations: slices.Clone(o.observations), Unreliable: unreliable}
 	for i, counts := range o.observations {
--- a/router/slow_start.go
+++ b/router/slow_start.go
@@ -8,11 +8,11 @@
 )
 
 // This file limits what a server that has just started is sent. Inputs: the server's start time, from the endpoint list
-// or because the server was unreachable and answers again; the work done by warm servers. Invariant: all instances
-// together send less than the server can take at its present capacity. The deployment's slow-start rule allows them
-// N + 2 x sqrt(N) + 2 requests within the overload window. N is the number of requests of mean work that the rules
-// allow the server in that time at its present capacity. Even if N is small, all instances together may therefore send
-// a minimum, which is one request per overload window.
+// or because the server was unreachable and answers again; the successful work at all servers and the number of warm
+// servers among them. Invariant: all instances together send less than the server can take at its present capacity. The
+// deployment's slow-start rule allows them N + 2 x sqrt(N) + 2 requests within the overload window. N is the number of
+// requests of mean work that the rules allow the server in that time at its present capacity. Even if N is small, all
+// instances together may therefore send a minimum, which is one request per overload window.
 
 // slowStartRules holds the deployment's slow-start rules. It also holds the recent work of the successful attempts at
 // all servers and the number of warm servers. Divided by each other, they give the mean rate of work of a warm server. The
