--- a/router/health_check.go
+++ b/router/health_check.go
@@ -80,7 +80,7 @@
 // ejected servers are checked with a backoff, at intervals of ejectionTime.
 func (r *Router) startHealthChecks(now time.Duration) {
 	for k := range r.groups {
-		g := &r.groups[k]
+		g := r.groups[k]
 		if !g.healthCheckWanted && !g.mayHaveEjected { // skips most groups of a long list
 			continue
 		}
--- a/router/primary.go
+++ b/router/primary.go
@@ -40,10 +40,10 @@
 // group returns the group with index g and creates it if necessary.
 func (r *Router) group(g int) *group {
 	for len(r.groups) <= g {
-		r.groups = append(r.groups, group{primary: none, claimant: none, claimPosition: never, termStart: never,
+		r.groups = append(r.groups, &group{primary: none, claimant: none, claimPosition: never, termStart: never,
 			evictedTarget: sessionTarget{pos: never}})
 	}
-	return &r.groups[g]
+	return r.groups[g]
 }
 
 // observeRole processes the role that a server claims. A claim without a position counts as made now.
--- a/router/router.go
+++ b/router/router.go
@@ -62,7 +62,7 @@
 	randomSource
 	latencies
 	servers []server // by the index that the host assigned
-	groups  []group  // by the index that the host assigned
+	groups  []*group // by the index that the host assigned
 	sessions
 	fleetLoad
 	slowStartRules
--- a/router/sessions.go
+++ b/router/sessions.go
@@ -13,23 +13,24 @@
 
 // sessionTarget is the log position of a session's last write in a group, with the term of the group's primary.
 type sessionTarget struct {
-	key  uint64 // see sessionKey; 0 for an empty entry
-	pos  time.Duration
-	term int
+	key   uint64 // see sessionKey; 0 for an empty entry
+	group *group
+	pos   time.Duration
+	term  int
 }
 
-// raise replaces the target by another if the other is later: it has a newer term, or a higher position in the same
-// term.
+// raise replaces the target by another of the same group if the other is later: it has a newer term, or a higher position
+// in the same term.
 func (t *sessionTarget) raise(to sessionTarget) {
 	if to.term > t.term || to.term == t.term && to.pos > t.pos {
 		t.pos, t.term = to.pos, to.term
 	}
 }
 
-// sessions is a set-associative cache of session targets with a fixed size. A full bucket evicts the target with the
-// lowest log position and raises to it the evictedTarget of the group that is written to. A group's evictedTarget
-// applies to each of its sessions that isn't found, so it must never be too low. It is expected, but not guaranteed,
-// that the replicas soon pass it, since it is the position of an older write.
+// sessions is a set-associative cache of session targets with a fixed size, which all groups share. A full bucket evicts
+// the target with the lowest log position and raises to it the evictedTarget of that target's group. A group's
+// evictedTarget applies to each of its sessions that isn't found, so it must never be too low. It is expected, but not
+// guaranteed, that the replicas soon pass it, since it is the position of an older write.
 type sessions struct {
 	clientCarriesToken bool
 	targets            []sessionTarget
@@ -54,13 +55,13 @@
 }
 
 // recordWrite raises the session's target to the position of a write in the current term of the group. It never lowers
-// a target. A session that has none gets one, which may evict another session's. In deployments whose clients carry
-// tokens it does nothing, since the token then gives the required position.
+// a target. A session that has none gets one, which may evict another session's, also of another group. In deployments
+// whose clients carry tokens it does nothing, since the token then gives the required position.
 func (s *sessions) recordWrite(key uint64, g *group, pos time.Duration) {
 	if s.clientCarriesToken {
 		return
 	}
-	written := sessionTarget{key: key, pos: pos, term: g.term}
+	written := sessionTarget{key: key, group: g, pos: pos, term: g.term}
 	bucket := s.bucket(written.key)
 	oldest := &bucket[0]
 	for i := range bucket {
@@ -73,7 +74,7 @@
 		}
 	}
 	if oldest.key != 0 {
-		g.evictedTarget.raise(*oldest)
+		oldest.group.evictedTarget.raise(*oldest)
 	}
 	*oldest = written
 }
