--- a/router/sessions.go
+++ b/router/sessions.go
@@ -14,11 +14,14 @@
 // sessionTarget is the log position of a session's last write in a group, with the term of the group's primary.
 type sessionTarget struct {
 	key   uint64 // see sessionKey; 0 for an empty entry
-	group *group
+	group *group // with the key, it identifies the session: sessions of different groups may have the same key
 	pos   time.Duration
 	term  int
 }
 
+// isOf reports whether the entry is the target of the session with a key in a group.
+func (t *sessionTarget) isOf(key uint64, g *group) bool { return t.key == key && t.group == g }
+
 // raise replaces the target by another of the same group if the other is later: it has a newer term, or a higher position
 // in the same term.
 func (t *sessionTarget) raise(to sessionTarget) {
@@ -65,7 +68,7 @@
 	bucket := s.bucket(written.key)
 	oldest := &bucket[0]
 	for i := range bucket {
-		if bucket[i].key == written.key {
+		if bucket[i].isOf(key, g) {
 			bucket[i].raise(written)
 			return
 		}
@@ -92,14 +95,14 @@
 	}
 	key := sessionKey(in)
 	for _, t := range s.bucket(key) {
-		if t.key == key {
+		if t.isOf(key, g) {
 			return max(token, g.inCurrentTerm(t.pos, t.term))
 		}
 	}
 	return max(token, g.inCurrentTerm(g.evictedTarget.pos, g.evictedTarget.term))
 }
 
-// sessionKey identifies a session within a group.
+// sessionKey returns the key under which a session's target in a group is found.
 func sessionKey(in *routing.Request) uint64 { return in.Session + uint64(in.Group) }
 
 // RequiredPosition returns the log position that a read in flight must see, for an instance at another site. It reports
