--- a/server/pipeline.go
+++ b/server/pipeline.go
@@ -154,14 +154,15 @@
 	return c.handleReadError(err)
 }
 
-// mayReadAhead reports whether another message may be read while requests are in flight. Once the server rejects requests, it only reads
-// the rest of a message that was partly received.
+// mayReadAhead reports whether another message may be read while requests are in flight. Once the server rejects requests, a message is
+// read no further than its end. Once the server closes, only the rest of a message that was partly received is read.
 func (c *client) mayReadAhead() bool {
-	if c.server.stage.Load() >= rejecting {
+	stage := c.server.stage.Load()
+	if stage >= rejecting {
 		c.reader.StopReadAhead()
-		if !c.reader.MessageStarted() {
-			return false
-		}
+	}
+	if stage == closing && !c.reader.MessageStarted() {
+		return false
 	}
 	return !c.readAhead.ended && !c.readAhead.paused && c.pipeline.Len() < maxPipelined && c.readAhead.bytes < maxReadAheadBytes
 }
--- a/server/requests_test.go
+++ b/server/requests_test.go
@@ -279,6 +279,30 @@
 	assert.True(t, h.server.Wait(10*time.Second))
 }
 
+// Regression test: A request that arrived behind a request in flight once the server rejects requests lay unread until that was answered,
+// and then its client found the connection closed. It is read, and rejected in its turn.
+func TestRequestBehindRequestInFlightIsRejectedAfterDrain(t *testing.T) {
+	h := newHarness(t, 40)
+	c := h.ConnectClient()
+	c.Send(conntest.ReadQuery("4000")...)
+	upstream := h.AcceptServer()
+	upstream.Expect("Q")
+	<-h.Router.Received
+	h.server.Drain(h.Listener)
+	require.NoError(t, <-h.Served)
+	h.Served <- nil
+	c.Send(conntest.ReadQueries(2)...)
+	h.Eventually(func() bool { return h.server.RejectedWhileDraining() == 2 })
+	upstream.Send(conntest.RowResponse("v")...)
+	c.Expect("TDCZ")
+	for range 2 {
+		assert.Contains(t, string(c.Expect("EZ")), pgwire.CodeCannotConnectNow)
+	}
+	c.ExpectClosed()
+	assert.True(t, h.server.Wait(10*time.Second))
+	assert.Empty(t, h.Router.Received)
+}
+
 // If handling a message panics, all requests that were read, and the message itself, are answered before the connection ends.
 func TestPanicAnswersAllRequestsOfItsConnection(t *testing.T) {
 	h := newHarness(t, 40)
