--- a/fleet/agent/prober.go
+++ b/fleet/agent/prober.go
@@ -126,11 +126,11 @@
 	case fleet.AwaitResult:
 		p.After(0, func() { p.RequestProbe(holder, target.name) })
 		p.After(p.cache.MaxWait, p.expireWaits)
-		p.After(2*p.cache.MaxWait, p.expireWaits)
+		p.After(p.cache.LongestWait(), p.expireWaits)
 	}
 }
 
-// expireWaits ends the wait of probes for which no result arrived in time, and sends them. A probe that waited twice as long because
+// expireWaits ends the wait of probes for which no result arrived in time, and sends them. A probe that waited for LongestWait because
 // another front's probe was pending has too little time left for the server to answer. It ends as not sent.
 func (p *Prober) expireWaits() {
 	p.mu.Lock()
@@ -138,7 +138,7 @@
 	expired := p.cache.Expired(now)
 	p.mu.Unlock()
 	for _, probe := range expired {
-		if now-probe.startedAt < 2*p.cache.MaxWait {
+		if now-probe.startedAt < p.cache.LongestWait() {
 			p.pools.Send(probe.server, probe.attempt)
 			continue
 		}
--- a/fleet/probe_cache.go
+++ b/fleet/probe_cache.go
@@ -58,8 +58,8 @@
 // ProbeCache caches the prober's results, so that a front can use them in place of its own probes. A probe of this front waits a
 // limited time for a result of the prober, and is sent where none arrives. Q is the type of a probe.
 type ProbeCache[Q any] struct {
-	FreshFor time.Duration // how long a failure is used; a replica's health is used for 2*MaxWait, since it may become primary
-	MaxWait  time.Duration // how long a probe waits for a result; it waits twice as long while the prober's own probe is pending
+	FreshFor time.Duration // how long a failure is used; a replica's health is used for LongestWait, since it may become primary
+	MaxWait  time.Duration // how long a probe waits for a result; it waits for LongestWait while the prober's own probe is pending
 
 	results       map[string]cachedResult      // by server
 	pending       map[string]time.Duration     // by server: when the prober reported that its probe is pending
@@ -94,6 +94,10 @@
 	}
 }
 
+// LongestWait returns how long a probe waits while the prober's own probe is pending. After that time nothing that is known of a probe or
+// of a healthy server counts any more.
+func (s *ProbeCache[Q]) LongestWait() time.Duration { return 2 * s.MaxWait }
+
 // ProbeDecision says how a front should proceed with a probe.
 type ProbeDecision int
 
@@ -120,7 +124,7 @@
 	if len(s.waiting) >= maxKnownFronts {
 		return ProbeNow, result
 	}
-	waiting := waitingProbe[Q]{probe, now + s.MaxWait, now + 2*s.MaxWait}
+	waiting := waitingProbe[Q]{probe, now + s.MaxWait, now + s.LongestWait()}
 	if s.probePending(now, server) {
 		waiting.until = waiting.latest
 	}
@@ -131,7 +135,7 @@
 // lifetime returns how long a result is used. After that, probes wait for a new result of the prober.
 func (s *ProbeCache[Q]) lifetime(result *ProbeResult) time.Duration {
 	if result.Healthy {
-		return 2 * s.MaxWait
+		return s.LongestWait()
 	}
 	return s.FreshFor
 }
@@ -139,7 +143,7 @@
 // probePending reports whether the prober's own probe of a server is pending, according to its reports.
 func (s *ProbeCache[Q]) probePending(now time.Duration, server string) bool {
 	at, ok := s.pending[server]
-	return ok && now-at < 2*s.MaxWait
+	return ok && now-at < s.LongestWait()
 }
 
 // AddResult adds a prober's result, which was broadcast in a term of its lease, and returns the probes that waited for it. The caller
@@ -170,9 +174,9 @@
 }
 
 // AcceptRequest reports whether the prober should serve another front's request to probe a server. It returns false where it accepted
-// a request for that server within 2*MaxWait.
+// a request for that server within LongestWait.
 func (s *ProbeCache[Q]) AcceptRequest(now time.Duration, server string) bool {
-	if at, ok := s.requests[server]; ok && now-at < 2*s.MaxWait || !ok && len(s.requests) >= maxKnownFronts {
+	if at, ok := s.requests[server]; ok && now-at < s.LongestWait() || !ok && len(s.requests) >= maxKnownFronts {
 		return false
 	}
 	s.requests[server] = now
