--- a/fleet/leader.go
+++ b/fleet/leader.go
@@ -178,10 +178,7 @@
 		if c.LostBy != "" {
 			l.backoffUntil[backoffKey(c.Lease, c.LostBy)] = now + l.backoff(c.LossCount)
 		}
-		if pendingTransfer, ok := l.transfers[c.Lease]; ok && lease.Term > pendingTransfer.term {
-			delete(l.transfers, c.Lease)
-			l.reply(now, pendingTransfer.requester, &LeaderReply{RequestID: pendingTransfer.requestID})
-		}
+		l.completeTransfer(now, lease)
 	case opJoin:
 		delete(l.retryAt, c.Front.Name)
 	}
--- a/fleet/leader_leases.go
+++ b/fleet/leader_leases.go
@@ -23,7 +23,7 @@
 // leaseTable is the leader's state of leases beyond the replicated state.
 type leaseTable struct {
 	timers              map[string]*leaseTimer
-	transfers           map[string]transfer      // by lease: transfers that operators requested
+	transfers           map[string]transfer      // by lease: the latest transfer that an operator requested
 	pendingDeclarations map[string]time.Duration // by lease: the bounds of declarations that are proposed and not yet applied
 	backoffUntil        map[string]time.Duration // by backoffKey, see backoffEnd
 	offloadedAt         time.Duration            // when the leader last released a lease that it held itself, see offloadOwnLease
--- a/fleet/leader_requests.go
+++ b/fleet/leader_requests.go
@@ -9,11 +9,18 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// transfer is an operator's request to transfer a lease. It is done once the lease is in a later term than term.
+// transfer is an operator's request to transfer a lease. It is done once the lease is in a later term than term. The leader keeps it until
+// the next request to transfer the lease, since the requester repeats its request until it receives the answer.
 type transfer struct {
 	requester string
 	requestID uint64
 	term      uint64
+	done      bool
+}
+
+// isRequest reports whether the transfer was requested by the request of the given front and ID.
+func (t transfer) isRequest(requester string, id uint64) bool {
+	return t.requester == requester && t.requestID == id
 }
 
 // onRequest handles a front's request. Until the leader is ready it drops requests.
@@ -112,12 +119,19 @@
 }
 
 // onTransfer handles an operator's request to transfer a lease: it asks the holder to release the lease. The leader answers the
-// request once another front holds the lease.
+// request once the lease is granted again. A repetition of the request starts no further transfer, and does not fail while the lease is
+// released and not yet granted.
 func (l *leader) onTransfer(now time.Duration, requester string, q *Request) {
 	lease, timer := l.node.state.Leases[q.Lease], l.timers[q.Lease]
+	latest := l.transfers[q.Lease]
+	isRepeated := latest.isRequest(requester, q.ID)
 	switch known := l.members[q.To]; {
 	case lease == nil || timer == nil:
 		l.answer(now, requester, q, errUnknownLease)
+	case isRepeated && latest.done:
+		l.answer(now, requester, q, nil)
+	case isRepeated && lease.Leaseholder == "":
+		return // the grant answers the request
 	case lease.Leaseholder == "":
 		l.answer(now, requester, q, errNoLeaseholder)
 	case q.To == lease.Leaseholder:
@@ -125,11 +139,22 @@
 	case q.To != "" && (known == nil || !l.eligible(now, known)):
 		l.answer(now, requester, q, fmt.Errorf("%s %w", q.To, errNotEligible))
 	default:
-		l.transfers[q.Lease] = transfer{requester, q.ID, lease.Term}
+		l.transfers[q.Lease] = transfer{requester: requester, requestID: q.ID, term: lease.Term}
 		l.reply(now, lease.Leaseholder, &LeaderReply{Release: lease.Name, Term: lease.Term, TransferTo: q.To})
 	}
 }
 
+// completeTransfer answers the request to transfer a lease where the lease is in a later term than at the request.
+func (l *leader) completeTransfer(now time.Duration, lease *Lease) {
+	latest, ok := l.transfers[lease.Name]
+	if !ok || latest.done || lease.Term <= latest.term {
+		return
+	}
+	latest.done = true
+	l.transfers[lease.Name] = latest
+	l.reply(now, latest.requester, &LeaderReply{RequestID: latest.requestID})
+}
+
 // memberReports returns a report of each front with its digest of a subsystem, sorted by name. Data is nil where the front has none.
 func (l *leader) memberReports(now time.Duration, subsystem string) (all []MemberReport) {
 	for _, name := range slices.Sorted(maps.Keys(l.members)) {
