--- a/fleet/leader_leases.go
+++ b/fleet/leader_leases.go
@@ -87,10 +87,13 @@
 		if !lease.isHolder(pending.name, pending.incarnation, pending.renewal.Term) {
 			continue
 		}
-		timer.expiresAt = max(timer.expiresAt, pending.receivedAt+l.node.options.Timing.leaderLease())
 		if pending.renewal.Progress != timer.progress {
 			timer.progress, timer.progressAt = pending.renewal.Progress, now
 		}
+		if l.refusesRenewal(now, lease, timer) {
+			continue
+		}
+		timer.expiresAt = max(timer.expiresAt, pending.receivedAt+l.node.options.Timing.leaderLease())
 		reply := renewed[pending.name]
 		if reply == nil || pending.seq > reply.RenewedSeq {
 			reply = &LeaderReply{RenewedSeq: pending.seq}
@@ -109,7 +112,8 @@
 }
 
 // requestRelease asks a leaseholder that is alive but makes no progress to release its lease, at most once in each heartbeat interval.
-// Once the holder has received the request, it no longer renews the lease, so the lease expires even where its release is lost.
+// Once the holder has received the request, it no longer renews the lease, so the lease expires even where its release is lost. See
+// refusesRenewal for a holder that goes on renewing it.
 func (l *leader) requestRelease(now time.Duration, lease *Lease, timer *leaseTimer) {
 	if timer.transferringAt != 0 && now-timer.transferringAt < l.node.options.Timing.HeartbeatInterval() {
 		return
@@ -118,6 +122,15 @@
 	l.reply(now, lease.Leaseholder, &LeaderReply{Release: lease.Name, Term: lease.Term})
 }
 
+// refusesRenewal reports whether a lease must be left to expire: its holder makes no progress, has renewed the lease for a lease duration
+// since it was first asked to release it, and another front can be granted the lease.
+func (l *leader) refusesRenewal(now time.Duration, lease *Lease, timer *leaseTimer) bool {
+	if lease.Bound == 0 || now-timer.progressAt <= lease.Bound+l.node.options.Timing.LeaseDuration {
+		return false
+	}
+	return l.bestCandidate(now, lease, "") != nil
+}
+
 // eligible reports whether a front can be granted leases now: it has joined, it accepts leases, it is not shutting down, and it
 // reported recently.
 func (l *leader) eligible(now time.Duration, known *member) bool {
--- /dev/null
+++ b/fleet/leader_leases_test.go
@@ -0,0 +1,44 @@
+package fleet
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// reportAs passes the leader the membership record of a follower that renews the given leases.
+func (s *singleVoter) reportAs(name string, seq uint64, renewals ...LeaseRenewal) {
+	s.leader.onMembership(s.now, MembershipRecord{Name: name, Incarnation: 5, Seq: seq, AcceptsLeases: true, Renewals: renewals})
+}
+
+// runWithFollower runs like run, and passes the leader the records of a follower that is granted leases and never releases them.
+func (s *singleVoter) runWithFollower(d time.Duration, name string) {
+	for end := s.now + d; s.now < end; {
+		s.followerSeq++
+		var renewals []LeaseRenewal
+		for _, lease := range s.state.Leases {
+			if lease.Leaseholder == name {
+				renewals = append(renewals, LeaseRenewal{Lease: lease.Name, Term: lease.Term})
+			}
+		}
+		s.reportAs(name, s.followerSeq, renewals...)
+		s.run(s.options.Timing.HeartbeatInterval())
+	}
+}
+
+// Guards against a lease that its holder keeps for good without progress, where the holder renews it and never handles the requests to release
+// it.
+func TestStalledLeaseOfHolderThatNeverReleasesItIsGrantedToAnother(t *testing.T) {
+	s := startSingleVoter(t)
+	const bound = 2 * testLeaseDuration
+	s.DeclareLease("other", bound)
+	s.runWithFollower(testLeaseDuration, "n2")
+	require.Equal(t, "n2", s.state.Leases["other"].Leaseholder, "the front with the fewest leases")
+	s.runWithFollower(bound+5*testLeaseDuration/2, "n2")
+	lease := s.state.Leases["other"]
+	assert.Equal(t, "k1", lease.Leaseholder)
+	assert.Equal(t, reasonExpired, lease.Reason)
+	assert.EqualValues(t, 1, lease.losses("n2"))
+}
--- a/fleet/leader_transfer_test.go
+++ b/fleet/leader_transfer_test.go
@@ -13,6 +13,8 @@
 	*Node
 	now  time.Duration
 	done []RequestDone // the ends of its requests so far
+
+	followerSeq uint64 // see runWithFollower
 }
 
 // startSingleVoter returns a single voter that holds the endpoint list's lease.
