--- a/fleet/leader_leases.go
+++ b/fleet/leader_leases.go
@@ -275,35 +275,30 @@
 	return byFront
 }
 
-// offloadOwnLease releases a lease that the leader itself holds, where an eligible front has no more leases than the leader. Otherwise the
+// offloadOwnLease releases a lease that the leader itself holds, where a candidate has no more leases than the leader. Otherwise the
 // failure of one process would cost an election and then a lease duration, one after the other.
 func (l *leader) offloadOwnLease(now time.Duration) {
 	timing := l.node.options.Timing
 	if now-l.since < timing.LeaseDuration || now-l.offloadedAt < timing.LeaseDuration {
 		return
 	}
-	leaseCounts := map[string]int{}
+	self := l.node.options.Name
 	ownName := ""
 	for name, lease := range l.node.state.Leases {
-		leaseCounts[lease.Leaseholder]++
-		if ownLease := l.node.ownLeases[name]; lease.Leaseholder == l.node.options.Name && ownLease != nil && ownLease.announced && !ownLease.releasing {
+		if ownLease := l.node.ownLeases[name]; lease.Leaseholder == self && ownLease != nil && ownLease.announced && !ownLease.releasing {
 			ownName = max(ownName, name)
 		}
 	}
 	if ownName == "" {
 		return
 	}
-	self := l.node.options.Name
-	for name, known := range l.members {
-		if name == self || leaseCounts[name] > leaseCounts[self] || now < l.backoffUntil[backoffKey(ownName, name)] {
-			continue
-		}
-		if l.eligible(now, known) {
-			l.offloadedAt = now
-			l.node.releaseLease(now, ownName, "", reasonLeaderOffloads)
-			return
-		}
+	best := l.bestCandidate(now, l.node.state.Leases[ownName], "")
+	leaseCounts, _ := l.countLeases()
+	if best == nil || leaseCounts[best.Name] > leaseCounts[self] {
+		return
 	}
+	l.offloadedAt = now
+	l.node.releaseLease(now, ownName, "", reasonLeaderOffloads)
 }
 
 // renewConfigLeases renews the configuration leases that were requested before a confirmed round started. It does not renew a lease
--- a/fleet/leader_leases_test.go
+++ b/fleet/leader_leases_test.go
@@ -42,3 +42,15 @@
 	assert.Equal(t, reasonExpired, lease.Reason)
 	assert.EqualValues(t, 1, lease.losses("n2"))
 }
+
+// Guards against a leader that releases its own lease again and again for a front that may not be granted it, since the front lost
+// it under an earlier leader.
+func TestLeaderKeepsItsLeaseWhereTheOtherFrontLostIt(t *testing.T) {
+	s := startSingleVoter(t)
+	s.state.Leases[EndpointListLease].Losses = []Loss{{Front: "n2", Count: 6}}
+	before := s.state.Leases[EndpointListLease].Term
+	s.runWithFollower(10*testLeaseDuration, "n2")
+	lease := s.state.Leases[EndpointListLease]
+	assert.Equal(t, "k1", lease.Leaseholder)
+	assert.Equal(t, before, lease.Term)
+}
