--- a/fleet/leader_leases_test.go
+++ b/fleet/leader_leases_test.go
@@ -54,3 +54,38 @@
 	assert.Equal(t, "k1", lease.Leaseholder)
 	assert.Equal(t, before, lease.Term)
 }
+
+// Guards against a release that is not requested because the front has too many other requests.
+func TestReleaseIsRequestedBesideManyRequests(t *testing.T) {
+	s := startSingleVoter(t)
+	for id := range uint64(maxPendingRequests) {
+		m := Message{Kind: KindRequest, From: "k1", Request: &Request{Type: RequestDigests, ID: id}}
+		s.pendingRequests[id] = &pendingRequest{message: &m, startedAt: s.now, sentAt: s.now}
+	}
+	before := s.state.Leases[EndpointListLease].Term
+	s.releaseLease(s.now, EndpointListLease, "", reasonTransferRequested)
+	s.run(20 * testLeaseDuration)
+	_, held := s.HoldsLease(s.now, EndpointListLease)
+	assert.True(t, held)
+	assert.Equal(t, before+1, s.state.Leases[EndpointListLease].Term)
+}
+
+// A write of a voter's disk may end after the voter has halted, or after it was removed from the voters.
+func TestEndOfWriteAfterTheVoterEnded(t *testing.T) {
+	for name, end := range map[string]func(s *singleVoter){
+		"halted, then written":  func(s *singleVoter) { s.voter.halt("test"); s.WriteDone(s.now) },
+		"halted, then failed":   func(s *singleVoter) { s.voter.halt("test"); s.WriteFailed(assert.AnError) },
+		"removed, then written": func(s *singleVoter) { delete(s.state.Voters, "k1"); s.WriteDone(s.now) },
+		"removed, then failed":  func(s *singleVoter) { delete(s.state.Voters, "k1"); s.WriteFailed(assert.AnError) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			s := startSingleVoter(t)
+			s.TransferLease(s.now, EndpointListLease, "")
+			s.tickAfter(s.options.Timing.TickInterval())
+			_, ok := s.PendingWrite()
+			require.True(t, ok)
+			end(s)
+			s.run(testLeaseDuration)
+		})
+	}
+}
--- a/fleet/options.go
+++ b/fleet/options.go
@@ -30,5 +30,5 @@
 	maxKnownFronts      = 4096 // bound of each table of fronts, leases or servers that peers can fill
 	maxRecentEntries    = 1024 // log entries cached for peers that are a few entries behind
 	rememberedSendTimes = 64   // the number of this front's latest reports whose sending times are stored
-	maxPendingRequests  = 256  // this front's requests that are not answered yet
+	maxPendingRequests  = 256  // this front's requests that are not answered yet, other than releases
 )
--- a/fleet/requests.go
+++ b/fleet/requests.go
@@ -27,12 +27,14 @@
 }
 
 // Request sends a request to the leader, and assigns its ID. A RequestDone event with this ID follows after at most about four lease
-// durations; until then the request is sent again in each heartbeat interval. No event follows for a RequestRelease that is still
-// unanswered when this front no longer holds the lease in that term.
+// durations; until then the request is sent again in each heartbeat interval.
+//
+// A RequestRelease is sent again for as long as this front holds the lease in that term, however many requests are pending, and no event
+// follows: until the leader has handled it no front uses the lease.
 func (n *Node) Request(now time.Duration, q Request) (id uint64) {
 	n.lastRequestID++
 	q.ID = n.lastRequestID
-	if len(n.pendingRequests) >= maxPendingRequests {
+	if len(n.pendingRequests) >= maxPendingRequests && q.Type != RequestRelease {
 		n.emit(RequestDone{ID: q.ID, Error: errTooManyRequests.Error()})
 		return q.ID
 	}
@@ -117,13 +119,12 @@
 	n.completeDeclarations()
 	for _, id := range slices.Sorted(maps.Keys(n.pendingRequests)) {
 		pending := n.pendingRequests[id]
-		if request := pending.message.Request; request.Type == RequestRelease {
-			if own := n.ownLeases[request.Lease]; own == nil || own.term != request.Term {
-				delete(n.pendingRequests, id)
-				continue
-			}
+		isRelease := pending.message.Request.Type == RequestRelease
+		if isRelease && !n.holdsTerm(pending.message.Request) {
+			delete(n.pendingRequests, id)
+			continue
 		}
-		if now-pending.startedAt > 4*timing.LeaseDuration {
+		if !isRelease && now-pending.startedAt > 4*timing.LeaseDuration {
 			n.completeRequest(RequestDone{ID: id, Error: errNoAnswer.Error()})
 			continue
 		}
@@ -136,6 +137,12 @@
 	n.declareMissingLeases(now)
 }
 
+// holdsTerm reports whether this front is still the holder of the lease of a RequestRelease in the term of that request.
+func (n *Node) holdsTerm(request *Request) bool {
+	own := n.ownLeases[request.Lease]
+	return own != nil && own.term == request.Term
+}
+
 // declareMissingLeases requests the declaration of leases that the replicated state lacks, or has with another bound. It sends as many
 // as possible in one request. A leader of an older program declares only the first lease of a request, so the others follow
 // in further requests.
--- a/lab/fleetsim/leases_test.go
+++ b/lab/fleetsim/leases_test.go
@@ -65,3 +65,27 @@
 	assert.Greater(t, term, uint64(4))
 	assert.Less(t, term, uint64(30), "without a backoff the lease would change its holder every five seconds, 240 times")
 }
+
+// Guards against a lease that no front uses for good: its holder released it while it reached no leader, and it is the only front that
+// accepts leases.
+func TestLeaseReleasedWhileIsolatedIsHeldAgain(t *testing.T) {
+	sim := New(Options{Seed: 11, Fronts: 4, Voters: 3, Timing: testTiming, Leases: twoLeases})
+	for _, h := range sim.Hosts[:3] {
+		h.DeclinesLeases = true
+	}
+	sim.StartAll()
+	sim.Run(8 * time.Second)
+	h := sim.Leaseholder("list")
+	require.Equal(t, sim.Hosts[3], h)
+	for _, voter := range sim.Hosts[:3] {
+		sim.cutBothDirections(h, voter)
+	}
+	h.WithNode(func(n *fleet.Node, now time.Duration) { n.SetLeasesSuspended(now, true) })
+	sim.Run(30 * time.Second)
+	h.WithNode(func(n *fleet.Node, now time.Duration) { n.SetLeasesSuspended(now, false) })
+	sim.Heal()
+	sim.Run(30 * time.Second)
+	require.NotNil(t, sim.Leaseholder("list"))
+	assert.Equal(t, h.Name, sim.Leaseholder("list").Name)
+	require.Empty(t, sim.Violations)
+}
