--- a/discovery/deadline_test.go
+++ b/discovery/deadline_test.go
@@ -61,14 +61,12 @@
 type drainingService struct {
 	mu        sync.Mutex
 	scripts   []script
-	asked     int
 	drainedAt time.Time
 }
 
 func (s *drainingService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	watch := r.URL.Query().Get("watch") != ""
 	s.mu.Lock()
-	s.asked++
 	if s.drainedAt.IsZero() && !watch {
 		s.mu.Unlock()
 		respondWith(encodeList(7, true, "up"))(w, r)
--- a/fleet/disk/segments.go
+++ b/fleet/disk/segments.go
@@ -13,11 +13,8 @@
 	"dapplerouter/fleet/audit"
 )
 
-// Minimum and default of the size at which a segment is closed: the size of its log file and its index together, in bytes.
-const (
-	MinSegmentBytes     = 4 << 10
-	DefaultSegmentBytes = 1 << 20
-)
+// DefaultSegmentBytes is the default of the size at which a segment is closed: the size of its log file and its index together.
+const DefaultSegmentBytes = 1 << 20
 
 // Segments writes a front's audit log as a sequence of segments. Each segment has a log file, which holds the lines, and an index file. A
 // segment is closed once it reaches segmentBytes. The oldest segments are removed when the log exceeds maxTotalBytes. Lines that can't be
