--- a/fleet/leader_leases.go
+++ b/fleet/leader_leases.go
@@ -23,7 +23,7 @@
 // leaseTable is the leader's state of leases beyond the replicated state.
 type leaseTable struct {
 	timers              map[string]*leaseTimer
-	transfers           map[string]transfer      // by lease: transfers that operators requested
+	transfers           map[string]transfer      // by lease: the latest transfer that an operator requested
 	pendingDeclarations map[string]time.Duration // by lease: the bounds of declarations that are proposed and not yet applied
 	backoffUntil        map[string]time.Duration // by backoffKey, see backoffEnd
 	offloadedAt         time.Duration            // when the leader last released a lease that it held itself, see offloadOwnLease
@@ -87,10 +87,13 @@
 		if !lease.isHolder(pending.name, pending.incarnation, pending.renewal.Term) {
 			continue
 		}
-		timer.expiresAt = max(timer.expiresAt, pending.receivedAt+l.node.options.Timing.leaderLease())
 		if pending.renewal.Progress != timer.progress {
 			timer.progress, timer.progressAt = pending.renewal.Progress, now
 		}
+		if l.refusesRenewal(now, lease, timer) {
+			continue
+		}
+		timer.expiresAt = max(timer.expiresAt, pending.receivedAt+l.node.options.Timing.leaderLease())
 		reply := renewed[pending.name]
 		if reply == nil || pending.seq > reply.RenewedSeq {
 			reply = &LeaderReply{RenewedSeq: pending.seq}
@@ -109,7 +112,8 @@
 }
 
 // requestRelease asks a leaseholder that is alive but makes no progress to release its lease, at most once in each heartbeat interval.
-// Once the holder has received the request, it no longer renews the lease, so the lease expires even where its release is lost.
+// Once the holder has received the request, it no longer renews the lease, so the lease expires even where its release is lost. See
+// refusesRenewal for a holder that goes on renewing it.
 func (l *leader) requestRelease(now time.Duration, lease *Lease, timer *leaseTimer) {
 	if timer.transferringAt != 0 && now-timer.transferringAt < l.node.options.Timing.HeartbeatInterval() {
 		return
@@ -118,6 +122,15 @@
 	l.reply(now, lease.Leaseholder, &LeaderReply{Release: lease.Name, Term: lease.Term})
 }
 
+// refusesRenewal reports whether a lease must be left to expire: its holder makes no progress, has renewed the lease for a lease duration
+// since it was first asked to release it, and another front can be granted the lease.
+func (l *leader) refusesRenewal(now time.Duration, lease *Lease, timer *leaseTimer) bool {
+	if lease.Bound == 0 || now-timer.progressAt <= lease.Bound+l.node.options.Timing.LeaseDuration {
+		return false
+	}
+	return l.bestCandidate(now, lease, "") != nil
+}
+
 // eligible reports whether a front can be granted leases now: it has joined, it accepts leases, it is not shutting down, and it
 // reported recently.
 func (l *leader) eligible(now time.Duration, known *member) bool {
@@ -262,35 +275,30 @@
 	return byFront
 }
 
-// offloadOwnLease releases a lease that the leader itself holds, where an eligible front has no more leases than the leader. Otherwise the
+// offloadOwnLease releases a lease that the leader itself holds, where a candidate has no more leases than the leader. Otherwise the
 // failure of one process would cost an election and then a lease duration, one after the other.
 func (l *leader) offloadOwnLease(now time.Duration) {
 	timing := l.node.options.Timing
 	if now-l.since < timing.LeaseDuration || now-l.offloadedAt < timing.LeaseDuration {
 		return
 	}
-	leaseCounts := map[string]int{}
+	self := l.node.options.Name
 	ownName := ""
 	for name, lease := range l.node.state.Leases {
-		leaseCounts[lease.Leaseholder]++
-		if ownLease := l.node.ownLeases[name]; lease.Leaseholder == l.node.options.Name && ownLease != nil && ownLease.announced && !ownLease.releasing {
+		if ownLease := l.node.ownLeases[name]; lease.Leaseholder == self && ownLease != nil && ownLease.announced && !ownLease.releasing {
 			ownName = max(ownName, name)
 		}
 	}
 	if ownName == "" {
 		return
 	}
-	self := l.node.options.Name
-	for name, known := range l.members {
-		if name == self || leaseCounts[name] > leaseCounts[self] || now < l.backoffUntil[backoffKey(ownName, name)] {
-			continue
-		}
-		if l.eligible(now, known) {
-			l.offloadedAt = now
-			l.node.releaseLease(now, ownName, "", reasonLeaderOffloads)
-			return
-		}
+	best := l.bestCandidate(now, l.node.state.Leases[ownName], "")
+	leaseCounts, _ := l.countLeases()
+	if best == nil || leaseCounts[best.Name] > leaseCounts[self] {
+		return
 	}
+	l.offloadedAt = now
+	l.node.releaseLease(now, ownName, "", reasonLeaderOffloads)
 }
 
 // renewConfigLeases renews the configuration leases that were requested before a confirmed round started. It does not renew a lease
