--- a/fleet/mesh/errors.go
+++ b/fleet/mesh/errors.go
@@ -11,6 +11,7 @@
 // the protocol.
 var (
 	errCertificateName = errors.New("its key is for another name")
+	errClosed          = errors.New("the mesh is closed")
 	errSuperseded      = errors.New("superseded by a newer link to the same peer")
 	errPanic           = errors.New("panic")
 )
--- a/fleet/mesh/handshake.go
+++ b/fleet/mesh/handshake.go
@@ -2,6 +2,7 @@
 
 import (
 	"crypto/tls"
+	"errors"
 	"fmt"
 	"net"
 	"slices"
@@ -38,9 +39,9 @@
 	}, nil
 }
 
-// handshake exchanges the first messages of a link and returns the peer's. to is the name of the peer that was dialled, or "" for an
-// accepted connection; the side that dialled sends first. If the peer rejects the link, the error is a rejectedError. If this front
-// rejects the link, the error is the reason. Any other error is one of the connection or of the framing.
+// handshake returns the peer's first message, after this front's own on a link that it dialled. to is the name of the peer that was
+// dialled, or "" for an accepted connection, whose peer is answered by answer. If the peer rejects the link, the error is a
+// rejectedError. If this front rejects the link, the error is the reason. Any other error is one of the connection or of the framing.
 func (m *Mesh) handshake(k *codec, to string, mayHaveName nameCheck) (*fleet.Message, error) {
 	dialled := to != ""
 	if dialled {
@@ -59,16 +60,27 @@
 		return nil, m.reject(k, errCertificateName)
 	case first.Hello != nil && dialled && first.Hello.Name != to:
 		return nil, m.reject(k, peerNameError{first.Hello.Name, to})
+	}
+	return &first, nil
+}
+
+// answer attaches a link, or rejects it with the reason for which it is not attached. On an accepted connection it then sends this
+// front's hello. So a peer that receives a hello is attached. With an error the link is not attached.
+func (m *Mesh) answer(l *link, k *codec, first *fleet.Message, dialled bool) error {
+	hello, err := m.attach(l, first)
+	switch {
+	case errors.Is(err, errClosed):
+		return err
+	case err != nil:
+		return m.reject(k, err)
 	case dialled:
-		return &first, nil
+		return nil
 	}
-	m.mu.Lock()
-	err := m.node.CheckHello(m.Now(), &first)
-	m.mu.Unlock()
-	if err != nil {
-		return nil, m.reject(k, err)
+	if err := send(k, hello); err != nil {
+		m.detach(l)
+		return err
 	}
-	return &first, send(k, m.hello(first.Hello.Name, false))
+	return nil
 }
 
 // hello returns this front's first message to a peer; to is the peer's name.
--- a/fleet/mesh/link.go
+++ b/fleet/mesh/link.go
@@ -69,12 +69,12 @@
 	if err := k.Greet(); err != nil {
 		return err
 	}
-	hello, err := m.handshake(k, to, mayHaveName)
+	first, err := m.handshake(k, to, mayHaveName)
 	if err != nil {
 		return err
 	}
-	l := &link{peer: hello.Hello.Name, conn: c, queue: make(chan *fleet.Message, maxQueuedMessages)}
-	if attached, err := m.attach(l, hello); !attached {
+	l := &link{conn: c, queue: make(chan *fleet.Message, maxQueuedMessages)}
+	if err := m.answer(l, k, first, to != ""); err != nil {
 		return err
 	}
 	established()
@@ -89,24 +89,34 @@
 	return err
 }
 
-// attach adds a link to the table of links, replacing an older link to the same peer. It asks the node again whether to accept the peer,
-// since the answer may have changed since the handshake. Without an error, attached is false only if the mesh is closed.
-func (m *Mesh) attach(l *link, hello *fleet.Message) (attached bool, err error) {
+// attach asks the node whether to accept the peer that sent the first message, and adds the link to the table of links. It replaces an
+// older link to the same peer. It returns this front's hello to the peer, which must be the first message on an accepted link. The
+// error is errClosed if the mesh is closed, or the reason to reject the link.
+func (m *Mesh) attach(l *link, first *fleet.Message) (hello *fleet.Message, err error) {
+	old, hello, err := m.addLink(l, first)
+	if old != nil {
+		old.close()
+	}
+	return hello, err
+}
+
+// addLink does the part of attach that holds the lock. It returns the older link that the new one replaces, nil for none.
+func (m *Mesh) addLink(l *link, first *fleet.Message) (old *link, hello *fleet.Message, err error) {
 	m.mu.Lock()
-	err = m.node.CheckHello(m.Now(), hello)
-	if err != nil || m.closed {
-		m.mu.Unlock()
-		return false, err
+	defer m.mu.Unlock()
+	if m.closed {
+		return nil, nil, errClosed
+	}
+	if err := m.node.CheckHello(m.Now(), first); err != nil {
+		return nil, nil, err
 	}
-	old := m.links[l.peer]
+	l.peer = first.Hello.Name
+	hello = m.node.Hello(l.peer, false)
+	old = m.links[l.peer]
 	m.links[l.peer] = l
-	m.node.LinkUp(m.Now(), hello)
+	m.node.LinkUp(m.Now(), first)
 	m.processOutput()
-	m.mu.Unlock()
-	if old != nil {
-		old.close()
-	}
-	return true, nil
+	return old, hello, nil
 }
 
 // detach removes a link that ended, unless a newer link to the same peer has replaced it.
@@ -123,8 +133,8 @@
 	}
 }
 
-// read passes the messages of a link to the node until the link ends. The error is errSuperseded, an error of the connection or of the
-// framing, or the node's error for a peer that violates the protocol.
+// read passes the messages of a link to the node until the link ends. The error is errSuperseded, a rejectedError, an error of the
+// connection or of the framing, or the node's error for a peer that violates the protocol.
 func (m *Mesh) read(l *link, k *codec) error {
 	for {
 		var msg fleet.Message
@@ -132,6 +142,10 @@
 			return err
 		}
 		m.counters.received.Add(1)
+		if msg.Kind == fleet.KindReject { // the peer dialled, and rejects the link after it has received this front's hello
+			m.counters.rejected.Add(1)
+			return rejectedError{msg.Reason, msg.Members}
+		}
 		m.mu.Lock()
 		if m.closed || m.links[l.peer] != l {
 			m.mu.Unlock()
