--- a/fleet/mesh/close_test.go
+++ b/fleet/mesh/close_test.go
@@ -3,6 +3,7 @@
 import (
 	"crypto/tls"
 	"io"
+	"net"
 	"os"
 	"testing"
 	"time"
@@ -37,3 +38,40 @@
 	_, err = io.Copy(io.Discard, c)
 	assert.NotErrorIs(t, err, os.ErrDeadlineExceeded)
 }
+
+// keyPair returns a new certificate for a name.
+func keyPair(t *testing.T, name string) tls.Certificate {
+	t.Helper()
+	key, certificate, err := framing.NewKeyPair(name, false, 1)
+	require.NoError(t, err)
+	pair, err := tls.X509KeyPair(certificate, key)
+	require.NoError(t, err)
+	return pair
+}
+
+// Guards against a peer that holds up the mesh. The mesh closes links while it holds its lock. The close of a TLS connection first wrote
+// close_notify, and waited up to 5 s for a peer that did not read. All other links, and the leases of this front, waited as well.
+func TestCloseOfALinkToAPeerThatDoesNotReadTakesNoTime(t *testing.T) {
+	m := newIdleMesh(t, 0)
+	own, peers := keyPair(t, "a"), keyPair(t, "b")
+	m.options.Keys = func(string) (*tls.Config, error) {
+		return &tls.Config{Certificates: []tls.Certificate{own}, ClientAuth: tls.RequireAnyClientCert, SessionTicketsDisabled: true}, nil
+	}
+	p := serveOver(t, m, "", func(c net.Conn) net.Conn {
+		return tls.Client(c, &tls.Config{Certificates: []tls.Certificate{peers}, InsecureSkipVerify: true})
+	})
+	p.sendHello(t, "b", true)
+	var msg fleet.Message
+	for msg.Kind != fleet.KindSnapshot { // the last message that the mesh sends by itself
+		require.NoError(t, p.codec.Read(&msg))
+	}
+	time.Sleep(100 * time.Millisecond) // the writer waits for messages again
+
+	began := time.Now()
+	m.Do(func(n *fleet.Node, now time.Duration) { // closes all links
+		n.DialFailed(now, "c", "another front has its name", nil)
+	})
+	assert.Less(t, time.Since(began), 2*time.Second)
+	assert.Error(t, <-p.served)
+	assert.Zero(t, m.Totals().Links)
+}
--- a/fleet/mesh/handshake.go
+++ b/fleet/mesh/handshake.go
@@ -27,9 +27,9 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	t := tls.Server(c, config)
+	t := framing.TLSConn{Conn: tls.Server(c, config)}
 	if to != "" {
-		t = tls.Client(c, config)
+		t.Conn = tls.Client(c, config)
 	}
 	if err := t.Handshake(); err != nil {
 		return nil, nil, fmt.Errorf("TLS handshake: %w", err)
--- a/fleet/mesh/handshake_test.go
+++ b/fleet/mesh/handshake_test.go
@@ -32,7 +32,7 @@
 // unbufferedPeer is the remote end of a connection without buffers: what the mesh writes waits until the test reads it.
 type unbufferedPeer struct {
 	net.Conn
-	writer *framing.Codec[fleet.Message]
+	codec  *framing.Codec[fleet.Message]
 	served chan error // receives the result of Mesh.serve
 }
 
@@ -40,9 +40,16 @@
 // dialled is the front that the mesh dialled, or "" if the mesh accepted the connection and so receives its peer's hello first.
 func serveUnbuffered(t *testing.T, m *Mesh, dialled string) *unbufferedPeer {
 	t.Helper()
-	local, remote := net.Pipe()
-	t.Cleanup(func() { remote.Close() })
-	require.NoError(t, remote.SetDeadline(time.Now().Add(10*time.Second)))
+	return serveOver(t, m, dialled, func(c net.Conn) net.Conn { return c })
+}
+
+// serveOver is like serveUnbuffered. secure returns the peer's end of the connection, for example with TLS over c.
+func serveOver(t *testing.T, m *Mesh, dialled string, secure func(c net.Conn) net.Conn) *unbufferedPeer {
+	t.Helper()
+	local, pipe := net.Pipe()
+	t.Cleanup(func() { pipe.Close() })
+	require.NoError(t, pipe.SetDeadline(time.Now().Add(10*time.Second)))
+	remote := secure(pipe)
 	p := &unbufferedPeer{remote, framing.NewCodec[fleet.Message](protocol, remote), make(chan error, 1)}
 	go func() { p.served <- m.serve(local, dialled, func() {}) }()
 	_, err := io.ReadFull(remote, make([]byte, 6)) // the mesh writes its greeting before it reads
@@ -55,7 +62,7 @@
 // sendHello sends the first message of the front name. toAcceptor says that the peer dialled the link.
 func (p *unbufferedPeer) sendHello(t *testing.T, name string, toAcceptor bool) {
 	t.Helper()
-	require.NoError(t, send(p.writer, &fleet.Message{Kind: fleet.KindHello, From: name,
+	require.NoError(t, send(p.codec, &fleet.Message{Kind: fleet.KindHello, From: name,
 		Hello: &fleet.Handshake{Fleet: "x", Name: name, Incarnation: 9, Address: "there:1", Dialled: toAcceptor}}))
 }
 
@@ -136,7 +143,7 @@
 	first := make([]byte, 1)
 	_, err := io.ReadFull(p, first)
 	require.NoError(t, err)
-	go func() { _ = send(p.writer, &fleet.Message{Kind: fleet.KindPing}) }()
+	go func() { _ = send(p.codec, &fleet.Message{Kind: fleet.KindPing}) }()
 	answers := p.readAll(first)
 	err = <-p.served
 	assert.NotErrorIs(t, err, errPanic)
@@ -150,7 +157,7 @@
 	m := newIdleMesh(t, 0)
 	p := serveUnbuffered(t, m, "")
 	p.sendHello(t, "b", true)
-	go func() { _ = send(p.writer, &fleet.Message{Kind: fleet.KindReject, Reason: "another link"}) }()
+	go func() { _ = send(p.codec, &fleet.Message{Kind: fleet.KindReject, Reason: "another link"}) }()
 	answers := p.readAll(nil)
 	require.NotEmpty(t, answers)
 	assert.Equal(t, fleet.KindHello, answers[0].Kind)
--- a/fleet/mesh/link.go
+++ b/fleet/mesh/link.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// close closes the connection, which ends the goroutines of the link.
+// close closes the connection, which ends the goroutines of the link. It does not wait for the peer.
 func (l *link) close() { _ = l.conn.Close() }
 
 // queuedSize returns the approximate memory, in bytes, that a queued message takes.
--- a/gateway/link/connection.go
+++ b/gateway/link/connection.go
@@ -105,11 +105,11 @@
 	if l.opts.TLS == nil {
 		return c, nil
 	}
-	var t *tls.Conn
+	var t framing.TLSConn
 	if l.listener != nil {
-		t = tls.Server(c, l.opts.TLS)
+		t.Conn = tls.Server(c, l.opts.TLS)
 	} else {
-		t = tls.Client(c, l.opts.TLS)
+		t.Conn = tls.Client(c, l.opts.TLS)
 	}
 	if err := t.Handshake(); err != nil {
 		return c, fmt.Errorf("TLS handshake with the peer: %w", err)
