--- a/fleet/mesh/handshake.go
+++ b/fleet/mesh/handshake.go
@@ -65,7 +65,7 @@
 }
 
 // answer attaches a link, or rejects it with the reason for which it is not attached. On an accepted connection it then sends this
-// front's hello. So a peer that receives a hello is attached. With an error the link is not attached.
+// front's hello. So a peer that receives a hello is attached. After an error the caller must detach the link.
 func (m *Mesh) answer(l *link, k *codec, first *fleet.Message, dialled bool) error {
 	hello, err := m.attach(l, first)
 	switch {
@@ -76,11 +76,7 @@
 	case dialled:
 		return nil
 	}
-	if err := send(k, hello); err != nil {
-		m.detach(l)
-		return err
-	}
-	return nil
+	return send(k, hello)
 }
 
 // hello returns this front's first message to a peer; to is the peer's name.
--- a/fleet/mesh/link.go
+++ b/fleet/mesh/link.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"log/slog"
 	"net"
@@ -74,6 +75,7 @@
 		return err
 	}
 	l := &link{conn: c, queue: make(chan *fleet.Message, maxQueuedMessages)}
+	defer m.detach(l) // also after a panic
 	if err := m.answer(l, k, first, to != ""); err != nil {
 		return err
 	}
@@ -84,7 +86,6 @@
 	defer stopWriting()
 	m.goroutines.Go(func() { m.write(ctx, l, k) })
 	err = m.read(l, k)
-	m.detach(l)
 	slog.Debug("fleet: link ended", "peer", l.peer, "err", err)
 	return err
 }
@@ -119,7 +120,7 @@
 	return old, hello, nil
 }
 
-// detach removes a link that ended, unless a newer link to the same peer has replaced it.
+// detach removes a link that ended, unless it was not attached or a newer link to the same peer has replaced it.
 func (m *Mesh) detach(l *link) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -146,21 +147,28 @@
 			m.counters.rejected.Add(1)
 			return rejectedError{msg.Reason, msg.Members}
 		}
-		m.mu.Lock()
-		if m.closed || m.links[l.peer] != l {
-			m.mu.Unlock()
-			return errSuperseded
+		err := m.receive(l, &msg)
+		if err != nil && !errors.Is(err, errSuperseded) {
+			slog.Warn("fleet: invalid message; link closed", "peer", l.peer, "err", err)
 		}
-		err := m.node.Receive(m.Now(), l.peer, &msg)
-		m.processOutput()
-		m.mu.Unlock()
 		if err != nil {
-			slog.Warn("fleet: invalid message; link closed", "peer", l.peer, "err", err)
 			return err
 		}
 	}
 }
 
+// receive passes a message of a link to the node. The error is errSuperseded, or the node's error for a peer that violates the protocol.
+func (m *Mesh) receive(l *link, msg *fleet.Message) error {
+	m.mu.Lock()
+	defer m.mu.Unlock() // also after a panic, which ends only the link
+	if m.closed || m.links[l.peer] != l {
+		return errSuperseded
+	}
+	err := m.node.Receive(m.Now(), l.peer, msg)
+	m.processOutput()
+	return err
+}
+
 // write sends the queued messages of a link, and combines several messages into one write, up to about maxWriteBytes.
 func (m *Mesh) write(ctx context.Context, l *link, k *codec) {
 	defer l.close()
