--- a/fleet/mesh/mesh.go
+++ b/fleet/mesh/mesh.go
@@ -62,8 +62,8 @@
 
 	mu          sync.Mutex // guards the fields below and the state of the node
 	node        *fleet.Node
-	links       map[string]*link // by peer name
-	dialling    map[string]bool  // peers to which a link is being opened
+	links       map[string]*link        // by peer name
+	dialling    map[string]*dialAttempt // the attempts in progress, by peer name
 	closed      bool
 	diskRetryAt time.Duration // no write to a failing disk is attempted before this time; 0 while the disk does not fail
 
@@ -85,7 +85,7 @@
 		events:    newEventQueue(),
 		node:      o.Node,
 		links:     map[string]*link{},
-		dialling:  map[string]bool{},
+		dialling:  map[string]*dialAttempt{},
 	}
 	m.ctx, m.cancel = context.WithCancel(context.Background())
 	return m, nil
