--- a/fleet/mesh/handshake.go
+++ b/fleet/mesh/handshake.go
@@ -2,6 +2,7 @@
 
 import (
 	"crypto/tls"
+	"errors"
 	"fmt"
 	"net"
 	"slices"
@@ -26,9 +27,9 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	t := tls.Server(c, config)
+	t := framing.TLSConn{Conn: tls.Server(c, config)}
 	if to != "" {
-		t = tls.Client(c, config)
+		t.Conn = tls.Client(c, config)
 	}
 	if err := t.Handshake(); err != nil {
 		return nil, nil, fmt.Errorf("TLS handshake: %w", err)
@@ -38,9 +39,9 @@
 	}, nil
 }
 
-// handshake exchanges the first messages of a link and returns the peer's. to is the name of the peer that was dialled, or "" for an
-// accepted connection; the side that dialled sends first. If the peer rejects the link, the error is a rejectedError. If this front
-// rejects the link, the error is the reason. Any other error is one of the connection or of the framing.
+// handshake returns the peer's first message, after this front's own on a link that it dialled. to is the name of the peer that was
+// dialled, or "" for an accepted connection, whose peer is answered by answer. If the peer rejects the link, the error is a
+// rejectedError. If this front rejects the link, the error is the reason. Any other error is one of the connection or of the framing.
 func (m *Mesh) handshake(k *codec, to string, mayHaveName nameCheck) (*fleet.Message, error) {
 	dialled := to != ""
 	if dialled {
@@ -59,16 +60,23 @@
 		return nil, m.reject(k, errCertificateName)
 	case first.Hello != nil && dialled && first.Hello.Name != to:
 		return nil, m.reject(k, peerNameError{first.Hello.Name, to})
-	case dialled:
-		return &first, nil
 	}
-	m.mu.Lock()
-	err := m.node.CheckHello(m.Now(), &first)
-	m.mu.Unlock()
-	if err != nil {
-		return nil, m.reject(k, err)
+	return &first, nil
+}
+
+// answer attaches a link, or rejects it with the reason for which it is not attached. On an accepted connection it then sends this
+// front's hello. So a peer that receives a hello is attached. After an error the caller must detach the link.
+func (m *Mesh) answer(l *link, k *codec, first *fleet.Message, dialled bool) error {
+	hello, err := m.attach(l, first)
+	switch {
+	case errors.Is(err, errClosed):
+		return err
+	case err != nil:
+		return m.reject(k, err)
+	case dialled:
+		return nil
 	}
-	return &first, send(k, m.hello(first.Hello.Name, false))
+	return send(k, hello)
 }
 
 // hello returns this front's first message to a peer; to is the peer's name.
