--- a/pgwire/pgwire_test.go
+++ b/pgwire/pgwire_test.go
@@ -296,3 +296,18 @@
 	assert.Equal(t, string(s.QueryMessage(time.Millisecond)), string(q.ShortenTimeout(time.Minute)), "a longer timeout is ignored")
 	assert.Equal(t, text, string(s.text))
 }
+
+// ShortenTimeout ignores a longer timeout, whether or not its digits would fit: a server is never told more time than it was told before.
+func TestShortenTimeoutIgnoresLongerTimeouts(t *testing.T) {
+	s, err := ParseStatement(append([]byte("SELECT 'x' /* id=1,d=12000,c=o,cluster=3 */"), 0))
+	require.NoError(t, err)
+	for _, present := range []time.Duration{time.Millisecond, 9 * time.Millisecond, 10 * time.Millisecond, 12 * time.Second} {
+		for _, longer := range []time.Duration{present + 1, present + time.Millisecond, 2 * present, 10 * present, time.Hour} {
+			q := s.QueryWithTimeout(present)
+			assert.Equal(t, string(s.QueryMessage(present)), string(q.ShortenTimeout(longer)), "%v in place of %v", longer, present)
+		}
+	}
+	q := s.QueryWithTimeout(12 * time.Second)
+	q.ShortenTimeout(11 * time.Second)
+	assert.Equal(t, string(s.QueryMessage(11*time.Second)), string(q.ShortenTimeout(12*time.Second)), "longer than the shortened timeout")
+}
