--- a/discovery/client.go
+++ b/discovery/client.go
@@ -32,6 +32,8 @@
 var (
 	ErrHeartbeatTimeout  = errors.New("discovery service: no heartbeat in time")
 	ErrResponseTimeout   = errors.New("discovery service: no response in time")
+	ErrSnapshotStalled   = errors.New("discovery service: snapshot stalled")
+	ErrSnapshotTooSlow   = errors.New("discovery service: snapshot took too long")
 	ErrStatus            = errors.New("discovery service: unexpected status")
 	ErrIndexDecreased    = errors.New("discovery service: index went backwards")
 	ErrUnusableEndpoints = errors.New("discovery service: change with unusable endpoints")
@@ -108,7 +110,8 @@
 }
 
 // fetchOnce makes one call for a snapshot. It gives up if the response does not begin within half a heartbeat, stops for that
-// long, or takes more than two heartbeats from its beginning.
+// long, or takes more than two heartbeats from its beginning. The error for a response that began says how many bytes of the
+// snapshot were read.
 func (c *Client) fetchOnce(ctx context.Context) (l List, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -119,11 +122,14 @@
 		return l, cancelCause(ctx, err)
 	}
 	defer func() { _ = body.Close() }() // the body was read to its end, or the call has failed
-	totalTimer := time.AfterFunc(c.heartbeat*2, func() { cancel(ErrHeartbeatTimeout) })
+	answerTimer.Stop()
+	stallTimer := time.AfterFunc(c.heartbeat/2, func() { cancel(ErrSnapshotStalled) })
+	defer stallTimer.Stop()
+	totalTimer := time.AfterFunc(c.heartbeat*2, func() { cancel(ErrSnapshotTooSlow) })
 	defer totalTimer.Stop()
-	data, err := io.ReadAll(&idleTimeoutReader{from: io.LimitReader(body, maxObjectBytes), timer: answerTimer, timeout: c.heartbeat / 2})
+	data, err := io.ReadAll(&idleTimeoutReader{from: io.LimitReader(body, maxObjectBytes), timer: stallTimer, timeout: c.heartbeat / 2})
 	if err != nil {
-		return l, cancelCause(ctx, err)
+		return l, fmt.Errorf("%w after %d bytes", cancelCause(ctx, err), len(data))
 	}
 	l, skipped, err := Decode(data)
 	logSkipped(skipped)
@@ -234,7 +240,7 @@
 }
 
 // startAnswerTimer starts a timer that cancels a call with ErrResponseTimeout after half a heartbeat. The caller stops it when the
-// response begins, or resets it when more of the response arrives.
+// response begins.
 func (c *Client) startAnswerTimer(cancel context.CancelCauseFunc) *time.Timer {
 	return time.AfterFunc(c.heartbeat/2, func() { cancel(ErrResponseTimeout) })
 }
--- a/discovery/client_test.go
+++ b/discovery/client_test.go
@@ -283,3 +283,36 @@
 	_, err := c.FetchSnapshot(t.Context())
 	assert.ErrorIs(t, err, ErrResponseTimeout)
 }
+
+// A snapshot whose response begins and then stops, or takes too long in all, has errors of its own, with the bytes that were read: the
+// service did respond, and no heartbeat is sent with a snapshot.
+func TestIncompleteSnapshotSaysHowManyBytesCame(t *testing.T) {
+	half := encodeList(9, true, "up")[:40]
+	trickle := func(w http.ResponseWriter, r *http.Request) {
+		for r.Context().Err() == nil {
+			respondWith(" ")(w, r)
+			time.Sleep(20 * time.Millisecond)
+		}
+	}
+	for name, x := range map[string]struct {
+		response script
+		want     error
+		bytes    string
+	}{
+		"stops in the middle":    {respondThenHang(half), ErrSnapshotStalled, "after 40 bytes"},
+		"stops after the header": {respondThenHang(), ErrSnapshotStalled, "after 0 bytes"},
+		"takes too long":         {trickle, ErrSnapshotTooSlow, " bytes"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			c, _ := newScriptedService(t, x.response)
+			c.heartbeat = 400 * time.Millisecond
+			_, err := c.FetchSnapshot(t.Context())
+			assert.ErrorIs(t, err, x.want)
+			assert.ErrorContains(t, err, x.bytes)
+			assert.NotErrorIs(t, err, ErrHeartbeatTimeout)
+			assert.NotErrorIs(t, err, ErrResponseTimeout)
+			assert.Equal(t, int64(7), c.Index())
+		})
+	}
+}
