--- a/adminapi/adminapi_test.go
+++ b/adminapi/adminapi_test.go
@@ -3,11 +3,13 @@
 import (
 	"bytes"
 	"log/slog"
+	"net"
 	"net/url"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
+	"time"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
@@ -84,3 +86,16 @@
 	assert.Equal(t, 1, strings.Count(log.String(), "level=WARN"), log.String())
 	assert.Contains(t, log.String(), "path=/old replacement=/new")
 }
+
+// A Server that was never started is closed as well: its socket neither stays open nor in the folder.
+func TestCloseWithoutStartClosesSocket(t *testing.T) {
+	path := filepath.Join(socketDir(t), "s")
+	s, err := Listen(path)
+	require.NoError(t, err)
+	s.Close()
+	assert.NoFileExists(t, path)
+	assert.ErrorIs(t, s.listener.(*net.UnixListener).SetDeadline(time.Now()), net.ErrClosed, "the listener is closed")
+	again, err := Listen(path)
+	require.NoError(t, err)
+	again.Close()
+}
--- a/adminapi/server.go
+++ b/adminapi/server.go
@@ -109,9 +109,10 @@
 	})
 }
 
-// Close closes all connections, waits for the goroutine that Start began, and removes the socket.
+// Close closes the listener and all connections, waits for the goroutine that Start began, if it was called, and removes the socket.
 func (s *Server) Close() {
-	_ = s.http.Close() // the socket is removed in any case
+	_ = s.http.Close()     // the socket is removed in any case
+	_ = s.listener.Close() // fails if http.Server.Close has closed it, which it does only after Start
 	s.serving.Wait()
 	_ = os.Remove(s.path) // it may be gone already
 }
