--- a/fleet/rollout/merge.go
+++ b/fleet/rollout/merge.go
@@ -69,8 +69,8 @@
 }
 
 // merge merges publications into one version on top of the version in force. Of the publications' settings it takes the
-// strictest ones: the most stages, the longest observation time, the smallest share that may be fenced, the shortest deadline, and
-// mandatory if one of them is.
+// strictest ones: the most stages, the longest observation time, the smallest share that may be fenced, the shortest deadline, mandatory
+// if one of them is, and for undecided stages a rollback rather than a pause, and a pause rather than the next stage.
 func merge(all []publication, rules RuleSet, base ruleVersion) (m mergedVersion, err error) {
 	merged, err := rules.Split(base.text)
 	if err != nil {
--- a/fleet/rollout/merge_test.go
+++ b/fleet/rollout/merge_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 )
 
@@ -77,3 +78,28 @@
 		}
 	})
 }
+
+// A merged version takes the most careful of what its publications request, in whatever order they come.
+func TestMergedVersionTakesMostCarefulSettings(t *testing.T) {
+	careful := publication{action: Action{ID: 1, Stages: []uint16{1, 500, 1000}, ObservationTime: time.Minute, Mandatory: true, MaxFenced: 100,
+		OnUndecided: UndecidedRollBack}, changes: map[string]string{"a": "1"}, within: 20 * time.Second}
+	careless := publication{action: Action{ID: 2, Stages: []uint16{1000}, MaxFenced: 500, OnUndecided: UndecidedContinue},
+		changes: map[string]string{"b": "1"}, within: time.Minute}
+	pausing := publication{action: Action{ID: 3, Stages: []uint16{1000}, MaxFenced: 500, OnUndecided: UndecidedPause},
+		changes: map[string]string{"c": "1"}, within: time.Minute}
+	for _, all := range [][]publication{{careful, careless, pausing}, {careless, pausing, careful}, {pausing, careful, careless}} {
+		m, err := merge(all, jsonRules{}, ruleVersion{})
+		require.NoError(t, err)
+		assert.Equal(t, 3, m.count)
+		assert.Equal(t, careful.action.Stages, m.action.Stages)
+		assert.Equal(t, careful.action.ObservationTime, m.action.ObservationTime)
+		assert.True(t, m.action.Mandatory)
+		assert.Equal(t, careful.action.MaxFenced, m.action.MaxFenced)
+		assert.Equal(t, UndecidedRollBack, m.action.OnUndecided)
+		assert.Equal(t, careful.within, m.within)
+	}
+	m, err := merge([]publication{careless, pausing}, jsonRules{}, ruleVersion{})
+	require.NoError(t, err)
+	assert.False(t, m.action.Mandatory)
+	assert.Equal(t, UndecidedPause, m.action.OnUndecided)
+}
