--- a/deployment/instance.go
+++ b/deployment/instance.go
@@ -25,10 +25,11 @@
 // streams, the listener, discovery, the Go runtime, and a few connections that are being closed.
 const ReservedDescriptors = 32
 
-// Minimum limits of an instance.
+// Bounds of the limits of an instance.
 const (
 	minDescriptors = ReservedDescriptors + 32
 	minMemoryMB    = 24
+	maxCores       = 1 << 16
 )
 
 // Top-level keys of the file that are read separately.
@@ -91,15 +92,18 @@
 // readLimits reads the limits of the instance from the file.
 func (s *Instance) readLimits(r *keyReader) {
 	s.Cores = r.decimal("limits.cores", 1)
-	s.MaxDescriptors = int(r.integer("limits.sockets"))
+	s.MaxDescriptors = r.count("limits.sockets")
 	s.MemoryBytes = int64(r.decimal("limits.memory_mb", 0) * (1 << 20))
 	r.required("limits.memory_mb")
 }
 
 // checkLimits checks that the limits are high enough for an instance to run.
 func (s *Instance) checkLimits(r *keyReader) {
-	if s.Cores <= 0 {
+	switch {
+	case s.Cores <= 0:
 		r.fail("limits.cores", "is not above 0")
+	case s.Cores > maxCores:
+		r.fail("limits.cores", fmt.Sprintf("is too large: write %d at most", maxCores))
 	}
 	if s.MaxDescriptors < minDescriptors {
 		r.fail("limits.sockets", fmt.Sprintf("is too small to work in: below %d", minDescriptors))
--- a/deployment/key_reader.go
+++ b/deployment/key_reader.go
@@ -8,6 +8,16 @@
 	"time"
 )
 
+// Largest values of numbers. Calculations with larger ones would overflow.
+const (
+	maxCount    = 1 << 30
+	maxDuration = 10 * 365 * 24 * time.Hour
+	maxDecimal  = 1e12
+)
+
+// belowZero is the problem of a number that must not be negative.
+const belowZero = "is below 0: write a larger number"
+
 // Source returns the text at a dotted path, or "" if there is none. A list of scalar values is joined by commas. A list of
 // objects has its length at the path with the suffix .count, and its items at the path with the suffixes .0, .1 and so on.
 type Source func(path string) string
@@ -98,12 +108,6 @@
 	return n
 }
 
-// integer returns the integer of a key. A missing key is an error.
-func (r *keyReader) integer(key string) int64 {
-	r.required(key)
-	return r.optionalInteger(key)
-}
-
 // optionalInteger returns the integer of a key, or 0 if the key is missing.
 func (r *keyReader) optionalInteger(key string) int64 {
 	v := r.get(key)
@@ -113,25 +117,67 @@
 	return r.parseInteger(key, v)
 }
 
-// duration returns the duration of a key, which is written in nanoseconds. A missing key or a negative number is an error.
+// count returns the number of a key, from 0 to maxCount. A missing key is an error.
+func (r *keyReader) count(key string) int {
+	r.required(key)
+	return r.optionalCount(key)
+}
+
+// optionalCount returns the number of a key, from 0 to maxCount, or 0 if the key is missing.
+func (r *keyReader) optionalCount(key string) int {
+	n := r.optionalInteger(key)
+	switch {
+	case n < 0:
+		r.fail(key, belowZero)
+	case n > maxCount:
+		r.fail(key, fmt.Sprintf("is too large: write %d at most", maxCount))
+	}
+	return int(n)
+}
+
+// duration returns the duration of a key, which is written in nanoseconds. A missing key is an error, and so is a number that is
+// negative or over maxDuration.
 func (r *keyReader) duration(key string) time.Duration {
-	n := r.integer(key)
-	if n < 0 {
-		r.fail(key, "is below 0")
+	return r.parseDuration(key, r.required(key))
+}
+
+// optionalDuration is like duration, but returns 0 if the key is missing.
+func (r *keyReader) optionalDuration(key string) time.Duration {
+	v := r.get(key)
+	if v == "" {
+		return 0
+	}
+	return r.parseDuration(key, v)
+}
+
+// parseDuration converts the text of a key, a number of nanoseconds, to a duration.
+func (r *keyReader) parseDuration(key, v string) time.Duration {
+	d := time.Duration(r.parseInteger(key, v))
+	switch {
+	case d < 0:
+		r.fail(key, belowZero)
+	case d > maxDuration:
+		r.fail(key, fmt.Sprintf("is too long: write %d nanoseconds (%v) at most", maxDuration, maxDuration))
 	}
-	return time.Duration(n)
+	return d
 }
 
-// decimal returns the number of a key, or defaultValue if the key is missing. NaN and infinity are errors.
+// decimal returns the number of a key, or defaultValue if the key is missing. NaN, infinity, and numbers that are negative or over
+// maxDecimal are errors.
 func (r *keyReader) decimal(key string, defaultValue float64) float64 {
 	v := r.get(key)
 	if v == "" {
 		return defaultValue
 	}
 	f, err := strconv.ParseFloat(v, 64)
-	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
+	switch {
+	case err != nil || math.IsNaN(f) || math.IsInf(f, 0):
 		r.failWithCause(key, fmt.Sprintf("is no number: %q", v), err)
 		return defaultValue
+	case f < 0:
+		r.fail(key, belowZero)
+	case f > maxDecimal:
+		r.fail(key, fmt.Sprintf("is too large: write %g at most", maxDecimal))
 	}
 	return f
 }
--- a/deployment/settings.go
+++ b/deployment/settings.go
@@ -10,7 +10,6 @@
 	"fmt"
 	"strconv"
 	"strings"
-	"time"
 
 	"dapplerouter/routing"
 )
@@ -63,6 +62,7 @@
 func ReadSettings(from Source) (*Settings, error) {
 	r := &keyReader{get: from}
 	s := &Settings{PositionOrigin: r.optionalInteger("FamilyInfo.Zero"), ZoneNames: strings.Split(r.required("Zones"), ",")}
+	s.checkZoneCount(r)
 	s.readRequestTypes(r)
 	s.readCustomers(r)
 	s.readTopology(r)
@@ -79,12 +79,19 @@
 	return s, nil
 }
 
+// checkZoneCount checks, where the source has the length of the list of zones, that no name contains the comma that joins the names.
+func (s *Settings) checkZoneCount(r *keyReader) {
+	if count := r.get("Zones.count"); count != "" && count != strconv.Itoa(len(s.ZoneNames)) {
+		r.fail("Zones", "has a name with a comma: write the names of zones without commas, here and in the endpoint list")
+	}
+}
+
 // readRequestTypes reads the request types. Their consistency and staleness bounds are two lists beside them, of the same
 // length.
 func (s *Settings) readRequestTypes(r *keyReader) {
 	levels := strings.Split(r.required("FamilyInfo.ReadLevel"), ",")
 	bounds := strings.Split(r.required("FamilyInfo.StalenessBound"), ",")
-	n := int(r.integer("Classes.count"))
+	n := r.count("Classes.count")
 	if r.err == nil && (len(levels) != n || len(bounds) != n) {
 		r.fail("FamilyInfo.ReadLevel", "does not match Classes.count")
 	}
@@ -96,16 +103,16 @@
 			PriorityWeight: r.decimal(p+"Worth", 1), LateFraction: r.decimal(p+"LateWorth", 0),
 			Idempotency:  requiredChoice(r, p+"Effect", idempotencies),
 			DedupScope:   requiredChoice(r, p+"Group", dedupScopes),
-			DedupWindow:  time.Duration(r.optionalInteger(p + "Window")),
+			DedupWindow:  r.optionalDuration(p + "Window"),
 			Consistency:  parseChoice(r, "FamilyInfo.ReadLevel", levels[i], consistencies),
-			MaxStaleness: time.Duration(r.parseInteger("FamilyInfo.StalenessBound", bounds[i])),
+			MaxStaleness: r.parseDuration("FamilyInfo.StalenessBound", bounds[i]),
 		})
 	}
 }
 
 // readCustomers reads the customers and their quotas. There may be none.
 func (s *Settings) readCustomers(r *keyReader) {
-	n := int(r.optionalInteger("Tenants.count"))
+	n := r.optionalCount("Tenants.count")
 	for i := 0; i < n && r.err == nil; i++ {
 		p := "Tenants." + strconv.Itoa(i) + "."
 		s.CustomerNames = append(s.CustomerNames, r.required(p+"Name"))
@@ -119,7 +126,7 @@
 func (s *Settings) readTopology(r *keyReader) {
 	zone := r.required("Locality")
 	s.Topology = routing.Topology{
-		Zone: routing.None, ZoneCount: len(s.ZoneNames), FleetSize: int(r.integer("FleetSize")), Ordinal: int(r.integer("Ordinal")),
+		Zone: routing.None, ZoneCount: len(s.ZoneNames), FleetSize: r.count("FleetSize"), Ordinal: r.count("Ordinal"),
 		PullEndpoints: requiredChoice(r, "Discovery", pullEndpoints), TickInterval: r.duration("Tick"),
 		RetriesMarked: r.boolean("Clients.MarksRetry"),
 		RoleListing:   requiredChoice(r, "FamilyInfo.RoleListed", roleListings),
@@ -137,7 +144,7 @@
 func (s *Settings) readReplication(r *keyReader) {
 	s.Replication = routing.Replication{
 		StalenessCheck:      requiredChoice(r, "FamilyInfo.Checks", stalenessChecks),
-		FreshnessWait:       time.Duration(r.optionalInteger("FamilyInfo.HoldsFor")),
+		FreshnessWait:       r.optionalDuration("FamilyInfo.HoldsFor"),
 		ClientCarriesToken:  r.required("FamilyInfo.WriteMarks") == "brought",
 		PositionInResponses: r.boolean("FamilyInfo.TellsPosition"),
 		SemiSyncWrites:      r.boolean("FamilyInfo.Synchronous"),
@@ -148,7 +155,7 @@
 func (s *Settings) readDeploymentRules(r *keyReader) {
 	s.DeploymentRules = routing.DeploymentRules{
 		DeadlineGrace: r.duration("Rules.AnswerSlack"), DrainGrace: r.duration("Rules.StopSendingWithin"),
-		MaxPollInterval: time.Duration(r.optionalInteger("Rules.AskEvery")), InitialCapacity: r.decimal("Rules.StartCapacity", 1),
+		MaxPollInterval: r.optionalDuration("Rules.AskEvery"), InitialCapacity: r.decimal("Rules.StartCapacity", 1),
 		OverloadMultiple: r.decimal("Rules.FallMultiple", 1), SlowStartDuration: r.duration("Rules.Cold"),
 		OverloadWindow: r.duration("Rules.Fall"),
 	}
@@ -156,11 +163,11 @@
 
 func (s *Settings) readLimits(r *keyReader) {
 	s.Limits = routing.Limits{
-		MaxAttempts: int(r.integer("Limits.AttemptsCap")), HealthChecks: r.boolean("Limits.MayProbe"),
+		MaxAttempts: r.count("Limits.AttemptsCap"), HealthChecks: r.boolean("Limits.MayProbe"),
 		Gossip: r.boolean("Limits.Peers"), Cancellation: r.boolean("Limits.Cancel"), HedgedRequests: r.boolean("Limits.MayDuplicate"),
-		MaxRetryAfter:   time.Duration(r.optionalInteger("Limits.MaxRetryAfter")),
-		DialTimeout:     time.Duration(r.optionalInteger("Limits.DialTimeout")),
-		IdleConnTimeout: time.Duration(r.optionalInteger("Limits.ConnIdle")),
+		MaxRetryAfter:   r.optionalDuration("Limits.MaxRetryAfter"),
+		DialTimeout:     r.optionalDuration("Limits.DialTimeout"),
+		IdleConnTimeout: r.optionalDuration("Limits.ConnIdle"),
 	}
 	if !r.boolean("Limits.RetryAfter") {
 		s.Limits.MaxRetryAfter = 0
