--- a/pgwire/pgwire_test.go
+++ b/pgwire/pgwire_test.go
@@ -234,7 +234,7 @@
 	got := map[string]float64{}
 	assert.True(t, ParseLoadReport([]byte("inflight=7,x0=1767225600.5"), func(n string, v float64) { got[n] = v }))
 	assert.Equal(t, map[string]float64{"inflight": 7, "x0": 1767225600.5}, got)
-	for _, bad := range []string{"inflight", "inflight=x", "a=1,,b=2", "a=NaN"} {
+	for _, bad := range []string{"inflight", "inflight=x", "a=1,,b=2", "a=NaN", "x0=Inf", "x0=-inf", "x0=1e999"} {
 		assert.False(t, ParseLoadReport([]byte(bad), func(string, float64) {}), bad)
 	}
 }
