--- a/lab/processtest/checks_leases.go
+++ b/lab/processtest/checks_leases.go
@@ -37,6 +37,9 @@
 	}
 }
 
+// linearizabilityTimeout is the longest that checking the register of one lease may take.
+const linearizabilityTimeout = 20 * time.Second
+
 // checkLeases checks that no lease has two holders at a time and that the register of each lease is linearizable. It records the gaps
 // between holders.
 func (c *checker) checkLeases() {
@@ -60,9 +63,7 @@
 				c.recordGap(lease, t, tenures[i+1])
 			}
 		}
-		if !isLinearizable(c.history, lease) {
-			c.addViolation("the register of %s is not linearizable: no order of the recorded operations explains it", lease)
-		}
+		c.checkRegister(lease, linearizabilityTimeout)
 	}
 }
 
@@ -144,10 +145,21 @@
 	}
 }
 
-// isLinearizable reports whether the recorded operations on a lease's register are linearizable. The register holds a term. The first
-// acquisition of a term moves the register from an older term to that term. A renewal succeeds only while the register holds its
-// term. A check that takes longer than 20 s counts as linearizable.
-func isLinearizable(history []fleet.HistoryEntry, lease string) bool {
+// checkRegister checks that the register of a lease is linearizable. A check that takes longer than the timeout decides nothing, and is a
+// violation too.
+func (c *checker) checkRegister(lease string, timeout time.Duration) {
+	switch checkLinearizability(c.history, lease, timeout) {
+	case porcupine.Illegal:
+		c.addViolation("the register of %s is not linearizable: no order of the recorded operations explains it", lease)
+	case porcupine.Unknown:
+		c.addViolation("the register of %s: not decided within %v whether it is linearizable", lease, timeout)
+	}
+}
+
+// checkLinearizability returns whether the recorded operations on a lease's register are linearizable, or porcupine.Unknown if that is not
+// decided within the timeout. The register holds a term. The first acquisition of a term moves the register from an older term to that
+// term. A renewal succeeds only while the register holds its term.
+func checkLinearizability(history []fleet.HistoryEntry, lease string, timeout time.Duration) porcupine.CheckResult {
 	type operation struct {
 		acquires bool
 		term     uint64
@@ -171,5 +183,5 @@
 		operations = append(operations, porcupine.Operation{ClientId: len(operations), Input: operation{!acquired[e.Term], e.Term}, Call: e.Since, Return: e.At})
 		acquired[e.Term] = true
 	}
-	return porcupine.CheckOperationsTimeout(model, operations, 20*time.Second) != porcupine.Illegal
+	return porcupine.CheckOperationsTimeout(model, operations, timeout)
 }
--- a/lab/processtest/harness_test.go
+++ b/lab/processtest/harness_test.go
@@ -88,6 +88,18 @@
 	}
 }
 
+// A check of linearizability that runs out of time decides nothing; it must not pass. The acquisitions overlap, and none can come first
+// or last behind the impossible one of term 0, so all their subsets are tried.
+func TestUndecidedLinearizabilityIsViolation(t *testing.T) {
+	history := []fleet.HistoryEntry{leaseEntry(10, "n1", "held", 0, 5, 100)}
+	for term := range uint64(24) {
+		history = append(history, leaseEntry(10, "n1", "held", term+1, 5, 100))
+	}
+	c := &checker{observations: observations{history: history}, result: &Result{}}
+	c.checkRegister("list", time.Millisecond)
+	assert.Contains(t, strings.Join(c.result.Violations, "\n"), "the register of list: not decided within 1ms")
+}
+
 func TestChecksFindUnmetExpectations(t *testing.T) {
 	h := &Harness{Script: &Script{}, expected: expectations{mustHalt: []string{"n1"}, unmet: []string{"n2 should have no leader"}}}
 	r := h.check(observations{began: time.Now(), unsettled: "no front holds list"})
