--- a/deployment/instance_file_test.go
+++ b/deployment/instance_file_test.go
@@ -61,7 +61,7 @@
 	line("Stats.Source", replication.LoadInResponses)
 	rules := settings.DeploymentRules
 	line("Rules", int64(rules.DeadlineGrace), int64(rules.DrainGrace), int64(rules.MaxPollInterval),
-		rules.InitialCapacity, rules.OverloadMultiple, int64(rules.SlowStartDuration), int64(rules.OverloadWindow))
+		rules.InitialCapacity, rules.OverloadMultiple, int64(rules.SlowStartDuration), int64(rules.OverloadWindow), rules.OnlyDrainingBinds)
 	limits := settings.Limits
 	line("Limits", limits.MaxAttempts, limits.HealthChecks, limits.Gossip, limits.Cancellation, limits.HedgedRequests,
 		int64(limits.MaxRetryAfter), int64(limits.DialTimeout), int64(limits.IdleConnTimeout))
--- a/deployment/settings.go
+++ b/deployment/settings.go
@@ -150,7 +150,7 @@
 		DeadlineGrace: r.duration("Rules.AnswerSlack"), DrainGrace: r.duration("Rules.StopSendingWithin"),
 		MaxPollInterval: time.Duration(r.optionalInteger("Rules.AskEvery")), InitialCapacity: r.decimal("Rules.StartCapacity", 1),
 		OverloadMultiple: r.decimal("Rules.FallMultiple", 1), SlowStartDuration: r.duration("Rules.Cold"),
-		OverloadWindow: r.duration("Rules.Fall"),
+		OverloadWindow: r.duration("Rules.Fall"), OnlyDrainingBinds: r.boolean("Rules.SoftRemoval"),
 	}
 }
 
--- a/front/core.go
+++ b/front/core.go
@@ -91,7 +91,7 @@
 func NewCore(o Options) *Core {
 	s := o.Settings
 	c := &Core{pools: o.Pools, endpoints: o.Endpoints, queue: newEventQueue(), wall: wallClock{epoch: o.StartedAt.Round(0)},
-		catalog: newCatalog(s), requests: newRequests(), servers: newServers()}
+		catalog: newCatalog(s), requests: newRequests(), servers: newServers(s.DeploymentRules)}
 	if o.Classifier != nil {
 		c.classifier = newClassifier(o.Classifier, &c.catalog)
 	}
--- a/front/core_test.go
+++ b/front/core_test.go
@@ -133,6 +133,30 @@
 	return r
 }
 
+// An attempt that waits for a connection is held back by the list in the same cases in which the router may not choose the server.
+func TestUnsentAttemptToServerThatLeftTheListIsCancelledUnlessOnlyDrainingBinds(t *testing.T) {
+	removed := discovery.Endpoint{Name: "s-1", Address: "x", Zone: "a", Group: 9, State: routing.Removed}
+	draining := removed
+	draining.State = routing.Draining
+	for name, update := range map[string]EndpointsChanged{
+		"missing from a snapshot": {Kind: routing.Snapshot},
+		"removed by a delta":      {Kind: routing.Delta, List: discovery.List{Endpoints: []discovery.Endpoint{removed}}},
+		"draining":                {Kind: routing.Delta, List: discovery.List{Endpoints: []discovery.Endpoint{draining}}},
+	} {
+		for _, onlyDrainingBinds := range []bool{false, true} {
+			c, router, network := newTestCore(t)
+			c.servers.onlyDrainingBinds = onlyDrainingBinds
+			receiveAndStart(t, c, router, network)
+			c.Post(update)
+			c.batch(20 * ms)
+			c.Post(EndpointsChanged{Kind: routing.Snapshot})
+			c.batch(30 * ms)
+			cancelled := !onlyDrainingBinds || name == "draining"
+			assert.Equal(t, !cancelled, network.sent[0].Begin(func() {}), "%s, only draining binds: %v", name, onlyDrainingBinds)
+		}
+	}
+}
+
 func successResult() pgwire.QueryResult {
 	return pgwire.QueryResult{Complete: true, Rows: []byte("rows"), Role: "replica", AppliedMillis: 1_000_030, HasApplied: true}
 }
--- a/front/endpoints.go
+++ b/front/endpoints.go
@@ -22,7 +22,7 @@
 	endpoints := u.List.Endpoints
 	if u.Kind == routing.Snapshot || u.Kind == routing.CachedSnapshot {
 		endpoints = slices.Concat(endpoints, c.servers.static)
-		c.servers.clearServing()
+		c.servers.beginSnapshot()
 	}
 	for _, e := range endpoints {
 		c.correctClock(c.wall.observePast(e.StartedAtMillis, now))
@@ -58,7 +58,7 @@
 	index := c.servers.names.Intern(e.Name)
 	st := c.servers.at(index)
 	st.remote = strings.HasPrefix(e.Address, RemoteSitePrefix)
-	st.serving = e.State == routing.Serving
+	c.servers.setState(index, e.State)
 	if e.Address != "" {
 		c.setAddress(index, e.Address, e.StartedAtMillis)
 	}
--- a/front/servers.go
+++ b/front/servers.go
@@ -19,6 +19,8 @@
 	states []serverState
 	static []discovery.Endpoint // added to every snapshot
 
+	onlyDrainingBinds bool // a server that leaves the list without having drained still accepts new work
+
 	endpoints []routing.Endpoint // buffer for the current update
 }
 
@@ -35,8 +37,8 @@
 // unknownUptime is the uptime assumed for a server whose start time is unknown.
 const unknownUptime = 100 * 365 * 24 * time.Hour
 
-func newServers() servers {
-	return servers{names: NewIndex[string](), types: NewIndex[string](), groups: NewIndex[int64]()}
+func newServers(rules routing.DeploymentRules) servers {
+	return servers{names: NewIndex[string](), types: NewIndex[string](), groups: NewIndex[int64](), onlyDrainingBinds: rules.OnlyDrainingBinds}
 }
 
 // at returns the state of the server with an index; it is empty for a new index.
@@ -51,17 +53,29 @@
 func (s *servers) release(index int) {
 	s.names.Release(index)
 	st := s.at(index)
-	st.address, st.startedAt, st.failing = "", 0, false
+	st.address, st.startedAt, st.failing, st.serving = "", 0, false, false
 	st.generation++
 }
 
-// clearServing marks all servers as not accepting new work. The update that follows marks those that do.
-func (s *servers) clearServing() {
+// beginSnapshot marks all servers as not accepting new work, unless only draining binds. The snapshot that follows marks those
+// that do.
+func (s *servers) beginSnapshot() {
+	if s.onlyDrainingBinds {
+		return
+	}
 	for i := range s.states {
 		s.states[i].serving = false
 	}
 }
 
+// setState records the state that an endpoint list gives of a server. Where only draining binds, a removal changes nothing.
+func (s *servers) setState(index int, state routing.ServerState) {
+	if state == routing.Removed && s.onlyDrainingBinds {
+		return
+	}
+	s.at(index).serving = state == routing.Serving
+}
+
 // updateStatic replaces the static endpoint that has the name of an updated endpoint, so that later snapshots contain the update.
 func (s *servers) updateStatic(e discovery.Endpoint) {
 	for i := range s.static {
--- a/routing/settings.go
+++ b/routing/settings.go
@@ -51,6 +51,7 @@
 	OverloadMultiple  float64       // multiple of its present capacity at which a warming-up server fails permanently
 	SlowStartDuration time.Duration // time from a server's start to its full capacity
 	OverloadWindow    time.Duration // time over which OverloadMultiple is measured
+	OnlyDrainingBinds bool          // a server that leaves the endpoint list without having drained may still be sent attempts
 }
 
 // Limits says what the deployment allows the Router to do.
