--- a/router/client_timeouts_test.go
+++ b/router/client_timeouts_test.go
@@ -248,3 +248,18 @@
 	assert.Equal(t, 1, h.attempts[ref], "10 ms are left, but answers take 30 ms")
 	assert.Equal(t, 1, h.countActions("reject"))
 }
+
+// Guards against a request that gets no answer because the timer for the end of its wait fires before that end. A host whose
+// clock counts microseconds rounds the delay of a timer down.
+func TestWaitOfShortTimeoutEndsInTimeWhereTimersAreRoundedDown(t *testing.T) {
+	for _, timeout := range []time.Duration{ms, 8 * ms, 8*ms + time.Microsecond, 30 * ms, 30*ms + 7*time.Microsecond} {
+		h := newHarness(testDeployment()).withGroup(1)
+		h.timerResolution = time.Microsecond
+		h.advanceToTimers(time.Second)
+		h.updateEndpoints(routing.Delta, routing.Endpoint{Server: 0, State: routing.Draining})
+		h.advanceToTimers(ms) // shortly after a tick
+		h.receive(anyRead, func(in *routing.Request) { in.Timeout = timeout })
+		h.advanceToTimers(timeout)
+		assert.Equal(t, 1, h.countActions("reject"), "timeout of %v", timeout)
+	}
+}
--- a/router/harness_test.go
+++ b/router/harness_test.go
@@ -54,6 +54,8 @@
 	attempts map[routing.RequestRef]int
 	sentTo   map[routing.RequestRef]int
 	timers   []time.Duration // times at which TimerFired is due
+
+	timerResolution time.Duration // delays of timers are rounded down to a multiple of it; 0 for no rounding
 }
 
 func newHarness(o routing.Options) *harness {
@@ -186,5 +188,7 @@
 func (h *harness) WatchEndpoints(on bool)        { h.record("watch %v", on) }
 func (h *harness) FetchEndpoints()               { h.record("fetch") }
 func (h *harness) SendGossip(peer int, _ []byte) { h.record("gossip %d", peer) }
-func (h *harness) SetTimer(after time.Duration)  { h.timers = append(h.timers, h.now+after) }
 func (h *harness) Log(message string)            { h.record("log %s", message) }
+func (h *harness) SetTimer(after time.Duration) {
+	h.timers = append(h.timers, h.now+after.Truncate(h.timerResolution))
+}
--- a/router/router.go
+++ b/router/router.go
@@ -38,6 +38,8 @@
 const (
 	never = time.Duration(math.MinInt64 / 4) // earlier than every time in use; far enough from the minimum that sums don't overflow
 	none  = routing.None
+
+	timerResolution = time.Microsecond // a host may round the delay of a timer down to this resolution
 )
 
 // server is the state kept for one server.
@@ -153,10 +155,16 @@
 	}
 	if r.nextTickAt <= now {
 		r.nextTickAt = now + r.tickInterval
-		r.host.SetTimer(r.tickInterval)
+		r.setTimer(r.tickInterval)
 	}
 }
 
+// setTimer requests a call of TimerFired once the given time has passed. It rounds the time up to timerResolution, since a
+// timer that fires early would find that nothing is due, and might be the last one before a deadline.
+func (r *Router) setTimer(after time.Duration) {
+	r.host.SetTimer((after + timerResolution - 1).Truncate(timerResolution))
+}
+
 // setTimerForWaitEnd sets a timer for the end of a queued request's wait, if its timeout is too short to rely on ticks.
 // Reconcile then gives the request up in time.
 func (r *Router) setTimerForWaitEnd(now time.Duration, req *request) {
@@ -165,7 +173,7 @@
 	}
 	if until := r.waitDeadline(now, req) + 1; r.waitTimerAt <= now || until < r.waitTimerAt {
 		r.waitTimerAt = until
-		r.host.SetTimer(until - now)
+		r.setTimer(until - now)
 	}
 }
 
