--- a/fleet/agent/admin_test.go
+++ b/fleet/agent/admin_test.go
@@ -24,9 +24,8 @@
 	"dapplerouter/front"
 )
 
-// startVoter starts the agent of n1, the only voter of its fleet, with an admin API. It waits until the agent holds the lease of the
-// endpoint list. forms adjust the configuration.
-func startVoter(t *testing.T, forms ...func(*Config)) *Agent {
+// newAgent creates the agent of n1, the only voter of its fleet, with an admin API. forms adjust the configuration.
+func newAgent(t *testing.T, forms ...func(*Config)) (*Agent, error) {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "agent") // not t.TempDir(): the path of a Unix socket has a length limit
 	require.NoError(t, err)
@@ -45,10 +44,27 @@
 		form(&all)
 	}
 	a, err := New(all, start, directory, "0.3.0")
-	require.NoError(t, err)
+	if err != nil {
+		return nil, err
+	}
 	began := time.Now()
 	a.Clock, a.StartedAt, a.Post = func() time.Duration { return time.Since(began) }, began, post
 	a.Prober.post = post
+	return a, nil
+}
+
+// newVoterAgent is newAgent for a test in which the agent must be created.
+func newVoterAgent(t *testing.T, forms ...func(*Config)) *Agent {
+	t.Helper()
+	a, err := newAgent(t, forms...)
+	require.NoError(t, err)
+	return a
+}
+
+// startVoter starts the agent of newAgent and waits until it holds the lease of the endpoint list.
+func startVoter(t *testing.T, forms ...func(*Config)) *Agent {
+	t.Helper()
+	a := newVoterAgent(t, forms...)
 	require.NoError(t, a.Start())
 	t.Cleanup(a.Close)
 	require.Eventually(t, func() (held bool) {
--- a/fleet/agent/agent.go
+++ b/fleet/agent/agent.go
@@ -14,6 +14,7 @@
 	"context"
 	"crypto/rand"
 	"encoding/binary"
+	"log/slog"
 	"sync"
 	"time"
 
@@ -41,7 +42,7 @@
 	config    *fleet.Config
 	settings  *deployment.Settings
 	mesh      *mesh.Mesh
-	disk      *disk.VoterFile  // nil for a follower
+	disk      *disk.VoterFile  // nil for a follower, and until the voter's file is open
 	admin     *adminapi.Server // nil without a control socket
 	history   *history         // nil if no history file is configured
 	endpoints *endpointFollower
@@ -76,6 +77,7 @@
 type lifetime struct {
 	ctx        context.Context
 	cancel     context.CancelFunc
+	joining    sync.WaitGroup // the goroutine that joins the fleet, before those of the mesh
 	goroutines sync.WaitGroup
 }
 
@@ -161,13 +163,18 @@
 	return o
 }
 
-// newNode creates the node. If this front is a voter, it opens the voter file and restores the node from it.
+// newNode creates the node. If this front is a voter, it opens the voter file and restores the node from it. If the file's disk is full
+// or failing, the node has no voter until joinAfterVoterFile starts it.
 func (a *Agent) newNode(o fleet.Options) (node *fleet.Node, err error) {
 	var state *fleet.DiskState
 	if a.config.VoterPath != "" {
-		if a.disk, state, err = disk.OpenVoterFile(a.config.VoterPath, a.config.ID, a.name); err != nil {
+		a.disk, state, err = disk.OpenVoterFile(a.config.VoterPath, a.config.ID, a.name)
+		if err != nil && !disk.IsTransient(err) {
 			return nil, err
 		}
+		if err != nil {
+			slog.Error("fleet: voter file can't be opened; retrying, this front takes no part in its fleet until then; make room or repair the disk", "file", a.config.VoterPath, "err", err)
+		}
 	}
 	if node, err = fleet.New(o, state); err != nil {
 		return nil, err
--- a/fleet/agent/audit_writer.go
+++ b/fleet/agent/audit_writer.go
@@ -25,6 +25,7 @@
 	lost       atomic.Uint64 // lines that did not fit into the queue and are not recorded as a gap yet
 	written    atomic.Uint64
 	index      atomic.Uint64 // index of the replicated state
+	opened     bool          // the log is open; used by run only, once the writer runs
 	failing    bool          // the last write failed; used by run only
 	stopped    chan struct{} // closed when run returns
 }
@@ -51,15 +52,22 @@
 	closeWriteTimeout = 2 * time.Second // how long close then waits until the queued entries are written
 )
 
-// newAuditWriter opens the front's audit log and creates its collector. The writer runs from start to close.
+// newAuditWriter opens the front's audit log and creates its collector. A log on a disk that is full or failing is opened by run. The
+// writer runs from start to close.
 func newAuditWriter(a *Agent, c *audit.Config) (*auditWriter, error) {
 	w := &auditWriter{agent: a, config: c, queue: make(chan queueEntry, auditQueueLength), stopped: make(chan struct{})}
 	w.exports.done = map[string]bool{}
-	var err error
-	if w.segments, err = disk.OpenSegments(c.LogDir, a.name, c.SegmentBytes, c.MaxTotalBytes); err != nil {
+	w.segments = disk.NewSegments(c.LogDir, a.name, c.SegmentBytes, c.MaxTotalBytes)
+	w.segments.Stamp = w.stamp
+	switch err := w.segments.Open(); {
+	case err == nil:
+		w.opened = true
+	case disk.IsTransient(err):
+		slog.Error("audit: log can't be opened; retrying, requests are still served; make room or repair the disk", "dir", c.LogDir, "err", err)
+	default:
 		return nil, err
 	}
-	w.segments.Stamp = w.stamp
+	var err error
 	w.collector, err = newAuditCollector(w)
 	return w, err
 }
@@ -122,9 +130,30 @@
 	}
 }
 
-// run writes queued entries until it receives an empty entry.
+// awaitLog opens the log, if it is not open yet. It retries until it succeeds, the log can't be used, or the agent stops. Entries wait in
+// the queue meanwhile.
+func (w *auditWriter) awaitLog() {
+	for !w.opened {
+		select {
+		case <-time.After(diskRetryInterval):
+		case <-w.agent.ctx.Done():
+			return
+		}
+		switch err := w.segments.Open(); {
+		case err == nil:
+			w.opened = true
+			slog.Info("audit: log opened after retries", "dir", w.config.LogDir)
+		case !disk.IsTransient(err):
+			slog.Error("audit: log can't be used; nothing is recorded until a restart", "dir", w.config.LogDir, "err", err)
+			return
+		}
+	}
+}
+
+// run opens the log, if it is not open yet, and then writes queued entries until it receives an empty entry.
 func (w *auditWriter) run() {
 	defer close(w.stopped)
+	w.awaitLog()
 	for e := range w.queue {
 		if n := w.lost.Swap(0); n > 0 {
 			w.segments.CountLost(n, "lines came faster than they could be written")
--- a/fleet/agent/lifecycle.go
+++ b/fleet/agent/lifecycle.go
@@ -28,7 +28,11 @@
 		s.Start()
 	}
 	a.startSubsystems()
-	a.mesh.Run()
+	if a.awaitsVoterFile() {
+		a.joining.Go(a.joinAfterVoterFile)
+	} else {
+		a.mesh.Run()
+	}
 	a.goroutines.Go(a.endpoints.watchLeaseholder)
 	slog.Info("fleet: agent started", "listen", a.mesh.Addr().String(), "voter", a.config.VoterPath != "", "lease_duration", a.config.LeaseDuration)
 	return nil
@@ -116,6 +120,7 @@
 	if a.admin != nil {
 		a.admin.Close()
 	}
+	a.joining.Wait() // it may start the goroutines of the mesh
 	a.mesh.Close()
 	a.endpoints.stopFollowing()
 	a.goroutines.Wait()
--- a/fleet/disk/errors.go
+++ b/fleet/disk/errors.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"syscall"
 )
 
 // Errors that an operator has to act on. Test for them with errors.Is.
@@ -24,3 +25,17 @@
 func (e OtherVoterError) Error() string {
 	return fmt.Sprintf("it belongs to %s, but this voter is %s: configure another file", e.Owner, e.Voter)
 }
+
+// IsTransient reports whether a read, write or sync that failed with err may succeed later: the disk is full or failing, or the system
+// lacks memory.
+func IsTransient(err error) bool {
+	var errno syscall.Errno
+	if !errors.As(err, &errno) {
+		return false
+	}
+	switch errno {
+	case syscall.ENOSPC, syscall.EDQUOT, syscall.EIO, syscall.EINTR, syscall.EAGAIN, syscall.ENOMEM:
+		return true
+	}
+	return false
+}
--- a/fleet/disk/files.go
+++ b/fleet/disk/files.go
@@ -48,11 +48,16 @@
 	if err := os.Link(temporary, path); err != nil { // unlike a rename, a link never replaces a file
 		return err
 	}
-	d, err := os.Open(to)
-	if err == nil {
-		err = errors.Join(d.Sync(), d.Close())
+	return syncDir(to)
+}
+
+// syncDir makes the names of new files in a directory durable.
+func syncDir(dir string) error {
+	d, err := os.Open(dir)
+	if err != nil {
+		return err
 	}
-	return err
+	return errors.Join(d.Sync(), d.Close())
 }
 
 // ReplaceFile writes a file, replacing an existing one atomically: path has either the old or the complete new content.
--- a/fleet/disk/segments.go
+++ b/fleet/disk/segments.go
@@ -32,11 +32,12 @@
 	maxTotalBytes int64
 
 	mu             sync.Mutex // guards the fields below
+	opened         bool       // Open has succeeded
 	chain          audit.HashChain
 	number         uint64      // number of the open segment, or of the last one if none is open
 	open           openSegment // empty after an error, until the next write opens a segment
 	gap            gap
-	truncatedBytes int64    // bytes truncated by OpenSegments and not recorded in the log yet
+	truncatedBytes int64    // bytes truncated by Open and not recorded in the log yet
 	lastLineAt     int64    // time of the last line, Unix microseconds
 	sealed         []string // names of closed segments, without suffix, oldest first
 }
@@ -59,24 +60,41 @@
 	g.reason = reason
 }
 
-// OpenSegments opens a front's audit log in a directory, creates the directory if necessary, and starts a new segment. If a crash left an
-// incomplete last line, it is truncated and the truncation is recorded before the first line that is written. A segment is closed once its
-// log file and its index together have segmentBytes bytes. When a segment is closed, the oldest ones are removed while all files of the log
-// together have more than maxTotalBytes bytes. The error names the directory or the file.
+// NewSegments returns a front's audit log in a directory, which Open opens. A segment is closed once its log file and its index together
+// have segmentBytes bytes. When a segment is closed, the oldest ones are removed while all files of the log together have more than
+// maxTotalBytes bytes.
+func NewSegments(dir, front string, segmentBytes, maxTotalBytes int64) *Segments {
+	return &Segments{Stamp: func(*audit.Line) {}, dir: dir, front: front, segmentBytes: segmentBytes, maxTotalBytes: maxTotalBytes}
+}
+
+// OpenSegments is NewSegments and Open.
 func OpenSegments(dir, front string, segmentBytes, maxTotalBytes int64) (*Segments, error) {
-	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return nil, fmt.Errorf("audit directory: %w", err)
+	s := NewSegments(dir, front, segmentBytes, maxTotalBytes)
+	return s, s.Open()
+}
+
+// Open creates the directory if necessary, and starts a new segment. If a crash left an incomplete last line, it is truncated and the
+// truncation is recorded before the first line that is written. The error names the directory or the file; Open can then be called again.
+// Before Open has succeeded, the log has no closed segments and no line can be written.
+func (s *Segments) Open() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err := os.MkdirAll(s.dir, 0o700); err != nil {
+		return fmt.Errorf("audit directory: %w", err)
 	}
-	s := &Segments{Stamp: func(*audit.Line) {}, dir: dir, front: front, segmentBytes: segmentBytes, maxTotalBytes: maxTotalBytes}
-	names, err := ListSegments(dir, front)
+	names, err := ListSegments(s.dir, s.front)
 	if err != nil {
-		return nil, err
+		return err
 	}
-	s.sealed = names
+	s.number, s.chain = 0, audit.HashChain{} // an earlier call may have set them
 	if err := s.resumeChain(names); err != nil {
-		return nil, err
+		return err
 	}
-	return s, s.openNext()
+	if err := s.openNext(); err != nil {
+		return err
+	}
+	s.sealed, s.opened = names, true
+	return nil
 }
 
 // ListSegments returns the names, without suffix, of a front's segments in a directory, sorted by name and so oldest first. An empty
@@ -132,10 +150,10 @@
 		complete += n + 1
 	}
 	if complete < len(b) {
-		s.truncatedBytes += int64(len(b) - complete)
 		if err := os.Truncate(path, int64(complete)); err != nil {
 			return false, fmt.Errorf("incomplete line of the last audit segment: %w", err)
 		}
+		s.truncatedBytes += int64(len(b) - complete)
 	}
 	indexPath := filepath.Join(s.dir, name+audit.IndexSuffix)
 	if info, err := os.Stat(indexPath); err == nil && info.Size() > indexBytes { // belongs to a line that was never written
@@ -146,6 +164,9 @@
 	return complete > 0, nil
 }
 
+// errNotOpened reports that Open has not succeeded yet. Its text is recorded in the log as a gap's reason.
+var errNotOpened = errors.New("the audit could not be opened")
+
 // openNext opens the next segment. If that fails, no segment is open and the next write tries again.
 func (s *Segments) openNext() error {
 	path := filepath.Join(s.dir, audit.SegmentName(s.front, s.number+1))
@@ -170,6 +191,10 @@
 func (s *Segments) Write(l *audit.Line, index []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
+	if !s.opened {
+		s.gap.add(1, errNotOpened.Error())
+		return errNotOpened
+	}
 	if s.open.log == nil { // the next segment could not be opened when the last one was closed
 		if err := s.openNext(); err != nil {
 			s.gap.add(1, err.Error())
@@ -300,6 +325,9 @@
 func (s *Segments) Rotate() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
+	if !s.opened {
+		return errNotOpened
+	}
 	if s.open.log != nil && s.open.logBytes == 0 {
 		return nil
 	}
--- a/fleet/disk/voter_file.go
+++ b/fleet/disk/voter_file.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"os"
+	"path/filepath"
 	"runtime/debug"
 	"time"
 
@@ -69,18 +70,57 @@
 
 // openDB opens or creates the bbolt file and locks it. Its errors name the file and what to do about it.
 func openDB(path string) (*bbolt.DB, error) {
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType})
+	db, err := openOrCreateDB(path)
 	switch {
 	case errors.Is(err, berrors.ErrTimeout):
 		return nil, fmt.Errorf("%s is %w: stop that process or configure another file", path, ErrVoterFileInUse)
 	case errors.Is(err, os.ErrNotExist):
 		return nil, fmt.Errorf("%s: its directory does not exist (%w): create it", path, err)
+	case IsTransient(err):
+		return nil, fmt.Errorf("%s can't be opened: %w", path, err)
 	case err != nil:
 		return nil, fmt.Errorf("%s can't be opened (%w): if it is damaged, %s", path, err, replaceVoterRemedy)
 	}
 	return db, nil
 }
 
+// openOrCreateDB opens and locks the bbolt file. A new file appears at path complete or not at all: one whose creation was cut short could
+// not be told from one that is damaged.
+func openOrCreateDB(path string) (*bbolt.DB, error) {
+	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
+		if err := createDB(path); err != nil {
+			return nil, err
+		}
+	}
+	return bbolt.Open(path, 0o600, bboltOptions())
+}
+
+// createDB creates an empty bbolt file, unless path exists by then.
+func createDB(path string) (err error) {
+	dir := filepath.Dir(path)
+	temporary, err := writeTemporary(dir, nil)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = os.Remove(temporary) }() // its content is linked under the final name, or is not needed
+	db, err := bbolt.Open(temporary, 0o600, bboltOptions())
+	if err != nil {
+		return err
+	}
+	if err := db.Close(); err != nil {
+		return err
+	}
+	if err := os.Link(temporary, path); err != nil && !errors.Is(err, os.ErrExist) { // unlike a rename, a link never replaces a file
+		return err
+	}
+	return syncDir(dir)
+}
+
+// bboltOptions returns the options with which voter files are opened.
+func bboltOptions() *bbolt.Options {
+	return &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType}
+}
+
 // checkPages verifies that all pages are present and consistent. bbolt itself notices a truncated file only when it reads a page after
 // the end of the file.
 func checkPages(db *bbolt.DB, path string) error {
--- a/fleet/mesh/voter_disk.go
+++ b/fleet/mesh/voter_disk.go
@@ -1,9 +1,11 @@
 package mesh
 
 import (
-	"errors"
 	"log/slog"
-	"syscall"
+	"time"
+
+	"dapplerouter/fleet"
+	"dapplerouter/fleet/disk"
 )
 
 // diskRetryTicks is the time between two attempts of a failing write, in tick intervals. The mesh is blocked during each attempt.
@@ -25,7 +27,7 @@
 				slog.Info("fleet: voter disk write succeeded after retries")
 			}
 			m.node.WriteDone(m.Now())
-		case isTransientDiskError(err):
+		case disk.IsTransient(err):
 			if m.diskRetryAt == 0 {
 				slog.Error("fleet: voter disk write failed; retrying, the voter sends nothing until then", "err", err)
 			}
@@ -38,15 +40,13 @@
 	}
 }
 
-// isTransientDiskError reports whether a write that failed with err may succeed later.
-func isTransientDiskError(err error) bool {
-	var errno syscall.Errno
-	if !errors.As(err, &errno) {
-		return false
-	}
-	switch errno {
-	case syscall.ENOSPC, syscall.EDQUOT, syscall.EIO, syscall.EINTR, syscall.EAGAIN, syscall.ENOMEM:
-		return true
-	}
-	return false
+// StartVoter makes this front a voter whose durable state is on a disk. state is what the disk holds. Call it before Run, and only for a
+// node that has no voter. The error says which part of state can't be used; the front is then still a follower.
+func (m *Mesh) StartVoter(d Disk, state *fleet.DiskState) (err error) {
+	m.Do(func(n *fleet.Node, now time.Duration) {
+		if err = n.StartVoter(now, state); err == nil {
+			m.options.Disk = d
+		}
+	})
+	return err
 }
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -68,6 +68,21 @@
 	return n, nil
 }
 
+// StartVoter makes a front without links a voter, as New does; disk is what the voter's disk holds. The voter campaigns no earlier than an
+// election timeout from now. The error says which part of disk can't be used; the front is then still a follower.
+func (n *Node) StartVoter(now time.Duration, disk *DiskState) error {
+	v, err := newVoter(n, disk)
+	if err != nil {
+		return err
+	}
+	v.leaderContactAt = now
+	n.voter = v
+	for leaseName := range n.declaredLeases {
+		n.updateMissingLease(leaseName)
+	}
+	return nil
+}
+
 // Incarnation returns the number that identifies this start of the front.
 func (n *Node) Incarnation() uint64 { return n.options.Incarnation }
 
