--- a/fleet/agent/audit_collector.go
+++ b/fleet/agent/audit_collector.go
@@ -20,7 +20,7 @@
 // to fronts that request them.
 type auditCollector struct {
 	writer    *auditWriter
-	fetches   *audit.Collector // nil if this front collects nothing; used by run only
+	fetches   *audit.Collector // nil if this front collects nothing, and until the directory is open; used by run only
 	requests  chan fetchRequest
 	responses chan fetchResponse
 }
@@ -40,24 +40,53 @@
 // collectorQueueLength is how many requests, and how many responses, may wait.
 const collectorQueueLength = 64
 
-// newAuditCollector returns the collector of a writer. If this front collects segments, it creates the collection directory and continues
-// after the segments that are already there.
+// newAuditCollector returns the collector of a writer. If this front collects segments, it opens the collection directory; one on a disk
+// that is full or failing is opened by run.
 func newAuditCollector(w *auditWriter) (*auditCollector, error) {
 	c := &auditCollector{writer: w, requests: make(chan fetchRequest, collectorQueueLength), responses: make(chan fetchResponse, collectorQueueLength)}
 	if w.config.CollectDir == "" {
 		return c, nil
 	}
-	if err := os.MkdirAll(w.config.CollectDir, 0o700); err != nil {
-		return nil, fmt.Errorf("directory of collected audit segments: %w", err)
-	}
-	collected, err := disk.ListSegments(w.config.CollectDir, "")
-	if err != nil {
+	switch err := c.openDirectory(); {
+	case disk.IsTransient(err):
+		slog.Error("audit: collection can't begin; retrying; make room or repair the disk", "err", err)
+	case err != nil:
 		return nil, err
 	}
-	c.fetches = audit.NewCollector(w.config.CollectBytesPerSecond, w.agent.config.LeaseDuration, collected)
 	return c, nil
 }
 
+// openDirectory creates the collection directory, if necessary, and continues after the segments that are already there.
+func (c *auditCollector) openDirectory() error {
+	config := c.writer.config
+	if err := os.MkdirAll(config.CollectDir, 0o700); err != nil {
+		return fmt.Errorf("directory of collected audit segments: %w", err)
+	}
+	collected, err := disk.ListSegments(config.CollectDir, "")
+	if err != nil {
+		return err
+	}
+	c.fetches = audit.NewCollector(config.CollectBytesPerSecond, c.writer.agent.config.LeaseDuration, collected)
+	return nil
+}
+
+// awaitDirectory opens the collection directory, if it is not open yet. It retries until it succeeds, and returns false if the directory
+// can't be used or the agent stops.
+func (c *auditCollector) awaitDirectory() bool {
+	for c.fetches == nil {
+		select {
+		case <-time.After(diskRetryInterval):
+		case <-c.writer.agent.ctx.Done():
+			return false
+		}
+		if err := c.openDirectory(); err != nil && !disk.IsTransient(err) {
+			slog.Error("audit: collection directory can't be used; nothing is collected until a restart", "err", err)
+			return false
+		}
+	}
+	return true
+}
+
 // onDatagram queues another front's request or response. If the queue is full the message is dropped; the requesting front repeats its
 // request.
 func (c *auditCollector) onDatagram(e fleet.DatagramReceived) {
@@ -128,6 +157,9 @@
 
 // run requests the segments of other fronts, and stores those that are complete, until the agent stops.
 func (c *auditCollector) run() {
+	if !c.awaitDirectory() {
+		return
+	}
 	a := c.writer.agent
 	t := time.NewTicker(a.config.LeaseDuration / 6)
 	defer t.Stop()
--- a/fleet/agent/audit_writer.go
+++ b/fleet/agent/audit_writer.go
@@ -86,7 +86,7 @@
 	})
 	go w.runExports() // close does not wait for it: an export directory on a server that is unreachable may block it
 	a.goroutines.Go(w.collector.serve)
-	if w.collector.fetches != nil {
+	if w.config.CollectDir != "" {
 		a.goroutines.Go(w.collector.run)
 	}
 }
--- a/fleet/agent/history.go
+++ b/fleet/agent/history.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"dapplerouter/fleet"
+	"dapplerouter/fleet/disk"
 	"dapplerouter/fleet/mesh"
 	"dapplerouter/fleet/rollout"
 )
@@ -26,24 +27,35 @@
 // history appends one line of JSON, a fleet.HistoryEntry, for each event to a file. The events are those of package fleet at this front,
 // and the changes of the configuration version and of the rollout that the agent adds. A nil history writes nothing.
 type history struct {
-	file        *os.File
+	path        string
 	front       string
 	incarnation uint64
 
 	mu      sync.Mutex // held while a line is written
+	file    *os.File   // nil until it is open
 	failing bool       // the last write failed
 }
 
-// openHistory opens the history file for appending. It returns nil if path is empty.
+// openHistory opens the history file for appending. It returns nil if path is empty. A file on a disk that is full or failing is opened
+// when a line is written.
 func openHistory(path, front string, incarnation uint64) (*history, error) {
 	if path == "" {
 		return nil, nil
 	}
-	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o600)
-	if err != nil {
-		return nil, fmt.Errorf("history: %w", err)
+	h := &history{path: path, front: front, incarnation: incarnation}
+	if err := h.open(); err != nil {
+		if !disk.IsTransient(err) {
+			return nil, fmt.Errorf("history: %w", err)
+		}
+		h.logWrite(err)
 	}
-	return &history{file: f, front: front, incarnation: incarnation}, nil
+	return h, nil
+}
+
+// open opens the file.
+func (h *history) open() (err error) {
+	h.file, err = os.OpenFile(h.path, os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o600)
+	return err
 }
 
 // recordVersion writes a change in the use of a configuration version; change is one of the kinds above.
@@ -85,17 +97,31 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if _, err := h.file.Write(append(b, '\n')); (err != nil) != h.failing {
-		h.failing = err != nil
-		if h.failing {
-			slog.Warn("fleet: history not written", "err", err)
+	h.logWrite(h.write(append(b, '\n')))
+}
+
+// write writes a line, and opens the file first if it is not open; h.mu must be held.
+func (h *history) write(line []byte) error {
+	if h.file == nil {
+		if err := h.open(); err != nil {
+			return err
 		}
 	}
+	_, err := h.file.Write(line)
+	return err
+}
+
+// logWrite logs the first of successive failures to write; h.mu must be held.
+func (h *history) logWrite(err error) {
+	if err != nil && !h.failing {
+		slog.Warn("fleet: history not written", "err", err)
+	}
+	h.failing = err != nil
 }
 
 // close closes the file.
 func (h *history) close() {
-	if h != nil {
+	if h != nil && h.file != nil {
 		_ = h.file.Close() // an error is ignored: lines are not buffered
 	}
 }
--- a/fleet/agent/version_file.go
+++ b/fleet/agent/version_file.go
@@ -23,11 +23,13 @@
 func (h *rolloutHost) versionPath() string { return filepath.Join(h.config.Dir, "version.json") }
 
 // loadVersion reads the version file: the configuration version that this front used last, to start with. The result is zero if there is
-// none. A file that can't be read or parsed is logged, renamed and otherwise ignored. loadVersion also creates the directory of the file,
-// so that saveVersion can write to it. The error names a directory that can't be created.
+// none. A file that can't be read or parsed is logged and otherwise ignored; it is renamed, unless its disk is failing. loadVersion also
+// creates the directory of the file. The error names a directory that can't be created, other than on a disk that is full or failing.
 func (h *rolloutHost) loadVersion() (stored storedVersion, err error) {
-	if err := os.MkdirAll(h.config.Dir, 0o700); err != nil {
-		return stored, fmt.Errorf("directory of configuration versions: %w", err)
+	if err := h.createDir(); disk.IsTransient(err) {
+		slog.Warn("fleet: directory of configuration versions can't be created; retrying with the next version", "err", err)
+	} else if err != nil {
+		return stored, err
 	}
 	b, err := os.ReadFile(h.versionPath())
 	if errors.Is(err, os.ErrNotExist) {
@@ -41,15 +43,28 @@
 	}
 	if err != nil {
 		slog.Warn("fleet: stored configuration version unreadable; starting with the operator's file", "file", h.versionPath(), "err", err)
-		_ = os.Rename(h.versionPath(), h.versionPath()+".unreadable") // an error is ignored: the next version replaces the file
+		if !disk.IsTransient(err) {
+			_ = os.Rename(h.versionPath(), h.versionPath()+".unreadable") // an error is ignored: the next version replaces the file
+		}
 		return storedVersion{}, nil
 	}
 	return stored, nil
 }
 
+// createDir creates the directory of the version file, if necessary.
+func (h *rolloutHost) createDir() error {
+	if err := os.MkdirAll(h.config.Dir, 0o700); err != nil {
+		return fmt.Errorf("directory of configuration versions: %w", err)
+	}
+	return nil
+}
+
 // saveVersion writes the version file; h.mu must be held. A failure affects no request and is only logged.
 func (h *rolloutHost) saveVersion(stored storedVersion) {
 	b, err := json.Marshal(stored)
+	if err == nil {
+		err = h.createDir()
+	}
 	if err == nil {
 		err = disk.ReplaceFile(h.versionPath(), b)
 	}
--- a/fleet/agent/version_file_test.go
+++ b/fleet/agent/version_file_test.go
@@ -28,3 +28,14 @@
 	require.NoError(t, err)
 	assert.Equal(t, string(want), string(got))
 }
+
+// A version file that can't be read for a moment is kept for the next start.
+func TestVersionFileIsKeptAfterTransientReadError(t *testing.T) {
+	h := &rolloutHost{config: &rollout.Config{Dir: t.TempDir()}}
+	require.NoError(t, os.Symlink(unreadableFile, h.versionPath()))
+	stored, err := h.loadVersion()
+	require.NoError(t, err)
+	assert.Zero(t, stored)
+	_, err = os.Lstat(h.versionPath())
+	assert.NoError(t, err, "the file was renamed")
+}
