--- a/cmd/dapplerouter/wall_clock_reads_test.go
+++ b/cmd/dapplerouter/wall_clock_reads_test.go
@@ -20,6 +20,7 @@
 var allowedWallClockUses = map[string]string{
 	"front/core.go: wall: wallClock{epoch: o.StartedAt.Round(0)}": "an estimate that primaries' responses correct (front/wallclock.go)",
 	"front/wallclock.go: time.UnixMilli(ms).Sub(w.epoch)":         "times reported by other processes, relative to that estimate",
+	"monotonic/clock.go: now.Round(0).Sub(c.StartedAt.Round(0))":  "only shows that the clock was stepped; no time is measured by it",
 	"front/attempts.go: at.UnixMilli()":                           "a position sent to another site's front; off in run",
 	"tcpconn/tcpconn.go: var Past = time.Unix(1, 0)":              "a deadline in the past by any clock",
 }
--- a/front/core.go
+++ b/front/core.go
@@ -49,8 +49,10 @@
 }
 
 // Clock gives the time since the start of the instance and has a single timer. SetTimer replaces the time at which the timer fires.
+// WallOffset returns by how much the machine's wall clock was stepped since that start.
 type Clock interface {
 	Now() time.Duration
+	WallOffset() time.Duration
 	SetTimer(at time.Duration)
 	TimerC() <-chan time.Time
 }
@@ -129,7 +131,9 @@
 		case <-stop:
 			return
 		}
-		c.batch(clock.Now())
+		now := clock.Now()
+		c.wall.observeOwnClock(clock.WallOffset(), now)
+		c.batch(now)
 		c.metrics.batchDone(clock.Now() - c.now)
 	}
 }
--- a/front/result.go
+++ b/front/result.go
@@ -97,7 +97,8 @@
 		report = answer.Value()
 	}
 	o.Load = c.loadReport(report, startedAt)
-	if position := c.wall.at(answer.AppliedMillis); answer.HasApplied && c.wall.trusts(o.Role, position, c.now) {
+	if position := c.wall.at(answer.AppliedMillis); answer.HasApplied &&
+		c.wall.trustsReport(c.servers.at(e.Attempt.server), o.Role, position, c.now) {
 		o.Position, o.HasPosition = position, true
 	}
 }
--- a/front/servers.go
+++ b/front/servers.go
@@ -28,6 +28,7 @@
 	startedAt  int64  // in Unix milliseconds; 0 if unknown
 	serving    bool   // the endpoint list permits new work
 	remote     bool   // represents another site
+	ahead      bool   // it is a replica, and the last log position that it reported lies in the future
 	failing    bool   // the last result was Unreachable, ConnectionLost or TimedOut; used for the log
 	generation uint32 // number of times that the index was released
 }
@@ -51,7 +52,7 @@
 func (s *servers) release(index int) {
 	s.names.Release(index)
 	st := s.at(index)
-	st.address, st.startedAt, st.failing = "", 0, false
+	st.address, st.startedAt, st.failing, st.ahead = "", 0, false, false
 	st.generation++
 }
 
--- a/gateway/link/peer_test.go
+++ b/gateway/link/peer_test.go
@@ -17,9 +17,10 @@
 // wallClock is a front.Clock that returns the time since its start and has no timer.
 type wallClock struct{ start time.Time }
 
-func (s wallClock) Now() time.Duration       { return time.Since(s.start) }
-func (s wallClock) SetTimer(time.Duration)   {}
-func (s wallClock) TimerC() <-chan time.Time { return nil }
+func (s wallClock) Now() time.Duration        { return time.Since(s.start) }
+func (s wallClock) SetTimer(time.Duration)    {}
+func (s wallClock) WallOffset() time.Duration { return 0 }
+func (s wallClock) TimerC() <-chan time.Time  { return nil }
 
 // startListeningLink starts a link that listens, so that a scripted peer can dial it. posted returns the events that were passed to
 // the front.
--- a/monotonic/clock.go
+++ b/monotonic/clock.go
@@ -20,6 +20,12 @@
 // Now returns the time since StartedAt.
 func (c *Clock) Now() time.Duration { return time.Since(c.StartedAt) }
 
+// WallOffset returns by how much the machine's wall clock was stepped since StartedAt.
+func (c *Clock) WallOffset() time.Duration {
+	now := time.Now()
+	return now.Round(0).Sub(c.StartedAt.Round(0)) - now.Sub(c.StartedAt)
+}
+
 // SetTimer makes TimerC deliver once at the given time. It replaces the timer set before.
 func (c *Clock) SetTimer(at time.Duration) { c.timer.Reset(at - c.Now()) }
 
