--- a/cmd/dapplerouter/fleet_publish.go
+++ b/cmd/dapplerouter/fleet_publish.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"math"
 	"net/url"
 	"os"
 	"strconv"
@@ -27,21 +28,27 @@
 
 var (
 	errNotShare        = errors.New("not a share of the fleet: write a percentage such as 10%, or in --waves 1 for a single front")
+	errShareTooFine    = errors.New("finer than a tenth of a percent: write 0.1% or a multiple of it, or in --waves 1 for a single front")
 	errStagesDecrease  = errors.New("the stage is smaller than the one before it")
 	errLastStageNotAll = errors.New("the last stage must be 100%")
 )
 
 const wholeFleet = 1000 // in thousandths of the fleet
 
-// parseShare parses a share of the fleet that is written as a percentage, and returns it in thousandths. The result is at least 1, which
-// the admin API takes as a single front.
+// parseShare parses a share of the fleet that is written as a percentage, and returns it in thousandths. A share that is no whole number
+// of thousandths is errShareTooFine.
 func parseShare(s string) (uint16, error) {
 	p, ok := strings.CutSuffix(s, "%")
-	n, err := strconv.ParseFloat(p, 64)
-	if !ok || err != nil || n <= 0 || n > 100 {
+	percent, err := strconv.ParseFloat(p, 64)
+	if !ok || err != nil || math.IsNaN(percent) || percent <= 0 || percent > 100 {
 		return 0, fmt.Errorf("%q: %w", s, errNotShare)
 	}
-	return uint16(max(1, n*10)), nil
+	const roundingError = 1e-9 // of a decimal fraction times ten, as in 32.3 * 10
+	thousandths := math.Round(percent * 10)
+	if math.Abs(percent*10-thousandths) > roundingError {
+		return 0, fmt.Errorf("%q: %w", s, errShareTooFine)
+	}
+	return uint16(thousandths), nil
 }
 
 // parseStages converts the --waves option to the form that the admin API takes: shares in thousandths of the fleet, separated by commas.
--- a/cmd/dapplerouter/fleet_test.go
+++ b/cmd/dapplerouter/fleet_test.go
@@ -53,13 +53,14 @@
 }
 
 func TestParseRolloutStages(t *testing.T) {
-	for option, want := range map[string]string{"1,10%,50%,100%": "1,100,500,1000", "0.01%, 100%": "1,1000", "100%": "1000"} {
+	for option, want := range map[string]string{"1,10%,50%,100%": "1,100,500,1000", "0.1%, 100%": "1,1000", "100%": "1000", "0.7%,2.3%,16.4%,32.3%,100%": "7,23,164,323,1000"} {
 		got, err := parseStages(option)
 		require.NoError(t, err, option)
 		assert.Equal(t, want, got, option)
 	}
 	for option, want := range map[string]error{"1,10%": errLastStageNotAll, "50%,10%,100%": errStagesDecrease, "2,100%": errNotShare, "": errNotShare,
-		"0%,100%": errNotShare, "101%": errNotShare} {
+		"0%,100%": errNotShare, "101%": errNotShare, "-1%,100%": errNotShare, "NaN%": errNotShare, "Inf%": errNotShare,
+		"0.01%,100%": errShareTooFine, "0.15%,100%": errShareTooFine, "33.33%,100%": errShareTooFine, "99.99%": errShareTooFine} {
 		_, err := parseStages(option)
 		assert.ErrorIs(t, err, want, option)
 	}
