--- a/lab/processtest/harness_test.go
+++ b/lab/processtest/harness_test.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// A check of linearizability that runs out of time decides nothing; it must not pass. The acquisitions overlap, and none can come first
-// or last behind the impossible one of term 0, so all their subsets are tried.
+// A check of linearizability that runs out of time decides nothing; it must not pass. The acquisitions overlap, and
+// that of term 0 fits nowhere, so all subsets of the others are tried.
 func TestUndecidedLinearizabilityIsViolation(t *testing.T) {
 	history := []fleet.HistoryEntry{leaseEntry(10, "n1", "held", 0, 5, 100)}
 	for term := range uint64(24) {
