--- a/server/client.go
+++ b/server/client.go
@@ -35,7 +35,7 @@
 	defer func() {
 		c.cancelRequests()
 		c.reader.Close()
-		c.server.closeGracefully(c.tcp)
+		(&closingReader{server: c.server, conn: c.tcp}).closeGracefully()
 		c.server.remove(c)
 	}()
 	defer c.answerAfterPanic()
--- a/server/closing_test.go
+++ b/server/closing_test.go
@@ -97,6 +97,28 @@
 	}
 }
 
+// A connection that is being closed waits for its client to close. A shutdown that begins meanwhile woke it, and it was closed at once:
+// bytes of the client that were still unread would have caused a reset, which could destroy the last answer.
+func TestShutdownDoesNotCutGracefulCloseShort(t *testing.T) {
+	h := newHarness(t, 40)
+	h.server.linger = time.Hour
+	c, _ := h.serve()
+	<-h.Router.Received
+	h.awaitIdleClient()
+	h.server.evictIdle()
+	awaitHalfClose(t, c)
+	h.server.Drain(h.Listener)
+	require.NoError(t, <-h.Served) // both draining and rejecting have begun
+	h.Served <- nil
+	time.Sleep(MaxCloseLinger)
+	clients, _, _ := h.Limiter.InUse()
+	assert.Equal(t, 1, clients, "the connection is still open")
+	began := time.Now()
+	h.server.Close()
+	require.True(t, h.server.Wait(10*time.Second))
+	assert.Less(t, time.Since(began), MaxCloseLinger+wakeSlack)
+}
+
 func TestLastAnswerArrivesWhileClientKeepsWriting(t *testing.T) {
 	h := newHarness(t, 40)
 	c := h.ConnectClient()
--- a/server/refuse.go
+++ b/server/refuse.go
@@ -54,7 +54,7 @@
 				logPanic(p)
 			}
 		}()
-		source := &refusalSource{server: s, conn: conn, deadline: time.Now().Add(s.linger)}
+		source := &closingReader{server: s, conn: conn, deadline: time.Now().Add(s.linger)}
 		c := &client{server: s, tcp: conn, reader: s.newRefusalReader(source), firstRequestDeadline: source.deadline}
 		defer c.reader.Close()
 		s.addWoken(c)
@@ -92,7 +92,7 @@
 
 // refuseRequests answers the first request with an error, and also each further one that was received with it, because every request
 // that was read must be answered.
-func (c *client) refuseRequests(source *refusalSource) {
+func (c *client) refuseRequests(source *closingReader) {
 	source.deadline = time.Now().Add(c.server.linger)
 	for {
 		typ, _, err := c.reader.Next()
@@ -105,53 +105,6 @@
 	}
 }
 
-// refusalSource reads from a connection that is being refused, up to a deadline. A change of the server's stage wakes its reads, which
-// then go on; from the stage closing on they end MaxCloseLinger after the change was noticed. It belongs to one goroutine.
-type refusalSource struct {
-	server   *Server
-	conn     *net.TCPConn
-	deadline time.Time // until then the present step of the refusal may read
-	closeEnd time.Time // when the refusal ends because the server closes; zero before
-}
-
-// Read implements io.Reader.
-func (r *refusalSource) Read(b []byte) (int, error) {
-	for {
-		deadline := r.setReadDeadline()
-		n, err := r.conn.Read(b)
-		if n > 0 || !tcpconn.IsTimeout(err) || !time.Now().Before(deadline) {
-			return n, err
-		}
-	}
-}
-
-// setReadDeadline sets the deadline of the next read and returns it.
-func (r *refusalSource) setReadDeadline() time.Time {
-	tcpconn.SetReadDeadline(r.conn, r.deadline)
-	// The stage is checked after the deadline is set: setting the deadline cancels an earlier wake, but not a later one.
-	if r.server.stage.Load() != closing {
-		return r.deadline
-	}
-	if r.closeEnd.IsZero() {
-		r.closeEnd = time.Now().Add(MaxCloseLinger)
-	}
-	if r.closeEnd.After(r.deadline) {
-		return r.deadline
-	}
-	tcpconn.SetReadDeadline(r.conn, r.closeEnd)
-	return r.closeEnd
-}
-
-// closeGracefully shuts down the sending side, and then discards what the client sends until it closes, up to limits of time and length,
-// for the reason given at Server.closeGracefully. The caller closes the connection.
-func (r *refusalSource) closeGracefully() {
-	if r.conn.CloseWrite() != nil {
-		return // the client has reset the connection
-	}
-	r.deadline = time.Now().Add(r.server.linger)
-	_, _ = io.CopyN(io.Discard, r, maxDiscardedBytes) // the connection is closed next, however this ends
-}
-
 // acquire waits for a slot, which a new refusal needs, and takes it. A refusal is a connection that was not admitted and that is open only
 // until its client has read the error. If all slots are taken, acquire closes the connection of the oldest refusal as soon as that is
 // minRefusalTime old. The caller must call release.
--- a/server/server.go
+++ b/server/server.go
@@ -225,26 +225,3 @@
 	oldest.evict()
 	return true
 }
-
-// closeGracefully closes a connection such that the last answer arrives. It first shuts down the sending side. Closing a socket with unread
-// bytes sends a reset, which can destroy an answer that is still in transit. So closeGracefully reads and discards what the client
-// sends meanwhile, up to limits of time and length. Requests among it are not executed, and the client finds its connection closed.
-func (s *Server) closeGracefully(conn *net.TCPConn) {
-	defer tcpconn.Close(conn)
-	if conn.CloseWrite() != nil {
-		return // the client has reset the connection
-	}
-	linger := s.linger
-	if s.stage.Load() == closing {
-		linger = min(linger, MaxCloseLinger)
-	}
-	tcpconn.SetReadDeadline(conn, time.Now().Add(linger))
-	var dropped [1 << 10]byte
-	for left := maxDiscardedBytes; left > 0; {
-		n, err := conn.Read(dropped[:])
-		if err != nil {
-			return
-		}
-		left -= n
-	}
-}
