--- a/pgwire/reader.go
+++ b/pgwire/reader.go
@@ -53,6 +53,7 @@
 type boundedSource struct {
 	r         io.Reader
 	remaining int // bytes that may still be read, -1 for no limit
+	received  int64
 }
 
 // Read implements io.Reader.
@@ -61,6 +62,7 @@
 		b = b[:s.remaining]
 	}
 	n, err := s.r.Read(b)
+	s.received += int64(n)
 	if s.remaining >= 0 {
 		s.remaining -= n
 	}
@@ -191,6 +193,12 @@
 // MessageStarted reports whether a part of the next message has been received.
 func (r *Reader) MessageStarted() bool { return r.headerRead || r.r.Buffered() > 0 }
 
+// Received returns how many bytes were read from the connection, including those that are buffered.
+func (r *Reader) Received() int64 { return r.source.received }
+
+// Consumed returns how many bytes of the connection belong to the messages read so far and to the received part of the next one's body.
+func (r *Reader) Consumed() int64 { return r.source.received - int64(r.r.Buffered()) }
+
 // WaitForInput blocks until at least one byte more than the buffered ones is received or the read fails. If the buffer is
 // full already, it returns at once with full set.
 func (r *Reader) WaitForInput() (full bool, err error) {
--- a/server/client.go
+++ b/server/client.go
@@ -26,6 +26,7 @@
 
 	pipeline  front.Pipeline[*request]
 	readAhead readAhead
+	arrivals  arrivals
 	inbox     inbox // shared
 }
 
--- a/server/pipeline.go
+++ b/server/pipeline.go
@@ -129,7 +129,13 @@
 	if mayRead && c.reader.MessageStarted() && c.readAhead.deadline.IsZero() {
 		c.readAhead.deadline = time.Now().Add(messageTimeout)
 	}
-	tcpconn.SetReadDeadline(c.tcp, c.readAhead.deadline)
+	deadline := c.readAhead.deadline
+	if !mayRead && !c.readAhead.ended {
+		if next := c.observeUnread(); deadline.IsZero() || next.Before(deadline) {
+			deadline = next
+		}
+	}
+	tcpconn.SetReadDeadline(c.tcp, deadline)
 	// The inbox is checked after the deadline is set: setting the deadline cancels an earlier wake, but not a later one.
 	if !c.inbox.empty() {
 		return true
@@ -230,7 +236,7 @@
 // handleQuery parses a statement and adds it to the pipeline. If the statement is malformed or requests are being rejected, it adds the
 // error instead.
 func (c *client) handleQuery(body []byte) {
-	receivedAt := c.server.options.Clock.Now()
+	receivedAt := c.receivedAt()
 	statement, err := c.server.parse(body)
 	var malformed *pgwire.StatementError
 	switch {
--- a/tcpconn/tcpconn.go
+++ b/tcpconn/tcpconn.go
@@ -75,6 +75,20 @@
 	return pending
 }
 
+// Unread returns how many bytes the connection has received that were not read yet, 0 if that is unknown.
+func Unread(conn *net.TCPConn) (bytes int) {
+	raw, err := conn.SyscallConn()
+	if err != nil {
+		return 0
+	}
+	_ = raw.Control(func(fd uintptr) {
+		if n, err := unix.IoctlGetInt(int(fd), unix.TIOCINQ); err == nil {
+			bytes = n
+		}
+	})
+	return bytes
+}
+
 // AwaitHangup blocks until the peer has closed the connection, and then returns nil. Unread input from the peer does not matter. It checks
 // the connection at each change of its state, and returns an error at the read deadline.
 func AwaitHangup(conn *net.TCPConn) error {
--- a/tcpconn/tcpconn_test.go
+++ b/tcpconn/tcpconn_test.go
@@ -7,8 +7,10 @@
 	"os"
 	"syscall"
 	"testing"
+	"time"
 
 	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
 )
 
 // Only a deadline that this process set is a timeout. A broken connection that is reported as ETIMEDOUT is not, nor is a call that would
@@ -37,3 +39,24 @@
 		assert.Equal(t, last, err)
 	}
 }
+
+func TestUnreadCountsReceivedBytes(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	defer listener.Close()
+	client, err := net.Dial("tcp", listener.Addr().String())
+	require.NoError(t, err)
+	defer client.Close()
+	accepted, err := listener.Accept()
+	require.NoError(t, err)
+	conn := accepted.(*net.TCPConn)
+	assert.Zero(t, Unread(conn))
+	_, err = client.Write([]byte("12345"))
+	require.NoError(t, err)
+	require.Eventually(t, func() bool { return Unread(conn) == 5 }, 10*time.Second, time.Millisecond)
+	_, err = conn.Read(make([]byte, 2))
+	require.NoError(t, err)
+	assert.Equal(t, 3, Unread(conn))
+	require.NoError(t, conn.Close())
+	assert.Zero(t, Unread(conn))
+}
