--- a/front/wallclock.go
+++ b/front/wallclock.go
@@ -13,9 +13,9 @@
 // statement was sent and the time at which its response arrived. The first such response is trusted. Later responses that contradict it
 // are trusted only if several agree, because a single one may be corrupt or come from a server that is no longer primary.
 //
-// The clock is in doubt from the first sign that a clock was stepped until a primary's response, sent later, agrees with the conversion or
-// corrects it. Signs are a response of a primary that contradicts the conversion, a step of this machine's wall clock, and a position
-// of a replica in the future.
+// A step of a clock is suspected from its first sign until a primary's response, sent later, agrees with the conversion or corrects it.
+// Signs are a response of a primary that contradicts the conversion, a step of this machine's wall clock, and a position of a replica in
+// the future.
 //
 // Invariant: The conversion of a given Unix time changes only by shifts that are returned to the caller, so that converted times that are
 // stored elsewhere can be shifted as well.
@@ -23,9 +23,9 @@
 	epoch     time.Time // wall-clock time of the other processes at 0 of the core's clock
 	confirmed bool      // by a primary's response
 
-	inDoubt   bool
-	doubtedAt time.Duration // time of the last sign of a step
-	ownOffset time.Duration // of this machine's wall clock, as of its last step; see Clock
+	suspected   bool
+	suspectedAt time.Duration // time of the last sign of a step
+	ownOffset   time.Duration // of this machine's wall clock, as of its last step; see Clock
 
 	earliest, latest time.Duration // the range of shifts on which the last contradicting responses agree
 	contradicting    int           // number of these responses
@@ -46,12 +46,12 @@
 func (w *wallClock) observePresent(ms int64, from, until time.Duration) (shift time.Duration) {
 	observed := w.at(ms)
 	if observed >= from-clockSlack && observed <= until+clockSlack {
-		if w.confirmed = true; from >= w.doubtedAt { // otherwise it may have been sent before the step
-			w.inDoubt, w.contradicting = false, 0
+		if w.confirmed = true; from >= w.suspectedAt { // otherwise it may have been sent before the step
+			w.suspected, w.contradicting = false, 0
 		}
 		return 0
 	}
-	w.doubt(until)
+	w.suspect(until)
 	earliest, latest := from-observed, until-observed
 	if w.contradicting > 0 && earliest <= w.latest+clockSlack && latest >= w.earliest-clockSlack {
 		earliest, latest = max(earliest, w.earliest), min(latest, w.latest)
@@ -79,18 +79,18 @@
 // shiftBy adds a shift to all future conversions and returns it.
 func (w *wallClock) shiftBy(shift time.Duration) time.Duration {
 	w.epoch = w.epoch.Add(-shift)
-	w.inDoubt, w.contradicting = false, 0
+	w.suspected, w.contradicting = false, 0
 	return shift
 }
 
-// doubt records a sign of a step.
-func (w *wallClock) doubt(now time.Duration) { w.inDoubt, w.doubtedAt = true, now }
+// suspect records a sign of a step.
+func (w *wallClock) suspect(now time.Duration) { w.suspected, w.suspectedAt = true, now }
 
 // observeOwnClock processes a reading of Clock.WallOffset: a step of this machine's wall clock may be one of all machines.
 func (w *wallClock) observeOwnClock(offset, now time.Duration) {
 	if (offset - w.ownOffset).Abs() >= minStep {
 		w.ownOffset = offset
-		w.doubt(now)
+		w.suspect(now)
 	}
 }
 
@@ -100,13 +100,13 @@
 	wasAhead := s.ahead
 	s.ahead = role != routing.Primary && position > now+minStep
 	if s.ahead && !wasAhead && w.confirmed {
-		w.doubt(now)
+		w.suspect(now)
 	}
 	return w.trusts(role, position, now)
 }
 
 // trusts reports whether a server's log position may be used. A primary's position is its current time and is always trusted. The position
-// of another server is trusted only if the wall clock is confirmed and not in doubt, and if the position does not lie in the future. A position in the future means that a clock was stepped, so that the server's lag is unknown.
+// of another server is trusted only if the wall clock is confirmed and no step is suspected, and if the position does not lie in the future. A position in the future means that a clock was stepped, so that the server's lag is unknown.
 func (w *wallClock) trusts(role routing.Role, position, now time.Duration) bool {
-	return role == routing.Primary || w.confirmed && !w.inDoubt && position <= now+clockSlack
+	return role == routing.Primary || w.confirmed && !w.suspected && position <= now+clockSlack
 }
