--- a/cmd/dapplerouter/failing_folder_test.go
+++ b/cmd/dapplerouter/failing_folder_test.go
@@ -15,7 +15,7 @@
 )
 
 // A front of a fleet whose folders fail when it starts serves its clients meanwhile. It begins its audit and joins its fleet, which the
-// audit records, as soon as the folders work. TERMS.md: "writes and syncs to it may fail for a while (ENOSPC, EIO)".
+// audit records, as soon as the folders work (docs/terms-audit.md, row 102): "writes and syncs to it may fail for a while (ENOSPC, EIO)".
 func TestFrontServesWhileItsFoldersFailAtStart(t *testing.T) {
 	g, dir := startGroup(t, 2), t.TempDir()
 	voterFile, segment := filepath.Join(dir, "fleet.db"), filepath.Join(dir, "n0.00000001"+audit.LogSuffix)
--- a/fleet/agent/failing_folder_test.go
+++ b/fleet/agent/failing_folder_test.go
@@ -13,7 +13,7 @@
 	"dapplerouter/fleet/disk"
 )
 
-// Folders may fail for a while also when a front starts: TERMS.md, "writes and syncs to it may fail for a while (ENOSPC, EIO)". The devices
+// Folders may fail for a while also when a front starts (docs/terms-audit.md, row 102). The devices
 // to which these tests link a file return these errors from real system calls.
 const (
 	fullDevice     = "/dev/full"      // a write fails with ENOSPC
--- a/front/wallclock.go
+++ b/front/wallclock.go
@@ -13,9 +13,9 @@
 // statement was sent and the time at which its response arrived. The first such response is trusted. Later responses that contradict it
 // are trusted only if several agree, because a single one may be corrupt or come from a server that is no longer primary.
 //
-// The clock is suspected from the first sign that a clock was stepped until a primary's response, sent later, agrees with the conversion or
-// corrects it. Signs are a response of a primary that contradicts the conversion, a step of this machine's wall clock, and a position
-// of a replica in the future.
+// A step of a clock is suspected from its first sign until a primary's response, sent later, agrees with the conversion or corrects it.
+// Signs are a response of a primary that contradicts the conversion, a step of this machine's wall clock, and a position of a replica in
+// the future.
 //
 // Invariant: The conversion of a given Unix time changes only by shifts that are returned to the caller, so that converted times that are
 // stored elsewhere can be shifted as well.
@@ -106,7 +106,7 @@
 }
 
 // trusts reports whether a server's log position may be used. A primary's position is its current time and is always trusted. The position
-// of another server is trusted only if the wall clock is confirmed and not suspected, and if the position does not lie in the future. A
+// of another server is trusted only if the wall clock is confirmed and no step is suspected, and if the position does not lie in the future. A
 // position in the future means that a clock was stepped, so that the server's lag is unknown.
 func (w *wallClock) trusts(role routing.Role, position, now time.Duration) bool {
 	return role == routing.Primary || w.confirmed && !w.suspected && position <= now+clockSlack
--- a/front/wallclock_step_test.go
+++ b/front/wallclock_step_test.go
@@ -10,7 +10,7 @@
 )
 
 // These tests step wall clocks while a front serves, by less than the lag of a replica: the position that the replica then reports looks
-// fresher than it is and still lies in the past. TERMS.md: "A machine's wall clock may be stepped, forward or back, by seconds or by an
+// fresher than it is and still lies in the past. docs/terms-audit.md, row 80: "A machine's wall clock may be stepped, forward or back, by seconds or by an
 // hour; its monotonic clock runs on."
 
 // A step of the clock of all machines is seen at this machine at once. Positions of replicas don't count until a primary has confirmed
