--- a/router/selection.go
+++ b/router/selection.go
@@ -24,6 +24,7 @@
 	crossZoneCost = 2.0 // cost factor of a server in another zone
 	connectCost   = 1.3 // cost factor of a replica to which no connection can be open
 	primaryCost   = 3.0 // cost factor of the primary; higher than crossZoneCost, since the primary also runs the writes
+	maxBehindCost = 3.0 // highest cost of a replica that is behind, as a multiple of the cheapest replica's, for a long read
 
 	minSuccessRate   = 1.0 / 20 // lower bound of the success rate that a cost is divided by
 	initialRotations = 1 << 16
@@ -72,7 +73,8 @@
 
 // selectServer returns the server for a read, or none if the read must wait. It applies these rules:
 //
-//   - The cheapest replica that is fresh enough takes the read.
+//   - The cheapest replica that is fresh enough takes the read. A long read that requires no position goes to the replica
+//     that is furthest behind instead (preferBehind).
 //   - If no replica is fresh enough, the least-behind replica takes it and checks its position itself. This rule is
 //     skipped if the server's wait would be too short: with a whole group behind, each read would use up that wait and
 //     then go to the primary anyway.
@@ -86,6 +88,9 @@
 	}
 	c := r.findCandidates(now, req, g, required)
 	best, cost := c.fresh, c.freshCost
+	if required == never && best != none && r.typicalLatency[req.Type] > r.shortestObjective {
+		best = r.preferBehind(now, req, g, best, maxBehindCost*cost)
+	}
 	g.healthCheckWanted = g.healthCheckWanted || best == none && r.stalenessCheck == routing.NoStalenessCheck
 	if best == none && c.leastBehind != none && r.stalenessCheck != routing.NoStalenessCheck {
 		s := &r.servers[c.leastBehind]
@@ -128,6 +133,24 @@
 	return c
 }
 
+// preferBehind returns the replica that is furthest behind among those that cost less than maxCost. It returns best if no
+// warm replica is behind by more than the shortest latency objective. It is for long reads that require no position: a
+// server may apply nothing while it runs such a read. Spread over all replicas, they keep many of them behind. Kept
+// together, they leave the others up to date for the reads that require it.
+func (r *Router) preferBehind(now time.Duration, req *request, g *group, best int, maxCost float64) int {
+	furthest := now - r.shortestObjective
+	for _, i := range g.servers {
+		s := &r.servers[i]
+		if i == g.primary || i == req.lastServer || s.ejected || r.capacityShare(now, s) < 1 || !r.admits(now, s, req) {
+			continue
+		}
+		if pos := r.estimatedPosition(s, now); pos < furthest && r.replicaCost(now, s) < maxCost {
+			best, furthest = i, pos
+		}
+	}
+	return best
+}
+
 // reliablePosition returns the position that a read may rely on: the known position if servers don't check staleness,
 // and otherwise an estimate.
 func (r *Router) reliablePosition(now time.Duration, s *server) time.Duration {
