--- a/gateway/link/executions.go
+++ b/gateway/link/executions.go
@@ -16,26 +16,41 @@
 	execution uint64
 }
 
-// setExecution records the front's request for an execution and returns the previous one. If r is nil, it removes the record. The
-// caller must hold the mutex.
-func (l *Link) setExecution(number uint64, r *front.Request) (previous *front.Request) {
-	previous = l.executions[number]
-	if r == nil {
-		delete(l.executions, number)
-	} else {
-		l.executions[number] = r
+// expectExecutions records executions that are about to start, so that they can be canceled from now on. The caller must hold the mutex.
+func (l *Link) expectExecutions(requests []gateway.PeerRequest) {
+	for _, p := range requests {
+		if !p.IsCancel {
+			l.executions[p.Execution] = nil
+		}
 	}
-	return previous
+}
+
+// startExecution records the front's request for an execution. It returns false if the execution was canceled; then the request must not
+// be executed.
+func (l *Link) startExecution(number uint64, r *front.Request) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if _, expected := l.executions[number]; !expected {
+		return false
+	}
+	l.executions[number] = r
+	return true
+}
+
+// cancelExecution removes an execution and returns the front's request for it, nil if it has not started or has finished.
+func (l *Link) cancelExecution(number uint64) *front.Request {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	r := l.executions[number]
+	delete(l.executions, number)
+	return r
 }
 
 // execute starts or cancels an execution. A statement that cannot be parsed is answered without the front. Posting to the front
 // may block, so the mutex is not held meanwhile.
 func (l *Link) execute(p gateway.PeerRequest) {
 	if p.IsCancel {
-		l.mu.Lock()
-		r := l.setExecution(p.Execution, nil)
-		l.mu.Unlock()
-		if r != nil {
+		if r := l.cancelExecution(p.Execution); r != nil {
 			l.opts.Post(r.MarkClientGone())
 		}
 		return
@@ -49,10 +64,9 @@
 	statement.Timeout, statement.LastWritePosition = min(statement.Timeout, p.Timeout), max(statement.LastWritePosition, p.MinPosition)
 	r := front.NewRequest(client, statement, l.opts.Clock.Now())
 	r.MaxAttempts = int(p.MaxAttempts)
-	l.mu.Lock()
-	l.setExecution(p.Execution, r)
-	l.mu.Unlock()
-	l.opts.Post(r)
+	if l.startExecution(p.Execution, r) {
+		l.opts.Post(r)
+	}
 }
 
 // invalidStatement returns the response to a statement that cannot be parsed, or to an empty statement if err is nil.
@@ -72,7 +86,7 @@
 	l := c.link
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.setExecution(c.execution, nil)
+	delete(l.executions, c.execution)
 	l.endpoint.ExecutionFinished(l.opts.Clock.Now(), c.execution, resultFrame(&r))
 	l.changed.Broadcast()
 }
--- a/gateway/link/frames.go
+++ b/gateway/link/frames.go
@@ -42,7 +42,9 @@
 	if err := l.endpoint.Receive(l.opts.Clock.Now(), f); err != nil {
 		return nil, fmt.Errorf("receive frame: %w", err)
 	}
-	return l.collectOutcomes(), nil
+	requests := l.collectOutcomes()
+	l.expectExecutions(requests)
+	return requests, nil
 }
 
 // writeFrames writes the frames of the endpoint in batches, as long as the connection is the current one.
--- a/gateway/link/link.go
+++ b/gateway/link/link.go
@@ -47,7 +47,7 @@
 	connectionNumber uint64                    // of the connection that was dialed last
 	attempts         map[uint64]*front.Attempt // forwarded attempts without an outcome, by request ID
 	finished         []*front.AttemptFinished  // to be passed to the front by notifyFront
-	executions       map[uint64]*front.Request // the peer's requests that are executing here, by number of the execution
+	executions       map[uint64]*front.Request // the peer's requests that are executing here, by number of the execution; nil until the request is parsed
 	notifiedState    gateway.State             // the state of which the front was notified last
 	changed          *sync.Cond                // signals that there may be frames to write or something to notify the front of
 
