--- a/fleet/mesh/event_queue_test.go
+++ b/fleet/mesh/event_queue_test.go
@@ -46,3 +46,42 @@
 	<-held
 	return m, events, dropped, release
 }
+
+// Guards against a front that keeps an old holder of a probe lease for as long as the lease is held. The grant of a lease was dropped like
+// a broadcast, but it is reported only once, and the prober acts on it.
+func TestGrantOfALeaseIsDeliveredThoughEventsAreDropped(t *testing.T) {
+	m, events, dropped, release := startBlockedVoter(t)
+	m.Do(func(n *fleet.Node, now time.Duration) {
+		for range maxQueuedEvents + 100 {
+			n.SendDatagram(now, "a", "x", nil)
+		}
+		n.DeclareLease("scout/1", 0)
+	})
+	require.Eventually(t, func() (held bool) {
+		m.Do(func(n *fleet.Node, now time.Duration) { _, held = n.HoldsLease(now, "scout/1") })
+		return held
+	}, 10*time.Second, time.Millisecond)
+	release()
+	for granted := ""; granted != "scout/1"; {
+		granted = awaitEvent[fleet.LeaseGranted](t, events).Lease
+	}
+	assert.Positive(t, <-dropped, "the number of dropped events is reported")
+}
+
+// Guards against events that take all memory. Their number was limited and not the size of their data: 16,384 broadcasts of up to 4 MiB.
+func TestWaitingEventsAreLimitedInBytes(t *testing.T) {
+	q := newEventQueue()
+	data := make([]byte, 1<<20)
+	for range 200 {
+		q.add(timedEvent{event: fleet.BroadcastReceived{Lease: "list", Data: data}})
+	}
+	q.add(timedEvent{event: fleet.LeaseEnded{Lease: "list"}})
+	events, dropped := q.take()
+	assert.Equal(t, fleet.LeaseEnded{Lease: "list"}, events[len(events)-1].event, "reported only once, so never dropped")
+	assert.LessOrEqual(t, len(events)-1, 64)
+	assert.Positive(t, dropped)
+	q.add(timedEvent{event: fleet.DatagramReceived{Subsystem: "roll", Data: data}})
+	events, after := q.take()
+	assert.Len(t, events, 1, "there is room again")
+	assert.Equal(t, dropped, after)
+}
