--- a/fleet/mesh/close_test.go
+++ b/fleet/mesh/close_test.go
@@ -75,3 +75,61 @@
 	assert.Error(t, <-p.served)
 	assert.Zero(t, m.Totals().Links)
 }
+
+// Close ends a link whose peer has been attached and has not read its hello, and the link's goroutines.
+func TestCloseWhileALinkIsBeingEstablishedEndsIt(t *testing.T) {
+	for _, readHello := range []bool{false, true} {
+		m := newIdleMesh(t, 0)
+		p := serveUnbuffered(t, m, "")
+		p.sendHello(t, "b", true)
+		if readHello { // then the link's writer waits for the peer to read the state
+			var msg fleet.Message
+			require.NoError(t, p.codec.Read(&msg))
+			require.Equal(t, fleet.KindHello, msg.Kind)
+		} else { // then the mesh waits for the peer to read the hello
+			_, err := io.ReadFull(p, make([]byte, 1))
+			require.NoError(t, err)
+		}
+		closed := make(chan struct{})
+		go func() { m.Close(); close(closed) }()
+		select {
+		case <-closed:
+		case <-time.After(5 * time.Second):
+			require.Fail(t, "Close waits for the peer")
+		}
+		assert.Error(t, <-p.served)
+		assert.Zero(t, m.Totals().Links)
+	}
+}
+
+// The goroutine that writes ends with its link, whatever ends the link, also while a write waits for the peer.
+func TestWriterEndsWithItsLink(t *testing.T) {
+	for name, end := range map[string]func(m *Mesh, p *unbufferedPeer){
+		"the peer closes": func(_ *Mesh, p *unbufferedPeer) { p.Close() },
+		"the node closes": func(m *Mesh, _ *unbufferedPeer) {
+			m.Do(func(n *fleet.Node, now time.Duration) { n.DialFailed(now, "c", "another front has its name", nil) })
+		},
+		"a message is invalid": func(_ *Mesh, p *unbufferedPeer) { _ = send(p.codec, &fleet.Message{Kind: fleet.KindRequest}) },
+		"another link replaces it": func(m *Mesh, p *unbufferedPeer) {
+			newer := serveUnbuffered(t, m, "")
+			newer.sendHello(t, "b", true)
+			newer.Close()
+			<-newer.served
+			<-p.served
+		},
+	} {
+		m := newIdleMesh(t, 0)
+		p := serveUnbuffered(t, m, "")
+		p.sendHello(t, "b", true)
+		var msg fleet.Message
+		require.NoError(t, p.codec.Read(&msg)) // the writer then waits for the peer to read the state
+		end(m, p)
+		ended := make(chan struct{})
+		go func() { m.goroutines.Wait(); close(ended) }() // the links' goroutines, as no others are started
+		select {
+		case <-ended:
+		case <-time.After(5 * time.Second):
+			require.Fail(t, "the writer goes on", name)
+		}
+	}
+}
--- a/fleet/mesh/handshake_test.go
+++ b/fleet/mesh/handshake_test.go
@@ -51,7 +51,7 @@
 	require.NoError(t, pipe.SetDeadline(time.Now().Add(10*time.Second)))
 	remote := secure(pipe)
 	p := &unbufferedPeer{remote, framing.NewCodec[fleet.Message](protocol, remote), make(chan error, 1)}
-	go func() { p.served <- m.serve(local, dialled, func() {}) }()
+	m.goroutines.Go(func() { p.served <- m.serve(local, dialled, func() {}) })
 	_, err := io.ReadFull(remote, make([]byte, 6)) // the mesh writes its greeting before it reads
 	require.NoError(t, err)
 	_, err = remote.Write([]byte{'D', 'R', 'F', 'M', 0, protocol.Version})
