--- a/fleet/agent/agent.go
+++ b/fleet/agent/agent.go
@@ -41,6 +41,7 @@
 	Prober    *Prober
 	config    *fleet.Config
 	settings  *deployment.Settings
+	calls     disk.CreateCalls
 	mesh      *mesh.Mesh
 	disk      *disk.VoterFile  // nil for a follower, and until the voter's file is open
 	admin     *adminapi.Server // nil without a control socket
@@ -84,12 +85,13 @@
 // probeSubsystem is the subsystem that probe requests to a front are addressed to; see fleet.DatagramReceived.
 const probeSubsystem = "scout"
 
-// Config holds the forms of the operator's file that concern the fleet. All except Fleet may be nil.
+// Config holds the forms of the operator's file that concern the fleet. All fields except Fleet may be nil.
 type Config struct {
 	Fleet   *fleet.Config
 	Rollout *rollout.Config
 	Audit   *audit.Config
 	Rules   *deployment.Rules
+	Calls   *disk.CreateCalls // create the directories and files of the agent; nil for disk.SystemCalls
 }
 
 // New returns the agent that the forms describe and opens its files and its listener; version is the version of the program. Set
@@ -99,6 +101,10 @@
 		identity: identity{name: start.Name, program: version, incarnation: newIncarnation(), seed: start.Seed},
 		config:   forms.Fleet,
 		settings: start.Settings,
+		calls:    disk.SystemCalls(),
+	}
+	if forms.Calls != nil {
+		a.calls = *forms.Calls
 	}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
 	a.endpoints = newEndpointFollower(a, watcher, start.Discovery)
@@ -111,7 +117,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if a.history, err = openHistory(a.config.History, a.name, a.incarnation); err != nil {
+	if a.history, err = openHistory(a.calls, a.config.History, a.name, a.incarnation); err != nil {
 		return nil, err
 	}
 	a.mesh, err = mesh.New(a.meshOptions(node))
@@ -168,7 +174,7 @@
 func (a *Agent) newNode(o fleet.Options) (node *fleet.Node, err error) {
 	var state *fleet.DiskState
 	if a.config.VoterPath != "" {
-		a.disk, state, err = disk.OpenVoterFile(a.config.VoterPath, a.config.ID, a.name)
+		a.disk, state, err = a.calls.OpenVoterFile(a.config.VoterPath, a.config.ID, a.name)
 		if err != nil && !disk.IsTransient(err) {
 			return nil, err
 		}
--- a/fleet/agent/audit_collector.go
+++ b/fleet/agent/audit_collector.go
@@ -59,7 +59,7 @@
 // openDirectory creates the collection directory, if necessary, and continues after the segments that are already there.
 func (c *auditCollector) openDirectory() error {
 	config := c.writer.config
-	if err := os.MkdirAll(config.CollectDir, 0o700); err != nil {
+	if err := c.writer.agent.calls.MkdirAll(config.CollectDir, 0o700); err != nil {
 		return fmt.Errorf("directory of collected audit segments: %w", err)
 	}
 	collected, err := disk.ListSegments(config.CollectDir, "")
--- a/fleet/agent/audit_writer.go
+++ b/fleet/agent/audit_writer.go
@@ -58,7 +58,7 @@
 	w := &auditWriter{agent: a, config: c, queue: make(chan queueEntry, auditQueueLength), stopped: make(chan struct{})}
 	w.exports.done = map[string]bool{}
 	w.segments = disk.NewSegments(c.LogDir, a.name, c.SegmentBytes, c.MaxTotalBytes)
-	w.segments.Stamp = w.stamp
+	w.segments.Stamp, w.segments.Calls = w.stamp, a.calls
 	switch err := w.segments.Open(); {
 	case err == nil:
 		w.opened = true
--- a/fleet/agent/audit_writer_test.go
+++ b/fleet/agent/audit_writer_test.go
@@ -21,7 +21,7 @@
 // come from many goroutines, with intervals between them, and a busy machine writes them late.
 func TestAuditLineDatesFollowWriteOrder(t *testing.T) {
 	dir, began := t.TempDir(), time.Now()
-	a := &Agent{identity: identity{name: "n1"}, CoreAccess: CoreAccess{StartedAt: began, Clock: func() time.Duration { return time.Since(began) }}}
+	a := &Agent{identity: identity{name: "n1"}, calls: disk.SystemCalls(), CoreAccess: CoreAccess{StartedAt: began, Clock: func() time.Duration { return time.Since(began) }}}
 	w, err := newAuditWriter(a, &audit.Config{LogDir: dir, SegmentBytes: disk.DefaultSegmentBytes, MaxTotalBytes: 1 << 24})
 	require.NoError(t, err)
 	a.audit = w
--- a/fleet/agent/format_test.go
+++ b/fleet/agent/format_test.go
@@ -15,6 +15,7 @@
 	"github.com/stretchr/testify/require"
 
 	"dapplerouter/fleet"
+	"dapplerouter/fleet/disk"
 	"dapplerouter/fleet/mesh"
 	"dapplerouter/fleet/rollout"
 )
@@ -74,7 +75,7 @@
 	require.NoError(t, err)
 	defer m.Close()
 	path := filepath.Join(t.TempDir(), "history")
-	h, err := openHistory(path, "n1", 1<<39|1)
+	h, err := openHistory(disk.SystemCalls(), path, "n1", 1<<39|1)
 	require.NoError(t, err)
 	since, until, at := time.Second, 3*time.Second, 2*time.Second
 	for _, e := range []fleet.Event{
--- a/fleet/agent/history.go
+++ b/fleet/agent/history.go
@@ -27,6 +27,7 @@
 // history appends one line of JSON, a fleet.HistoryEntry, for each event to a file. The events are those of package fleet at this front,
 // and the changes of the configuration version and of the rollout that the agent adds. A nil history writes nothing.
 type history struct {
+	calls       disk.CreateCalls
 	path        string
 	front       string
 	incarnation uint64
@@ -38,11 +39,11 @@
 
 // openHistory opens the history file for appending. It returns nil if path is empty. A file on a disk that is full or failing is opened
 // when a line is written.
-func openHistory(path, front string, incarnation uint64) (*history, error) {
+func openHistory(calls disk.CreateCalls, path, front string, incarnation uint64) (*history, error) {
 	if path == "" {
 		return nil, nil
 	}
-	h := &history{path: path, front: front, incarnation: incarnation}
+	h := &history{calls: calls, path: path, front: front, incarnation: incarnation}
 	if err := h.open(); err != nil {
 		if !disk.IsTransient(err) {
 			return nil, fmt.Errorf("history: %w", err)
@@ -54,7 +55,7 @@
 
 // open opens the file.
 func (h *history) open() (err error) {
-	h.file, err = os.OpenFile(h.path, os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o600)
+	h.file, err = h.calls.OpenFile(h.path, os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o600)
 	return err
 }
 
--- a/fleet/agent/rollout_host.go
+++ b/fleet/agent/rollout_host.go
@@ -11,6 +11,7 @@
 	"dapplerouter/deployment"
 	"dapplerouter/fleet"
 	"dapplerouter/fleet/audit"
+	"dapplerouter/fleet/disk"
 	"dapplerouter/fleet/rollout"
 	"dapplerouter/front"
 )
@@ -19,6 +20,7 @@
 type rolloutHost struct {
 	agent         *Agent
 	config        *rollout.Config
+	calls         disk.CreateCalls
 	ownRules      *deployment.Rules    // rules of the operator's file
 	typesChecksum uint32               // checksum of the names of the request types
 	participant   *rollout.Participant // guarded by the mesh's lock
@@ -41,6 +43,7 @@
 	return &rolloutHost{
 		agent:         a,
 		config:        c,
+		calls:         a.calls,
 		ownRules:      ownRules,
 		typesChecksum: crc32.ChecksumIEEE([]byte(strings.Join(a.settings.TypeNames, ","))),
 		renewals:      make(chan leaseRenewal, 1),
--- a/fleet/agent/rollout_host_test.go
+++ b/fleet/agent/rollout_host_test.go
@@ -12,6 +12,7 @@
 
 	"dapplerouter/deployment"
 	"dapplerouter/fleet"
+	"dapplerouter/fleet/disk"
 	"dapplerouter/fleet/rollout"
 )
 
@@ -31,7 +32,7 @@
 		"does not fit": {"(rules (bound no-such-type 2s))\n", 0, own},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a := &Agent{identity: identity{name: "n1"}, settings: &deployment.Settings{}, config: &fleet.Config{LeaseDuration: time.Second}}
+			a := &Agent{identity: identity{name: "n1"}, calls: disk.SystemCalls(), settings: &deployment.Settings{}, config: &fleet.Config{LeaseDuration: time.Second}}
 			h := newRolloutHost(a, &rollout.Config{Dir: t.TempDir()}, own)
 			require.NoError(t, os.WriteFile(filepath.Join(h.config.Dir, "version.json"), []byte(`{"version":5,"text":`+quote(t, test.text)+`,"tried":6}`), 0o600))
 			initial, err := h.restore(time.Second)
--- a/fleet/agent/version_file.go
+++ b/fleet/agent/version_file.go
@@ -53,7 +53,7 @@
 
 // createDir creates the directory of the version file, if necessary.
 func (h *rolloutHost) createDir() error {
-	if err := os.MkdirAll(h.config.Dir, 0o700); err != nil {
+	if err := h.calls.MkdirAll(h.config.Dir, 0o700); err != nil {
 		return fmt.Errorf("directory of configuration versions: %w", err)
 	}
 	return nil
--- a/fleet/agent/version_file_test.go
+++ b/fleet/agent/version_file_test.go
@@ -8,6 +8,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
+	"dapplerouter/fleet/disk"
 	"dapplerouter/fleet/rollout"
 )
 
@@ -16,7 +17,7 @@
 func TestVersionFileIsThatOfVersion030(t *testing.T) {
 	want, err := os.ReadFile("testdata/version.json")
 	require.NoError(t, err)
-	h := &rolloutHost{config: &rollout.Config{Dir: t.TempDir()}}
+	h := &rolloutHost{config: &rollout.Config{Dir: t.TempDir()}, calls: disk.SystemCalls()}
 	path := filepath.Join(h.config.Dir, "version.json")
 	require.NoError(t, os.WriteFile(path, want, 0o600))
 	stored, err := h.loadVersion()
@@ -31,7 +32,7 @@
 
 // A version file that can't be read for a moment is kept for the next start.
 func TestVersionFileIsKeptAfterTransientReadError(t *testing.T) {
-	h := &rolloutHost{config: &rollout.Config{Dir: t.TempDir()}}
+	h := &rolloutHost{config: &rollout.Config{Dir: t.TempDir()}, calls: disk.SystemCalls()}
 	require.NoError(t, os.Symlink(unreadableFile, h.versionPath()))
 	stored, err := h.loadVersion()
 	require.NoError(t, err)
--- a/fleet/agent/voter_file.go
+++ b/fleet/agent/voter_file.go
@@ -39,7 +39,7 @@
 
 // startVoterFromFile opens the voter's file and makes the node a voter with the state in it.
 func (a *Agent) startVoterFromFile() error {
-	file, state, err := disk.OpenVoterFile(a.config.VoterPath, a.config.ID, a.name)
+	file, state, err := a.calls.OpenVoterFile(a.config.VoterPath, a.config.ID, a.name)
 	if err != nil {
 		return err
 	}
--- a/fleet/disk/files.go
+++ b/fleet/disk/files.go
@@ -40,7 +40,7 @@
 	case !errors.Is(err, os.ErrNotExist):
 		return err
 	}
-	temporary, err := writeTemporary(to, b)
+	temporary, err := writeTemporary(os.CreateTemp, to, b)
 	if err != nil {
 		return err
 	}
@@ -62,7 +62,7 @@
 
 // ReplaceFile writes a file, replacing an existing one atomically: path has either the old or the complete new content.
 func ReplaceFile(path string, b []byte) error {
-	temporary, err := writeTemporary(filepath.Dir(path), b)
+	temporary, err := writeTemporary(os.CreateTemp, filepath.Dir(path), b)
 	if err != nil {
 		return err
 	}
@@ -73,9 +73,10 @@
 	return nil
 }
 
-// writeTemporary writes b to a new temporary file in dir, syncs it and returns its path. After an error no temporary file is left.
-func writeTemporary(dir string, b []byte) (path string, err error) {
-	f, err := os.CreateTemp(dir, ".coming-*")
+// writeTemporary writes b to a new temporary file in dir, syncs it and returns its path; create is os.CreateTemp or a replacement. After an
+// error no temporary file is left.
+func writeTemporary(create func(dir, pattern string) (*os.File, error), dir string, b []byte) (path string, err error) {
+	f, err := create(dir, ".coming-*")
 	if err != nil {
 		return "", err
 	}
--- a/fleet/disk/segments.go
+++ b/fleet/disk/segments.go
@@ -23,6 +23,7 @@
 // Reasons and errors that are recorded in lines are part of files that operators' tools read, so their texts must not change.
 type Segments struct {
 	Stamp func(l *audit.Line) // sets the front, incarnation and index of lines that Segments generates; set it before the first write
+	Calls CreateCalls         // SystemCalls unless set before Open
 
 	dir, front    string
 	segmentBytes  int64
@@ -61,7 +62,7 @@
 // have segmentBytes bytes. When a segment is closed, the oldest ones are removed while all files of the log together have more than
 // maxTotalBytes bytes.
 func NewSegments(dir, front string, segmentBytes, maxTotalBytes int64) *Segments {
-	return &Segments{Stamp: func(*audit.Line) {}, dir: dir, front: front, segmentBytes: segmentBytes, maxTotalBytes: maxTotalBytes}
+	return &Segments{Stamp: func(*audit.Line) {}, Calls: SystemCalls(), dir: dir, front: front, segmentBytes: segmentBytes, maxTotalBytes: maxTotalBytes}
 }
 
 // OpenSegments is NewSegments and Open.
@@ -76,7 +77,7 @@
 func (s *Segments) Open() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := os.MkdirAll(s.dir, 0o700); err != nil {
+	if err := s.Calls.MkdirAll(s.dir, 0o700); err != nil {
 		return fmt.Errorf("audit directory: %w", err)
 	}
 	names, err := ListSegments(s.dir, s.front)
--- a/fleet/disk/voter_file.go
+++ b/fleet/disk/voter_file.go
@@ -44,6 +44,11 @@
 // OpenVoterFile opens the file of a voter of a fleet, or creates it, and reads the voter's state. The error names the file and what to do
 // about it. It wraps ErrVoterFileInUse, ErrVoterFileDamaged, an OtherVoterError, or an error of the operating system or of bbolt.
 func OpenVoterFile(path, fleetID, voter string) (f *VoterFile, s *fleet.DiskState, err error) {
+	return SystemCalls().OpenVoterFile(path, fleetID, voter)
+}
+
+// OpenVoterFile is the function OpenVoterFile with these calls.
+func (c CreateCalls) OpenVoterFile(path, fleetID, voter string) (f *VoterFile, s *fleet.DiskState, err error) {
 	// bbolt reads the file through a memory map: access to a page after the end of the file is a memory fault, which would otherwise end
 	// the process.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
@@ -52,7 +57,7 @@
 			f, s, err = nil, nil, fmt.Errorf("%s is %w (%v): %s", path, ErrVoterFileDamaged, p, replaceVoterRemedy)
 		}
 	}()
-	db, err := openDB(path)
+	db, err := c.openDB(path)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -69,8 +74,8 @@
 }
 
 // openDB opens or creates the bbolt file and locks it. Its errors name the file and what to do about it.
-func openDB(path string) (*bbolt.DB, error) {
-	db, err := openOrCreateDB(path)
+func (c CreateCalls) openDB(path string) (*bbolt.DB, error) {
+	db, err := c.openOrCreateDB(path)
 	switch {
 	case errors.Is(err, berrors.ErrTimeout):
 		return nil, fmt.Errorf("%s is %w: stop that process or configure another file", path, ErrVoterFileInUse)
@@ -86,9 +91,9 @@
 
 // openOrCreateDB opens and locks the bbolt file. A new file appears at path complete or not at all: one whose creation was cut short could
 // not be told from one that is damaged.
-func openOrCreateDB(path string) (*bbolt.DB, error) {
+func (c CreateCalls) openOrCreateDB(path string) (*bbolt.DB, error) {
 	if _, err := os.Stat(path); errors.Is(err, os.ErrNotExist) {
-		if err := createDB(path); err != nil {
+		if err := c.createDB(path); err != nil {
 			return nil, err
 		}
 	}
@@ -96,9 +101,9 @@
 }
 
 // createDB creates an empty bbolt file, unless path exists by then.
-func createDB(path string) (err error) {
+func (c CreateCalls) createDB(path string) (err error) {
 	dir := filepath.Dir(path)
-	temporary, err := writeTemporary(dir, nil)
+	temporary, err := writeTemporary(c.CreateTemp, dir, nil)
 	if err != nil {
 		return err
 	}
