--- a/fleet/agent/history.go
+++ b/fleet/agent/history.go
@@ -35,6 +35,7 @@
 	mu      sync.Mutex // held while a line is written
 	file    *os.File   // nil until it is open
 	failing bool       // the last write failed
+	closed  bool       // close was called: no further line is written
 }
 
 // openHistory opens the history file for appending. It returns nil if path is empty. A file on a disk that is full or failing is opened
@@ -98,7 +99,9 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.logWrite(h.write(append(b, '\n')))
+	if !h.closed {
+		h.logWrite(h.write(append(b, '\n')))
+	}
 }
 
 // write writes a line, and opens the file first if it is not open; h.mu must be held.
@@ -120,9 +123,15 @@
 	h.failing = err != nil
 }
 
-// close closes the file.
+// close closes the file. Events that are recorded later are ignored.
 func (h *history) close() {
-	if h != nil && h.file != nil {
+	if h == nil {
+		return
+	}
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.closed = true
+	if h.file != nil {
 		_ = h.file.Close() // an error is ignored: lines are not buffered
 	}
 }
