--- a/fleet/agent/audit_writer.go
+++ b/fleet/agent/audit_writer.go
@@ -130,14 +130,14 @@
 	}
 }
 
-// awaitLog opens the log, if it is not open yet. It retries until it succeeds, the log can't be used, or the agent stops. Entries wait in
-// the queue meanwhile.
+// awaitLog opens the log, if it is not open yet. It retries until it succeeds or the log can't be used. When the agent stops, it tries once
+// more, since the entries that wait in the queue are lost otherwise.
 func (w *auditWriter) awaitLog() {
-	for !w.opened {
+	for stopping := false; !w.opened && !stopping; {
 		select {
 		case <-time.After(diskRetryInterval):
 		case <-w.agent.ctx.Done():
-			return
+			stopping = true
 		}
 		switch err := w.segments.Open(); {
 		case err == nil:
