--- a/fleet/agent/audit_writer.go
+++ b/fleet/agent/audit_writer.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// enqueue sets the timestamp of an entry and queues it. It never blocks on a full queue: the entry is then counted as lost, and enqueue
+// enqueue sets the timestamp of an entry and queues it. It never blocks on a full queue: the line is then counted as lost, and enqueue
 // returns false.
 func (w *auditWriter) enqueue(e queueEntry) bool {
 	w.timestamps.mu.Lock()
@@ -125,7 +125,9 @@
 	case w.queue <- e:
 		return true
 	default:
-		w.lost.Add(1)
+		if e.sync == nil {
+			w.lost.Add(1)
+		}
 		return false
 	}
 }
