--- a/fleet/agent/audit_waiting_test.go
+++ b/fleet/agent/audit_waiting_test.go
@@ -11,6 +11,7 @@
 
 	"dapplerouter/fleet/audit"
 	"dapplerouter/fleet/disk"
+	"dapplerouter/front"
 )
 
 // newWaitingWriter returns an audit writer of n1 that does not run and whose log can't be opened until the calls are repaired.
@@ -52,3 +53,37 @@
 	w.agent.writeAudit(&audit.Line{Event: audit.EventLeaseAcquired})
 	assert.EqualValues(t, 1, w.lost.Load())
 }
+
+// The intervals that wait while the log can't be opened take a bounded amount of memory. Those that don't fit are recorded as a gap.
+func TestWaitingIntervalsAreBounded(t *testing.T) {
+	const idsOfInterval = 32 << 10
+	w, failing := newWaitingWriter(t)
+	ids := make([]uint64, idsOfInterval)
+	queued := 0
+	for range auditQueueLength / 2 {
+		if w.enqueue(queueEntry{interval: &audit.Interval{Number: 1, IDs: ids, Outcomes: make([][front.StatusCount]uint32, 1)}}) {
+			queued++
+		}
+	}
+	assert.LessOrEqual(t, queued*idsOfInterval*8, 64<<20, "bytes that wait")
+	assert.Greater(t, queued, 10)
+	assert.EqualValues(t, auditQueueLength/2-queued, w.lost.Load())
+	assert.True(t, w.enqueue(queueEntry{line: &audit.Line{Event: audit.EventLeaseAcquired}}), "a line needs little")
+	failing.repair()
+	require.NoError(t, w.segments.Open())
+	w.opened = true
+	go w.run()
+	w.close()
+	intervals, lost := 0, uint64(0)
+	for _, l := range auditLines(t, w.config.LogDir, "n1") {
+		switch l.Event {
+		case audit.EventInterval:
+			intervals++
+		case audit.EventLinesLost:
+			lost += l.Lost
+		}
+	}
+	assert.Equal(t, queued, intervals)
+	assert.EqualValues(t, auditQueueLength/2-queued, lost)
+	assert.True(t, w.enqueue(queueEntry{interval: &audit.Interval{IDs: ids}}), "written intervals take no room")
+}
--- a/fleet/agent/audit_writer.go
+++ b/fleet/agent/audit_writer.go
@@ -21,6 +21,7 @@
 	exports   segmentExports
 
 	queue      chan queueEntry
+	queuedIDs  atomic.Int64 // request ids of the intervals in the queue
 	timestamps entryTimestamps
 	lost       atomic.Uint64 // lines that did not fit into the queue and are not recorded as a gap yet
 	written    atomic.Uint64
@@ -47,6 +48,7 @@
 
 const (
 	auditQueueLength  = 4096            // entries
+	maxQueuedIDs      = 8 << 20         // request ids, 8 bytes each, of the intervals in the queue
 	syncTimeout       = time.Second     // how long syncAudit waits
 	closeQueueTimeout = time.Second     // how long close waits for room in the queue
 	closeWriteTimeout = 2 * time.Second // how long close then waits until the queued entries are written
@@ -115,21 +117,42 @@
 	}
 }
 
+// requestIDs returns how many request ids an entry holds.
+func (e *queueEntry) requestIDs() int64 {
+	if e.interval == nil {
+		return 0
+	}
+	return int64(len(e.interval.IDs))
+}
+
 // enqueue sets the timestamp of an entry and queues it. It never blocks on a full queue: the line is then counted as lost, and enqueue
 // returns false.
 func (w *auditWriter) enqueue(e queueEntry) bool {
 	w.timestamps.mu.Lock()
 	defer w.timestamps.mu.Unlock()
 	w.setTimestamp(&e)
-	select {
-	case w.queue <- e:
-		return true
-	default:
-		if e.sync == nil {
-			w.lost.Add(1)
+	if w.hasRoom(&e) {
+		select {
+		case w.queue <- e:
+			return true
+		default:
+			w.queuedIDs.Add(-e.requestIDs())
 		}
+	}
+	if e.sync == nil {
+		w.lost.Add(1)
+	}
+	return false
+}
+
+// hasRoom reports whether the request ids of an entry fit into the queue, and then counts them as queued; w.timestamps.mu must be held.
+func (w *auditWriter) hasRoom(e *queueEntry) bool {
+	ids := e.requestIDs()
+	if ids > 0 && w.queuedIDs.Load()+ids > maxQueuedIDs {
 		return false
 	}
+	w.queuedIDs.Add(ids)
+	return true
 }
 
 // awaitLog opens the log, if it is not open yet. It retries until it succeeds or the log can't be used. When the agent stops, it tries once
@@ -157,6 +180,7 @@
 	defer close(w.stopped)
 	w.awaitLog()
 	for e := range w.queue {
+		w.queuedIDs.Add(-e.requestIDs())
 		if n := w.lost.Swap(0); n > 0 {
 			w.segments.CountLost(n, "lines came faster than they could be written")
 		}
