--- a/fleet/agent/audit_collector.go
+++ b/fleet/agent/audit_collector.go
@@ -105,7 +105,8 @@
 	}
 }
 
-// serve responds to the requests of other fronts for this front's segments, one after the other, until the agent stops.
+// serve responds to the requests of other fronts for this front's segments, one after the other, until the agent stops. It leaves a request
+// without a response that can't be answered now.
 func (c *auditCollector) serve() {
 	a := c.writer.agent
 	for {
@@ -113,7 +114,10 @@
 		case <-a.ctx.Done():
 			return
 		case r := <-c.requests:
-			response := c.respond(*r.request)
+			response, ok := c.respond(*r.request)
+			if !ok {
+				continue
+			}
 			a.mesh.Do(func(n *fleet.Node, now time.Duration) {
 				n.SendDatagram(now, r.from, audit.Subsystem, response.Encode())
 			})
@@ -121,38 +125,48 @@
 	}
 }
 
-// respond returns the response to a request: the names of this front's closed segments, or a chunk of one of their files.
-func (c *auditCollector) respond(q audit.FetchRequest) audit.FetchResponse {
-	r := audit.FetchResponse{Request: q}
-	sealed := c.writer.segments.ClosedSegments()
+// respond returns the response to a request: the names of this front's closed segments, or a chunk of one of their files. ok is false while
+// the log is not open or its disk fails: the other front then repeats its request, and does not take a segment for removed.
+func (c *auditCollector) respond(q audit.FetchRequest) (r audit.FetchResponse, ok bool) {
+	r.Request = q
+	if !c.writer.segments.Opened() {
+		return r, false
+	}
+	closed := c.writer.segments.ClosedSegments()
 	if q.Name == "" {
-		r.Names = audit.SegmentsAfter(sealed, q.After)
-		return r
+		r.Names = audit.SegmentsAfter(closed, q.After)
+		return r, true
 	}
-	if !slices.Contains(sealed, q.Name) {
+	if !slices.Contains(closed, q.Name) {
 		r.Removed = true
-		return r
+		return r, true
 	}
+	err := c.readChunk(&r)
+	r.Removed = err != nil
+	return r, !disk.IsTransient(err)
+}
+
+// readChunk reads the chunk that a response's request asks for.
+func (c *auditCollector) readChunk(r *audit.FetchResponse) error {
 	suffix := audit.LogSuffix
-	if q.Index {
+	if r.Request.Index {
 		suffix = audit.IndexSuffix
 	}
-	f, err := os.Open(filepath.Join(c.writer.config.LogDir, q.Name+suffix))
+	f, err := os.Open(filepath.Join(c.writer.config.LogDir, r.Request.Name+suffix))
 	if err != nil {
-		r.Removed = true
-		return r
+		return err
 	}
 	defer func() { _ = f.Close() }() // opened for reading only
 	if info, err := f.Stat(); err == nil {
 		r.Total = info.Size()
 	}
 	b := make([]byte, audit.ChunkBytes)
-	n, err := f.ReadAt(b, q.Offset)
-	if err != nil && !errors.Is(err, io.EOF) {
-		r.Removed = true
-	}
+	n, err := f.ReadAt(b, r.Request.Offset)
 	r.Data = b[:n]
-	return r
+	if errors.Is(err, io.EOF) {
+		return nil
+	}
+	return err
 }
 
 // run requests the segments of other fronts, and stores those that are complete, until the agent stops.
--- a/fleet/agent/audit_waiting_test.go
+++ b/fleet/agent/audit_waiting_test.go
@@ -1,6 +1,7 @@
 package agent
 
 import (
+	"os"
 	"path/filepath"
 	"syscall"
 	"testing"
@@ -71,8 +72,8 @@
 	assert.True(t, w.enqueue(queueEntry{line: &audit.Line{Event: audit.EventLeaseAcquired}}), "a line needs little")
 	failing.repair()
 	require.NoError(t, w.segments.Open())
-	w.opened = true
 	go w.run()
+	require.Eventually(t, func() bool { return w.written.Load() == uint64(queued)+1 }, time.Minute, 5*time.Millisecond)
 	w.close()
 	intervals, lost := 0, uint64(0)
 	for _, l := range auditLines(t, w.config.LogDir, "n1") {
@@ -87,3 +88,36 @@
 	assert.EqualValues(t, auditQueueLength/2-queued, lost)
 	assert.True(t, w.enqueue(queueEntry{interval: &audit.Interval{IDs: ids}}), "written intervals take no room")
 }
+
+// A front whose log is not open, or whose disk fails, does not tell a collector that a segment was removed: the collector would pass over it.
+func TestUnreadableSegmentIsNotReportedAsRemoved(t *testing.T) {
+	request := audit.FetchRequest{Name: audit.SegmentName("n1", 1)}
+	t.Run("log not open", func(t *testing.T) {
+		w, failing := newWaitingWriter(t)
+		require.NoError(t, os.MkdirAll(w.config.LogDir, 0o700))
+		require.NoError(t, os.WriteFile(filepath.Join(w.config.LogDir, request.Name+audit.LogSuffix), nil, 0o600))
+		_, ok := w.collector.respond(request)
+		assert.False(t, ok)
+		_, ok = w.collector.respond(audit.FetchRequest{})
+		assert.False(t, ok, "names")
+		failing.repair()
+		require.NoError(t, w.segments.Open())
+		r, ok := w.collector.respond(request)
+		assert.True(t, ok)
+		assert.False(t, r.Removed)
+	})
+	t.Run("read error", func(t *testing.T) {
+		w, failing := newWaitingWriter(t)
+		failing.repair()
+		require.NoError(t, os.MkdirAll(w.config.LogDir, 0o700))
+		path := filepath.Join(w.config.LogDir, request.Name+audit.LogSuffix)
+		require.NoError(t, os.WriteFile(path, nil, 0o600))
+		require.NoError(t, w.segments.Open())
+		require.NoError(t, os.Remove(path))
+		r, ok := w.collector.respond(request)
+		assert.True(t, ok && r.Removed, "a missing file")
+		require.NoError(t, os.Symlink(unreadableFile, path))
+		_, ok = w.collector.respond(request)
+		assert.False(t, ok)
+	})
+}
--- a/fleet/agent/audit_writer.go
+++ b/fleet/agent/audit_writer.go
@@ -26,7 +26,6 @@
 	lost       atomic.Uint64 // lines that did not fit into the queue and are not recorded as a gap yet
 	written    atomic.Uint64
 	index      atomic.Uint64 // index of the replicated state
-	opened     bool          // the log is open; used by run only, once the writer runs
 	failing    bool          // the last write failed; used by run only
 	stopped    chan struct{} // closed when run returns
 }
@@ -63,7 +62,6 @@
 	w.segments.Stamp, w.segments.Calls = w.stamp, a.calls
 	switch err := w.segments.Open(); {
 	case err == nil:
-		w.opened = true
 	case disk.IsTransient(err):
 		slog.Error("audit: log can't be opened; retrying, requests are still served; make room or repair the disk", "dir", c.LogDir, "err", err)
 	default:
@@ -158,7 +156,7 @@
 // awaitLog opens the log, if it is not open yet. It retries until it succeeds or the log can't be used. When the agent stops, it tries once
 // more, since the entries that wait in the queue are lost otherwise.
 func (w *auditWriter) awaitLog() {
-	for stopping := false; !w.opened && !stopping; {
+	for stopping := false; !w.segments.Opened() && !stopping; {
 		select {
 		case <-time.After(diskRetryInterval):
 		case <-w.agent.ctx.Done():
@@ -166,7 +164,6 @@
 		}
 		switch err := w.segments.Open(); {
 		case err == nil:
-			w.opened = true
 			slog.Info("audit: log opened after retries", "dir", w.config.LogDir)
 		case !disk.IsTransient(err):
 			slog.Error("audit: log can't be used; nothing is recorded until a restart", "dir", w.config.LogDir, "err", err)
--- a/fleet/disk/segments.go
+++ b/fleet/disk/segments.go
@@ -311,6 +311,13 @@
 	return errors.Join(s.open.index.Sync(), s.open.log.Sync())
 }
 
+// Opened reports whether Open has succeeded, so that ClosedSegments returns what the directory holds.
+func (s *Segments) Opened() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.opened
+}
+
 // ClosedSegments returns the names of the closed segments, oldest first.
 func (s *Segments) ClosedSegments() []string {
 	s.mu.Lock()
