--- a/fleet/agent/format_test.go
+++ b/fleet/agent/format_test.go
@@ -92,7 +92,7 @@
 		h.record(m, at, e.Fields())
 	}
 	h.recordVersion(m, versionAdopted, 5)
-	h.recordRollout(m, rollout.State{Base: 4, Next: 5, Phase: rollout.PhaseRolling, Reason: "w"}, 44)
+	h.recordRollout(m, m.Now(), rollout.State{Base: 4, Next: 5, Phase: rollout.PhaseRolling, Reason: "w"}, 44)
 	h.close()
 	got, err := os.ReadFile(path)
 	require.NoError(t, err)
--- a/fleet/agent/history.go
+++ b/fleet/agent/history.go
@@ -60,17 +60,23 @@
 	return err
 }
 
-// recordVersion writes a change in the use of a configuration version; change is one of the kinds above.
+// recordVersion writes a change in the use of a configuration version that happens now; change is one of the kinds above.
 func (h *history) recordVersion(m *mesh.Mesh, change string, version uint64) {
-	h.record(m, m.Now(), fleet.EventFields{Kind: change, Number: version})
+	h.recordVersionAt(m, m.Now(), change, version)
 }
 
-// recordRollout writes a change of the state of the rollout; index is that of the replicated state.
-func (h *history) recordRollout(m *mesh.Mesh, s rollout.State, index uint64) {
-	h.record(m, m.Now(), fleet.EventFields{Kind: rolloutChanged, Number: s.Base, Term: s.Next, Name: s.Phase.String(), Index: index, Reason: s.Reason})
+// recordVersionAt is recordVersion for a change at a time of the mesh's clock.
+func (h *history) recordVersionAt(m *mesh.Mesh, at time.Duration, change string, version uint64) {
+	h.record(m, at, fleet.EventFields{Kind: change, Number: version})
 }
 
-// record writes an event that happened at a time of the mesh's clock. Failures are logged.
+// recordRollout writes a change of the state of the rollout at a time of the mesh's clock; index is that of the replicated state.
+func (h *history) recordRollout(m *mesh.Mesh, at time.Duration, s rollout.State, index uint64) {
+	h.record(m, at, fleet.EventFields{Kind: rolloutChanged, Number: s.Base, Term: s.Next, Name: s.Phase.String(), Index: index, Reason: s.Reason})
+}
+
+// record writes an event that happened at a time of the mesh's clock. Failures are logged. The mesh's lock must not be held, since the disk
+// may block.
 func (h *history) record(m *mesh.Mesh, at time.Duration, e fleet.EventFields) {
 	if h == nil {
 		return
--- a/fleet/agent/rollout_host.go
+++ b/fleet/agent/rollout_host.go
@@ -126,11 +126,7 @@
 		case <-a.ctx.Done():
 			return
 		case <-t.C:
-			a.mesh.Do(func(n *fleet.Node, now time.Duration) {
-				h.participant.Tick(now, n)
-				h.logChange(n)
-				a.recordIndex(n)
-			})
+			h.tick()
 		case r := <-h.renewals:
 			if leaseExpiry, left := h.coreTime(r.until); left {
 				a.Post(front.RenewLease{Version: r.version, Expiry: leaseExpiry})
@@ -141,6 +137,20 @@
 	}
 }
 
+// tick drives the participant, and records a change of the rollout state.
+func (h *rolloutHost) tick() {
+	a := h.agent
+	var changed *rolloutChange
+	a.mesh.Do(func(n *fleet.Node, now time.Duration) {
+		h.participant.Tick(now, n)
+		changed = h.nextChange(now, n)
+		a.recordIndex(n)
+	})
+	if changed != nil {
+		h.logChange(changed)
+	}
+}
+
 // coreTime converts a time of the mesh's clock to a time of the core's clock. left reports whether it is in the future.
 func (h *rolloutHost) coreTime(until time.Duration) (at time.Duration, left bool) {
 	now := h.agent.Clock() // read first, so that a pause between the two readings makes the lease shorter, never longer
@@ -148,20 +158,33 @@
 	return now + ahead, ahead > 0
 }
 
-// logChange writes a change of the rollout state to the log, the audit and the history, once; the caller holds the mesh's lock.
-func (h *rolloutHost) logChange(n *fleet.Node) {
+// rolloutChange is a change of the state of the rollout.
+type rolloutChange struct {
+	at    time.Duration // on the mesh's clock
+	state rollout.State
+	index uint64 // of the replicated state
+}
+
+// nextChange returns a change of the rollout state that was not returned yet, nil for none; the caller holds the mesh's lock.
+func (h *rolloutHost) nextChange(now time.Duration, n *fleet.Node) *rolloutChange {
 	e := n.State().Values["roll"]
 	if e == nil || e.Index <= h.lastIndex {
-		return
+		return nil
 	}
 	h.lastIndex = e.Index
 	s, ok := rollout.ReadState(n.State())
 	if !ok {
-		return
+		return nil
 	}
+	return &rolloutChange{at: now, state: s, index: e.Index}
+}
+
+// logChange writes a change of the rollout state to the log, the audit and the history.
+func (h *rolloutHost) logChange(c *rolloutChange) {
+	s := c.state
 	slog.Info("fleet: rollout changed", "phase", s.Phase, "base", s.Base, "next", s.Next, "stage", s.Stage+1, "of", len(s.Stages), "paused", s.Paused, "reason", s.Reason)
 	h.agent.writeAudit(&audit.Line{Event: audit.EventRolloutChanged, Version: s.Next, Reason: fmt.Sprintf("%v of %d to %d: %s", s.Phase, s.Base, s.Next, s.Reason)})
-	h.agent.history.recordRollout(h.agent.mesh, s, e.Index)
+	h.agent.history.recordRollout(h.agent.mesh, c.at, s, c.index)
 }
 
 // adopt passes a version to the core, or rejects it if its rules are invalid. It first stores that the version is being tried, so that a
@@ -219,10 +242,15 @@
 // acknowledge reports to the fleet that all requests in flight use the adopted version. It waits until onAdopted has closed adopted.
 func (h *rolloutHost) acknowledge(version uint64, adopted <-chan struct{}) {
 	<-adopted
-	h.agent.mesh.Do(func(n *fleet.Node, now time.Duration) {
+	a := h.agent
+	acknowledged, at := false, time.Duration(0)
+	a.mesh.Do(func(n *fleet.Node, now time.Duration) {
+		acknowledged, at = true, now
 		h.participant.Acknowledge(now, n, version)
-		h.agent.history.recordVersion(h.agent.mesh, versionInForce, version)
 	})
+	if acknowledged { // not after the mesh was closed
+		a.history.recordVersionAt(a.mesh, at, versionInForce, version)
+	}
 }
 
 // onStandby handles the core's notification that the front enters or leaves standby.
