--- a/fleet/agent/audit_writer.go
+++ b/fleet/agent/audit_writer.go
@@ -21,11 +21,11 @@
 	exports   segmentExports
 
 	queue      chan queueEntry
+	queuedIDs  atomic.Int64 // request ids of the intervals in the queue
 	timestamps entryTimestamps
 	lost       atomic.Uint64 // lines that did not fit into the queue and are not recorded as a gap yet
 	written    atomic.Uint64
 	index      atomic.Uint64 // index of the replicated state
-	opened     bool          // the log is open; used by run only, once the writer runs
 	failing    bool          // the last write failed; used by run only
 	stopped    chan struct{} // closed when run returns
 }
@@ -47,6 +47,7 @@
 
 const (
 	auditQueueLength  = 4096            // entries
+	maxQueuedIDs      = 8 << 20         // request ids, 8 bytes each, of the intervals in the queue
 	syncTimeout       = time.Second     // how long syncAudit waits
 	closeQueueTimeout = time.Second     // how long close waits for room in the queue
 	closeWriteTimeout = 2 * time.Second // how long close then waits until the queued entries are written
@@ -58,10 +59,9 @@
 	w := &auditWriter{agent: a, config: c, queue: make(chan queueEntry, auditQueueLength), stopped: make(chan struct{})}
 	w.exports.done = map[string]bool{}
 	w.segments = disk.NewSegments(c.LogDir, a.name, c.SegmentBytes, c.MaxTotalBytes)
-	w.segments.Stamp = w.stamp
+	w.segments.Stamp, w.segments.Calls = w.stamp, a.calls
 	switch err := w.segments.Open(); {
 	case err == nil:
-		w.opened = true
 	case disk.IsTransient(err):
 		slog.Error("audit: log can't be opened; retrying, requests are still served; make room or repair the disk", "dir", c.LogDir, "err", err)
 	default:
@@ -115,33 +115,55 @@
 	}
 }
 
-// enqueue sets the timestamp of an entry and queues it. It never blocks on a full queue: the entry is then counted as lost, and enqueue
+// requestIDs returns how many request ids an entry holds.
+func (e *queueEntry) requestIDs() int64 {
+	if e.interval == nil {
+		return 0
+	}
+	return int64(len(e.interval.IDs))
+}
+
+// enqueue sets the timestamp of an entry and queues it. It never blocks on a full queue: the line is then counted as lost, and enqueue
 // returns false.
 func (w *auditWriter) enqueue(e queueEntry) bool {
 	w.timestamps.mu.Lock()
 	defer w.timestamps.mu.Unlock()
 	w.setTimestamp(&e)
-	select {
-	case w.queue <- e:
-		return true
-	default:
+	if w.hasRoom(&e) {
+		select {
+		case w.queue <- e:
+			return true
+		default:
+			w.queuedIDs.Add(-e.requestIDs())
+		}
+	}
+	if e.sync == nil {
 		w.lost.Add(1)
+	}
+	return false
+}
+
+// hasRoom reports whether the request ids of an entry fit into the queue, and then counts them as queued; w.timestamps.mu must be held.
+func (w *auditWriter) hasRoom(e *queueEntry) bool {
+	ids := e.requestIDs()
+	if ids > 0 && w.queuedIDs.Load()+ids > maxQueuedIDs {
 		return false
 	}
+	w.queuedIDs.Add(ids)
+	return true
 }
 
-// awaitLog opens the log, if it is not open yet. It retries until it succeeds, the log can't be used, or the agent stops. Entries wait in
-// the queue meanwhile.
+// awaitLog opens the log, if it is not open yet. It retries until it succeeds or the log can't be used. When the agent stops, it tries once
+// more, since the entries that wait in the queue are lost otherwise.
 func (w *auditWriter) awaitLog() {
-	for !w.opened {
+	for stopping := false; !w.segments.Opened() && !stopping; {
 		select {
 		case <-time.After(diskRetryInterval):
 		case <-w.agent.ctx.Done():
-			return
+			stopping = true
 		}
 		switch err := w.segments.Open(); {
 		case err == nil:
-			w.opened = true
 			slog.Info("audit: log opened after retries", "dir", w.config.LogDir)
 		case !disk.IsTransient(err):
 			slog.Error("audit: log can't be used; nothing is recorded until a restart", "dir", w.config.LogDir, "err", err)
@@ -155,6 +177,7 @@
 	defer close(w.stopped)
 	w.awaitLog()
 	for e := range w.queue {
+		w.queuedIDs.Add(-e.requestIDs())
 		if n := w.lost.Swap(0); n > 0 {
 			w.segments.CountLost(n, "lines came faster than they could be written")
 		}
--- a/fleet/agent/format_test.go
+++ b/fleet/agent/format_test.go
@@ -15,6 +15,7 @@
 	"github.com/stretchr/testify/require"
 
 	"dapplerouter/fleet"
+	"dapplerouter/fleet/disk"
 	"dapplerouter/fleet/mesh"
 	"dapplerouter/fleet/rollout"
 )
@@ -74,7 +75,7 @@
 	require.NoError(t, err)
 	defer m.Close()
 	path := filepath.Join(t.TempDir(), "history")
-	h, err := openHistory(path, "n1", 1<<39|1)
+	h, err := openHistory(disk.SystemCalls(), path, "n1", 1<<39|1)
 	require.NoError(t, err)
 	since, until, at := time.Second, 3*time.Second, 2*time.Second
 	for _, e := range []fleet.Event{
@@ -91,7 +92,7 @@
 		h.record(m, at, e.Fields())
 	}
 	h.recordVersion(m, versionAdopted, 5)
-	h.recordRollout(m, rollout.State{Base: 4, Next: 5, Phase: rollout.PhaseRolling, Reason: "w"}, 44)
+	h.recordRollout(m, m.Now(), rollout.State{Base: 4, Next: 5, Phase: rollout.PhaseRolling, Reason: "w"}, 44)
 	h.close()
 	got, err := os.ReadFile(path)
 	require.NoError(t, err)
