--- a/server/client.go
+++ b/server/client.go
@@ -38,6 +38,7 @@
 		c.reader.Close()
 		(&closingReader{server: c.server, conn: c.tcp}).closeGracefully()
 		c.server.remove(c)
+		c.server.options.Limiter.ReleaseClient()
 	}()
 	defer c.answerAfterPanic()
 	err := c.awaitInput(c.firstRequestDeadline)
--- a/server/refuse.go
+++ b/server/refuse.go
@@ -1,7 +1,6 @@
 package server
 
 import (
-	"io"
 	"log/slog"
 	"net"
 	"runtime/debug"
@@ -55,10 +54,10 @@
 			}
 		}()
 		source := &closingReader{server: s, conn: conn, deadline: time.Now().Add(s.linger)}
-		c := &client{server: s, tcp: conn, reader: s.newRefusalReader(source), firstRequestDeadline: source.deadline}
+		c := &client{server: s, tcp: conn, reader: s.newReader(source, refusalReadBufferBytes), firstRequestDeadline: source.deadline}
 		defer c.reader.Close()
-		s.addWoken(c)
-		defer s.removeWoken(c)
+		s.add(c)
+		defer s.remove(c)
 		if c.readStartup() != nil {
 			return
 		}
@@ -67,29 +66,6 @@
 	}()
 }
 
-// newRefusalReader returns a reader for the messages of a connection that is being refused. It reserves memory for long ones from the
-// server's budget.
-func (s *Server) newRefusalReader(source io.Reader) *pgwire.Reader {
-	r := pgwire.NewReader(source, refusalReadBufferBytes, maxQueryBytes)
-	r.RetainedBytes = maxReusedBytes
-	r.Reserve = s.messageMemory.Reserve
-	return r
-}
-
-// addWoken adds a connection that is being refused to those that a change of the stage wakes. It is never idle, so it is not evicted.
-func (s *Server) addWoken(c *client) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.clients[c] = struct{}{}
-}
-
-// removeWoken removes a connection that addWoken added.
-func (s *Server) removeWoken(c *client) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	delete(s.clients, c)
-}
-
 // refuseRequests answers the first request with an error, and also each further one that was received with it, because every request
 // that was read must be answered.
 func (c *client) refuseRequests(source *closingReader) {
--- a/server/server.go
+++ b/server/server.go
@@ -12,6 +12,7 @@
 
 import (
 	"errors"
+	"io"
 	"log/slog"
 	"net"
 	"sync"
@@ -185,24 +186,28 @@
 	}
 	c := &client{server: s, tcp: conn, monitor: tcpconn.NewPeerMonitor(raw), firstRequestDeadline: time.Now().Add(messageTimeout),
 		reader: s.newReader(conn, readBufferBytes)}
-	s.mu.Lock()
-	s.clients[c] = struct{}{}
-	s.mu.Unlock()
+	s.add(c)
 	s.goroutines.Add(1)
 	go c.serve()
 }
 
-// remove removes a closed connection and releases its descriptor.
+// add adds a connection to those that a change of the stage wakes. One that is being refused is never idle, so it is not evicted.
+func (s *Server) add(c *client) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.clients[c] = struct{}{}
+}
+
+// remove removes a connection that add added.
 func (s *Server) remove(c *client) {
 	s.mu.Lock()
+	defer s.mu.Unlock()
 	delete(s.clients, c)
-	s.mu.Unlock()
-	s.options.Limiter.ReleaseClient()
 }
 
 // newReader returns a reader for a client's messages that reserves memory for long ones from the server's budget.
-func (s *Server) newReader(conn *net.TCPConn, buffer int) *pgwire.Reader {
-	r := pgwire.NewReader(conn, buffer, maxQueryBytes)
+func (s *Server) newReader(source io.Reader, buffer int) *pgwire.Reader {
+	r := pgwire.NewReader(source, buffer, maxQueryBytes)
 	r.RetainedBytes = maxReusedBytes
 	r.Reserve = s.messageMemory.Reserve
 	return r
