--- a/fleet/agent/audit_collector.go
+++ b/fleet/agent/audit_collector.go
@@ -1,6 +1,7 @@
 package agent
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -73,18 +74,14 @@
 // awaitDirectory opens the collection directory, if it is not open yet. It retries until it succeeds, and returns false if the directory
 // can't be used or the agent stops.
 func (c *auditCollector) awaitDirectory() bool {
-	for c.fetches == nil {
-		select {
-		case <-time.After(diskRetryInterval):
-		case <-c.writer.agent.ctx.Done():
-			return false
-		}
-		if err := c.openDirectory(); err != nil && !disk.IsTransient(err) {
-			slog.Error("audit: collection directory can't be used; nothing is collected until a restart", "err", err)
-			return false
-		}
+	if c.fetches != nil {
+		return true
+	}
+	err := c.writer.agent.retryWhileDiskFails(c.openDirectory)
+	if err != nil && !errors.Is(err, context.Canceled) {
+		slog.Error("audit: collection directory can't be used; nothing is collected until a restart", "err", err)
 	}
-	return true
+	return err == nil
 }
 
 // onDatagram queues another front's request or response. If the queue is full the message is dropped; the requesting front repeats its
--- a/fleet/agent/audit_writer.go
+++ b/fleet/agent/audit_writer.go
@@ -1,6 +1,8 @@
 package agent
 
 import (
+	"context"
+	"errors"
 	"log/slog"
 	"sync"
 	"sync/atomic"
@@ -156,19 +158,18 @@
 // awaitLog opens the log, if it is not open yet. It retries until it succeeds or the log can't be used. When the agent stops, it tries once
 // more, since the entries that wait in the queue are lost otherwise.
 func (w *auditWriter) awaitLog() {
-	for stopping := false; !w.segments.Opened() && !stopping; {
-		select {
-		case <-time.After(diskRetryInterval):
-		case <-w.agent.ctx.Done():
-			stopping = true
-		}
-		switch err := w.segments.Open(); {
-		case err == nil:
-			slog.Info("audit: log opened after retries", "dir", w.config.LogDir)
-		case !disk.IsTransient(err):
-			slog.Error("audit: log can't be used; nothing is recorded until a restart", "dir", w.config.LogDir, "err", err)
-			return
-		}
+	if w.segments.Opened() {
+		return
+	}
+	err := w.agent.retryWhileDiskFails(w.segments.Open)
+	if errors.Is(err, context.Canceled) {
+		err = w.segments.Open()
+	}
+	switch {
+	case err == nil:
+		slog.Info("audit: log opened after retries", "dir", w.config.LogDir)
+	case !disk.IsTransient(err):
+		slog.Error("audit: log can't be used; nothing is recorded until a restart", "dir", w.config.LogDir, "err", err)
 	}
 }
 
--- a/fleet/agent/voter_file.go
+++ b/fleet/agent/voter_file.go
@@ -1,16 +1,12 @@
 package agent
 
 import (
+	"context"
+	"errors"
 	"fmt"
 	"log/slog"
-	"time"
-
-	"dapplerouter/fleet/disk"
 )
 
-// diskRetryInterval is the time between two attempts to open a file whose disk is full or failing.
-const diskRetryInterval = 500 * time.Millisecond
-
 // awaitsVoterFile reports whether this front is a voter whose file could not be opened yet.
 func (a *Agent) awaitsVoterFile() bool { return a.config.VoterPath != "" && a.disk == nil }
 
@@ -18,23 +14,15 @@
 // then the front has no links: a voter must not send anything before it has read what it sent before. If the file can't be used for
 // another reason, the front joins as a follower. joinAfterVoterFile also returns when the agent stops.
 func (a *Agent) joinAfterVoterFile() {
-	for {
-		select {
-		case <-time.After(diskRetryInterval):
-		case <-a.ctx.Done():
-			return
-		}
-		switch err := a.startVoterFromFile(); {
-		case err == nil:
-			slog.Info("fleet: voter file opened after retries; this front joins its fleet")
-		case disk.IsTransient(err):
-			continue
-		default:
-			slog.Error("fleet: voter file can't be used; this front joins its fleet as a follower", "err", err)
-		}
-		a.mesh.Run()
+	switch err := a.retryWhileDiskFails(a.startVoterFromFile); {
+	case errors.Is(err, context.Canceled):
 		return
+	case err != nil:
+		slog.Error("fleet: voter file can't be used; this front joins its fleet as a follower", "err", err)
+	default:
+		slog.Info("fleet: voter file opened after retries; this front joins its fleet")
 	}
+	a.mesh.Run()
 }
 
 // startVoterFromFile opens the voter's file and makes the node a voter with the state in it.
