--- a/fleet/mesh/close_test.go
+++ b/fleet/mesh/close_test.go
@@ -12,17 +12,14 @@
 	"github.com/stretchr/testify/require"
 
 	"dapplerouter/fleet"
-	"dapplerouter/framing"
+	"dapplerouter/testsupport/conntest"
 )
 
 // Guards against a data race between Close and the TLS handshake. Close read the variable that the handshake overwrites with the TLS
 // connection. That variable is an interface value of two words, so Close could combine the type of one connection with the data of the
 // other. Only the race detector notices it (go test -race).
 func TestCloseDuringTLSHandshakeEndsTheConnection(t *testing.T) {
-	key, certificate, err := framing.NewKeyPair("a", false, 1)
-	require.NoError(t, err)
-	pair, err := tls.X509KeyPair(certificate, key)
-	require.NoError(t, err)
+	pair := conntest.KeyPair(t, "a")
 	node, err := fleet.New(fleet.Options{Fleet: "x", Name: "a", Incarnation: 7, Timing: timing, Seed: 1}, nil)
 	require.NoError(t, err)
 	m, err := New(Options{Listen: "127.0.0.1:0", Node: node, Timing: timing, OnEvent: func(time.Duration, fleet.Event) {},
@@ -39,21 +36,11 @@
 	assert.NotErrorIs(t, err, os.ErrDeadlineExceeded)
 }
 
-// keyPair returns a new certificate for a name.
-func keyPair(t *testing.T, name string) tls.Certificate {
-	t.Helper()
-	key, certificate, err := framing.NewKeyPair(name, false, 1)
-	require.NoError(t, err)
-	pair, err := tls.X509KeyPair(certificate, key)
-	require.NoError(t, err)
-	return pair
-}
-
 // Guards against a peer that holds up the mesh. The mesh closes links while it holds its lock. The close of a TLS connection first wrote
 // close_notify, and waited up to 5 s for a peer that did not read. All other links, and the leases of this front, waited as well.
 func TestCloseOfALinkToAPeerThatDoesNotReadTakesNoTime(t *testing.T) {
 	m := newIdleMesh(t, 0)
-	own, peers := keyPair(t, "a"), keyPair(t, "b")
+	own, peers := conntest.KeyPair(t, "a"), conntest.KeyPair(t, "b")
 	m.options.Keys = func(string) (*tls.Config, error) {
 		return &tls.Config{Certificates: []tls.Certificate{own}, ClientAuth: tls.RequireAnyClientCert, SessionTicketsDisabled: true}, nil
 	}
--- a/gateway/link/close_test.go
+++ b/gateway/link/close_test.go
@@ -11,20 +11,17 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"dapplerouter/framing"
 	"dapplerouter/front"
 	"dapplerouter/gateway"
 	"dapplerouter/pgwire"
+	"dapplerouter/testsupport/conntest"
 )
 
 // Guards against a data race: Close, called during a TLS handshake, read the variable in which the handshake stores the TLS
 // connection. Only the race detector finds it (go test -race). TestCloseDuringTLSHandshakeEndsTheConnection in fleet/mesh is the
 // corresponding test there.
 func TestLinkCloseDuringTLSHandshakeEndsTheConnection(t *testing.T) {
-	key, certificate, err := framing.NewKeyPair("pokhara", false, 1)
-	require.NoError(t, err)
-	pair, err := tls.X509KeyPair(certificate, key)
-	require.NoError(t, err)
+	pair := conntest.KeyPair(t, "pokhara")
 	l, err := New(Options{LocalSite: "pokhara", PeerSite: "kathmandu", Listen: "127.0.0.1:0", Settings: gateway.DefaultSettings, Epoch: 5,
 		Clock: wallClock{time.Now()}, ParseStatement: pgwire.ParseStatement, Post: func(front.Event) {},
 		TLS: &tls.Config{Certificates: []tls.Certificate{pair}}})
@@ -40,23 +37,13 @@
 	assert.NotErrorIs(t, err, os.ErrDeadlineExceeded)
 }
 
-// keyPair returns a new certificate for a site.
-func keyPair(t *testing.T, site string) tls.Certificate {
-	t.Helper()
-	key, certificate, err := framing.NewKeyPair(site, false, 1)
-	require.NoError(t, err)
-	pair, err := tls.X509KeyPair(certificate, key)
-	require.NoError(t, err)
-	return pair
-}
-
 // Guards against a peer that holds up the front. The timer drops the connection of a peer that timed out while it holds the mutex. The
 // close of a TLS connection first wrote close_notify, and waited up to 5 s for a peer that did not read. The front's core, which calls
 // Send, waited as well.
 func TestDropOfAConnectionToAPeerThatDoesNotReadTakesNoTime(t *testing.T) {
 	l, err := New(Options{LocalSite: "pokhara", PeerSite: "kathmandu", Listen: "127.0.0.1:0", Settings: gateway.DefaultSettings, Epoch: 5,
 		Clock: wallClock{time.Now()}, ParseStatement: pgwire.ParseStatement, Post: func(front.Event) {},
-		TLS: &tls.Config{Certificates: []tls.Certificate{keyPair(t, "pokhara")}, SessionTicketsDisabled: true}})
+		TLS: &tls.Config{Certificates: []tls.Certificate{conntest.KeyPair(t, "pokhara")}, SessionTicketsDisabled: true}})
 	require.NoError(t, err)
 	t.Cleanup(l.Close) // the timer does not run: the test drops the connection
 	local, pipe := net.Pipe()
--- a/server/client_bytes_test.go
+++ b/server/client_bytes_test.go
@@ -70,9 +70,7 @@
 		"first request after draining": func(h *harness) *conntest.Peer {
 			c := sends(hello)(h)
 			h.Eventually(func() bool { clients, _, _ := h.Limiter.InUse(); return clients == 1 })
-			h.server.Drain(h.Listener)
-			require.NoError(t, <-h.Served)
-			h.Served <- nil
+			h.drainUntilRejecting()
 			c.Send(conntest.ReadQuery("60000")...)
 			return c
 		},
--- a/server/closing_test.go
+++ b/server/closing_test.go
@@ -107,9 +107,7 @@
 	h.awaitIdleClient()
 	h.server.evictIdle()
 	awaitHalfClose(t, c)
-	h.server.Drain(h.Listener)
-	require.NoError(t, <-h.Served) // both draining and rejecting have begun
-	h.Served <- nil
+	h.drainUntilRejecting()
 	time.Sleep(MaxCloseLinger)
 	clients, _, _ := h.Limiter.InUse()
 	assert.Equal(t, 1, clients, "the connection is still open")
@@ -202,9 +200,7 @@
 func TestRequestAfterDrainIsRejected(t *testing.T) {
 	h := newHarness(t, 40)
 	c := h.ConnectClient()
-	h.server.Drain(h.Listener)
-	require.NoError(t, <-h.Served) // no more connections are accepted, and requests are rejected
-	h.Served <- nil
+	h.drainUntilRejecting()
 	c.Send(conntest.ReadQuery("4000")...)
 	assert.Contains(t, string(c.Expect("EZ")), pgwire.CodeCannotConnectNow)
 	c.ExpectClosed()
@@ -220,9 +216,7 @@
 			h.server.linger = 0
 			c := h.ConnectClient()
 			c.Send([]byte(sent)...)
-			h.server.Drain(h.Listener)
-			require.NoError(t, <-h.Served)
-			h.Served <- nil
+			h.drainUntilRejecting()
 			h.server.Close()
 			c.ExpectClosed()
 			assert.True(t, h.server.Wait(10*time.Second))
--- a/server/harness_test.go
+++ b/server/harness_test.go
@@ -56,3 +56,10 @@
 	require.True(h.T, clients > 0 && servers == 1)
 	return c, server
 }
+
+// drainUntilRejecting begins a graceful shutdown and waits until no more connections are accepted, so that requests are rejected.
+func (h *harness) drainUntilRejecting() {
+	h.server.Drain(h.Listener)
+	require.NoError(h.T, <-h.Served)
+	h.Served <- nil
+}
--- a/server/requests_test.go
+++ b/server/requests_test.go
@@ -256,9 +256,7 @@
 		upstream.Expect("Q")
 		servers = append(servers, upstream)
 	}
-	h.server.Drain(h.Listener)
-	require.NoError(t, <-h.Served)
-	h.Served <- nil
+	h.drainUntilRejecting()
 	c.Send(conntest.ReadQueries(2)...) // rejected if they are read; otherwise the client finds its connection closed
 	for _, upstream := range servers {
 		upstream.Send(conntest.RowResponse("v")...)
@@ -288,9 +286,7 @@
 	upstream := h.AcceptServer()
 	upstream.Expect("Q")
 	<-h.Router.Received
-	h.server.Drain(h.Listener)
-	require.NoError(t, <-h.Served)
-	h.Served <- nil
+	h.drainUntilRejecting()
 	c.Send(conntest.ReadQueries(2)...)
 	h.Eventually(func() bool { return h.server.RejectedWhileDraining() == 2 })
 	upstream.Send(conntest.RowResponse("v")...)
